--- a/tests/output_pins.rs
+++ b/tests/output_pins.rs
@@ -11,6 +11,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
+use std::time::Instant;
 
 /// The programs as cargo built them, and the names by which they speak of themselves.
 const WORKER: &str = env!("CARGO_BIN_EXE_honeypost");
@@ -193,6 +194,25 @@
     transcript.check("console.txt");
 }
 
+/// Masks the values after `marks`, which depend on time, and the length of the text where they occur in it. The length
+/// must be the right one, and each value a number.
+fn mask_metrics(reply: &str, marks: &[&str]) -> String {
+    let (head, body) = reply.split_once("\r\n\r\n").unwrap();
+    let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
+    assert_eq!(length, Some(body.len().to_string().as_str()), "{reply}");
+    let mut masked = reply.to_owned();
+    for mark in marks {
+        for value in body.lines().filter_map(|line| Some(line.split_once(mark)?.1)) {
+            assert!(value.parse::<f64>().is_ok(), "{mark}{value} is no number");
+        }
+        masked = mask_after(&masked, mark);
+    }
+    if masked == reply {
+        return masked;
+    }
+    mask_after(&masked, "Content-Length: ")
+}
+
 #[test]
 fn console_metrics_with_operators_files() {
     let mut transcript = Transcript::default();
@@ -218,19 +238,84 @@
         let _executor = site.link();
         let linked = console_call(&site, "GET", "/-/metrics");
         for (state, reply) in [("not linked", unlinked), ("linked", linked)] {
-            let text = String::from_utf8(reply).unwrap();
-            let (head, _) = text.split_once("\r\n\r\n").unwrap();
-            assert!(head.lines().any(|l| l.starts_with("Content-Length: ")), "{head}");
-            // How long there has been no session depends on the machine, and the length of the text with it.
-            let text = mask_after(&text, "fleet.linked_or_not_for_s=");
-            let varies = text.contains("<varies>");
-            let text = if varies { mask_after(&text, "Content-Length: ") } else { text };
+            let text = mask_metrics(&String::from_utf8(reply).unwrap(), &["fleet.linked_or_not_for_s="]);
             transcript.wire(&format!("{title}; {state}"), text.as_bytes());
         }
     }
     transcript.check("console_operator_metrics.txt");
 }
 
+/// Reads one frame of the fleet's protocol: a length of four bytes, big end first, and JSON.
+fn read_frame(stream: &mut TcpStream) -> Option<Value> {
+    let mut length = [0; 4];
+    stream.read_exact(&mut length).ok()?;
+    let mut body = vec![0; u32::from_be_bytes(length) as usize];
+    stream.read_exact(&mut body).ok()?;
+    Some(serde_json::from_slice(&body).unwrap())
+}
+
+fn write_frame(stream: &mut TcpStream, message: &Value) {
+    let body = message.to_string();
+    let length = (body.len() as u32).to_be_bytes();
+    // The worker may have ended meanwhile; then nothing more is read either.
+    let _ = stream.write_all(&[&length, body.as_bytes()].concat());
+}
+
+/// A coordinator that grants both tasks and answers each heartbeat with renewals and totals, until the worker ends.
+fn serve_as_coordinator(mut stream: TcpStream) {
+    let leases = [("report", 7), ("audit", 8)].map(|(task, token)| json!({"task": task, "token": token}));
+    let renewed = leases.clone().map(|held| json!({"held": held, "ttl_ms": 30_000}));
+    while let Some(message) = read_frame(&mut stream) {
+        if message["say"] == "hello" {
+            let welcome = json!({"word": "welcome", "session": 1, "session_ttl_ms": 60_000,
+                "keep_every_ms": 50, "version": 2});
+            write_frame(&mut stream, &welcome);
+            for held in &leases {
+                write_frame(&mut stream, &json!({"word": "granted", "held": held}));
+            }
+        }
+        if message["say"] == "keep" {
+            let totals = json!({"counts": {"svc.replies.look.success": 5, "svc.concurrent": 2},
+                "workers": 2, "by": "n2", "age_ms": 100});
+            let kept = json!({"word": "kept", "seq": message["seq"], "leases": renewed, "totals": totals});
+            write_frame(&mut stream, &kept);
+        }
+    }
+}
+
+#[test]
+fn console_metrics_with_a_coordinator() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let coordinator = listener.local_addr().unwrap();
+    // Nobody listens where the tasks' calls would go.
+    let (_reserved, target) = reserve();
+    let task = |name: &str, safe: bool| {
+        format!("[[fleet.task]]\nname = \"{name}\"\nperiod_s = 60.0\naddress = \"{target}\"\nsafe = {safe}\n")
+    };
+    let operator = format!(
+        "[fleet]\nname = \"f\"\ncoordinators = [\"{coordinator}\"]\ntotals = false\n{}{}",
+        task("report", true),
+        task("audit", false)
+    );
+    let site = console_site(Some(&operator));
+    let _executor = site.link();
+    let stream = accept(&listener);
+    let server = std::thread::spawn(move || serve_as_coordinator(stream));
+    let until = Instant::now() + PATIENCE;
+    let mut text = String::new();
+    while !["fleet.lease.report", "fleet.lease.audit", "fleet.totals"].iter().all(|part| text.contains(part))
+    {
+        assert!(Instant::now() < until, "no lease or no totals in {text}");
+        text = String::from_utf8(console_call(&site, "GET", "/-/metrics")).unwrap();
+    }
+    let text = mask_metrics(&text, &["fleet.linked_or_not_for_s=", ".left_s=", "fleet.totals.age_s="]);
+    let mut transcript = Transcript::default();
+    transcript.wire("fleet with two leases and totals", text.as_bytes());
+    drop(site);
+    server.join().unwrap();
+    transcript.check("console_fleet_metrics.txt");
+}
+
 // Exit statuses and error lines of the worker.
 
 /// A configuration that is good; nothing listens at its executor's address, which is never reached here.
