--- /dev/null
+++ b/tests/stored_forms/fleet.rs
@@ -0,0 +1,278 @@
+//! Frames between port workers, operators' commands and coordinators.
+
+use crate::{bytes_of, fixture_lines, hex_of, paired};
+use honeypost::fleet::frame::{
+    decode, encode, Counts, Ending, Held, Question, Renewed, Say, Totals, Word, HEAR_MOST_BYTES,
+    SAY_MOST_BYTES, VERSION,
+};
+use honeypost::fleet::overload::level::Level;
+use honeypost::fleet::overload::{Digest, Load};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fmt::Debug;
+
+fn lease(task: &str, token: u64) -> Held {
+    Held { task: task.to_owned(), token }
+}
+
+fn counts() -> Counts {
+    Counts::from([("admitted".to_owned(), 1234), ("refused-full".to_owned(), u64::MAX)])
+}
+
+fn totals() -> Totals {
+    Totals { counts: counts(), workers: 3, by: "n1".to_owned(), age_ms: 250 }
+}
+
+fn load() -> Load {
+    Load {
+        number: 9,
+        heard: 8,
+        arrivals: vec![12.5, 0.1, 0.0],
+        further: 1.25,
+        refused: 0.75,
+        capacity: 96.5,
+        calls_good: 33.0,
+        calls_bad: 0.5,
+        call_s: 0.125,
+        wants: 2.0,
+        worth: 3.5,
+        gives_up: true,
+        lends: 1.015625,
+    }
+}
+
+fn digest() -> Digest {
+    Digest {
+        number: 12,
+        of: 10,
+        age_ms: 740,
+        level: Level { tier: 2, share: 0.3 },
+        spread_s: 4.5,
+        pass: 0.1,
+        part: 0.5,
+        given_up: true,
+        trial: true,
+        slice: 0.234375,
+    }
+}
+
+/// Every kind that is sent to a coordinator, with its optional fields absent and present.
+fn requests() -> Vec<Say> {
+    let keep = Say::Keep { seq: 1, wants: vec![], held: vec![], figures: None, totals: None, load: None };
+    let ask = |what| Say::Ask { fleet: "polderlijn".to_owned(), what };
+    let end = |ending, period| Say::End { held: lease("nightly-report", 7), period, ending };
+    vec![
+        Say::Hello {
+            fleet: "polderlijn".to_owned(),
+            version: VERSION,
+            name: "n1".to_owned(),
+            zone: String::new(),
+            process: 0,
+        },
+        Say::Hello {
+            fleet: "polderlijn".to_owned(),
+            version: 1,
+            name: "n1".to_owned(),
+            zone: "east".to_owned(),
+            process: u64::MAX,
+        },
+        keep,
+        Say::Keep {
+            seq: 2,
+            wants: vec!["totals".to_owned(), "nightly-report".to_owned()],
+            held: vec![lease("totals", 7), lease("nightly-report", u64::MAX)],
+            figures: Some(counts()),
+            totals: Some(totals()),
+            load: Some(load()),
+        },
+        Say::Keep {
+            seq: 3,
+            wants: vec![],
+            held: vec![],
+            figures: Some(Counts::new()),
+            totals: Some(Totals::default()),
+            load: Some(Load::default()),
+        },
+        Say::GiveBack { held: lease("totals", 7), failed: false, pass_on: false },
+        Say::GiveBack { held: lease("totals", 7), failed: true, pass_on: true },
+        Say::Begin { held: lease("nightly-report", 7), every_ms: 60_000, safe: false, attempt: 1 },
+        Say::Begin { held: lease("nightly-report", 7), every_ms: 100, safe: true, attempt: 2 },
+        end(Ending::Done, 29_000_000),
+        end(Ending::NotDone, 29_000_001),
+        end(Ending::Unknown, 29_000_002),
+        Say::Bye,
+        ask(Question::Status),
+        ask(Question::Members),
+        ask(Question::Leases),
+        ask(Question::Tasks),
+        ask(Question::Overload),
+        ask(Question::Pin { tier: 1, share: 0.5, for_s: 60.0 }),
+        ask(Question::Replace { coordinator: "c2".to_owned() }),
+        Say::Unknown,
+    ]
+}
+
+/// Every kind that a coordinator sends, with its optional fields absent and present.
+fn responses() -> Vec<Word> {
+    let kept = Word::Kept { seq: 1, leases: vec![], totals: None, figures: vec![], overload: None };
+    vec![
+        Word::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION },
+        Word::NotLeader { leader: None, why: "no leader is known".to_owned() },
+        Word::NotLeader { leader: Some("127.0.0.1:7102".to_owned()), why: "c2 leads".to_owned() },
+        kept,
+        Word::Kept {
+            seq: 2,
+            leases: vec![
+                Renewed { held: lease("totals", 7), ttl_ms: 3000 },
+                Renewed { held: lease("nightly-report", 8), ttl_ms: 2500 },
+            ],
+            totals: Some(totals()),
+            figures: vec![(120, counts()), (0, Counts::new())],
+            overload: Some(digest()),
+        },
+        Word::Kept {
+            seq: 3,
+            leases: vec![],
+            totals: Some(Totals::default()),
+            figures: vec![],
+            overload: Some(Digest::default()),
+        },
+        Word::Granted { held: lease("totals", 7) },
+        Word::Begun { held: lease("nightly-report", 7), period: 29_000_000, attempt: 1 },
+        Word::NotBegun { held: lease("nightly-report", 7), in_ms: 400, why: "it is made".to_owned() },
+        Word::Gone,
+        Word::Refused { why: "a \"quoted\" reason, é".to_owned() },
+        Word::Answer {
+            answer: serde_json::json!({"leases": [{"task": "totals", "token": 7}], "term": null}),
+        },
+        Word::Unknown,
+    ]
+}
+
+/// What `fleet_requests_tolerated.jsonl` is read as: fields that are left out, unknown fields and unknown kinds.
+fn tolerated_requests() -> Vec<Say> {
+    let keep = |load| Say::Keep { seq: 4, wants: vec![], held: vec![], figures: None, totals: None, load };
+    vec![
+        Say::Hello {
+            fleet: "polderlijn".to_owned(),
+            version: 3,
+            name: "n1".to_owned(),
+            zone: String::new(),
+            process: 5,
+        },
+        keep(None),
+        keep(None),
+        keep(Some(Load::default())),
+        keep(Some(Load { number: 5, ..Load::default() })),
+        Say::Keep {
+            seq: 4,
+            wants: vec![],
+            held: vec![lease("totals", 7)],
+            figures: None,
+            totals: Some(Totals { workers: 2, ..Totals::default() }),
+            load: None,
+        },
+        Say::GiveBack { held: lease("totals", 7), failed: false, pass_on: false },
+        Say::Bye,
+        Say::Unknown,
+        Say::Unknown,
+    ]
+}
+
+/// What `fleet_responses_tolerated.jsonl` is read as.
+fn tolerated_responses() -> Vec<Word> {
+    let kept = |overload| Word::Kept { seq: 4, leases: vec![], totals: None, figures: vec![], overload };
+    vec![
+        Word::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: 3 },
+        Word::NotLeader { leader: None, why: String::new() },
+        kept(None),
+        kept(Some(Digest::default())),
+        kept(Some(Digest { level: Level { tier: 1, share: 0.25 }, ..Digest::default() })),
+        Word::Granted { held: lease("totals", 7) },
+        Word::Gone,
+        Word::Unknown,
+        Word::Unknown,
+    ]
+}
+
+/// A frame with this payload.
+fn framed(payload: &str) -> Vec<u8> {
+    [&(payload.len() as u32).to_be_bytes()[..], payload.as_bytes()].concat()
+}
+
+fn reads_as<T: DeserializeOwned + PartialEq + Debug>(payload: &str, most_bytes: usize, value: &T) {
+    let frame = framed(payload);
+    let (read, length) = decode::<T>(&frame, most_bytes).unwrap().unwrap();
+    assert_eq!(&read, value, "{payload}");
+    assert_eq!(length, frame.len(), "{payload}");
+}
+
+fn writes_as<T: Serialize>(payload: &str, value: &T) {
+    assert_eq!(hex_of(&encode(value)), hex_of(&framed(payload)), "{payload}");
+}
+
+#[test]
+fn requests_are_written_and_read_as_the_fixture_has_them() {
+    for (payload, value) in paired("fleet_requests.jsonl", requests()) {
+        writes_as(&payload, &value);
+        reads_as(&payload, SAY_MOST_BYTES, &value);
+    }
+}
+
+#[test]
+fn responses_are_written_and_read_as_the_fixture_has_them() {
+    for (payload, value) in paired("fleet_responses.jsonl", responses()) {
+        writes_as(&payload, &value);
+        reads_as(&payload, HEAR_MOST_BYTES, &value);
+    }
+}
+
+/// The value that each whole frame of `fleet_frames.hex` stands for.
+fn whole_frames() -> (Vec<Say>, Vec<Word>) {
+    (requests().split_off(3)[..1].to_vec(), responses().split_off(4)[..1].to_vec())
+}
+
+#[test]
+fn whole_frames_keep_their_bytes() {
+    let lines = fixture_lines("fleet_frames.hex");
+    let (requests, responses) = whole_frames();
+    assert_eq!(lines.len(), 2);
+    assert_eq!(hex_of(&encode(&requests[0])), lines[0]);
+    assert_eq!(hex_of(&encode(&responses[0])), lines[1]);
+    let (request_frame, response_frame) = (bytes_of(&lines[0]), bytes_of(&lines[1]));
+    let request = decode::<Say>(&request_frame, SAY_MOST_BYTES).unwrap().unwrap();
+    assert_eq!(request, (requests[0].clone(), request_frame.len()));
+    let response = decode::<Word>(&response_frame, HEAR_MOST_BYTES).unwrap().unwrap();
+    assert_eq!(response, (responses[0].clone(), response_frame.len()));
+}
+
+#[test]
+fn absent_fields_unknown_fields_and_unknown_kinds_are_tolerated() {
+    for (payload, value) in paired("fleet_requests_tolerated.jsonl", tolerated_requests()) {
+        reads_as(&payload, SAY_MOST_BYTES, &value);
+    }
+    for (payload, value) in paired("fleet_responses_tolerated.jsonl", tolerated_responses()) {
+        reads_as(&payload, HEAR_MOST_BYTES, &value);
+    }
+}
+
+#[test]
+fn what_lacks_a_needed_field_is_an_error() {
+    for payload in fixture_lines("fleet_requests_unreadable.jsonl") {
+        assert!(decode::<Say>(&framed(&payload), SAY_MOST_BYTES).is_err(), "{payload}");
+    }
+    for payload in fixture_lines("fleet_responses_unreadable.jsonl") {
+        assert!(decode::<Word>(&framed(&payload), HEAR_MOST_BYTES).is_err(), "{payload}");
+    }
+}
+
+#[test]
+fn versions_and_bounds_keep_their_values() {
+    assert_eq!((VERSION, SAY_MOST_BYTES, HEAR_MOST_BYTES), (2, 16_384, 1_048_576));
+    let bye_of = |length: usize| {
+        let payload = r#"{"say":"bye"}"#;
+        framed(&format!("{payload}{}", " ".repeat(length - payload.len())))
+    };
+    assert_eq!(decode(&bye_of(16_384), SAY_MOST_BYTES), Ok(Some((Say::Bye, 16_388))));
+    assert!(decode::<Say>(&bye_of(16_385), SAY_MOST_BYTES).is_err());
+}
