--- /dev/null
+++ b/coordinator/tests/operator_file.rs
@@ -0,0 +1,69 @@
+//! Pins coordinators' files: what came with the program at commit c001dc7 stands under the root's
+//! `tests/fixtures/operator_files` and must go on being read with the same meaning. Tests never write there.
+
+use honeypost_coordinator::config::File;
+use std::path::Path;
+
+fn read(path: &str) -> File {
+    File::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(path)).unwrap()
+}
+
+fn text_of_every_key() -> String {
+    let path = "../tests/fixtures/operator_files/coordinator_every_key.toml";
+    std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(path)).unwrap()
+}
+
+#[test]
+fn the_file_that_comes_with_the_program_is_understood() {
+    for path in ["tests/fixtures/operator_files/coordinator.toml", "deploy/coordinator.toml"] {
+        let file = read(path);
+        assert_eq!([&file.fleet, &file.name], ["polderlijn", "c1"]);
+        assert_eq!(file.folder, Path::new("/var/lib/honeypost/c1"));
+        assert_eq!((file.epoch, file.write_overdue_ms, file.version), (1, 1000, 2));
+        assert_eq!(file.listens(), Some("127.0.0.1:7101".parse().unwrap()));
+        let peers = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.port()));
+        assert_eq!(peers.collect::<Vec<_>>(), [("c1", 7101), ("c2", 7102), ("c3", 7103)]);
+        let [totals, report] = &file.tasks[..] else { panic!("two tasks, not {:?}", file.tasks) };
+        assert_eq!((totals.name.as_str(), totals.ttl_ms, totals.pause_ms), ("totals", 3000, 2000));
+        assert!(totals.zones.is_empty());
+        assert_eq!((report.name.as_str(), report.ttl_ms, report.pause_ms), ("nightly-report", 3000, 2000));
+        assert_eq!(report.zones, ["east"]);
+        assert!(file.overload.is_none());
+    }
+}
+
+#[test]
+fn every_key_is_understood() {
+    let file = read("tests/fixtures/operator_files/coordinator_every_key.toml");
+    assert_eq!((file.epoch, file.write_overdue_ms, file.version), (4, 750, 1));
+    assert_eq!(file.listens(), Some("0.0.0.0:7201".parse().unwrap()));
+    let task = &file.tasks[0];
+    assert_eq!((task.name.as_str(), task.ttl_ms, task.pause_ms), ("nightly-report", 2500, 1500));
+    assert_eq!(task.zones, ["east", "west"]);
+    let overload = file.overload.unwrap();
+    assert_eq!((overload.calls_part, overload.retry_percent), (4.5, 12.5));
+}
+
+#[test]
+fn keys_that_are_left_out_have_their_defaults() {
+    let file = read("tests/fixtures/operator_files/coordinator_needed_keys.toml");
+    assert_eq!((file.write_overdue_ms, file.version), (1000, 2));
+    assert_eq!(file.listens(), Some("127.0.0.1:7101".parse().unwrap()));
+    let task = &file.tasks[0];
+    assert_eq!((task.ttl_ms, task.pause_ms, task.zones.len()), (3000, 2000, 0));
+    assert_eq!(file.overload.unwrap().retry_percent, 10.0);
+}
+
+#[test]
+fn an_unknown_key_is_an_error_that_names_it_in_every_block() {
+    let text = text_of_every_key();
+    let mut wrong = vec![format!("misspelt = 1\n{text}")];
+    for header in text.lines().filter(|line| line.starts_with('[')) {
+        wrong.push(text.replacen(header, &format!("{header}\nmisspelt = 1"), 1));
+    }
+    assert_eq!(wrong.len(), 4);
+    for text in wrong {
+        let error = File::decode(&text).expect_err(&text);
+        assert!(error.contains("unknown field `misspelt`"), "{error}");
+    }
+}
--- /dev/null
+++ b/tests/operator_files.rs
@@ -0,0 +1,228 @@
+//! Pins operators' TOML files: what came with the program at commit c001dc7 stands under `tests/fixtures/operator_files`
+//! and must go on being read with the same meaning, as the files in `deploy/` of today are. Tests never write there.
+
+use honeypost::config::{Config, Identity, Operator};
+use std::path::Path;
+
+fn text_of(path: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+fn config() -> Config {
+    Config::decode(&text_of("tests/fixtures/configuration/example.json")).unwrap()
+}
+
+fn decoded(text: &str) -> Operator {
+    Operator::decode(text, &config()).unwrap()
+}
+
+/// The file as it came with the program, and as it comes with it today.
+fn then_and_now(name: &str) -> [Operator; 2] {
+    ["tests/fixtures/operator_files", "deploy"].map(|folder| decoded(&text_of(&format!("{folder}/{name}"))))
+}
+
+/// The names of the blocks that this file switches on.
+fn blocks(operator: &Operator) -> Vec<&'static str> {
+    let on = [
+        ("ajp", operator.ajp.is_some()),
+        ("backend", operator.backend.is_some()),
+        ("directory", operator.directory.is_some()),
+        ("pools", operator.pools.is_some()),
+        ("http2", operator.http2.is_some()),
+        ("fleet", operator.fleet.is_some()),
+    ];
+    on.into_iter().filter_map(|(name, on)| on.then_some(name)).collect()
+}
+
+#[test]
+fn an_empty_file_switches_nothing_on() {
+    assert!(blocks(&decoded("")).is_empty());
+}
+
+#[test]
+fn the_ajp_file_is_understood() {
+    for operator in then_and_now("ajp.toml") {
+        assert_eq!(blocks(&operator), ["ajp"]);
+        let ajp = operator.ajp.unwrap();
+        assert_eq!(ajp.listen.port(), 8009);
+        assert_eq!(ajp.secret.as_deref(), Some("change-me"));
+        assert_eq!(ajp.routes.len(), 3);
+        assert_eq!(ajp.class_of("/portal/submit/now"), Some("port-submit"));
+        assert_eq!(ajp.class_of("/portal"), None);
+        assert_eq!(ajp.tenant_of(None, "portal.belwijs.example"), Some("belwijs"));
+        assert_eq!(ajp.tenant_of(Some("veenbel-portal"), "elsewhere"), Some("veenbel"));
+        assert_eq!(ajp.tenant_of(None, "elsewhere"), None);
+    }
+}
+
+#[test]
+fn the_http2_file_is_understood() {
+    for operator in then_and_now("http2.toml") {
+        assert_eq!(blocks(&operator), ["http2"]);
+        let http2 = operator.http2.unwrap();
+        assert_eq!(http2.listen.port(), 7002);
+        assert_eq!((http2.connections, http2.newcomers, http2.streams), (512, 32, 100));
+        assert_eq!((http2.stream_window_kb, http2.connection_window_kb, http2.header_list_kb), (4, 64, 8));
+        assert_eq!((http2.send_buffer_kb, http2.waiting_kb), (8, 4096));
+        assert_eq!((http2.pending_resets, http2.error_resets), (20, 64));
+        assert_eq!((http2.idle_s, http2.ping_s), (30.0, 10.0));
+        assert_eq!((http2.overhead_kb, http2.overhead_kb_per_s), (64, 4));
+    }
+}
+
+#[test]
+fn the_fleet_file_is_understood() {
+    for operator in then_and_now("fleet.toml") {
+        assert_eq!(blocks(&operator), ["fleet"]);
+        let fleet = operator.fleet.unwrap();
+        assert!(!fleet.overload());
+        let plan = fleet.plan(&config());
+        assert_eq!([&plan.fleet, &plan.name, &plan.zone], ["polderlijn", "n1", "east"]);
+        assert_eq!(plan.coordinators.iter().map(|c| c.port()).collect::<Vec<_>>(), [7101, 7102, 7103]);
+        assert_eq!(plan.drift, 0.1);
+        assert!(plan.adds_up);
+        let [task] = &plan.tasks[..] else { panic!("one task, not {:?}", plan.tasks) };
+        assert_eq!((task.name.as_str(), task.path.as_str()), ("nightly-report", "/report"));
+        assert_eq!((task.period_s, task.deadline_s, task.safe), (60.0, 0.5, false));
+        assert_eq!(task.address.port(), 7300);
+    }
+}
+
+#[test]
+fn the_pools_file_is_understood() {
+    for operator in then_and_now("pools.toml") {
+        assert_eq!(blocks(&operator), ["pools"]);
+        let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
+        assert_eq!((plan.least_slots, plan.most_slots, plan.samples), (6, 12, 16));
+        assert_eq!((plan.window_s, plan.look_s, plan.slow_ratio), (10.0, 0.5, 1.6));
+        assert_eq!(plan.reserve, Some((0, 1)));
+        // Classes in the configuration's order: status-check, eligibility, port-submit.
+        assert_eq!(plan.pool_of, [0, 2, 1]);
+        let pools = plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue));
+        let expected =
+            [("cheap", 0.15, 1.0, 1.0, 256), ("orders", 0.35, 1.0, 3.0, 64), ("heavy", 0.3, 0.8, 2.0, 128)];
+        assert_eq!(pools.collect::<Vec<_>>(), expected);
+    }
+}
+
+#[test]
+fn every_key_is_understood() {
+    let operator = decoded(&text_of("tests/fixtures/operator_files/every_key.toml"));
+    assert_eq!(blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
+
+    let ajp = operator.ajp.unwrap();
+    assert_eq!((ajp.listen.port(), ajp.secret.as_deref()), (8109, Some("one")));
+    assert_eq!(ajp.class_of("/portal/x"), Some("status-check"));
+    assert_eq!(ajp.tenant_of(Some("portal"), "portal.example"), Some("belwijs"));
+    assert_eq!(ajp.tenant_of(Some("portal"), "elsewhere"), None);
+    assert_eq!(ajp.tenant_of(None, "portal.example"), None);
+
+    let backend = operator.backend.unwrap();
+    assert_eq!(backend.servers.iter().map(|s| s.port()).collect::<Vec<_>>(), [8010, 8011]);
+    assert_eq!((backend.secret.as_deref(), backend.server_name.as_str()), (Some("two"), "porting.internal"));
+    assert_eq!(backend.uri_of("port-submit"), "/porting/submit");
+    assert_eq!(backend.uri_of("eligibility"), "/do/eligibility");
+
+    let directory = operator.directory.unwrap();
+    assert_eq!(directory.address.port(), 389);
+    assert_eq!(
+        [&directory.bind_dn, &directory.bind_password, &directory.base],
+        ["cn=worker", "three", "ou=portals"]
+    );
+    assert_eq!(directory.identity, Identity::ServerName);
+    assert_eq!([&directory.identity_attribute, &directory.tenant_attribute], ["uid", "o"]);
+    assert_eq!((directory.timeout_ms, directory.cache_s, directory.cache_entries), (250.5, 30.5, 12));
+
+    let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
+    assert_eq!((plan.least_slots, plan.most_slots, plan.samples), (5, 15, 8));
+    assert_eq!((plan.window_s, plan.look_s, plan.slow_ratio), (20.5, 0.25, 2.5));
+    assert_eq!((plan.reserve, plan.pool_of), (Some((0, 2)), vec![1, 1, 0]));
+    let orders = &plan.pools[0];
+    assert_eq!((orders.guarantee, orders.ceiling, orders.weight, orders.queue), (0.25, 0.75, 2.5, 32));
+
+    let http2 = operator.http2.unwrap();
+    assert_eq!(
+        (http2.listen.port(), http2.connections, http2.newcomers, http2.streams),
+        (7102, 101, 102, 103)
+    );
+    assert_eq!((http2.stream_window_kb, http2.connection_window_kb, http2.header_list_kb), (104, 105, 6));
+    assert_eq!((http2.send_buffer_kb, http2.waiting_kb), (107, 108));
+    assert_eq!((http2.pending_resets, http2.error_resets), (109, 110));
+    assert_eq!((http2.idle_s, http2.ping_s), (111.5, 112.5));
+    assert_eq!((http2.overhead_kb, http2.overhead_kb_per_s), (113, 114));
+
+    let fleet = operator.fleet.unwrap();
+    assert!(fleet.overload());
+    let plan = fleet.plan(&config());
+    assert_eq!((plan.fleet.as_str(), plan.zone.as_str()), ("polderlijn", "west"));
+    assert_eq!((plan.drift, plan.adds_up), (0.125, false));
+    let task = &plan.tasks[0];
+    assert_eq!((task.period_s, task.deadline_s, task.safe), (30.5, 0.25, true));
+    assert_eq!((task.name.as_str(), task.path.as_str()), ("nightly-report", "/report"));
+}
+
+#[test]
+fn keys_that_are_left_out_have_their_defaults() {
+    let operator = decoded(&text_of("tests/fixtures/operator_files/needed_keys.toml"));
+    assert_eq!(blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
+
+    let ajp = operator.ajp.unwrap();
+    assert_eq!((ajp.secret.as_deref(), ajp.tenants.len()), (None, 0));
+
+    let backend = operator.backend.unwrap();
+    assert_eq!((backend.secret.as_deref(), backend.server_name.as_str()), (None, "localhost"));
+    assert_eq!(backend.uri_of("port-submit"), "/do/port-submit");
+
+    let directory = operator.directory.unwrap();
+    assert_eq!([&directory.bind_dn, &directory.bind_password], ["", ""]);
+    assert_eq!(directory.identity, Identity::RemoteUser);
+    assert_eq!((directory.timeout_ms, directory.cache_s, directory.cache_entries), (500.0, 60.0, 1024));
+
+    let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
+    assert_eq!((plan.least_slots, plan.most_slots, plan.samples), (6, 12, 16));
+    assert_eq!((plan.window_s, plan.look_s, plan.slow_ratio), (10.0, 0.5, 1.6));
+    assert_eq!((plan.reserve, plan.pool_of), (None, vec![1, 1, 0]));
+    let pools = plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue));
+    let expected = [("orders", 0.0, 1.0, 1.0, 256), ("rest", 0.0, 1.0, 1.0, 256)];
+    assert_eq!(pools.collect::<Vec<_>>(), expected);
+
+    // The file in `deploy/` shows the defaults.
+    let mut http2 = operator.http2.unwrap();
+    let [shown, _] = then_and_now("http2.toml").map(|o| o.http2.unwrap());
+    http2.listen = shown.listen;
+    assert_eq!(http2, shown);
+
+    let fleet = operator.fleet.unwrap();
+    assert!(!fleet.overload());
+    let plan = fleet.plan(&config());
+    assert_eq!((plan.zone.as_str(), plan.drift, plan.adds_up), ("none", 0.1, true));
+    assert_eq!((plan.tasks[0].path.as_str(), plan.tasks[0].deadline_s), ("/", 0.5));
+}
+
+#[test]
+fn an_unknown_key_is_an_error_that_names_it_in_every_block() {
+    let text = text_of("tests/fixtures/operator_files/every_key.toml");
+    for header in text.lines().filter(|line| line.starts_with('[') && *line != "[backend.paths]") {
+        let wrong = text.replacen(header, &format!("{header}\nmisspelt = 1"), 1);
+        let error = Operator::decode(&wrong, &config()).expect_err(header);
+        assert!(error.contains("unknown field `misspelt`"), "{header}: {error}");
+    }
+    let error = Operator::decode("[misspelt]\n", &config()).unwrap_err();
+    assert!(error.contains("unknown field `misspelt`"), "{error}");
+}
+
+/// The platform reads this file: its keys are fixed, and its paths are the repository's.
+#[test]
+fn the_platform_s_file_names_paths_that_exist() {
+    let file: toml::Table = text_of("deploy/balancer.toml").parse().unwrap();
+    let mut keys: Vec<&str> = file.keys().map(String::as_str).collect();
+    keys.sort_unstable();
+    assert_eq!(keys, ["build", "node", "packages", "policy", "run", "sim"]);
+    for key in ["policy", "node"] {
+        for path in file[key].as_array().unwrap() {
+            let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(path.as_str().unwrap());
+            assert!(path.exists(), "{key} names {}", path.display());
+        }
+    }
+}
