--- /dev/null
+++ b/tests/configuration.rs
@@ -0,0 +1,146 @@
+//! Pins the platform's configuration: the example as it stood at commit c001dc7 is kept under
+//! `tests/fixtures/configuration` and must go on being read with the same meaning, as `examples/config.json` of today
+//! is. Tests never write there.
+
+use honeypost::config::{read_gauges, Config};
+use honeypost::{Effect, Halting, Settings, Signal};
+
+fn text_of(path: &str) -> String {
+    let path = format!("{}/{path}", env!("CARGO_MANIFEST_DIR"));
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path}: {e}"))
+}
+
+fn example() -> String {
+    text_of("tests/fixtures/configuration/example.json")
+}
+
+/// The example as it stood, and as it is today.
+fn then_and_now() -> [Config; 2] {
+    [example(), text_of("examples/config.json")].map(|text| Config::decode(&text).unwrap())
+}
+
+/// The controller's settings of the example with this changed in it.
+fn settings_with(from: &str, to: &str) -> Settings {
+    let text = example();
+    assert!(text.contains(from), "the example has no {from}");
+    Config::decode(&text.replacen(from, to, 1)).unwrap().settings.settings(0)
+}
+
+#[test]
+fn the_process_s_part_is_understood() {
+    for config in then_and_now() {
+        assert_eq!(config.name, "n1");
+        assert_eq!((config.listen.port(), config.executor.port()), (7001, 7300));
+        assert_eq!(config.console.map(|a| a.port()), Some(7010));
+        assert_eq!(config.registry.map(|a| a.port()), Some(2379));
+        assert_eq!(config.records.map(|a| a.port()), Some(8900));
+        assert_eq!(config.seed_number(), 0x8c1f_30d2_7a5b_e964);
+        assert_eq!(config.stop_ms, 3200.0);
+        assert_eq!((config.limits.memory_mb, config.limits.sockets), (192.0, 1024));
+        assert!(config.settings.domain.passes_deadline);
+    }
+}
+
+#[test]
+fn classes_and_tenants_are_understood() {
+    for config in then_and_now() {
+        let names = config.settings.profiles.iter().map(|p| p.name.as_str());
+        assert_eq!(names.collect::<Vec<_>>(), ["status-check", "eligibility", "port-submit"]);
+        let names = config.settings.tenants.iter().map(|t| t.name.as_str());
+        assert_eq!(names.collect::<Vec<_>>(), ["belwijs", "veenbel"]);
+
+        let settings = config.settings.settings(0);
+        let classes = settings.classes.iter().map(|c| (c.worth, c.late_worth, c.aim_s, c.deadline_s));
+        let expected = [(1.0, 0.0, 1.9, 4.7), (2.0, 0.2, 1.9, 4.7), (5.0, 0.0, 1.3, 3.4)];
+        assert_eq!(classes.collect::<Vec<_>>(), expected);
+        let classes = settings.classes.iter().map(|c| (c.effect, c.window_s, c.calls, c.skipped_worth));
+        let expected = [
+            (Effect::Safe, 5.0, true, 0.6),
+            (Effect::Safe, 5.0, true, 0.6),
+            (Effect::Keyed, 10.191, true, 0.0),
+        ];
+        assert_eq!(classes.collect::<Vec<_>>(), expected);
+        let quotas = settings.tenants.iter().map(|t| t.quota_per_s);
+        assert_eq!(quotas.collect::<Vec<_>>(), [40.0, 23.0]);
+    }
+}
+
+#[test]
+fn the_controller_s_settings_are_understood() {
+    for config in then_and_now() {
+        let settings = config.settings.settings(config.seed_number());
+        assert_eq!(settings.seed, 0x8c1f_30d2_7a5b_e964);
+        assert_eq!((settings.cores, settings.callers, settings.workers), (6, 3, 10));
+        assert_eq!((settings.cold, settings.cold_from, settings.cold_s), (false, 0.26, 18.0));
+        assert_eq!((settings.crowd_multiple, settings.crowd_window_s), (8.0, 3.0));
+        assert_eq!((settings.memory_kb, settings.run_factor, settings.entry_kb), (18648.0, 8.0, 106.12));
+        assert_eq!((settings.leave_grace_s, settings.answer_slack_s), (2.5, 0.1));
+        assert_eq!((settings.wake_ahead_s, settings.max_advice_s, settings.idle_s), (0.004, 1.0, 30.0));
+        assert_eq!(settings.over_quota_worth, 0.1);
+        assert!(settings.marks_retries && settings.health_listed);
+        assert_eq!((settings.halting, settings.signal), (Halting::Never, Signal::Weight));
+        let dependency = settings.dependency.unwrap();
+        assert_eq!((dependency.share, dependency.window_s, dependency.linger_s), (5.0, 5.0, 0.2));
+        assert!(settings.pools.is_none() && !settings.overload);
+    }
+}
+
+#[test]
+fn the_platform_s_words_keep_their_meaning() {
+    let effect = |word: &str| settings_with("\"effect\": \"safe\"", &format!("\"effect\": \"{word}\""));
+    assert_eq!(effect("keyed").classes[0].effect, Effect::Keyed);
+    assert_eq!(effect("unsafe").classes[0].effect, Effect::Unsafe);
+
+    let halt = |word: &str| settings_with("\"halt\": \"silent\"", &format!("\"halt\": \"{word}\"")).halting;
+    assert_eq!(halt("discard"), Halting::Discard);
+    assert_eq!(halt("freeze"), Halting::Pause);
+    assert_eq!(halt("later"), Halting::Never);
+
+    let signal =
+        |word: &str| settings_with("\"signal\": \"weight\"", &format!("\"signal\": \"{word}\"")).signal;
+    assert_eq!(signal("floor"), Signal::RankFloor);
+    assert_eq!(signal("silent"), Signal::None);
+
+    assert!(settings_with("\"one_for_all\"", "\"silent\"").dependency.is_none());
+    assert!(settings_with("\"nCores\"", "\"cold\": true, \"nCores\"").cold);
+    assert_eq!(settings_with("\"retryAfter\": true", "\"retryAfter\": false").max_advice_s, 0.0);
+    assert!(!settings_with("\"readiness\": true", "\"readiness\": false").health_listed);
+    assert!(!settings_with("\"marksRetry\": true", "\"marksRetry\": false").marks_retries);
+}
+
+#[test]
+fn gauges_are_found_by_the_platform_s_names() {
+    let names = Config::decode(&example()).unwrap().settings.domain.own_stats;
+    assert_eq!(names, ["cpu_busy", "runnable", "mem_used", "sockets"]);
+    let gauges = read_gauges(&names, &[0.5, 7.0, 100.0, 42.0]);
+    assert_eq!(gauges.cores_busy, Some(0.5));
+    assert_eq!(gauges.runnable, Some(7.0));
+    assert_eq!(gauges.connections, Some(42.0));
+}
+
+#[test]
+fn keys_that_are_left_out_have_their_defaults_and_unknown_ones_are_ignored() {
+    let text = text_of("tests/fixtures/configuration/needed_keys.json");
+    let config = Config::decode(&text).unwrap();
+    assert_eq!((config.name.as_str(), config.seed.as_str(), config.stop_ms), ("n2", "", 3200.0));
+    assert!(config.console.is_none() && config.registry.is_none() && config.records.is_none());
+    assert_eq!((config.limits.memory_mb, config.limits.sockets), (192.0, 1024));
+    let settings = config.settings.settings(0);
+    assert_eq!((settings.cores, settings.memory_kb, settings.callers), (2, 4096.0, 0));
+    assert_eq!((settings.classes[0].aim_s, settings.classes[0].deadline_s), (1.0, 2.0));
+    assert!(settings.dependency.is_none() && settings.tenants.is_empty());
+    assert!(!settings.classes[0].calls && !settings.marks_retries && !settings.health_listed);
+    assert_eq!((settings.halting, settings.signal), (Halting::Never, Signal::None));
+}
+
+#[test]
+fn a_needed_key_that_is_missing_is_an_error() {
+    let text = text_of("tests/fixtures/configuration/needed_keys.json");
+    for key in
+        ["name", "listen", "executor", "settings", "nCores", "heapKb", "effect", "targetS", "deadlineS"]
+    {
+        let other = text.replacen(&format!("\"{key}\""), "\"other\"", 1);
+        assert_ne!(other, text, "{key}");
+        assert!(Config::decode(&other).is_err(), "{key}");
+    }
+}
