--- /dev/null
+++ b/coordinator/tests/command_line.rs
@@ -0,0 +1,186 @@
+//! What operators' scripts rest on: help texts, exit statuses, and the lines on stderr.
+
+use std::fs;
+use std::io::{Read, Write};
+use std::net::TcpListener;
+use std::process::{Command, Output};
+
+/// A program under test, and the name it gives itself.
+struct Program {
+    path: &'static str,
+    name: &'static str,
+}
+
+const COORDINATOR: Program =
+    Program { path: env!("CARGO_BIN_EXE_honeypost-coordinator"), name: "honeypost-coordinator" };
+const FLEET: Program = Program { path: env!("CARGO_BIN_EXE_honeypost-fleet"), name: "honeypost-fleet" };
+/// Variables that stand in for arguments.
+const VARIABLES: [&str; 2] = ["HONEYPOST_COORDINATORS", "HONEYPOST_FLEET"];
+
+const REJECTED: i32 = 1;
+const UNUSABLE: i32 = 2;
+const NO_QUORUM: i32 = 3;
+
+fn run(program: &Program, arguments: &[&str]) -> Output {
+    let mut command = Command::new(program.path);
+    command.args(arguments).env_remove("RUST_LOG");
+    for variable in VARIABLES {
+        command.env_remove(variable);
+    }
+    command.output().unwrap()
+}
+
+/// All help texts of a program: its own, then each subcommand's.
+fn help_texts(program: &Program, subcommands: &[&str]) -> String {
+    let mut text = String::new();
+    for arguments in std::iter::once(vec!["--help"]).chain(subcommands.iter().map(|s| vec![*s, "--help"])) {
+        let output = run(program, &arguments);
+        assert_eq!(output.status.code(), Some(0), "{arguments:?}");
+        assert!(output.stderr.is_empty(), "{arguments:?}");
+        text.push_str(&format!("$ {} {}\n", program.name, arguments.join(" ")));
+        text.push_str(std::str::from_utf8(&output.stdout).unwrap());
+    }
+    text
+}
+
+/// Runs a program that must fail with this status, print nothing on stdout and this on stderr.
+fn assert_fails(program: &Program, arguments: &[&str], status: i32, expected: &str) {
+    let output = run(program, arguments);
+    assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), expected, "{arguments:?}");
+    assert_eq!(output.status.code(), Some(status), "{arguments:?}");
+    assert!(output.stdout.is_empty(), "{arguments:?}");
+}
+
+/// A line on stderr, as the program itself begins it.
+fn line(program: &Program, message: &str) -> String {
+    format!("{}: {message}\n", program.name)
+}
+
+/// An address of this host on which nothing listens.
+const CLOSED_ADDRESS: &str = "127.0.0.1:1";
+
+/// Asks a scripted coordinator that answers one question with this body; returns what was asked, too.
+fn ask_scripted(arguments: &[&str], answer: &'static str) -> (String, Output) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    let coordinator = std::thread::spawn(move || {
+        let (mut stream, _) = listener.accept().unwrap();
+        let mut length = [0; 4];
+        stream.read_exact(&mut length).unwrap();
+        let mut question = vec![0; u32::from_be_bytes(length) as usize];
+        stream.read_exact(&mut question).unwrap();
+        stream.write_all(&(answer.len() as u32).to_be_bytes()).unwrap();
+        stream.write_all(answer.as_bytes()).unwrap();
+        String::from_utf8(question).unwrap()
+    });
+    let mut all = vec!["--coordinators", address.as_str()];
+    all.extend(arguments);
+    let output = run(&FLEET, &all);
+    (coordinator.join().unwrap(), output)
+}
+
+#[test]
+fn help_texts_stay_as_they_are() {
+    assert_eq!(help_texts(&COORDINATOR, &[]), include_str!("fixtures/coordinator-help.txt"));
+    let subcommands = ["status", "members", "leases", "tasks", "overload", "pin", "replace"];
+    assert_eq!(help_texts(&FLEET, &subcommands), include_str!("fixtures/fleet-help.txt"));
+}
+
+#[test]
+fn a_missing_argument_is_a_usage_error() {
+    let usage = |missing: &str, usage: &str| {
+        format!("error: the following required arguments were not provided:\n  {missing}\n\nUsage: {usage}\n\nFor more information, try '--help'.\n")
+    };
+    let (coordinator, fleet) = (COORDINATOR.name, FLEET.name);
+    let expected = usage("--config <CONFIG>", &format!("{coordinator} --config <CONFIG>"));
+    assert_fails(&COORDINATOR, &[], UNUSABLE, &expected);
+    let coordinators = "--coordinators <COORDINATORS>";
+    let expected = usage(coordinators, &format!("{fleet} {coordinators} <COMMAND>"));
+    assert_fails(&FLEET, &["status"], UNUSABLE, &expected);
+    let expected = usage("<COORDINATOR>", &format!("{fleet} {coordinators} replace <COORDINATOR>"));
+    assert_fails(&FLEET, &["--coordinators", "127.0.0.1:1", "replace"], UNUSABLE, &expected);
+}
+
+#[test]
+fn an_argument_that_cannot_be_used_ends_with_one_line_or_the_usage() {
+    let expected = line(&FLEET, "--wait is 3601; expected 0 to 3600");
+    assert_fails(&FLEET, &["--coordinators", "127.0.0.1:1", "--wait", "3601", "status"], UNUSABLE, &expected);
+    let expected = "error: invalid value 'c1' for '--coordinators <COORDINATORS>': invalid socket address syntax\n\nFor more information, try '--help'.\n";
+    assert_fails(&FLEET, &["--coordinators", "c1", "status"], UNUSABLE, expected);
+}
+
+#[test]
+fn a_file_that_cannot_be_used_ends_a_coordinator_with_one_line() {
+    let path = "/nowhere/coordinator.toml";
+    let expected = line(&COORDINATOR, &format!("{path}: No such file or directory (os error 2)"));
+    assert_fails(&COORDINATOR, &["--config", path], UNUSABLE, &expected);
+
+    let file = std::env::temp_dir().join(format!("coordinator-file-{}.toml", std::process::id()));
+    let path = file.to_str().unwrap();
+    let shipped = include_str!("../../deploy/coordinator.toml");
+    fs::write(&file, shipped.replacen("epoch = 1", "epoch = 0", 1)).unwrap();
+    let expected = line(&COORDINATOR, &format!("{path}: epoch is 0; expected 1 to 18446744073709551615"));
+    assert_fails(&COORDINATOR, &["--config", path], UNUSABLE, &expected);
+    fs::remove_file(&file).unwrap();
+}
+
+#[test]
+fn an_address_in_use_ends_a_coordinator_with_one_line() {
+    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = taken.local_addr().unwrap();
+    let file = std::env::temp_dir().join(format!("coordinator-taken-{}.toml", std::process::id()));
+    let text = format!(
+        "fleet = 'f'\nname = 'a'\nfolder = '/nowhere'\nepoch = 1\n[[coordinator]]\nname = 'a'\naddress = '{address}'\n"
+    );
+    fs::write(&file, text).unwrap();
+    let expected = line(&COORDINATOR, &format!("listen {address}: Address already in use (os error 98)"));
+    assert_fails(&COORDINATOR, &["--config", file.to_str().unwrap()], UNUSABLE, &expected);
+    fs::remove_file(&file).unwrap();
+}
+
+#[test]
+fn no_coordinator_within_reach_is_no_quorum() {
+    let address = CLOSED_ADDRESS;
+    let refused = format!("{address}: Connection refused (os error 111)");
+    let expected = line(&FLEET, &format!("no quorum within 0.2 s: {refused}"));
+    assert_fails(&FLEET, &["--coordinators", address, "--wait", "0.2", "leases"], NO_QUORUM, &expected);
+    let row = format!(r#"[{{"name":"{address}","standing":"silent","why":"{refused}"}}]"#);
+    let expected = line(&FLEET, &format!("no quorum within 0.2 s: {row}"));
+    assert_fails(&FLEET, &["--coordinators", address, "--wait", "0.2", "status"], NO_QUORUM, &expected);
+}
+
+#[test]
+fn an_answer_is_printed_as_a_table_or_as_json() {
+    let answer = r#"{"word":"answer","answer":[{"held":null,"task":"totals","token":7},{"held":true,"task":"a","token":12}]}"#;
+    let (question, output) = ask_scripted(&["leases"], answer);
+    assert_eq!(question, r#"{"say":"ask","fleet":"polderlijn","what":"leases"}"#);
+    assert_eq!(output.status.code(), Some(0));
+    assert_eq!(
+        std::str::from_utf8(&output.stdout).unwrap(),
+        "held  task    token\n-     totals  7\ntrue  a       12\n"
+    );
+
+    let (question, output) = ask_scripted(&["--json", "--fleet", "f", "members"], answer);
+    assert_eq!(question, r#"{"say":"ask","fleet":"f","what":"members"}"#);
+    assert_eq!(output.status.code(), Some(0));
+    assert_eq!(
+        std::str::from_utf8(&output.stdout).unwrap(),
+        concat!(r#"[{"held":null,"task":"totals","token":7},{"held":true,"task":"a","token":12}]"#, "\n")
+    );
+}
+
+#[test]
+fn a_rejected_question_ends_with_one_line() {
+    let cases: [(&[&str], &str); 3] = [
+        (&["replace", "c2"], r#"{"replace":{"coordinator":"c2"}}"#),
+        (&["pin", "2", "0.5", "--for", "30"], r#"{"pin":{"tier":2,"share":0.5,"for_s":30.0}}"#),
+        (&["overload"], r#""overload""#),
+    ];
+    for (arguments, expected) in cases {
+        let (question, output) = ask_scripted(arguments, r#"{"word":"refused","why":"not now"}"#);
+        assert_eq!(question, format!(r#"{{"say":"ask","fleet":"polderlijn","what":{expected}}}"#));
+        assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), line(&FLEET, "refused: not now"));
+        assert_eq!(output.status.code(), Some(REJECTED), "{arguments:?}");
+        assert!(output.stdout.is_empty(), "{arguments:?}");
+    }
+}
--- /dev/null
+++ b/coordinator/tests/config_file.rs
@@ -0,0 +1,102 @@
+//! The coordinators' file: values that the shipped one decodes to, and the line for one that can't be used.
+
+use honeypost_coordinator::config::File;
+use honeypost_coordinator::facts::LATEST;
+use std::path::Path;
+
+const SHIPPED: &str = include_str!("../../deploy/coordinator.toml");
+
+#[test]
+fn the_shipped_file_decodes_to_its_values_and_defaults() {
+    let file = File::decode(SHIPPED).unwrap();
+
+    assert_eq!(file.fleet, "polderlijn");
+    assert_eq!(file.name, "c1");
+    assert_eq!(file.folder, Path::new("/var/lib/honeypost/c1"));
+    assert_eq!(file.listen, None);
+    assert_eq!(file.listens().unwrap().to_string(), "127.0.0.1:7101");
+    assert_eq!(file.epoch, 1);
+    assert_eq!(file.write_overdue_ms, 1000);
+    assert_eq!(file.version, LATEST);
+    let peers: Vec<_> = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.to_string())).collect();
+    let expected = [("c1", "127.0.0.1:7101"), ("c2", "127.0.0.1:7102"), ("c3", "127.0.0.1:7103")];
+    assert_eq!(peers, expected.map(|(name, address)| (name, address.to_owned())));
+    assert_eq!(
+        serde_json::to_string(&file.tasks).unwrap(),
+        concat!(
+            r#"[{"name":"totals","ttl_ms":3000,"zones":[],"pause_ms":2000},"#,
+            r#"{"name":"nightly-report","ttl_ms":3000,"zones":["east"],"pause_ms":2000}]"#
+        )
+    );
+    assert!(file.overload.is_none());
+}
+
+#[test]
+fn every_key_is_read_and_reaches_the_setup() {
+    let file = File::decode(concat!(
+        "fleet = 'f'\nname = 'a'\nfolder = '/data'\nlisten = '0.0.0.0:9'\nepoch = 7\n",
+        "write_overdue_ms = 250\nversion = 1\n",
+        "[[coordinator]]\nname = 'a'\naddress = '[::1]:1'\n",
+        "[[task]]\nname = 't'\nttl_ms = 500\nzones = ['z1', 'z2']\npause_ms = 0\n",
+        "[[task]]\nname = 'defaults'\n",
+        "[overload]\ncalls_part = 4.0\nretry_percent = 25.0\n",
+    ))
+    .unwrap();
+
+    assert_eq!(file.listens().unwrap().to_string(), "0.0.0.0:9");
+    let overload = file.overload.unwrap();
+    assert_eq!((overload.calls_part, overload.retry_percent), (4.0, 25.0));
+    assert_eq!(
+        serde_json::to_string(&file.tasks).unwrap(),
+        concat!(
+            r#"[{"name":"t","ttl_ms":500,"zones":["z1","z2"],"pause_ms":0},"#,
+            r#"{"name":"defaults","ttl_ms":3000,"zones":[],"pause_ms":2000}]"#
+        )
+    );
+    let setup = file.setup();
+    assert_eq!((setup.fleet.as_str(), setup.name.as_str(), setup.epoch, setup.version), ("f", "a", 7, 1));
+    assert_eq!(setup.coordinators, [("a".to_owned(), "[::1]:1".to_owned())]);
+    assert_eq!(setup.tasks, file.tasks);
+    assert_eq!(setup.overdue_s, 0.25);
+    let settings = setup.overload.unwrap();
+    assert_eq!((settings.part, settings.retry_share), (4.0, 0.25));
+}
+
+#[test]
+fn the_shipped_overload_block_decodes_once_it_is_switched_on() {
+    let text = SHIPPED
+        .replace("#[overload]", "[overload]")
+        .replace("#calls_part", "calls_part")
+        .replace("#retry_percent", "retry_percent");
+    let overload = File::decode(&text).unwrap().overload.unwrap();
+    assert_eq!((overload.calls_part, overload.retry_percent), (4.0, 10.0));
+    let without = text.replace("retry_percent = 10.0", "");
+    assert_eq!(File::decode(&without).unwrap().overload, Some(overload), "10 percent is the default");
+}
+
+#[test]
+fn a_file_that_cannot_be_used_is_refused_with_one_whole_line() {
+    let cases = [
+        ("epoch = 1", "epock = 1", "line 7: unknown field `epock`, expected one of `fleet`, `name`, `folder`, `listen`, `epoch`, `write_overdue_ms`, `version`, `coordinator`, `task`, `overload`"),
+        ("epoch = 1", "epoch = 0", "epoch is 0; expected 1 to 18446744073709551615"),
+        ("epoch = 1", "", "line 1: missing field `epoch`"),
+        ("epoch = 1", "epoch = \"one\"", "line 7: invalid type: string \"one\", expected u64"),
+        ("write_overdue_ms = 1000", "write_overdue_ms = 10", "write_overdue_ms is 10; expected 50 to 60000"),
+        ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\", which no [[coordinator]] has"),
+        ("127.0.0.1:7102", "127.0.0.1:7101", "coordinator c2: its name or address is another's as well"),
+        ("nightly-report", "totals", "task totals: named twice"),
+        ("ttl_ms = 3000", "ttl_ms = 3", "task totals.ttl_ms is 3; expected 500 to 600000"),
+        ("\"totals\"", "\"to tals\"", "task.name is \"to tals\"; expected letters, digits, - _ . and at most 64 of them"),
+    ];
+    for (from, to, expected) in cases {
+        let text = SHIPPED.replacen(from, to, 1);
+        assert_ne!(text, SHIPPED, "{from} is not in the file");
+        assert_eq!(File::decode(&text).unwrap_err(), expected);
+    }
+}
+
+#[test]
+fn a_file_that_cannot_be_read_is_named() {
+    let error = File::read(Path::new("/nowhere/coordinator.toml")).unwrap_err();
+    assert_eq!(error, "/nowhere/coordinator.toml: No such file or directory (os error 2)");
+}
