--- a/Makefile
+++ b/Makefile
@@ -12,12 +12,12 @@
 
 # A worker at the toy site's addresses; start `make toy` first.
 run: build
-	ROUTER_CONFIG=examples/config.json target/release/honeypost
+	ROUTER_CONFIG=examples/config.json target/release/port-worker
 
 toy:
 	cargo run --locked --example toy_site
 
-# Three coordinators and six workers on loopback, until Ctrl-C; `honeypost-lab fault target/fleet ...` puts faults between.
+# Three coordinators and six workers on loopback, until Ctrl-C; `testbed fault target/fleet ...` puts faults between.
 fleet:
 	cargo build --release --locked --workspace
-	target/release/honeypost-lab fleet lab/fleets/small.toml --folder target/fleet
+	target/release/testbed fleet testbed/fleets/small.toml --folder target/fleet
--- a/durable/src/tests.rs
+++ b/durable-log/src/tests.rs
@@ -181,7 +181,7 @@
 
 #[test]
 fn a_folder_of_the_system_keeps_records_and_keeps_a_second_process_off() {
-    let path = std::env::temp_dir().join(format!("honeypost-durable-{}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("durable-log-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let (mut store, found) = Store::open(Folder::lock(&path).unwrap(), values).unwrap();
     assert_eq!(found, Recovered::default());
--- a/examples/replace.rs
+++ b/examples/replace.rs
@@ -3,7 +3,7 @@
 //!
 //! ```sh
 //! cargo run --example toy_site                                # in one terminal
-//! cargo run --example replace -- target/release/honeypost     # in another; press Enter to replace the worker
+//! cargo run --example replace -- target/release/port-worker     # in another; press Enter to replace the worker
 //! ```
 
 use serde_json::{json, Value};
@@ -78,7 +78,7 @@
 }
 
 fn main() -> Result<()> {
-    let program = std::env::args().nth(1).unwrap_or_else(|| "target/release/honeypost".to_owned());
+    let program = std::env::args().nth(1).unwrap_or_else(|| "target/release/port-worker".to_owned());
     let config: Value = serde_json::from_str(&std::fs::read_to_string("examples/config.json")?)?;
     let socket = TcpListener::bind(config["listen"].as_str().unwrap_or("127.0.0.1:7001"))?;
     // Whatever is started from here on inherits it.
--- a/coordinator/src/bin/honeypost-fleet.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -1,15 +1,15 @@
 //! The operators' command line of a fleet. Exit status: 0 done, 1 refused, 2 can't be used, 3 no quorum in time.
 
 use clap::{Parser, Subcommand};
-use honeypost::fleet::frame::Question;
-use honeypost_coordinator::ask::{ask_all, ask_leader, Asked};
+use fleet_coordinator::client::{ask_all, ask_leader, QueryOutcome};
+use port_worker::fleet::frame::OperatorQuery;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
 #[derive(Parser)]
-#[command(name = "honeypost-fleet", version, about = "Asks a fleet's coordinators")]
+#[command(name = "fleetctl", version, about = "Asks a fleet's coordinators")]
 struct Arguments {
     /// Their addresses, with commas between.
     #[arg(long, value_delimiter = ',', env = "HONEYPOST_COORDINATORS", required = true)]
@@ -54,26 +54,26 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     if !(0.0..=3600.0).contains(&arguments.wait) {
-        eprintln!("honeypost-fleet: --wait is {}; expected 0 to 3600", arguments.wait);
+        eprintln!("fleetctl: --wait is {}; expected 0 to 3600", arguments.wait);
         return ExitCode::from(2);
     }
     let wait = Duration::from_secs_f64(arguments.wait);
     let (all, fleet) = (&arguments.coordinators, arguments.fleet.as_str());
     let asked = match &arguments.what {
         What::Status => ask_all(all, fleet, wait),
-        What::Members => ask_leader(all, fleet, &Question::Members, wait),
-        What::Leases => ask_leader(all, fleet, &Question::Leases, wait),
-        What::Tasks => ask_leader(all, fleet, &Question::Tasks, wait),
-        What::Overload => ask_leader(all, fleet, &Question::Overload, wait),
+        What::Members => ask_leader(all, fleet, &OperatorQuery::Members, wait),
+        What::Leases => ask_leader(all, fleet, &OperatorQuery::Leases, wait),
+        What::Tasks => ask_leader(all, fleet, &OperatorQuery::Tasks, wait),
+        What::Overload => ask_leader(all, fleet, &OperatorQuery::Overload, wait),
         What::Pin { tier, share, for_s } => {
-            ask_leader(all, fleet, &Question::Pin { tier: *tier, share: *share, for_s: *for_s }, wait)
+            ask_leader(all, fleet, &OperatorQuery::Pin { tier: *tier, share: *share, for_s: *for_s }, wait)
         }
         What::Replace { coordinator } => {
-            ask_leader(all, fleet, &Question::Replace { coordinator: coordinator.clone() }, wait)
+            ask_leader(all, fleet, &OperatorQuery::Replace { coordinator: coordinator.clone() }, wait)
         }
     };
     match asked {
-        Asked::Answer(answer) => {
+        QueryOutcome::Answer(answer) => {
             if arguments.json {
                 println!("{answer}");
             } else {
@@ -81,12 +81,12 @@
             }
             ExitCode::SUCCESS
         }
-        Asked::Refused(why) => {
-            eprintln!("honeypost-fleet: refused: {why}");
+        QueryOutcome::Refused(why) => {
+            eprintln!("fleetctl: refused: {why}");
             ExitCode::from(1)
         }
-        Asked::NoQuorum(why) => {
-            eprintln!("honeypost-fleet: no quorum within {} s: {why}", arguments.wait);
+        QueryOutcome::NoQuorum(why) => {
+            eprintln!("fleetctl: no quorum within {} s: {why}", arguments.wait);
             ExitCode::from(3)
         }
     }
--- a/coordinator/src/config.rs
+++ b/fleet-coordinator/src/config.rs
@@ -1,10 +1,10 @@
 //! A coordinator's file.
 
-use crate::coordinator::Setup;
-use crate::desk::Guards;
-use crate::facts::{Task, LATEST};
-use honeypost::fleet::frame::{good_name, NAME_MOST_BYTES, TASKS_MOST};
-use honeypost::fleet::overload::leader::Settings;
+use crate::coordinator::CoordinatorConfig;
+use crate::leader_state::SafetyChecks;
+use crate::state_machine::{Task, LATEST};
+use port_worker::fleet::frame::{is_valid_name, MAX_NAME_BYTES, MAX_TASKS};
+use port_worker::fleet::overload::leader::Settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -98,9 +98,9 @@
         let tasks = self.tasks.iter().map(|t| ("task.name", &t.name));
         let zones = self.tasks.iter().flat_map(|t| t.zones.iter().map(|z| ("task.zones", z)));
         for (key, word) in words.into_iter().chain(peers).chain(tasks).chain(zones) {
-            if !good_name(word) {
+            if !is_valid_name(word) {
                 return Err(format!(
-                    "{key} is {word:?}; expected letters, digits, - _ . and at most {NAME_MOST_BYTES} of them"
+                    "{key} is {word:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
                 ));
             }
         }
@@ -120,7 +120,7 @@
         within("epoch", self.epoch, 1, u64::MAX)?;
         within("write_overdue_ms", self.write_overdue_ms, 50, 60_000)?;
         within("version", u64::from(self.version), 1, u64::from(LATEST))?;
-        within("task", self.tasks.len() as u64, 0, TASKS_MOST as u64)?;
+        within("task", self.tasks.len() as u64, 0, MAX_TASKS as u64)?;
         for (n, task) in self.tasks.iter().enumerate() {
             if self.tasks[..n].iter().any(|t| t.name == task.name) {
                 return Err(format!("task {}: named twice", task.name));
@@ -146,8 +146,8 @@
         self.listen.or_else(|| self.coordinators.iter().find(|p| p.name == self.name).map(|p| p.address))
     }
 
-    pub fn setup(&self) -> Setup {
-        Setup {
+    pub fn setup(&self) -> CoordinatorConfig {
+        CoordinatorConfig {
             fleet: self.fleet.clone(),
             name: self.name.clone(),
             coordinators: self.coordinators.iter().map(|p| (p.name.clone(), p.address.to_string())).collect(),
@@ -155,7 +155,7 @@
             tasks: self.tasks.clone(),
             overdue_s: self.write_overdue_ms as f64 / 1000.0,
             version: self.version,
-            guards: Guards::default(),
+            guards: SafetyChecks::default(),
             overload: self
                 .overload
                 .map(|o| Settings { part: o.calls_part, retry_share: o.retry_percent / 100.0 }),
--- a/coordinator/src/coordinator.rs
+++ b/fleet-coordinator/src/coordinator.rs
@@ -3,13 +3,15 @@
 //! The same code runs behind sockets ([`crate::net`]) and in the lab's virtual time. Links are numbered by the caller and
 //! never used again; frames go in as bytes and come out as bytes.
 
-use crate::desk::{Act, Asked, Desk, Guards, Hello, Keep, LinkId};
-use crate::facts::{Command, Task};
-use crate::replica::{Done, Effect, Happened, Job, Replica, Standing};
-use honeypost::fleet::frame::{self, Question, Say, Word, HEAR_MOST_BYTES, SAY_MOST_BYTES};
-use honeypost::fleet::overload::leader::{Leader, Settings as Overload};
-use honeypost::fleet::overload::level::Level;
-use honeypost::fleet::overload::TIERS_MOST;
+use crate::leader_state::{Asked, Hello, Keep, LeaderAction, LeaderState, LinkId, SafetyChecks};
+use crate::replica::{DiskJob, DiskResult, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus};
+use crate::state_machine::{Command, Task};
+use port_worker::fleet::frame::{
+    self, ClientMessage, OperatorQuery, ServerMessage, MAX_CLIENT_FRAME_BYTES, MAX_SERVER_FRAME_BYTES,
+};
+use port_worker::fleet::overload::leader::{Leader, Settings as Overload};
+use port_worker::fleet::overload::level::SheddingLevel;
+use port_worker::fleet::overload::TIERS_MOST;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -28,7 +30,7 @@
 
 /// What a coordinator is told of itself and its peers.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct CoordinatorConfig {
     pub fleet: String,
     pub name: String,
     /// All coordinators in the file's order, this one among them: names, and addresses as workers dial them.
@@ -38,7 +40,7 @@
     pub overdue_s: f64,
     /// What this program claims to understand, at most.
     pub version: u32,
-    pub guards: Guards,
+    pub guards: SafetyChecks,
     /// `[overload]` of the file.
     pub overload: Option<Overload>,
 }
@@ -72,7 +74,7 @@
 
 /// What the caller is to carry out.
 #[derive(Debug)]
-pub enum Out {
+pub enum Output {
     /// A whole frame.
     Frame(LinkId, Vec<u8>),
     /// Nothing more is heard on this link, once what was written has gone.
@@ -81,7 +83,7 @@
     Peer(String, Vec<u8>),
     /// All links to peers are to be made anew: this member is another than before.
     Relink,
-    Disk(u64, Job),
+    Disk(u64, DiskJob),
     /// A line for the log; `true` for a warning.
     Note(bool, String),
 }
@@ -97,26 +99,26 @@
 }
 
 pub struct Coordinator {
-    pub setup: Setup,
+    pub setup: CoordinatorConfig,
     pub replica: Replica,
-    pub desk: Desk,
+    pub desk: LeaderState,
     roles: BTreeMap<LinkId, Role>,
     /// Names of members by number, as their links said.
     numbers: BTreeMap<u64, String>,
     /// What peers answered while this member is blank.
     answers: BTreeMap<String, PeerAnswer>,
-    questions: Vec<(u64, LinkId, Question, f64)>,
+    questions: Vec<(u64, LinkId, OperatorQuery, f64)>,
     next_question: u64,
     ask_at: f64,
-    was: Standing,
-    out: Vec<Out>,
+    was: ReplicaStatus,
+    out: Vec<Output>,
 }
 
 impl Coordinator {
-    pub fn new(now: f64, setup: Setup, seed: u64) -> Coordinator {
+    pub fn new(now: f64, setup: CoordinatorConfig, seed: u64) -> Coordinator {
         let mut coordinator = Coordinator {
             replica: Replica::new(now, seed, setup.overdue_s, setup.version),
-            desk: Desk::new(setup.guards, setup.overload),
+            desk: LeaderState::new(setup.guards, setup.overload),
             setup,
             roles: BTreeMap::new(),
             numbers: BTreeMap::new(),
@@ -124,14 +126,14 @@
             questions: Vec::new(),
             next_question: QUESTIONS_FROM,
             ask_at: now,
-            was: Standing::Opening,
+            was: ReplicaStatus::Opening,
             out: Vec::new(),
         };
         coordinator.settle(now);
         coordinator
     }
 
-    pub fn take_out(&mut self) -> Vec<Out> {
+    pub fn take_out(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.out)
     }
 
@@ -140,7 +142,7 @@
         frame::encode(&PeerHello {
             peer: self.setup.name.clone(),
             fleet: self.setup.fleet.clone(),
-            member: if self.replica.standing == Standing::Member { self.replica.member() } else { 0 },
+            member: if self.replica.standing == ReplicaStatus::Member { self.replica.member() } else { 0 },
             last: self.replica.ends().0,
             version: self.replica.version(),
         })
@@ -153,7 +155,7 @@
             self.numbers.insert(answer.member, peer.to_owned());
         }
         if let Some(why) = &answer.barred {
-            if self.replica.standing == Standing::Member {
+            if self.replica.standing == ReplicaStatus::Member {
                 self.replica.bar(now, &format!("{peer} says: {why}"));
             }
         }
@@ -164,7 +166,7 @@
 
     /// A blank member finds out whether it founds the fleet, joins it, or has lost its disk.
     fn become_member(&mut self, now: f64) {
-        let Standing::Blank(why) = &self.replica.standing else { return };
+        let ReplicaStatus::Blank(why) = &self.replica.standing else { return };
         let known = self.answers.values().filter(|a| a.yours != 0);
         let Some(best) = known.max_by_key(|a| a.yours).cloned() else {
             // Nobody knows of a fleet: it is founded when all are there and blank.
@@ -177,8 +179,8 @@
         if kept > 0 {
             let lost = format!("{why}, and {} knows that it held the log up to {kept}", self.setup.name);
             if !why.contains("knows that it held") {
-                self.out.push(Out::Note(true, format!("disk lost: {lost}; replace this member")));
-                self.replica.standing = Standing::Blank(lost.replace(&self.setup.name, "the quorum"));
+                self.out.push(Output::Note(true, format!("disk lost: {lost}; replace this member")));
+                self.replica.standing = ReplicaStatus::Blank(lost.replace(&self.setup.name, "the quorum"));
             }
         } else if !best.founder {
             self.replica.join(now, best.yours);
@@ -200,19 +202,22 @@
             let waits = now - since < QUESTION_S;
             if !waits {
                 let why = "no quorum has confirmed this leader".to_owned();
-                self.out.push(Out::Frame(*link, frame::encode(&Word::NotLeader { leader: None, why })));
+                self.out.push(Output::Frame(
+                    *link,
+                    frame::encode(&ServerMessage::NotLeader { leader: None, why }),
+                ));
             }
             waits
         });
-        if matches!(self.replica.standing, Standing::Blank(_)) && now - self.ask_at >= ASK_PEERS_S {
+        if matches!(self.replica.standing, ReplicaStatus::Blank(_)) && now - self.ask_at >= ASK_PEERS_S {
             self.ask_at = now;
-            self.out.push(Out::Relink);
+            self.out.push(Output::Relink);
         }
         self.settle(now);
     }
 
     /// The disk has answered.
-    pub fn disk_done(&mut self, now: f64, job: u64, done: Done) {
+    pub fn disk_done(&mut self, now: f64, job: u64, done: DiskResult) {
         self.replica.done(now, job, done);
         self.settle(now);
     }
@@ -231,7 +236,7 @@
     pub fn frame_most(&self, link: LinkId) -> usize {
         match self.roles.get(&link) {
             Some(Role::Peer(_)) => PEER_MOST_BYTES,
-            _ => SAY_MOST_BYTES,
+            _ => MAX_CLIENT_FRAME_BYTES,
         }
     }
 
@@ -255,14 +260,14 @@
                 return self.peer_came(link, &hello);
             }
         }
-        let say: Say =
+        let say: ClientMessage =
             serde_json::from_slice(body).map_err(|e| format!("a frame that can't be read: {e}"))?;
         let facts = &self.replica.facts;
         match say {
-            Say::Hello { fleet, version, name, zone, process } => {
+            ClientMessage::Hello { fleet, version, name, zone, process } => {
                 if fleet != self.setup.fleet {
                     let why = format!("this is the fleet {}", self.setup.fleet);
-                    self.say(link, &Word::Refused { why });
+                    self.say(link, &ServerMessage::Rejected { why });
                 } else if !self.replica.leads() {
                     let word = self.not_leader();
                     self.say(link, &word);
@@ -272,48 +277,49 @@
                     self.desk.hello(now, link, Hello { name, zone, process, version }, facts);
                 }
             }
-            Say::Ask { fleet, what } => {
+            ClientMessage::Query { fleet, what } => {
                 self.roles.insert(link, Role::Operator);
                 if fleet != self.setup.fleet {
                     let why = format!("this is the fleet {}", self.setup.fleet);
-                    self.say(link, &Word::Refused { why });
+                    self.say(link, &ServerMessage::Rejected { why });
                 } else {
                     self.question(now, link, what);
                 }
             }
             // Of a link that never said hello, or to a member that does not lead any more.
             _ if *role != Role::Worker || !self.replica.leads() => {
-                let word = if *role == Role::Worker { self.not_leader() } else { Word::Gone };
+                let word =
+                    if *role == Role::Worker { self.not_leader() } else { ServerMessage::SessionExpired };
                 self.say(link, &word);
             }
-            Say::Keep { seq, wants, held, figures, totals, load } => {
+            ClientMessage::Heartbeat { seq, wants, held, figures, totals, load } => {
                 self.desk.keep(now, link, Keep { seq, wants, held, figures, totals, load }, facts);
             }
-            Say::GiveBack { held, failed, pass_on } => {
+            ClientMessage::ReleaseLease { held, failed, pass_on } => {
                 self.desk.give_back(now, link, held, failed, pass_on, facts);
             }
-            Say::Begin { held, every_ms, safe, attempt } => {
+            ClientMessage::BeginPeriod { held, every_ms, safe, attempt } => {
                 self.desk.begin(link, Asked { held, every_ms, safe, attempt }, facts);
             }
-            Say::End { held, period, ending } => self.desk.end(held, period, ending),
-            Say::Bye => self.desk.bye(now, link, facts),
-            Say::Unknown => {}
+            ClientMessage::EndPeriod { held, period, ending } => self.desk.end(held, period, ending),
+            ClientMessage::Goodbye => self.desk.bye(now, link, facts),
+            ClientMessage::Unknown => {}
         }
         // The rest of what is due can wait for the tick: it looks at every session.
         self.desk.ask(now, &self.replica.facts);
         Ok(())
     }
 
-    fn say(&mut self, link: LinkId, word: &Word) {
-        self.out.push(Out::Frame(link, frame::encode(word)));
+    fn say(&mut self, link: LinkId, word: &ServerMessage) {
+        self.out.push(Output::Frame(link, frame::encode(word)));
     }
 
-    fn not_leader(&self) -> Word {
+    fn not_leader(&self) -> ServerMessage {
         let why = match &self.replica.standing {
-            Standing::Member => "another coordinator leads, or none does yet".to_owned(),
+            ReplicaStatus::Member => "another coordinator leads, or none does yet".to_owned(),
             other => format!("{}: {}", word_of(other).0, word_of(other).1),
         };
-        Word::NotLeader { leader: self.leader_address(), why }
+        ServerMessage::NotLeader { leader: self.leader_address(), why }
     }
 
     fn leader_address(&self) -> Option<String> {
@@ -355,10 +361,10 @@
             founder: yours != 0 && yours <= facts.founders,
             barred: barred.clone(),
         };
-        self.out.push(Out::Frame(link, frame::encode(&answer)));
+        self.out.push(Output::Frame(link, frame::encode(&answer)));
         if let Some(why) = barred {
-            self.out.push(Out::Note(true, format!("coordinator {} is barred: {why}", hello.peer)));
-            self.out.push(Out::Close(link));
+            self.out.push(Output::Note(true, format!("coordinator {} is barred: {why}", hello.peer)));
+            self.out.push(Output::Close(link));
         } else if hello.member != 0 {
             self.replica.versions.insert(hello.member, hello.version);
             self.numbers.insert(hello.member, hello.peer.clone());
@@ -368,41 +374,41 @@
     }
 
     /// An operator asks. What only a leader knows is answered after a quorum has confirmed it.
-    fn question(&mut self, now: f64, link: LinkId, what: Question) {
-        if what == Question::Status {
+    fn question(&mut self, now: f64, link: LinkId, what: OperatorQuery) {
+        if what == OperatorQuery::Status {
             let answer = self.status();
-            return self.say(link, &Word::Answer { answer });
+            return self.say(link, &ServerMessage::QueryResult { answer });
         }
         if !self.replica.leads() {
             let word = self.not_leader();
             return self.say(link, &word);
         }
         if self.questions.len() >= QUESTIONS_MOST {
-            return self.say(link, &Word::Refused { why: "too many questions wait".to_owned() });
+            return self.say(link, &ServerMessage::Rejected { why: "too many questions wait".to_owned() });
         }
         self.next_question += 1;
         self.questions.push((self.next_question, link, what, now));
         self.replica.confirm(now, self.next_question);
     }
 
-    fn answer(&mut self, now: f64, link: LinkId, what: &Question) {
+    fn answer(&mut self, now: f64, link: LinkId, what: &OperatorQuery) {
         let facts = &self.replica.facts;
         let answer = match what {
-            Question::Status => self.status(),
-            Question::Members => facts.sessions.iter().map(|(id, s)| {
+            OperatorQuery::Status => self.status(),
+            OperatorQuery::Members => facts.sessions.iter().map(|(id, s)| {
                 let (silent_s, linked) = self.desk.silence(now, *id).unwrap_or((0.0, false));
                 let holds: Vec<_> = facts.leases.iter().filter(|(_, l)| l.session == *id).map(|(t, _)| t).collect();
                 json!({"session": id, "name": s.name, "zone": s.zone, "version": s.version, "linked": linked,
                        "silent_s": (silent_s * 10.0).round() / 10.0, "holds": holds,
                        "twice": facts.sessions.values().filter(|o| o.name == s.name).count() > 1})
             }).collect::<Value>(),
-            Question::Leases => facts.leases.iter().map(|(task, l)| {
+            OperatorQuery::Leases => facts.leases.iter().map(|(task, l)| {
                 let name = facts.sessions.get(&l.session).map(|s| s.name.clone());
                 let left_s = (self.desk.left(now, l.token) * 10.0).round() / 10.0;
                 json!({"task": task, "holder": name, "session": l.session, "token": l.token, "ttl_ms": l.ttl_ms,
                        "free_in_s": left_s, "waiting": self.desk.waiting(task)})
             }).collect(),
-            Question::Tasks => {
+            OperatorQuery::Tasks => {
                 let tasks: Vec<Value> = facts.tasks.values().map(|t| {
                     json!({"task": t.name, "ttl_ms": t.ttl_ms, "zones": t.zones,
                            "held": facts.leases.contains_key(&t.name), "waiting": self.desk.waiting(&t.name),
@@ -411,31 +417,31 @@
                 json!({"epoch": facts.epoch, "tasks": tasks, "unknown": facts.doubts,
                        "unknown_in_all": facts.doubts_in_all})
             }
-            Question::Overload => match self.desk.overload() {
+            OperatorQuery::Overload => match self.desk.overload() {
                 Some(leader) => overload_of(now, leader),
                 None => Value::Null,
             },
-            Question::Pin { tier, share, for_s } => {
+            OperatorQuery::Pin { tier, share, for_s } => {
                 let good = (0.0..=1.0).contains(share) && (0.0..=PIN_MOST_S).contains(for_s);
                 match self.desk.overload_mut().filter(|_| good) {
                     Some(leader) => {
-                        let level = Level { tier: (*tier).min(TIERS_MOST), share: *share };
+                        let level = SheddingLevel { tier: (*tier).min(TIERS_MOST), share: *share };
                         leader.pin(level, now + for_s);
-                        self.out.push(Out::Note(true, format!("overload: pinned to {level:?} for {for_s} s")));
+                        self.out.push(Output::Note(true, format!("overload: pinned to {level:?} for {for_s} s")));
                         overload_of(now, leader)
                     }
                     None => {
                         let why = format!("expected [overload], a share of 0 to 1, and 0 to {PIN_MOST_S} s");
-                        return self.say(link, &Word::Refused { why });
+                        return self.say(link, &ServerMessage::Rejected { why });
                     }
                 }
             }
-            Question::Replace { coordinator } => match self.replica.replace(now, coordinator) {
+            OperatorQuery::Replace { coordinator } => match self.replica.replace(now, coordinator) {
                 Ok(member) => json!({"coordinator": coordinator, "member": member}),
-                Err(why) => return self.say(link, &Word::Refused { why }),
+                Err(why) => return self.say(link, &ServerMessage::Rejected { why }),
             },
         };
-        self.say(link, &Word::Answer { answer });
+        self.say(link, &ServerMessage::QueryResult { answer });
     }
 
     /// How this member stands, for whoever asks.
@@ -480,44 +486,44 @@
             }
             for act in acts {
                 match act {
-                    Act::Send(link, word) => self.say(link, &word),
+                    LeaderAction::Send(link, word) => self.say(link, &word),
                     // What can't be proposed now is proposed again by whoever still wants it.
-                    Act::Propose(command) => drop(self.replica.propose(now, command)),
-                    Act::Confirm(number) => self.replica.confirm(now, number),
-                    Act::Note(line) => self.out.push(Out::Note(false, line)),
+                    LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
+                    LeaderAction::Confirm(number) => self.replica.confirm(now, number),
+                    LeaderAction::Note(line) => self.out.push(Output::Note(false, line)),
                 }
             }
         }
         for effect in self.replica.take_effects() {
             match effect {
-                Effect::Disk(number, job) => self.out.push(Out::Disk(number, job)),
-                Effect::Send(member, bytes) => {
+                ReplicaOutput::Disk(number, job) => self.out.push(Output::Disk(number, job)),
+                ReplicaOutput::Send(member, bytes) => {
                     let Some(name) = self.name_of(member) else { continue };
                     let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
                     framed.extend_from_slice(&bytes);
-                    self.out.push(Out::Peer(name, framed));
+                    self.out.push(Output::Peer(name, framed));
                 }
             }
         }
         if self.was != self.replica.standing {
             let (standing, why) = word_of(&self.replica.standing);
-            let warn = self.replica.standing != Standing::Member;
-            self.out.push(Out::Note(warn, format!("standing: {standing} {why}").trim_end().to_owned()));
+            let warn = self.replica.standing != ReplicaStatus::Member;
+            self.out.push(Output::Note(warn, format!("standing: {standing} {why}").trim_end().to_owned()));
             self.was = self.replica.standing.clone();
             self.answers.clear();
-            self.out.push(Out::Relink);
+            self.out.push(Output::Relink);
         }
     }
 
-    fn happened(&mut self, now: f64, event: Happened) {
+    fn happened(&mut self, now: f64, event: ReplicaEvent) {
         match event {
-            Happened::Led => {
-                self.out.push(Out::Note(false, format!("leads, term {}", self.replica.term())));
+            ReplicaEvent::Led => {
+                self.out.push(Output::Note(false, format!("leads, term {}", self.replica.term())));
                 self.desk.lead(now, &self.replica.facts);
                 self.propose_tasks(now);
             }
-            Happened::Followed => {
-                self.out.push(Out::Note(false, "leads no more".to_owned()));
+            ReplicaEvent::Followed => {
+                self.out.push(Output::Note(false, "leads no more".to_owned()));
                 let word = self.not_leader();
                 for link in self.desk.follow() {
                     self.say(link, &word);
@@ -526,17 +532,17 @@
                     self.say(link, &word);
                 }
             }
-            Happened::Applied(entry, result) => {
+            ReplicaEvent::Applied(entry, result) => {
                 self.desk.applied(now, &entry, &result, &self.replica.facts);
                 self.desk.tick(now, &self.replica.facts);
             }
-            Happened::Confirmed(number) if number > QUESTIONS_FROM => {
+            ReplicaEvent::Confirmed(number) if number > QUESTIONS_FROM => {
                 let ready = self.questions.iter().position(|(n, ..)| *n == number);
                 if let Some((_, link, what, _)) = ready.map(|at| self.questions.remove(at)) {
                     self.answer(now, link, &what);
                 }
             }
-            Happened::Confirmed(number) => self.desk.confirmed(now, number, &self.replica.facts),
+            ReplicaEvent::Confirmed(number) => self.desk.confirmed(now, number, &self.replica.facts),
         }
     }
 }
@@ -563,13 +569,13 @@
     })
 }
 
-fn word_of(standing: &Standing) -> (&'static str, String) {
+fn word_of(standing: &ReplicaStatus) -> (&'static str, String) {
     match standing {
-        Standing::Opening => ("opening", String::new()),
-        Standing::Blank(why) => ("blank", why.clone()),
-        Standing::Member => ("member", String::new()),
-        Standing::Aside(why) => ("aside", why.clone()),
-        Standing::Barred(why) => ("barred", why.clone()),
+        ReplicaStatus::Opening => ("opening", String::new()),
+        ReplicaStatus::Blank(why) => ("blank", why.clone()),
+        ReplicaStatus::Member => ("member", String::new()),
+        ReplicaStatus::Aside(why) => ("aside", why.clone()),
+        ReplicaStatus::Barred(why) => ("barred", why.clone()),
     }
 }
 
@@ -587,4 +593,4 @@
 }
 
 /// The most that a worker or a command takes from a coordinator; frames to them are smaller.
-pub const WORD_MOST_BYTES: usize = HEAR_MOST_BYTES;
+pub const WORD_MOST_BYTES: usize = MAX_SERVER_FRAME_BYTES;
--- a/coordinator/src/tenure.rs
+++ b/fleet-coordinator/src/lease_clock.rs
@@ -3,42 +3,42 @@
 //!
 //! Owed to callers: a lease has lapsed no sooner than its whole time after the last renewal that may have been granted,
 //! by this leader or by one before it; a renewal is answered with no more than was counted when it came, and never once
-//! its lease is being freed. [`Questions`] holds what came back until a quorum has confirmed this leader, later than
+//! its lease is being freed. [`ReadIndexQueue`] holds what came back until a quorum has confirmed this leader, later than
 //! that. `tests/lease_world.rs` searches both, beside the worker's holder, through all that can happen to them.
 
-use crate::facts::Lease;
+use crate::state_machine::Lease;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The guards that the proof takes away one at a time; all stand in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Guards {
+pub struct SafetyChecks {
     /// A new leader gives every lease its whole time again.
     pub whole_ttl: bool,
     /// Renewals wait until a quorum has confirmed the leader.
     pub confirm: bool,
 }
 
-impl Default for Guards {
-    fn default() -> Guards {
-        Guards { whole_ttl: true, confirm: true }
+impl Default for SafetyChecks {
+    fn default() -> SafetyChecks {
+        SafetyChecks { whole_ttl: true, confirm: true }
     }
 }
 
 /// One leader's account, by token.
 #[derive(Clone, Debug, Default)]
-pub struct Tenure {
+pub struct LeaseClock {
     /// When the lease ends at the latest as its holder may count.
     until: BTreeMap<u64, f64>,
     /// Leases that are being freed or passed on, and since when.
     freeing: BTreeMap<u64, f64>,
 }
 
-impl Tenure {
+impl LeaseClock {
     /// A member begins to lead: what was before it may have granted any lease anew up to now.
-    pub fn lead<'a>(guards: Guards, now: f64, leases: impl Iterator<Item = &'a Lease>) -> Tenure {
+    pub fn lead<'a>(guards: SafetyChecks, now: f64, leases: impl Iterator<Item = &'a Lease>) -> LeaseClock {
         let whole_s = |lease: &Lease| if guards.whole_ttl { seconds(lease.whole_ms) } else { 0.0 };
         let until = leases.map(|lease| (lease.token, now + whole_s(lease))).collect();
-        Tenure { until, freeing: BTreeMap::new() }
+        LeaseClock { until, freeing: BTreeMap::new() }
     }
 
     /// A lease has been given under this leader.
@@ -98,7 +98,7 @@
 /// What came to a leader and waits for a quorum to say that it leads. One question is out at a time; what comes meanwhile
 /// waits for the next, so that an answer speaks only for what came before it was asked.
 #[derive(Clone, Debug)]
-pub struct Questions<T> {
+pub struct ReadIndexQueue<T> {
     fresh: Vec<T>,
     asked: VecDeque<(u64, Vec<T>)>,
     next: u64,
@@ -106,10 +106,10 @@
     again_s: f64,
 }
 
-impl<T> Questions<T> {
+impl<T> ReadIndexQueue<T> {
     /// Numbers begin at `next`; a question whose answer seems lost is followed by another after `again_s`.
-    pub fn new(next: u64, again_s: f64) -> Questions<T> {
-        Questions { fresh: Vec::new(), asked: VecDeque::new(), next, asked_at: 0.0, again_s }
+    pub fn new(next: u64, again_s: f64) -> ReadIndexQueue<T> {
+        ReadIndexQueue { fresh: Vec::new(), asked: VecDeque::new(), next, asked_at: 0.0, again_s }
     }
 
     pub fn came(&mut self, one: T) {
@@ -163,7 +163,7 @@
     #[test]
     fn a_lease_lapses_its_whole_time_after_whatever_may_have_renewed_it() {
         let long = lease(7, 1000, 4000);
-        let mut tenure = Tenure::lead(Guards::default(), 10.0, [&long].into_iter());
+        let mut tenure = LeaseClock::lead(SafetyChecks::default(), 10.0, [&long].into_iter());
         assert!(
             !tenure.lapses(13.9, &long, 2.0),
             "the leader before may have renewed it just before this one led"
@@ -185,7 +185,7 @@
 
     #[test]
     fn an_answer_speaks_for_what_came_before_its_question_alone() {
-        let mut questions = Questions::new(5, 2.0);
+        let mut questions = ReadIndexQueue::new(5, 2.0);
         assert_eq!(questions.ask(0.0), None);
         questions.came('a');
         assert_eq!(questions.ask(0.0), Some(5));
--- a/coordinator/src/lib.rs
+++ b/fleet-coordinator/src/lib.rs
@@ -4,11 +4,11 @@
 //! [`tenure`] how it counts leases' time there, [`coordinator`] all of it as one machine without I/O; [`net`] puts
 //! sockets, a disk and a clock round it.
 
-pub mod ask;
+pub mod client;
 pub mod config;
 pub mod coordinator;
-pub mod desk;
-pub mod facts;
+pub mod leader_state;
+pub mod lease_clock;
 pub mod net;
 pub mod replica;
-pub mod tenure;
+pub mod state_machine;
--- a/coordinator/src/main.rs
+++ b/fleet-coordinator/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "honeypost-coordinator", version, about = "Holds a fleet's leases, with its peers")]
+#[command(name = "fleet-coordinator", version, about = "Holds a fleet's leases, with its peers")]
 struct Arguments {
     /// Its file, as deploy/coordinator.toml shows.
     #[arg(long)]
@@ -22,10 +22,10 @@
         .with_ansi(false)
         .log_internal_errors(false)
         .init();
-    match honeypost_coordinator::net::run(&arguments.config) {
+    match fleet_coordinator::net::run(&arguments.config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("honeypost-coordinator: {}", why.replace('\n', " "));
+            eprintln!("fleet-coordinator: {}", why.replace('\n', " "));
             ExitCode::from(2)
         }
     }
--- a/coordinator/src/net.rs
+++ b/fleet-coordinator/src/net.rs
@@ -2,16 +2,16 @@
 //! since a sync may take seconds and the loop must go on saying so.
 
 use crate::config::File;
-use crate::coordinator::{next_frame, Coordinator, Out, PeerAnswer, PEER_MOST_BYTES, WORD_MOST_BYTES};
-use crate::replica::{carry_out, Done, Job};
+use crate::coordinator::{next_frame, Coordinator, Output, PeerAnswer, PEER_MOST_BYTES, WORD_MOST_BYTES};
+use crate::replica::{carry_out, DiskJob, DiskResult};
 use calloop::channel::{channel, Event as Told, Sender};
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::EventLoop;
-use honeypost::fleet::frame::SAY_MOST_BYTES;
-use honeypost::net::base::buffer::{Filled, Link};
-use honeypost::net::base::poll::{Accepted, Acceptor, Gathered, Place, Poll};
-use honeypost_durable::Folder;
+use durable_log::Folder;
+use port_worker::fleet::frame::MAX_CLIENT_FRAME_BYTES;
+use port_worker::net::io::buffer::{Filled, Link};
+use port_worker::net::io::poll::{Accepted, Acceptor, Gathered, Place, Poll};
 use rustix::time::{clock_gettime, ClockId};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -86,7 +86,7 @@
         Acceptor::bind(&poll, listen, Place::FleetListener).map_err(|e| format!("listen {listen}: {e}"))?;
     let at = acceptor.address().map_err(|e| e.to_string())?;
     let (answers, answered) = channel();
-    let done: Rc<RefCell<Vec<(u64, Done)>>> = Rc::default();
+    let done: Rc<RefCell<Vec<(u64, DiskResult)>>> = Rc::default();
     let inbox = done.clone();
     handle
         .insert_source(answered, move |event, _, _: &mut Gathered| {
@@ -137,8 +137,8 @@
 }
 
 /// The thread that alone touches the folder: one job after the other.
-fn disk_thread(folder: &Path, answers: Sender<(u64, Done)>) -> std::sync::mpsc::Sender<(u64, Job)> {
-    let (jobs, todo) = std::sync::mpsc::channel::<(u64, Job)>();
+fn disk_thread(folder: &Path, answers: Sender<(u64, DiskResult)>) -> std::sync::mpsc::Sender<(u64, DiskJob)> {
+    let (jobs, todo) = std::sync::mpsc::channel::<(u64, DiskJob)>();
     let folder: PathBuf = folder.to_owned();
     std::thread::spawn(move || {
         let mut store = None;
@@ -158,7 +158,7 @@
     start: f64,
     inbound: BTreeMap<u64, Inbound>,
     peers: Vec<Outbound>,
-    disk: std::sync::mpsc::Sender<(u64, Job)>,
+    disk: std::sync::mpsc::Sender<(u64, DiskJob)>,
     machine: Coordinator,
     file: File,
     /// Links on which something may be read.
@@ -171,7 +171,7 @@
         boot_s() - self.start
     }
 
-    fn turn(&mut self, gathered: &mut Gathered, answers: Vec<(u64, Done)>, path: &Path) {
+    fn turn(&mut self, gathered: &mut Gathered, answers: Vec<(u64, DiskResult)>, path: &Path) {
         let now = self.now();
         for (place, readable, writable) in gathered.take() {
             match place {
@@ -225,7 +225,7 @@
             let id = self.poll.fresh();
             let made = stream
                 .set_nonblocking(true)
-                .and_then(|()| Link::new(&self.poll, stream, Place::Fleet(id), SAY_MOST_BYTES + 4));
+                .and_then(|()| Link::new(&self.poll, stream, Place::Fleet(id), MAX_CLIENT_FRAME_BYTES + 4));
             if let Ok(link) = made {
                 self.machine.opened(id);
                 self.touched.insert(id);
@@ -347,30 +347,30 @@
     fn carry_out(&mut self) {
         for out in self.machine.take_out() {
             match out {
-                Out::Frame(id, bytes) => {
+                Output::Frame(id, bytes) => {
                     if let Some(own) = self.inbound.get_mut(&id) {
                         own.link.push(bytes);
                     }
                 }
-                Out::Close(id) => {
+                Output::Close(id) => {
                     if let Some(own) = self.inbound.get_mut(&id) {
                         own.closing = true;
                     }
                 }
-                Out::Peer(name, bytes) => {
+                Output::Peer(name, bytes) => {
                     // The consensus library sends again what is lost.
                     let up = self.peers.iter_mut().find(|p| p.name == name && p.stage == Stage::Up);
                     if let Some((_, link)) = up.and_then(|p| p.link.as_mut()) {
                         link.push(bytes);
                     }
                 }
-                Out::Relink => self.peers.iter_mut().for_each(|p| p.link = None),
-                Out::Disk(number, job) => {
+                Output::Relink => self.peers.iter_mut().for_each(|p| p.link = None),
+                Output::Disk(number, job) => {
                     // The thread ends with this one; there is nothing to be told by then.
                     let _ = self.disk.send((number, job));
                 }
-                Out::Note(true, text) => tracing::warn!(coordinator = %self.file.name, "{text}"),
-                Out::Note(false, text) => tracing::info!(coordinator = %self.file.name, "{text}"),
+                Output::Note(true, text) => tracing::warn!(coordinator = %self.file.name, "{text}"),
+                Output::Note(false, text) => tracing::info!(coordinator = %self.file.name, "{text}"),
             }
         }
     }
--- a/coordinator/src/replica.rs
+++ b/fleet-coordinator/src/replica.rs
@@ -5,17 +5,17 @@
 //! write that fails or is overdue puts the member aside: it says nothing to its peers until the disk has been opened
 //! anew, and goes on from what the disk then holds.
 
-pub mod image;
 mod log;
+pub mod recovered_log;
 pub mod scan;
 
-use crate::facts::{Command, Entry, Facts, Outcome, Refusal, LATEST};
-use honeypost_durable::{Disk, Recovered, Store};
-use image::{entry_record, hard_record, snapshot_record, Image};
+use crate::state_machine::{Command, Entry, LeaseStateMachine, Outcome, Refusal, LATEST};
+use durable_log::{Disk, Recovered, Store};
 use log::Log;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry as RaftEntry, EntryType, Message, MessageType};
 use raft::{Config, RawNode, ReadOnlyOption, StateRole};
+use recovered_log::{entry_record, hard_record, snapshot_record, RecoveredLog};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The length of a tick (seconds). A leader is heard every two; an election begins after 10 to 19 without one.
@@ -37,7 +37,7 @@
 
 /// What the disk is asked for, one after the other.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Job {
+pub enum DiskJob {
     Open,
     Append(Vec<Vec<u8>>),
     Replace(Vec<u8>),
@@ -45,7 +45,7 @@
 
 /// The disk's word.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Done {
+pub enum DiskResult {
     Opened(Recovered),
     Written,
     Failed(String),
@@ -54,53 +54,53 @@
 /// Carries out a job; the store is gone after a failure, until it is opened anew.
 pub fn carry_out<D: Disk>(
     store: &mut Option<Store<D>>,
-    job: &Job,
+    job: &DiskJob,
     disk: impl FnOnce() -> std::io::Result<D>,
-) -> Done {
+) -> DiskResult {
     let result = match job {
-        Job::Open => {
+        DiskJob::Open => {
             // The lock of the one before goes first.
             drop(store.take());
             disk().map_err(|e| format!("the folder: {e}")).and_then(|disk| {
                 let (opened, found) = Store::open(disk, encode).map_err(|e| e.to_string())?;
                 *store = Some(opened);
-                Ok(Done::Opened(found))
+                Ok(DiskResult::Opened(found))
             })
         }
-        Job::Append(records) => match store {
-            Some(store) => store.append(records).map(|()| Done::Written).map_err(|e| e.to_string()),
+        DiskJob::Append(records) => match store {
+            Some(store) => store.append(records).map(|()| DiskResult::Written).map_err(|e| e.to_string()),
             None => Err("the store is not open".to_owned()),
         },
-        Job::Replace(snapshot) => match store {
-            Some(store) => store.replace(snapshot).map(|()| Done::Written).map_err(|e| e.to_string()),
+        DiskJob::Replace(snapshot) => match store {
+            Some(store) => store.replace(snapshot).map(|()| DiskResult::Written).map_err(|e| e.to_string()),
             None => Err("the store is not open".to_owned()),
         },
     };
     result.unwrap_or_else(|why| {
         *store = None;
-        Done::Failed(why)
+        DiskResult::Failed(why)
     })
 }
 
 /// A store as one record. One that has lost something is kept as that of no member: it must not vote as if it remembered.
 fn encode(found: &Recovered) -> Vec<u8> {
-    match Image::read(found) {
+    match RecoveredLog::read(found) {
         Ok(image) if !found.damaged => image.encode(),
-        _ => Image::default().encode(),
+        _ => RecoveredLog::default().encode(),
     }
 }
 
 /// What callers are to carry out.
 #[derive(Debug)]
-pub enum Effect {
+pub enum ReplicaOutput {
     /// Bytes for the member of this number.
     Send(u64, Vec<u8>),
-    Disk(u64, Job),
+    Disk(u64, DiskJob),
 }
 
 /// What has come about.
 #[derive(Debug)]
-pub enum Happened {
+pub enum ReplicaEvent {
     /// This member leads, and has applied all that was decided before.
     Led,
     Followed,
@@ -111,7 +111,7 @@
 
 /// Whether it takes part.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum ReplicaStatus {
     /// The disk is being opened.
     Opening,
     /// The disk holds no member: a founder, a fresh member, or one that has lost its disk.
@@ -132,8 +132,8 @@
 }
 
 pub struct Replica {
-    pub facts: Facts,
-    pub standing: Standing,
+    pub facts: LeaseStateMachine,
+    pub standing: ReplicaStatus,
     /// By a member's number, what its program can apply.
     pub versions: BTreeMap<u64, u32>,
     version: u32,
@@ -155,8 +155,8 @@
     progress_at: f64,
     timeout: (u64, StateRole, u64, usize),
     dice: u64,
-    effects: Vec<Effect>,
-    happened: Vec<Happened>,
+    effects: Vec<ReplicaOutput>,
+    happened: Vec<ReplicaEvent>,
 }
 
 impl Replica {
@@ -164,8 +164,8 @@
     /// may take before this member steps aside; `version` is what the program claims to understand.
     pub fn new(now: f64, seed: u64, overdue_s: f64, version: u32) -> Replica {
         let mut replica = Replica {
-            facts: Facts::default(),
-            standing: Standing::Opening,
+            facts: LeaseStateMachine::default(),
+            standing: ReplicaStatus::Opening,
             versions: BTreeMap::new(),
             version: version.min(LATEST),
             node: None,
@@ -186,15 +186,15 @@
             effects: Vec::new(),
             happened: Vec::new(),
         };
-        replica.job(now, Job::Open);
+        replica.job(now, DiskJob::Open);
         replica
     }
 
-    pub fn take_effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<ReplicaOutput> {
         std::mem::take(&mut self.effects)
     }
 
-    pub fn take_happened(&mut self) -> Vec<Happened> {
+    pub fn take_happened(&mut self) -> Vec<ReplicaEvent> {
         std::mem::take(&mut self.happened)
     }
 
@@ -237,9 +237,9 @@
 
     /// Begins a fleet, with the same list on all coordinators; for a blank disk alone.
     pub fn found(&mut self, now: f64, coordinators: &[String], own: &str) {
-        let facts = Facts::found(coordinators);
+        let facts = LeaseStateMachine::found(coordinators);
         let Some(member) = facts.member(own) else { return };
-        let mut image = Image { member, ..Image::default() };
+        let mut image = RecoveredLog { member, ..RecoveredLog::default() };
         image.snapshot.data = json(&facts).into();
         let metadata = image.snapshot.mut_metadata();
         (metadata.index, metadata.term) = (1, 1);
@@ -250,32 +250,32 @@
 
     /// Takes part as a fresh member, which the others know by this number.
     pub fn join(&mut self, now: f64, member: u64) {
-        self.begin(now, Image { member, ..Image::default() });
+        self.begin(now, RecoveredLog { member, ..RecoveredLog::default() });
     }
 
-    fn begin(&mut self, now: f64, image: Image) {
-        if !matches!(self.standing, Standing::Blank(_)) {
+    fn begin(&mut self, now: f64, image: RecoveredLog) {
+        if !matches!(self.standing, ReplicaStatus::Blank(_)) {
             return;
         }
-        self.job(now, Job::Replace(image.encode()));
+        self.job(now, DiskJob::Replace(image.encode()));
         self.start(now, image);
     }
 
-    /// Peers won't have it, and say why; see [`Standing::Barred`].
+    /// Peers won't have it, and say why; see [`ReplicaStatus::Barred`].
     pub fn bar(&mut self, now: f64, why: &str) {
-        if self.standing == Standing::Member {
-            self.step_aside(now, Standing::Barred(why.to_owned()));
+        if self.standing == ReplicaStatus::Member {
+            self.step_aside(now, ReplicaStatus::Barred(why.to_owned()));
         }
     }
 
-    fn start(&mut self, now: f64, image: Image) {
+    fn start(&mut self, now: f64, image: RecoveredLog) {
         let index = image.snapshot.get_metadata().index;
         self.facts = match index {
-            0 => Facts::default(),
+            0 => LeaseStateMachine::default(),
             _ => match serde_json::from_slice(&image.snapshot.data) {
                 Ok(facts) => facts,
                 Err(e) => {
-                    self.standing = Standing::Aside(format!("the snapshot's facts can't be read: {e}"));
+                    self.standing = ReplicaStatus::Aside(format!("the snapshot's facts can't be read: {e}"));
                     return;
                 }
             },
@@ -297,47 +297,50 @@
         match RawNode::new(&config, Log::new(&image), &quiet) {
             Ok(node) => {
                 (self.member, self.applied) = (image.member, index);
-                (self.node, self.ticked, self.standing) = (Some(node), now, Standing::Member);
+                (self.node, self.ticked, self.standing) = (Some(node), now, ReplicaStatus::Member);
                 self.timeout.0 = u64::MAX;
                 self.own_timeout();
                 self.follow_up(now);
             }
-            Err(e) => self.standing = Standing::Aside(format!("the log can't be taken up: {e}")),
+            Err(e) => self.standing = ReplicaStatus::Aside(format!("the log can't be taken up: {e}")),
         }
     }
 
-    fn step_aside(&mut self, now: f64, standing: Standing) {
+    fn step_aside(&mut self, now: f64, standing: ReplicaStatus) {
         self.node = None;
         self.waiting.clear();
         self.retry_at = now + RETRY_S;
         if std::mem::take(&mut self.leads) {
-            self.happened.push(Happened::Followed);
+            self.happened.push(ReplicaEvent::Followed);
         }
         self.standing = standing;
     }
 
     fn aside(&mut self, now: f64, why: String) {
-        self.step_aside(now, Standing::Aside(why));
+        self.step_aside(now, ReplicaStatus::Aside(why));
     }
 
-    fn job(&mut self, now: f64, job: Job) -> u64 {
+    fn job(&mut self, now: f64, job: DiskJob) -> u64 {
         let number = self.next_job;
         self.next_job += 1;
         self.jobs.push_back((number, now));
-        if job == Job::Open {
+        if job == DiskJob::Open {
             self.opening = number;
         }
-        self.effects.push(Effect::Disk(number, job));
+        self.effects.push(ReplicaOutput::Disk(number, job));
         number
     }
 
     /// The disk has answered a job.
-    pub fn done(&mut self, now: f64, number: u64, done: Done) {
+    pub fn done(&mut self, now: f64, number: u64, done: DiskResult) {
         let Some((first, since)) = self.jobs.pop_front() else { return };
         debug_assert_eq!(first, number, "jobs are answered in order");
         match done {
-            Done::Opened(found) => {
-                if matches!(self.standing, Standing::Member | Standing::Blank(_) | Standing::Barred(_)) {
+            DiskResult::Opened(found) => {
+                if matches!(
+                    self.standing,
+                    ReplicaStatus::Member | ReplicaStatus::Blank(_) | ReplicaStatus::Barred(_)
+                ) {
                     return;
                 }
                 if now - since > self.overdue_s {
@@ -345,27 +348,29 @@
                     return self.aside(now, format!("the disk is slow: opening took {took:.1} s"));
                 }
                 let lost = found.dropped.join("; ");
-                match Image::read(&found) {
-                    Err(why) => self.standing = Standing::Blank(format!("the disk can't be read: {why}")),
+                match RecoveredLog::read(&found) {
+                    Err(why) => {
+                        self.standing = ReplicaStatus::Blank(format!("the disk can't be read: {why}"))
+                    }
                     Ok(_) if found.damaged => {
-                        self.standing = Standing::Blank(format!("the disk is damaged: {lost}"))
+                        self.standing = ReplicaStatus::Blank(format!("the disk is damaged: {lost}"))
                     }
                     Ok(image) if image.member == 0 => {
-                        self.standing = Standing::Blank("the disk is empty".to_owned())
+                        self.standing = ReplicaStatus::Blank("the disk is empty".to_owned())
                     }
                     Ok(image) => self.start(now, image),
                 }
             }
-            Done::Written => {
+            DiskResult::Written => {
                 if self.node.is_some() {
                     self.persisted(number);
                     self.follow_up(now);
                 }
             }
-            Done::Failed(why) => {
+            DiskResult::Failed(why) => {
                 // What is asked of a store that has failed says nothing more than that.
-                let already = matches!(self.standing, Standing::Aside(_)) && number != self.opening;
-                if !already && !matches!(self.standing, Standing::Barred(_)) {
+                let already = matches!(self.standing, ReplicaStatus::Aside(_)) && number != self.opening;
+                if !already && !matches!(self.standing, ReplicaStatus::Barred(_)) {
                     self.aside(now, why);
                 }
             }
@@ -396,12 +401,12 @@
     /// Time passes.
     pub fn tick(&mut self, now: f64) {
         if let Some((_, since)) = self.jobs.front() {
-            if self.standing == Standing::Member && now - since > self.overdue_s {
+            if self.standing == ReplicaStatus::Member && now - since > self.overdue_s {
                 self.aside(now, format!("the disk is slow: a write has taken {:.1} s", now - since));
             }
-        } else if matches!(self.standing, Standing::Aside(_)) && now >= self.retry_at {
+        } else if matches!(self.standing, ReplicaStatus::Aside(_)) && now >= self.retry_at {
             self.retry_at = now + RETRY_S;
-            self.job(now, Job::Open);
+            self.job(now, DiskJob::Open);
         }
         // A process that was stopped does not make up for its ticks: peers that it heard nothing of may be well.
         let mut ticks = 0;
@@ -543,7 +548,7 @@
         taken
     }
 
-    /// Asks a quorum whether this member still leads; [`Happened::Confirmed`] comes if it did after this call.
+    /// Asks a quorum whether this member still leads; [`ReplicaEvent::Confirmed`] comes if it did after this call.
     pub fn confirm(&mut self, now: f64, number: u64) {
         if let Some(node) = self.node.as_mut().filter(|_| self.leads) {
             node.read_index(number.to_le_bytes().to_vec());
@@ -598,7 +603,7 @@
             let committed = ready.take_committed_entries();
             let reads = ready.take_read_states();
             node.advance_append_async(ready);
-            let job = (!records.is_empty()).then(|| self.job(now, Job::Append(records)));
+            let job = (!records.is_empty()).then(|| self.job(now, DiskJob::Append(records)));
             self.waiting.push_back(Waiting { ready: number, messages, job, restored });
             if self.waiting.len() == 1 && job.is_none() {
                 self.persisted(0);
@@ -613,7 +618,7 @@
             self.follow_role(now);
             for read in reads {
                 if let Ok(number) = read.request_ctx.as_slice().try_into() {
-                    self.happened.push(Happened::Confirmed(u64::from_le_bytes(number)));
+                    self.happened.push(ReplicaEvent::Confirmed(u64::from_le_bytes(number)));
                 }
             }
         }
@@ -633,7 +638,7 @@
         if leads {
             (self.led_at, self.progress_at) = ((self.facts.at_ms, now), now);
         }
-        self.happened.push(if leads { Happened::Led } else { Happened::Followed });
+        self.happened.push(if leads { ReplicaEvent::Led } else { ReplicaEvent::Followed });
     }
 
     fn apply(&mut self, now: f64, entry: &RaftEntry) {
@@ -647,7 +652,7 @@
         match serde_json::from_slice::<Entry>(&entry.data) {
             Ok(entry) => {
                 let result = self.facts.apply(&entry);
-                self.happened.push(Happened::Applied(entry, result));
+                self.happened.push(ReplicaEvent::Applied(entry, result));
             }
             // A command that can't be read here can't be skipped: others may have applied it.
             Err(e) => self.aside(now, format!("entry {} can't be read: {e}", self.applied)),
@@ -686,7 +691,7 @@
         if self.applied > log.start() && (long || log.wanted.get()) {
             log.compact(self.applied, json(&self.facts));
             let image = log.image(self.member).encode();
-            self.job(now, Job::Replace(image));
+            self.job(now, DiskJob::Replace(image));
         }
     }
 }
@@ -696,10 +701,10 @@
     serde_json::to_vec(what).unwrap_or_default()
 }
 
-fn send(effects: &mut Vec<Effect>, messages: Vec<Message>) {
+fn send(effects: &mut Vec<ReplicaOutput>, messages: Vec<Message>) {
     for message in messages {
         if let Ok(bytes) = message.write_to_bytes() {
-            effects.push(Effect::Send(message.to, bytes));
+            effects.push(ReplicaOutput::Send(message.to, bytes));
         }
     }
 }
--- a/coordinator/src/replica/log.rs
+++ b/fleet-coordinator/src/replica/log.rs
@@ -1,6 +1,6 @@
 //! The replicated log in memory, as the consensus library reads it.
 
-use super::image::Image;
+use super::recovered_log::RecoveredLog;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 use std::cell::Cell;
@@ -17,7 +17,7 @@
 }
 
 impl Log {
-    pub fn new(image: &Image) -> Log {
+    pub fn new(image: &RecoveredLog) -> Log {
         Log {
             hard: image.hard.clone(),
             members: image.snapshot.get_metadata().get_conf_state().clone(),
@@ -28,8 +28,8 @@
     }
 
     /// What a disk should hold of it.
-    pub fn image(&self, member: u64) -> Image {
-        Image {
+    pub fn image(&self, member: u64) -> RecoveredLog {
+        RecoveredLog {
             member,
             hard: self.hard.clone(),
             snapshot: self.snapshot.clone(),
--- a/coordinator/src/replica/image.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -2,7 +2,7 @@
 //! record for a snapshot. Reading it needs no library's state, so a store can be opened, checked and shown without one.
 
 use super::scan;
-use honeypost_durable::Recovered;
+use durable_log::Recovered;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
 /// Kinds of records.
@@ -13,7 +13,7 @@
 
 /// The replicated log as the disk has it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Image {
+pub struct RecoveredLog {
     /// This member's number; 0 while it has none.
     pub member: u64,
     pub hard: HardState,
@@ -48,13 +48,13 @@
     bytes
 }
 
-impl Image {
+impl RecoveredLog {
     /// Reads what a store has recovered.
     ///
     /// # Errors
     /// A record with a whole checksum that can't be read: it was written by something else.
-    pub fn read(recovered: &Recovered) -> Result<Image, String> {
-        let mut image = Image::default();
+    pub fn read(recovered: &Recovered) -> Result<RecoveredLog, String> {
+        let mut image = RecoveredLog::default();
         if let Some(mut rest) = recovered.snapshot.as_deref() {
             while let Some(head) = rest.get(..4).and_then(|head| head.try_into().ok()) {
                 let length = u32::from_le_bytes(head) as usize;
--- a/coordinator/src/facts.rs
+++ b/fleet-coordinator/src/state_machine.rs
@@ -5,7 +5,7 @@
 //! call surely had no effect or may safely be made again. A command that breaks a bound or comes too late is refused and
 //! changes nothing.
 
-use honeypost::fleet::frame::{good_name, Ending, Held, NAME_MOST_BYTES, TASKS_MOST};
+use port_worker::fleet::frame::{is_valid_name, CallOutcome, LeaseRef, MAX_NAME_BYTES, MAX_TASKS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 /// Coordinators at most, past and present.
 const MEMBERS_MOST: usize = 64;
 /// What this program can apply. A command that came later than the agreed version is refused by all alike.
-pub const LATEST: u32 = honeypost::fleet::frame::VERSION;
+pub const LATEST: u32 = port_worker::fleet::frame::VERSION;
 
 /// How a task's lease is given.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
@@ -68,23 +68,23 @@
     },
     /// The lease is free again.
     Free {
-        held: Held,
-        why: Why,
+        held: LeaseRef,
+        why: ReleaseReason,
     },
     Transfer {
-        held: Held,
+        held: LeaseRef,
         session: u64,
     },
     Begin {
-        held: Held,
+        held: LeaseRef,
         every_ms: u64,
         safe: bool,
         attempt: u64,
     },
     End {
-        held: Held,
+        held: LeaseRef,
         period: u64,
-        ending: Ending,
+        ending: CallOutcome,
     },
     /// The coordinators' file, by its epoch.
     Tasks {
@@ -107,7 +107,7 @@
 /// Why a lease became free.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum ReleaseReason {
     Lapsed,
     GivenBack,
     Failed,
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Opened(u64),
-    Granted(Held),
+    Granted(LeaseRef),
     Begun(u64),
     Done,
 }
@@ -135,7 +135,7 @@
 pub enum Refusal {
     #[error("not understood by all coordinators yet")]
     Version,
-    #[error("{0} is not a name: letters, digits, - _ . and at most {NAME_MOST_BYTES} of them")]
+    #[error("{0} is not a name: letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
     Name(String),
     #[error("{0} sessions are open; no more are taken")]
     Full(usize),
@@ -183,7 +183,7 @@
     pub attempt: u64,
     pub due_ms: u64,
     /// `None` while the call is on its way, as far as the log knows.
-    pub ending: Option<Ending>,
+    pub ending: Option<CallOutcome>,
     pub safe: bool,
 }
 
@@ -206,7 +206,7 @@
 /// All of it. A snapshot is this as JSON.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
-pub struct Facts {
+pub struct LeaseStateMachine {
     /// What all coordinators can apply; 0 counts as 1.
     pub version: u32,
     pub at_ms: u64,
@@ -230,12 +230,18 @@
     pub founders: u64,
 }
 
-impl Facts {
+impl LeaseStateMachine {
     /// A fleet's first facts.
-    pub fn found(coordinators: &[String]) -> Facts {
+    pub fn found(coordinators: &[String]) -> LeaseStateMachine {
         let count = coordinators.len() as u64;
         let members = (1..).zip(coordinators.iter().cloned()).collect();
-        Facts { version: 1, members, last_member: count, founders: count, ..Facts::default() }
+        LeaseStateMachine {
+            version: 1,
+            members,
+            last_member: count,
+            founders: count,
+            ..LeaseStateMachine::default()
+        }
     }
 
     /// A coordinator's number by its name.
@@ -253,7 +259,7 @@
     }
 
     /// The lease that this names, if it is held under that token.
-    pub fn lease(&self, held: &Held) -> Option<&Lease> {
+    pub fn lease(&self, held: &LeaseRef) -> Option<&Lease> {
         self.leases.get(&held.task).filter(|lease| lease.token == held.token)
     }
 
@@ -272,7 +278,7 @@
         match &entry.command {
             Command::Open { name, zone, process, version } => {
                 for word in [name, zone] {
-                    if !good_name(word) {
+                    if !is_valid_name(word) {
                         return Err(Refusal::Name(word.clone()));
                     }
                 }
@@ -306,7 +312,7 @@
             Command::Free { held, why } => {
                 let session = self.lease(held).ok_or(Refusal::NotHeld)?.session;
                 self.leases.remove(&held.task);
-                if *why == Why::Failed {
+                if *why == ReleaseReason::Failed {
                     self.note_failure(&held.task, session);
                 }
                 Ok(Outcome::Done)
@@ -332,9 +338,9 @@
                 known.ending = Some(*ending);
                 let safe = known.safe;
                 match ending {
-                    Ending::Done => self.forgive(held),
-                    Ending::Unknown if !safe => self.doubt(&held.task),
-                    Ending::Unknown | Ending::NotDone => {}
+                    CallOutcome::Done => self.forgive(held),
+                    CallOutcome::Unknown if !safe => self.doubt(&held.task),
+                    CallOutcome::Unknown | CallOutcome::NotDone => {}
                 }
                 Ok(Outcome::Done)
             }
@@ -342,11 +348,11 @@
                 if *epoch <= self.epoch {
                     return Err(Refusal::OldEpoch(*epoch));
                 }
-                if let Some(bad) = tasks.iter().find(|t| !good_name(&t.name)) {
+                if let Some(bad) = tasks.iter().find(|t| !is_valid_name(&t.name)) {
                     return Err(Refusal::Name(bad.name.clone()));
                 }
                 self.epoch = *epoch;
-                self.tasks = tasks.iter().take(TASKS_MOST).map(|t| (t.name.clone(), t.clone())).collect();
+                self.tasks = tasks.iter().take(MAX_TASKS).map(|t| (t.name.clone(), t.clone())).collect();
                 self.failed.retain(|name, _| self.tasks.contains_key(name));
                 for (name, lease) in &mut self.leases {
                     if let Some(task) = self.tasks.get(name) {
@@ -380,10 +386,16 @@
         let (token, ttl_ms) = (self.last_token, settings.ttl_ms);
         let lease = Lease { session, token, granted_ms: self.at_ms, ttl_ms, whole_ms: ttl_ms };
         self.leases.insert(task.to_owned(), lease);
-        Ok(Outcome::Granted(Held { task: task.to_owned(), token }))
+        Ok(Outcome::Granted(LeaseRef { task: task.to_owned(), token }))
     }
 
-    fn begin(&mut self, held: &Held, every_ms: u64, safe: bool, attempt: u64) -> Result<Outcome, Refusal> {
+    fn begin(
+        &mut self,
+        held: &LeaseRef,
+        every_ms: u64,
+        safe: bool,
+        attempt: u64,
+    ) -> Result<Outcome, Refusal> {
         if self.version < 2 {
             return Err(Refusal::Version);
         }
@@ -407,9 +419,9 @@
             return Ok(self.new_period(held, before.number + 1, due, safe, attempt));
         }
         let again = match before.ending {
-            Some(Ending::Done) => false,
-            Some(Ending::NotDone) => true,
-            Some(Ending::Unknown) => before.safe && safe,
+            Some(CallOutcome::Done) => false,
+            Some(CallOutcome::NotDone) => true,
+            Some(CallOutcome::Unknown) => before.safe && safe,
             None => before.safe && safe && before.token < held.token,
         };
         if !again {
@@ -418,7 +430,7 @@
         Ok(self.new_period(held, before.number, before.due_ms, safe, attempt))
     }
 
-    fn new_period(&mut self, held: &Held, number: u64, due_ms: u64, safe: bool, attempt: u64) -> Outcome {
+    fn new_period(&mut self, held: &LeaseRef, number: u64, due_ms: u64, safe: bool, attempt: u64) -> Outcome {
         let period = Period { number, token: held.token, attempt, due_ms, ending: None, safe };
         self.periods.insert(held.task.clone(), period);
         Outcome::Begun(number)
@@ -442,7 +454,7 @@
     }
 
     /// It has done what it holds the lease for: earlier failures count no more.
-    fn forgive(&mut self, held: &Held) {
+    fn forgive(&mut self, held: &LeaseRef) {
         let session = self.lease(held).and_then(|lease| self.sessions.get(&lease.session));
         let name = session.map(|s| s.name.clone()).unwrap_or_default();
         if let Some(by_name) = self.failed.get_mut(&held.task) {
@@ -464,5 +476,5 @@
 }
 
 #[cfg(test)]
-#[path = "facts/tests.rs"]
+#[path = "state_machine/tests.rs"]
 mod tests;
--- a/coordinator/src/facts/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn held(task: &str, token: u64) -> Held {
-    Held { task: task.to_owned(), token }
+fn held(task: &str, token: u64) -> LeaseRef {
+    LeaseRef { task: task.to_owned(), token }
 }
 
 fn task(ttl_ms: u64) -> Task {
@@ -13,8 +13,8 @@
 }
 
 /// A story is a list of commands with their times, and what each came to, as text.
-fn tell(story: Vec<(u64, Command, &str)>) -> Facts {
-    let mut facts = Facts { version: LATEST, ..Facts::default() };
+fn tell(story: Vec<(u64, Command, &str)>) -> LeaseStateMachine {
+    let mut facts = LeaseStateMachine { version: LATEST, ..LeaseStateMachine::default() };
     for (at_ms, command, expected) in story {
         let entry = Entry { at_ms, command };
         // Through the log's own form: what is applied is what was written.
@@ -25,7 +25,7 @@
         };
         assert!(text.starts_with(expected), "{entry:?}: {text}, not {expected}");
     }
-    let copy: Facts = serde_json::from_slice(&serde_json::to_vec(&facts).unwrap()).unwrap();
+    let copy: LeaseStateMachine = serde_json::from_slice(&serde_json::to_vec(&facts).unwrap()).unwrap();
     assert_eq!(copy, facts, "a snapshot is not the same");
     facts
 }
@@ -47,17 +47,17 @@
         (0, grant(1), "Granted"),
         (1, same(), "Begun(1)"),
         (5, same(), "Begun(1)"),
-        (6, end(1, 1, Ending::Done), "Done"),
+        (6, end(1, 1, CallOutcome::Done), "Done"),
         (7, same(), "NotDue"),
     ]);
 }
 
-fn end(token: u64, period: u64, ending: Ending) -> Command {
+fn end(token: u64, period: u64, ending: CallOutcome) -> Command {
     Command::End { held: held("t", token), period, ending }
 }
 
 fn free(token: u64) -> Command {
-    Command::Free { held: held("t", token), why: Why::Lapsed }
+    Command::Free { held: held("t", token), why: ReleaseReason::Lapsed }
 }
 
 fn grant(session: u64) -> Command {
@@ -77,15 +77,19 @@
         (1, open(7), "Opened(1)"),
         (1, open(7), "Opened(1)"),
         (1, open(8), "Opened(2)"),
-        (2, grant(1), "Granted(Held { task: \"t\", token: 1 })"),
+        (2, grant(1), "Granted(LeaseRef { task: \"t\", token: 1 })"),
         (2, grant(2), "Taken"),
         (3, Command::Close { session: 1 }, "Holds"),
         (4, free(1), "Done"),
         (4, free(1), "NotHeld"),
-        (5, grant(2), "Granted(Held { task: \"t\", token: 2 })"),
+        (5, grant(2), "Granted(LeaseRef { task: \"t\", token: 2 })"),
         (5, free(1), "NotHeld"),
         (6, Command::Transfer { held: held("t", 2), session: 9 }, "NoSession"),
-        (6, Command::Transfer { held: held("t", 2), session: 1 }, "Granted(Held { task: \"t\", token: 3 })"),
+        (
+            6,
+            Command::Transfer { held: held("t", 2), session: 1 },
+            "Granted(LeaseRef { task: \"t\", token: 3 })",
+        ),
         (7, Command::Close { session: 2 }, "Done"),
     ]);
     assert_eq!((facts.leases["t"].session, facts.leases["t"].token), (1, 3));
@@ -113,13 +117,13 @@
     let facts = with(vec![
         (10, begin(1, false), "Begun(1)"),
         (20, begin(1, false), "NotDue(990)"),
-        (30, end(1, 1, Ending::Unknown), "Done"),
+        (30, end(1, 1, CallOutcome::Unknown), "Done"),
         (40, begin(1, false), "NotDue(970)"),
         (1010, begin(1, false), "Begun(2)"),
-        (1020, end(1, 2, Ending::NotDone), "Done"),
+        (1020, end(1, 2, CallOutcome::NotDone), "Done"),
         (1030, begin(1, false), "Begun(2)"),
-        (1040, end(1, 2, Ending::Done), "Done"),
-        (1050, end(1, 2, Ending::Unknown), "NotHeld"),
+        (1040, end(1, 2, CallOutcome::Done), "Done"),
+        (1050, end(1, 2, CallOutcome::Unknown), "NotHeld"),
         (1060, begin(1, false), "NotDue"),
     ]);
     assert_eq!((facts.doubts.len(), facts.doubts[0].period, facts.doubts_in_all), (1, 1, 1));
@@ -131,8 +135,8 @@
         (30, grant(1), "Granted"),
         (40, begin(1, true), "NotHeld"),
         (40, begin(2, true), "Begun(1)"),
-        (50, end(1, 1, Ending::Done), "NotHeld"),
-        (60, end(2, 1, Ending::Done), "Done"),
+        (50, end(1, 1, CallOutcome::Done), "NotHeld"),
+        (60, end(2, 1, CallOutcome::Done), "Done"),
     ]);
     assert!(safe.doubts.is_empty());
     let unsafe_one = with(vec![
@@ -147,7 +151,7 @@
 
 #[test]
 fn a_holder_that_fails_waits_twice_as_long_each_time_until_it_has_done_its_task() {
-    let failed = |token| Command::Free { held: held("t", token), why: Why::Failed };
+    let failed = |token| Command::Free { held: held("t", token), why: ReleaseReason::Failed };
     let mut story = vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened(1)")];
     for token in 1..=9 {
         story.extend([(1000, grant(1), "Granted"), (1000, failed(token), "Done")]);
@@ -156,7 +160,7 @@
     // The task's pause is 100 ms, and the longest is 64 times that.
     assert_eq!(facts.failed["t"]["w"], Failed { times: 9, until_ms: 1000 + 6400 });
     story.extend([(1100, grant(1), "Granted"), (1100, begin(10, true), "Begun(1)")]);
-    story.extend([(1101, end(10, 1, Ending::Done), "Done"), (1102, failed(10), "Done")]);
+    story.extend([(1101, end(10, 1, CallOutcome::Done), "Done"), (1102, failed(10), "Done")]);
     let facts = tell(story.clone());
     assert_eq!(facts.failed["t"]["w"], Failed { times: 1, until_ms: 1202 }, "it begins anew after a success");
     // An hour later it is forgotten, and with its task at once.
@@ -174,14 +178,14 @@
         (HOUR, open(1), "Opened"),
         (HOUR, grant(1), "Granted"),
         (HOUR, begin(1, false), "Begun(1)"),
-        (HOUR, end(1, 1, Ending::Done), "Done"),
+        (HOUR, end(1, 1, CallOutcome::Done), "Done"),
         // Back by an hour: the period that was done is not begun again, and the next one waits no hour.
         (100, begin(1, false), "NotDue(1000)"),
         (HOUR + 1000, begin(1, false), "Begun(2)"),
-        (HOUR + 1001, end(1, 2, Ending::Done), "Done"),
+        (HOUR + 1001, end(1, 2, CallOutcome::Done), "Done"),
         // Forward by an hour: what was missed is not made up for.
         (3 * HOUR, begin(1, false), "Begun(3)"),
-        (3 * HOUR, end(1, 3, Ending::Done), "Done"),
+        (3 * HOUR, end(1, 3, CallOutcome::Done), "Done"),
         (3 * HOUR + 1, begin(1, false), "NotDue(999)"),
     ]);
     assert_eq!((facts.at_ms, facts.doubts_in_all), (3 * HOUR + 1, 0));
@@ -194,14 +198,14 @@
         (0, open(1), "Opened"),
         (0, grant(1), "Granted"),
         (0, begin(1, true), "Begun(1)"),
-        (1, end(1, 1, Ending::Done), "Done"),
+        (1, end(1, 1, CallOutcome::Done), "Done"),
         (1400, begin(1, true), "Begun(2)"),
-        (1401, end(1, 2, Ending::Done), "Done"),
+        (1401, end(1, 2, CallOutcome::Done), "Done"),
         (2000, begin(1, true), "Begun(3)"),
-        (2001, end(1, 3, Ending::Done), "Done"),
+        (2001, end(1, 3, CallOutcome::Done), "Done"),
         // Nobody was there for a while: no calls are made up for.
         (9300, begin(1, true), "Begun(4)"),
-        (9301, end(1, 4, Ending::Done), "Done"),
+        (9301, end(1, 4, CallOutcome::Done), "Done"),
         (9400, begin(1, true), "NotDue(900)"),
     ]);
 }
--- a/coordinator/tests/command_line.rs
+++ b/fleet-coordinator/tests/command_line.rs
@@ -12,8 +12,8 @@
 }
 
 const COORDINATOR: Program =
-    Program { path: env!("CARGO_BIN_EXE_honeypost-coordinator"), name: "honeypost-coordinator" };
-const FLEET: Program = Program { path: env!("CARGO_BIN_EXE_honeypost-fleet"), name: "honeypost-fleet" };
+    Program { path: env!("CARGO_BIN_EXE_fleet-coordinator"), name: "fleet-coordinator" };
+const FLEET: Program = Program { path: env!("CARGO_BIN_EXE_fleetctl"), name: "fleetctl" };
 /// Variables that stand in for arguments.
 const VARIABLES: [&str; 2] = ["HONEYPOST_COORDINATORS", "HONEYPOST_FLEET"];
 
--- a/coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -1,7 +1,7 @@
 //! The coordinators' file: values that the shipped one decodes to, and the line for one that can't be used.
 
-use honeypost_coordinator::config::File;
-use honeypost_coordinator::facts::LATEST;
+use fleet_coordinator::config::File;
+use fleet_coordinator::state_machine::LATEST;
 use std::path::Path;
 
 const SHIPPED: &str = include_str!("../../deploy/coordinator.toml");
--- a/coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -1,13 +1,13 @@
 //! One coordinator whose disk fails it: how soon it steps aside, that it acknowledges nothing it could not write, and that
 //! it takes part again by itself. The clock and the disk are the test's own.
 
-use honeypost::fleet::frame::{decode, encode, Say, Word, HEAR_MOST_BYTES};
-use honeypost_coordinator::coordinator::{Coordinator, Out, Setup};
-use honeypost_coordinator::desk::Guards;
-use honeypost_coordinator::facts::LATEST;
-use honeypost_coordinator::replica::{carry_out, Done, Standing};
-use honeypost_durable::simulated::Simulated;
-use honeypost_durable::Store;
+use durable_log::simulated::Simulated;
+use durable_log::Store;
+use fleet_coordinator::coordinator::{Coordinator, CoordinatorConfig, Output};
+use fleet_coordinator::leader_state::SafetyChecks;
+use fleet_coordinator::replica::{carry_out, DiskResult, ReplicaStatus};
+use fleet_coordinator::state_machine::LATEST;
+use port_worker::fleet::frame::{decode, encode, ClientMessage, ServerMessage, MAX_SERVER_FRAME_BYTES};
 
 const OVERDUE_S: f64 = 0.5;
 const TICK_S: f64 = 0.01;
@@ -19,13 +19,13 @@
     store: Option<Store<Simulated>>,
     /// How long each job takes.
     takes_s: f64,
-    answers: Vec<(f64, u64, Done)>,
-    words: Vec<Word>,
+    answers: Vec<(f64, u64, DiskResult)>,
+    words: Vec<ServerMessage>,
 }
 
 impl Site {
     fn up() -> Site {
-        let setup = Setup {
+        let setup = CoordinatorConfig {
             fleet: "f".into(),
             name: "c1".into(),
             coordinators: vec![("c1".into(), "127.0.0.1:1".into())],
@@ -33,7 +33,7 @@
             tasks: Vec::new(),
             overdue_s: OVERDUE_S,
             version: LATEST,
-            guards: Guards::default(),
+            guards: SafetyChecks::default(),
             overload: None,
         };
         let mut site = Site {
@@ -47,7 +47,7 @@
         };
         // A fleet of one founds itself when it asks and nobody else is named.
         site.until("it leads", 10.0, |site| {
-            if matches!(site.machine.replica.standing, Standing::Blank(_)) {
+            if matches!(site.machine.replica.standing, ReplicaStatus::Blank(_)) {
                 site.machine.replica.found(site.now, &["c1".to_owned()], "c1");
             }
             site.machine.replica.leads()
@@ -69,13 +69,14 @@
             }
             for one in out {
                 match one {
-                    Out::Disk(number, job) => {
+                    Output::Disk(number, job) => {
                         let disk = self.disk.clone();
                         let done = carry_out(&mut self.store, &job, || Ok(disk));
                         self.answers.push((self.now + self.takes_s, number, done));
                     }
-                    Out::Frame(_, bytes) => {
-                        let (word, _) = decode::<Word>(&bytes, HEAR_MOST_BYTES).unwrap().unwrap();
+                    Output::Frame(_, bytes) => {
+                        let (word, _) =
+                            decode::<ServerMessage>(&bytes, MAX_SERVER_FRAME_BYTES).unwrap().unwrap();
                         self.words.push(word);
                     }
                     _ => {}
@@ -101,7 +102,7 @@
     /// A worker comes over a new link; its session is a fact that has to be written.
     fn hello(&mut self, link: u64) {
         self.machine.opened(link);
-        let hello = Say::Hello {
+        let hello = ClientMessage::Hello {
             fleet: "f".into(),
             version: LATEST,
             name: format!("w{link}"),
@@ -113,11 +114,11 @@
     }
 
     fn welcomed(&self) -> usize {
-        self.words.iter().filter(|w| matches!(w, Word::Welcome { .. })).count()
+        self.words.iter().filter(|w| matches!(w, ServerMessage::Welcome { .. })).count()
     }
 
     fn is_aside(&self) -> bool {
-        matches!(self.machine.replica.standing, Standing::Aside(_))
+        matches!(self.machine.replica.standing, ReplicaStatus::Aside(_))
     }
 }
 
--- a/coordinator/tests/lease_world.rs
+++ b/fleet-coordinator/tests/lease_world.rs
@@ -1,5 +1,5 @@
 //! Two workers, a leader, the leader before it that does not know better, and one task: every world that they can come to,
-//! searched in full round the modules that run in service (`Holder`, `Tenure`, `Questions`, `Facts`).
+//! searched in full round the modules that run in service (`LeaseHolder`, `LeaseClock`, `ReadIndexQueue`, `LeaseStateMachine`).
 //!
 //! What stands in for the rest: one log that only the newest leader writes to, a quorum that confirms only the newest
 //! leader, and mail that may be late, overtaken or lost. A leader hears the quorum's word as it is given, and a leader that
@@ -13,10 +13,10 @@
 //! in the modules looks at more than differences and order. That makes their number finite without a bound on time,
 //! grants, renewals or changes of leader.
 
-use honeypost::fleet::frame::{Held, Renewed};
-use honeypost::fleet::holder::Holder;
-use honeypost_coordinator::facts::{Command, Entry, Facts, Outcome, Task, Why};
-use honeypost_coordinator::tenure::{Guards, Questions, Tenure};
+use fleet_coordinator::lease_clock::{LeaseClock, ReadIndexQueue, SafetyChecks};
+use fleet_coordinator::state_machine::{Command, Entry, LeaseStateMachine, Outcome, ReleaseReason, Task};
+use port_worker::fleet::frame::{LeaseRef, RenewedLease};
+use port_worker::fleet::lease_holder::LeaseHolder;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -40,7 +40,7 @@
     /// Holders look at their clock, and act some time after that.
     acts: bool,
     drift: f64,
-    guards: Guards,
+    guards: SafetyChecks,
     fenced: bool,
 }
 
@@ -51,37 +51,37 @@
     gives_back: true,
     acts: false,
     drift: DRIFT,
-    guards: Guards { whole_ttl: true, confirm: true },
+    guards: SafetyChecks { whole_ttl: true, confirm: true },
     fenced: true,
 };
 
 /// A sign of life at a leader: whose, its number, and what it asked with what was counted for it.
-type Came = (usize, u64, Vec<(Held, u64)>);
+type Came = (usize, u64, Vec<(LeaseRef, u64)>);
 
 #[derive(Clone, Debug)]
 struct Leader {
-    facts: Facts,
-    tenure: Tenure,
-    questions: Questions<Came>,
+    facts: LeaseStateMachine,
+    tenure: LeaseClock,
+    questions: ReadIndexQueue<Came>,
     asked: Option<u64>,
     proposed: Option<Command>,
 }
 
 #[derive(Clone, Debug)]
 enum Up {
-    Keep { seq: u64, held: Vec<Held> },
-    GiveBack(Held),
+    Keep { seq: u64, held: Vec<LeaseRef> },
+    GiveBack(LeaseRef),
 }
 
 #[derive(Clone, Debug)]
 enum Down {
-    Granted(Held),
-    Kept { seq: u64, leases: Vec<Renewed> },
+    Granted(LeaseRef),
+    Kept { seq: u64, leases: Vec<RenewedLease> },
 }
 
 #[derive(Clone, Debug)]
 struct Worker {
-    holder: Holder,
+    holder: LeaseHolder,
     seq: u64,
     /// Mail on its way, and for which leader: the newest (0) or the one before (1).
     up: Vec<(usize, Up)>,
@@ -166,15 +166,15 @@
 }
 
 impl Leader {
-    fn lead(guards: Guards, now: f64, facts: Facts) -> Leader {
-        let tenure = Tenure::lead(guards, now * LEADERS_RATE, facts.leases.values());
+    fn lead(guards: SafetyChecks, now: f64, facts: LeaseStateMachine) -> Leader {
+        let tenure = LeaseClock::lead(guards, now * LEADERS_RATE, facts.leases.values());
         // A question that seems lost would be asked again only to be answered sooner.
-        let questions = Questions::new(1, f64::INFINITY);
+        let questions = ReadIndexQueue::new(1, f64::INFINITY);
         Leader { facts, tenure, questions, asked: None, proposed: None }
     }
 
     /// The log has taken up a command: the facts, the account of leases, and who is told.
-    fn apply(&mut self, now: f64, command: &Command) -> Option<(usize, Held)> {
+    fn apply(&mut self, now: f64, command: &Command) -> Option<(usize, LeaseRef)> {
         match (command, self.facts.apply(&entry(command.clone()))) {
             (Command::Grant { session, .. }, Ok(Outcome::Granted(held))) => {
                 let ttl_ms = self.facts.lease(&held).map_or(0, |l| l.ttl_ms);
@@ -189,15 +189,15 @@
         }
     }
 
-    /// What a leader answers to these signs of life now, as `Desk::renew` does.
+    /// What a leader answers to these signs of life now, as `LeaderState::renew` does.
     fn answers(&self, came: Vec<Came>) -> Vec<(usize, Down)> {
         let answer = |(worker, seq, held): Came| {
-            let valid = |held: &Held| {
+            let valid = |held: &LeaseRef| {
                 let own = self.facts.lease(held).is_some_and(|l| l.session == session(worker));
                 own && !self.tenure.is_freeing(held.token)
             };
             let granted = held.into_iter().filter(|(held, ttl_ms)| *ttl_ms > 0 && valid(held));
-            let leases = granted.map(|(held, ttl_ms)| Renewed { held, ttl_ms }).collect();
+            let leases = granted.map(|(held, ttl_ms)| RenewedLease { held, ttl_ms }).collect();
             (worker, Down::Kept { seq, leases })
         };
         came.into_iter().map(answer).collect()
@@ -206,14 +206,14 @@
 
 impl World {
     fn first(limits: &Limits) -> World {
-        let mut facts = Facts { version: 2, ..Facts::default() };
+        let mut facts = LeaseStateMachine { version: 2, ..LeaseStateMachine::default() };
         for process in 1..=2 {
             let open = Command::Open { name: format!("w{process}"), zone: "z".into(), process, version: 2 };
             facts.apply(&entry(open)).unwrap();
         }
         facts.apply(&entry(tasks(1))).unwrap();
         let worker = || Worker {
-            holder: Holder::new(limits.drift),
+            holder: LeaseHolder::new(limits.drift),
             seq: 0,
             up: Vec::new(),
             down: Vec::new(),
@@ -302,7 +302,7 @@
                 }
                 let token = worker.holder.token(TASK)?;
                 worker.holder.drop_lease(TASK);
-                worker.up.push((to, Up::GiveBack(Held { task: TASK.into(), token })));
+                worker.up.push((to, Up::GiveBack(LeaseRef { task: TASK.into(), token })));
             }
             Action::Arrive { worker, mail } => {
                 if mail >= self.workers[worker].up.len() {
@@ -312,7 +312,7 @@
                 let leader = self.leaders[to].as_mut()?;
                 match mail {
                     Up::Keep { seq, held } => {
-                        let count = |held: Held| {
+                        let count = |held: LeaseRef| {
                             let own = leader.facts.lease(&held).filter(|l| l.session == session(worker));
                             let ttl_ms = own.map_or(0, |lease| leader.tenure.came(leaders_now, lease));
                             (held, ttl_ms)
@@ -325,7 +325,7 @@
                         let own = leader.facts.lease(&held).is_some_and(|l| l.session == session(worker));
                         if own && leader.proposed.is_none() {
                             leader.tenure.free(leaders_now, held.token);
-                            let free = Command::Free { held, why: Why::GivenBack };
+                            let free = Command::Free { held, why: ReleaseReason::GivenBack };
                             leader.proposed = (to == 0).then_some(free);
                         }
                     }
@@ -354,8 +354,8 @@
                 if !leader.tenure.lapses(leaders_now, &lease, -1.0) {
                     return None;
                 }
-                let held = Held { task: TASK.into(), token: lease.token };
-                leader.proposed = Some(Command::Free { held, why: Why::Lapsed });
+                let held = LeaseRef { task: TASK.into(), token: lease.token };
+                leader.proposed = Some(Command::Free { held, why: ReleaseReason::Lapsed });
             }
             Action::Grant(worker) => {
                 let leader = self.free_to_propose()?;
@@ -393,7 +393,7 @@
         Some(())
     }
 
-    /// A leader asks the quorum about what has come, or answers without, as `Desk::ask` does.
+    /// A leader asks the quorum about what has come, or answers without, as `LeaderState::ask` does.
     fn ask(&mut self, limits: &Limits, at: usize) -> Option<()> {
         let leader = self.leaders[at].as_mut()?;
         if limits.guards.confirm {
@@ -661,8 +661,8 @@
 
 #[test]
 fn each_guard_that_is_taken_away_is_missed_in_a_small_world() {
-    let without = Guards { whole_ttl: false, confirm: true };
-    let unasked = Guards { whole_ttl: true, confirm: false };
+    let without = SafetyChecks { whole_ttl: false, confirm: true };
+    let unasked = SafetyChecks { whole_ttl: true, confirm: false };
     for (weak, property) in [
         (Limits { drift: 0.0, ..SMALL }, "one holder"),
         (Limits { guards: without, ..SMALL }, "one holder"),
@@ -676,7 +676,7 @@
     }
 }
 
-/// `cargo test --release -p honeypost-coordinator --test lease_world -- --ignored --nocapture`.
+/// `cargo test --release -p fleet-coordinator --test lease_world -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
 fn two_holders_never_act_at_once_in_larger_worlds() {
--- a/coordinator/tests/operator_file.rs
+++ b/fleet-coordinator/tests/operator_file.rs
@@ -1,7 +1,7 @@
 //! Pins coordinators' files: what came with the program at commit c001dc7 stands under the root's
 //! `tests/fixtures/operator_files` and must go on being read with the same meaning. Tests never write there.
 
-use honeypost_coordinator::config::File;
+use fleet_coordinator::config::File;
 use std::path::Path;
 
 fn read(path: &str) -> File {
--- a/coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -1,12 +1,12 @@
 //! Data folders that an earlier build wrote must be recovered in full, and what is written next must be the same bytes.
 //! Facts are compared as JSON, which is how they are stored. `fixtures/README.md` says what the folders hold.
 
-use honeypost::fleet::frame::{Ending, Held};
-use honeypost_coordinator::config::File;
-use honeypost_coordinator::coordinator::{Coordinator, Out};
-use honeypost_coordinator::facts::{Command, Entry, Facts, Task, Why, LATEST};
-use honeypost_coordinator::replica::{carry_out, Effect, Happened, Replica, Standing};
-use honeypost_durable::{Folder, Store};
+use durable_log::{Folder, Store};
+use fleet_coordinator::config::File;
+use fleet_coordinator::coordinator::{Coordinator, Output};
+use fleet_coordinator::replica::{carry_out, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus};
+use fleet_coordinator::state_machine::{Command, Entry, LeaseStateMachine, ReleaseReason, Task, LATEST};
+use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fs;
@@ -103,7 +103,7 @@
             return coordinator;
         }
         for one in out {
-            if let Out::Disk(number, job) = one {
+            if let Output::Disk(number, job) = one {
                 let done = carry_out(&mut store, &job, || Folder::lock(folder));
                 coordinator.disk_done(0.0, number, done);
             }
@@ -117,7 +117,7 @@
     let coordinator = start_c3(&data.member("c3"));
 
     let replica = &coordinator.replica;
-    assert_eq!(replica.standing, Standing::Member);
+    assert_eq!(replica.standing, ReplicaStatus::Member);
     assert_eq!((replica.member(), replica.term()), (MEMBER_C3, 2));
     // What is behind the snapshot is applied once a quorum has confirmed it.
     assert_eq!(replica.ends(), (LAST_INDEX, SNAPSHOT_INDEX));
@@ -186,10 +186,10 @@
 }
 
 /// Compares facts with their stored form, both ways.
-fn assert_facts_are(facts: &Facts, name: &str) {
+fn assert_facts_are(facts: &LeaseStateMachine, name: &str) {
     let expected = fixture_text(name);
     assert_eq!(serde_json::to_string(facts).unwrap(), expected.trim_end());
-    assert_eq!(&serde_json::from_str::<Facts>(&expected).unwrap(), facts);
+    assert_eq!(&serde_json::from_str::<LeaseStateMachine>(&expected).unwrap(), facts);
 }
 
 #[test]
@@ -225,11 +225,11 @@
                 for effect in replica.take_effects() {
                     idle = false;
                     match effect {
-                        Effect::Disk(number, job) => {
+                        ReplicaOutput::Disk(number, job) => {
                             let done = carry_out(store, &job, || Folder::lock(folder));
                             replica.done(now, number, done);
                         }
-                        Effect::Send(to, bytes) => messages.push((replica.member(), to, bytes)),
+                        ReplicaOutput::Send(to, bytes) => messages.push((replica.member(), to, bytes)),
                     }
                 }
             }
@@ -285,7 +285,7 @@
         .take_happened()
         .into_iter()
         .filter_map(|event| match event {
-            Happened::Applied(_, outcome) => Some(format!("{outcome:?}")),
+            ReplicaEvent::Applied(_, outcome) => Some(format!("{outcome:?}")),
             _ => None,
         })
         .collect();
@@ -322,7 +322,7 @@
 
 /// In the order of `commands.jsonl`; variants with an enum inside stand once for each of its values.
 fn one_of_each_command() -> Vec<Entry> {
-    let held = || Held { task: "archive".into(), token: 9 };
+    let held = || LeaseRef { task: "archive".into(), token: 9 };
     let end = |ending| Command::End { held: held(), period: 3, ending };
     let free = |why| Command::Free { held: held(), why };
     let task = Task {
@@ -335,14 +335,14 @@
         open("worker-a", "east", u64::MAX),
         Command::Close { session: 4 },
         Command::Grant { task: "archive".into(), session: 4 },
-        free(Why::Lapsed),
-        free(Why::GivenBack),
-        free(Why::Failed),
+        free(ReleaseReason::Lapsed),
+        free(ReleaseReason::GivenBack),
+        free(ReleaseReason::Failed),
         Command::Transfer { held: held(), session: 5 },
         Command::Begin { held: held(), every_ms: 60_000, safe: true, attempt: 2 },
-        end(Ending::Done),
-        end(Ending::NotDone),
-        end(Ending::Unknown),
+        end(CallOutcome::Done),
+        end(CallOutcome::NotDone),
+        end(CallOutcome::Unknown),
         Command::Tasks { epoch: 2, tasks: vec![task] },
         Command::Progress { kept: vec![(1, 20), (2, 19)] },
         Command::Raise { version: 2 },
--- a/src/brain.rs
+++ b/src/admission/controller.rs
@@ -4,7 +4,10 @@
 //! non-empty tier, which runs to its end. A lower-tier arrival is refused at once while the total held
 //! reaches j or what is held above it reaches k. Where this departs, the comment says what trouble it is for.
 
-use crate::fleet::overload::local::Overload;
+use crate::admission::run_length::{
+    follow_baseline, HintRegression, RunLengthEstimate, MEASUREMENT_MEMORY_S,
+};
+use crate::fleet::overload::policy::OverloadPolicy;
 use crate::interface::*;
 use crate::pools::{Place, Pools};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,17 +17,8 @@
 const LIMIT_WINDOW_S: f64 = 0.5;
 /// Cores count as busy from this share on.
 const BUSY: f64 = 0.95;
-/// Memory of measurements: long against one run, short against a change of speed (seconds).
-const MEASURE_S: f64 = 5.0;
-/// Before the first runs end, a run is taken to last this share of its aim; that weighs as so many ends.
-const PRIOR_OF_AIM: f64 = 0.25;
-const PRIOR_RUNS: f64 = 3.0;
 /// A wait is planned for a run of so many mean lengths; what is late even with one of them is given up.
 const RUN_ALLOWANCE: f64 = 1.3;
-/// Hints count after so many ends, each older one by this much less, within so many times the mean length.
-const HINTS_LEAST: f64 = 8.0;
-const HINT_FADE: f64 = 0.98;
-const HINT_SPAN: f64 = 5.0;
 /// k as a share of the tier's j; the total held, for j, leaves out tiers worth under this share of it.
 const K_OF_J: f64 = 0.6;
 /// A full pool's queue never empties: waits in it take this share of what the aim leaves, or runs end late.
@@ -59,9 +53,6 @@
 /// Of a share under one call: the part that may be saved up, and the mean lengths to save up for a call.
 const CALL_BURST: f64 = 0.3;
 const CALL_LASTS: f64 = 3.0;
-/// A yardstick for calls or runs follows a shorter mean by the first share a window, a longer by the second.
-const SINK: f64 = 0.25;
-const CREEP: f64 = 0.005;
 /// A worker is sick when this share of its recent runs failed, and so many at least, or none ended in the
 /// core time of so many; recent fades over this time (s). Swamped: reads lay unread for this part of an aim.
 const SICK_SHARE: f64 = 0.3;
@@ -140,53 +131,6 @@
     kept_until: f64,
 }
 
-/// Time on the cores and ended runs, both fading: their ratio is the length of a run, unfinished ones in it.
-struct Pace {
-    spent: f64,
-    ended: f64,
-    /// Longer than this is all the same: hopeless. Without it a hang would be remembered long after its end.
-    longest: f64,
-    /// Of ended runs with a hint, fading: how many; hints, lengths; squares of hints, hints times lengths.
-    hinted: [f64; 5],
-}
-
-impl Pace {
-    fn new(length: f64, class: &Class) -> Self {
-        Pace { spent: length * PRIOR_RUNS, ended: PRIOR_RUNS, longest: class.aim_s, hinted: [0.0; 5] }
-    }
-    /// What a run with this hint will take: a line through the ends of late. A hint counts for as much as the
-    /// ends bear it out: one that tells nothing has no slope. Guards against rough, missing and absurd ones.
-    fn plan(&self, hint: Option<f64>) -> f64 {
-        let ([n, h, t, hh, ht], length) = (self.hinted, self.length());
-        let Some(hint) = hint.filter(|_| n >= HINTS_LEAST) else { return length };
-        let slope = ((ht - h * t / n) / (hh - h * h / n).max(1e-9)).clamp(0.0, t / h.max(1e-9));
-        (length + slope * (hint - h / n)).clamp(length / HINT_SPAN, length * HINT_SPAN)
-    }
-    fn has_ended(&mut self, hint: Option<f64>, length: f64) {
-        self.ended += 1.0;
-        if let Some(x) = hint {
-            let most = length.min(self.longest);
-            for (sum, n) in self.hinted.iter_mut().zip([1.0, x, most, x * x, x * most]) {
-                *sum = *sum * HINT_FADE + n;
-            }
-        }
-    }
-    fn advance(&mut self, under_way: f64, dt: f64) {
-        if self.ended > PRIOR_RUNS {
-            let fade = (-dt / MEASURE_S).exp();
-            (self.spent, self.ended) = (self.spent * fade, self.ended * fade);
-        }
-        self.spent = (self.spent + under_way * dt).min(self.longest * self.ended);
-    }
-    fn length(&self) -> f64 {
-        (self.spent / self.ended).max(1e-6)
-    }
-}
-
-fn yardstick(from: f64, length: f64) -> f64 {
-    from + (length - from) * if length < from { SINK } else { CREEP }
-}
-
 /// The run limit and the evidence of its window.
 #[derive(Default)]
 struct RunLimit {
@@ -271,7 +215,7 @@
         (self.lately.0 + usual) / (self.lately.1 + 1.0)
     }
     fn advance(&mut self, in_hand: f64, dt: f64) {
-        let fade = (-dt / MEASURE_S).exp();
+        let fade = (-dt / MEASUREMENT_MEMORY_S).exp();
         self.spent += in_hand * dt;
         self.lately = (self.lately.0 * fade + in_hand * dt, self.lately.1 * fade);
     }
@@ -297,7 +241,8 @@
         } else if waiting {
             self.room = (self.room + self.top * CALL_STEP).min(self.top);
         }
-        self.shortest = if self.shortest.is_finite() { yardstick(self.shortest, length) } else { length };
+        self.shortest =
+            if self.shortest.is_finite() { follow_baseline(self.shortest, length) } else { length };
         (self.spent, self.ended) = (0.0, 0.0);
     }
 }
@@ -313,7 +258,7 @@
 #[derive(Default)]
 pub struct Controller {
     set: Settings,
-    worths: Vec<f64>,
+    weights: Vec<f64>,
     now: f64,
     born: f64,
     requests: BTreeMap<RequestId, Request>,
@@ -322,7 +267,7 @@
     entries: BTreeMap<RequestId, Entry>,
     entry_of: BTreeMap<RequestId, RequestId>,
     released: Vec<RequestId>,
-    pace: Vec<Pace>,
+    pace: Vec<RunLengthEstimate>,
     call_bound: CallBound,
     on_cores: Vec<usize>,
     calling: usize,
@@ -345,7 +290,7 @@
     fit: bool,
     /// Where an operator set up pools they say which class may start, and how many runs there are.
     pub(crate) pools: Option<Pools>,
-    pub(crate) overload: Option<Overload>, // What the fleet sheds as one, and calls that it lends.
+    pub(crate) overload: Option<OverloadPolicy>, // What the fleet sheds as one, and calls that it lends.
     /// Of a process that leaves its place to this one: runs on the cores, calls in hand, memory.
     beside: (usize, usize, f64),
 }
@@ -353,28 +298,28 @@
 impl Controller {
     /// A controller for a worker that has just started with empty hands.
     pub fn new(set: Settings, now: f64, out: &mut Vec<Action>) -> Self {
-        let over = if set.tenants.is_empty() { 1.0 } else { set.over_quota_worth.max(OVER_RANK) };
-        let mut worths: Vec<f64> = set.classes.iter().flat_map(|c| [c.worth, c.worth * over]).collect();
-        worths.sort_by(|a, b| b.total_cmp(a));
-        worths.dedup();
+        let over = if set.tenants.is_empty() { 1.0 } else { set.over_quota_weight.max(OVER_RANK) };
+        let mut weights: Vec<f64> = set.classes.iter().flat_map(|c| [c.weight, c.weight * over]).collect();
+        weights.sort_by(|a, b| b.total_cmp(a));
+        weights.dedup();
         let (cores, workers) = (set.cores.max(1) as usize, f64::from(set.workers.max(1)));
         let quota = |rate: f64| Quota { rate, tokens: (rate * QUOTA_BURST_S).max(QUOTA_LEAST), asked: 0.0 };
         let mut controller = Controller {
             now,
             born: now,
-            overload: set.overload.then(|| Overload::new(now, &set)),
-            hold: vec![BTreeSet::new(); worths.len()],
-            parked: vec![BTreeSet::new(); worths.len()],
-            pace: set.classes.iter().map(|c| Pace::new(c.aim_s * PRIOR_OF_AIM, c)).collect(),
+            overload: set.overload.then(|| OverloadPolicy::new(now, &set)),
+            hold: vec![BTreeSet::new(); weights.len()],
+            parked: vec![BTreeSet::new(); weights.len()],
+            pace: set.classes.iter().map(RunLengthEstimate::new).collect(),
             call_bound: CallBound::new(set.dependency.as_ref()),
             on_cores: vec![0; set.classes.len()],
             limit: RunLimit { runs: cores, ends: now + LIMIT_WINDOW_S, ..RunLimit::default() },
-            inflow: vec![0.0; worths.len()],
+            inflow: vec![0.0; weights.len()],
             quotas: set.tenants.iter().map(|t| quota(t.quota_per_s / workers)).collect(),
             sickness: Sickness { last_end: now, ..Sickness::default() },
             well: true,
             fit: true,
-            worths,
+            weights,
             set,
             ..Controller::default()
         };
@@ -395,11 +340,11 @@
             Event::RunEnded { id, outcome } => self.run_ended(id, outcome),
             Event::AtCall(id) => self.at_call(id, out),
             Event::CallEnded { id, outcome } => self.call_ended(id, outcome, out),
-            Event::Leave { ago_s, in_s } => self.leave = Some((now - ago_s, now + in_s)),
+            Event::Shutdown { ago_s, in_s } => self.leave = Some((now - ago_s, now + in_s)),
             Event::Woken(gauges) => self.woken(&gauges, out),
             Event::Pools(plan) => self.set_pools(plan),
-            Event::Beside { on_cores, calling, kb } => self.beside = (on_cores, calling, kb),
-            Event::Learned(learned) => self.learn(learned),
+            Event::OtherProcess { on_cores, calling, kb } => self.beside = (on_cores, calling, kb),
+            Event::LearnedState(learned) => self.learn(learned),
         }
         self.clear_hold(out);
         let (sick, swamped) = (self.sickness.sick, self.sickness.swamped);
@@ -426,21 +371,23 @@
     }
 
     /// What a successor on this machine should know.
-    pub fn learned(&self) -> Learned {
-        let paces = self.pace.iter().map(|p| (p.spent, p.ended, p.hinted)).collect();
+    pub fn learned(&self) -> LearnedState {
+        let paces = self.pace.iter().map(|p| (p.core_time, p.ended, p.hinted.to_sums())).collect();
         let (runs, usual_s, c) = (self.limit.runs, self.usual, &self.call_bound);
         let call_s = Some(c.shortest).filter(|s| s.is_finite());
         let (call_room, calls, call_budget_s) = (c.room, c.lately, Some(c.budget));
         let quotas = self.quotas.iter().map(|q| (q.tokens, q.asked)).collect();
         let lately = (self.further, self.sickness.failed, self.sickness.ended);
         let traffic = Traffic { quotas, arrivals: self.inflow.clone(), lately };
-        Learned { runs, usual_s, paces, call_room, call_s, calls, call_budget_s, traffic }
+        LearnedState { runs, usual_s, paces, call_room, call_s, calls, call_budget_s, traffic }
     }
 
-    fn learn(&mut self, l: Learned) {
+    fn learn(&mut self, l: LearnedState) {
         (self.limit.runs, self.usual) = (l.runs.min(self.crowd_limit()).max(self.limit.runs), l.usual_s);
         let taught = self.pace.iter_mut().zip(l.paces);
-        taught.for_each(|(p, (spent, ended, hinted))| (p.spent, p.ended, p.hinted) = (spent, ended, hinted));
+        taught.for_each(|(p, (spent, ended, hinted))| {
+            (p.core_time, p.ended, p.hinted) = (spent, ended, HintRegression::from_sums(hinted))
+        });
         let (c, call_s) = (&mut self.call_bound, l.call_s.unwrap_or(f64::INFINITY));
         (c.room, c.lately, c.shortest) = (l.call_room.min(c.top.max(1.0)), l.calls, call_s);
         c.budget = l.call_budget_s.map_or(c.budget, |had| had.min(c.budget));
@@ -456,7 +403,7 @@
         if let Some(pools) = &mut self.pools {
             return pools.replan(plan);
         }
-        let lengths: Vec<f64> = self.pace.iter().map(Pace::length).collect();
+        let lengths: Vec<f64> = self.pace.iter().map(RunLengthEstimate::mean).collect();
         let mut pools = Pools::new(plan, &lengths, self.crowd_limit());
         self.requests.values().for_each(|r| pools.moved(r.class, None, r.stage.place()));
         self.pools = Some(pools);
@@ -474,7 +421,7 @@
             let saved = self.call_bound.budget + (self.call_bound.room - used as f64) * dt;
             self.call_bound.budget = saved.min(dep.share * CALL_BURST * dep.window_s);
         }
-        let fade = (-dt / MEASURE_S).exp();
+        let fade = (-dt / MEASUREMENT_MEMORY_S).exp();
         self.inflow.iter_mut().chain([&mut self.further]).for_each(|n| *n *= fade);
         self.sickness.advance(dt, self.running() - self.beside.0);
         for q in &mut self.quotas {
@@ -486,10 +433,10 @@
 
     /// Runs on the cores, or back to them, that are survived for certain: fewer while it may still be cold.
     fn crowd_limit(&self) -> usize {
-        let (cores, from) = (f64::from(self.set.cores.max(1)), self.set.cold_from.clamp(0.0, 1.0));
-        let rise = (self.now - self.born) / self.set.cold_s.max(SWEEP_S);
+        let (cores, from) = (f64::from(self.set.cores.max(1)), self.set.cold_speed.clamp(0.0, 1.0));
+        let rise = (self.now - self.born) / self.set.warm_up_s.max(SWEEP_S);
         let warmth = if self.set.cold { (from + (1.0 - from) * rise).min(1.0) } else { 1.0 };
-        let crowd = cores * (1.0 + (self.set.crowd_multiple - 1.0).max(0.0) * warmth);
+        let crowd = cores * (1.0 + (self.set.survivable_multiple - 1.0).max(0.0) * warmth);
         (crowd * CROWD_SHARE).floor().max(1.0) as usize
     }
 
@@ -499,7 +446,7 @@
 
     fn length_of(&self, counts: impl Fn(usize) -> bool) -> f64 {
         let paces = || self.pace.iter().enumerate().filter(|(class, _)| counts(*class)).map(|(_, p)| p);
-        let spent: f64 = paces().map(|p| p.spent).sum();
+        let spent: f64 = paces().map(|p| p.core_time).sum();
         let ended: f64 = paces().map(|p| p.ended).sum();
         (spent / ended.max(1e-6)).max(1e-6)
     }
@@ -523,7 +470,7 @@
     }
 
     fn memory(&self) -> f64 {
-        self.held_kb + self.run_kb + self.entries.len() as f64 * self.set.entry_kb + self.beside.2
+        self.held_kb + self.run_kb + self.entries.len() as f64 * self.set.key_entry_kb + self.beside.2
     }
 
     fn class(&self, class: usize) -> &Class {
@@ -534,17 +481,17 @@
         if a.class >= self.set.classes.len() || self.requests.contains_key(&a.id) {
             return;
         }
-        let arrived = self.now - a.unread_s.max(0.0);
+        let arrived = self.now - a.read_delay_s.max(0.0);
         let class = self.class(a.class).clone();
-        let due = a.patience_s.map_or(arrived + class.deadline_s, |s| self.now + s).max(self.now);
+        let due = a.time_left_s.map_or(arrived + class.deadline_s, |s| self.now + s).max(self.now);
         let (over, greedy) = self.ask_quota(a.tenant);
         // Harm of the lower rank: uneven balancing puts honest traffic over, hence only half of it is lost.
-        let worth = class.worth * if over { self.set.over_quota_worth.max(OVER_RANK) } else { 1.0 };
-        let tier = self.worths.iter().position(|w| *w <= worth).unwrap_or(self.worths.len() - 1);
+        let weight = class.weight * if over { self.set.over_quota_weight.max(OVER_RANK) } else { 1.0 };
+        let tier = self.weights.iter().position(|w| *w <= weight).unwrap_or(self.weights.len() - 1);
         let too_late = self.leave.is_some_and(|(notice, stop)| {
-            arrived > notice + self.set.leave_grace_s - SWEEP_S || self.now >= stop - LEAVE_MARGIN_S
+            arrived > notice + self.set.shutdown_grace_s - SWEEP_S || self.now >= stop - LEAVE_MARGIN_S
         });
-        let aim_at = (arrived + class.aim_s).min(due);
+        let aim_at = (arrived + class.objective_s).min(due);
         let request = Request {
             class: a.class,
             tier,
@@ -552,29 +499,33 @@
             arrived,
             due,
             aim_at,
-            ends: if class.late_worth > 0.0 || class.effect != Effect::Safe { due } else { aim_at },
+            ends: if class.late_weight > 0.0 || class.effect != Idempotency::Idempotent {
+                due
+            } else {
+                aim_at
+            },
             greedy: over && greedy,
-            hint: a.size_s.filter(|x| *x > 0.0 && x.is_finite()),
+            hint: a.estimate_s.filter(|x| *x > 0.0 && x.is_finite()),
             since: self.now,
             ..Request::default()
         };
         self.held_kb += request.kb;
-        self.sickness.has_read(a.unread_s, class.aim_s);
-        self.further += f64::from(u8::from(a.retry)) / MEASURE_S;
+        self.sickness.has_read(a.read_delay_s, class.objective_s);
+        self.further += f64::from(u8::from(a.retry)) / MEASUREMENT_MEMORY_S;
         let over = self.overload.as_mut().is_some_and(|o| o.arrived(tier, a.retry));
-        self.inflow[tier] += if over { 0.0 } else { 1.0 / MEASURE_S };
+        self.inflow[tier] += if over { 0.0 } else { 1.0 / MEASUREMENT_MEMORY_S };
         self.requests.insert(a.id, request);
         // After the grace nothing starts, and an answer might not come in time; what may have run is failed.
-        if too_late && a.repeats.is_some() {
+        if too_late && a.retry_of.is_some() {
             return self.give_up(a.id, out);
         }
-        if class.effect == Effect::Keyed && self.repeat(&a, out) {
+        if class.effect == Idempotency::Keyed && self.repeat(&a, out) {
             return self.make_room(out);
         }
         if too_late || over || self.must_refuse(a.id) {
             return self.refuse(a.id, out);
         }
-        if class.effect == Effect::Keyed {
+        if class.effect == Idempotency::Keyed {
             self.remember(a.id, a.id, out);
         }
         if let Some(quota) = a.tenant.and_then(|t| self.quotas.get_mut(t)) {
@@ -596,9 +547,9 @@
 
     /// A try of a key known here shares the run, whatever became of it.
     fn repeat(&mut self, a: &Arrival, out: &mut Vec<Action>) -> bool {
-        let Some(earlier) = a.repeats else { return false };
+        let Some(earlier) = a.retry_of else { return false };
         let Some(entry_id) = self.entry_of.get(&earlier).copied().filter(|e| !self.entries[e].ran) else {
-            out.push(Action::ShareAnswer(a.id));
+            out.push(Action::ShareResponse(a.id));
             self.shift(a.id, Some(Stage::Sharing));
             return true;
         };
@@ -624,7 +575,7 @@
         entry.behind.retain(|b| *b != id);
         (entry.holder, entry.kept_until) = (id, self.now + for_s);
         self.entry_of.insert(id, entry_id);
-        out.push(Action::Remember { id, for_s });
+        out.push(Action::RetainKey { id, for_s });
     }
 
     /// j and k stand for waiting time: what can be started in the time that the aim leaves, with the capacity
@@ -638,7 +589,7 @@
                 && self.beside(id, r.class)
         };
         let waiting = |upto: usize| self.hold[..upto].iter().flatten().filter(counts).count();
-        let near = self.worths.iter().filter(|w| **w >= self.worths[r.tier] * TOTAL_WORTH).count();
+        let near = self.weights.iter().filter(|w| **w >= self.weights[r.tier] * TOTAL_WORTH).count();
         let parked = self.parked.iter().flatten().filter(|id| self.beside(id, r.class));
         let held = waiting(near) + if class.calls || !jammed { parked.count() } else { 0 };
         let above = waiting(r.tier);
@@ -647,18 +598,18 @@
             None => self.running() < self.limit.runs && self.hold.iter().all(BTreeSet::is_empty),
         };
         let pace = &self.pace[r.class];
-        let spare = r.aim_at - self.now - pace.plan(r.hint) * RUN_ALLOWANCE;
+        let spare = r.aim_at - self.now - pace.predict(r.hint) * RUN_ALLOWANCE;
         let coming = |id: &&RequestId| self.class(self.requests[*id].class).calls;
         let wait = self.call_wait(r.tier, self.hold[..=r.tier].iter().flatten().filter(coming).count());
         let within = if wait > 0.0 { spare } else { r.aim_at - self.now };
-        let needs = class.calls && class.skipped_worth <= 0.0;
-        let none = self.overload.as_ref().is_some_and(|o| o.gives_up_call(class.is_safe()));
+        let needs = class.calls && class.skipped_call_weight <= 0.0;
+        let none = self.overload.as_ref().is_some_and(|o| o.gives_up_call(class.is_idempotent()));
         let no_call = needs && (none || wait + self.call_bound.length() > within);
         let rate = self.capacity(r.class);
         let before: f64 = self.inflow[..r.tier].iter().sum();
         let left = if self.pools.is_some() { POOL_WAIT } else { (1.0 - before / rate).max(0.1) };
         // A greedy account's excess may wait for as little as it is worth.
-        let part = if r.greedy { self.set.over_quota_worth } else { 1.0 };
+        let part = if r.greedy { self.set.over_quota_weight } else { 1.0 };
         let j = (spare * rate * left * part).max(1.0);
         let k = (spare * rate * K_OF_J).max(1.0);
         // The top tier is refused too when even it could not end in time: sooner said than failed late.
@@ -672,7 +623,7 @@
     /// a full fleet half the time to a caller's next try, unless far off: it would only delay clients.
     fn advice(&self, tier: Tier, class: usize) -> f64 {
         let (most, next) =
-            (self.set.max_advice_s, f64::from(self.set.callers) / 2.0 / self.inflow.iter().sum::<f64>());
+            (self.set.max_retry_after_s, f64::from(self.set.callers) / 2.0 / self.inflow.iter().sum::<f64>());
         let held = self.hold[..=tier].iter().flatten();
         let ahead = held.filter(|id| self.beside(id, class)).count();
         let half = (ahead as f64 / self.capacity(class) / 2.0).max(4.0 * SWEEP_S);
@@ -687,7 +638,7 @@
         let useful = self.fleet_full() && self.sickness.ended > f64::from(PROBES_GOOD);
         let held = self.hold.iter().flatten().filter(|_| self.sickness.sick);
         for id in held.copied().collect::<Vec<RequestId>>() {
-            let safe = self.class(self.requests[&id].class).is_safe();
+            let safe = self.class(self.requests[&id].class).is_idempotent();
             if safe && (useful || self.now >= self.sickness.next_probe) {
                 self.sickness.next_probe = self.now + PROBE_S;
             } else {
@@ -701,9 +652,9 @@
     /// is one everywhere; trouble only here brings no more. Harm: a spare worker elsewhere is not found.
     fn fleet_full(&self) -> bool {
         let (seen, cores) = (self.inflow.iter().sum::<f64>(), f64::from(self.set.cores.max(1)));
-        let marked = seen * MEASURE_S > cores && self.further > FLEET_FULL * seen;
+        let marked = seen * MEASUREMENT_MEMORY_S > cores && self.further > FLEET_FULL * seen;
         let flood = seen * self.usual > FLOOD * cores;
-        let told = self.overload.as_ref().and_then(Overload::fleet_full);
+        let told = self.overload.as_ref().and_then(OverloadPolicy::fleet_full);
         self.leave.is_none() && told.unwrap_or(if self.set.marks_retries { marked } else { flood })
     }
 
@@ -729,14 +680,14 @@
     /// Answers a request that has not run, and those behind it.
     fn refuse(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
-        let (leads, stay_away_s) = (self.leads(id), self.advice(r.tier, r.class));
+        let (leads, retry_after_s) = (self.leads(id), self.advice(r.tier, r.class));
         self.pools.iter_mut().for_each(|pools| pools.turned_away(self.requests[&id].class));
-        let no_other = !self.sickness.sick && self.fleet_full();
-        out.push(Action::Refuse { id, stay_away_s, no_other });
+        let stop_retrying = !self.sickness.sick && self.fleet_full();
+        out.push(Action::Reject { id, retry_after_s, stop_retrying });
         self.drop_request(id);
         if let Some(key) = leads {
             self.entries[&key].behind.clone().into_iter().for_each(|other| self.refuse(other, out));
-            out.push(Action::Forget(id));
+            out.push(Action::ReleaseKey(id));
             self.drop_entry(key);
         }
     }
@@ -805,7 +756,7 @@
             self.remember(next, key, out);
             self.shift(next, Some(Stage::Held));
         } else {
-            out.push(Action::Forget(id));
+            out.push(Action::ReleaseKey(id));
             self.drop_entry(key);
         }
     }
@@ -813,11 +764,11 @@
     fn run_ended(&mut self, id: RequestId, outcome: Outcome) {
         let Some(r) = self.requests.get(&id) else { return };
         // Too late: it never started. A stopped run took its time on the cores, but says nothing of health.
-        if r.stage == Stage::Running && outcome != Outcome::TooLate {
+        if r.stage == Stage::Running && outcome != Outcome::NotStarted {
             let length = r.on_cores + self.now - r.since;
-            self.pace[r.class].has_ended(r.hint, length);
+            self.pace[r.class].run_ended(r.hint, length);
             self.pools.iter_mut().for_each(|pools| pools.run_ended(r.class, length));
-            if outcome != Outcome::Stopped {
+            if outcome != Outcome::Cancelled {
                 self.sickness.run_ended(self.now, outcome == Outcome::Error);
                 self.limit.ended += 1;
             }
@@ -834,7 +785,8 @@
         // What would wait in vain goes on at once: the cores may be idle while the dependency is slow.
         let Some(r) = self.requests.get(&id) else { return };
         let ready_at = self.now + self.call_wait(r.tier, 0);
-        let none = self.overload.as_ref().is_some_and(|o| o.gives_up_call(self.class(r.class).is_safe()));
+        let none =
+            self.overload.as_ref().is_some_and(|o| o.gives_up_call(self.class(r.class).is_idempotent()));
         if !r.settled && (none || ready_at > self.last_call(r)) {
             self.leave_call_out(id, out);
         }
@@ -844,9 +796,10 @@
         let Some(r) = self.requests.get(&id).filter(|r| r.stage == Stage::Calling) else { return };
         // A call is repeated only if that is safe or the earlier one never ran. What can do without it
         // does not wait for a dependency that is down: it would stand there until nobody waits.
-        let (unseen, took) = (matches!(outcome, Outcome::Full | Outcome::Unreachable), self.now - r.since);
-        let again = unseen || self.class(r.class).effect == Effect::Safe;
-        let down = outcome == Outcome::Unreachable && self.class(r.class).skipped_worth > 0.0;
+        let (unseen, took) =
+            (matches!(outcome, Outcome::Rejected | Outcome::Unreachable), self.now - r.since);
+        let again = unseen || self.class(r.class).effect == Idempotency::Idempotent;
+        let down = outcome == Outcome::Unreachable && self.class(r.class).skipped_call_weight > 0.0;
         let hopeful = !r.settled && !down && r.ends - self.now > self.call_bound.length();
         let given_up = self.set.dependency.iter().filter(|_| outcome == Outcome::TimedOut);
         self.lingering.extend(given_up.map(|d| self.now + d.linger_s));
@@ -867,7 +820,7 @@
     /// The call can't be had: where an answer without it keeps a part of its worth, the run goes on so.
     fn leave_call_out(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
-        if r.settled || self.class(r.class).skipped_worth <= 0.0 || self.now >= r.ends {
+        if r.settled || self.class(r.class).skipped_call_weight <= 0.0 || self.now >= r.ends {
             return self.give_up(id, out);
         }
         out.push(Action::SkipCall(id));
@@ -878,9 +831,13 @@
     /// where that can be done. Against runs of no use (bursts, hangs, costly requests); harm: asking again.
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.settled) else { return };
-        let (waits, stay_away_s) = (r.stage <= Stage::Sharing, self.advice(r.tier, r.class));
-        let safe = !waits && self.class(r.class).is_safe();
-        out.push(if safe { Action::Refuse { id, stay_away_s, no_other: true } } else { Action::Fail(id) });
+        let (waits, retry_after_s) = (r.stage <= Stage::Sharing, self.advice(r.tier, r.class));
+        let safe = !waits && self.class(r.class).is_idempotent();
+        out.push(if safe {
+            Action::Reject { id, retry_after_s, stop_retrying: true }
+        } else {
+            Action::Fail(id)
+        });
         self.stop_run(id, out);
         if waits {
             self.drop_request(id);
@@ -892,9 +849,9 @@
     fn stop_run(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.settled = true;
-        let safe = self.set.classes[r.class].is_safe();
-        if safe && r.stage == Stage::Running && self.set.halting != Halting::Never {
-            out.push(Action::Halt(id));
+        let safe = self.set.classes[r.class].is_idempotent();
+        if safe && r.stage == Stage::Running && self.set.preemption != Preemption::Never {
+            out.push(Action::Preempt(id));
         }
     }
 
@@ -911,10 +868,10 @@
 
     /// A call begun later than this would make its run miss the aim; where it may be left out, it then is.
     fn last_call(&self, r: &Request) -> f64 {
-        if self.class(r.class).skipped_worth <= 0.0 || self.now >= r.aim_at {
+        if self.class(r.class).skipped_call_weight <= 0.0 || self.now >= r.aim_at {
             return f64::INFINITY;
         }
-        let length = self.pace[r.class].plan(r.hint);
+        let length = self.pace[r.class].predict(r.hint);
         let rest = (length - r.on_cores).max(length * REST_LEAST) + 2.0 * SWEEP_S;
         r.aim_at - rest - CALL_SLOW * self.call_bound.length()
     }
@@ -925,15 +882,15 @@
         let (room, most) = (self.call_bound.room.max(1.0) as usize, self.call_bound.top.max(1.0) as usize);
         let beside = self.beside.1;
         while open && self.calling + beside < room && self.calling + beside + self.lingering.len() < most {
-            let may = |c: &Class| self.overload.as_ref().map_or(true, |o| o.may_call(c.is_safe()));
+            let may = |c: &Class| self.overload.as_ref().map_or(true, |o| o.may_call(c.is_idempotent()));
             let mut next = self.parked.iter().flatten().map(|id| (*id, &self.requests[id]));
             let Some((id, r)) = next.find(|(_, r)| !r.settled && may(self.class(r.class))) else { return };
             // One that never answers must not hold its slot, nor what can go on without, until nobody waits.
             let (bound, length) = (&self.call_bound, self.call_bound.length());
             let (class, last) = (self.class(r.class), self.last_call(r));
             let part = if bound.shortest.is_finite() { CALL_PATIENCE_OF_AIM } else { f64::INFINITY };
-            let lengths = CALL_PATIENCE * if class.effect == Effect::Safe { 1.0 } else { 2.0 };
-            let patience = (length * lengths).max(class.aim_s * part);
+            let lengths = CALL_PATIENCE * if class.effect == Idempotency::Idempotent { 1.0 } else { 2.0 };
+            let patience = (length * lengths).max(class.objective_s * part);
             let mut until_s = (r.due - SWEEP_S).min(self.now + patience).min(last + CALL_SLOW * length);
             // A share under one call is kept in the mean: one call at a time, as long as was saved up.
             if let Some(dep) = self.set.dependency.as_ref().filter(|d| d.share < 1.0) {
@@ -946,7 +903,7 @@
             }
             if until_s > self.now && last > self.now {
                 out.push(Action::Call { id, until_s });
-                self.overload.iter_mut().for_each(Overload::called);
+                self.overload.iter_mut().for_each(OverloadPolicy::called);
                 self.shift(id, Some(Stage::Calling));
             } else {
                 self.leave_call_out(id, out);
@@ -959,7 +916,7 @@
     fn start(&mut self, out: &mut Vec<Action>) {
         while let Some(id) = self.next_to_start() {
             let r = &self.requests[&id];
-            let ends = self.now + self.pace[r.class].plan(r.hint);
+            let ends = self.now + self.pace[r.class].predict(r.hint);
             let hopeless = ends > r.aim_at && (self.running() > 0 || self.now > r.aim_at);
             let leaving = self.leave.is_some_and(|(_, stop)| ends > stop - LEAVE_MARGIN_S);
             if hopeless || leaving {
@@ -976,7 +933,7 @@
             if let Some(entry) = entry_id.and_then(|e| self.entries.get_mut(&e)) {
                 entry.ran = true;
                 for other in std::mem::take(&mut entry.behind) {
-                    out.push(Action::ShareAnswer(other));
+                    out.push(Action::ShareResponse(other));
                     self.shift(other, Some(Stage::Sharing));
                 }
             }
@@ -985,7 +942,7 @@
 
     fn next_to_start(&mut self) -> Option<RequestId> {
         let (crowd, mut pools) = (self.crowd_limit().saturating_sub(self.beside.0), self.pools.take());
-        let can = |r: &Request, c: &Class| !c.calls || c.skipped_worth > 0.0 || !self.call_jam(r.tier);
+        let can = |r: &Request, c: &Class| !c.calls || c.skipped_call_weight > 0.0 || !self.call_jam(r.tier);
         let fits = |id: &&RequestId| can(&self.requests[*id], self.class(self.requests[*id].class));
         let mut held = self.hold.iter().flatten().filter(fits).copied();
         let next = match &mut pools {
@@ -1011,7 +968,7 @@
             let Some(r) = self.requests.get(&id) else { continue };
             let last = stop.map_or(r.due, |s| s.min(r.due));
             let waits = matches!(r.stage, Stage::Held | Stage::Behind);
-            let hopeless = self.now + self.pace[r.class].plan(r.hint) > r.aim_at;
+            let hopeless = self.now + self.pace[r.class].predict(r.hint) > r.aim_at;
             if waits && (hopeless || last <= ahead) {
                 self.refuse(id, out);
             } else if last <= ahead || self.now >= r.ends {
@@ -1025,7 +982,7 @@
         let gone: Vec<RequestId> = self.entries.iter().filter(|(_, e)| over(e)).map(|(id, _)| *id).collect();
         gone.into_iter().for_each(|id| self.drop_entry(id));
         self.call_bound.look(self.parked.iter().any(|q| !q.is_empty()));
-        let (length, parked) = (self.run_length(), self.parked.iter().map(BTreeSet::len).zip(&self.worths));
+        let (length, parked) = (self.run_length(), self.parked.iter().map(BTreeSet::len).zip(&self.weights));
         self.overload.iter_mut().for_each(|o| o.stands(self.limit.runs as f64 / length, parked.clone()));
         let s = &mut self.sickness;
         if self.now - s.last_end > SICK_STUCK_S && s.stuck > SICK_STUCK * length {
@@ -1056,7 +1013,7 @@
         }
         self.limit.runs = self.limit.runs.min(self.crowd_limit()).max(floor);
         self.limit.runs = self.pools.as_ref().map_or(self.limit.runs, Pools::limit);
-        self.usual = yardstick(self.usual, self.run_length());
+        self.usual = follow_baseline(self.usual, self.run_length());
         (self.limit.ended_before, self.limit.ended) = (self.limit.ended, 0);
         self.limit.ends = self.now + LIMIT_WINDOW_S;
     }
--- /dev/null
+++ b/src/admission/run_length.rs
@@ -0,0 +1,119 @@
+//! Estimates of how long runs take. They measure and decide nothing: the controller reads them.
+
+use crate::interface::Class;
+
+/// Time constant of the fading averages, long against one run and short against a change of speed (seconds).
+pub(super) const MEASUREMENT_MEMORY_S: f64 = 5.0;
+/// Before the first runs end, a run is taken to last this share of its class's latency objective.
+const PRIOR_SHARE_OF_OBJECTIVE: f64 = 0.25;
+/// The prior weighs as much as this many ended runs.
+const PRIOR_RUNS: f64 = 3.0;
+/// Hints are used once this many runs that carried one have ended.
+const MIN_HINTED_RUNS: f64 = 8.0;
+/// Each ended run reduces the weight of the earlier hinted ones by this factor.
+const HINT_FADE: f64 = 0.98;
+/// A prediction lies within this factor of the mean length.
+const MAX_PREDICTION_FACTOR: f64 = 5.0;
+/// A baseline follows a shorter mean by this share in each window.
+const BASELINE_FALL: f64 = 0.25;
+/// A baseline follows a longer mean by this share in each window.
+const BASELINE_RISE: f64 = 0.005;
+
+/// Fading sums over ended runs that carried a hint, for a least-squares line from hints to lengths.
+#[derive(Clone, Copy, Default)]
+pub(super) struct HintRegression {
+    count: f64,
+    hints: f64,
+    lengths: f64,
+    hints_squared: f64,
+    hints_times_lengths: f64,
+}
+
+impl HintRegression {
+    fn add(&mut self, hint: f64, length: f64) {
+        self.count = self.count * HINT_FADE + 1.0;
+        self.hints = self.hints * HINT_FADE + hint;
+        self.lengths = self.lengths * HINT_FADE + length;
+        self.hints_squared = self.hints_squared * HINT_FADE + hint * hint;
+        self.hints_times_lengths = self.hints_times_lengths * HINT_FADE + hint * length;
+    }
+
+    /// The slope of the line, between 0 (hints tell nothing) and lengths proportional to hints.
+    fn slope(&self) -> f64 {
+        let covariance = self.hints_times_lengths - self.hints * self.lengths / self.count;
+        let variance = self.hints_squared - self.hints * self.hints / self.count;
+        (covariance / variance.max(1e-9)).clamp(0.0, self.lengths / self.hints.max(1e-9))
+    }
+
+    /// The sums in the order in which they are handed to a successor.
+    pub(super) fn to_sums(self) -> [f64; 5] {
+        [self.count, self.hints, self.lengths, self.hints_squared, self.hints_times_lengths]
+    }
+
+    pub(super) fn from_sums(sums: [f64; 5]) -> Self {
+        let [count, hints, lengths, hints_squared, hints_times_lengths] = sums;
+        HintRegression { count, hints, lengths, hints_squared, hints_times_lengths }
+    }
+}
+
+/// The length of a class's runs: fading core time over fading ended runs. Unfinished runs count with the time they
+/// have taken so far.
+pub(super) struct RunLengthEstimate {
+    pub(super) core_time: f64,
+    pub(super) ended: f64,
+    pub(super) hinted: HintRegression,
+    /// Lengths are capped here: beyond the objective a run is late whatever its length, and without the cap a hang
+    /// would be remembered long after its end.
+    max_length: f64,
+}
+
+impl RunLengthEstimate {
+    pub(super) fn new(class: &Class) -> Self {
+        let prior = class.objective_s * PRIOR_SHARE_OF_OBJECTIVE;
+        RunLengthEstimate {
+            core_time: prior * PRIOR_RUNS,
+            ended: PRIOR_RUNS,
+            hinted: HintRegression::default(),
+            max_length: class.objective_s,
+        }
+    }
+
+    /// What a run with this hint is expected to take. A hint counts for as much as ended runs bear it out; rough,
+    /// missing and absurd ones do no harm.
+    pub(super) fn predict(&self, hint: Option<f64>) -> f64 {
+        let mean = self.mean();
+        let Some(hint) = hint.filter(|_| self.hinted.count >= MIN_HINTED_RUNS) else { return mean };
+        let mean_hint = self.hinted.hints / self.hinted.count;
+        let predicted = mean + self.hinted.slope() * (hint - mean_hint);
+        predicted.clamp(mean / MAX_PREDICTION_FACTOR, mean * MAX_PREDICTION_FACTOR)
+    }
+
+    /// Counts a run that has ended after `length` on the cores.
+    pub(super) fn run_ended(&mut self, hint: Option<f64>, length: f64) {
+        self.ended += 1.0;
+        if let Some(hint) = hint {
+            self.hinted.add(hint, length.min(self.max_length));
+        }
+    }
+
+    /// Time passes with this many runs on the cores.
+    pub(super) fn advance(&mut self, running: f64, elapsed_s: f64) {
+        if self.ended > PRIOR_RUNS {
+            let fade = (-elapsed_s / MEASUREMENT_MEMORY_S).exp();
+            self.core_time *= fade;
+            self.ended *= fade;
+        }
+        self.core_time = (self.core_time + running * elapsed_s).min(self.max_length * self.ended);
+    }
+
+    /// The mean length (seconds).
+    pub(super) fn mean(&self) -> f64 {
+        (self.core_time / self.ended).max(1e-6)
+    }
+}
+
+/// Moves a baseline towards a measured mean: quickly down, slowly up.
+pub(super) fn follow_baseline(baseline: f64, mean: f64) -> f64 {
+    let share = if mean < baseline { BASELINE_FALL } else { BASELINE_RISE };
+    baseline + (mean - baseline) * share
+}
--- a/src/bin/honeypost-wirehost.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,6 +1,6 @@
 //! Hosts controllers behind the line protocol on standard input and output.
 
-use honeypost::wire::Host;
+use port_worker::simulator_adapter::SimulatorAdapter;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -8,14 +8,14 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("honeypost-wirehost: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::from(2)
         }
     }
 }
 
 fn serve() -> Result<(), String> {
-    let mut host = Host::default();
+    let mut host = SimulatorAdapter::default();
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut line = String::new();
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,9 +1,9 @@
 //! `[fleet]` of an operator's file: the coordinators, and the tasks that this worker would carry out for all.
 
 use super::Config;
-use crate::fleet::frame::{good_name, NAME_MOST_BYTES, TASKS_MOST};
+use crate::fleet::frame::{is_valid_name, MAX_NAME_BYTES, MAX_TASKS};
 use crate::fleet::tasks::Schedule;
-use crate::fleet::{Plan, TOTALS};
+use crate::fleet::{MembershipConfig, TOTALS};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -75,10 +75,10 @@
 impl FleetSettings {
     pub(super) fn check(&self) -> Result<(), String> {
         let name = |key: &str, name: &str| {
-            match good_name(name) {
+            match is_valid_name(name) {
             true => Ok(()),
             false => Err(format!(
-                "fleet.{key} is {name:?}; expected letters, digits, - _ . and at most {NAME_MOST_BYTES} of them"
+                "fleet.{key} is {name:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
             )),
         }
         };
@@ -90,7 +90,7 @@
         name("zone", &self.zone)?;
         within("coordinators".to_owned(), self.coordinators.len() as f64, 1.0, COORDINATORS_MOST as f64)?;
         within("drift_percent".to_owned(), self.drift_percent, 0.0, 50.0)?;
-        within("task".to_owned(), self.tasks.len() as f64, 0.0, (TASKS_MOST - 1) as f64)?;
+        within("task".to_owned(), self.tasks.len() as f64, 0.0, (MAX_TASKS - 1) as f64)?;
         for task in &self.tasks {
             name("task.name", &task.name)?;
             if task.name == TOTALS || self.tasks.iter().filter(|t| t.name == task.name).count() > 1 {
@@ -114,8 +114,8 @@
     }
 
     /// What the decisions need of it; the part of the calls below comes from the platform's settings.
-    pub fn plan(&self, config: &Config) -> Plan {
-        Plan {
+    pub fn plan(&self, config: &Config) -> MembershipConfig {
+        MembershipConfig {
             fleet: self.name.clone(),
             name: config.name.clone(),
             zone: self.zone.clone(),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -9,7 +9,7 @@
     AjpSettings, DirectorySettings, Http2Settings, Identity, Operator, Route, ServerSettings, TenantRule,
 };
 
-use crate::interface::{Class, Dependency, Effect, Gauges, Halting, Settings, Signal, Tenant};
+use crate::interface::{Class, Dependency, Gauges, Idempotency, Preemption, Settings, Signal, Tenant};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::io::Read;
@@ -37,7 +37,8 @@
 pub struct Profile {
     pub name: String,
     pub credit: f64,
-    pub late_worth: f64,
+    #[serde(rename = "lateWorth")]
+    pub late_weight: f64,
     pub target_s: f64,
     pub deadline_s: f64,
     pub effect: String,
@@ -61,7 +62,8 @@
     pub degraded_worth: Vec<f64>,
     pub dep_window_s: f64,
     pub depends_on: String,
-    pub entry_kb: f64,
+    #[serde(rename = "entryKb")]
+    pub key_entry_kb: f64,
     pub fair_calls: f64,
     pub halt: String,
     pub heap_kb: f64,
@@ -80,8 +82,10 @@
 #[serde(rename_all = "camelCase", default)]
 /// A part of the settings, as the platform writes it.
 pub struct Contract {
-    pub cold_from: f64,
-    pub cold_s: f64,
+    #[serde(rename = "coldFrom")]
+    pub cold_speed: f64,
+    #[serde(rename = "coldS")]
+    pub warm_up_s: f64,
     pub drain_grace_s: f64,
     pub fall_multiple: f64,
     pub grace_to_answer_s: f64,
@@ -110,44 +114,44 @@
         let flag = |list: &[bool], i: usize| list.get(i).copied().unwrap_or_default();
         let number = |list: &[f64], i: usize| list.get(i).copied().unwrap_or_default();
         let class = |(i, p): (usize, &Profile)| Class {
-            worth: p.credit,
-            late_worth: p.late_worth,
-            aim_s: p.target_s,
+            weight: p.credit,
+            late_weight: p.late_weight,
+            objective_s: p.target_s,
             deadline_s: p.deadline_s,
             effect: match p.effect.as_str() {
-                "keyed" => Effect::Keyed,
-                "unsafe" => Effect::Unsafe,
-                _ => Effect::Safe,
+                "keyed" => Idempotency::Keyed,
+                "unsafe" => Idempotency::NotIdempotent,
+                _ => Idempotency::Idempotent,
             },
             window_s: p.window_s,
             calls: flag(&o.domain.class_calls, i),
-            skipped_worth: number(&o.domain.degraded_worth, i),
+            skipped_call_weight: number(&o.domain.degraded_worth, i),
         };
         Settings {
             seed,
             cores: o.domain.n_cores,
             cold: o.domain.cold,
-            cold_from: o.contract.cold_from,
-            cold_s: o.contract.cold_s,
-            crowd_multiple: o.contract.fall_multiple,
-            crowd_window_s: o.contract.tip_after_s,
+            cold_speed: o.contract.cold_speed,
+            warm_up_s: o.contract.warm_up_s,
+            survivable_multiple: o.contract.fall_multiple,
+            survivable_window_s: o.contract.tip_after_s,
             memory_kb: o.domain.heap_kb,
             run_factor: o.domain.run_factor,
-            entry_kb: o.domain.entry_kb,
-            leave_grace_s: o.contract.drain_grace_s,
+            key_entry_kb: o.domain.key_entry_kb,
+            shutdown_grace_s: o.contract.drain_grace_s,
             answer_slack_s: o.contract.grace_to_answer_s,
             wake_ahead_s: o.period_s,
-            max_advice_s: if o.limits.retry_after { o.limits.max_retry_after_s } else { 0.0 },
-            over_quota_worth: o.over_share_worth,
+            max_retry_after_s: if o.limits.retry_after { o.limits.max_retry_after_s } else { 0.0 },
+            over_quota_weight: o.over_share_worth,
             callers: o.domain.senders,
             workers: o.servers,
             marks_retries: o.clients.marks_retry,
             health_listed: o.domain.readiness,
             idle_s: o.domain.idle_s,
-            halting: match o.domain.halt.as_str() {
-                "discard" => Halting::Discard,
-                "freeze" => Halting::Pause,
-                _ => Halting::Never,
+            preemption: match o.domain.halt.as_str() {
+                "discard" => Preemption::Discard,
+                "freeze" => Preemption::Pause,
+                _ => Preemption::Never,
             },
             signal: match o.domain.signal.as_str() {
                 "floor" => Signal::RankFloor,
--- a/src/core/keys.rs
+++ b/src/dispatch/idempotency.rs
@@ -5,7 +5,7 @@
 //! not begun and may never, when a try of the old window is read. The old run stands for that one, whatever becomes of
 //! the new.
 
-use super::Answer;
+use super::Response;
 use crate::interface::{Outcome, RequestId};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 
 /// What a key is unique within: a class and a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeyName {
+pub struct IdempotencyKey {
     pub class: usize,
     pub tenant: Option<usize>,
     pub key: Rc<str>,
@@ -24,7 +24,7 @@
 
 /// Where the run of a key stands.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Progress {
+pub enum KeyProgress {
     /// Its holder has not ended.
     Open,
     /// It ended well; the result is absent where it could not be kept.
@@ -40,20 +40,20 @@
     }
 }
 
-impl Progress {
+impl KeyProgress {
     /// Bytes of a kept result.
     fn bytes(&self) -> usize {
         match self {
-            Progress::Served(Some(result)) => result.len(),
+            KeyProgress::Served(Some(result)) => result.len(),
             _ => 0,
         }
     }
 
     /// What a try of a key that has ended is given.
-    pub fn share(&self) -> (Answer, Outcome) {
+    pub fn share(&self) -> (Response, Outcome) {
         match self {
-            Progress::Served(Some(result)) => (Answer::Served(result.clone()), Outcome::Ok),
-            _ => (Answer::Failed, Outcome::Error),
+            KeyProgress::Served(Some(result)) => (Response::Served(result.clone()), Outcome::Ok),
+            _ => (Response::Failed, Outcome::Error),
         }
     }
 }
@@ -64,7 +64,7 @@
     pub holder: RequestId,
     /// Stands for the body of the holder and its tries.
     print: u64,
-    pub progress: Progress,
+    pub progress: KeyProgress,
     expires: f64,
     /// Its run was begun by another process, which tells how it ends.
     pub elsewhere: bool,
@@ -80,14 +80,14 @@
 struct Past {
     holder: RequestId,
     print: u64,
-    progress: Progress,
+    progress: KeyProgress,
     expires: f64,
     elsewhere: bool,
 }
 
 /// The run that stands for a try.
 #[derive(Debug, PartialEq)]
-pub struct Linked {
+pub struct MatchedAttempt {
     pub holder: RequestId,
     /// Stands for the body that came with the key.
     pub print: u64,
@@ -95,32 +95,32 @@
 
 /// What one process tells another of a key that may have run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeyNews {
-    pub name: KeyName,
+pub struct IdempotencyUpdate {
+    pub name: IdempotencyKey,
     /// Stands for the body that came with it.
     pub print: u64,
     /// Until when it links tries (loop's clock, seconds).
     pub until: f64,
     /// Absent where it turned out that its run never began.
-    pub progress: Option<Progress>,
+    pub progress: Option<KeyProgress>,
 }
 
 /// All keys, with a bound on the bytes of kept results.
-pub struct Keys {
-    entries: HashMap<KeyName, Entry>,
+pub struct IdempotencyTable {
+    entries: HashMap<IdempotencyKey, Entry>,
     /// Oldest first; some may have left the table since.
-    served: VecDeque<KeyName>,
+    served: VecDeque<IdempotencyKey>,
     kept: usize,
     room: usize,
     most: usize,
     late_s: f64,
 }
 
-impl Keys {
+impl IdempotencyTable {
     /// A table of at most so many keys, with room for so many bytes of results. Callers wait so long at most (seconds).
-    pub fn new(room: usize, most: usize, patience_s: f64) -> Self {
-        let late_s = patience_s.max(LATE_READING_S);
-        Keys { entries: HashMap::new(), served: VecDeque::new(), kept: 0, room, most, late_s }
+    pub fn new(room: usize, most: usize, time_left_s: f64) -> Self {
+        let late_s = time_left_s.max(LATE_READING_S);
+        IdempotencyTable { entries: HashMap::new(), served: VecDeque::new(), kept: 0, room, most, late_s }
     }
 
     /// Whether one more key is too many. None is dropped for it: what it guards could run twice.
@@ -143,37 +143,37 @@
 
     /// The run that a try with this key repeats, by the time it reached the machine. A key whose run is still open is
     /// linked however late the try is: guards against a second run beside a hung one.
-    pub fn linked(&self, name: &KeyName, arrived: f64) -> Option<Linked> {
+    pub fn linked(&self, name: &IdempotencyKey, arrived: f64) -> Option<MatchedAttempt> {
         let entry = self.entries.get(name)?;
         if let Some(past) = entry.past_of(arrived) {
-            return Some(Linked { holder: past.holder, print: past.print });
+            return Some(MatchedAttempt { holder: past.holder, print: past.print });
         }
-        let links = arrived <= entry.expires || matches!(entry.progress, Progress::Open);
-        links.then_some(Linked { holder: entry.holder, print: entry.print })
+        let links = arrived <= entry.expires || matches!(entry.progress, KeyProgress::Open);
+        links.then_some(MatchedAttempt { holder: entry.holder, print: entry.print })
     }
 
     /// How the run of an earlier window ended, where it is the one that stands for a try of that time.
-    pub fn ended_before(&self, name: &KeyName, arrived: f64) -> Option<Progress> {
+    pub fn ended_before(&self, name: &IdempotencyKey, arrived: f64) -> Option<KeyProgress> {
         Some(self.entries.get(name)?.past_of(arrived)?.progress.clone())
     }
 
-    pub fn get_mut(&mut self, name: &KeyName) -> Option<&mut Entry> {
+    pub fn get_mut(&mut self, name: &IdempotencyKey) -> Option<&mut Entry> {
         self.entries.get_mut(name)
     }
 
     /// Records a request as the holder of its key, or renews its entry.
-    pub fn remember(&mut self, name: &KeyName, holder: RequestId, print: u64, expires: f64) {
+    pub fn remember(&mut self, name: &IdempotencyKey, holder: RequestId, print: u64, expires: f64) {
         let entry = self.entries.entry(name.clone()).or_insert_with(|| Entry {
             holder,
             print,
-            progress: Progress::Open,
+            progress: KeyProgress::Open,
             expires,
             elsewhere: false,
             waiting: Vec::new(),
             before: None,
         });
-        if entry.holder != holder && !matches!(entry.progress, Progress::Open) {
-            let progress = std::mem::replace(&mut entry.progress, Progress::Open);
+        if entry.holder != holder && !matches!(entry.progress, KeyProgress::Open) {
+            let progress = std::mem::replace(&mut entry.progress, KeyProgress::Open);
             let (holder, print, expires, elsewhere) =
                 (entry.holder, entry.print, entry.expires, entry.elsewhere);
             let older = entry.before.replace(Past { holder, print, progress, expires, elsewhere });
@@ -184,9 +184,9 @@
     }
 
     /// All that is known of a key, for another process.
-    pub fn news(&self, name: &KeyName) -> KeyNews {
+    pub fn news(&self, name: &IdempotencyKey) -> IdempotencyUpdate {
         let entry = self.entries.get(name);
-        KeyNews {
+        IdempotencyUpdate {
             name: name.clone(),
             print: entry.map_or(0, |e| e.print),
             until: entry.map_or(0.0, |e| e.expires),
@@ -195,7 +195,7 @@
     }
 
     /// All keys, in an order of their own.
-    pub fn names(&self) -> impl Iterator<Item = &KeyName> {
+    pub fn names(&self) -> impl Iterator<Item = &IdempotencyKey> {
         self.entries.keys()
     }
 
@@ -205,15 +205,15 @@
     }
 
     /// Keys whose run another process has begun and not told the end of, with their holders.
-    pub fn open_elsewhere(&self) -> Vec<(KeyName, RequestId)> {
-        let open = self.entries.iter().filter(|(_, e)| e.elsewhere && e.progress == Progress::Open);
+    pub fn open_elsewhere(&self) -> Vec<(IdempotencyKey, RequestId)> {
+        let open = self.entries.iter().filter(|(_, e)| e.elsewhere && e.progress == KeyProgress::Open);
         let mut open: Vec<_> = open.map(|(name, e)| (name.clone(), e.holder)).collect();
         open.sort_unstable_by_key(|(_, holder)| *holder);
         open
     }
 
     /// Takes up a key of another process under a holder that no request here has. One that is known here stays.
-    pub fn adopt(&mut self, news: &KeyNews, holder: RequestId) {
+    pub fn adopt(&mut self, news: &IdempotencyUpdate, holder: RequestId) {
         let Some(progress) = news.progress.clone().filter(|_| !self.entries.contains_key(&news.name)) else {
             return;
         };
@@ -226,8 +226,11 @@
 
     /// Takes the key of a request that never ran from the table. An entry whose run has ended stays: a
     /// result that is gone while its window lasts would let a second run in.
-    pub fn forget(&mut self, name: &KeyName, holder: RequestId) {
-        if self.entries.get(name).is_some_and(|e| e.holder == holder && matches!(e.progress, Progress::Open))
+    pub fn forget(&mut self, name: &IdempotencyKey, holder: RequestId) {
+        if self
+            .entries
+            .get(name)
+            .is_some_and(|e| e.holder == holder && matches!(e.progress, KeyProgress::Open))
         {
             let Some(entry) = self.entries.get_mut(name) else { return };
             // The run before it stands again for what it stood for.
@@ -242,12 +245,17 @@
     }
 
     /// The run of a key has ended; returns the tries that wait for it.
-    pub fn ended(&mut self, name: &KeyName, holder: RequestId, progress: Progress) -> Vec<RequestId> {
+    pub fn ended(
+        &mut self,
+        name: &IdempotencyKey,
+        holder: RequestId,
+        progress: KeyProgress,
+    ) -> Vec<RequestId> {
         let Some(entry) = self.entries.get_mut(name).filter(|e| e.holder == holder) else {
             return Vec::new();
         };
         let waiting = std::mem::take(&mut entry.waiting);
-        if let Progress::Served(Some(result)) = &progress {
+        if let KeyProgress::Served(Some(result)) = &progress {
             self.kept += result.len();
             self.served.push_back(name.clone());
         }
@@ -261,16 +269,16 @@
     }
 
     /// The oldest result of a key goes, if there is one.
-    fn drop_result(&mut self, name: &KeyName) {
+    fn drop_result(&mut self, name: &IdempotencyKey) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         let past = entry.before.iter_mut().map(|p| &mut p.progress);
         let kept = past.chain([&mut entry.progress]).find(|p| p.bytes() > 0);
-        if let Some(Progress::Served(result)) = kept {
+        if let Some(KeyProgress::Served(result)) = kept {
             self.kept -= result.take().map_or(0, |r| r.len());
         }
     }
 
-    fn remove(&mut self, name: &KeyName) {
+    fn remove(&mut self, name: &IdempotencyKey) {
         let Some(entry) = self.entries.remove(name) else { return };
         self.kept -= entry.progress.bytes() + entry.before.map_or(0, |p| p.progress.bytes());
     }
@@ -278,8 +286,8 @@
     /// Drops what can link nothing any more.
     pub fn sweep(&mut self, now: f64) {
         let late_s = self.late_s;
-        let over = |e: &Entry| now > e.expires + late_s && !matches!(e.progress, Progress::Open);
-        let gone: Vec<KeyName> =
+        let over = |e: &Entry| now > e.expires + late_s && !matches!(e.progress, KeyProgress::Open);
+        let gone: Vec<IdempotencyKey> =
             self.entries.iter().filter(|(_, e)| over(e)).map(|(n, _)| n.clone()).collect();
         gone.iter().for_each(|name| self.remove(name));
         for entry in self.entries.values_mut() {
--- a/src/core/keys/tests.rs
+++ b/src/dispatch/idempotency/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-fn served(result: &[u8]) -> Progress {
-    Progress::Served(Some(result.into()))
+fn served(result: &[u8]) -> KeyProgress {
+    KeyProgress::Served(Some(result.into()))
 }
 
-fn name(key: &str) -> KeyName {
-    KeyName { class: 0, tenant: None, key: key.into() }
+fn name(key: &str) -> IdempotencyKey {
+    IdempotencyKey { class: 0, tenant: None, key: key.into() }
 }
 
 #[test]
 fn a_try_is_linked_by_its_arrival_not_by_when_it_is_read() {
-    let mut keys = Keys::new(100, 9, 0.0);
+    let mut keys = IdempotencyTable::new(100, 9, 0.0);
     keys.remember(&name("a"), RequestId(1), 0, 10.0);
     keys.ended(&name("a"), RequestId(1), served(b"done"));
     keys.sweep(12.0);
@@ -22,7 +22,7 @@
 
 #[test]
 fn an_open_run_is_linked_beyond_its_time() {
-    let mut keys = Keys::new(100, 9, 0.0);
+    let mut keys = IdempotencyTable::new(100, 9, 0.0);
     keys.remember(&name("a"), RequestId(1), 0, 10.0);
     keys.sweep(30.0);
     assert_eq!(keys.linked(&name("a"), 30.0).map(|l| l.holder), Some(RequestId(1)));
@@ -30,32 +30,32 @@
 
 #[test]
 fn results_beyond_the_room_go_oldest_first_and_their_links_stay() {
-    let mut keys = Keys::new(10, 9, 0.0);
+    let mut keys = IdempotencyTable::new(10, 9, 0.0);
     for (i, key) in ["a", "b"].iter().enumerate() {
         keys.remember(&name(key), RequestId(i as u64), 0, 10.0);
         keys.ended(&name(key), RequestId(i as u64), served(b"sevenby"));
     }
     assert_eq!(keys.linked(&name("a"), 1.0).map(|l| l.holder), Some(RequestId(0)));
-    assert!(matches!(keys.get_mut(&name("a")).unwrap().progress, Progress::Served(None)));
-    assert!(matches!(keys.get_mut(&name("b")).unwrap().progress, Progress::Served(Some(_))));
+    assert!(matches!(keys.get_mut(&name("a")).unwrap().progress, KeyProgress::Served(None)));
+    assert!(matches!(keys.get_mut(&name("b")).unwrap().progress, KeyProgress::Served(Some(_))));
 }
 
 #[test]
 fn a_key_is_only_known_within_its_class_and_tenant() {
-    let mut keys = Keys::new(10, 9, 0.0);
+    let mut keys = IdempotencyTable::new(10, 9, 0.0);
     keys.remember(&name("a"), RequestId(1), 0, 10.0);
-    let other = KeyName { tenant: Some(2), ..name("a") };
+    let other = IdempotencyKey { tenant: Some(2), ..name("a") };
     assert_eq!(keys.linked(&other, 1.0).map(|l| l.holder), None);
 }
 
 /// A try of the old window ran a second time, or was refused, because a later one was read before it.
 #[test]
 fn a_run_stands_for_its_window_while_another_holder_has_the_key_and_after_it() {
-    let mut keys = Keys::new(100, 9, 0.0);
+    let mut keys = IdempotencyTable::new(100, 9, 0.0);
     keys.remember(&name("a"), RequestId(1), 5, 10.0);
     keys.ended(&name("a"), RequestId(1), served(b"done"));
     keys.remember(&name("a"), RequestId(2), 6, 21.0);
-    let linked = |holder, print| Some(Linked { holder: RequestId(holder), print });
+    let linked = |holder, print| Some(MatchedAttempt { holder: RequestId(holder), print });
     assert_eq!(keys.linked(&name("a"), 9.9), linked(1, 5));
     assert_eq!(keys.ended_before(&name("a"), 9.9), Some(served(b"done")));
     assert_eq!(keys.linked(&name("a"), 10.1), linked(2, 6));
@@ -75,9 +75,9 @@
 
 #[test]
 fn an_entry_is_kept_for_as_long_as_callers_wait() {
-    let mut keys = Keys::new(100, 9, 14.0);
+    let mut keys = IdempotencyTable::new(100, 9, 14.0);
     keys.remember(&name("a"), RequestId(1), 0, 1.0);
-    keys.ended(&name("a"), RequestId(1), Progress::Failed);
+    keys.ended(&name("a"), RequestId(1), KeyProgress::Failed);
     keys.sweep(14.9);
     assert!(keys.linked(&name("a"), 0.9).is_some());
     keys.sweep(15.1);
--- a/src/core/figures.rs
+++ b/src/dispatch/metrics.rs
@@ -4,11 +4,11 @@
 //! counted alike and each request once. Counts begin with the process. Requests in hand are not counted here: the core
 //! knows how many answers it owes.
 
-use super::Answer;
+use super::Response;
 
 /// How the requests of one class have ended so far, and how many of its runs began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ClassCounters {
     /// Served with a result.
     pub success: u64,
     /// Turned away: nothing ran for them.
@@ -19,7 +19,7 @@
     pub dispatches: u64,
 }
 
-impl Counts {
+impl ClassCounters {
     /// Requests that have ended.
     pub fn ended(&self) -> u64 {
         self.success + self.overload + self.error
@@ -28,24 +28,24 @@
 
 /// The counts of all classes, by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures(Vec<Counts>);
+pub struct Metrics(Vec<ClassCounters>);
 
-impl Figures {
-    pub fn new(classes: usize) -> Figures {
-        Figures(vec![Counts::default(); classes])
+impl Metrics {
+    pub fn new(classes: usize) -> Metrics {
+        Metrics(vec![ClassCounters::default(); classes])
     }
 
-    pub fn classes(&self) -> &[Counts] {
+    pub fn classes(&self) -> &[ClassCounters] {
         &self.0
     }
 
     /// A request has ended with this answer.
-    pub fn answered(&mut self, class: usize, answer: &Answer) {
+    pub fn answered(&mut self, class: usize, answer: &Response) {
         let Some(counts) = self.0.get_mut(class) else { return };
         match answer {
-            Answer::Served(_) => counts.success += 1,
-            Answer::Refused { .. } => counts.overload += 1,
-            Answer::Failed | Answer::OutOfTime | Answer::Conflict => counts.error += 1,
+            Response::Served(_) => counts.success += 1,
+            Response::Rejected { .. } => counts.overload += 1,
+            Response::Failed | Response::DeadlineExceeded | Response::Conflict => counts.error += 1,
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Takes in what was counted before there was a core.
-    pub fn add(&mut self, earlier: &Figures) {
+    pub fn add(&mut self, earlier: &Metrics) {
         for (counts, more) in self.0.iter_mut().zip(&earlier.0) {
             counts.success += more.success;
             counts.overload += more.overload;
--- a/src/core/mod.rs
+++ b/src/dispatch/mod.rs
@@ -4,21 +4,21 @@
 //! come out in their order. The core sees to it that each request gets one answer, that a key is run once, and
 //! that a call in hand is given up when its run ends.
 
-pub mod figures;
-pub mod keys;
-mod lending;
-
-use crate::brain::Controller;
-use crate::fleet::overload::local::Overload;
-use crate::fleet::overload::member::Numbers;
-use crate::handover::Doubt;
+pub mod idempotency;
+pub mod metrics;
+mod request_handoff;
+
+use crate::admission::Controller;
+use crate::fleet::overload::client::LoadSample;
+use crate::fleet::overload::policy::OverloadPolicy;
+use crate::hot_restart::IndeterminateKeys;
 use crate::interface::{
-    Action, Arrival, Class, Effect, Event, Gauges, Learned, Outcome, PoolPlan, RequestId, Settings,
+    Action, Arrival, Class, Event, Gauges, Idempotency, LearnedState, Outcome, PoolPlan, RequestId, Settings,
 };
 use crate::pools::{Pools, PoolsState};
-use figures::Figures;
-use keys::{KeyName, KeyNews, Keys, Progress};
-pub use lending::{Lent, LentRequest};
+use idempotency::{IdempotencyKey, IdempotencyTable, IdempotencyUpdate, KeyProgress};
+use metrics::Metrics;
+pub use request_handoff::{HandedOff, HandedOffRequest};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -39,10 +39,10 @@
     /// When it was read, from which both of the next count (loop's clock, seconds); absent where that is now.
     pub read_at: Option<f64>,
     /// How long it had lain unread then (seconds).
-    pub unread_s: f64,
+    pub read_delay_s: f64,
     /// How long its caller waited from then on (seconds).
-    pub patience_s: f64,
-    pub size_s: Option<f64>,
+    pub time_left_s: f64,
+    pub estimate_s: Option<f64>,
     pub key: Option<Rc<str>>,
     pub retry: bool,
     pub body: Rc<[u8]>,
@@ -50,16 +50,16 @@
 
 /// The one answer to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum Response {
     Served(Rc<[u8]>),
     /// Turned away, with advice when to come back and whether to try others.
-    Refused {
-        stay_away_s: f64,
-        no_other: bool,
+    Rejected {
+        retry_after_s: f64,
+        stop_retrying: bool,
     },
     Failed,
     /// Its time ran out before it came to an end.
-    OutOfTime,
+    DeadlineExceeded,
     /// Its name or key is another request's: it is turned away, and the other is not touched.
     Conflict,
 }
@@ -91,47 +91,47 @@
         name: Rc<str>,
     },
     /// A backend does not know the request that it was to run: it never ran, and never will.
-    Unknown {
+    UnknownRequest {
         name: Rc<str>,
     },
     /// A link to a backend broke and stands again: what was commanded from `from` to `to` may have been lost with
     /// it, and all notices of before have been handed over.
-    InDoubt {
+    CommandsLost {
         from: f64,
         to: f64,
     },
     /// The backend has lost all runs: none of them will end by itself.
     RunsLost,
     /// The connection on which this answer is owed has been torn down.
-    Gone(Ticket),
+    ClientDisconnected(Ticket),
     /// The notice to leave: when it came and when the process is stopped (loop's clock, seconds). Points in time, not
     /// spans: the process may stall before this is handled.
-    Leave {
+    Shutdown {
         notice: f64,
         stop: f64,
     },
     /// The process is about to end: all that is owed is answered now.
-    AnswerAll,
+    RespondAll,
     Woken(Gauges),
     /// The operator's pools are others from now on, or none.
     Pools(Option<PoolPlan>),
     /// What the process before this one says of a key that may have run.
-    Key(KeyNews),
+    IdempotencyUpdate(IdempotencyUpdate),
     /// It has ended: what it said of open keys is its last word, and it uses nothing any more.
     PredecessorGone,
     /// What it uses now of what both count as their own.
-    Beside {
+    OtherProcess {
         on_cores: usize,
         calling: usize,
         kb: f64,
     },
-    Learned(Learned),
+    LearnedState(LearnedState),
 }
 
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    Answer(Ticket, Answer),
+    Respond(Ticket, Response),
     Run {
         name: Rc<str>,
         class: usize,
@@ -159,7 +159,7 @@
     WakeIn(f64),
     Log(String),
     /// The process that has taken this one's place should know.
-    Key(KeyNews),
+    IdempotencyUpdate(IdempotencyUpdate),
 }
 
 /// A run that its backend has gone silent on holds its slot for this long after its due time (seconds).
@@ -185,11 +185,11 @@
     Skip(u64),
 }
 
-fn refused() -> Answer {
-    Answer::Refused { stay_away_s: COME_BACK_S, no_other: false }
+fn refused() -> Response {
+    Response::Rejected { retry_after_s: COME_BACK_S, stop_retrying: false }
 }
 
-struct Held {
+struct InFlight {
     request: Request,
     due: f64,
     arrived: f64,
@@ -197,7 +197,7 @@
     print: u64,
     answered: bool,
     started: bool,
-    key: Option<KeyName>,
+    key: Option<IdempotencyKey>,
     at_call: Option<(Rc<[u8]>, u64)>,
     calling: bool,
     sent: Option<(f64, Sent)>,
@@ -206,13 +206,13 @@
 }
 
 /// The core of one worker.
-pub struct Core {
+pub struct Dispatcher {
     controller: Controller,
-    requests: HashMap<RequestId, Held>,
+    requests: HashMap<RequestId, InFlight>,
     names: HashMap<Rc<str>, RequestId>,
     /// Answers owed, by where.
     tickets: HashMap<Ticket, RequestId>,
-    keys: Keys,
+    keys: IdempotencyTable,
     /// What bodies are hashed with; the same in a process and its successor.
     prints: (u64, u64),
     next: u64,
@@ -224,36 +224,40 @@
     doubted: Vec<(f64, RequestId)>,
     /// Requests whose caller has gone before they were started, to be let go.
     gone: Vec<RequestId>,
-    figures: Figures,
+    figures: Metrics,
     run_factor: f64,
     marks_retries: bool,
     /// What is to be believed of keys that are not known here.
-    doubt: Doubt,
+    doubt: IndeterminateKeys,
     /// Names of requests that run in the process before this one.
     elsewhere: HashSet<Rc<str>>,
     /// What the process before this one uses: runs, calls, memory.
     beside: (usize, usize, f64),
     /// Another process has this one's place: it is told of keys, those named here next.
     lent: bool,
-    key_news: Vec<KeyName>,
+    key_news: Vec<IdempotencyKey>,
 }
 
-impl Core {
+impl Dispatcher {
     /// A core for a worker that started at `born`, with so many bytes for kept results.
     pub fn new(settings: Settings, born: f64, result_bytes: usize, out: &mut Vec<Command>) -> Self {
         let mut actions = Vec::new();
         let classes = settings.classes.clone();
-        let figures = Figures::new(classes.len());
+        let figures = Metrics::new(classes.len());
         let (run_factor, marks_retries) = (settings.run_factor, settings.marks_retries);
-        let patience_s = classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
+        let time_left_s = classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
         let prints = (settings.seed, !settings.seed);
         let controller = Controller::new(settings, born, &mut actions);
-        let mut core = Core {
+        let mut core = Dispatcher {
             controller,
             requests: HashMap::new(),
             names: HashMap::new(),
             tickets: HashMap::new(),
-            keys: Keys::new(result_bytes, (result_bytes / BYTES_A_KEY).max(KEYS_LEAST), patience_s),
+            keys: IdempotencyTable::new(
+                result_bytes,
+                (result_bytes / BYTES_A_KEY).max(KEYS_LEAST),
+                time_left_s,
+            ),
             prints,
             next: 0,
             owed: 0,
@@ -265,7 +269,7 @@
             figures,
             run_factor,
             marks_retries,
-            doubt: Doubt::None,
+            doubt: IndeterminateKeys::None,
             elsewhere: HashSet::new(),
             beside: (0, 0, 0.0),
             lent: false,
@@ -281,12 +285,12 @@
     }
 
     /// The fleet's part in overload, where there is one: what tells it of the fleet, and the fleet of this worker.
-    pub fn overload(&mut self) -> Option<&mut Overload> {
+    pub fn overload(&mut self) -> Option<&mut OverloadPolicy> {
         self.controller.overload.as_mut()
     }
 
     /// What is to be told to the fleet; it is counted anew from now on.
-    pub fn fleet_numbers(&mut self, now: f64) -> Option<Numbers> {
+    pub fn fleet_load_sample(&mut self, now: f64) -> Option<LoadSample> {
         let (served, refused) =
             self.figures.classes().iter().fold((0, 0), |(s, r), c| (s + c.success, r + c.overload));
         Some(self.controller.overload.as_mut()?.numbers(now, served, refused))
@@ -294,16 +298,16 @@
 
     /// What operators read of it: names and values.
     pub fn overload_figures(&self) -> Vec<(&'static str, String)> {
-        self.controller.overload.as_ref().map(Overload::figures).unwrap_or_default()
+        self.controller.overload.as_ref().map(OverloadPolicy::figures).unwrap_or_default()
     }
 
     /// How requests have ended so far, by class.
-    pub fn figures(&self) -> &Figures {
+    pub fn figures(&self) -> &Metrics {
         &self.figures
     }
 
     /// Takes in what was counted before there was a core.
-    pub fn count_earlier(&mut self, earlier: &Figures) {
+    pub fn count_earlier(&mut self, earlier: &Metrics) {
         self.figures.add(earlier);
     }
 
@@ -355,8 +359,8 @@
                 if let Some(&id) = self.names.get(&name) {
                     // Nothing was started, as the request is over. Where its run was commanded twice, that
                     // proves less: then its key stays as it is.
-                    let once = |h: &Held| !h.twice && matches!(h.sent, Some((_, Sent::Run)));
-                    if outcome == Outcome::TooLate && self.requests.get(&id).is_some_and(once) {
+                    let once = |h: &InFlight| !h.twice && matches!(h.sent, Some((_, Sent::Run)));
+                    if outcome == Outcome::NotStarted && self.requests.get(&id).is_some_and(once) {
                         self.never_ran(id, refused(), events, out);
                     } else {
                         self.run_ended(id, outcome, result, events, out);
@@ -392,13 +396,13 @@
                 }
             }
             // To the controller it is a start that came too late: what a peer makes up is no sign of bad health.
-            Input::Unknown { name } => {
+            Input::UnknownRequest { name } => {
                 if let Some(&id) = self.names.get(&name) {
-                    self.never_ran(id, Answer::Failed, events, out);
+                    self.never_ran(id, Response::Failed, events, out);
                 }
             }
-            Input::InDoubt { from, to } => self.ask_again(now, from, to, out),
-            Input::Gone(ticket) => {
+            Input::CommandsLost { from, to } => self.ask_again(now, from, to, out),
+            Input::ClientDisconnected(ticket) => {
                 // By name, not by a search: floods of resets come this way.
                 let Some(id) = self.tickets.remove(&ticket) else { return };
                 let Some(held) = self.requests.get_mut(&id) else { return };
@@ -419,20 +423,22 @@
                     self.run_ended(id, Outcome::Error, None, events, out);
                 }
             }
-            Input::Leave { notice, stop } => {
-                events.push_back(Event::Leave { ago_s: now - notice, in_s: stop - now })
+            Input::Shutdown { notice, stop } => {
+                events.push_back(Event::Shutdown { ago_s: now - notice, in_s: stop - now })
             }
-            Input::AnswerAll => self.answer_all(events, out),
+            Input::RespondAll => self.answer_all(events, out),
             Input::Woken(gauges) => events.push_back(Event::Woken(gauges)),
             Input::Pools(plan) => events.push_back(Event::Pools(plan)),
-            Input::Key(news) => self.adopt_key(&news, events, out),
+            Input::IdempotencyUpdate(news) => self.adopt_key(&news, events, out),
             Input::PredecessorGone => self.predecessor_gone(events, out),
-            Input::Beside { on_cores, calling, kb } => {
+            Input::OtherProcess { on_cores, calling, kb } => {
                 self.beside = (on_cores, calling, kb);
-                events.push_back(Event::Beside { on_cores, calling, kb });
+                events.push_back(Event::OtherProcess { on_cores, calling, kb });
             }
-            Input::Learned(learned) if learned.is_sound() => events.push_back(Event::Learned(learned)),
-            Input::Learned(_) => {
+            Input::LearnedState(learned) if learned.is_sound() => {
+                events.push_back(Event::LearnedState(learned))
+            }
+            Input::LearnedState(_) => {
                 out.push(Command::Log("what the old process learned makes no sense".to_owned()))
             }
         }
@@ -441,33 +447,36 @@
     fn arrived(&mut self, now: f64, request: Request, out: &mut Vec<Command>) -> Option<Event> {
         // Guards the executor's names: two requests of one name could not be told apart.
         if self.names.contains_key(&request.name) || self.elsewhere.contains(&request.name) {
-            return self.turn_away(&request, Answer::Conflict, out);
+            return self.turn_away(&request, Response::Conflict, out);
         }
         // Guards window and grace: the process may have stalled between reading and this.
         let since_s = request.read_at.map_or(0.0, |at| (now - at).max(0.0));
-        let (unread_s, patience_s) = (request.unread_s + since_s, request.patience_s - since_s);
-        let arrived = now - unread_s;
-        let key =
-            request.key.clone().map(|key| KeyName { class: request.class, tenant: request.tenant, key });
+        let (read_delay_s, time_left_s) = (request.read_delay_s + since_s, request.time_left_s - since_s);
+        let arrived = now - read_delay_s;
+        let key = request.key.clone().map(|key| IdempotencyKey {
+            class: request.class,
+            tenant: request.tenant,
+            key,
+        });
         let print = key.as_ref().map_or(0, |_| self.print(&request.body));
         let linked = key.as_ref().and_then(|k| self.keys.linked(k, arrived));
-        let repeats = linked.as_ref().map(|l| l.holder);
+        let retry_of = linked.as_ref().map(|l| l.holder);
         // Guards the one run of a key: not refused either, since it may have had its run.
         let further = request.retry || !self.marks_retries;
-        if key.is_some() && repeats.is_none() && self.doubt.covers(arrived, further) {
-            return self.turn_away(&request, Answer::Failed, out);
+        if key.is_some() && retry_of.is_none() && self.doubt.covers(arrived, further) {
+            return self.turn_away(&request, Response::Failed, out);
         }
         // Nor one that lay unread for longer than keys are kept: another try may have run and be forgotten.
-        if key.is_some() && unread_s >= self.keys.late_s() {
-            return self.turn_away(&request, Answer::OutOfTime, out);
+        if key.is_some() && read_delay_s >= self.keys.late_s() {
+            return self.turn_away(&request, Response::DeadlineExceeded, out);
         }
-        if key.is_some() && repeats.is_none() && self.keys.full() {
+        if key.is_some() && retry_of.is_none() && self.keys.full() {
             return self.turn_away(&request, refused(), out);
         }
         // Guards the kept result: all tries of one request carry the same body, so this is another request, and
         // whoever sent it must not be served with what a run made for the first.
         if linked.is_some_and(|l| l.print != print) {
-            return self.turn_away(&request, Answer::Conflict, out);
+            return self.turn_away(&request, Response::Conflict, out);
         }
         self.next += 1;
         let id = RequestId(self.next);
@@ -477,40 +486,40 @@
             tenant: request.tenant,
             caller: request.caller,
             kb: request.kb,
-            unread_s,
-            patience_s: Some(patience_s),
-            size_s: request.size_s,
-            repeats,
+            read_delay_s,
+            time_left_s: Some(time_left_s),
+            estimate_s: request.estimate_s,
+            retry_of,
             retry: request.retry,
         });
         self.names.insert(request.name.clone(), id);
         self.tickets.insert(request.ticket, id);
         self.owed += 1;
-        let due = now + patience_s;
+        let due = now + time_left_s;
         let (answered, started, calling) = (false, false, false);
         let (at_call, sent, twice) = (None, None, false);
         self.requests.insert(
             id,
-            Held { request, due, arrived, print, answered, started, key, at_call, calling, sent, twice },
+            InFlight { request, due, arrived, print, answered, started, key, at_call, calling, sent, twice },
         );
         Some(event)
     }
 
     /// Answers a request that the controller never hears of.
-    fn turn_away(&mut self, request: &Request, answer: Answer, out: &mut Vec<Command>) -> Option<Event> {
+    fn turn_away(&mut self, request: &Request, answer: Response, out: &mut Vec<Command>) -> Option<Event> {
         self.figures.answered(request.class, &answer);
-        out.push(Command::Answer(request.ticket, answer));
+        out.push(Command::Respond(request.ticket, answer));
         None
     }
 
     /// Gives the answer, unless one was given.
-    fn answer(&mut self, id: RequestId, answer: Answer, out: &mut Vec<Command>) {
+    fn answer(&mut self, id: RequestId, answer: Response, out: &mut Vec<Command>) {
         let Some(held) = self.requests.get_mut(&id).filter(|h| !h.answered) else { return };
         held.answered = true;
         self.owed -= 1;
         self.tickets.remove(&held.request.ticket);
         self.figures.answered(held.request.class, &answer);
-        out.push(Command::Answer(held.request.ticket, answer));
+        out.push(Command::Respond(held.request.ticket, answer));
     }
 
     fn remove(&mut self, id: RequestId) {
@@ -535,20 +544,26 @@
         if calling {
             out.push(Command::GiveUpCall(name));
         }
-        let answer = |result: &Option<Rc<[u8]>>| result.clone().map_or(Answer::Failed, Answer::Served);
+        let answer = |result: &Option<Rc<[u8]>>| result.clone().map_or(Response::Failed, Response::Served);
         self.answer(id, answer(&result), out);
         self.remove(id);
         events.push_back(Event::RunEnded { id, outcome });
         let Some(key) = key else { return };
-        self.key_ended(&key, id, result.map_or(Progress::Failed, |r| Progress::Served(Some(r))), events, out);
+        self.key_ended(
+            &key,
+            id,
+            result.map_or(KeyProgress::Failed, |r| KeyProgress::Served(Some(r))),
+            events,
+            out,
+        );
     }
 
     /// A key's run has ended, here or elsewhere: the tries that wait for it get the same.
     fn key_ended(
         &mut self,
-        key: &KeyName,
+        key: &IdempotencyKey,
         holder: RequestId,
-        progress: Progress,
+        progress: KeyProgress,
         events: &mut VecDeque<Event>,
         out: &mut Vec<Command>,
     ) {
@@ -562,7 +577,7 @@
     fn end_all(
         &mut self,
         ids: Vec<RequestId>,
-        answer: &Answer,
+        answer: &Response,
         outcome: Outcome,
         events: &mut VecDeque<Event>,
         out: &mut Vec<Command>,
@@ -581,7 +596,7 @@
     fn never_ran(
         &mut self,
         id: RequestId,
-        answer: Answer,
+        answer: Response,
         events: &mut VecDeque<Event>,
         out: &mut Vec<Command>,
     ) {
@@ -594,7 +609,7 @@
             self.keys.forget(&key, id);
             self.key_news.push(key);
         }
-        self.end_all(over, &answer, Outcome::TooLate, events, out);
+        self.end_all(over, &answer, Outcome::NotStarted, events, out);
     }
 
     /// Answers all that is owed: what may have run has failed, and what has not is turned away. Guards against a stop
@@ -606,7 +621,7 @@
             owed.map(|(id, h)| (*id, h.started || shares.contains(id))).collect();
         owed.sort_unstable();
         for (id, may_have_run) in owed {
-            self.answer(id, if may_have_run { Answer::Failed } else { refused() }, out);
+            self.answer(id, if may_have_run { Response::Failed } else { refused() }, out);
             if !may_have_run {
                 events.push_back(Event::CallerGone(id));
                 self.gone.push(id);
@@ -618,15 +633,15 @@
         let held = self.requests.get(&id).and_then(|h| Some((h.key.clone()?, h.arrived)));
         let before = held.as_ref().and_then(|(key, arrived)| self.keys.ended_before(key, *arrived));
         let progress = match held.and_then(|(key, _)| self.keys.get_mut(&key)) {
-            Some(_) if before.is_some() => before.unwrap_or(Progress::Failed),
+            Some(_) if before.is_some() => before.unwrap_or(KeyProgress::Failed),
             Some(entry) => {
-                if matches!(entry.progress, Progress::Open) {
+                if matches!(entry.progress, KeyProgress::Open) {
                     entry.waiting.push(id);
                     return;
                 }
                 entry.progress.clone()
             }
-            None => Progress::Failed,
+            None => KeyProgress::Failed,
         };
         let (answer, outcome) = progress.share();
         self.answer(id, answer, out);
@@ -642,7 +657,7 @@
                 Action::Start(id) => {
                     let Some(held) = self.requests.get_mut(&id).filter(|h| !h.answered) else {
                         // It was lent to another process a moment ago, or answered because the process ends.
-                        events.push_back(Event::RunEnded { id, outcome: Outcome::TooLate });
+                        events.push_back(Event::RunEnded { id, outcome: Outcome::NotStarted });
                         continue;
                     };
                     held.started = true;
@@ -652,16 +667,16 @@
                     self.figures.dispatched(class);
                     out.push(Command::Run { name, class, body, due: held.due });
                 }
-                Action::Refuse { id, stay_away_s, no_other } => {
-                    self.answer(id, Answer::Refused { stay_away_s, no_other }, out);
+                Action::Reject { id, retry_after_s, stop_retrying } => {
+                    self.answer(id, Response::Rejected { retry_after_s, stop_retrying }, out);
                     self.let_go(id);
                 }
                 Action::Fail(id) => {
                     let near = self.requests.get(&id).is_some_and(|h| now + NEAR_DUE_S >= h.due);
-                    self.answer(id, if near { Answer::OutOfTime } else { Answer::Failed }, out);
+                    self.answer(id, if near { Response::DeadlineExceeded } else { Response::Failed }, out);
                     self.let_go(id);
                 }
-                Action::Remember { id, for_s } => {
+                Action::RetainKey { id, for_s } => {
                     if let Some(h) = self.requests.get(&id) {
                         if let Some(key) = &h.key {
                             self.keys.remember(key, id, h.print, now + for_s);
@@ -669,19 +684,19 @@
                     }
                 }
                 // The request may have been answered and let go just before.
-                Action::Forget(id) => {
+                Action::ReleaseKey(id) => {
                     if let Some(key) = self.requests.get(&id).and_then(|h| h.key.clone()) {
                         self.keys.forget(&key, id);
                         self.key_news.push(key);
                     }
                 }
-                Action::ShareAnswer(id) => self.share(id, events, out),
+                Action::ShareResponse(id) => self.share(id, events, out),
                 Action::Call { id, until_s } => {
                     let Some(held) = self.requests.get_mut(&id) else { continue };
                     let Some((body, _)) = held.at_call.clone() else { continue };
                     held.calling = true;
                     let name = held.request.name.clone();
-                    let again = self.classes[held.request.class].effect == Effect::Safe;
+                    let again = self.classes[held.request.class].effect == Idempotency::Idempotent;
                     out.push(Command::Call { name, body, for_s: (until_s - now).max(0.0), again });
                 }
                 Action::SkipCall(id) => {
@@ -692,7 +707,7 @@
                     }
                 }
                 // No backend of this program can stop a run, and the settings say so to the controller.
-                Action::Halt(_) => {}
+                Action::Preempt(_) => {}
                 Action::Health(good) => out.push(Command::Health(good)),
                 Action::Publish(level) => out.push(Command::Publish(level)),
                 Action::WakeIn(after) => out.push(Command::WakeIn(after)),
@@ -707,7 +722,7 @@
     /// one that is over is not begun anew, and a second skip names the call that it is for. A reply names none:
     /// it is left out where that is allowed, and else sent again when its run must be standing at that call.
     fn ask_again(&mut self, now: f64, from: f64, to: f64, out: &mut Vec<Command>) {
-        let doubted = |h: &Held| h.sent.as_ref().is_some_and(|(at, _)| (from..to).contains(at));
+        let doubted = |h: &InFlight| h.sent.as_ref().is_some_and(|(at, _)| (from..to).contains(at));
         let mut ids: Vec<RequestId> =
             self.requests.iter().filter(|(_, h)| doubted(h)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
@@ -722,10 +737,10 @@
                     held.sent = Some((now, Sent::Run));
                     continue;
                 }
-                Some((_, Sent::Resume(_, mark))) if self.classes[class].skipped_worth > 0.0 => *mark,
+                Some((_, Sent::Resume(_, mark))) if self.classes[class].skipped_call_weight > 0.0 => *mark,
                 Some((_, Sent::Skip(mark))) => *mark,
                 _ => {
-                    self.doubted.push((now + self.classes[class].aim_s * REPLY_AGAIN_OF_AIM, id));
+                    self.doubted.push((now + self.classes[class].objective_s * REPLY_AGAIN_OF_AIM, id));
                     continue;
                 }
             };
@@ -767,13 +782,13 @@
 
     /// Guards the run slots: a run whose end never comes, for whatever reason, would hold one for ever.
     fn drop_silent_runs(&mut self, now: f64, out: &mut Vec<Command>) {
-        let silent = |h: &Held| h.started && now > h.due + SILENT_RUN_S;
+        let silent = |h: &InFlight| h.started && now > h.due + SILENT_RUN_S;
         let mut gone: Vec<RequestId> =
             self.requests.iter().filter(|(_, h)| silent(h)).map(|(id, _)| *id).collect();
         gone.sort_unstable();
         let mut events = VecDeque::new();
         for id in gone {
-            self.run_ended(id, Outcome::Stopped, None, &mut events, out);
+            self.run_ended(id, Outcome::Cancelled, None, &mut events, out);
         }
         self.settle(now, &mut events, out);
     }
--- a/src/core/tests/crossings.rs
+++ b/src/dispatch/tests/crossings.rs
@@ -23,7 +23,7 @@
     due: f64,
     /// Its connection still stands.
     waits: bool,
-    answer: Option<Answer>,
+    answer: Option<Response>,
     run: Run,
 }
 
@@ -63,27 +63,34 @@
     paused: bool,
 }
 
-const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
+const EFFECTS: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NotIdempotent];
 const STOP_S: f64 = 2.0;
 
 impl World {
     fn new(kinds: Vec<Kind>, place: Place) -> World {
         let class = |(i, k): (usize, &Kind)| Class {
-            worth: 1.0 + i as f64,
-            aim_s: k.2 * 0.5,
+            weight: 1.0 + i as f64,
+            objective_s: k.2 * 0.5,
             deadline_s: k.2,
             effect: EFFECTS[usize::from(k.0)],
             window_s: k.1,
             calls: k.4,
-            skipped_worth: if k.5 { 0.6 } else { 0.0 },
-            late_worth: if k.3 { 0.2 } else { 0.0 },
+            skipped_call_weight: if k.5 { 0.6 } else { 0.0 },
+            late_weight: if k.3 { 0.2 } else { 0.0 },
         };
         let classes = kinds.iter().enumerate().map(class).collect();
-        let (cores, share, window_s, memory_kb, crowd_multiple, max_advice_s, grace_s) = place;
+        let (cores, share, window_s, memory_kb, survivable_multiple, max_retry_after_s, grace_s) = place;
         let dependency = Some(Dependency { share, window_s, linger_s: 0.1 });
-        let set =
-            Settings { cores, classes, dependency, memory_kb, crowd_multiple, max_advice_s, ..settings() };
-        let play = Play::with(Settings { leave_grace_s: grace_s, ..set });
+        let set = Settings {
+            cores,
+            classes,
+            dependency,
+            memory_kb,
+            survivable_multiple,
+            max_retry_after_s,
+            ..settings()
+        };
+        let play = Play::with(Settings { shutdown_grace_s: grace_s, ..set });
         World { play, kinds, grace_s, sent: Vec::new(), notice: None, paused: false }
     }
 
@@ -114,17 +121,17 @@
     fn check(&mut self, command: Command) -> Result<(), TestCaseError> {
         let now = self.play.now;
         match command {
-            Command::Answer(ticket, answer) => {
+            Command::Respond(ticket, answer) => {
                 let i = ticket.0 as usize;
                 prop_assert!(self.sent[i].answer.is_none(), "r{i} is answered twice");
                 prop_assert!(self.sent[i].waits, "r{i} is answered, and its caller has gone");
                 let late = now - self.sent[i].due;
                 prop_assert!(self.paused || late <= 0.1, "r{i} is answered {late} s late");
-                if let Answer::Refused { .. } = answer {
+                if let Response::Rejected { .. } = answer {
                     let class = self.sent[i].class;
                     let ran = !matches!(self.sent[i].run, Run::None | Run::Never);
                     prop_assert!(
-                        !ran || EFFECTS[usize::from(self.kinds[class].0)] == Effect::Safe,
+                        !ran || EFFECTS[usize::from(self.kinds[class].0)] == Idempotency::Idempotent,
                         "r{i} ran"
                     );
                     let covers =
@@ -133,7 +140,7 @@
                     let story = earlier.map(|j| (now, &self.sent[i], j, &self.sent[j]));
                     prop_assert!(story.is_none(), "r{i} is refused, and its key has run: {story:?}");
                 }
-                if let Answer::Served(_) = answer {
+                if let Response::Served(_) = answer {
                     let ran = self.sent[i].run == Run::Ended || self.runs_of(i).next().is_some();
                     prop_assert!(ran, "r{i} is served, and nothing ran");
                 }
@@ -185,17 +192,17 @@
         match what {
             0..=4 => {
                 let class = which % self.kinds.len();
-                let keyed = EFFECTS[usize::from(self.kinds[class].0)] == Effect::Keyed;
+                let keyed = EFFECTS[usize::from(self.kinds[class].0)] == Idempotency::Keyed;
                 let key = keyed.then_some(way % 3);
-                let unread_s = [0.0, 0.0, 0.0, 0.03, 0.4, 2.0, 7.0][usize::from(way % 7)];
+                let read_delay_s = [0.0, 0.0, 0.0, 0.03, 0.4, 2.0, 7.0][usize::from(way % 7)];
                 let deadline_s = self.kinds[class].2;
                 let i = self.sent.len();
                 let now = self.play.now;
                 // It lay with the system, or was read and the process stalled.
                 let (read_at, lay_s) =
-                    if which % 2 == 0 { (None, unread_s) } else { (Some(now - unread_s), 0.0) };
-                let patience_s = deadline_s - lay_s;
-                let arrived = now - unread_s;
+                    if which % 2 == 0 { (None, read_delay_s) } else { (Some(now - read_delay_s), 0.0) };
+                let time_left_s = deadline_s - lay_s;
+                let arrived = now - read_delay_s;
                 let due = (arrived + deadline_s).max(now);
                 let (waits, answer, run) = (true, None, Run::None);
                 self.sent.push(Sent { class, key, arrived, due, waits, answer, run });
@@ -206,8 +213,8 @@
                     class,
                     key,
                     read_at,
-                    unread_s: lay_s,
-                    patience_s,
+                    read_delay_s: lay_s,
+                    time_left_s,
                     retry: way > 2,
                     ..request(i as u64, "")
                 };
@@ -218,9 +225,9 @@
                 let never = way == 3 && self.sent[i].run == Run::Commanded;
                 let outcome = match way {
                     0 | 1 => Outcome::Ok,
-                    _ if never => Outcome::TooLate,
+                    _ if never => Outcome::NotStarted,
                     2 => Outcome::Error,
-                    _ => Outcome::Stopped,
+                    _ => Outcome::Cancelled,
                 };
                 self.sent[i].run = if never { Run::Never } else { Run::Ended };
                 self.tell(Input::RunEnded { name: World::name(i), outcome, result: reply() })?;
@@ -242,11 +249,11 @@
             9 => {
                 let Some(i) = self.find(which, |s| s.waits && s.answer.is_none()) else { return Ok(()) };
                 self.sent[i].waits = false;
-                self.tell(Input::Gone(Ticket(i as u64)))?;
+                self.tell(Input::ClientDisconnected(Ticket(i as u64)))?;
             }
             10 if way < 2 => {
                 let now = self.play.now;
-                self.tell(Input::InDoubt { from: now - 0.3, to: now })?;
+                self.tell(Input::CommandsLost { from: now - 0.3, to: now })?;
             }
             10 if way == 2 && which % 8 == 0 => {
                 for s in self.sent.iter_mut().filter(|s| s.run.open()) {
@@ -260,10 +267,10 @@
                 // A stall between the notice and the core.
                 self.paused = true;
                 self.play.now += f64::from(ms) / 400.0;
-                self.tell(Input::Leave { notice, stop: notice + STOP_S })?;
+                self.tell(Input::Shutdown { notice, stop: notice + STOP_S })?;
             }
             11 if way == 1 && which % 8 == 0 && self.notice.is_some() => {
-                self.tell(Input::AnswerAll)?;
+                self.tell(Input::RespondAll)?;
                 let owed = self.find(0, |s| s.waits && s.answer.is_none());
                 prop_assert!(owed.is_none(), "r{owed:?} has no answer after the last call");
             }
