--- a/src/core/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -1,38 +1,38 @@
 //! Stories of the core alone, and random histories.
 
 mod crossings;
-mod lending;
+mod request_handoff;
 
 use super::*;
-use crate::interface::{Class, Dependency, Effect, Tenant, Traffic};
+use crate::interface::{Class, Dependency, Idempotency, Tenant, Traffic};
 
 struct Play {
-    core: Core,
+    core: Dispatcher,
     now: f64,
     out: Vec<Command>,
 }
 
 fn settings() -> Settings {
     let class = |effect| Class {
-        worth: 1.0,
-        aim_s: 2.0,
+        weight: 1.0,
+        objective_s: 2.0,
         deadline_s: 4.0,
         effect,
         window_s: 10.0,
         calls: true,
-        skipped_worth: if effect == Effect::Safe { 0.6 } else { 0.0 },
-        late_worth: 0.0,
+        skipped_call_weight: if effect == Idempotency::Idempotent { 0.6 } else { 0.0 },
+        late_weight: 0.0,
     };
     Settings {
         cores: 2,
-        crowd_multiple: 8.0,
+        survivable_multiple: 8.0,
         memory_kb: 1e6,
         run_factor: 4.0,
-        leave_grace_s: 1.0,
+        shutdown_grace_s: 1.0,
         wake_ahead_s: 0.002,
-        max_advice_s: 1.0,
+        max_retry_after_s: 1.0,
         dependency: Some(Dependency { share: 8.0, window_s: 5.0, linger_s: 0.1 }),
-        classes: vec![class(Effect::Safe), class(Effect::Keyed)],
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::Keyed)],
         ..Settings::default()
     }
 }
@@ -46,9 +46,9 @@
         caller: 1,
         kb: 10.0,
         read_at: None,
-        unread_s: 0.0,
-        patience_s: 3.0,
-        size_s: None,
+        read_delay_s: 0.0,
+        time_left_s: 3.0,
+        estimate_s: None,
         key: Some(key).filter(|k| !k.is_empty()).map(Rc::from),
         retry: false,
         body: Rc::from(*b"body"),
@@ -62,7 +62,7 @@
 
     fn with(settings: Settings) -> Play {
         let mut out = Vec::new();
-        Play { core: Core::new(settings, 0.0, 1000, &mut out), now: 0.0, out }
+        Play { core: Dispatcher::new(settings, 0.0, 1000, &mut out), now: 0.0, out }
     }
 
     fn tell(&mut self, input: Input) -> Vec<Command> {
@@ -94,13 +94,13 @@
     out.iter().filter(|c| matches!(c, Command::Run { .. })).count()
 }
 
-fn answers(out: &[Command]) -> Vec<(u64, Answer)> {
-    let given = |c: &Command| if let Command::Answer(t, a) = c { Some((t.0, a.clone())) } else { None };
+fn answers(out: &[Command]) -> Vec<(u64, Response)> {
+    let given = |c: &Command| if let Command::Respond(t, a) = c { Some((t.0, a.clone())) } else { None };
     out.iter().filter_map(given).collect()
 }
 
-fn served(result: &[u8]) -> Answer {
-    Answer::Served(result.into())
+fn served(result: &[u8]) -> Response {
+    Response::Served(result.into())
 }
 
 #[test]
@@ -118,7 +118,7 @@
     assert_eq!(answers(&p.arrive(6, "k")), vec![(6, served(b"done"))]);
     // A try that reached the machine within the window and was read after it.
     p.now = 11.0;
-    let out = p.tell(Input::Arrived(Request { unread_s: 1.5, patience_s: 1.5, ..request(7, "k") }));
+    let out = p.tell(Input::Arrived(Request { read_delay_s: 1.5, time_left_s: 1.5, ..request(7, "k") }));
     assert_eq!((runs(&out), answers(&out)), (0, vec![(7, served(b"done"))]));
     assert_eq!(runs(&p.arrive(8, "k")), 1);
     assert_eq!(p.core.owed(), 2);
@@ -128,7 +128,7 @@
 fn a_run_past_its_due_time_is_answered_once_and_its_result_kept() {
     let mut p = Play::new();
     p.arrive(1, "k");
-    assert_eq!(answers(&p.pass(3.2)), vec![(1, Answer::OutOfTime)]);
+    assert_eq!(answers(&p.pass(3.2)), vec![(1, Response::DeadlineExceeded)]);
     assert_eq!(answers(&p.end(1, Outcome::Ok, b"late")), vec![]);
     assert_eq!(answers(&p.arrive(2, "k")), vec![(2, served(b"late"))]);
 }
@@ -138,13 +138,13 @@
     let mut p = Play::new();
     p.arrive(1, "k");
     p.arrive(2, "k");
-    let refused = Answer::Refused { stay_away_s: COME_BACK_S, no_other: false };
+    let refused = Response::Rejected { retry_after_s: COME_BACK_S, stop_retrying: false };
     let out = p.tell(Input::NeverRan { name: "r1".into() });
     assert_eq!(answers(&out), vec![(1, refused.clone()), (2, refused)]);
     assert_eq!(runs(&p.arrive(3, "k")), 1);
-    assert_eq!(answers(&p.end(3, Outcome::Broken, b"")), vec![(3, Answer::Failed)]);
+    assert_eq!(answers(&p.end(3, Outcome::Interrupted, b"")), vec![(3, Response::Failed)]);
     let out = p.arrive(4, "k");
-    assert_eq!((runs(&out), answers(&out)), (0, vec![(4, Answer::Failed)]));
+    assert_eq!((runs(&out), answers(&out)), (0, vec![(4, Response::Failed)]));
 }
 
 #[test]
@@ -153,8 +153,8 @@
     p.arrive(1, "");
     let out = p.tell(Input::AtCall { name: "r1".into(), body: Rc::from(*b"?"), mark: 7 });
     assert!(matches!(&out[..], [Command::Call { body, .. }] if **body == *b"?"), "{out:?}");
-    let out = p.end(1, Outcome::Stopped, b"");
-    assert_eq!(out, vec![Command::GiveUpCall("r1".into()), Command::Answer(Ticket(1), Answer::Failed)]);
+    let out = p.end(1, Outcome::Cancelled, b"");
+    assert_eq!(out, vec![Command::GiveUpCall("r1".into()), Command::Respond(Ticket(1), Response::Failed)]);
     let reply = Some(Rc::from(*b"!"));
     assert_eq!(p.tell(Input::CallEnded { name: "r1".into(), outcome: Outcome::Ok, reply }), vec![]);
     assert_eq!(p.tell(Input::AtCall { name: "r1".into(), body: Rc::from([]), mark: 8 }), vec![]);
@@ -166,7 +166,7 @@
     let mut p = Play::new();
     p.arrive(1, "");
     let out = p.tell(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
-    assert_eq!(out, vec![Command::Answer(Ticket(9), Answer::Conflict)]);
+    assert_eq!(out, vec![Command::Respond(Ticket(9), Response::Conflict)]);
     assert_eq!(answers(&p.end(1, Outcome::Ok, b"x")), vec![(1, served(b"x"))]);
 }
 
@@ -174,7 +174,7 @@
 #[test]
 fn a_known_key_with_another_body_is_turned_away_and_the_first_is_not_touched() {
     let other = |number| Input::Arrived(Request { body: Rc::from(*b"other"), ..request(number, "k") });
-    let turned_away = |number| vec![Command::Answer(Ticket(number), Answer::Conflict)];
+    let turned_away = |number| vec![Command::Respond(Ticket(number), Response::Conflict)];
     let mut p = Play::new();
     p.arrive(1, "k");
     assert_eq!(p.tell(other(2)), turned_away(2));
@@ -197,7 +197,7 @@
         outcome: Outcome::Ok,
         reply: Some(Rc::from(*b"!")),
     };
-    let doubt = |from, to| Input::InDoubt { from, to };
+    let doubt = |from, to| Input::CommandsLost { from, to };
     // Both starts are in doubt, but one run has been heard of since.
     p.tell(at_call(1, 7));
     let out = p.tell(doubt(-0.1, 0.1));
@@ -223,10 +223,10 @@
 fn a_start_that_came_too_late_frees_its_key_unless_it_was_given_twice() {
     let mut p = Play::new();
     p.arrive(1, "k");
-    assert_eq!(answers(&p.end(1, Outcome::TooLate, b"")), vec![(1, refused())]);
+    assert_eq!(answers(&p.end(1, Outcome::NotStarted, b"")), vec![(1, refused())]);
     assert_eq!(runs(&p.arrive(2, "k")), 1);
-    p.tell(Input::InDoubt { from: -0.1, to: 0.1 });
-    assert_eq!(answers(&p.end(2, Outcome::TooLate, b"")), vec![(2, Answer::Failed)]);
+    p.tell(Input::CommandsLost { from: -0.1, to: 0.1 });
+    assert_eq!(answers(&p.end(2, Outcome::NotStarted, b"")), vec![(2, Response::Failed)]);
     assert_eq!(runs(&p.arrive(3, "k")), 0);
 }
 
@@ -236,8 +236,8 @@
     let mut p = Play::new();
     for number in 0..20 {
         p.arrive(number, "");
-        let out = p.tell(Input::Unknown { name: format!("r{number}").into() });
-        assert_eq!(out, vec![Command::Answer(Ticket(number), Answer::Failed)]);
+        let out = p.tell(Input::UnknownRequest { name: format!("r{number}").into() });
+        assert_eq!(out, vec![Command::Respond(Ticket(number), Response::Failed)]);
     }
 }
 
@@ -249,7 +249,7 @@
     p.arrive(3, "");
     p.arrive(4, "l");
     for number in [1, 3, 4] {
-        assert_eq!(p.tell(Input::Gone(Ticket(number))), vec![]);
+        assert_eq!(p.tell(Input::ClientDisconnected(Ticket(number))), vec![]);
     }
     assert_eq!((p.core.owed(), p.core.knows("r1"), p.core.knows("r3")), (1, true, false));
     assert_eq!(p.end(1, Outcome::Ok, b"done"), vec![]);
@@ -282,7 +282,7 @@
             p.now += 0.004;
             let some: Rc<str> = format!("r{}", roll(count + 1)).into();
             let reply = || Some(Rc::from(*b"!"));
-            let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Stopped, Outcome::Broken];
+            let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Cancelled, Outcome::Interrupted];
             let outcome = outcomes[roll(4) as usize];
             let out = match roll(8) {
                 0..=2 if p.now < 4.0 => {
@@ -298,7 +298,7 @@
             };
             for command in &out {
                 match command {
-                    Command::Answer(ticket, _) => *seen.entry(ticket.0).or_insert(0) += 1,
+                    Command::Respond(ticket, _) => *seen.entry(ticket.0).or_insert(0) += 1,
                     Command::Run { name, .. } if !keys[&**name].is_empty() => {
                         *key_runs.entry(keys[&**name]).or_insert(0) += 1;
                     }
@@ -333,7 +333,7 @@
             for (what, number, which, ms) in steps {
                 p.now += f64::from(ms) / 1000.0;
                 let some: Rc<str> = format!("r{number}").into();
-                let outcome = [Outcome::Ok, Outcome::Error, Outcome::TooLate, Outcome::Stopped][which];
+                let outcome = [Outcome::Ok, Outcome::Error, Outcome::NotStarted, Outcome::Cancelled][which];
                 let body: Rc<[u8]> = Rc::from(*b"!");
                 let out = match what {
                     // Names come again while they are open, keys again and again, now and then with another body.
@@ -341,16 +341,16 @@
                         taken += 1;
                         let mut request = request(number, ["", "a", "b", "c"][which]);
                         request.ticket = Ticket(taken);
-                        request.patience_s = f64::from(ms) / 10.0;
+                        request.time_left_s = f64::from(ms) / 10.0;
                         if number == 7 {
                             request.body = body;
                         }
                         p.tell(Input::Arrived(request))
                     }
-                    4 => p.tell(Input::Gone(Ticket(number))),
+                    4 => p.tell(Input::ClientDisconnected(Ticket(number))),
                     5 => p.tell(Input::NeverRan { name: some }),
                     6 => p.tell(Input::RunsLost),
-                    7 => p.tell(Input::InDoubt { from: p.now - 0.1, to: p.now + 0.1 }),
+                    7 => p.tell(Input::CommandsLost { from: p.now - 0.1, to: p.now + 0.1 }),
                     8 => p.tell(Input::Woken(Gauges::default())),
                     _ => p.tell(Input::RunEnded { name: some, outcome, result: Some(body) }),
                 };
--- a/src/core/tests/lending.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -1,13 +1,13 @@
 //! Two cores at one executor, the one in the place of the other.
 
 use super::*;
-use crate::core::keys::KeyNews;
+use crate::dispatch::idempotency::IdempotencyUpdate;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 /// What the old core tells the new one, in order.
 enum Word {
-    Key(KeyNews),
+    Key(IdempotencyUpdate),
     Usage((usize, usize, f64)),
 }
 
@@ -61,7 +61,7 @@
     fn note(&mut self, old: bool, out: Vec<Command>) {
         for command in out {
             match command {
-                Command::Answer(ticket, _) => *self.answers.entry(ticket.0).or_default() += 1,
+                Command::Respond(ticket, _) => *self.answers.entry(ticket.0).or_default() += 1,
                 Command::Run { name, .. } => {
                     let number: u64 = name[1..].parse().unwrap();
                     let key = self.keys[&number].clone();
@@ -70,7 +70,7 @@
                     }
                     self.runs.insert(name, (key, old));
                 }
-                Command::Key(news) if old => self.words.push_back(Word::Key(news)),
+                Command::IdempotencyUpdate(news) if old => self.words.push_back(Word::Key(news)),
                 _ => {}
             }
         }
@@ -88,7 +88,7 @@
         let Some(name) = names.get(which % names.len().max(1)).cloned() else { return };
         let (key, old) = self.runs.remove(&name).unwrap();
         // Nothing was begun: it was no run.
-        if outcome == Outcome::TooLate && !key.is_empty() && (!old || self.old_alive) {
+        if outcome == Outcome::NotStarted && !key.is_empty() && (!old || self.old_alive) {
             *self.of_key.get_mut(&key).unwrap() -= 1;
         }
         let result = (outcome == Outcome::Ok).then(|| Rc::from(*b"done"));
@@ -104,12 +104,12 @@
         let lent = self.old.core.lend(now, |_| true, &mut out);
         self.note(true, out);
         self.new.core.succeed(lent.prints, lent.running);
-        self.tell(false, Input::Learned(lent.learned));
+        self.tell(false, Input::LearnedState(lent.learned));
         for news in lent.keys {
-            self.tell(false, Input::Key(news));
+            self.tell(false, Input::IdempotencyUpdate(news));
         }
         let (on_cores, calling, kb) = self.old.core.usage();
-        self.tell(false, Input::Beside { on_cores, calling, kb });
+        self.tell(false, Input::OtherProcess { on_cores, calling, kb });
         for request in lent.requests {
             self.tell(false, Input::Arrived(request.at(now)));
         }
@@ -117,9 +117,9 @@
 
     fn hear(&mut self) -> bool {
         match self.words.pop_front() {
-            Some(Word::Key(news)) => self.tell(false, Input::Key(news)),
+            Some(Word::Key(news)) => self.tell(false, Input::IdempotencyUpdate(news)),
             Some(Word::Usage((on_cores, calling, kb))) => {
-                self.tell(false, Input::Beside { on_cores, calling, kb });
+                self.tell(false, Input::OtherProcess { on_cores, calling, kb });
             }
             None => return false,
         }
@@ -162,7 +162,7 @@
                     pair.arrive(count, ["", "a", "b", "c"][*key]);
                 }
                 9..=14 => {
-                    pair.end(*which, [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::TooLate][*key])
+                    pair.end(*which, [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::NotStarted][*key])
                 }
                 _ => drop(pair.hear()),
             }
@@ -234,14 +234,14 @@
     pair.arrive(1, "");
     pair.lend();
     let out = pair.new.tell(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
-    assert_eq!(out, vec![Command::Answer(Ticket(9), Answer::Conflict)]);
+    assert_eq!(out, vec![Command::Respond(Ticket(9), Response::Conflict)]);
 }
 
 /// Tries waited for an end that had come, until their own time was over.
 #[test]
 fn the_end_of_a_key_in_the_other_process_reaches_its_tries_at_once() {
     for (outcome, answer) in
-        [(Outcome::Ok, served(b"done")), (Outcome::Error, Answer::Failed), (Outcome::TooLate, refused())]
+        [(Outcome::Ok, served(b"done")), (Outcome::Error, Response::Failed), (Outcome::NotStarted, refused())]
     {
         let mut pair = Pair::new();
         pair.arrive(1, "k");
@@ -250,11 +250,11 @@
         assert!(pair.new.core.knows("r2") && pair.words.is_empty());
         pair.end(0, outcome);
         let Some(Word::Key(news)) = pair.words.pop_front() else { panic!("no news of the key") };
-        let out = pair.new.tell(Input::Key(news));
+        let out = pair.new.tell(Input::IdempotencyUpdate(news));
         assert_eq!(answers(&out), vec![(2, answer)], "{outcome:?}");
         // Only what never ran may run again.
         let again = pair.new.arrive(3, "k");
-        assert_eq!(runs(&again), usize::from(outcome == Outcome::TooLate));
+        assert_eq!(runs(&again), usize::from(outcome == Outcome::NotStarted));
     }
 }
 
@@ -279,12 +279,12 @@
     assert_eq!(quotas, [(2.0, 4.0)]);
     assert!(arrivals[0] > 0.0 && lately == (arrivals[0], 2.0, 2.0), "{arrivals:?} {lately:?}");
     let mut new = with_quota();
-    new.tell(Input::Learned(given.learned));
+    new.tell(Input::LearnedState(given.learned));
     assert_eq!(lent(&mut new).learned.traffic, Traffic { quotas, arrivals, lately });
     // A successor of other bounds takes no more than it has itself.
     new.core.end_lending();
     let more = Traffic { quotas: vec![(1e6, 0.0)], ..Traffic::default() };
-    new.tell(Input::Learned(Learned { traffic: more, ..lent(&mut with_quota()).learned }));
+    new.tell(Input::LearnedState(LearnedState { traffic: more, ..lent(&mut with_quota()).learned }));
     assert_eq!(lent(&mut new).learned.traffic.quotas, [(2.0, 0.0)]);
 }
 
@@ -299,19 +299,19 @@
     let learned = p.core.lend(p.now, |_| true, &mut Vec::new()).learned;
     assert!((0.05..0.3).contains(&(learned.paces[0].0 / learned.paces[0].1)), "{learned:?}");
     let mut new = Play::new();
-    new.tell(Input::Learned(learned.clone()));
+    new.tell(Input::LearnedState(learned.clone()));
     assert_eq!(new.core.lend(0.0, |_| true, &mut Vec::new()).learned, learned);
     // What can't have been measured is let pass.
     let mut new = Play::new();
     let before = new.core.lend(0.0, |_| true, &mut Vec::new()).learned;
     new.core.end_lending();
-    new.tell(Input::Learned(Learned { usual_s: f64::NAN, ..learned.clone() }));
+    new.tell(Input::LearnedState(LearnedState { usual_s: f64::NAN, ..learned.clone() }));
     let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0)], ..Traffic::default() };
-    new.tell(Input::Learned(Learned { traffic, ..learned.clone() }));
-    new.tell(Input::Learned(Learned { paces: vec![(-1.0, 0.0, [0.0; 5])], ..learned.clone() }));
+    new.tell(Input::LearnedState(LearnedState { traffic, ..learned.clone() }));
+    new.tell(Input::LearnedState(LearnedState { paces: vec![(-1.0, 0.0, [0.0; 5])], ..learned.clone() }));
     assert_eq!(new.core.lend(0.0, |_| true, &mut Vec::new()).learned, before);
     let mut new = Play::new();
-    new.tell(Input::Learned(Learned { runs: 1_000_000, ..learned }));
+    new.tell(Input::LearnedState(LearnedState { runs: 1_000_000, ..learned }));
     let most = new.core.lend(0.0, |_| true, &mut Vec::new()).learned.runs;
     assert!(most <= 16, "{most}");
 }
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -2,7 +2,7 @@
 //! JSON. Kinds and keys that are not known are passed over, so that two versions can speak; [`VERSION`] says what a
 //! program understands beyond that. Operators' commands use the same door.
 
-use super::overload::{Digest, Load};
+use super::overload::{FleetDigest, LoadReport};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,22 +11,22 @@
 pub const VERSION: u32 = 2;
 /// The largest frame that a coordinator takes, and the largest that it sends (bytes): a worker's say is small, the
 /// figures of a whole fleet are not.
-pub const SAY_MOST_BYTES: usize = 16 * 1024;
-pub const HEAR_MOST_BYTES: usize = 1024 * 1024;
+pub const MAX_CLIENT_FRAME_BYTES: usize = 16 * 1024;
+pub const MAX_SERVER_FRAME_BYTES: usize = 1024 * 1024;
 /// Names of workers, zones and tasks at most (bytes).
-pub const NAME_MOST_BYTES: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Tasks that a fleet may have.
-pub const TASKS_MOST: usize = 64;
+pub const MAX_TASKS: usize = 64;
 
 /// Whether this may be the name of a worker, a zone or a task: letters, digits, `-`, `_`, `.` and no more than that.
-pub fn good_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let known = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= NAME_MOST_BYTES && name.bytes().all(known)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(known)
 }
 
 /// A lease as both sides name it: the task, and the fencing token under which it was granted.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Held {
+pub struct LeaseRef {
     pub task: String,
     pub token: u64,
 }
@@ -34,7 +34,7 @@
 /// How a call of a period ended, as far as its holder knows.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
+pub enum CallOutcome {
     /// It counts.
     Done,
     /// It surely had no effect: it was never sent, or was refused.
@@ -44,13 +44,13 @@
 }
 
 /// A worker's figures since its start, by name.
-pub type Counts = BTreeMap<String, u64>;
+pub type Counters = BTreeMap<String, u64>;
 
 /// The fleet's figures, as one worker has added them up.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
-pub struct Totals {
-    pub counts: Counts,
+pub struct FleetTotals {
+    pub counts: Counters,
     /// Workers that are in them.
     pub workers: usize,
     /// Who added them up, and the oldest figures among them (milliseconds, when they were sent on).
@@ -61,7 +61,7 @@
 /// What a worker, or an operators' command, says.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "say", rename_all = "kebab-case")]
-pub enum Say {
+pub enum ClientMessage {
     Hello {
         fleet: String,
         version: u32,
@@ -72,47 +72,41 @@
         process: u64,
     },
     /// A sign of life. The leases named are to be renewed; `wants` are the tasks that this worker would take.
-    Keep {
+    #[serde(rename = "keep")]
+    Heartbeat {
         seq: u64,
         #[serde(default)]
         wants: Vec<String>,
         #[serde(default)]
-        held: Vec<Held>,
+        held: Vec<LeaseRef>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        figures: Option<Counts>,
+        figures: Option<Counters>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        totals: Option<Totals>,
+        totals: Option<FleetTotals>,
         /// Where the fleet handles overload as one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// The worker has stopped acting under this lease. `pass_on` gives it to the newest process of the same name.
-    GiveBack {
-        held: Held,
+    #[serde(rename = "give-back")]
+    ReleaseLease {
+        held: LeaseRef,
         #[serde(default)]
         failed: bool,
         #[serde(default)]
         pass_on: bool,
     },
     /// May the call of the next period be sent? Asked again with the same attempt, it is the same question.
-    Begin {
-        held: Held,
-        every_ms: u64,
-        safe: bool,
-        attempt: u64,
-    },
-    End {
-        held: Held,
-        period: u64,
-        ending: Ending,
-    },
+    #[serde(rename = "begin")]
+    BeginPeriod { held: LeaseRef, every_ms: u64, safe: bool, attempt: u64 },
+    #[serde(rename = "end")]
+    EndPeriod { held: LeaseRef, period: u64, ending: CallOutcome },
     /// The worker leaves; it has stopped acting.
-    Bye,
+    #[serde(rename = "bye")]
+    Goodbye,
     /// An operator's question.
-    Ask {
-        fleet: String,
-        what: Question,
-    },
+    #[serde(rename = "ask")]
+    Query { fleet: String, what: OperatorQuery },
     #[serde(other)]
     Unknown,
 }
@@ -120,7 +114,7 @@
 /// What operators ask of a coordinator.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Question {
+pub enum OperatorQuery {
     /// How this one coordinator stands; answered by any, also by one that is aside.
     Status,
     /// Answered by the leader alone, after a quorum has confirmed it.
@@ -144,7 +138,7 @@
 /// What a coordinator says.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "word", rename_all = "kebab-case")]
-pub enum Word {
+pub enum ServerMessage {
     Welcome {
         session: u64,
         session_ttl_ms: u64,
@@ -157,39 +151,46 @@
         why: String,
     },
     /// The leases that were renewed, counted from when the sign of life of this number was sent.
-    Kept {
+    #[serde(rename = "kept")]
+    HeartbeatAck {
         seq: u64,
-        leases: Vec<Renewed>,
+        leases: Vec<RenewedLease>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        totals: Option<Totals>,
+        totals: Option<FleetTotals>,
         /// For whoever adds up the fleet's figures: each worker's, with their age in milliseconds.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        figures: Vec<(u64, Counts)>,
+        figures: Vec<(u64, Counters)>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        overload: Option<Digest>,
+        overload: Option<FleetDigest>,
     },
     /// The lease is this worker's from its next renewal on.
-    Granted {
-        held: Held,
+    #[serde(rename = "granted")]
+    LeaseGranted {
+        held: LeaseRef,
     },
     /// The call of this period may be sent.
-    Begun {
-        held: Held,
+    #[serde(rename = "begun")]
+    PeriodBegun {
+        held: LeaseRef,
         period: u64,
         attempt: u64,
     },
     /// It may not; ask again after so long.
-    NotBegun {
-        held: Held,
+    #[serde(rename = "not-begun")]
+    PeriodNotBegun {
+        held: LeaseRef,
         in_ms: u64,
         why: String,
     },
     /// The session is over: say hello again.
-    Gone,
-    Refused {
+    #[serde(rename = "gone")]
+    SessionExpired,
+    #[serde(rename = "refused")]
+    Rejected {
         why: String,
     },
-    Answer {
+    #[serde(rename = "answer")]
+    QueryResult {
         answer: serde_json::Value,
     },
     #[serde(other)]
@@ -198,8 +199,8 @@
 
 /// A lease that was renewed.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub struct Renewed {
-    pub held: Held,
+pub struct RenewedLease {
+    pub held: LeaseRef,
     pub ttl_ms: u64,
 }
 
--- a/src/fleet/holder.rs
+++ b/src/fleet/lease_holder.rs
@@ -1,10 +1,10 @@
 //! What a worker may believe of its leases: until when, on its own clock, nobody else can hold them.
 //!
-//! Owed to callers: [`Holder::may_act`] says yes only while no other process can hold the lease. A lease counts from
+//! Owed to callers: [`LeaseHolder::may_act`] says yes only while no other process can hold the lease. A lease counts from
 //! when the renewal that was granted had been *sent*, less a share of its time for clocks that run apart: the
 //! coordinators count from when they received it. The clock has to go on while the machine sleeps.
 
-use super::frame::{Held, Renewed};
+use super::frame::{LeaseRef, RenewedLease};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Signs of life whose answers may still come.
@@ -20,21 +20,21 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     /// The share of a lease's time that is not used, for drift of both clocks together.
     drift: f64,
     leases: BTreeMap<String, Known>,
     /// Signs of life by number: when each was sent, and what it asked to renew.
-    sent: VecDeque<(u64, f64, Vec<Held>)>,
+    sent: VecDeque<(u64, f64, Vec<LeaseRef>)>,
 }
 
-impl Holder {
-    pub fn new(drift: f64) -> Holder {
-        Holder { drift, leases: BTreeMap::new(), sent: VecDeque::new() }
+impl LeaseHolder {
+    pub fn new(drift: f64) -> LeaseHolder {
+        LeaseHolder { drift, leases: BTreeMap::new(), sent: VecDeque::new() }
     }
 
     /// A task was granted: it is held from the next renewal on. One under a lower token is over.
-    pub fn granted(&mut self, held: &Held) {
+    pub fn granted(&mut self, held: &LeaseRef) {
         let known = self.leases.get(&held.task).map_or(0, |k| k.token);
         if held.token > known {
             self.leases.insert(held.task.clone(), Known { token: held.token, until: None, ttl_s: 0.0 });
@@ -42,9 +42,9 @@
     }
 
     /// What to ask for in the sign of life that is sent now.
-    pub fn ask(&mut self, now: f64, seq: u64) -> Vec<Held> {
-        let held: Vec<Held> =
-            self.leases.iter().map(|(task, k)| Held { task: task.clone(), token: k.token }).collect();
+    pub fn ask(&mut self, now: f64, seq: u64) -> Vec<LeaseRef> {
+        let held: Vec<LeaseRef> =
+            self.leases.iter().map(|(task, k)| LeaseRef { task: task.clone(), token: k.token }).collect();
         self.sent.push_back((seq, now, held.clone()));
         if self.sent.len() > SENT_MOST {
             self.sent.pop_front();
@@ -53,7 +53,7 @@
     }
 
     /// The answer to a sign of life; which leases are lost with it.
-    pub fn kept(&mut self, seq: u64, leases: &[Renewed]) -> Vec<Held> {
+    pub fn kept(&mut self, seq: u64, leases: &[RenewedLease]) -> Vec<LeaseRef> {
         let Some(at) = self.sent.iter().position(|(sent, ..)| *sent == seq) else { return Vec::new() };
         // Answers to earlier ones say nothing more.
         self.sent.drain(..at);
@@ -94,12 +94,12 @@
         self.leases.get(task)?.until
     }
 
-    pub fn all(&self) -> impl Iterator<Item = Held> + '_ {
-        self.leases.iter().map(|(task, k)| Held { task: task.clone(), token: k.token })
+    pub fn all(&self) -> impl Iterator<Item = LeaseRef> + '_ {
+        self.leases.iter().map(|(task, k)| LeaseRef { task: task.clone(), token: k.token })
     }
 
     /// Signs of life whose answers are still looked for: number, when it was sent, what it asked to renew.
-    pub fn outstanding(&self) -> impl Iterator<Item = &(u64, f64, Vec<Held>)> {
+    pub fn outstanding(&self) -> impl Iterator<Item = &(u64, f64, Vec<LeaseRef>)> {
         self.sent.iter()
     }
 
--- a/src/fleet/holder/tests.rs
+++ b/src/fleet/lease_holder/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-fn held(token: u64) -> Held {
-    Held { task: "t".into(), token }
+fn held(token: u64) -> LeaseRef {
+    LeaseRef { task: "t".into(), token }
 }
 
-fn renewed(token: u64) -> Vec<Renewed> {
-    vec![Renewed { held: held(token), ttl_ms: 3000 }]
+fn renewed(token: u64) -> Vec<RenewedLease> {
+    vec![RenewedLease { held: held(token), ttl_ms: 3000 }]
 }
 
 #[test]
 fn a_lease_counts_from_when_its_renewal_was_sent_and_not_from_the_answer() {
-    let mut holder = Holder::new(0.1);
+    let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(4));
     assert_eq!(holder.may_act(0.0, "t", 0.0), None, "a grant alone says nothing of since when");
     holder.ask(1.0, 1);
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_late_answer_to_an_early_renewal_gives_no_more_than_that() {
-    let mut holder = Holder::new(0.1);
+    let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(4));
     holder.ask(1.0, 1);
     holder.ask(2.0, 2);
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_renewal_that_comes_after_the_lease_was_given_up_or_lost_brings_nothing_back() {
-    let mut holder = Holder::new(0.1);
+    let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(4));
     holder.ask(1.0, 1);
     holder.ask(1.5, 2);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,23 +1,23 @@
 //! What a worker knows of the fleet, and what it may do for it. No I/O here; the clock and the dice are passed in.
 //!
-//! [`Member`] is all of it: told what its link hears and what its calls came to, it gives acts. A worker serves the same
+//! [`FleetMember`] is all of it: told what its link hears and what its calls came to, it gives acts. A worker serves the same
 //! with and without it: nothing here is asked before a request is answered.
 //!
 //! Off without `[fleet]` in an operator's file: then nothing of it is constructed.
 
 pub mod frame;
-pub mod holder;
+pub mod lease_holder;
 pub mod overload;
 pub mod session;
 pub mod tasks;
 
-use frame::{Counts, Ending, Held, Say, Totals, Word, VERSION};
-use holder::Holder;
-use overload::member::{Advice, Numbers, Side};
+use frame::{CallOutcome, ClientMessage, Counters, FleetTotals, LeaseRef, ServerMessage, VERSION};
+use lease_holder::LeaseHolder;
+use overload::client::{FleetOverloadClient, LoadSample, OverloadDirective};
 use overload::TELL_S;
 use session::{Session, Step};
 use std::net::SocketAddr;
-use tasks::{Answered, Order, Schedule, Scheduled};
+use tasks::{PeriodDecision, Schedule, ScheduledCall, ScheduledTask};
 
 /// The task whose holder adds up the fleet's figures.
 pub const TOTALS: &str = "totals";
@@ -26,7 +26,7 @@
 
 /// What a worker is told of its fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct MembershipConfig {
     pub fleet: String,
     pub name: String,
     pub zone: String,
@@ -43,20 +43,20 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum MemberAction {
     Connect(SocketAddr),
-    Send(Say),
+    Send(ClientMessage),
     Close,
-    Call(Order),
+    Call(ScheduledCall),
     Log(String),
 }
 
 /// One worker's membership.
-pub struct Member {
-    plan: Plan,
+pub struct FleetMember {
+    plan: MembershipConfig,
     session: Session,
-    holder: Holder,
-    tasks: Vec<Scheduled>,
+    holder: LeaseHolder,
+    tasks: Vec<ScheduledTask>,
     /// Whether it takes tasks: not while it is drained.
     takes: bool,
     leaving: bool,
@@ -64,29 +64,29 @@
     replaced: bool,
     said_bye: bool,
     figures_at: f64,
-    totals: Option<(Totals, f64)>,
+    totals: Option<(FleetTotals, f64)>,
     /// What it has added up and not yet sent.
-    sum: Option<Totals>,
-    overload: Option<Side>,
+    sum: Option<FleetTotals>,
+    overload: Option<FleetOverloadClient>,
     /// What is to be told with the next sign of life.
-    numbers: Option<Numbers>,
-    acts: Vec<Act>,
+    numbers: Option<LoadSample>,
+    acts: Vec<MemberAction>,
 }
 
-impl Member {
+impl FleetMember {
     /// `process` tells this process from others of its name; `seed` is for pauses.
-    pub fn new(now: f64, plan: Plan, process: u64, seed: u64) -> Member {
-        let hello = Say::Hello {
+    pub fn new(now: f64, plan: MembershipConfig, process: u64, seed: u64) -> FleetMember {
+        let hello = ClientMessage::Hello {
             fleet: plan.fleet.clone(),
             version: VERSION,
             name: plan.name.clone(),
             zone: plan.zone.clone(),
             process,
         };
-        Member {
+        FleetMember {
             session: Session::new(now, plan.coordinators.clone(), seed, hello),
-            holder: Holder::new(plan.drift),
-            tasks: plan.tasks.iter().cloned().enumerate().map(|(n, s)| Scheduled::new(n, s)).collect(),
+            holder: LeaseHolder::new(plan.drift),
+            tasks: plan.tasks.iter().cloned().enumerate().map(|(n, s)| ScheduledTask::new(n, s)).collect(),
             takes: true,
             leaving: false,
             replaced: false,
@@ -94,23 +94,23 @@
             figures_at: f64::NEG_INFINITY,
             totals: None,
             sum: None,
-            overload: plan.overload.map(|part| Side::new(now, part, plan.drift)),
+            overload: plan.overload.map(|part| FleetOverloadClient::new(now, part, plan.drift)),
             numbers: None,
             acts: Vec::new(),
             plan,
         }
     }
 
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &MembershipConfig {
         &self.plan
     }
 
-    pub fn take_acts(&mut self) -> Vec<Act> {
+    pub fn take_acts(&mut self) -> Vec<MemberAction> {
         std::mem::take(&mut self.acts)
     }
 
     /// Time passes. `figures` are this worker's own, if it has any to tell.
-    pub fn tick(&mut self, now: f64, figures: impl FnOnce() -> Counts) {
+    pub fn tick(&mut self, now: f64, figures: impl FnOnce() -> Counters) {
         let mut steps = Vec::new();
         let due = self.session.tick(now, &mut steps);
         self.carry(steps);
@@ -122,7 +122,7 @@
         }
         for n in 0..self.tasks.len() {
             if let Some(say) = self.tasks[n].tick(now, &self.holder) {
-                self.acts.push(Act::Send(say));
+                self.acts.push(MemberAction::Send(say));
             }
             if self.tasks[n].gives_up() {
                 let name = self.tasks[n].schedule.name.clone();
@@ -133,13 +133,13 @@
 
     fn carry(&mut self, steps: Vec<Step>) {
         self.acts.extend(steps.into_iter().map(|step| match step {
-            Step::Connect(to) => Act::Connect(to),
-            Step::Send(say) => Act::Send(say),
-            Step::Close => Act::Close,
+            Step::Connect(to) => MemberAction::Connect(to),
+            Step::Send(say) => MemberAction::Send(say),
+            Step::Close => MemberAction::Close,
         }));
     }
 
-    fn keep(&mut self, now: f64, figures: impl FnOnce() -> Counts) {
+    fn keep(&mut self, now: f64, figures: impl FnOnce() -> Counters) {
         let tells_s = if self.overload.is_some() { TELL_S } else { f64::INFINITY };
         let every_s = self.holder.renew_every().unwrap_or(f64::INFINITY).min(self.session.keep_every_s);
         let every_s = every_s.min(tells_s);
@@ -152,7 +152,7 @@
         let held = self.holder.ask(now, seq);
         let numbers = self.numbers.take();
         let load = self.overload.as_mut().zip(numbers).map(|(side, n)| side.report(now, seq, &n));
-        self.acts.push(Act::Send(Say::Keep {
+        self.acts.push(MemberAction::Send(ClientMessage::Heartbeat {
             seq,
             wants,
             held,
@@ -162,18 +162,18 @@
         }));
     }
 
-    /// Whether a sign of life is due with which this worker tells its load: [`Member::tell`] comes before the tick then.
+    /// Whether a sign of life is due with which this worker tells its load: [`FleetMember::tell`] comes before the tick then.
     pub fn tells(&self, now: f64) -> bool {
         self.overload.is_some() && self.session.keep_due(now)
     }
 
     /// What this worker's decision module has counted since it was asked last.
-    pub fn tell(&mut self, numbers: Numbers) {
+    pub fn tell(&mut self, numbers: LoadSample) {
         self.numbers = Some(numbers);
     }
 
     /// What the decision module may go by now, on the same clock.
-    pub fn advice(&self, now: f64) -> Option<Advice> {
+    pub fn advice(&self, now: f64) -> Option<OverloadDirective> {
         self.overload.as_ref().map(|side| side.advice(now))
     }
 
@@ -191,13 +191,14 @@
     /// The link is gone, by whoever's doing.
     pub fn broken(&mut self, now: f64) {
         if self.session.is_up() {
-            self.acts
-                .push(Act::Log("fleet: the link to the coordinators is gone; serving goes on".to_owned()));
+            self.acts.push(MemberAction::Log(
+                "fleet: the link to the coordinators is gone; serving goes on".to_owned(),
+            ));
         }
         self.session.broken(now);
     }
 
-    pub fn heard(&mut self, now: f64, word: &Word) {
+    pub fn heard(&mut self, now: f64, word: &ServerMessage) {
         let was_up = self.session.is_up();
         let mut steps = Vec::new();
         if self.session.heard(now, word, &mut steps) {
@@ -205,26 +206,32 @@
         }
         self.carry(steps);
         match word {
-            Word::Welcome { session, .. } => {
+            ServerMessage::Welcome { session, .. } => {
                 let at = self.session.coordinator();
                 let at = at.map_or_else(String::new, |a| a.to_string());
-                self.acts.push(Act::Log(format!("fleet: session {session} over {at}")));
+                self.acts.push(MemberAction::Log(format!("fleet: session {session} over {at}")));
                 self.holder.relinked();
-                self.overload.iter_mut().for_each(Side::relinked);
+                self.overload.iter_mut().for_each(FleetOverloadClient::relinked);
                 for task in &mut self.tasks {
-                    self.acts.extend(task.relinked(now).map(Act::Send));
+                    self.acts.extend(task.relinked(now).map(MemberAction::Send));
                 }
             }
-            Word::NotLeader { why, .. } if was_up => {
-                self.acts.push(Act::Log(format!("fleet: the coordinator does not lead any more: {why}")));
+            ServerMessage::NotLeader { why, .. } if was_up => {
+                self.acts
+                    .push(MemberAction::Log(format!("fleet: the coordinator does not lead any more: {why}")));
             }
-            Word::Refused { why } => self.acts.push(Act::Log(format!("fleet: refused: {why}"))),
-            Word::Kept { seq, leases, totals, figures, overload } => {
+            ServerMessage::Rejected { why } => {
+                self.acts.push(MemberAction::Log(format!("fleet: refused: {why}")))
+            }
+            ServerMessage::HeartbeatAck { seq, leases, totals, figures, overload } => {
                 if let (Some(side), Some(digest)) = (&mut self.overload, overload) {
                     side.heard(*seq, digest);
                 }
                 for lost in self.holder.kept(*seq, leases) {
-                    self.acts.push(Act::Log(format!("fleet: {} is lost, token {}", lost.task, lost.token)));
+                    self.acts.push(MemberAction::Log(format!(
+                        "fleet: {} is lost, token {}",
+                        lost.task, lost.token
+                    )));
                 }
                 if let Some(totals) = totals {
                     self.totals = Some((totals.clone(), now));
@@ -233,31 +240,38 @@
                     self.sum = Some(add_up(&self.plan.name, figures));
                 }
             }
-            Word::Granted { held } => {
+            ServerMessage::LeaseGranted { held } => {
                 let ours = self.takes && !self.leaving && self.wants().contains(&held.task);
                 if ours {
-                    self.acts.push(Act::Log(format!("fleet: {} is held, token {}", held.task, held.token)));
+                    self.acts.push(MemberAction::Log(format!(
+                        "fleet: {} is held, token {}",
+                        held.task, held.token
+                    )));
                     self.holder.granted(held);
                 } else {
                     // It was asked for before the drain: nobody here will act for it.
                     let held = held.clone();
-                    self.acts.push(Act::Send(Say::GiveBack { held, failed: false, pass_on: self.replaced }));
+                    self.acts.push(MemberAction::Send(ClientMessage::ReleaseLease {
+                        held,
+                        failed: false,
+                        pass_on: self.replaced,
+                    }));
                 }
                 self.session.keep_soon(now);
             }
-            Word::Begun { held, period, attempt } => {
+            ServerMessage::PeriodBegun { held, period, attempt } => {
                 let takes = self.takes && !self.leaving;
                 if let Some(task) =
                     self.tasks.iter_mut().find(|t| t.schedule.name == held.task).filter(|_| takes)
                 {
                     match task.begun(now, held, *period, *attempt, &self.holder) {
-                        Answered::Call(order) => self.acts.push(Act::Call(order)),
-                        Answered::Tell(say) => self.acts.push(Act::Send(say)),
-                        Answered::Overtaken => {}
+                        PeriodDecision::Call(order) => self.acts.push(MemberAction::Call(order)),
+                        PeriodDecision::Tell(say) => self.acts.push(MemberAction::Send(say)),
+                        PeriodDecision::Overtaken => {}
                     }
                 }
             }
-            Word::NotBegun { held, in_ms, .. } => {
+            ServerMessage::PeriodNotBegun { held, in_ms, .. } => {
                 if let Some(task) = self.tasks.iter_mut().find(|t| t.schedule.name == held.task) {
                     // A little late rather than early: else each period is asked for twice.
                     task.not_begun(now, *in_ms as f64 / 1000.0 + 0.002);
@@ -268,14 +282,14 @@
     }
 
     /// A call has ended.
-    pub fn call_ended(&mut self, now: f64, task: usize, ending: Ending) {
+    pub fn call_ended(&mut self, now: f64, task: usize, ending: CallOutcome) {
         let Some(scheduled) = self.tasks.get_mut(task) else { return };
         if let Some(say) = scheduled.ended(now, ending) {
             let name = scheduled.schedule.name.clone();
-            if ending != Ending::Done {
-                self.acts.push(Act::Log(format!("fleet: a call of {name} ended as {ending:?}")));
+            if ending != CallOutcome::Done {
+                self.acts.push(MemberAction::Log(format!("fleet: a call of {name} ended as {ending:?}")));
             }
-            self.acts.push(Act::Send(say));
+            self.acts.push(MemberAction::Send(say));
             if self.leaving || !self.takes {
                 self.give_back(&name, false, self.replaced);
             }
@@ -285,23 +299,26 @@
 
     fn drop_all(&mut self, why: &str) {
         for held in self.holder.all() {
-            self.acts.push(Act::Log(format!("fleet: {} is lost, token {}: {why}", held.task, held.token)));
+            self.acts.push(MemberAction::Log(format!(
+                "fleet: {} is lost, token {}: {why}",
+                held.task, held.token
+            )));
         }
         self.holder.clear();
     }
 
     fn give_back(&mut self, task: &str, failed: bool, pass_on: bool) {
         if let Some(token) = self.holder.token(task) {
-            let held = Held { task: task.to_owned(), token };
-            self.acts.push(Act::Log(format!("fleet: {task} is given back, token {token}")));
+            let held = LeaseRef { task: task.to_owned(), token };
+            self.acts.push(MemberAction::Log(format!("fleet: {task} is given back, token {token}")));
             self.holder.drop_lease(task);
-            self.acts.push(Act::Send(Say::GiveBack { held, failed, pass_on }));
+            self.acts.push(MemberAction::Send(ClientMessage::ReleaseLease { held, failed, pass_on }));
         }
     }
 
     /// Gives back what no call is under way for.
     fn give_back_idle(&mut self, pass_on: bool) {
-        let held: Vec<Held> = self.holder.all().collect();
+        let held: Vec<LeaseRef> = self.holder.all().collect();
         for one in held {
             if !self.tasks.iter().any(|t| t.schedule.name == one.task && t.calling()) {
                 self.give_back(&one.task, false, pass_on);
@@ -334,17 +351,17 @@
         if self.leaving
             && !self.said_bye
             && self.session.is_up()
-            && !self.tasks.iter().any(Scheduled::calling)
+            && !self.tasks.iter().any(ScheduledTask::calling)
         {
             self.said_bye = true;
-            self.acts.push(Act::Send(Say::Bye));
+            self.acts.push(MemberAction::Send(ClientMessage::Goodbye));
         }
     }
 
     /// When something is due next.
     pub fn next(&self, now: f64) -> f64 {
         let tasks = self.tasks.iter().filter(|t| self.holder.token(&t.schedule.name).is_some());
-        let next = tasks.map(Scheduled::next).fold(self.session.next(), f64::min);
+        let next = tasks.map(ScheduledTask::next).fold(self.session.next(), f64::min);
         // What is due and can't be done now, as under a lease that has run out, is looked at with the next sign of life.
         if next <= now {
             now + 0.05
@@ -395,8 +412,8 @@
 }
 
 /// The sum of all workers' figures, as old as the oldest of them. What one worker sends can't overflow it.
-fn add_up(by: &str, figures: &[(u64, Counts)]) -> Totals {
-    let mut counts = Counts::new();
+fn add_up(by: &str, figures: &[(u64, Counters)]) -> FleetTotals {
+    let mut counts = Counters::new();
     for (_, one) in figures {
         for (name, value) in one {
             let sum = counts.entry(name.clone()).or_default();
@@ -404,5 +421,5 @@
         }
     }
     let age_ms = figures.iter().map(|(age, _)| *age).max().unwrap_or(0);
-    Totals { counts, workers: figures.len(), by: by.to_owned(), age_ms }
+    FleetTotals { counts, workers: figures.len(), by: by.to_owned(), age_ms }
 }
--- a/src/fleet/overload/calls.rs
+++ b/src/fleet/overload/capacity_leases.rs
@@ -28,7 +28,7 @@
 
 /// What one worker is at the dealer.
 #[derive(Clone, Debug, Default)]
-struct Party {
+struct CapacityHolder {
     number: u64,
     /// Digests that it may say it has heard: number, and when it went out.
     sent: VecDeque<(u64, f64)>,
@@ -37,11 +37,11 @@
     /// Slices that it may go by: the digest's number, amount, and until when at the latest.
     given: Vec<(u64, f64, f64)>,
     wants: f64,
-    worth: f64,
+    weight: f64,
     came: f64,
 }
 
-impl Party {
+impl CapacityHolder {
     /// What it has surely lent until then.
     fn lent(&self, until: f64) -> f64 {
         self.loans.iter().filter(|(_, end)| *end >= until).map(|(amount, _)| *amount).fold(0.0, f64::max)
@@ -55,22 +55,22 @@
 
 /// What a worker says about its part in a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Claim {
+pub struct CapacityReport {
     /// The last digest that it had heard.
     pub heard: u64,
     pub lends: f64,
     pub wants: f64,
-    pub worth: f64,
+    pub weight: f64,
 }
 
 /// The leader's side.
 #[derive(Clone, Debug)]
-pub struct Dealer {
+pub struct CapacityLeaseServer {
     /// The most that one worker can lend: a quarter of a declared part.
     lend_most: f64,
     /// Slices of the leader before may be alive until then.
     gives_from: f64,
-    parties: BTreeMap<u64, Party>,
+    parties: BTreeMap<u64, CapacityHolder>,
     /// By worker: what a fair division of what is lent would give it, as of then.
     fair: (f64, BTreeMap<u64, f64>),
 }
@@ -78,23 +78,28 @@
 /// A division holds for so long (seconds): a report of each worker comes twice a second.
 const DIVIDE_S: f64 = 0.1;
 
-impl Dealer {
+impl CapacityLeaseServer {
     /// A dealer for a leader that begins to lead now. `part` is what each worker may have in hand by itself.
-    pub fn lead(now: f64, part: f64) -> Dealer {
-        Dealer::lead_after(now + SLICE_S, part)
+    pub fn lead(now: f64, part: f64) -> CapacityLeaseServer {
+        CapacityLeaseServer::lead_after(now + SLICE_S, part)
     }
 
     /// One that gives from then on: the proof takes the wait away.
-    pub fn lead_after(gives_from: f64, part: f64) -> Dealer {
+    pub fn lead_after(gives_from: f64, part: f64) -> CapacityLeaseServer {
         let fair = (f64::NEG_INFINITY, BTreeMap::new());
-        Dealer { lend_most: part.max(0.0) * (1.0 - KEPT), gives_from, parties: BTreeMap::new(), fair }
+        CapacityLeaseServer {
+            lend_most: part.max(0.0) * (1.0 - KEPT),
+            gives_from,
+            parties: BTreeMap::new(),
+            fair,
+        }
     }
 
     /// A worker's report came.
-    pub fn came(&mut self, now: f64, worker: u64, claim: Claim) {
+    pub fn came(&mut self, now: f64, worker: u64, claim: CapacityReport) {
         let party = self.parties.entry(worker).or_default();
         party.came = now;
-        (party.wants, party.worth) = (claim.wants, claim.worth);
+        (party.wants, party.weight) = (claim.wants, claim.weight);
         // It goes by this digest or a later one: what came before is over.
         party.given.retain(|(number, _, end)| *number >= claim.heard && *end > now);
         party.loans.retain(|(_, end)| *end > now);
@@ -135,7 +140,7 @@
         }
         self.parties.retain(|_, p| now - p.came < SILENT_S);
         let lent: f64 = self.parties.values().map(|p| p.lent(now + SLICE_S)).sum();
-        let wants = |(id, p): (&u64, &Party)| (*id, p.wants, p.worth.max(1e-3));
+        let wants = |(id, p): (&u64, &CapacityHolder)| (*id, p.wants, p.weight.max(1e-3));
         let wanting: Vec<(u64, f64, f64)> = self.parties.iter().map(wants).filter(|w| w.1 > 0.0).collect();
         self.fair = (now, fill(lent, wanting));
     }
@@ -168,7 +173,7 @@
 
 /// The worker's side: what it may have in hand.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct CapacityClient {
     own: f64,
     drift: f64,
     /// What it has promised to do without, and until when.
@@ -179,12 +184,12 @@
     heard: u64,
 }
 
-impl Part {
+impl CapacityClient {
     /// A process that starts now; `own` is its part (mean calls in hand), `drift` the share by which clocks may differ.
-    pub fn new(now: f64, own: f64, drift: f64) -> Part {
+    pub fn new(now: f64, own: f64, drift: f64) -> CapacityClient {
         let before = (own * (1.0 - KEPT), now + LOAN_S / (1.0 - drift));
         let (asked, slice) = (VecDeque::new(), (0.0, f64::NEG_INFINITY));
-        Part { own, drift, loans: VecDeque::from([before]), asked, slice, heard: 0 }
+        CapacityClient { own, drift, loans: VecDeque::from([before]), asked, slice, heard: 0 }
     }
 
     /// A report goes out: what it may lend of `spare` calls that it does not need, and the digest that it goes by.
@@ -239,5 +244,4 @@
 }
 
 #[cfg(test)]
-#[path = "calls_tests.rs"]
 mod tests;
--- a/src/fleet/overload/calls_tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -51,10 +51,10 @@
 }
 
 struct Worker {
-    part: Part,
+    part: CapacityClient,
     leader: usize,
     number: u64,
-    up: VecDeque<(u64, Claim)>,
+    up: VecDeque<(u64, CapacityReport)>,
     /// What came to the leader and waits for the quorum.
     came: VecDeque<(u64, f64)>,
     down: VecDeque<(u64, u64, f64)>,
@@ -68,10 +68,10 @@
     let drift = if weak == Weak::NoDrift { 0.0 } else { DRIFT };
     let new = |w: usize, now: f64, whole: bool| {
         let began = if whole { now * rate(w) - 100.0 } else { now * rate(w) };
-        Part::new(began, OWN, drift)
+        CapacityClient::new(began, OWN, drift)
     };
     let mut now = 1000.0;
-    let mut leaders = vec![Dealer::lead(now * leaders_rate, OWN)];
+    let mut leaders = vec![CapacityLeaseServer::lead(now * leaders_rate, OWN)];
     let mut workers: Vec<Worker> = (0..WORKERS)
         .map(|w| Worker {
             part: new(w, now, true),
@@ -91,7 +91,7 @@
                 let worker = &mut workers[w];
                 worker.number += 1;
                 let (lends, heard) = worker.part.report(now * rate(w), worker.number, spare);
-                let claim = Claim { heard, lends, wants: (-spare).max(0.0), worth: 1.0 };
+                let claim = CapacityReport { heard, lends, wants: (-spare).max(0.0), weight: 1.0 };
                 worker.up.push_back((worker.number, claim));
             }
             Step::Arrive(w) => {
@@ -132,7 +132,7 @@
             }
             Step::Lead => {
                 let from = if weak == Weak::NoWait { leaders_now } else { leaders_now + SLICE_S };
-                leaders.push(Dealer::lead_after(from, OWN));
+                leaders.push(CapacityLeaseServer::lead_after(from, OWN));
             }
         }
         let may: f64 =
@@ -195,12 +195,16 @@
 
 #[test]
 fn what_one_lends_another_has_within_two_reports_and_back_when_the_loan_ends() {
-    let mut dealer = Dealer::lead(0.0, OWN);
-    let mut parts = [Part::new(-10.0, OWN, DRIFT), Part::new(-10.0, OWN, DRIFT)];
+    let mut dealer = CapacityLeaseServer::lead(0.0, OWN);
+    let mut parts = [CapacityClient::new(-10.0, OWN, DRIFT), CapacityClient::new(-10.0, OWN, DRIFT)];
     let mut round = |now: f64, number: u64, spare: [f64; 2]| {
         for w in 0..2 {
             let (lends, heard) = parts[w].report(now, number, spare[w]);
-            dealer.came(now, w as u64, Claim { heard, lends, wants: (-spare[w]).max(0.0), worth: 1.0 });
+            dealer.came(
+                now,
+                w as u64,
+                CapacityReport { heard, lends, wants: (-spare[w]).max(0.0), weight: 1.0 },
+            );
         }
         for (w, part) in parts.iter_mut().enumerate() {
             let (digest, slice) = dealer.deal(now, now, w as u64);
@@ -226,11 +230,11 @@
 
 #[test]
 fn a_liar_lends_no_more_than_a_quarter_of_a_part_and_takes_no_more_than_is_lent() {
-    let mut dealer = Dealer::lead(0.0, OWN);
+    let mut dealer = CapacityLeaseServer::lead(0.0, OWN);
     for now in [1.0, 1.5] {
         for (worker, lends, wants) in [(1, 1e6, 0.0), (2, 0.0, 1e6)] {
             let heard = if now > 1.0 { 1 } else { 0 };
-            dealer.came(now, worker, Claim { heard, lends, wants, worth: 1e6 });
+            dealer.came(now, worker, CapacityReport { heard, lends, wants, weight: 1e6 });
             dealer.deal(now, now, worker);
         }
     }
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -1,11 +1,11 @@
 //! What a leading coordinator makes of the workers' reports. It begins anew with each leader, from what the workers say.
 
-use super::calls::{Claim, Dealer};
-use super::level::{Level, Levels};
+use super::capacity_leases::{CapacityLeaseServer, CapacityReport};
+use super::level::{SheddingController, SheddingLevel};
 use super::retries::Retries;
 use super::service::Service;
-use super::view::{Sums, View};
-use super::{Digest, Load};
+use super::view::{FleetLoadView, Sums};
+use super::{FleetDigest, LoadReport};
 
 /// How often it looks at the sums anew (seconds).
 pub const LOOK_S: f64 = 0.5;
@@ -28,11 +28,11 @@
 
 #[derive(Clone, Debug)]
 pub struct Leader {
-    view: View,
-    levels: Levels,
+    view: FleetLoadView,
+    levels: SheddingController,
     service: Service,
     retries: Retries,
-    dealer: Dealer,
+    dealer: CapacityLeaseServer,
     looked: f64,
     short_until: f64,
     sums: Sums,
@@ -42,11 +42,11 @@
     /// A coordinator that begins to lead now.
     pub fn lead(now: f64, settings: Settings) -> Leader {
         Leader {
-            view: View::default(),
-            levels: Levels::new(now),
+            view: FleetLoadView::default(),
+            levels: SheddingController::new(now),
             service: Service::lead(now),
             retries: Retries::new(now, settings.retry_share),
-            dealer: Dealer::lead(now, settings.part),
+            dealer: CapacityLeaseServer::lead(now, settings.part),
             looked: now,
             short_until: f64::NEG_INFINITY,
             sums: Sums::default(),
@@ -54,16 +54,16 @@
     }
 
     /// A worker's report came.
-    pub fn heard(&mut self, now: f64, worker: u64, zone: &str, load: &Load) {
+    pub fn heard(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) {
         if !self.view.heard(now, worker, zone, load) {
             return;
         }
         self.service.heard(now, worker, zone, load.gives_up);
-        let claim = Claim {
+        let claim = CapacityReport {
             heard: load.heard,
             lends: f64::from(load.lends),
             wants: f64::from(load.wants),
-            worth: f64::from(load.worth),
+            weight: f64::from(load.weight),
         };
         self.dealer.came(now, worker, claim);
     }
@@ -106,10 +106,10 @@
     }
 
     /// What goes out now to a worker whose report came at `came`.
-    pub fn digest(&mut self, now: f64, came: f64, worker: u64, zone: &str) -> Digest {
+    pub fn digest(&mut self, now: f64, came: f64, worker: u64, zone: &str) -> FleetDigest {
         let (number, slice) = self.dealer.deal(now, came, worker);
         let standing = self.service.standing(worker, zone);
-        Digest {
+        FleetDigest {
             number,
             of: self.sums.of,
             age_ms: ((now - self.looked + self.sums.age_s) * 1000.0) as u64,
@@ -130,11 +130,11 @@
     }
 
     /// An operator sets the level for so long.
-    pub fn pin(&mut self, level: Level, until: f64) {
+    pub fn pin(&mut self, level: SheddingLevel, until: f64) {
         self.levels.pin(level, until);
     }
 
-    pub fn level(&self, now: f64) -> Level {
+    pub fn level(&self, now: f64) -> SheddingLevel {
         self.levels.level(now)
     }
 
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -30,20 +30,20 @@
 
 /// Tiers before `tier` are let in, of `tier` a share, and none after it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Level {
+pub struct SheddingLevel {
     #[serde(rename = "t")]
     pub tier: usize,
     #[serde(rename = "s")]
     pub share: f32,
 }
 
-impl Default for Level {
-    fn default() -> Level {
-        Level { tier: TIERS_MOST, share: 0.0 }
+impl Default for SheddingLevel {
+    fn default() -> SheddingLevel {
+        SheddingLevel { tier: TIERS_MOST, share: 0.0 }
     }
 }
 
-impl Level {
+impl SheddingLevel {
     /// All tiers are let in.
     pub fn is_open(&self) -> bool {
         self.tier >= TIERS_MOST
@@ -60,50 +60,50 @@
         self.tier as f64 + f64::from(self.share)
     }
 
-    fn at(depth: f64) -> Level {
+    fn at(depth: f64) -> SheddingLevel {
         let tier = depth.max(0.0).floor();
         if tier >= TIERS_MOST as f64 {
-            return Level::default();
+            return SheddingLevel::default();
         }
-        Level { tier: tier as usize, share: (depth.max(0.0) - tier) as f32 }
+        SheddingLevel { tier: tier as usize, share: (depth.max(0.0) - tier) as f32 }
     }
 }
 
 /// A change, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    pub level: Level,
+    pub level: SheddingLevel,
     pub cause: String,
 }
 
 #[derive(Clone, Debug)]
-pub struct Levels {
-    level: Level,
+pub struct SheddingController {
+    level: SheddingLevel,
     /// Since when the sums want another level in this direction: deeper, or open.
     short_since: Option<f64>,
     room_since: Option<f64>,
     moved: f64,
     /// An operator's word, and until when it counts.
-    pinned: Option<(Level, f64)>,
+    pinned: Option<(SheddingLevel, f64)>,
 }
 
-impl Levels {
-    pub fn new(now: f64) -> Levels {
-        let level = Level::default();
-        Levels { level, short_since: None, room_since: None, moved: now, pinned: None }
+impl SheddingController {
+    pub fn new(now: f64) -> SheddingController {
+        let level = SheddingLevel::default();
+        SheddingController { level, short_since: None, room_since: None, moved: now, pinned: None }
     }
 
-    pub fn level(&self, now: f64) -> Level {
+    pub fn level(&self, now: f64) -> SheddingLevel {
         self.pinned.filter(|(_, until)| now < *until).map_or(self.level, |(level, _)| level)
     }
 
     /// An operator sets the level until then.
-    pub fn pin(&mut self, level: Level, until: f64) {
+    pub fn pin(&mut self, level: SheddingLevel, until: f64) {
         self.pinned = Some((level, until));
     }
 
     /// The level that these sums ask for.
-    fn wanted(sums: &Sums) -> Level {
+    fn wanted(sums: &Sums) -> SheddingLevel {
         let mut room = sums.capacity * USED;
         // Further tries come in the shares in which first ones do.
         let first: f64 = sums.arrivals.iter().sum();
@@ -112,11 +112,11 @@
             let asked = arrivals * times;
             if asked > room {
                 let steps = (room.max(0.0) / asked * STEPS).ceil();
-                return Level { tier, share: (steps / STEPS) as f32 };
+                return SheddingLevel { tier, share: (steps / STEPS) as f32 };
             }
             room -= asked;
         }
-        Level::default()
+        SheddingLevel::default()
     }
 
     /// Looks at the sums anew; what has changed, and why.
@@ -125,7 +125,7 @@
             // Nothing is known: the level opens as if there were room.
             (self.short_since, self.room_since) = (None, Some(self.room_since.unwrap_or(now)));
         } else {
-            let (wanted, depth) = (Levels::wanted(sums).depth(), self.level.depth());
+            let (wanted, depth) = (SheddingController::wanted(sums).depth(), self.level.depth());
             let since = |was: Option<f64>, so: bool| so.then(|| was.unwrap_or(now));
             let turned_away = sums.refused >= REFUSED_LEAST * sums.arrivals.iter().sum::<f64>();
             let short = wanted < depth - 1e-9 && (turned_away || !self.level.is_open());
@@ -138,14 +138,14 @@
             self.short_since = None;
             let cause =
                 format!("{asked:.0} a second are asked of {:.0} that the cores can do", sums.capacity);
-            return self.change(now, Levels::wanted(sums), cause);
+            return self.change(now, SheddingController::wanted(sums), cause);
         }
         let open = self.room_since.is_some_and(|at| now - at >= ROOM_S) && now - self.moved >= OPEN_S;
         if open && !self.level.is_open() {
-            let mut next = Level::at((self.level.depth() * STEPS + 1.0).round() / STEPS);
+            let mut next = SheddingLevel::at((self.level.depth() * STEPS + 1.0).round() / STEPS);
             // Tiers in which nothing comes are no steps.
             while !next.is_open() && next.share == 0.0 && sums.arrivals[next.tier] == 0.0 {
-                next = Level::at((next.tier + 1) as f64);
+                next = SheddingLevel::at((next.tier + 1) as f64);
             }
             let cause = match sums.of < OF_LEAST {
                 true => "too few workers report".to_owned(),
@@ -156,7 +156,7 @@
         None
     }
 
-    fn change(&mut self, now: f64, level: Level, cause: String) -> Option<Change> {
+    fn change(&mut self, now: f64, level: SheddingLevel, cause: String) -> Option<Change> {
         if level == self.level {
             return None;
         }
--- a/src/fleet/overload/level/tests.rs
+++ b/src/fleet/overload/level/tests.rs
@@ -7,7 +7,12 @@
 }
 
 /// Looks twice a second for so long; what changed.
-fn look(levels: &mut Levels, from: f64, for_s: f64, sums: impl Fn(f64) -> Sums) -> Vec<(f64, Change)> {
+fn look(
+    levels: &mut SheddingController,
+    from: f64,
+    for_s: f64,
+    sums: impl Fn(f64) -> Sums,
+) -> Vec<(f64, Change)> {
     let times = (0..).map(|n| from + 0.5 * n as f64).take_while(|t| *t < from + for_s);
     times.filter_map(|now| levels.look(now, &sums(now)).map(|change| (now, change))).collect()
 }
@@ -24,21 +29,25 @@
         (&[1.0], 0.0, 0, 0.0),
     ] {
         assert_eq!(
-            Levels::wanted(&sums(arrivals, capacity)),
-            Level { tier, share },
+            SheddingController::wanted(&sums(arrivals, capacity)),
+            SheddingLevel { tier, share },
             "{arrivals:?} of {capacity}"
         );
     }
     // Further tries weigh as what they are.
     for further in [2.0, 2000.0] {
         let stormed = Sums { further, ..sums(&[10.0, 10.0], 17.0) };
-        assert_eq!(Levels::wanted(&stormed), Level { tier: 1, share: 0.75 }, "no storm deepens it by itself");
+        assert_eq!(
+            SheddingController::wanted(&stormed),
+            SheddingLevel { tier: 1, share: 0.75 },
+            "no storm deepens it by itself"
+        );
     }
 }
 
 #[test]
 fn a_capacity_that_is_only_guessed_sheds_nothing_while_no_worker_turns_anything_away() {
-    let mut levels = Levels::new(0.0);
+    let mut levels = SheddingController::new(0.0);
     let guessed = |_| Sums { refused: 0.0, ..sums(&[10.0, 10.0], 5.0) };
     assert!(look(&mut levels, 0.0, 10.0, guessed).is_empty());
 }
@@ -46,7 +55,7 @@
 #[test]
 fn no_lower_rank_is_let_in_where_a_higher_one_is_refused() {
     for depth in 0..=TIERS_MOST * 4 {
-        let level = Level::at(depth as f64 / 4.0);
+        let level = SheddingLevel::at(depth as f64 / 4.0);
         let ranks = (0..TIERS_MOST).flat_map(|tier| (0..8).map(move |n| (tier, n as f64 / 8.0)));
         let let_in: Vec<bool> = ranks.map(|(tier, rank)| level.lets_in(tier, rank)).collect();
         assert!(let_in.windows(2).all(|w| w[0] >= w[1]), "{level:?}: {let_in:?}");
@@ -55,7 +64,7 @@
 
 #[test]
 fn a_lasting_shortage_deepens_it_within_a_second_and_a_blink_does_not() {
-    let mut levels = Levels::new(0.0);
+    let mut levels = SheddingController::new(0.0);
     assert!(look(&mut levels, 0.0, 0.5, |_| sums(&[10.0, 10.0], 12.0)).is_empty(), "one look is a blink");
     assert!(look(&mut levels, 0.5, 2.0, |_| sums(&[10.0, 10.0], 30.0)).is_empty());
     let changes = look(&mut levels, 2.5, 2.0, |_| sums(&[10.0, 10.0], 12.0));
@@ -65,7 +74,7 @@
 
 #[test]
 fn load_that_swings_every_three_seconds_changes_it_no_more_than_once_a_swing() {
-    let mut levels = Levels::new(0.0);
+    let mut levels = SheddingController::new(0.0);
     let swing = |now: f64| sums(&[10.0, 10.0], if now % 3.0 < 1.5 { 15.0 } else { 30.0 });
     let changes = look(&mut levels, 0.0, 60.0, swing);
     assert!(changes.len() <= 20 && !changes.is_empty(), "{changes:?}");
@@ -75,9 +84,9 @@
 
 #[test]
 fn it_opens_step_by_step_and_skips_tiers_in_which_nothing_comes() {
-    let mut levels = Levels::new(0.0);
+    let mut levels = SheddingController::new(0.0);
     look(&mut levels, 0.0, 2.0, |_| sums(&[10.0, 0.0, 10.0], 5.0));
-    assert_eq!(levels.level(2.0), Level { tier: 0, share: 0.75 });
+    assert_eq!(levels.level(2.0), SheddingLevel { tier: 0, share: 0.75 });
     let changes = look(&mut levels, 2.0, 12.0, |_| sums(&[10.0, 0.0, 10.0], 50.0));
     let depths: Vec<f64> = changes.iter().map(|(_, c)| c.level.depth()).collect();
     assert_eq!(depths, [2.0, 2.25, 2.5, 2.75, TIERS_MOST as f64], "{changes:?}");
@@ -87,7 +96,7 @@
 
 #[test]
 fn a_view_of_hardly_anybody_opens_it_and_a_pin_counts_until_its_end() {
-    let mut levels = Levels::new(0.0);
+    let mut levels = SheddingController::new(0.0);
     look(&mut levels, 0.0, 2.0, |_| sums(&[10.0], 5.0));
     assert!(!levels.level(2.0).is_open());
     let changes = look(&mut levels, 2.0, 30.0, |_| Sums { of: 1, ..sums(&[10.0], 1.0) });
@@ -95,7 +104,7 @@
         levels.level(32.0).is_open() && changes.iter().all(|(_, c)| c.cause.contains("too few")),
         "{changes:?}"
     );
-    let pin = Level { tier: 1, share: 0.5 };
+    let pin = SheddingLevel { tier: 1, share: 0.5 };
     levels.pin(pin, 40.0);
-    assert_eq!((levels.level(39.9), levels.level(40.0)), (pin, Level::default()));
+    assert_eq!((levels.level(39.9), levels.level(40.0)), (pin, SheddingLevel::default()));
 }
--- a/src/fleet/overload/mod.rs
+++ b/src/fleet/overload/mod.rs
@@ -1,7 +1,7 @@
 //! Overload handled by the fleet as one. No I/O; the clock and the dice are passed in.
 //!
-//! Workers tell the leading coordinator what comes to them and what they can do ([`Load`]); it tells each what the fleet
-//! comes to ([`Digest`]). All of it is soft: it has an age, and a worker whose view is too old decides as it does alone.
+//! Workers tell the leading coordinator what comes to them and what they can do ([`LoadReport`]); it tells each what the fleet
+//! comes to ([`FleetDigest`]). All of it is soft: it has an age, and a worker whose view is too old decides as it does alone.
 //!
 //! | module | decides |
 //! | --- | --- |
@@ -15,11 +15,11 @@
 //!
 //! Off without `[fleet.overload]` in an operator's file and `[overload]` in the coordinators': then nothing of it is made.
 
-pub mod calls;
+pub mod capacity_leases;
+pub mod client;
 pub mod leader;
 pub mod level;
-pub mod local;
-pub mod member;
+pub mod policy;
 pub mod retries;
 pub mod service;
 pub mod view;
@@ -36,7 +36,7 @@
 /// What a worker tells of itself, in under 256 bytes. Rates are a second, over the time since it told the last one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
-pub struct Load {
+pub struct LoadReport {
     /// It grows with each.
     #[serde(rename = "n")]
     pub number: u64,
@@ -65,16 +65,16 @@
     #[serde(rename = "w")]
     pub wants: f32,
     #[serde(rename = "v")]
-    pub worth: f32,
+    pub weight: f32,
     /// It goes by a digest in which the service is given up.
     #[serde(rename = "d", skip_serializing_if = "std::ops::Not::not")]
     pub gives_up: bool,
-    /// What it lends of its part: mean calls in hand that it does without for [`calls::LOAN_S`].
+    /// What it lends of its part: mean calls in hand that it does without for [`capacity_leases::LOAN_S`].
     #[serde(rename = "o")]
     pub lends: f32,
 }
 
-impl Load {
+impl LoadReport {
     fn figures(&self) -> impl Iterator<Item = f32> + '_ {
         let others = [
             self.further,
@@ -84,7 +84,7 @@
             self.calls_bad,
             self.call_s,
             self.wants,
-            self.worth,
+            self.weight,
             self.lends,
         ];
         self.arrivals.iter().copied().chain(others)
@@ -96,7 +96,7 @@
     }
 
     /// The same but for its numbers: what a worker says whose figures have frozen.
-    fn same_as(&self, other: &Load) -> bool {
+    fn same_as(&self, other: &LoadReport) -> bool {
         self.figures().eq(other.figures())
     }
 }
@@ -104,14 +104,14 @@
 /// What the fleet comes to, for one worker.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
-pub struct Digest {
+pub struct FleetDigest {
     /// It grows with each that this worker is sent.
     pub number: u64,
     /// Workers that it speaks for, and the age of the oldest report in it (milliseconds).
     pub of: usize,
     pub age_ms: u64,
     /// How deep the fleet sheds.
-    pub level: level::Level,
+    pub level: level::SheddingLevel,
     /// Over how long returns are to be spread where the fleet has no room (seconds).
     pub spread_s: f32,
     /// Which share of further tries the fleet takes.
@@ -121,11 +121,11 @@
     /// The service is given up in this worker's zone; and whether this worker tries it again for the zone.
     pub given_up: bool,
     pub trial: bool,
-    /// Calls in hand beyond this worker's own part, for [`calls::SLICE_S`] from when it asked.
+    /// Calls in hand beyond this worker's own part, for [`capacity_leases::SLICE_S`] from when it asked.
     pub slice: f32,
 }
 
-impl Digest {
+impl FleetDigest {
     /// Whether it can have been meant: a digest that is not says nothing.
     pub fn is_sound(&self) -> bool {
         let shares = [self.pass, self.part, self.level.share];
--- a/src/fleet/overload/local.rs
+++ b/src/fleet/overload/policy.rs
@@ -5,8 +5,8 @@
 //! once, but for further tries beyond the budget of a fleet that is short; what it may have in hand below is never more than
 //! its part, less what is lent, and its slice.
 
-use super::member::{Advice, Numbers};
-use super::{dice, Digest, TIERS_MOST};
+use super::client::{LoadSample, OverloadDirective};
+use super::{dice, FleetDigest, TIERS_MOST};
 use crate::interface::Settings;
 use std::cell::Cell;
 
@@ -20,7 +20,7 @@
 const SPREAD_TIER: f64 = 0.25;
 
 #[derive(Clone, Debug)]
-pub struct Overload {
+pub struct OverloadPolicy {
     seed: u64,
     drawn: Cell<u64>,
     /// What it has shed for the fleet, and answers of all requests when it was last told: served and refused.
@@ -29,7 +29,7 @@
     now: f64,
     /// Its part of the calls below (mean number in hand); infinite where there is no service below.
     own: f64,
-    advice: Option<Advice>,
+    advice: Option<OverloadDirective>,
     told: f64,
     arrivals: [u64; TIERS_MOST],
     further: u64,
@@ -42,11 +42,11 @@
     trial_at: f64,
 }
 
-impl Overload {
+impl OverloadPolicy {
     /// For a worker that starts now.
-    pub fn new(now: f64, settings: &Settings) -> Overload {
+    pub fn new(now: f64, settings: &Settings) -> OverloadPolicy {
         let (seed, own) = (settings.seed, settings.dependency.as_ref().map_or(f64::INFINITY, |d| d.share));
-        Overload {
+        OverloadPolicy {
             seed,
             drawn: Cell::new(0),
             shed: Cell::new(0),
@@ -73,12 +73,12 @@
     }
 
     /// What the worker's session makes of the latest digest, on the module's clock.
-    pub fn advise(&mut self, advice: Advice) {
+    pub fn advise(&mut self, advice: OverloadDirective) {
         self.advice = Some(advice);
     }
 
     /// The advice, while it is fresh.
-    fn fresh(&self) -> Option<&Advice> {
+    fn fresh(&self) -> Option<&OverloadDirective> {
         self.advice.as_ref().filter(|a| self.now < a.until)
     }
 
@@ -114,7 +114,7 @@
 
     /// Whether the fleet sheds it. `free` says that it could start at once.
     pub fn sheds(&self, tier: usize, free: bool) -> bool {
-        let Some(Advice { digest, .. }) = self.fresh() else { return false };
+        let Some(OverloadDirective { digest, .. }) = self.fresh() else { return false };
         let sheds = !free && !digest.level.lets_in(tier, self.draw());
         self.shed.set(self.shed.get() + u64::from(sheds));
         sheds
@@ -123,14 +123,14 @@
     /// Whether the fleet has no room elsewhere, if that is known: it sheds, has given the service below up, or holds back
     /// further tries.
     pub fn fleet_full(&self) -> Option<bool> {
-        let full = |d: &Digest| !d.level.is_open() || d.given_up || d.pass < 1.0;
+        let full = |d: &FleetDigest| !d.level.is_open() || d.given_up || d.pass < 1.0;
         self.fresh().filter(|a| a.digest.of > 1).map(|a| full(&a.digest))
     }
 
     /// How long a refused request of this tier stays away, where alone it would be told `away_s`: shortly where another
     /// worker has room, else spread over what the fleet can take, the lower tiers later.
     pub fn stay_away_s(&self, tier: usize, away_s: f64) -> f64 {
-        let Some(Advice { digest, .. }) = self.fresh() else { return away_s };
+        let Some(OverloadDirective { digest, .. }) = self.fresh() else { return away_s };
         if digest.level.is_open() && !digest.given_up && digest.pass >= 1.0 {
             return away_s;
         }
@@ -168,21 +168,21 @@
     /// What the worker could end a second, and what waits for a call: by tier, how many, and what one is worth.
     pub fn stands<'a>(&mut self, capacity: f64, waiting: impl Iterator<Item = (usize, &'a f64)>) {
         let add =
-            |(all, worth): (f64, f64), (n, one): (usize, &f64)| (all + n as f64, worth + n as f64 * one);
+            |(all, weight): (f64, f64), (n, one): (usize, &f64)| (all + n as f64, weight + n as f64 * one);
         let waiting = waiting.fold((0.0, 0.0), add);
         (self.capacity, self.waiting) = (capacity, waiting);
     }
 
     /// What is to be reported; it is counted anew from now on. `served` and `refused` are all answers so far.
-    pub fn numbers(&mut self, now: f64, served: u64, refused: u64) -> Numbers {
+    pub fn numbers(&mut self, now: f64, served: u64, refused: u64) -> LoadSample {
         let ended = served.saturating_sub(self.answered.0);
         let own = refused.saturating_sub(self.answered.1).saturating_sub(self.shed.take());
         self.answered = (served, refused);
         let per_s = 1.0 / (now - self.told).max(0.05);
         let tiers = self.arrivals.iter().rposition(|n| *n > 0).map_or(0, |last| last + 1);
-        let (waiting, worth) = self.waiting;
+        let (waiting, weight) = self.waiting;
         let spare = self.own - self.peak - (self.own * SPARE_MARGIN).max(1.0);
-        let numbers = Numbers {
+        let numbers = LoadSample {
             arrivals: self.arrivals[..tiers].iter().map(|n| *n as f64 * per_s).collect(),
             further: self.further as f64 * per_s,
             refused: own as f64 * per_s,
@@ -192,7 +192,7 @@
             calls_bad: self.calls_bad as f64 * per_s,
             call_s: self.call_time / (self.calls_good.max(1)) as f64,
             wants: if self.own.is_finite() { waiting } else { 0.0 },
-            worth: worth / waiting.max(1.0),
+            weight: weight / waiting.max(1.0),
             spare: if spare.is_finite() && self.own >= 1.0 && waiting == 0.0 { spare.max(0.0) } else { 0.0 },
         };
         (self.told, self.arrivals, self.further) = (now, [0; TIERS_MOST], 0);
@@ -202,7 +202,7 @@
 
     /// What operators read: names and values.
     pub fn figures(&self) -> Vec<(&'static str, String)> {
-        let Some(Advice { digest, lent, .. }) = &self.advice else { return Vec::new() };
+        let Some(OverloadDirective { digest, lent, .. }) = &self.advice else { return Vec::new() };
         let level = digest.level;
         let depth =
             if level.is_open() { "open".to_owned() } else { format!("{}+{:.2}", level.tier, level.share) };
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -44,7 +44,7 @@
 
 /// What a zone's workers go by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct ServiceState {
     pub part: f64,
     pub given_up: bool,
     pub trial: bool,
@@ -126,12 +126,12 @@
         })
     }
 
-    pub fn standing(&self, worker: u64, zone: &str) -> Standing {
+    pub fn standing(&self, worker: u64, zone: &str) -> ServiceState {
         let Some(zone) = self.zones.get(zone) else {
-            return Standing { part: 1.0, given_up: false, trial: false };
+            return ServiceState { part: 1.0, given_up: false, trial: false };
         };
         let trial = zone.given_up && zone.tries.is_some_and(|(tries, _)| tries == worker);
-        Standing { part: zone.part, given_up: zone.given_up, trial }
+        ServiceState { part: zone.part, given_up: zone.given_up, trial }
     }
 
     /// Whether any zone is short of the service.
--- a/src/fleet/overload/service/tests.rs
+++ b/src/fleet/overload/service/tests.rs
@@ -69,7 +69,7 @@
 fn a_new_leader_takes_over_that_it_is_given_up_and_names_nobody_while_another_may_be_trying() {
     let mut service = Service::lead(100.0);
     service.heard(100.5, 7, "z", true);
-    assert_eq!(service.standing(7, "z"), Standing { part: PART_LEAST, given_up: true, trial: false });
+    assert_eq!(service.standing(7, "z"), ServiceState { part: PART_LEAST, given_up: true, trial: false });
     service.heard(100.0 + TRIAL_S, 8, "z", true);
     assert!(service.standing(8, "z").trial);
     // Later on it knows better than a worker with an old digest.
--- a/src/fleet/overload/tests.rs
+++ b/src/fleet/overload/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_load_fits_into_256_bytes_and_nonsense_is_known() {
-    let full = Load {
+    let full = LoadReport {
         number: 1_000_000,
         heard: 1_000_000,
         arrivals: vec![12345.6; TIERS_MOST],
@@ -13,18 +13,18 @@
         calls_bad: 1234.25,
         call_s: 0.0125,
         wants: 12.5,
-        worth: 5.0,
+        weight: 5.0,
         lends: 12.5,
         gives_up: true,
     };
     assert!(serde_json::to_string(&full).unwrap().len() <= 256, "{}", serde_json::to_string(&full).unwrap());
     assert!(full.is_sound());
     for bad in [f32::NAN, f32::INFINITY, -1.0, 1e9] {
-        assert!(!Load { capacity: bad, ..full.clone() }.is_sound(), "{bad}");
-        assert!(!Load { arrivals: vec![bad], ..full.clone() }.is_sound(), "{bad}");
-        assert!(!Digest { slice: bad, ..Digest::default() }.is_sound(), "{bad}");
+        assert!(!LoadReport { capacity: bad, ..full.clone() }.is_sound(), "{bad}");
+        assert!(!LoadReport { arrivals: vec![bad], ..full.clone() }.is_sound(), "{bad}");
+        assert!(!FleetDigest { slice: bad, ..FleetDigest::default() }.is_sound(), "{bad}");
     }
-    assert!(!Load { arrivals: vec![1.0; TIERS_MOST + 1], ..full }.is_sound());
+    assert!(!LoadReport { arrivals: vec![1.0; TIERS_MOST + 1], ..full }.is_sound());
 }
 
 #[test]
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -1,7 +1,7 @@
 //! What is believed of the fleet's sums. A worker that reports nonsense shifts nothing by more than a few workers' shares; one
 //! that has fallen silent, or says the same over and over while it claims to be busy, is left out.
 
-use super::{Load, TIERS_MOST};
+use super::{LoadReport, TIERS_MOST};
 use std::collections::BTreeMap;
 
 /// A report older than this is left out (seconds): five that should have come.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 struct Seen {
     zone: String,
-    load: Load,
+    load: LoadReport,
     at: f64,
     /// When its figures last changed.
     moved: f64,
@@ -46,13 +46,13 @@
 
 /// The reports that the leader has.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct FleetLoadView {
     seen: BTreeMap<u64, Seen>,
 }
 
-impl View {
+impl FleetLoadView {
     /// A worker's report; `false` if it says nothing that can have been measured, or comes again.
-    pub fn heard(&mut self, now: f64, worker: u64, zone: &str, load: &Load) -> bool {
+    pub fn heard(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) -> bool {
         if !load.is_sound() {
             return false;
         }
@@ -87,9 +87,10 @@
         self.seen.retain(|_, s| now - s.at < FORGET_S);
         let live: Vec<&Seen> = self.seen.values().filter(|s| self.counts(now, s)).collect();
         // Bounds come from the whole fleet: one of a zone's two workers must not be half of the measure against itself.
-        let bound = |figure: &dyn Fn(&Load) -> f32| bound(live.iter().map(|s| f64::from(figure(&s.load))));
+        let bound =
+            |figure: &dyn Fn(&LoadReport) -> f32| bound(live.iter().map(|s| f64::from(figure(&s.load))));
         let here: Vec<&&Seen> = live.iter().filter(|s| zone.map_or(true, |z| s.zone == z)).collect();
-        let sum = |figure: &dyn Fn(&Load) -> f32| -> f64 {
+        let sum = |figure: &dyn Fn(&LoadReport) -> f32| -> f64 {
             let most = bound(figure);
             here.iter().map(|s| f64::from(figure(&s.load)).min(most)).sum()
         };
--- a/src/fleet/overload/view/tests.rs
+++ b/src/fleet/overload/view/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-fn load(number: u64, rate: f32) -> Load {
-    Load {
+fn load(number: u64, rate: f32) -> LoadReport {
+    LoadReport {
         number,
         arrivals: vec![rate, rate],
         capacity: rate,
         calls_good: rate,
         call_s: 0.01,
-        ..Load::default()
+        ..LoadReport::default()
     }
 }
 
 /// Twenty honest workers in two zones, and whatever the last one says.
-fn fleet(last: &Load) -> Sums {
-    let mut view = View::default();
+fn fleet(last: &LoadReport) -> Sums {
+    let mut view = FleetLoadView::default();
     for worker in 0..20 {
         let zone = if worker % 2 == 0 { "east" } else { "west" };
         assert!(view.heard(10.0, worker, zone, &load(1, 50.0 + worker as f32)));
@@ -26,7 +26,7 @@
 fn one_worker_shifts_no_sum_by_more_than_a_few_shares_whatever_it_says() {
     let honest = fleet(&load(1, 60.0));
     for lie in [f32::NAN, -5.0, f32::INFINITY, 1e9, 1e6, 0.0] {
-        let lied = fleet(&Load { further: lie, call_s: lie.min(1e3), ..load(1, lie) });
+        let lied = fleet(&LoadReport { further: lie, call_s: lie.min(1e3), ..load(1, lie) });
         for (a, b) in [
             (honest.capacity, lied.capacity),
             (honest.capacity / honest.arrivals[0], lied.capacity / lied.arrivals[0]),
@@ -41,12 +41,12 @@
 
 #[test]
 fn a_frozen_a_silent_and_a_repeated_report_count_for_nothing() {
-    let mut view = View::default();
+    let mut view = FleetLoadView::default();
     for number in 1..=10 {
         let now = number as f64 * 0.5;
         view.heard(now, 1, "east", &load(number, 10.0 + number as f32));
         view.heard(now, 2, "east", &load(number, 10.0));
-        view.heard(now, 3, "west", &Load { number, capacity: 7.0, ..Load::default() });
+        view.heard(now, 3, "west", &LoadReport { number, capacity: 7.0, ..LoadReport::default() });
     }
     assert!(!view.heard(5.0, 1, "east", &load(10, 99.0)), "its number has been heard");
     let all = view.sums(5.0, None);
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -4,7 +4,7 @@
 //! Owed to callers: attempts are spread at random, so that a whole fleet that is cut off at once comes back over seconds;
 //! a leader that does not answer is left; nothing here ever waits.
 
-use super::frame::{Say, Word};
+use super::frame::{ClientMessage, ServerMessage};
 use std::net::SocketAddr;
 
 /// How long a link may take to come about and to be welcomed (seconds).
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     Connect(SocketAddr),
-    Send(Say),
+    Send(ClientMessage),
     Close,
 }
 
@@ -48,11 +48,11 @@
     next_keep: f64,
     /// Where it is linked to, and since when it has been linked or not.
     pub since: f64,
-    hello: Say,
+    hello: ClientMessage,
 }
 
 impl Session {
-    pub fn new(now: f64, coordinators: Vec<SocketAddr>, seed: u64, hello: Say) -> Session {
+    pub fn new(now: f64, coordinators: Vec<SocketAddr>, seed: u64, hello: ClientMessage) -> Session {
         let mut session = Session {
             at: 0,
             stage: Stage::Resting(now),
@@ -163,9 +163,9 @@
     }
 
     /// What a coordinator says of the session itself; `true` if this is another session than before.
-    pub fn heard(&mut self, now: f64, word: &Word, steps: &mut Vec<Step>) -> bool {
+    pub fn heard(&mut self, now: f64, word: &ServerMessage, steps: &mut Vec<Step>) -> bool {
         match word {
-            Word::Welcome { session, keep_every_ms, .. } => {
+            ServerMessage::Welcome { session, keep_every_ms, .. } => {
                 let another = self.number != Some(*session);
                 self.number = Some(*session);
                 self.keep_every_s = (*keep_every_ms as f64 / 1000.0).clamp(0.05, 60.0);
@@ -174,14 +174,14 @@
                 (self.since, self.next_keep) = (now, now);
                 another
             }
-            Word::Kept { seq, .. } => {
+            ServerMessage::HeartbeatAck { seq, .. } => {
                 if let Stage::Up { owed_since } = &mut self.stage {
                     // Whatever was asked before is answered by this, or will not be.
                     *owed_since = (*seq < self.seq).then_some(now);
                 }
                 false
             }
-            Word::NotLeader { leader, .. } => {
+            ServerMessage::NotLeader { leader, .. } => {
                 steps.push(Step::Close);
                 let named = leader.as_ref().and_then(|l| l.parse::<SocketAddr>().ok());
                 let known = named.and_then(|l| self.coordinators.iter().position(|c| *c == l));
@@ -191,13 +191,13 @@
                 }
                 false
             }
-            Word::Gone => {
+            ServerMessage::SessionExpired => {
                 steps.push(Step::Close);
                 self.broken(now);
                 self.number = None;
                 true
             }
-            Word::Refused { .. } => {
+            ServerMessage::Rejected { .. } => {
                 self.pause_s = LONGEST_PAUSE_S;
                 steps.push(Step::Close);
                 self.broken(now);
--- a/src/fleet/session/tests.rs
+++ b/src/fleet/session/tests.rs
@@ -2,11 +2,11 @@
 
 fn session(seed: u64) -> Session {
     let all = (1..=3).map(|n| SocketAddr::from(([127, 0, 0, 1], n))).collect();
-    Session::new(0.0, all, seed, Say::Bye)
+    Session::new(0.0, all, seed, ClientMessage::Goodbye)
 }
 
-fn welcome(session: u64) -> Word {
-    Word::Welcome { session, session_ttl_ms: 10_000, keep_every_ms: 1000, version: 2 }
+fn welcome(session: u64) -> ServerMessage {
+    ServerMessage::Welcome { session, session_ttl_ms: 10_000, keep_every_ms: 1000, version: 2 }
 }
 
 #[test]
@@ -50,7 +50,11 @@
     let mut steps = Vec::new();
     s.tick(1.0, &mut steps);
     let named = SocketAddr::from(([127, 0, 0, 1], 3));
-    s.heard(1.0, &Word::NotLeader { leader: Some(named.to_string()), why: String::new() }, &mut steps);
+    s.heard(
+        1.0,
+        &ServerMessage::NotLeader { leader: Some(named.to_string()), why: String::new() },
+        &mut steps,
+    );
     assert_eq!(s.coordinator(), Some(named));
     let at = s.next();
     s.tick(at, &mut steps);
@@ -61,7 +65,13 @@
         let seq = s.keep(now, 1.0);
         s.heard(
             now + 0.9,
-            &Word::Kept { seq, leases: vec![], totals: None, figures: vec![], overload: None },
+            &ServerMessage::HeartbeatAck {
+                seq,
+                leases: vec![],
+                totals: None,
+                figures: vec![],
+                overload: None,
+            },
             &mut steps,
         );
     }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -3,8 +3,8 @@
 //! Owed to callers: a call is ordered only under a lease that lasts longer than the call may take, and only after its
 //! period's beginning is in the log; one that isn't safe is ordered at most once for each beginning.
 
-use super::frame::{Ending, Held, Say};
-use super::holder::Holder;
+use super::frame::{CallOutcome, ClientMessage, LeaseRef};
+use super::lease_holder::LeaseHolder;
 use std::net::SocketAddr;
 
 /// How long an answer to a question is waited for before it is asked again (seconds).
@@ -28,18 +28,18 @@
 
 /// A call to be made now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct ScheduledCall {
     pub task: usize,
-    pub held: Held,
+    pub held: LeaseRef,
     pub period: u64,
 }
 
 /// What the word that a period has begun leads to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answered {
-    Call(Order),
+pub enum PeriodDecision {
+    Call(ScheduledCall),
     /// There is no time left for the call: the log is told that it surely had no effect.
-    Tell(Say),
+    Tell(ClientMessage),
     /// It was answered before, or belongs to an earlier question.
     Overtaken,
 }
@@ -49,25 +49,25 @@
     /// Nothing is asked for before this time.
     Resting(f64),
     Asked(f64),
-    Calling(Order),
+    Calling(ScheduledCall),
 }
 
 /// One task, as this worker carries it out while it holds the lease.
-pub struct Scheduled {
+pub struct ScheduledTask {
     pub schedule: Schedule,
     number: usize,
     stage: Stage,
     attempt: u64,
     failures: u32,
     /// An end that the coordinators may not have heard of.
-    untold: Option<Say>,
+    untold: Option<ClientMessage>,
     pub calls: u64,
     pub unknown: u64,
 }
 
-impl Scheduled {
-    pub fn new(number: usize, schedule: Schedule) -> Scheduled {
-        Scheduled {
+impl ScheduledTask {
+    pub fn new(number: usize, schedule: Schedule) -> ScheduledTask {
+        ScheduledTask {
             schedule,
             number,
             stage: Stage::Resting(0.0),
@@ -92,12 +92,12 @@
         over
     }
 
-    fn token(&self, now: f64, holder: &Holder) -> Option<u64> {
+    fn token(&self, now: f64, holder: &LeaseHolder) -> Option<u64> {
         holder.may_act(now, &self.schedule.name, self.schedule.deadline_s)
     }
 
     /// A question that is due.
-    pub fn tick(&mut self, now: f64, holder: &Holder) -> Option<Say> {
+    pub fn tick(&mut self, now: f64, holder: &LeaseHolder) -> Option<ClientMessage> {
         let due = match self.stage {
             Stage::Resting(until) => now >= until,
             Stage::Asked(since) => now - since >= ASK_AGAIN_S,
@@ -108,8 +108,8 @@
             self.attempt += 1;
         }
         self.stage = Stage::Asked(now);
-        Some(Say::Begin {
-            held: Held { task: self.schedule.name.clone(), token },
+        Some(ClientMessage::BeginPeriod {
+            held: LeaseRef { task: self.schedule.name.clone(), token },
             every_ms: (self.schedule.period_s * 1000.0) as u64,
             safe: self.schedule.safe,
             attempt: self.attempt,
@@ -126,19 +126,26 @@
     }
 
     /// The period has begun: the call, if there is still time for it under this lease.
-    pub fn begun(&mut self, now: f64, held: &Held, period: u64, attempt: u64, holder: &Holder) -> Answered {
+    pub fn begun(
+        &mut self,
+        now: f64,
+        held: &LeaseRef,
+        period: u64,
+        attempt: u64,
+        holder: &LeaseHolder,
+    ) -> PeriodDecision {
         if !matches!(self.stage, Stage::Asked(_)) || attempt != self.attempt {
             // An answer that was overtaken, or came twice.
-            return Answered::Overtaken;
+            return PeriodDecision::Overtaken;
         }
         if self.token(now, holder) == Some(held.token) {
             self.calls += 1;
-            let order = Order { task: self.number, held: held.clone(), period };
+            let order = ScheduledCall { task: self.number, held: held.clone(), period };
             self.stage = Stage::Calling(order.clone());
-            return Answered::Call(order);
+            return PeriodDecision::Call(order);
         }
         self.stage = Stage::Resting(now + RETRY_S);
-        Answered::Tell(self.tell(held.clone(), period, Ending::NotDone))
+        PeriodDecision::Tell(self.tell(held.clone(), period, CallOutcome::NotDone))
     }
 
     /// It has not: nothing is due before `in_s`.
@@ -150,26 +157,26 @@
     }
 
     /// The call has ended.
-    pub fn ended(&mut self, now: f64, ending: Ending) -> Option<Say> {
+    pub fn ended(&mut self, now: f64, ending: CallOutcome) -> Option<ClientMessage> {
         let Stage::Calling(order) = std::mem::replace(&mut self.stage, Stage::Resting(now + RETRY_S)) else {
             return None;
         };
         match ending {
-            Ending::Done => self.failures = 0,
-            Ending::NotDone | Ending::Unknown => self.failures += 1,
+            CallOutcome::Done => self.failures = 0,
+            CallOutcome::NotDone | CallOutcome::Unknown => self.failures += 1,
         }
-        self.unknown += u64::from(ending == Ending::Unknown);
+        self.unknown += u64::from(ending == CallOutcome::Unknown);
         Some(self.tell(order.held, order.period, ending))
     }
 
-    fn tell(&mut self, held: Held, period: u64, ending: Ending) -> Say {
-        let say = Say::End { held, period, ending };
+    fn tell(&mut self, held: LeaseRef, period: u64, ending: CallOutcome) -> ClientMessage {
+        let say = ClientMessage::EndPeriod { held, period, ending };
         self.untold = Some(say.clone());
         say
     }
 
     /// Over a new link: what may have been lost with the old one. It changes nothing where it was not.
-    pub fn relinked(&mut self, now: f64) -> Option<Say> {
+    pub fn relinked(&mut self, now: f64) -> Option<ClientMessage> {
         if matches!(self.stage, Stage::Asked(_)) {
             self.stage = Stage::Asked(now - ASK_AGAIN_S);
         }
--- a/src/handover/frame.rs
+++ b/src/hot_restart/frame.rs
@@ -3,7 +3,7 @@
 //! A frame is four bytes of length (big-endian), one byte that says whether a descriptor comes with it, and one JSON
 //! object. Unknown fields are let pass, so that another version of the program may say more.
 
-use crate::interface::Learned;
+use crate::interface::LearnedState;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,7 @@
 
 /// A request that has been read and not been started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct QueuedRequest {
     pub name: Rc<str>,
     pub class: usize,
     pub tenant: Option<usize>,
@@ -89,7 +89,8 @@
     /// When it reached the machine, and when its answer is due (Unix milliseconds).
     pub arrived_ms: f64,
     pub due_ms: f64,
-    pub size_s: Option<f64>,
+    #[serde(rename = "size_s")]
+    pub estimate_s: Option<f64>,
     pub key: Option<Rc<str>>,
     pub retry: bool,
     pub body: Bytes,
@@ -97,7 +98,7 @@
 
 /// A connection of the platform's front; its descriptor comes with the frame.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct HandedOffConnection {
     /// What has been read of its next request.
     pub unread: Bytes,
     /// It has been told to go on with a body.
@@ -107,7 +108,7 @@
     /// To be closed after the next answer.
     pub close: bool,
     /// The request that waits for its answer.
-    pub held: Option<Held>,
+    pub held: Option<QueuedRequest>,
 }
 
 /// One message.
@@ -125,7 +126,7 @@
     State {
         prints: (u64, u64),
         draining: bool,
-        learned: Learned,
+        learned: LearnedState,
         /// Names of requests that run there.
         running: Vec<Rc<str>>,
     },
@@ -134,7 +135,7 @@
     /// What the old process uses now.
     Usage(Usage),
     /// A connection.
-    Passed(Passed),
+    Passed(HandedOffConnection),
     /// A socket that listens for a front of the operator's file, by the block that sets it up.
     Listener { front: String },
     /// All of the state has been sent.
--- a/src/handover/frame/tests.rs
+++ b/src/hot_restart/frame/tests.rs
@@ -3,7 +3,7 @@
 fn all() -> Vec<Frame> {
     let key = Key { class: 1, tenant: Some(0), key: "k\u{e9}\"1".into() };
     let state = |end| Frame::Key(KeyState { key: key.clone(), print: u64::MAX, until_ms: 1.5e12, end });
-    let held = Held {
+    let held = QueuedRequest {
         name: "r1".into(),
         class: 1,
         tenant: None,
@@ -11,7 +11,7 @@
         kb: 24.5,
         arrived_ms: 1.7e12,
         due_ms: 1.7e12 + 480.0,
-        size_s: Some(0.0125),
+        estimate_s: Some(0.0125),
         key: Some("k".into()),
         retry: true,
         body: Bytes(Rc::from(*b"\0\xff")),
@@ -24,7 +24,7 @@
         Frame::State {
             prints: (1, u64::MAX),
             draining: true,
-            learned: Learned::default(),
+            learned: LearnedState::default(),
             running: vec!["r9".into()],
         },
         state(KeyEnd::Open),
@@ -33,8 +33,16 @@
         state(KeyEnd::Failed),
         state(KeyEnd::Never),
         Frame::Usage(Usage { on_cores: 3, calling: 1, kb: 0.5, sockets: 9 }),
-        Frame::Passed(Passed { unread: Bytes(Rc::from(*b"GET /ch")), ..Passed::default() }),
-        Frame::Passed(Passed { held: Some(held), asked: 2, close: true, ..Passed::default() }),
+        Frame::Passed(HandedOffConnection {
+            unread: Bytes(Rc::from(*b"GET /ch")),
+            ..HandedOffConnection::default()
+        }),
+        Frame::Passed(HandedOffConnection {
+            held: Some(held),
+            asked: 2,
+            close: true,
+            ..HandedOffConnection::default()
+        }),
         Frame::Listener { front: "ajp".into() },
         Frame::Done,
         Frame::Opened,
--- a/src/handover/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -1,6 +1,6 @@
 //! Replacing a process under load: who owns the door, decided without I/O.
 //!
-//! [`Door`] is the state machine of one process, in both roles: as the successor of another, and then as the one that
+//! [`ListenerOwnership`] is the state machine of one process, in both roles: as the successor of another, and then as the one that
 //! another succeeds. It is told what happened and answers with what is to be done, in order. It owes its callers that
 //! of two processes that can hear each other at most one has the door open, and that a request which one of them has
 //! lent to the other is acted on by one of them. The reasons are in `docs/design/04-replacement.md`.
@@ -15,7 +15,7 @@
 
 /// What may be believed of keys that are not known here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Doubt {
+pub enum IndeterminateKeys {
     /// All that ran are known.
     None,
     /// Another process may be running any of them just now.
@@ -25,14 +25,14 @@
     Until(f64),
 }
 
-impl Doubt {
+impl IndeterminateKeys {
     /// Whether a key that is not known here may have run elsewhere. `further` says that the request is a further
     /// try, or that tries are not marked.
     pub fn covers(self, arrived: f64, further: bool) -> bool {
         match self {
-            Doubt::None => false,
-            Doubt::Lives => true,
-            Doubt::Until(end) => further && arrived <= end,
+            IndeterminateKeys::None => false,
+            IndeterminateKeys::Lives => true,
+            IndeterminateKeys::Until(end) => further && arrived <= end,
         }
     }
 }
@@ -70,7 +70,7 @@
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Effect {
     /// Say hello to the old process.
     Greet,
     /// Ask it for the door.
@@ -86,7 +86,7 @@
     /// Let clients in.
     Open,
     /// Believe this of unknown keys.
-    Believe(Doubt),
+    Believe(IndeterminateKeys),
     /// Let nobody in, and lend everything that has not been started.
     Lend,
     /// What was lent is no longer this process's.
@@ -111,7 +111,7 @@
 
 /// The door of one process.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct ListenerOwnership {
     state: State,
     able: bool,
     /// A link to the old process stands; also after the door has been opened.
@@ -125,11 +125,19 @@
     window_s: f64,
 }
 
-impl Door {
+impl ListenerOwnership {
     /// A process that has not looked round yet.
-    pub fn new(window_s: f64) -> Door {
+    pub fn new(window_s: f64) -> ListenerOwnership {
         let state = State::Waiting { linked: None, welcome: false, asked: false };
-        Door { state, able: false, old: false, late: false, blind: false, leaving: false, window_s }
+        ListenerOwnership {
+            state,
+            able: false,
+            old: false,
+            late: false,
+            blind: false,
+            leaving: false,
+            window_s,
+        }
     }
 
     /// Whether clients are let in.
@@ -153,17 +161,17 @@
     }
 
     /// Takes an event at the loop's clock; what is to be done is appended in order.
-    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Act>) {
+    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Effect>) {
         match (event, self.state) {
             // It owes nothing to anybody, and what it was sent it has not acted on: the old process takes it back.
             (Event::Leave, State::Waiting { linked: Some(_), .. }) => {
                 (self.leaving, self.old, self.state) = (true, false, State::Parted);
-                out.push(Act::End);
+                out.push(Effect::End);
             }
             (Event::Leave, _) => {
                 self.leaving = true;
                 if self.given_away() {
-                    out.push(Act::End);
+                    out.push(Effect::End);
                 }
             }
             (Event::Able, _) => {
@@ -172,13 +180,13 @@
             }
             (Event::Alone, State::Waiting { .. }) => self.open(out),
             (Event::FoundDead, State::Waiting { .. }) => {
-                out.push(Act::Believe(Doubt::Until(now + self.window_s)));
+                out.push(Effect::Believe(IndeterminateKeys::Until(now + self.window_s)));
                 self.open(out);
             }
             (Event::Linked, State::Waiting { .. }) => {
                 self.old = true;
                 self.state = State::Waiting { linked: Some(now), welcome: false, asked: false };
-                out.push(Act::Greet);
+                out.push(Effect::Greet);
             }
             (Event::Welcomed, State::Waiting { linked, asked, .. }) => {
                 self.state = State::Waiting { linked, welcome: true, asked };
@@ -187,28 +195,31 @@
             // Only before the door is open: afterwards the end of a link must mean the end of a process.
             (Event::Estranged, State::Waiting { .. }) => {
                 self.blind = true;
-                out.extend([Act::Watch, Act::Believe(Doubt::Lives)]);
+                out.extend([Effect::Watch, Effect::Believe(IndeterminateKeys::Lives)]);
                 self.open(out);
             }
             (Event::Estranged, _) => self.late = false,
             (Event::Given, State::Waiting { .. }) => {
-                out.extend([Act::Acknowledge, Act::Adopt]);
+                out.extend([Effect::Acknowledge, Effect::Adopt]);
                 self.open(out);
             }
             // It was too slow to be waited for. What it gives is good all the same.
             (Event::Given, _) if self.late => {
                 (self.late, self.blind) = (false, false);
-                out.extend([Act::Believe(Doubt::None), Act::Adopt]);
+                out.extend([Effect::Believe(IndeterminateKeys::None), Effect::Adopt]);
             }
             (Event::OldLost, State::Waiting { .. }) => {
                 self.old = false;
-                out.extend([Act::Forget, Act::Believe(Doubt::Until(now + self.window_s))]);
+                out.extend([Effect::Forget, Effect::Believe(IndeterminateKeys::Until(now + self.window_s))]);
                 self.open(out);
             }
             (Event::OldLost, _) => {
                 (self.old, self.late) = (false, false);
                 if std::mem::take(&mut self.blind) {
-                    out.extend([Act::Forget, Act::Believe(Doubt::Until(now + self.window_s))]);
+                    out.extend([
+                        Effect::Forget,
+                        Effect::Believe(IndeterminateKeys::Until(now + self.window_s)),
+                    ]);
                 }
             }
             (Event::Tick, State::Waiting { linked: Some(since), asked, .. })
@@ -217,47 +228,47 @@
                 // It is there and does not answer. Should it come to itself, it finds this word waiting and gives
                 // everything away without letting anybody in.
                 if !asked {
-                    out.push(Act::Ask);
+                    out.push(Effect::Ask);
                 }
-                out.extend([Act::Acknowledge, Act::Believe(Doubt::Lives)]);
+                out.extend([Effect::Acknowledge, Effect::Believe(IndeterminateKeys::Lives)]);
                 (self.late, self.blind) = (true, true);
                 self.open(out);
             }
             (Event::Asked, State::Open) => {
                 self.state = State::Lent;
-                out.push(Act::Lend);
+                out.push(Effect::Lend);
             }
             (Event::Acknowledged, State::Lent) => {
                 self.state = State::Parted;
-                out.push(Act::Part);
+                out.push(Effect::Part);
                 if self.leaving {
-                    out.push(Act::End);
+                    out.push(Effect::End);
                 }
             }
             (Event::NewLost, State::Lent) => {
                 self.state = State::Open;
-                out.push(Act::TakeBack);
+                out.push(Effect::TakeBack);
             }
             // It ran what nobody here knows of, and has died with it.
             (Event::NewLost, State::Parted) if !self.leaving => {
-                out.push(Act::Believe(Doubt::Until(now + self.window_s)));
+                out.push(Effect::Believe(IndeterminateKeys::Until(now + self.window_s)));
                 self.open(out);
             }
             _ => {}
         }
     }
 
-    fn ask(&mut self, now: f64, out: &mut Vec<Act>) {
+    fn ask(&mut self, now: f64, out: &mut Vec<Effect>) {
         if let State::Waiting { linked: Some(_), welcome: true, asked: false } = self.state {
             if self.able {
                 self.state = State::Waiting { linked: Some(now), welcome: true, asked: true };
-                out.push(Act::Ask);
+                out.push(Effect::Ask);
             }
         }
     }
 
-    fn open(&mut self, out: &mut Vec<Act>) {
+    fn open(&mut self, out: &mut Vec<Effect>) {
         self.state = State::Open;
-        out.push(Act::Open);
+        out.push(Effect::Open);
     }
 }
--- a/src/handover/tests.rs
+++ b/src/hot_restart/tests.rs
@@ -7,29 +7,29 @@
 
 const WINDOW_S: f64 = 10.0;
 
-fn acts(door: &mut Door, now: f64, event: Event) -> Vec<Act> {
+fn acts(door: &mut ListenerOwnership, now: f64, event: Event) -> Vec<Effect> {
     let mut out = Vec::new();
     door.handle(now, event, &mut out);
     out
 }
 
-fn opened() -> Door {
-    let mut door = Door::new(WINDOW_S);
-    assert_eq!(acts(&mut door, 0.0, Event::Alone), [Act::Open]);
+fn opened() -> ListenerOwnership {
+    let mut door = ListenerOwnership::new(WINDOW_S);
+    assert_eq!(acts(&mut door, 0.0, Event::Alone), [Effect::Open]);
     door
 }
 
 #[test]
 fn a_successor_asks_once_it_can_serve_and_opens_once_it_has_all() {
-    let mut new = Door::new(WINDOW_S);
-    assert_eq!(acts(&mut new, 0.0, Event::Linked), [Act::Greet]);
+    let mut new = ListenerOwnership::new(WINDOW_S);
+    assert_eq!(acts(&mut new, 0.0, Event::Linked), [Effect::Greet]);
     assert_eq!(acts(&mut new, 0.1, Event::Welcomed), []);
     // The executor is slow to come up: the old process serves on, however long that takes.
     assert_eq!(acts(&mut new, 60.0, Event::Tick), []);
-    assert_eq!(acts(&mut new, 60.0, Event::Able), [Act::Ask]);
+    assert_eq!(acts(&mut new, 60.0, Event::Able), [Effect::Ask]);
     assert_eq!(acts(&mut new, 60.0 + PATIENCE_S / 2.0, Event::Tick), []);
     assert!(!new.is_open());
-    assert_eq!(acts(&mut new, 61.0, Event::Given), [Act::Acknowledge, Act::Adopt, Act::Open]);
+    assert_eq!(acts(&mut new, 61.0, Event::Given), [Effect::Acknowledge, Effect::Adopt, Effect::Open]);
     assert_eq!(acts(&mut new, 70.0, Event::Tick), []);
     assert_eq!(acts(&mut new, 71.0, Event::OldLost), []);
 }
@@ -37,14 +37,14 @@
 #[test]
 fn the_old_process_takes_all_back_before_the_word_and_only_the_door_after_it() {
     let mut old = opened();
-    assert_eq!(acts(&mut old, 1.0, Event::Asked), [Act::Lend]);
+    assert_eq!(acts(&mut old, 1.0, Event::Asked), [Effect::Lend]);
     assert!(old.given_away() && !old.is_open());
-    assert_eq!(acts(&mut old, 2.0, Event::NewLost), [Act::TakeBack]);
+    assert_eq!(acts(&mut old, 2.0, Event::NewLost), [Effect::TakeBack]);
     assert!(old.is_open());
     acts(&mut old, 3.0, Event::Asked);
-    assert_eq!(acts(&mut old, 4.0, Event::Acknowledged), [Act::Part]);
-    let doubt = Act::Believe(Doubt::Until(5.0 + WINDOW_S));
-    assert_eq!(acts(&mut old, 5.0, Event::NewLost), [doubt, Act::Open]);
+    assert_eq!(acts(&mut old, 4.0, Event::Acknowledged), [Effect::Part]);
+    let doubt = Effect::Believe(IndeterminateKeys::Until(5.0 + WINDOW_S));
+    assert_eq!(acts(&mut old, 5.0, Event::NewLost), [doubt, Effect::Open]);
 }
 
 #[test]
@@ -52,23 +52,23 @@
     let mut old = opened();
     acts(&mut old, 1.0, Event::Asked);
     acts(&mut old, 1.0, Event::Acknowledged);
-    assert_eq!(acts(&mut old, 2.0, Event::Leave), [Act::End]);
+    assert_eq!(acts(&mut old, 2.0, Event::Leave), [Effect::End]);
     assert_eq!(acts(&mut old, 3.0, Event::NewLost), []);
     assert!(!old.is_open());
     // The notice came first, and the successor while it drained.
     let mut old = opened();
     assert_eq!(acts(&mut old, 1.0, Event::Leave), []);
-    assert_eq!(acts(&mut old, 1.0, Event::Asked), [Act::Lend]);
-    assert_eq!(acts(&mut old, 1.0, Event::Acknowledged), [Act::Part, Act::End]);
+    assert_eq!(acts(&mut old, 1.0, Event::Asked), [Effect::Lend]);
+    assert_eq!(acts(&mut old, 1.0, Event::Acknowledged), [Effect::Part, Effect::End]);
 }
 
 #[test]
 fn a_successor_told_to_leave_before_it_has_the_door_never_opens_it() {
-    let mut new = Door::new(WINDOW_S);
+    let mut new = ListenerOwnership::new(WINDOW_S);
     for event in [Event::Linked, Event::Welcomed, Event::Able] {
         acts(&mut new, 0.0, event);
     }
-    assert_eq!(acts(&mut new, 0.1, Event::Leave), [Act::End]);
+    assert_eq!(acts(&mut new, 0.1, Event::Leave), [Effect::End]);
     for event in [Event::Given, Event::Tick, Event::OldLost] {
         assert_eq!(acts(&mut new, 9.0, event), []);
     }
@@ -77,32 +77,35 @@
 
 #[test]
 fn an_old_process_that_hangs_is_not_waited_for_and_believed_when_it_wakes() {
-    let mut new = Door::new(WINDOW_S);
+    let mut new = ListenerOwnership::new(WINDOW_S);
     acts(&mut new, 0.0, Event::Linked);
     acts(&mut new, 0.1, Event::Able);
     let late = acts(&mut new, PATIENCE_S, Event::Tick);
-    assert_eq!(late, [Act::Ask, Act::Acknowledge, Act::Believe(Doubt::Lives), Act::Open]);
-    assert_eq!(acts(&mut new, 5.0, Event::Given), [Act::Believe(Doubt::None), Act::Adopt]);
+    assert_eq!(
+        late,
+        [Effect::Ask, Effect::Acknowledge, Effect::Believe(IndeterminateKeys::Lives), Effect::Open]
+    );
+    assert_eq!(acts(&mut new, 5.0, Event::Given), [Effect::Believe(IndeterminateKeys::None), Effect::Adopt]);
     assert_eq!(acts(&mut new, 6.0, Event::OldLost), []);
     // Or it dies without a word.
-    let mut new = Door::new(WINDOW_S);
+    let mut new = ListenerOwnership::new(WINDOW_S);
     acts(&mut new, 0.0, Event::Linked);
     acts(&mut new, 0.1, Event::Able);
     acts(&mut new, PATIENCE_S, Event::Tick);
-    let doubt = Act::Believe(Doubt::Until(9.0 + WINDOW_S));
-    assert_eq!(acts(&mut new, 9.0, Event::OldLost), [Act::Forget, doubt]);
+    let doubt = Effect::Believe(IndeterminateKeys::Until(9.0 + WINDOW_S));
+    assert_eq!(acts(&mut new, 9.0, Event::OldLost), [Effect::Forget, doubt]);
 }
 
 #[test]
 fn what_cant_be_read_is_not_acted_on_and_its_sender_is_watched() {
-    let mut new = Door::new(WINDOW_S);
+    let mut new = ListenerOwnership::new(WINDOW_S);
     acts(&mut new, 0.0, Event::Linked);
     let strange = acts(&mut new, 0.1, Event::Estranged);
-    assert_eq!(strange, [Act::Watch, Act::Believe(Doubt::Lives), Act::Open]);
-    let doubt = Act::Believe(Doubt::Until(5.0 + WINDOW_S));
-    assert_eq!(acts(&mut new, 5.0, Event::OldLost), [Act::Forget, doubt]);
+    assert_eq!(strange, [Effect::Watch, Effect::Believe(IndeterminateKeys::Lives), Effect::Open]);
+    let doubt = Effect::Believe(IndeterminateKeys::Until(5.0 + WINDOW_S));
+    assert_eq!(acts(&mut new, 5.0, Event::OldLost), [Effect::Forget, doubt]);
     // After the word a damaged frame changes nothing: the link's end must mean the process's end.
-    let mut new = Door::new(WINDOW_S);
+    let mut new = ListenerOwnership::new(WINDOW_S);
     for event in [Event::Linked, Event::Welcomed, Event::Able, Event::Given] {
         acts(&mut new, 0.0, event);
     }
@@ -112,12 +115,12 @@
 
 #[test]
 fn a_dead_predecessors_keys_are_in_doubt_for_a_window() {
-    let mut door = Door::new(WINDOW_S);
+    let mut door = ListenerOwnership::new(WINDOW_S);
     let found = acts(&mut door, 3.0, Event::FoundDead);
-    assert_eq!(found, [Act::Believe(Doubt::Until(13.0)), Act::Open]);
-    let doubt = Doubt::Until(13.0);
+    assert_eq!(found, [Effect::Believe(IndeterminateKeys::Until(13.0)), Effect::Open]);
+    let doubt = IndeterminateKeys::Until(13.0);
     assert!(doubt.covers(13.0, true) && !doubt.covers(13.1, true) && !doubt.covers(5.0, false));
-    assert!(Doubt::Lives.covers(99.0, false) && !Doubt::None.covers(0.0, true));
+    assert!(IndeterminateKeys::Lives.covers(99.0, false) && !IndeterminateKeys::None.covers(0.0, true));
 }
 
 #[derive(Clone, Debug)]
@@ -132,7 +135,7 @@
 
 /// One process of a chain: the next one in it is its successor.
 struct Process {
-    door: Door,
+    door: ListenerOwnership,
     alive: bool,
     hung: bool,
     /// Requests that it acts on, those it has lent, and those it was sent and may not act on yet.
@@ -173,27 +176,27 @@
         }
     }
 
-    fn act(&mut self, i: usize, act: Act) {
+    fn act(&mut self, i: usize, act: Effect) {
         match act {
-            Act::Greet => self.say_old(i, Word::Hello),
-            Act::Ask => self.say_old(i, Word::Take),
-            Act::Acknowledge => self.say_old(i, Word::Opened),
-            Act::Watch | Act::Forget => self.chain[i].stash.clear(),
-            Act::Adopt => {
+            Effect::Greet => self.say_old(i, Word::Hello),
+            Effect::Ask => self.say_old(i, Word::Take),
+            Effect::Acknowledge => self.say_old(i, Word::Opened),
+            Effect::Watch | Effect::Forget => self.chain[i].stash.clear(),
+            Effect::Adopt => {
                 let stash = std::mem::take(&mut self.chain[i].stash);
                 self.chain[i].holds.extend(stash);
             }
-            Act::Lend => {
+            Effect::Lend => {
                 let held = std::mem::take(&mut self.chain[i].holds);
                 self.chain[i].lent = held.clone();
                 self.say_new(i, Word::Given(held.into_iter().collect()));
             }
-            Act::Part => self.chain[i].lent.clear(),
-            Act::TakeBack => {
+            Effect::Part => self.chain[i].lent.clear(),
+            Effect::TakeBack => {
                 let lent = std::mem::take(&mut self.chain[i].lent);
                 self.chain[i].holds.extend(lent);
             }
-            Act::Open | Act::Believe(_) | Act::End => {}
+            Effect::Open | Effect::Believe(_) | Effect::End => {}
         }
     }
 
@@ -234,7 +237,7 @@
         if !found && !alone || self.chain.len() >= 5 {
             return;
         }
-        let (door, empty) = (Door::new(WINDOW_S), BTreeSet::new());
+        let (door, empty) = (ListenerOwnership::new(WINDOW_S), BTreeSet::new());
         self.chain.push(Process {
             door,
             alive: true,
@@ -300,7 +303,7 @@
                     while world.hear(i) {}
                 }
                 5 => {
-                    let waits = |d: &Door| !d.is_open() && !d.given_away();
+                    let waits = |d: &ListenerOwnership| !d.is_open() && !d.given_away();
                     let waited = waits(&world.chain[i].door);
                     world.tell_if_alive(i, Event::Leave);
                     // It owes nothing, so that it ends at once.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,41 +6,41 @@
 
 /// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
     #[default]
-    Safe,
+    Idempotent,
     /// May arrive again within a window and must run once.
     Keyed,
     /// Never comes again by itself once it may have run.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// Worth of one answer within the aim.
-    pub worth: f64,
+    pub weight: f64,
     /// Share of the worth left for an answer after the aim.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// An answer within this time of the first try earns the full worth (seconds).
-    pub aim_s: f64,
+    pub objective_s: f64,
     /// How long a client waits in all (seconds).
     pub deadline_s: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Keyed: how long after its arrival it may come again (seconds).
     pub window_s: f64,
     /// Its runs may call the dependency.
     pub calls: bool,
     /// Share of the worth kept when a call is left out; 0 forbids leaving it out.
-    pub skipped_worth: f64,
+    pub skipped_call_weight: f64,
 }
 
 impl Class {
     /// Whether its runs and calls may be repeated.
-    pub fn is_safe(&self) -> bool {
-        self.effect == Effect::Safe
+    pub fn is_idempotent(&self) -> bool {
+        self.effect == Idempotency::Idempotent
     }
 }
 
@@ -64,7 +64,7 @@
 
 /// What the worker can do to a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Halting {
+pub enum Preemption {
     /// Nothing: it runs to its end.
     #[default]
     Never,
@@ -134,29 +134,29 @@
     /// The worker has just been started and must warm up.
     pub cold: bool,
     /// A cold worker has at least this share of its speed.
-    pub cold_from: f64,
+    pub cold_speed: f64,
     /// And is warm no later than this, rising at least evenly (seconds).
-    pub cold_s: f64,
+    pub warm_up_s: f64,
     /// Runs on the cores at once, a core, that a warm worker survives.
-    pub crowd_multiple: f64,
+    pub survivable_multiple: f64,
     /// The time over which that crowd is averaged (seconds).
-    pub crowd_window_s: f64,
+    pub survivable_window_s: f64,
     /// Memory for held and running requests and remembered keys.
     pub memory_kb: f64,
     /// Memory of a running request, as a multiple of that of a held one.
     pub run_factor: f64,
     /// Memory of a remembered key.
-    pub entry_kb: f64,
+    pub key_entry_kb: f64,
     /// How long after the notice to leave an arrival may still be run (seconds).
-    pub leave_grace_s: f64,
+    pub shutdown_grace_s: f64,
     /// An answer this long after the due time still counts (seconds).
     pub answer_slack_s: f64,
     /// Events reach the controller at most this often (seconds).
     pub wake_ahead_s: f64,
     /// Longest advice to stay away that callers heed; 0 where none is relayed (seconds).
-    pub max_advice_s: f64,
+    pub max_retry_after_s: f64,
     /// Worth of a request beyond its tenant's quota, as a share of its class's.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// Callers at this start.
     pub callers: u32,
     /// Workers in the fleet at this start.
@@ -168,7 +168,7 @@
     /// The longest a caller keeps an idle connection (seconds).
     pub idle_s: f64,
     /// What can be done to a run.
-    pub halting: Halting,
+    pub preemption: Preemption,
     /// What the free value means.
     pub signal: Signal,
     /// The shared dependency, if there is one.
@@ -197,13 +197,13 @@
     /// Its memory while held.
     pub kb: f64,
     /// How long it lay unread (seconds).
-    pub unread_s: f64,
+    pub read_delay_s: f64,
     /// How long from now the caller waits, if told (seconds).
-    pub patience_s: Option<f64>,
+    pub time_left_s: Option<f64>,
     /// What it is expected to take, where requests carry a hint (seconds on some standard core).
-    pub size_s: Option<f64>,
+    pub estimate_s: Option<f64>,
     /// The remembered request that this one repeats.
-    pub repeats: Option<RequestId>,
+    pub retry_of: Option<RequestId>,
     /// A further try, marked as such.
     pub retry: bool,
 }
@@ -216,17 +216,17 @@
     /// It failed and may have had its effect.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// Given up; it may have had its effect.
     TimedOut,
     /// What lies below could not be reached.
     Unreachable,
     /// Interrupted; it may have had its effect.
-    Broken,
+    Interrupted,
     /// Stopped, or ended because nobody waited.
-    Stopped,
+    Cancelled,
     /// Nothing was started: the request had already ended.
-    TooLate,
+    NotStarted,
 }
 
 /// Readings that come with a wake-up; absent where the worker has no such gauge.
@@ -243,7 +243,7 @@
 /// What a controller has learned of its machine: of use to its successor there.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
-pub struct Learned {
+pub struct LearnedState {
     /// The limit on runs (slots).
     pub runs: usize,
     /// What a run takes when the worker is well (seconds).
@@ -282,7 +282,7 @@
     }
 }
 
-impl Learned {
+impl LearnedState {
     /// Whether it can have been measured: anything else would spoil every later decision.
     pub fn is_sound(&self) -> bool {
         let paces = self.paces.iter().flat_map(|p| [p.0, p.1].into_iter().chain(p.2));
@@ -319,7 +319,7 @@
         outcome: Outcome,
     },
     /// Notice to leave: the worker will be stopped after this time (seconds).
-    Leave {
+    Shutdown {
         /// How long ago it came.
         ago_s: f64,
         /// Time to the stop.
@@ -330,7 +330,7 @@
     /// The operator's pools are others from now on, or none.
     Pools(Option<PoolPlan>),
     /// What another process uses, from now on, of what this one counts as its own.
-    Beside {
+    OtherProcess {
         /// Its runs on the cores.
         on_cores: usize,
         /// Its calls in the dependency's hands.
@@ -339,7 +339,7 @@
         kb: f64,
     },
     /// What another controller has learned of this machine.
-    Learned(Learned),
+    LearnedState(LearnedState),
 }
 
 /// What the worker is to do.
@@ -348,27 +348,27 @@
     /// Start a held request.
     Start(RequestId),
     /// Answer: not served, nothing was done.
-    Refuse {
+    Reject {
         /// Which.
         id: RequestId,
         /// Advice to stay away (seconds); 0 for none.
-        stay_away_s: f64,
+        retry_after_s: f64,
         /// No other worker will help.
-        no_other: bool,
+        stop_retrying: bool,
     },
     /// Answer: an error, with no promise.
     Fail(RequestId),
     /// Keep the request in the table of keys.
-    Remember {
+    RetainKey {
         /// Which.
         id: RequestId,
         /// For how long (seconds).
         for_s: f64,
     },
     /// Take it from the table.
-    Forget(RequestId),
+    ReleaseKey(RequestId),
     /// Answer with the result of the request that this one repeats.
-    ShareAnswer(RequestId),
+    ShareResponse(RequestId),
     /// Make the call at which a run stands, giving it up at this time.
     Call {
         /// Whose.
@@ -379,7 +379,7 @@
     /// Go on without the call.
     SkipCall(RequestId),
     /// Stop or pause a run, as the settings say.
-    Halt(RequestId),
+    Preempt(RequestId),
     /// Answer health checks from this state.
     Health(bool),
     /// Set the free value.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! honeypost: an overload controller that lives inside each server of a fleet.
+//! honeypost: an overload controller that runs inside each server of a fleet.
 //!
 //! A worker owns one [`Controller`]. It reports what happens to it, one [`Event`] at a time and with its
 //! clock, and carries out the [`Action`]s that come back, in their order. The controller does no input or
 //! output, starts no thread, reads no clock and draws nothing at random: the same events give the same actions.
 //!
 //! ```
-//! use honeypost::{Action, Arrival, Class, Controller, Effect, Event, Outcome, RequestId, Settings};
+//! use port_worker::{Action, Arrival, Class, Controller, Event, Idempotency, Outcome, RequestId, Settings};
 //!
 //! let settings = Settings {
 //!     cores: 2,
@@ -13,10 +13,10 @@
 //!     run_factor: 4.0,
 //!     wake_ahead_s: 0.002,
 //!     classes: vec![Class {
-//!         worth: 1.0,
-//!         aim_s: 1.0,
+//!         weight: 1.0,
+//!         objective_s: 1.0,
 //!         deadline_s: 3.0,
-//!         effect: Effect::Safe,
+//!         effect: Idempotency::Idempotent,
 //!         ..Class::default()
 //!     }],
 //!     ..Settings::default()
@@ -38,21 +38,21 @@
 //! ```
 //!
 //! [`interface`] holds every type that crosses the border, [`Controller`] every decision. Two adapters stand round
-//! it, with the settings of [`config`]: [`net`] is a port worker on real sockets, whose bookkeeping is in [`core`];
-//! [`wire`] hosts many controllers behind the simulator's line protocol.
+//! it, with the settings of [`config`]: [`net`] is a port worker on real sockets, whose bookkeeping is in [`dispatch`];
+//! [`simulator_adapter`] hosts many controllers behind the simulator's line protocol.
 
-pub mod brain;
+pub mod admission;
 pub mod config;
-pub mod core;
+pub mod dispatch;
 pub mod fleet;
-pub mod handover;
+pub mod hot_restart;
 pub mod interface;
 pub mod net;
 pub mod pools;
-pub mod wire;
+pub mod simulator_adapter;
 
-pub use brain::Controller;
+pub use admission::Controller;
 pub use interface::{
-    Action, Arrival, Class, Dependency, Effect, Event, Gauges, Halting, Outcome, PoolItem, PoolPlan,
+    Action, Arrival, Class, Dependency, Event, Gauges, Idempotency, Outcome, PoolItem, PoolPlan, Preemption,
     RequestId, Settings, Signal, Tenant,
 };
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,14 +1,14 @@
 //! Starts one port worker from the configuration that the platform names.
 
-use honeypost::config::Files;
-use honeypost::net;
+use port_worker::config::Files;
+use port_worker::net;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("honeypost: {}", message.replace('\n', " "));
+            eprintln!("port-worker: {}", message.replace('\n', " "));
             ExitCode::from(2)
         }
     }
@@ -19,7 +19,7 @@
     let operator = match (arguments.next().as_deref(), arguments.next(), arguments.next()) {
         (None, ..) => None,
         (Some("--operator"), Some(path), None) => Some(path),
-        _ => return Err("usage: honeypost [--operator FILE]".to_owned()),
+        _ => return Err("usage: port-worker [--operator FILE]".to_owned()),
     };
     let config = std::env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG names no file".to_owned())?;
     let given = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
--- a/src/net/fronts/ajp_front.rs
+++ b/src/net/frontends/ajp.rs
@@ -1,13 +1,13 @@
 //! The AJP front: old portal stacks speak AJP/1.3 to it, and it asks the same core as the platform's front.
 
 use crate::config::{AjpSettings, Identity};
-use crate::core::{Answer, Input, Ticket};
-use crate::interface::Effect;
-use crate::net::base::buffer::Filled;
-use crate::net::base::poll::{Place, Poll};
-use crate::net::fronts::connections::{Connection, Connections, Next, Stage, STEPS_MOST};
-use crate::net::fronts::fields::{Fault, Fields, BODY_MOST};
-use crate::net::peers::ajp::{
+use crate::dispatch::{Input, Response, Ticket};
+use crate::interface::Idempotency;
+use crate::net::frontends::connections::{Connection, Connections, Next, Stage, STEPS_MOST};
+use crate::net::frontends::request_fields::{Fault, Fields, BODY_MOST};
+use crate::net::io::buffer::Filled;
+use crate::net::io::poll::{Place, Poll};
+use crate::net::upstreams::ajp_codec::{
     self, Forward, ToContainer, Way, BODY_CHUNK_MOST, PACKET_MOST, REPLY_CHUNK_MOST,
 };
 use crate::net::{Clock, Log, State};
@@ -110,7 +110,7 @@
             if c.stage == Stage::Idle && !c.link.data().is_empty() {
                 c.step(now, Stage::Reading);
             }
-            let range = match ajp::packet(c.link.data(), Way::ToContainer) {
+            let range = match ajp_codec::packet(c.link.data(), Way::ToContainer) {
                 Ok(Some(range)) => range,
                 // A client that is gone before its last byte: the request never reaches the core.
                 Ok(None) if filled != Filled::Open => return self.connections.close(id),
@@ -124,7 +124,7 @@
             };
             let consumed = range.end;
             if c.memory.0.is_some() {
-                let chunk = c.link.data().get(range).map(ajp::body);
+                let chunk = c.link.data().get(range).map(ajp_codec::body);
                 let Some(Ok(chunk)) = chunk else {
                     turn.log.line("ajp: closed for a bad body packet");
                     c.finish(now);
@@ -138,13 +138,13 @@
                 self.body_came(id, ended, turn);
                 continue;
             }
-            let message = c.link.data().get(range).map(ajp::to_container);
+            let message = c.link.data().get(range).map(ajp_codec::to_container);
             let pending = match message {
                 Some(Ok(ToContainer::Forward(f))) => {
                     head(&self.settings, self.directory, &f, turn.state, turn.clock.unix_ms())
                 }
                 Some(Ok(ToContainer::CPing)) => {
-                    c.link.push(ajp::write_cpong());
+                    c.link.push(ajp_codec::write_cpong());
                     c.link.consume(consumed);
                     c.step(now, Stage::Idle);
                     continue;
@@ -167,7 +167,7 @@
                     let done = p.length == Some(0);
                     // Of a body without a length nothing comes unasked.
                     if p.length.is_none() {
-                        c.link.push(ajp::write_get_body(BODY_CHUNK_MOST as u16));
+                        c.link.push(ajp_codec::write_get_body(BODY_CHUNK_MOST as u16));
                     }
                     c.memory.0 = Some(p);
                     if done {
@@ -205,7 +205,7 @@
             None if ended => self.whole(id, turn),
             length => {
                 let wanted = length.map_or(BODY_CHUNK_MOST, |n| (n - have).min(BODY_CHUNK_MOST));
-                c.link.push(ajp::write_get_body(wanted as u16));
+                c.link.push(ajp_codec::write_get_body(wanted as u16));
             }
         }
     }
@@ -272,26 +272,26 @@
     }
 
     /// Writes an answer of the core.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, given: Answer, state: &State) {
+    pub fn answer(&mut self, now: f64, ticket: Ticket, given: Response, state: &State) {
         let Some(c) = self.connections.get_mut(ticket.0).filter(|c| c.stage == Stage::Asked) else { return };
         match given {
-            Answer::Served(result) => {
+            Response::Served(result) => {
                 let kind = ("Content-Type", "application/octet-stream".to_owned());
                 answer(c, now, 200, "OK", &[kind], Some(result), state);
             }
-            Answer::Refused { stay_away_s, no_other } => {
-                let mut extra = vec![("Retry-After", stay_away_s.ceil().max(1.0).to_string())];
-                if stay_away_s > 0.0 {
-                    extra.push(("X-Pushback-Ms", (stay_away_s * 1000.0).ceil().to_string()));
+            Response::Rejected { retry_after_s, stop_retrying } => {
+                let mut extra = vec![("Retry-After", retry_after_s.ceil().max(1.0).to_string())];
+                if retry_after_s > 0.0 {
+                    extra.push(("X-Pushback-Ms", (retry_after_s * 1000.0).ceil().to_string()));
                 }
-                if no_other {
+                if stop_retrying {
                     extra.push(("X-Stop-Trying", "1".to_owned()));
                 }
                 answer(c, now, 503, "Service Unavailable", &extra, None, state);
             }
-            Answer::Conflict => answer(c, now, 409, "Conflict", &[], None, state),
-            Answer::Failed => answer(c, now, 502, "Bad Gateway", &[], None, state),
-            Answer::OutOfTime => answer(c, now, 504, "Gateway Timeout", &[], None, state),
+            Response::Conflict => answer(c, now, 409, "Conflict", &[], None, state),
+            Response::Failed => answer(c, now, 502, "Bad Gateway", &[], None, state),
+            Response::DeadlineExceeded => answer(c, now, 504, "Gateway Timeout", &[], None, state),
         }
         self.connections.touch(ticket.0);
     }
@@ -323,16 +323,16 @@
         headers.push(("X-Backend-Says", level.to_string()));
     }
     // These few short headers fit into a packet.
-    c.link.push(ajp::write_headers(code, reason, &headers).unwrap_or_default());
+    c.link.push(ajp_codec::write_headers(code, reason, &headers).unwrap_or_default());
     if let Some(body) = body {
         for from in (0..length).step_by(REPLY_CHUNK_MOST) {
             let to = length.min(from + REPLY_CHUNK_MOST);
-            c.link.push(ajp::chunk_head(to - from));
+            c.link.push(ajp_codec::chunk_head(to - from));
             c.link.push_part(body.clone(), from..to);
             c.link.push(vec![0]);
         }
     }
-    c.link.push(ajp::write_end(!c.close));
+    c.link.push(ajp_codec::write_end(!c.close));
 }
 
 /// Checks the head of a request, as far as it can be checked without its body.
@@ -371,7 +371,7 @@
     let path = f.uri.split(['?', ';']).next().unwrap_or("");
     let class = settings.class_of(path).and_then(|name| state.known.class(name));
     let class = class.ok_or(Reject(404, "no such class"))?;
-    let safe = state.known.effect(class) == Effect::Safe;
+    let safe = state.known.effect(class) == Idempotency::Idempotent;
     if !(f.method == "POST" || safe && f.method == "GET") {
         return Err(Reject(405, "the method is not taken here"));
     }
@@ -379,7 +379,7 @@
         return Err(Reject(413, "the body is too long"));
     }
     // Turned away before the core: without a key nothing could keep it from running twice.
-    if !safe && fields.key.is_none() && state.known.effect(class) == Effect::Keyed {
+    if !safe && fields.key.is_none() && state.known.effect(class) == Idempotency::Keyed {
         return Err(Reject(400, "X-Operation-Key"));
     }
     let (mut tenant, mut identity) = (None, None);
--- a/src/net/fronts/connections.rs
+++ b/src/net/frontends/connections.rs
@@ -6,9 +6,9 @@
 //! unread by anybody, and the socket is closed when the peer has ended too or a short bound is over. What is dropped
 //! never reaches the core: its answer could not be read, and whoever sent it sees that the connection had ended.
 
-use crate::core::{Input, Ticket};
-use crate::net::base::buffer::{Filled, Link};
-use crate::net::base::poll::{Accepted, Acceptor, Place, Poll};
+use crate::dispatch::{Input, Ticket};
+use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::poll::{Accepted, Acceptor, Place, Poll};
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -56,7 +56,7 @@
     /// All is said: what still comes is thrown away until the peer closes.
     Closing,
     /// Another process has it, or is about to.
-    Lent,
+    HandedOff,
 }
 
 /// A connection, with what its protocol remembers between two looks.
@@ -100,7 +100,7 @@
                 // One request at a time: what comes meanwhile waits in the buffer, then with the system. A reset
                 // shows in reading alone, and the core need not go on for a caller that is gone.
                 Stage::Asked if self.link.fill() == Filled::Broken => return Next::Close,
-                Stage::Asked | Stage::Lent => return Next::Wait,
+                Stage::Asked | Stage::HandedOff => return Next::Wait,
                 Stage::Answering if self.link.queued() > 0 => return Next::Wait,
                 Stage::Answering if self.close => self.half_close(now),
                 Stage::Answering => self.step(now, Stage::Idle),
@@ -188,7 +188,7 @@
 }
 
 /// A connection on its way to another process, with what its protocol remembers.
-pub struct Parcel<P> {
+pub struct DetachedConnection<P> {
     pub stream: OwnedFd,
     pub unread: Vec<u8>,
     /// Requests that came in whole.
@@ -267,14 +267,14 @@
 
     /// Goes on with a lent connection; `asked` says that its request is in hand.
     pub fn take_back(&mut self, now: f64, id: u64, asked: bool) {
-        let Some(c) = self.all.get_mut(&id).filter(|c| c.stage == Stage::Lent) else { return };
+        let Some(c) = self.all.get_mut(&id).filter(|c| c.stage == Stage::HandedOff) else { return };
         let read = if c.link.data().is_empty() { Stage::Idle } else { Stage::Reading };
         (c.stage, c.since) = (if asked { Stage::Asked } else { read }, now);
         self.touched.push(id);
     }
 
     /// Takes over a connection from another process, in non-blocking mode; `asked` says that its request is in hand.
-    pub fn adopt(&mut self, now: f64, parcel: Parcel<P>, asked: bool) -> Option<u64> {
+    pub fn adopt(&mut self, now: f64, parcel: DetachedConnection<P>, asked: bool) -> Option<u64> {
         let id = self.poll.fresh();
         let mut link =
             Link::new(&self.poll, TcpStream::from(parcel.stream), (self.place)(id), self.room).ok()?;
@@ -284,7 +284,7 @@
             false if link.data().is_empty() => Stage::Idle,
             false => Stage::Reading,
         };
-        let Parcel { asked, close, memory, .. } = parcel;
+        let DetachedConnection { asked, close, memory, .. } = parcel;
         let (since, opened, heard) = (now, now, now);
         let unseen = !link.data().is_empty();
         self.all.insert(id, Connection { link, stage, since, opened, heard, asked, close, unseen, memory });
@@ -344,12 +344,12 @@
 
     /// Whether all that was asked has been answered and written out, and nothing is on its way in.
     pub fn quiet(&self) -> bool {
-        self.all.values().all(|c| matches!(c.stage, Stage::Idle | Stage::Closing | Stage::Lent))
+        self.all.values().all(|c| matches!(c.stage, Stage::Idle | Stage::Closing | Stage::HandedOff))
     }
 
     /// Whether nobody is left who has not ended too; what another process holds is its.
     pub fn all_ended(&self) -> bool {
-        self.all.values().all(|c| c.stage == Stage::Lent)
+        self.all.values().all(|c| c.stage == Stage::HandedOff)
     }
 
     /// Whether a connection has news that the loop has not told of.
@@ -389,7 +389,7 @@
     /// Closes a connection that is broken; what is owed on it is owed no more.
     pub fn gone(&mut self, id: u64, inputs: &mut Vec<Input>) {
         if self.all.remove(&id).is_some_and(|c| c.stage == Stage::Asked) {
-            inputs.push(Input::Gone(Ticket(id)));
+            inputs.push(Input::ClientDisconnected(Ticket(id)));
         }
     }
 
@@ -500,7 +500,7 @@
                     leaving || lasts >= idle_s
                 }
                 Stage::Reading => asks_for >= SLOW_REQUEST_S,
-                Stage::Asked | Stage::Lent => false,
+                Stage::Asked | Stage::HandedOff => false,
                 // It takes nothing, so there is nothing that a gentler end could bring to it.
                 Stage::Answering => return lasts < SLOW_ANSWER_S,
                 Stage::Closing => return c.lingers(now),
@@ -527,7 +527,7 @@
 
     /// The last act before the process ends: what lies unread would make its end a reset.
     pub fn drop_unread(&mut self) {
-        self.all.values_mut().filter(|c| c.stage != Stage::Lent).for_each(Connection::drop_unread);
+        self.all.values_mut().filter(|c| c.stage != Stage::HandedOff).for_each(Connection::drop_unread);
     }
 }
 
@@ -542,13 +542,13 @@
 
 impl<P: Default + Copy> Connections<P> {
     /// Lends a connection to another process: nothing is read or written here until it is taken back.
-    pub fn lend(&mut self, id: u64) -> Option<Parcel<P>> {
+    pub fn lend(&mut self, id: u64) -> Option<DetachedConnection<P>> {
         let c = self.all.get_mut(&id)?;
         let (unread, memory) = (c.link.data().to_vec(), c.memory);
         // Where the system gives no descriptor for it, it stays as it is.
         let stream = c.link.duplicate().ok()?;
-        c.stage = Stage::Lent;
-        Some(Parcel { stream, unread, asked: c.asked, close: c.close, memory })
+        c.stage = Stage::HandedOff;
+        Some(DetachedConnection { stream, unread, asked: c.asked, close: c.close, memory })
     }
 }
 
--- a/src/net/fronts/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::base::poll::Gathered;
+use crate::net::io::poll::Gathered;
 use calloop::EventLoop;
 
 /// Connections with a clock of the test's own, each of which has asked so often and rested since.
@@ -24,7 +24,7 @@
         let stream = self.listener.accept().unwrap().0;
         stream.set_nonblocking(true).unwrap();
         let stream = stream.into();
-        let parcel = Parcel { stream, unread: Vec::new(), asked, close: false, memory: () };
+        let parcel = DetachedConnection { stream, unread: Vec::new(), asked, close: false, memory: () };
         let id = self.connections.adopt(opened, parcel, false).unwrap();
         self.connections.get_mut(id).unwrap().step(rests_since, Stage::Idle);
         id
--- a/src/net/fronts/http_front.rs
+++ b/src/net/frontends/http1.rs
@@ -1,11 +1,11 @@
 //! The platform's front: HTTP/1.1, one request at a time on a connection, and health checks.
 
-use crate::core::{Answer, Input, Request, Ticket};
-use crate::net::base::buffer::Filled;
-use crate::net::base::poll::{Place, Poll};
-use crate::net::fronts::connections::{Connections, Next, Stage, STEPS_MOST};
-use crate::net::fronts::fields::{Catalogue, Fault, Fields, BODY_MOST};
-use crate::net::fronts::meaning::{meaning, target, Fail, Target};
+use crate::dispatch::{Input, Request, Response, Ticket};
+use crate::net::frontends::connections::{Connections, Next, Stage, STEPS_MOST};
+use crate::net::frontends::request_fields::{Catalog, Fault, Fields, BODY_MOST};
+use crate::net::frontends::status_mapping::{meaning, target, Fail, Target};
+use crate::net::io::buffer::Filled;
+use crate::net::io::poll::{Place, Poll};
 use crate::net::{Clock, State};
 use std::fmt::Write;
 use std::io;
@@ -130,7 +130,7 @@
     }
 
     /// Writes an answer of the core.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Answer, state: &State) {
+    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, state: &State) {
         let Some(c) = self.connections.get_mut(ticket.0).filter(|c| c.stage == Stage::Asked) else { return };
         c.close |= state.leaving;
         c.step(now, Stage::Answering);
@@ -184,7 +184,7 @@
 }
 
 /// Reads a request where it lies in the buffer.
-fn parse(data: &[u8], ticket: Ticket, known: &Rc<Catalogue>, clock: &Clock) -> Parsed {
+fn parse(data: &[u8], ticket: Ticket, known: &Rc<Catalog>, clock: &Clock) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let mut head = httparse::Request::new(&mut headers);
     let start = match head.parse(data) {
--- a/src/net/fronts/http2/conduct.rs
+++ b/src/net/frontends/http2/abuse_detection.rs
@@ -41,7 +41,7 @@
 
 /// One connection's account.
 #[derive(Clone, Debug)]
-pub struct Conduct {
+pub struct AbuseDetector {
     allowance: Allowance,
     left: f64,
     at: f64,
@@ -49,10 +49,10 @@
     short: Option<f64>,
 }
 
-impl Conduct {
-    pub fn new(now: f64, allowance: Allowance, wary: bool) -> Conduct {
+impl AbuseDetector {
+    pub fn new(now: f64, allowance: Allowance, wary: bool) -> AbuseDetector {
         let left = if wary { allowance.first_bytes } else { allowance.most_bytes };
-        Conduct { allowance, left, at: now, short: None }
+        AbuseDetector { allowance, left, at: now, short: None }
     }
 
     /// Of so many bytes that wait, how many may be taken; those are paid for with this call.
@@ -91,11 +91,11 @@
 
 /// What the front remembers of clients that ran short or were ended for an error.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wariness {
+pub struct PressureMonitor {
     until: f64,
 }
 
-impl Wariness {
+impl PressureMonitor {
     pub fn ran_short(&mut self, now: f64) {
         self.until = now + WARY_S;
     }
--- a/src/net/fronts/http2/conduct/tests.rs
+++ b/src/net/frontends/http2/abuse_detection/tests.rs
@@ -5,7 +5,7 @@
     Allowance { most_bytes: 64.0 * 1024.0, bytes_per_s: 4096.0, first_bytes: 12.0 * 1024.0 };
 
 /// Sends so many bytes in pieces every so often, and says what was taken in all and when it was told to go.
-fn flood(mut conduct: Conduct, piece: usize, every_s: f64, for_s: f64) -> (usize, Option<f64>) {
+fn flood(mut conduct: AbuseDetector, piece: usize, every_s: f64, for_s: f64) -> (usize, Option<f64>) {
     let (mut now, mut taken) = (0.0, 0);
     while now < for_s {
         match conduct.judge(now, piece) {
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_flood_is_read_at_the_pace_of_its_allowance_and_then_told_to_go() {
-    let (taken, ended) = flood(Conduct::new(0.0, ALLOWANCE, false), 8192, 0.001, 60.0);
+    let (taken, ended) = flood(AbuseDetector::new(0.0, ALLOWANCE, false), 8192, 0.001, 60.0);
     let ended = ended.expect("told to go");
     assert!((PATIENCE_S..PATIENCE_S + 0.1).contains(&ended), "{ended}");
     let most = ALLOWANCE.most_bytes + ended * ALLOWANCE.bytes_per_s;
@@ -30,10 +30,10 @@
 /// A flood that connects anew whenever it has spent what it began with.
 #[test]
 fn while_a_flood_lasts_new_connections_begin_with_little() {
-    let mut wariness = Wariness::default();
+    let mut wariness = PressureMonitor::default();
     let (mut taken, mut now) = (0, 0.0);
     for _ in 0..1000 {
-        let mut conduct = Conduct::new(now, ALLOWANCE, wariness.wary(now));
+        let mut conduct = AbuseDetector::new(now, ALLOWANCE, wariness.wary(now));
         loop {
             match conduct.judge(now, 8192) {
                 Verdict::Take(n) => taken += n,
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_client_that_ran_short_and_asks_again_is_forgiven() {
-    let mut conduct = Conduct::new(0.0, ALLOWANCE, true);
+    let mut conduct = AbuseDetector::new(0.0, ALLOWANCE, true);
     assert_eq!(conduct.judge(0.0, 16 * 1024), Verdict::Take(12 * 1024));
     assert_eq!(conduct.judge(0.0, 100), Verdict::Wait { first: true });
     assert_eq!(conduct.judge(0.0, 100), Verdict::Wait { first: false });
@@ -75,7 +75,7 @@
         wary in any::<bool>(),
         requests in prop::collection::vec((20usize..8192, 0usize..2048, 1usize..600), 1..200),
     ) {
-        let mut conduct = Conduct::new(0.0, ALLOWANCE, wary);
+        let mut conduct = AbuseDetector::new(0.0, ALLOWANCE, wary);
         for (head, body, cut) in requests {
             // On the wire: frame heads of nine bytes, a settings or window update now and then.
             let mut wire = 9 + head + body + 9 * body.div_ceil(1024) + 13;
@@ -95,7 +95,7 @@
     /// Of what asks for nothing, never more is taken than the allowance holds, whatever the order of events.
     #[test]
     fn what_asks_for_nothing_is_bounded(events in prop::collection::vec((0u8..4, 0usize..10_000), 1..300)) {
-        let mut conduct = Conduct::new(0.0, ALLOWANCE, false);
+        let mut conduct = AbuseDetector::new(0.0, ALLOWANCE, false);
         let (mut now, mut taken, mut brought) = (0.0, 0usize, 0usize);
         for (kind, n) in events {
             match kind {
--- a/src/net/fronts/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -6,25 +6,25 @@
 //! sessions of those that have not asked, through `conduct` what asks for nothing, and through `backlog` answers that
 //! wait in all.
 
-mod backlog;
-mod conduct;
-mod lobby;
-mod pipe;
+mod abuse_detection;
+mod response_backlog;
 mod session;
+mod session_admission;
 #[cfg(test)]
 mod tests;
+mod transport;
 
 use crate::config::Http2Settings;
-use crate::core::{Answer, Input, Ticket};
-use crate::net::base::buffer::Filled;
-use crate::net::base::poll::{Place, Poll};
-use crate::net::fronts::connections::{Connections, Next, Stage};
+use crate::dispatch::{Input, Response, Ticket};
+use crate::net::frontends::connections::{Connections, Next, Stage};
+use crate::net::io::buffer::Filled;
+use crate::net::io::poll::{Place, Poll};
 use crate::net::Log;
 use crate::net::{Clock, State};
-use backlog::Waiting;
-use conduct::{Allowance, Conduct, Verdict, Wariness};
-use lobby::Lobby;
+use abuse_detection::{AbuseDetector, Allowance, PressureMonitor, Verdict};
+use response_backlog::Waiting;
 use session::Session;
+use session_admission::SessionAdmission;
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -55,7 +55,7 @@
 /// A connection's session and account, once its preface is here, and when bytes last went out while some waited.
 #[derive(Default)]
 pub struct Memory {
-    session: Option<Box<(Session, Conduct)>>,
+    session: Option<Box<(Session, AbuseDetector)>>,
     sent: u64,
     sent_at: f64,
 }
@@ -66,8 +66,8 @@
     poll: Poll,
     /// By ticket: the connection on which its answer is owed.
     owners: HashMap<u64, u64>,
-    wariness: Wariness,
-    lobby: Lobby,
+    wariness: PressureMonitor,
+    lobby: SessionAdmission,
 }
 
 impl Http2Front {
@@ -75,7 +75,7 @@
     pub fn shut(poll: &Poll, settings: Http2Settings) -> Http2Front {
         let mut connections = Connections::shut(poll, Place::Http2, ROOM);
         connections.at_most(settings.connections);
-        let (lobby, wariness) = (Lobby::new(settings.newcomers), Wariness::default());
+        let (lobby, wariness) = (SessionAdmission::new(settings.newcomers), PressureMonitor::default());
         Http2Front { connections, settings, poll: poll.clone(), owners: HashMap::new(), wariness, lobby }
     }
 
@@ -163,7 +163,7 @@
                 c.link.tighten();
                 return;
             }
-            let conduct = Conduct::new(now, allowance(&self.settings), self.wariness.wary(now));
+            let conduct = AbuseDetector::new(now, allowance(&self.settings), self.wariness.wary(now));
             c.memory.session = Some(Box::new((Session::new(&self.settings), conduct)));
         }
         let poll = self.poll.clone();
@@ -222,7 +222,7 @@
         }
         for ticket in seen.gone {
             self.owners.remove(&ticket.0);
-            inputs.push(Input::Gone(ticket));
+            inputs.push(Input::ClientDisconnected(ticket));
         }
         for request in seen.requests {
             self.owners.insert(request.ticket.0, id);
@@ -262,7 +262,7 @@
         let Some(c) = self.connections.get_mut(id) else { return };
         for ticket in c.memory.session.iter().flat_map(|s| s.0.asked()) {
             self.owners.remove(&ticket.0);
-            inputs.push(Input::Gone(ticket));
+            inputs.push(Input::ClientDisconnected(ticket));
         }
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Hands an answer of the core to its stream.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Answer, state: &State) {
+    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, state: &State) {
         let Some(id) = self.owners.remove(&ticket.0) else { return };
         let Some(c) = self.connections.get_mut(id) else { return };
         if let Some((session, _)) = c.memory.session.as_deref_mut() {
@@ -297,7 +297,7 @@
             let bytes = c.memory.session.as_ref().map_or(0, |s| s.0.waiting()) + c.link.queued();
             waiting.push(Waiting { id, bytes });
         }
-        for id in backlog::too_much(waiting, self.settings.waiting_kb as usize * 1024) {
+        for id in response_backlog::too_much(waiting, self.settings.waiting_kb as usize * 1024) {
             log.often("http2: too much waits for clients: who has most of it is told to go");
             if let Some((session, _)) =
                 self.connections.get_mut(id).and_then(|c| c.memory.session.as_deref_mut())
--- a/src/net/fronts/http2/session.rs
+++ b/src/net/frontends/http2/session.rs
@@ -3,11 +3,11 @@
 //! Its futures are polled in the turn, without a runtime: whatever they wait for comes through the pipe, through the
 //! core or through time, and each of these has the connection looked at again.
 
-use super::pipe::Pipe;
+use super::transport::Pipe;
 use crate::config::Http2Settings;
-use crate::core::{Answer, Request, Ticket};
-use crate::net::fronts::fields::{Fault, Fields, BODY_MOST};
-use crate::net::fronts::meaning::{meaning, target, Fail, Meaning, Target};
+use crate::dispatch::{Request, Response, Ticket};
+use crate::net::frontends::request_fields::{Fault, Fields, BODY_MOST};
+use crate::net::frontends::status_mapping::{meaning, target, Fail, StatusMapping, Target};
 use crate::net::{Clock, State};
 use bytes::Buf;
 use h2::server::{Connection, Handshake, SendResponse};
@@ -363,7 +363,7 @@
     }
 
     /// Gives the core's answer to a stream.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Answer, state: &State) {
+    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, state: &State) {
         let Some(stream) = self.streams.get_mut(&ticket.0) else { return };
         if matches!(stream.stage, Stage::Asked) {
             stream.since = now;
@@ -417,17 +417,17 @@
     }
 
     fn fail(&mut self, fail: Fail, state: &State) {
-        let plain = Meaning { code: fail.code, body: None, pushback_ms: None, stop_trying: false };
+        let plain = StatusMapping { code: fail.code, body: None, pushback_ms: None, stop_trying: false };
         let body = format!("{}\n", fail.why).into_bytes();
-        self.give(Meaning { body: Some(body.into()), ..plain }, fail.allow, state);
+        self.give(StatusMapping { body: Some(body.into()), ..plain }, fail.allow, state);
     }
 
     fn say(&mut self, code: u16, text: &str, state: &State) {
         let body = Some(Rc::from(text.as_bytes()));
-        self.give(Meaning { code, body, pushback_ms: None, stop_trying: false }, "", state);
+        self.give(StatusMapping { code, body, pushback_ms: None, stop_trying: false }, "", state);
     }
 
-    fn give(&mut self, meaning: Meaning, allow: &str, state: &State) {
+    fn give(&mut self, meaning: StatusMapping, allow: &str, state: &State) {
         let length = meaning.body.as_ref().map_or(0, |b| b.len());
         let mut head = http::Response::builder().status(meaning.code).header("content-length", length);
         if let Some(ms) = meaning.pushback_ms {
--- a/src/net/fronts/http2/lobby.rs
+++ b/src/net/frontends/http2/session_admission.rs
@@ -11,7 +11,7 @@
 pub const SILENT_S: f64 = 0.05;
 
 #[derive(Debug)]
-pub struct Lobby {
+pub struct SessionAdmission {
     seats: usize,
     /// Those that have a session and have not asked, and since when; the oldest first.
     seated: VecDeque<(f64, u64)>,
@@ -27,9 +27,9 @@
     pub seated: u64,
 }
 
-impl Lobby {
-    pub fn new(seats: usize) -> Lobby {
-        Lobby { seats: seats.max(1), seated: VecDeque::new(), waiting: VecDeque::new() }
+impl SessionAdmission {
+    pub fn new(seats: usize) -> SessionAdmission {
+        SessionAdmission { seats: seats.max(1), seated: VecDeque::new(), waiting: VecDeque::new() }
     }
 
     /// Whether a newcomer has a seat; if not, it waits for one.
--- a/src/net/fronts/http2/lobby/tests.rs
+++ b/src/net/frontends/http2/session_admission/tests.rs
@@ -7,7 +7,7 @@
 /// Silent connections by the hundred, each with a preface, made the worker build a session for each.
 #[test]
 fn silent_newcomers_share_the_seats_and_whoever_asks_is_seated_in_time() {
-    let mut lobby = Lobby::new(4);
+    let mut lobby = SessionAdmission::new(4);
     let seated: Vec<bool> = (0..100).map(|id| lobby.enter(0.0, id)).collect();
     assert_eq!(seated.iter().filter(|s| **s).count(), 4);
     // Nobody has sat for long yet.
@@ -27,7 +27,7 @@
 
 #[test]
 fn where_nobody_waits_whoever_is_silent_keeps_its_seat() {
-    let mut lobby = Lobby::new(2);
+    let mut lobby = SessionAdmission::new(2);
     assert!(lobby.enter(0.0, 1) && lobby.enter(0.0, 2));
     assert!(lobby.move_up(60.0).is_none() && !lobby.waits());
     // One that has asked leaves its seat to the next, who waits for no silence.
@@ -43,7 +43,7 @@
     /// Never more sessions than seats, nobody both seated and waiting, and a silent lobby empties in the end.
     #[test]
     fn seats_are_never_given_twice(events in prop::collection::vec((0u8..4, 0u64..30), 1..300)) {
-        let (mut lobby, mut now) = (Lobby::new(3), 0.0);
+        let (mut lobby, mut now) = (SessionAdmission::new(3), 0.0);
         for (kind, id) in events {
             match kind {
                 0 => drop(lobby.enter(now, id)),
--- a/src/net/fronts/http2/tests.rs
+++ b/src/net/frontends/http2/tests.rs
@@ -1,11 +1,11 @@
 //! A property of sessions: whatever the interleaving of opened streams, bodies, resets, answers, windows, cuts in the
 //! bytes and a drain, each stream that was taken has one end, and nothing is left over. Seeds are fixed.
 
-use super::pipe::Pipe;
 use super::session::Session;
+use super::transport::Pipe;
 use crate::config::{Config, Http2Settings, Operator};
-use crate::core::{Answer, Ticket};
-use crate::net::fronts::fields::Catalogue;
+use crate::dispatch::{Response, Ticket};
+use crate::net::frontends::request_fields::Catalog;
 use crate::net::{Clock, State};
 use bytes::Bytes;
 use h2::client::{Connection, ResponseFuture, SendRequest};
@@ -67,7 +67,7 @@
 impl World {
     fn new(window: u32) -> World {
         let (http2, config) = settings();
-        let known = Rc::new(Catalogue::new(&config.settings, &config.settings.settings(1)));
+        let known = Rc::new(Catalog::new(&config.settings, &config.settings.settings(1)));
         let wire = Pipe::default();
         let mut builder = h2::client::Builder::new();
         builder.initial_window_size(window);
@@ -205,9 +205,9 @@
         let Some(&ticket) = owed.get(n % owed.len().max(1)) else { return };
         self.answered.insert(ticket);
         let answer = if refuse {
-            Answer::Refused { stay_away_s: 0.5, no_other: true }
+            Response::Rejected { retry_after_s: 0.5, stop_retrying: true }
         } else {
-            Answer::Served(vec![7; 200].into())
+            Response::Served(vec![7; 200].into())
         };
         self.session.answer(self.clock.now(), Ticket(ticket), answer, &self.state);
     }
@@ -218,7 +218,7 @@
     Ask(bool),
     Finish(usize),
     Reset(usize),
-    Answer(usize, bool),
+    Response(usize, bool),
     Read(usize),
     Shuttle(usize),
     Drain,
@@ -229,7 +229,7 @@
         5 => any::<bool>().prop_map(Step::Ask),
         2 => (0usize..12).prop_map(Step::Finish),
         2 => (0usize..12).prop_map(Step::Reset),
-        4 => (0usize..12, any::<bool>()).prop_map(|(n, refuse)| Step::Answer(n, refuse)),
+        4 => (0usize..12, any::<bool>()).prop_map(|(n, refuse)| Step::Response(n, refuse)),
         4 => (0usize..12).prop_map(Step::Read),
         8 => prop_oneof![1usize..40, 100usize..9000].prop_map(Step::Shuttle),
         1 => Just(Step::Drain),
@@ -259,7 +259,7 @@
                         }
                     }
                     Step::Reset(n) => w.reset(n),
-                    Step::Answer(n, refuse) => w.answer(n, refuse),
+                    Step::Response(n, refuse) => w.answer(n, refuse),
                     Step::Read(n) => w.read(n),
                     Step::Shuttle(most) => w.shuttle(most),
                     Step::Drain => w.state.leaving = true,
--- a/src/net/fronts/mod.rs
+++ b/src/net/frontends/mod.rs
@@ -1,8 +1,8 @@
 //! What lets clients in: the fronts, and what their fields, targets and answers mean.
 
-pub mod ajp_front;
+pub mod ajp;
 pub mod connections;
-pub mod fields;
+pub mod http1;
 pub mod http2;
-pub mod http_front;
-pub mod meaning;
+pub mod request_fields;
+pub mod status_mapping;
--- a/src/net/fronts/fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -2,8 +2,8 @@
 //! what the core takes.
 
 use crate::config::Options;
-use crate::core::{Request, Ticket};
-use crate::interface::{Class, Effect, Settings};
+use crate::dispatch::{Request, Ticket};
+use crate::interface::{Class, Idempotency, Settings};
 use crate::net::Clock;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -18,18 +18,18 @@
 pub const BODY_MOST: usize = 2048;
 
 /// The classes and tenants of the settings by name, for all fronts.
-pub struct Catalogue {
+pub struct Catalog {
     classes: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
     kinds: Vec<Class>,
     names: Vec<Rc<str>>,
 }
 
-impl Catalogue {
-    pub fn new(options: &Options, settings: &Settings) -> Catalogue {
+impl Catalog {
+    pub fn new(options: &Options, settings: &Settings) -> Catalog {
         let numbered =
             |names: Vec<&String>| names.into_iter().enumerate().map(|(i, n)| (n.clone(), i)).collect();
-        Catalogue {
+        Catalog {
             classes: numbered(options.profiles.iter().map(|p| &p.name).collect()),
             tenants: numbered(options.tenants.iter().map(|t| &t.name).collect()),
             kinds: settings.classes.clone(),
@@ -45,7 +45,7 @@
         self.names.get(class).map_or("", |n| n)
     }
 
-    pub fn effect(&self, class: usize) -> Effect {
+    pub fn effect(&self, class: usize) -> Idempotency {
         self.kinds[class].effect
     }
 
@@ -119,11 +119,11 @@
     }
 
     /// How long its caller waits from now on (seconds). The time that it lay unread is part of it.
-    pub fn time_left(&self, class: usize, known: &Catalogue, clock: &Clock) -> f64 {
-        self.deadline_ms.map_or(known.kinds[class].deadline_s, |ms| ms / 1000.0) - self.unread_s(clock)
+    pub fn time_left(&self, class: usize, known: &Catalog, clock: &Clock) -> f64 {
+        self.deadline_ms.map_or(known.kinds[class].deadline_s, |ms| ms / 1000.0) - self.read_delay_s(clock)
     }
 
-    fn unread_s(&self, clock: &Clock) -> f64 {
+    fn read_delay_s(&self, clock: &Clock) -> f64 {
         self.arrived_ms.map_or(0.0, |at| ((clock.unix_ms() - at) / 1000.0).max(0.0))
     }
 
@@ -134,7 +134,7 @@
         class: usize,
         tenant: Option<usize>,
         body: &[u8],
-        known: &Catalogue,
+        known: &Catalog,
         clock: &Clock,
     ) -> Result<Request, Fault> {
         let tenant = match (tenant, &self.org) {
@@ -145,7 +145,7 @@
             (None, None) => return Err(Fault::Field("X-Org")),
         };
         // Without its key nothing could keep a keyed request from running twice.
-        let keyed = known.effect(class) == Effect::Keyed;
+        let keyed = known.effect(class) == Idempotency::Keyed;
         if keyed && self.key.is_none() {
             return Err(Fault::Field("X-Operation-Key"));
         }
@@ -153,8 +153,8 @@
         if self.arrived_ms.is_some_and(|at| (clock.unix_ms() - at).abs() > WAIT_MOST_MS) {
             return Err(Fault::Field("X-Arrived-Ms"));
         }
-        let unread_s = self.unread_s(clock);
-        let patience_s = self.time_left(class, known, clock);
+        let read_delay_s = self.read_delay_s(clock);
+        let time_left_s = self.time_left(class, known, clock);
         Ok(Request {
             ticket,
             name: self.id.ok_or(Fault::Field("X-Correlation-Id"))?,
@@ -163,9 +163,9 @@
             caller: self.caller.unwrap_or(0),
             kb: self.need_kb.unwrap_or(DEFAULT_NEED_KB),
             read_at: Some(clock.now()),
-            unread_s,
-            patience_s,
-            size_s: self.estimate_ms.map(|ms| ms / 1000.0).filter(|s| *s > 0.0),
+            read_delay_s,
+            time_left_s,
+            estimate_s: self.estimate_ms.map(|ms| ms / 1000.0).filter(|s| *s > 0.0),
             key: self.key.filter(|_| keyed),
             retry: self.resent.unwrap_or(false),
             body: body.into(),
--- a/src/net/fronts/meaning.rs
+++ b/src/net/frontends/status_mapping.rs
@@ -1,7 +1,7 @@
 //! What requests and answers mean on every HTTP front, whatever its version: targets, statuses, advice.
 
-use crate::core::Answer;
-use crate::net::fronts::fields::Catalogue;
+use crate::dispatch::Response;
+use crate::net::frontends::request_fields::Catalog;
 use std::rc::Rc;
 
 /// What a request line or its pseudo-headers ask for.
@@ -27,7 +27,7 @@
 }
 
 /// Finds out what a method and a path ask for.
-pub fn target(method: &str, path: &str, known: &Catalogue) -> Result<Target, Fail> {
+pub fn target(method: &str, path: &str, known: &Catalog) -> Result<Target, Fail> {
     let (path, _) = path.split_once('?').unwrap_or((path, ""));
     if path == "/check" {
         return match method {
@@ -45,7 +45,7 @@
 
 /// An answer of the core, in the words of HTTP.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Meaning {
+pub struct StatusMapping {
     pub code: u16,
     pub body: Option<Rc<[u8]>>,
     /// Advice to stay away (milliseconds).
@@ -53,16 +53,16 @@
     pub stop_trying: bool,
 }
 
-pub fn meaning(answer: Answer) -> Meaning {
-    let plain = |code| Meaning { code, body: None, pushback_ms: None, stop_trying: false };
+pub fn meaning(answer: Response) -> StatusMapping {
+    let plain = |code| StatusMapping { code, body: None, pushback_ms: None, stop_trying: false };
     match answer {
-        Answer::Served(result) => Meaning { body: Some(result), ..plain(200) },
-        Answer::Refused { stay_away_s, no_other } => {
-            let pushback_ms = (stay_away_s > 0.0).then_some((stay_away_s * 1000.0).ceil() as u64);
-            Meaning { pushback_ms, stop_trying: no_other, ..plain(503) }
+        Response::Served(result) => StatusMapping { body: Some(result), ..plain(200) },
+        Response::Rejected { retry_after_s, stop_retrying } => {
+            let pushback_ms = (retry_after_s > 0.0).then_some((retry_after_s * 1000.0).ceil() as u64);
+            StatusMapping { pushback_ms, stop_trying: stop_retrying, ..plain(503) }
         }
-        Answer::Failed => plain(500),
-        Answer::Conflict => plain(409),
-        Answer::OutOfTime => plain(504),
+        Response::Failed => plain(500),
+        Response::Conflict => plain(409),
+        Response::DeadlineExceeded => plain(504),
     }
 }
--- a/src/net/base/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -1,7 +1,7 @@
 //! A watched TCP connection with a bounded input buffer, in which heads are parsed where they lie, and an output
 //! queue that is written with gathered writes.
 
-use crate::net::base::poll::{Place, Poll, Watch};
+use crate::net::io::poll::{Place, Poll, Watch};
 use socket2::SockRef;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read, Write};
@@ -274,4 +274,4 @@
     }
 }
 
-use crate::net::base::poll;
+use crate::net::io::poll;
--- a/src/net/base/pool.rs
+++ b/src/net/io/idle_pool.rs
@@ -1,6 +1,6 @@
 //! Kept connections that are used again, the same for calls and for runs at AJP servers.
 
-use crate::net::base::buffer::{Filled, Link};
+use crate::net::io::buffer::{Filled, Link};
 use std::collections::HashMap;
 
 /// Kept connections without use, at most.
--- a/src/net/life/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -4,11 +4,11 @@
 //! call is closed for the next one, so that callers who hold theirs can't either.
 
 use crate::config::console_calls;
-use crate::core::figures::Figures;
-use crate::net::base::buffer::Filled;
-use crate::net::base::poll::{Place, Poll};
-use crate::net::fronts::connections::{Connections, Next, Stage};
-use crate::net::fronts::fields::Catalogue;
+use crate::dispatch::metrics::Metrics;
+use crate::net::frontends::connections::{Connections, Next, Stage};
+use crate::net::frontends::request_fields::Catalog;
+use crate::net::io::buffer::Filled;
+use crate::net::io::poll::{Place, Poll};
 use std::fmt::Write;
 use std::io;
 use std::net::SocketAddr;
@@ -151,7 +151,7 @@
 }
 
 /// The figures, a line each: all classes from the start on, zeros included.
-pub fn figures(known: &Catalogue, figures: &Figures, concurrent: usize) -> String {
+pub fn figures(known: &Catalog, figures: &Metrics, concurrent: usize) -> String {
     let mut text = String::new();
     for (class, counts) in figures.classes().iter().enumerate() {
         let name = known.class_name(class);
--- a/src/net/life/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -1,8 +1,8 @@
 //! What a worker's own life means to its fleet: figures, drains, leaving, and the process that takes its place.
 
-use crate::core::Core;
-use crate::fleet::frame::Counts;
-use crate::fleet::overload::member::Advice;
+use crate::dispatch::Dispatcher;
+use crate::fleet::frame::Counters;
+use crate::fleet::overload::client::OverloadDirective;
 use crate::net::Worker;
 use std::fmt::Write;
 
@@ -19,13 +19,13 @@
         let at = fleet.now();
         fleet.member.set_takes(at, serves && !self.state.draining);
         if fleet.member.tells(at) {
-            let numbers = self.core.as_mut().and_then(|core| core.fleet_numbers(now));
+            let numbers = self.core.as_mut().and_then(|core| core.fleet_load_sample(now));
             numbers.into_iter().for_each(|n| fleet.member.tell(n));
         }
         let (core, known) = (&self.core, &self.state.known);
-        let figures = || -> Counts {
-            let Some(core) = core else { return Counts::new() };
-            let mut counts = Counts::new();
+        let figures = || -> Counters {
+            let Some(core) = core else { return Counters::new() };
+            let mut counts = Counters::new();
             for (class, one) in core.figures().classes().iter().enumerate() {
                 let name = known.class_name(class);
                 for (what, n) in [("success", one.success), ("overload", one.overload), ("error", one.error)]
@@ -33,15 +33,15 @@
                     counts.insert(format!("{name}.{what}"), n);
                 }
             }
-            counts.insert("concurrent".to_owned(), Core::owed(core) as u64);
+            counts.insert("concurrent".to_owned(), Dispatcher::owed(core) as u64);
             counts
         };
         fleet.turn(now, figures, &mut self.wheel, &mut self.log);
         let advice = fleet.member.advice(at);
-        if let (Some(advice), Some(o)) = (advice, self.core.as_mut().and_then(Core::overload)) {
+        if let (Some(advice), Some(o)) = (advice, self.core.as_mut().and_then(Dispatcher::overload)) {
             // The module's clock is another, and stands still while the machine sleeps.
             let (until, slice_until) = (advice.until - at + now, advice.slice_until - at + now);
-            o.advise(Advice { until, slice_until, ..advice });
+            o.advise(OverloadDirective { until, slice_until, ..advice });
         }
     }
 
@@ -55,7 +55,7 @@
     }
 
     fn overload_figures(&self) -> String {
-        let figures = self.core.as_ref().map(Core::overload_figures).unwrap_or_default();
+        let figures = self.core.as_ref().map(Dispatcher::overload_figures).unwrap_or_default();
         figures.iter().fold(String::new(), |mut text, (name, value)| {
             let _ = writeln!(text, "fleet.overload.{name}={value}");
             text
--- a/src/net/life/replacing.rs
+++ b/src/net/lifecycle/hot_restart.rs
@@ -1,14 +1,16 @@
 //! What a worker does when it replaces another process, and when another replaces it: the acts that
 //! `src/handover/` decides on, carried out on the fronts, the core and the links.
 
-use crate::core::keys::KeyNews;
-use crate::core::{Input, LentRequest, Ticket};
-use crate::handover::frame::{Frame, Held, KeyEnd, KeyState, Passed, Usage, VERSION};
-use crate::handover::{Act, Door, Doubt, Event, PATIENCE_S};
-use crate::net::base::wheel::Timer;
-use crate::net::fronts::connections::{Parcel, Stage};
-use crate::net::life::handover::{Found, Heard, Links};
-use crate::net::life::words::{passed, to_held, to_news, to_request, to_state, zero_ms};
+use crate::dispatch::idempotency::IdempotencyUpdate;
+use crate::dispatch::{HandedOffRequest, Input, Ticket};
+use crate::hot_restart::frame::{
+    Frame, HandedOffConnection, KeyEnd, KeyState, QueuedRequest, Usage, VERSION,
+};
+use crate::hot_restart::{Effect, Event, IndeterminateKeys, ListenerOwnership, PATIENCE_S};
+use crate::net::frontends::connections::{DetachedConnection, Stage};
+use crate::net::io::timer_wheel::Timer;
+use crate::net::lifecycle::hot_restart_links::{Found, Heard, Links};
+use crate::net::lifecycle::hot_restart_messages::{passed, to_held, to_news, to_request, to_state, zero_ms};
 use crate::net::Worker;
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
@@ -38,7 +40,7 @@
     /// What the keys take, roughly (bytes).
     bytes: usize,
     usage: Usage,
-    passed: Vec<(Passed, OwnedFd)>,
+    passed: Vec<(HandedOffConnection, OwnedFd)>,
     /// It has been acted on: what comes now is acted on as it comes.
     adopted: bool,
 }
@@ -46,10 +48,10 @@
 /// The part of a worker that exists where the listening socket is inherited and there is a folder to meet in.
 pub struct Replacement {
     pub links: Links,
-    pub door: Door,
+    pub door: ListenerOwnership,
     socket: Rc<TcpListener>,
     stash: Stash,
-    lent: Vec<LentRequest>,
+    lent: Vec<HandedOffRequest>,
     /// Listening sockets of the operator's fronts: those that were sent, or those that were given away.
     listeners: Vec<(String, Rc<TcpListener>)>,
     /// Why a front could not be opened.
@@ -58,21 +60,21 @@
     /// The new process and this one understand each other.
     welcome: bool,
     /// What was believed of keys before they were lent.
-    doubt: Doubt,
+    doubt: IndeterminateKeys,
     /// Told to leave with the door given away: when the process ends at the latest.
     pub ending: Option<f64>,
 }
 
 impl Replacement {
     /// What is believed of keys, for a core that begins now.
-    pub fn doubt(&self) -> Doubt {
+    pub fn doubt(&self) -> IndeterminateKeys {
         self.doubt
     }
 
     pub fn new(links: Links, socket: Rc<TcpListener>, window_s: f64) -> Replacement {
         Replacement {
             links,
-            door: Door::new(window_s),
+            door: ListenerOwnership::new(window_s),
             socket,
             stash: Stash::default(),
             lent: Vec::new(),
@@ -80,7 +82,7 @@
             shut: None,
             told: Usage::default(),
             welcome: false,
-            doubt: Doubt::None,
+            doubt: IndeterminateKeys::None,
             ending: None,
         }
     }
@@ -185,7 +187,11 @@
             }
             Frame::State { .. } => r.stash.state = Some(frame),
             Frame::Key(state) if adopted => {
-                inputs.push(Input::Key(to_news(state, zero_ms(&self.clock), now + self.longest_window_s())));
+                inputs.push(Input::IdempotencyUpdate(to_news(
+                    state,
+                    zero_ms(&self.clock),
+                    now + self.longest_window_s(),
+                )));
             }
             // More than a process can have: no port worker is speaking.
             _ if r.stash.bytes > stash_most || r.stash.passed.len() > self.config.limits.sockets => {
@@ -251,10 +257,10 @@
         }
     }
 
-    fn act(&mut self, now: f64, act: Act, inputs: &mut Vec<Input>) {
+    fn act(&mut self, now: f64, act: Effect, inputs: &mut Vec<Input>) {
         let Some(r) = &mut self.replacement else { return };
         match act {
-            Act::Greet => {
+            Effect::Greet => {
                 let s = &self.config.settings;
                 r.links.to_old(&Frame::Hello {
                     version: VERSION,
@@ -263,23 +269,23 @@
                     tenants: s.tenants.iter().map(|t| t.name.clone()).collect(),
                 });
             }
-            Act::Ask => r.links.to_old(&Frame::Take),
-            Act::Acknowledge => r.links.to_old(&Frame::Opened),
-            Act::Watch | Act::Forget => {
+            Effect::Ask => r.links.to_old(&Frame::Take),
+            Effect::Acknowledge => r.links.to_old(&Frame::Opened),
+            Effect::Watch | Effect::Forget => {
                 r.stash = Stash::default();
-                if act == Act::Watch {
+                if act == Effect::Watch {
                     r.links.watch_old();
                 }
             }
-            Act::Adopt => self.adopt(now, inputs),
-            Act::Open => self.open(now),
-            Act::Believe(doubt) => {
+            Effect::Adopt => self.adopt(now, inputs),
+            Effect::Open => self.open(now),
+            Effect::Believe(doubt) => {
                 self.log.line(match doubt {
-                    Doubt::None => "handover: all keys are known again",
-                    Doubt::Lives => {
+                    IndeterminateKeys::None => "handover: all keys are known again",
+                    IndeterminateKeys::Lives => {
                         "handover: the old process says nothing: keys that are not known here fail"
                     }
-                    Doubt::Until(_) => {
+                    IndeterminateKeys::Until(_) => {
                         "handover: further tries of keys that are not known here fail for a window"
                     }
                 });
@@ -288,18 +294,18 @@
                     core.believe(doubt);
                 }
             }
-            Act::Lend => self.lend(now, inputs),
-            Act::Part => {
+            Effect::Lend => self.lend(now, inputs),
+            Effect::Part => {
                 r.lent.clear();
-                for id in self.http.connections.ids_where(|c| c.stage == Stage::Lent) {
+                for id in self.http.connections.ids_where(|c| c.stage == Stage::HandedOff) {
                     self.http.connections.close(id);
                 }
                 r.links.stop_listening();
                 r.listeners.clear();
                 self.log.line("handover: the new process has the door");
             }
-            Act::TakeBack => self.take_back(now, inputs),
-            Act::End => {
+            Effect::TakeBack => self.take_back(now, inputs),
+            Effect::End => {
                 let longest =
                     self.settings.classes.iter().map(|c| c.deadline_s).fold(LONGEST_LEAST_S, f64::max);
                 // A drain that was under way when the door went has its own stop.
@@ -380,13 +386,14 @@
             if let Some(core) = &mut self.core {
                 core.succeed(prints, running);
             }
-            inputs.push(Input::Learned(learned));
+            inputs.push(Input::LearnedState(learned));
             // Whoever asked this process for a drain while it waited means it all the same.
             self.drain(draining || self.state.draining);
         }
         let zero = zero_ms(&self.clock);
         let latest = now + self.longest_window_s();
-        inputs.extend(stash.keys.drain(..).map(|state| Input::Key(to_news(state, zero, latest))));
+        inputs
+            .extend(stash.keys.drain(..).map(|state| Input::IdempotencyUpdate(to_news(state, zero, latest))));
         self.beside(stash.usage, inputs);
         for (passed, descriptor) in stash.passed {
             self.take_over(now, passed, descriptor, inputs);
@@ -402,12 +409,12 @@
     fn beside(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
         self.poll.set_beside(usage.sockets);
         let Usage { on_cores, calling, kb, .. } = usage;
-        inputs.push(Input::Beside { on_cores, calling, kb });
+        inputs.push(Input::OtherProcess { on_cores, calling, kb });
     }
 
-    fn take_over(&mut self, now: f64, passed: Passed, stream: OwnedFd, inputs: &mut Vec<Input>) {
+    fn take_over(&mut self, now: f64, passed: HandedOffConnection, stream: OwnedFd, inputs: &mut Vec<Input>) {
         let s = &self.config.settings;
-        let fits = |h: &Held| {
+        let fits = |h: &QueuedRequest| {
             let known = h.class < s.profiles.len() && h.tenant.map_or(true, |t| t < s.tenants.len());
             known && [h.kb, h.arrived_ms, h.due_ms].iter().all(|n| n.is_finite() && *n >= 0.0)
         };
@@ -415,8 +422,9 @@
         if passed.held.as_ref().is_some_and(|held| !fits(held)) {
             return self.log.often("handover: a request that was handed over fits no class or tenant");
         }
-        let Passed { unread, continued, asked, close, held } = passed;
-        let parcel = Parcel { stream, unread: unread.0.to_vec(), asked, close, memory: continued };
+        let HandedOffConnection { unread, continued, asked, close, held } = passed;
+        let parcel =
+            DetachedConnection { stream, unread: unread.0.to_vec(), asked, close, memory: continued };
         let Some(id) = self.http.connections.adopt(now, parcel, held.is_some()) else {
             return self.log.often("handover: a connection could not be taken over");
         };
@@ -460,7 +468,7 @@
         let mut lent = None;
         if let Some(core) = &mut self.core {
             lent = Some(core.lend(now, |ticket| http.owns(ticket.0), &mut commands));
-            core.believe(Doubt::Lives);
+            core.believe(IndeterminateKeys::Lives);
         }
         if let Some(lent) = lent {
             let draining = self.state.draining;
@@ -489,7 +497,7 @@
         }
         self.log.line(&format!("handover: lent to the new process: held={}", r.lent.len()));
         // Lent connections are as good as gone: they count there.
-        let lent = self.http.connections.ids_where(|c| c.stage == Stage::Lent).len();
+        let lent = self.http.connections.ids_where(|c| c.stage == Stage::HandedOff).len();
         self.tell_usage(lent);
         if let Some(r) = &mut self.replacement {
             r.links.to_new(&Frame::Done, None);
@@ -507,14 +515,14 @@
             self.http.connections.take_back(now, lent.request.ticket.0, true);
             inputs.push(Input::Arrived(lent.at(now)));
         }
-        for id in self.http.connections.ids_where(|c| c.stage == Stage::Lent) {
+        for id in self.http.connections.ids_where(|c| c.stage == Stage::HandedOff) {
             self.http.connections.take_back(now, id, false);
         }
         self.log.line("handover: the door is taken back");
     }
 
     /// A key that another process should know of.
-    pub(in crate::net) fn tell_key(&mut self, news: &KeyNews) {
+    pub(in crate::net) fn tell_key(&mut self, news: &IdempotencyUpdate) {
         let zero = zero_ms(&self.clock);
         if let Some(r) = &mut self.replacement {
             r.links.to_new(&Frame::Key(to_state(news, zero)), None);
--- a/src/net/life/handover.rs
+++ b/src/net/lifecycle/hot_restart_links.rs
@@ -1,8 +1,8 @@
 //! The links between a process and its successor: Unix sockets in `$TMPDIR` that carry frames, and descriptors with
 //! some of them. What is done about what they say is decided in `src/handover/`.
 
-use crate::handover::frame::{Frame, FRAME_MOST, HEAD};
-use crate::net::base::poll::{Place, Poll, Watch};
+use crate::hot_restart::frame::{Frame, FRAME_MOST, HEAD};
+use crate::net::io::poll::{Place, Poll, Watch};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
--- a/src/net/life/words.rs
+++ b/src/net/lifecycle/hot_restart_messages.rs
@@ -1,9 +1,9 @@
 //! What the core lends and tells, in the words of the link between two processes, and back.
 
-use crate::core::keys::{KeyName, KeyNews, Progress};
-use crate::core::{LentRequest, Request, Ticket};
-use crate::handover::frame::{Bytes, Held, Key, KeyEnd, KeyState, Passed};
-use crate::net::fronts::connections::Parcel;
+use crate::dispatch::idempotency::{IdempotencyKey, IdempotencyUpdate, KeyProgress};
+use crate::dispatch::{HandedOffRequest, Request, Ticket};
+use crate::hot_restart::frame::{Bytes, HandedOffConnection, Key, KeyEnd, KeyState, QueuedRequest};
+use crate::net::frontends::connections::DetachedConnection;
 use crate::net::Clock;
 
 /// The Unix time of the loop's zero (milliseconds): times on the link mean the same in both processes.
@@ -11,40 +11,40 @@
     clock.unix_ms() - clock.now() * 1000.0
 }
 
-pub(in crate::net) fn to_state(news: &KeyNews, zero_ms: f64) -> KeyState {
+pub(in crate::net) fn to_state(news: &IdempotencyUpdate, zero_ms: f64) -> KeyState {
     let name = &news.name;
     KeyState {
         key: Key { class: name.class, tenant: name.tenant, key: name.key.clone() },
         print: news.print,
         until_ms: zero_ms + news.until * 1000.0,
         end: match &news.progress {
-            Some(Progress::Open) => KeyEnd::Open,
-            Some(Progress::Served(result)) => KeyEnd::Served(result.clone().map(Bytes)),
-            Some(Progress::Failed) => KeyEnd::Failed,
+            Some(KeyProgress::Open) => KeyEnd::Open,
+            Some(KeyProgress::Served(result)) => KeyEnd::Served(result.clone().map(Bytes)),
+            Some(KeyProgress::Failed) => KeyEnd::Failed,
             None => KeyEnd::Never,
         },
     }
 }
 
 /// `latest` is the end of the longest window that may begin now: no key links for longer.
-pub(in crate::net) fn to_news(state: KeyState, zero_ms: f64, latest: f64) -> KeyNews {
+pub(in crate::net) fn to_news(state: KeyState, zero_ms: f64, latest: f64) -> IdempotencyUpdate {
     let Key { class, tenant, key } = state.key;
-    KeyNews {
-        name: KeyName { class, tenant, key },
+    IdempotencyUpdate {
+        name: IdempotencyKey { class, tenant, key },
         print: state.print,
         until: ((state.until_ms - zero_ms) / 1000.0).min(latest),
         progress: match state.end {
-            KeyEnd::Open => Some(Progress::Open),
-            KeyEnd::Served(result) => Some(Progress::Served(result.map(|b| b.0))),
-            KeyEnd::Failed => Some(Progress::Failed),
+            KeyEnd::Open => Some(KeyProgress::Open),
+            KeyEnd::Served(result) => Some(KeyProgress::Served(result.map(|b| b.0))),
+            KeyEnd::Failed => Some(KeyProgress::Failed),
             KeyEnd::Never => None,
         },
     }
 }
 
-pub(in crate::net) fn to_held(lent: &LentRequest, zero_ms: f64) -> Held {
+pub(in crate::net) fn to_held(lent: &HandedOffRequest, zero_ms: f64) -> QueuedRequest {
     let r = &lent.request;
-    Held {
+    QueuedRequest {
         name: r.name.clone(),
         class: r.class,
         tenant: r.tenant,
@@ -52,14 +52,14 @@
         kb: r.kb,
         arrived_ms: zero_ms + lent.arrived * 1000.0,
         due_ms: zero_ms + lent.due * 1000.0,
-        size_s: r.size_s,
+        estimate_s: r.estimate_s,
         key: r.key.clone(),
         retry: r.retry,
         body: Bytes(r.body.clone()),
     }
 }
 
-pub(in crate::net) fn to_request(held: Held, ticket: Ticket, unix_ms: f64) -> Request {
+pub(in crate::net) fn to_request(held: QueuedRequest, ticket: Ticket, unix_ms: f64) -> Request {
     Request {
         ticket,
         name: held.name,
@@ -68,17 +68,20 @@
         caller: held.caller,
         kb: held.kb,
         read_at: None,
-        unread_s: ((unix_ms - held.arrived_ms) / 1000.0).max(0.0),
-        patience_s: ((held.due_ms - unix_ms) / 1000.0).max(0.0),
-        size_s: held.size_s,
+        read_delay_s: ((unix_ms - held.arrived_ms) / 1000.0).max(0.0),
+        time_left_s: ((held.due_ms - unix_ms) / 1000.0).max(0.0),
+        estimate_s: held.estimate_s,
         key: held.key,
         retry: held.retry,
         body: held.body.0,
     }
 }
 
-pub(in crate::net) fn passed(parcel: &Parcel<bool>, held: Option<Held>) -> Passed {
-    Passed {
+pub(in crate::net) fn passed(
+    parcel: &DetachedConnection<bool>,
+    held: Option<QueuedRequest>,
+) -> HandedOffConnection {
+    HandedOffConnection {
         unread: Bytes(parcel.unread.as_slice().into()),
         continued: parcel.memory,
         asked: parcel.asked,
--- a/src/net/life/operating.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -1,6 +1,6 @@
 //! What operators' calls do to a worker.
 
-use crate::net::life::console::{self, Call};
+use crate::net::lifecycle::console::{self, Call};
 use crate::net::Worker;
 
 impl Worker {
--- a/src/net/life/reloading.rs
+++ b/src/net/lifecycle/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: what a running worker takes up of a changed configuration and operator's file.
 
-use crate::core::Input;
+use crate::dispatch::Input;
 use crate::net::Worker;
 
 impl Worker {
--- a/src/net/life/leaving.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -2,10 +2,10 @@
 
 mod timeline;
 
-use crate::core::{Core, Input};
-use crate::handover::Event;
-use crate::net::base::wheel::Timer;
-use crate::net::fronts::ajp_front::Turn;
+use crate::dispatch::{Dispatcher, Input};
+use crate::hot_restart::Event;
+use crate::net::frontends::ajp::Turn;
+use crate::net::io::timer_wheel::Timer;
 use crate::net::Worker;
 use timeline::Timeline;
 
@@ -37,14 +37,14 @@
         self.log.line(&format!("notice to leave; {in_s} s to the stop"));
         // It may have come at any time since the turn before began: a process that was stopped meanwhile reads it late,
         // and its grace and its stop count from when it was sent.
-        let at = Timeline::new(self.turn_before, in_s, self.settings.leave_grace_s);
+        let at = Timeline::new(self.turn_before, in_s, self.settings.shutdown_grace_s);
         self.leaving = Some(Leaving { at, closed: None, called: false });
         // The loop must look at each of these even if nothing else wakes it.
         for at in [at.accept_until, at.answer_by, at.exit_by] {
             self.wheel.set(now, at - now, Timer::Again);
         }
         self.state.leaving = true;
-        inputs.push(Input::Leave { notice: at.notice, stop: at.kill_at });
+        inputs.push(Input::Shutdown { notice: at.notice, stop: at.kill_at });
         if let Some(http2) = &mut self.http2 {
             // Each connection is told to go.
             http2.connections.touch_all();
@@ -111,7 +111,7 @@
         let over = (crossed && answered || last) && self.end_connections(now, last);
         if over || now >= at.exit_by {
             if let Some(Ok(state)) =
-                self.core.as_ref().and_then(Core::pools).map(|s| serde_json::to_string(&s))
+                self.core.as_ref().and_then(Dispatcher::pools).map(|s| serde_json::to_string(&s))
             {
                 self.log.line(&format!("pools: state {state}"));
             }
@@ -132,7 +132,7 @@
 
     /// Nothing is owed, everything is written, and no half request is waited for.
     fn all_answered(&self) -> bool {
-        self.core.as_ref().map_or(0, Core::owed) == 0
+        self.core.as_ref().map_or(0, Dispatcher::owed) == 0
             && self.http.connections.quiet()
             && self.ajp.as_ref().map_or(true, |a| a.connections.quiet())
             && self.http2.as_ref().map_or(true, |h| h.connections.quiet())
@@ -157,7 +157,7 @@
     /// Answers whatever is still owed: a stop may be too short for the module to give up in time, and a directory may
     /// be silent.
     pub(in crate::net) fn answer_all(&mut self) {
-        let mut inputs = vec![Input::AnswerAll];
+        let mut inputs = vec![Input::RespondAll];
         if let Some(ajp) = &mut self.ajp {
             let (clock, state, log) = (&self.clock, &self.state, &mut self.log);
             ajp.give_up_lookups(&mut Turn {
