--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,42 +1,42 @@
 //! The port worker on real sockets: one thread, one loop. Each turn gathers what is ready, hands it to the core in
 //! one go, and carries out what comes back.
 
-pub mod base;
-pub mod fronts;
-pub mod life;
-pub mod peers;
+pub mod frontends;
+pub mod io;
+pub mod lifecycle;
+pub mod upstreams;
 
 use crate::config::{Config, Files, Operator};
-use crate::core::figures::Figures;
-use crate::core::{Answer, Command, Core, Input, Ticket};
-use crate::fleet::Plan;
-use crate::handover::{Doubt, Event};
+use crate::dispatch::metrics::Metrics;
+use crate::dispatch::{Command, Dispatcher, Input, Response, Ticket};
+use crate::fleet::MembershipConfig;
+use crate::hot_restart::{Event, IndeterminateKeys};
 use crate::interface::{Outcome, Settings};
-use base::poll::{Gathered, Place, Poll, ACCEPT_PAUSE_S};
-use base::wheel::{Timer, Wheel};
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer as LoopTimer};
 use calloop::{EventLoop, RegistrationToken};
-use fronts::ajp_front::{AjpFront, Turn};
-use fronts::fields::Catalogue;
-use fronts::http2::Http2Front;
-use fronts::http_front::HttpFront;
-use life::console::Console;
-use life::handover::Links;
-use life::leaving::Leaving;
-use life::replacing::Replacement;
-use peers::ajp_backend::AjpBackend;
-use peers::directory::Directory;
-use peers::executor::{Executor, Welcome};
-use peers::fleet::Fleet;
-use peers::records::Records;
-use peers::registry::{Registry, BEAT_S};
+use frontends::ajp::{AjpFront, Turn};
+use frontends::http1::HttpFront;
+use frontends::http2::Http2Front;
+use frontends::request_fields::Catalog;
+use io::poll::{Gathered, Place, Poll, ACCEPT_PAUSE_S};
+use io::timer_wheel::{Timer, Wheel};
+use lifecycle::console::Console;
+use lifecycle::hot_restart::Replacement;
+use lifecycle::hot_restart_links::Links;
+use lifecycle::shutdown::Leaving;
 use std::collections::hash_map::RandomState;
 use std::collections::HashMap;
 use std::hash::BuildHasher;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use upstreams::ajp_backend::AjpBackend;
+use upstreams::coordinator_link::Fleet;
+use upstreams::directory::Directory;
+use upstreams::executor::{Executor, Welcome};
+use upstreams::records::Records;
+use upstreams::registry::{Registry, BEAT_S};
 
 /// How often idle and slow connections are looked for (seconds).
 const SWEEP_S: f64 = 0.25;
@@ -123,7 +123,7 @@
 
 /// What fronts say of this worker with each answer.
 pub struct State {
-    pub known: Rc<Catalogue>,
+    pub known: Rc<Catalog>,
     /// The free value.
     pub level: Option<f64>,
     /// What health checks are told.
@@ -157,7 +157,7 @@
     config: Config,
     operator: Operator,
     settings: Settings,
-    core: Option<Core>,
+    core: Option<Dispatcher>,
     state: State,
     healthy: bool,
     idle_s: f64,
@@ -165,7 +165,7 @@
     console: Option<Console>,
     replacement: Option<Replacement>,
     /// What was turned away before there was a core.
-    early: Figures,
+    early: Metrics,
     http: HttpFront,
     ajp: Option<AjpFront>,
     http2: Option<Http2Front>,
@@ -245,15 +245,15 @@
         let operator = files.operator(&config)?;
         let mut settings = config.settings.settings(config.seed_number());
         // Kept keys and results lie in this process's own memory: the platform books none for them.
-        settings.entry_kb = 0.0;
+        settings.key_entry_kb = 0.0;
         settings.overload = operator.fleet.as_ref().is_some_and(|f| f.overload());
         settings.pools = operator.pools.as_ref().map(|p| p.plan(&config.settings)).transpose()?;
-        let known = Rc::new(Catalogue::new(&config.settings, &settings));
+        let known = Rc::new(Catalog::new(&config.settings, &settings));
         let sockets = config.limits.sockets;
         let bind =
             |address| Console::bind(poll, address, sockets).map_err(|e| format!("console {address}: {e}"));
         let console = config.console.map(bind).transpose()?;
-        let socket = files.socket.as_deref().map(life::handover::inherited).transpose()?;
+        let socket = files.socket.as_deref().map(lifecycle::hot_restart_links::inherited).transpose()?;
         // Another process may have the operator's addresses, and hand them over.
         let meets = socket.is_some() && files.folder.is_some();
         let mut http = match &socket {
@@ -287,7 +287,7 @@
         let part = settings.dependency.as_ref().map_or(0.0, |d| d.share);
         let fleet = operator.fleet.as_ref().map(|f| {
             let overload = f.overload().then_some(part);
-            Fleet::new(poll, Plan { overload, ..f.plan(&config) })
+            Fleet::new(poll, MembershipConfig { overload, ..f.plan(&config) })
         });
         let registry = match config.registry {
             Some(to) => Some(Registry::new(to, &config.name).map_err(|e| format!("registry {to}: {e}"))?),
@@ -348,7 +348,7 @@
             operator,
             poll: poll.clone(),
             replacement,
-            early: Figures::new(settings.classes.len()),
+            early: Metrics::new(settings.classes.len()),
             settings,
             console,
             http,
@@ -558,14 +558,14 @@
     fn turn_away(&mut self, now: f64, inputs: &mut Vec<Input>) {
         for input in inputs.drain(..) {
             if let Input::Arrived(request) = input {
-                let answer = Answer::Refused { stay_away_s: NOT_UP_S, no_other: false };
+                let answer = Response::Rejected { retry_after_s: NOT_UP_S, stop_retrying: false };
                 self.early.answered(request.class, &answer);
                 self.answer(now, request.ticket, answer);
             }
         }
     }
 
-    fn answer(&mut self, now: f64, ticket: Ticket, answer: Answer) {
+    fn answer(&mut self, now: f64, ticket: Ticket, answer: Response) {
         match &mut self.ajp {
             Some(ajp) if ajp.connections.owns(ticket.0) => ajp.answer(now, ticket, answer, &self.state),
             _ => match &mut self.http2 {
@@ -581,7 +581,7 @@
         let up = self.servers.as_ref().map(|_| Welcome { cold: false, started: now });
         let Some(welcome) = up.or(self.executor.welcome()) else { return };
         let mut settings = self.settings.clone();
-        settings.cold = welcome.cold && now - welcome.started < settings.cold_s;
+        settings.cold = welcome.cold && now - welcome.started < settings.warm_up_s;
         self.log.line(&format!(
             "executor is up, {}, started {:.3} s ago",
             if settings.cold { "cold" } else { "warm" },
@@ -590,15 +590,15 @@
         let room = self.config.limits.memory_mb * 1024.0 * 1024.0 / RESULT_PART;
         let mut commands = Vec::new();
         // The controller's time begins now, not with the executor: a past start made its first run look hung.
-        let mut core = Core::new(settings, now, room as usize, &mut commands);
+        let mut core = Dispatcher::new(settings, now, room as usize, &mut commands);
         // The system's random numbers: bodies that look the same to it can't be made up outside.
         let dice = RandomState::new();
         core.salt((dice.hash_one(1), dice.hash_one(2)));
         core.count_earlier(&self.early);
-        core.believe(self.replacement.as_ref().map_or(Doubt::None, Replacement::doubt));
+        core.believe(self.replacement.as_ref().map_or(IndeterminateKeys::None, Replacement::doubt));
         if let Some(leaving) = &self.leaving {
             let (notice, stop) = (leaving.at.notice, leaving.at.kill_at);
-            core.handle(now, [Input::Leave { notice, stop }], &mut commands);
+            core.handle(now, [Input::Shutdown { notice, stop }], &mut commands);
         }
         self.core = Some(core);
         for command in commands {
@@ -656,7 +656,7 @@
 
     fn carry_out(&mut self, now: f64, command: Command, inputs: &mut Vec<Input>) {
         match command {
-            Command::Answer(ticket, answer) => self.answer(now, ticket, answer),
+            Command::Respond(ticket, answer) => self.answer(now, ticket, answer),
             Command::Run { name, class, body, due } => {
                 if let Some(servers) = &mut self.servers {
                     servers.run(now, name, class, body, due, &mut self.wheel);
@@ -694,7 +694,7 @@
             Command::Publish(level) => self.state.level = Some(level),
             Command::WakeIn(after) => self.wheel.set(now, after, Timer::Wake),
             Command::Log(text) => self.log.line(&text),
-            Command::Key(news) => self.tell_key(&news),
+            Command::IdempotencyUpdate(news) => self.tell_key(&news),
         }
     }
 
--- a/src/net/peers/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -5,14 +5,14 @@
 //! and it is never repeated.
 
 use crate::config::ServerSettings;
-use crate::core::Input;
+use crate::dispatch::Input;
 use crate::interface::Outcome;
-use crate::net::base::buffer::{Filled, Link};
-use crate::net::base::poll::{Place, Poll};
-use crate::net::base::pool::{full, take_idle, Kept, IDLE_MOST};
-use crate::net::base::wheel::{Timer, Wheel};
-use crate::net::fronts::fields::Catalogue;
-use crate::net::peers::ajp::{self, Forward, ToWebServer, Way, PACKET_MOST};
+use crate::net::frontends::request_fields::Catalog;
+use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::idle_pool::{full, take_idle, Kept, IDLE_MOST};
+use crate::net::io::poll::{Place, Poll};
+use crate::net::io::timer_wheel::{Timer, Wheel};
+use crate::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way, PACKET_MOST};
 use crate::net::Log;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -123,7 +123,7 @@
         };
         let Some(c) = self.connections.get_mut(&id) else { return };
         if c.used {
-            c.link.push(ajp::write_cping());
+            c.link.push(ajp_codec::write_cping());
         }
         run.number = self.poll.fresh();
         wheel.set(now, PONG_S, Timer::Run(run.number));
@@ -162,7 +162,7 @@
     pub fn gather(
         &mut self,
         now: f64,
-        known: &Catalogue,
+        known: &Catalog,
         inputs: &mut Vec<Input>,
         wheel: &mut Wheel,
         log: &mut Log,
@@ -180,7 +180,7 @@
         &mut self,
         now: f64,
         id: u64,
-        known: &Catalogue,
+        known: &Catalog,
         inputs: &mut Vec<Input>,
         wheel: &mut Wheel,
         log: &mut Log,
@@ -202,7 +202,7 @@
                 return self.broken(now, id, "broken", inputs, wheel, log);
             }
             let filled = c.link.fill();
-            let range = match ajp::packet(c.link.data(), Way::ToWebServer) {
+            let range = match ajp_codec::packet(c.link.data(), Way::ToWebServer) {
                 Ok(Some(range)) => range,
                 Ok(None) if filled != Filled::Open => {
                     return self.broken(now, id, "closed", inputs, wheel, log)
@@ -213,7 +213,7 @@
                 }
             };
             let consumed = range.end;
-            let message = c.link.data().get(range).map(ajp::to_web_server);
+            let message = c.link.data().get(range).map(ajp_codec::to_web_server);
             let Some(run) = &mut c.run else {
                 return self.broken(now, id, "a message without a request", inputs, wheel, log);
             };
@@ -235,7 +235,7 @@
             if pong {
                 self.send(now, id, known, wheel, log);
             } else if get_body {
-                c.link.push(ajp::write_body(&[]).unwrap_or_default());
+                c.link.push(ajp_codec::write_body(&[]).unwrap_or_default());
             } else if let Some(reuse) = end {
                 (c.used, c.idle_since) = (true, now);
                 let run = c.run.take();
@@ -250,7 +250,7 @@
     }
 
     /// Queues the request: from its first byte on the run may have begun.
-    fn send(&mut self, now: f64, id: u64, known: &Catalogue, wheel: &mut Wheel, log: &mut Log) {
+    fn send(&mut self, now: f64, id: u64, known: &Catalog, wheel: &mut Wheel, log: &mut Log) {
         let Some(c) = self.connections.get_mut(&id) else { return };
         let Some(run) = &mut c.run else { return };
         let (length, class) = (run.body.len().to_string(), known.class_name(run.class));
@@ -266,13 +266,13 @@
         run.number = self.poll.fresh();
         run.mark = Some(c.link.sent + c.link.queued() as u64);
         wheel.set(now, (run.due - now).max(0.0) + OVERTIME_S, Timer::Run(run.number));
-        match ajp::write_forward(&forward) {
+        match ajp_codec::write_forward(&forward) {
             Some(head) => c.link.push(head),
             None => log.line("ajp server: the request does not fit into a packet"),
         }
         if !run.body.is_empty() {
             // A body is 2 KiB at most and goes in one packet, unasked, behind the head.
-            c.link.push(ajp::write_body(&run.body).unwrap_or_default());
+            c.link.push(ajp_codec::write_body(&run.body).unwrap_or_default());
         }
         self.touched.push(id);
     }
@@ -293,7 +293,7 @@
         if run.mark.map_or(true, |mark| c.link.sent <= mark) {
             return self.place(now, run, wheel);
         }
-        inputs.push(Input::RunEnded { name: run.name, outcome: Outcome::Broken, result: None });
+        inputs.push(Input::RunEnded { name: run.name, outcome: Outcome::Interrupted, result: None });
     }
 
     /// Closes connections that have been idle for long.
--- a/src/net/peers/fleet.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -3,12 +3,12 @@
 //! Nothing of a turn waits for it. One link, bounded both ways; calls are as many as the operator's tasks at most. Its
 //! clock goes on while the machine sleeps, since a lease does not wait for that.
 
-use crate::fleet::frame::{self, Counts, Ending, Word, HEAR_MOST_BYTES};
-use crate::fleet::tasks::Order;
-use crate::fleet::{Act, Member, Plan};
-use crate::net::base::buffer::{Filled, Link};
-use crate::net::base::poll::{Place, Poll};
-use crate::net::base::wheel::{Timer, Wheel};
+use crate::fleet::frame::{self, CallOutcome, Counters, ServerMessage, MAX_SERVER_FRAME_BYTES};
+use crate::fleet::tasks::ScheduledCall;
+use crate::fleet::{FleetMember, MemberAction, MembershipConfig};
+use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::poll::{Place, Poll};
+use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::Log;
 use rustix::time::{clock_gettime, ClockId};
 use std::collections::hash_map::RandomState;
@@ -28,14 +28,14 @@
     link: Link,
     connected: bool,
     until: f64,
-    order: Order,
+    order: ScheduledCall,
     request: Option<Vec<u8>>,
 }
 
 /// The link and the calls.
 pub struct Fleet {
     poll: Poll,
-    pub member: Member,
+    pub member: FleetMember,
     link: Option<(u64, Link, bool)>,
     calls: Vec<Call>,
     /// When the wheel wakes for it next, on the wheel's clock.
@@ -51,12 +51,12 @@
 }
 
 impl Fleet {
-    pub fn new(poll: &Poll, plan: Plan) -> Fleet {
+    pub fn new(poll: &Poll, plan: MembershipConfig) -> Fleet {
         let dice = RandomState::new();
         let start = boot_s();
         Fleet {
             poll: poll.clone(),
-            member: Member::new(0.0, plan, dice.hash_one("process"), dice.hash_one("pauses")),
+            member: FleetMember::new(0.0, plan, dice.hash_one("process"), dice.hash_one("pauses")),
             link: None,
             calls: Vec::new(),
             armed: f64::INFINITY,
@@ -79,7 +79,7 @@
     }
 
     /// One turn: what has come, what is due, what is to go out. `figures` are asked for when they are to be told.
-    pub fn turn(&mut self, loop_now: f64, figures: impl Fn() -> Counts, wheel: &mut Wheel, log: &mut Log) {
+    pub fn turn(&mut self, loop_now: f64, figures: impl Fn() -> Counters, wheel: &mut Wheel, log: &mut Log) {
         self.more = false;
         let now = self.now();
         self.hear(now);
@@ -136,7 +136,7 @@
         let mut words = Vec::new();
         let mut bad = false;
         while words.len() < WORDS_MOST {
-            match frame::decode::<Word>(link.data(), HEAR_MOST_BYTES) {
+            match frame::decode::<ServerMessage>(link.data(), MAX_SERVER_FRAME_BYTES) {
                 Ok(Some((word, length))) => {
                     link.consume(length);
                     words.push(word);
@@ -157,33 +157,33 @@
         }
     }
 
-    fn carry_out(&mut self, now: f64, act: Act, log: &mut Log) {
+    fn carry_out(&mut self, now: f64, act: MemberAction, log: &mut Log) {
         match act {
-            Act::Connect(to) => {
+            MemberAction::Connect(to) => {
                 let id = self.poll.fresh();
-                match Link::connect(&self.poll, to, Place::Fleet(id), HEAR_MOST_BYTES + 4) {
+                match Link::connect(&self.poll, to, Place::Fleet(id), MAX_SERVER_FRAME_BYTES + 4) {
                     Ok(link) => self.link = Some((id, link, false)),
                     Err(_) => self.member.broken(now),
                 }
             }
-            Act::Send(say) => {
+            MemberAction::Send(say) => {
                 if let Some((_, link, _)) = &mut self.link {
                     link.push(frame::encode(&say));
                 }
             }
-            Act::Close => {
+            MemberAction::Close => {
                 if let Some((_, link, _)) = &mut self.link {
                     // The last words may still go.
                     let _ = link.flush();
                 }
                 self.link = None;
             }
-            Act::Call(order) => self.call(now, order),
-            Act::Log(text) => log.line(&text),
+            MemberAction::Call(order) => self.call(now, order),
+            MemberAction::Log(text) => log.line(&text),
         }
     }
 
-    fn call(&mut self, now: f64, order: Order) {
+    fn call(&mut self, now: f64, order: ScheduledCall) {
         let plan = self.member.plan();
         let Some(task) = plan.tasks.get(order.task) else { return };
         let request = format!(
@@ -198,7 +198,7 @@
                 let request = Some(request.into_bytes());
                 self.calls.push(Call { id, link, connected: false, until, order, request });
             }
-            Err(_) => self.member.call_ended(now, order.task, Ending::NotDone),
+            Err(_) => self.member.call_ended(now, order.task, CallOutcome::NotDone),
         }
     }
 
@@ -216,9 +216,9 @@
 }
 
 /// How a call stands: `None` while it goes on.
-fn follow(call: &mut Call, now: f64) -> Option<Ending> {
+fn follow(call: &mut Call, now: f64) -> Option<CallOutcome> {
     // Until a byte has gone, nothing can have come of it.
-    let cut_off = |call: &Call| if call.link.sent == 0 { Ending::NotDone } else { Ending::Unknown };
+    let cut_off = |call: &Call| if call.link.sent == 0 { CallOutcome::NotDone } else { CallOutcome::Unknown };
     if !call.connected {
         match call.link.connected() {
             None => {}
@@ -229,7 +229,7 @@
                     call.link.push(request);
                 }
             }
-            Some(Err(_)) => return Some(Ending::NotDone),
+            Some(Err(_)) => return Some(CallOutcome::NotDone),
         }
     }
     if now >= call.until {
@@ -246,10 +246,10 @@
     let mut head = httparse::Response::new(&mut headers);
     match head.parse(call.link.data()) {
         Ok(httparse::Status::Complete(_)) => Some(match head.code {
-            Some(200..=299) => Ending::Done,
+            Some(200..=299) => CallOutcome::Done,
             // Refused before anything was done: a lower token, or no time for it now.
-            Some(409 | 412 | 429 | 503) => Ending::NotDone,
-            _ => Ending::Unknown,
+            Some(409 | 412 | 429 | 503) => CallOutcome::NotDone,
+            _ => CallOutcome::Unknown,
         }),
         Ok(httparse::Status::Partial) if filled == Filled::Open && call.link.data().len() < HEAD_MOST => None,
         _ => Some(cut_off(call)),
--- a/src/net/peers/directory.rs
+++ b/src/net/upstreams/directory.rs
@@ -3,11 +3,11 @@
 //! One link, bound once; searches share it. What it said is kept for a while, for a bounded number of identities.
 
 use crate::config::DirectorySettings;
-use crate::core::Ticket;
-use crate::net::base::buffer::{Filled, Link};
-use crate::net::base::poll::{Place, Poll};
-use crate::net::base::wheel::{Timer, Wheel};
-use crate::net::fronts::ajp_front::{Found, Lookup};
+use crate::dispatch::Ticket;
+use crate::net::frontends::ajp::{Found, Lookup};
+use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::poll::{Place, Poll};
+use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::Log;
 use bytes::BytesMut;
 use ldap3_proto::proto::*;
--- a/src/net/peers/executor.rs
+++ b/src/net/upstreams/executor.rs
@@ -5,11 +5,11 @@
 //! commands are in doubt. It alone decides what is given again.
 
 use crate::config::read_gauges;
-use crate::core::Input;
+use crate::dispatch::Input;
 use crate::interface::{Gauges, Outcome};
-use crate::net::base::buffer::{Filled, Link};
-use crate::net::base::poll::{Place, Poll};
-use crate::net::fronts::fields::Catalogue;
+use crate::net::frontends::request_fields::Catalog;
+use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::poll::{Place, Poll};
 use crate::net::Log;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -278,8 +278,8 @@
                     ("PASS", Some(Ok(result))) => (Outcome::Ok, Some(Rc::from(result))),
                     // Without a result there is nothing to serve.
                     ("PASS", None) => (Outcome::Ok, Some(Rc::from([]))),
-                    ("KILLED", _) => (Outcome::Stopped, None),
-                    ("NOOP", _) => (Outcome::TooLate, None),
+                    ("KILLED", _) => (Outcome::Cancelled, None),
+                    ("NOOP", _) => (Outcome::NotStarted, None),
                     ("FAIL", _) => (Outcome::Error, None),
                     _ => {
                         log.often("executor: an EXIT can't be read");
@@ -304,7 +304,7 @@
                 let tag = news.tag.as_deref().unwrap_or("");
                 if tag.strip_prefix('f').and_then(|n| n.parse().ok()) == Some(self.fence) {
                     if let Some((from, to)) = self.doubt.take() {
-                        inputs.push(Input::InDoubt { from, to });
+                        inputs.push(Input::CommandsLost { from, to });
                     }
                 }
             }
@@ -312,7 +312,7 @@
             // nothing: a skip or a reply that was sent again may find its run gone on.
             ("BAD", Some(name)) if state == "EXEC" => {
                 log.often("executor: a request is unknown there");
-                inputs.push(Input::Unknown { name });
+                inputs.push(Input::UnknownRequest { name });
             }
             ("BAD", _) => log.often("executor: a command was not carried out"),
             ("LOG" | "DIAGNOSED", _) => {}
@@ -335,7 +335,7 @@
     }
 
     /// Starts a run; `false` where it could not even be queued, so that nothing has run.
-    pub fn run(&mut self, name: &str, class: usize, body: &[u8], known: &Catalogue) -> bool {
+    pub fn run(&mut self, name: &str, class: usize, body: &[u8], known: &Catalog) -> bool {
         let data = STANDARD.encode(body);
         self.send(line(&Order::Exec { job: name, kind: known.class_name(class), data: &data }))
     }
--- a/src/net/peers/records.rs
+++ b/src/net/upstreams/records.rs
@@ -1,12 +1,12 @@
 //! Calls to the records service: HTTP/1.1, one at a time on a connection, kept connections used again. A call is
 //! given up by closing its connection.
 
-use crate::core::Input;
+use crate::dispatch::Input;
 use crate::interface::Outcome;
-use crate::net::base::buffer::{Filled, Link};
-use crate::net::base::poll::{Place, Poll};
-use crate::net::base::pool::{full, take_idle, Kept};
-use crate::net::base::wheel::{Timer, Wheel};
+use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::idle_pool::{full, take_idle, Kept};
+use crate::net::io::poll::{Place, Poll};
+use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::Log;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -207,9 +207,9 @@
             // What can't be read proves nothing, and neither does a break.
             Err(why) => {
                 log.often(why);
-                (Outcome::Broken, None, false)
+                (Outcome::Interrupted, None, false)
             }
-            Ok(None) if filled != Filled::Open || flushed.is_err() => (Outcome::Broken, None, false),
+            Ok(None) if filled != Filled::Open || flushed.is_err() => (Outcome::Interrupted, None, false),
             Ok(None) => return,
         };
         c.idle_since = now;
@@ -284,8 +284,8 @@
     }
     let outcome = match (head.code.unwrap_or(0), never_ran) {
         (200, _) => Outcome::Ok,
-        (503, true) => Outcome::Full,
-        (409, true) => Outcome::TooLate,
+        (503, true) => Outcome::Rejected,
+        (409, true) => Outcome::NotStarted,
         (504, _) => Outcome::TimedOut,
         _ => Outcome::Error,
     };
--- a/src/net/peers/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::base::poll::Gathered;
+use crate::net::io::poll::Gathered;
 use calloop::EventLoop;
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -12,11 +12,11 @@
         parse(text.as_bytes()).unwrap().unwrap().outcome
     };
     assert_eq!(outcome("200 OK"), Outcome::Ok);
-    assert_eq!(outcome("503 Busy\r\nOp-Not-Begun: 1"), Outcome::Full);
+    assert_eq!(outcome("503 Busy\r\nOp-Not-Begun: 1"), Outcome::Rejected);
     assert_eq!(outcome("503 Busy"), Outcome::Error);
     assert_eq!(outcome("500 No"), Outcome::Error);
     assert_eq!(outcome("504 Late"), Outcome::TimedOut);
-    assert_eq!(outcome("409 Gone\r\nOp-Not-Begun: 1"), Outcome::TooLate);
+    assert_eq!(outcome("409 Gone\r\nOp-Not-Begun: 1"), Outcome::NotStarted);
     assert!(parse(b"nonsense\r\n\r\n").is_err());
     assert_eq!(outcome("100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK"), Outcome::Ok);
     // Noise, an endless head, lengths that do not fit: told at once, whatever else would come.
--- a/src/wire.rs
+++ b/src/simulator_adapter.rs
@@ -1,6 +1,6 @@
 //! The adapter: JSON lines to events, actions to JSON, instances by number. It decides nothing.
 
-use crate::brain::Controller;
+use crate::admission::Controller;
 use crate::config::{read_gauges, Options};
 use crate::interface::{Action, Arrival, Event, Outcome, RequestId};
 use serde::{Deserialize, Serialize};
@@ -166,11 +166,11 @@
 
 /// All instances of this process.
 #[derive(Default)]
-pub struct Host {
+pub struct SimulatorAdapter {
     instances: BTreeMap<u64, Instance>,
 }
 
-impl Host {
+impl SimulatorAdapter {
     /// Answers one batch; an error says what is wrong and where.
     pub fn answer(&mut self, line: &str) -> Result<String, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|e| format!("malformed batch: {e}"))?;
@@ -254,7 +254,7 @@
                 if r.owner.is_some_and(|o| self.tenants > 0 && o >= self.tenants) {
                     return Err(format!("Req: no tenant {}", r.owner.unwrap_or_default()));
                 }
-                let repeats = match &r.earlier {
+                let retry_of = match &r.earlier {
                     Some(serde_json::Value::String(word)) => Some(self.names.find(word)),
                     _ => None,
                 };
@@ -264,10 +264,10 @@
                     tenant: r.owner.filter(|&o| o < self.tenants),
                     caller: r.who,
                     kb: r.kb,
-                    unread_s: r.queued_for_s,
-                    patience_s: self.passes_deadline.then_some(r.remaining_s).filter(|&s| s > 0.0),
-                    size_s: r.size_hint_s,
-                    repeats,
+                    read_delay_s: r.queued_for_s,
+                    time_left_s: self.passes_deadline.then_some(r.remaining_s).filter(|&s| s > 0.0),
+                    estimate_s: r.size_hint_s,
+                    retry_of,
                     retry: r.is_retry,
                 })
             }
@@ -279,7 +279,7 @@
             Item::DepReply { req, disposition } => {
                 Event::CallEnded { id: self.names.find(&req), outcome: outcome(&disposition) }
             }
-            Item::Sigterm { remaining } => Event::Leave { ago_s: 0.0, in_s: remaining },
+            Item::Sigterm { remaining } => Event::Shutdown { ago_s: 0.0, in_s: remaining },
             Item::DeadlineHit { gauge } => Event::Woken(read_gauges(&self.gauges, &gauge)),
             Item::Provision { .. } | Item::Stop => {
                 return Err("not an event of a running instance".to_owned())
@@ -292,12 +292,12 @@
     match disposition {
         Disposition::Ok => Outcome::Ok,
         Disposition::Internal => Outcome::Error,
-        Disposition::ResourceExhausted => Outcome::Full,
+        Disposition::ResourceExhausted => Outcome::Rejected,
         Disposition::DeadlineExceeded => Outcome::TimedOut,
         Disposition::Unavailable => Outcome::Unreachable,
-        Disposition::Aborted => Outcome::Broken,
-        Disposition::Cancelled => Outcome::Stopped,
-        Disposition::TooLate => Outcome::TooLate,
+        Disposition::Aborted => Outcome::Interrupted,
+        Disposition::Cancelled => Outcome::Cancelled,
+        Disposition::TooLate => Outcome::NotStarted,
     }
 }
 
@@ -306,16 +306,16 @@
     let word = |id: &RequestId| names.word(*id);
     Some(match action {
         Action::Start(id) => Order::Admit { req: word(id)? },
-        Action::Refuse { id, stay_away_s, no_other } => {
-            Order::Busy { req: word(id)?, not_before_for_s: *stay_away_s, no_retry: *no_other }
+        Action::Reject { id, retry_after_s, stop_retrying } => {
+            Order::Busy { req: word(id)?, not_before_for_s: *retry_after_s, no_retry: *stop_retrying }
         }
         Action::Fail(id) => Order::DropRequest { req: word(id)? },
-        Action::Remember { id, for_s } => Order::RecordKey { req: word(id)?, ttl_s: *for_s },
-        Action::Forget(id) => Order::Unpin { req: word(id)? },
-        Action::ShareAnswer(id) => Order::Reuse { req: word(id)? },
+        Action::RetainKey { id, for_s } => Order::RecordKey { req: word(id)?, ttl_s: *for_s },
+        Action::ReleaseKey(id) => Order::Unpin { req: word(id)? },
+        Action::ShareResponse(id) => Order::Reuse { req: word(id)? },
         Action::Call { id, until_s } => Order::Dial { req: word(id)?, until_s: *until_s },
         Action::SkipCall(id) => Order::Bypass { req: word(id)? },
-        Action::Halt(id) => Order::TakeOff { req: word(id)? },
+        Action::Preempt(id) => Order::TakeOff { req: word(id)? },
         Action::Health(good) => Order::Fitness { want: *good, from_state: true },
         Action::Publish(level) => Order::Publish { level: *level },
         Action::WakeIn(after) => Order::Schedule { in_s: *after, nonce: WAKE },
--- a/lab/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -1,9 +1,11 @@
 //! What a fleet costs and how long it takes: takeovers after kills and cuts, and what sessions ask of a leader.
 
-use super::crowd::Crowd;
 use super::rig::{FleetFile, Programs, Rig};
-use honeypost::fleet::frame::{decode, encode, Question, Say, Word, HEAR_MOST_BYTES, VERSION};
-use honeypost_coordinator::ask::{ask, ask_leader, Asked};
+use super::session_load::SessionLoad;
+use fleet_coordinator::client::{ask, ask_leader, QueryOutcome};
+use port_worker::fleet::frame::{
+    decode, encode, ClientMessage, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES, VERSION,
+};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -74,7 +76,7 @@
         // The one that came back is in session again before the next.
         std::thread::sleep(Duration::from_millis(1500));
     }
-    let wrong = super::acts::judge(&rig.acts());
+    let wrong = super::task_log::judge(&rig.acts());
     if !wrong.is_empty() {
         return Err(wrong.join("; "));
     }
@@ -85,8 +87,8 @@
 fn leader(rig: &Rig) -> Option<String> {
     rig.coordinators().into_iter().find(|c| {
         let at = rig.address(c);
-        let status = at.and_then(|at| ask(at, "cost", &Question::Status, Duration::from_secs(1)).ok());
-        matches!(status, Some(Word::Answer { answer }) if answer["leads"] == true)
+        let status = at.and_then(|at| ask(at, "cost", &OperatorQuery::Status, Duration::from_secs(1)).ok());
+        matches!(status, Some(ServerMessage::QueryResult { answer }) if answer["leads"] == true)
     })
 }
 
@@ -97,16 +99,16 @@
 }
 
 impl Taker {
-    fn say(&mut self, say: &Say) -> Result<(), String> {
+    fn say(&mut self, say: &ClientMessage) -> Result<(), String> {
         self.stream.write_all(&encode(say)).map_err(|e| e.to_string())
     }
 
     /// Reads until a word is one that `wanted` takes something from; `None` if none comes for a moment.
-    fn until<T>(&mut self, wanted: impl Fn(&Word) -> Option<T>) -> Result<Option<T>, String> {
+    fn until<T>(&mut self, wanted: impl Fn(&ServerMessage) -> Option<T>) -> Result<Option<T>, String> {
         let mut part = [0; 4096];
         loop {
             while let Some((word, length)) =
-                decode::<Word>(&self.data, HEAR_MOST_BYTES).map_err(|e| e.to_string())?
+                decode::<ServerMessage>(&self.data, MAX_SERVER_FRAME_BYTES).map_err(|e| e.to_string())?
             {
                 self.data.drain(..length);
                 if let Some(found) = wanted(&word) {
@@ -149,14 +151,14 @@
         let _ = stream.set_read_timeout(Some(Duration::from_millis(20)));
         let mut taker = Taker { stream, data: Vec::new() };
         let (fleet, process) = ("cost".to_owned(), n as u64 + 1);
-        taker.say(&Say::Hello {
+        taker.say(&ClientMessage::Hello {
             fleet,
             version: VERSION,
             name: format!("s{n}"),
             zone: "z".into(),
             process,
         })?;
-        while taker.until(|w| matches!(w, Word::Welcome { .. }).then_some(()))?.is_none() {
+        while taker.until(|w| matches!(w, ServerMessage::Welcome { .. }).then_some(()))?.is_none() {
             if begun.elapsed() > PATIENCE {
                 return Err("no welcome".to_owned());
             }
@@ -165,7 +167,7 @@
         while begun.elapsed().as_secs_f64() < for_s {
             seq += 1;
             let wants = vec![format!("t{n}")];
-            taker.say(&Say::Keep {
+            taker.say(&ClientMessage::Heartbeat {
                 seq,
                 wants,
                 held: Vec::new(),
@@ -174,11 +176,11 @@
                 load: None,
             })?;
             let granted = taker.until(|w| match w {
-                Word::Granted { held } => Some(held.clone()),
+                ServerMessage::LeaseGranted { held } => Some(held.clone()),
                 _ => None,
             })?;
             let Some(held) = granted else { continue };
-            taker.say(&Say::GiveBack { held, failed: false, pass_on: false })?;
+            taker.say(&ClientMessage::ReleaseLease { held, failed: false, pass_on: false })?;
             taken += 1;
         }
         Ok(taken)
@@ -226,9 +228,12 @@
         let rig = Rig::start(file, &folder.join(format!("sessions-{count}")), programs.clone())?;
         let all: Vec<SocketAddr> = rig.asked();
         wait("a leader", || {
-            matches!(ask_leader(&all, "cost", &Question::Leases, Duration::ZERO), Asked::Answer(_))
+            matches!(
+                ask_leader(&all, "cost", &OperatorQuery::Leases, Duration::ZERO),
+                QueryOutcome::Answer(_)
+            )
         })?;
-        let mut crowd = Crowd::new(count, "cost", &all, &[]);
+        let mut crowd = SessionLoad::new(count, "cost", &all, &[]);
         while !crowd.all_linked() {
             crowd.turn();
             if crowd.now() > PATIENCE.as_secs_f64() {
--- a/lab/src/fleet/storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -6,12 +6,12 @@
 use crate::executor::{Executor, Notice, Work};
 use crate::experiment::{Experiment, Slow};
 use crate::measure::interval;
-use honeypost::config::Config;
-use honeypost::core::{Answer, Command, Core, Input, Request, Ticket};
-use honeypost::fleet::overload::leader::{Leader, Settings as Overload};
-use honeypost::fleet::overload::member::Side;
-use honeypost::fleet::overload::{Digest, Load, TELL_S};
-use honeypost::{Gauges, Outcome};
+use port_worker::config::Config;
+use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
+use port_worker::fleet::overload::client::FleetOverloadClient;
+use port_worker::fleet::overload::leader::{Leader, Settings as Overload};
+use port_worker::fleet::overload::{FleetDigest, LoadReport, TELL_S};
+use port_worker::{Gauges, Outcome};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -133,9 +133,9 @@
 }
 
 struct Worker {
-    core: Core,
+    core: Dispatcher,
     executor: Executor,
-    side: Side,
+    side: FleetOverloadClient,
     wake: f64,
     busy: (f64, f64),
     tells_at: f64,
@@ -208,9 +208,9 @@
     order: u64,
     tickets: u64,
     /// Reports on their way up, and digests on their way down.
-    up: VecDeque<(f64, usize, Load)>,
-    down: VecDeque<(f64, usize, u64, Digest)>,
-    first: Vec<Option<Digest>>,
+    up: VecDeque<(f64, usize, LoadReport)>,
+    down: VecDeque<(f64, usize, u64, FleetDigest)>,
+    first: Vec<Option<FleetDigest>>,
     /// By second: first tries and further ones.
     counts: Vec<(f64, f64)>,
     until: BTreeMap<(usize, Rc<str>), f64>,
@@ -229,7 +229,7 @@
     let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
     let worker = |n: usize| {
         let mut settings = config.settings.settings(n as u64 + 1);
-        settings.entry_kb = 0.0;
+        settings.key_entry_kb = 0.0;
         settings.workers = shape.workers as u32;
         settings.overload = shape.part != Part::Alone;
         if let Some(dependency) = &mut settings.dependency {
@@ -237,9 +237,9 @@
         }
         let mut out = Vec::new();
         Worker {
-            core: Core::new(settings, 0.0, RESULT_BYTES, &mut out),
+            core: Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out),
             executor: Executor::new(experiment.executor.clone(), Vec::new()),
-            side: Side::new(0.0, shape.slots_each, 0.1),
+            side: FleetOverloadClient::new(0.0, shape.slots_each, 0.1),
             wake: 0.025,
             busy: (0.0, 0.0),
             tells_at: TELL_S * n as f64 / shape.workers as f64,
@@ -372,9 +372,9 @@
                 caller: 1,
                 kb: a.need_kb,
                 read_at: None,
-                unread_s: 0.0,
-                patience_s: due - now,
-                size_s: None,
+                read_delay_s: 0.0,
+                time_left_s: due - now,
+                estimate_s: None,
                 key: class.keyed.then(|| format!("k{number}").into()),
                 retry: tries > 1,
                 body: a.work.body().into(),
@@ -402,7 +402,7 @@
         while let Some(first) = worker.due.first_entry().filter(|e| e.key().0 as f64 / 1e6 <= now) {
             let ((_, name), ()) = first.remove_entry();
             if worker.executor.end_at_call(&name) {
-                worker.inbox.push(Input::RunEnded { name, outcome: Outcome::Stopped, result: None });
+                worker.inbox.push(Input::RunEnded { name, outcome: Outcome::Cancelled, result: None });
             }
         }
         if now >= worker.wake {
@@ -426,7 +426,7 @@
         for command in commands {
             let worker = &mut self.workers[w];
             match command {
-                Command::Answer(ticket, answer) => self.answered(now, w, ticket.0, &answer),
+                Command::Respond(ticket, answer) => self.answered(now, w, ticket.0, &answer),
                 Command::Run { name, body, due, .. } => {
                     worker.executor.start(&name, Work::read(&body));
                     worker.due.insert(((due.max(0.0) * 1e6) as u64, name), ());
@@ -447,13 +447,13 @@
         }
     }
 
-    fn answered(&mut self, now: f64, w: usize, ticket: u64, answer: &Answer) {
+    fn answered(&mut self, now: f64, w: usize, ticket: u64, answer: &Response) {
         let worker = &mut self.workers[w];
         let poor = worker.poor.remove(&ticket).unwrap_or(false);
         let Some(Try { number, tries, reckless, due }) = worker.open.remove(&ticket) else { return };
         let kind = match answer {
-            Answer::Served(_) => 1u64,
-            Answer::Refused { .. } => 2,
+            Response::Served(_) => 1u64,
+            Response::Rejected { .. } => 2,
             _ => 3,
         };
         self.storm.trace = (self.storm.trace ^ ticket ^ (kind << 60)).wrapping_mul(0x0100_0000_01b3);
@@ -466,15 +466,15 @@
             }
             return;
         }
-        let (advice, no_other) = match answer {
-            Answer::Refused { stay_away_s, no_other } => (*stay_away_s, *no_other),
+        let (advice, stop_retrying) = match answer {
+            Response::Rejected { retry_after_s, stop_retrying } => (*retry_after_s, *stop_retrying),
             _ => (0.0, true),
         };
         // A router that has been told that others may help walks on; clients come back after what they were told; those
         // that heed nothing come back at once, for as long as they wait.
         let pause = if reckless {
             0.05
-        } else if !no_other && tries == 1 {
+        } else if !stop_retrying && tries == 1 {
             0.002
         } else {
             advice.max(0.05)
@@ -492,18 +492,18 @@
                 continue;
             }
             worker.tells_at += TELL_S;
-            let Some(numbers) = worker.core.fleet_numbers(now) else { continue };
+            let Some(numbers) = worker.core.fleet_load_sample(now) else { continue };
             worker.reports += 1;
             let mut load = worker.side.report(now, worker.reports, &numbers);
             if self.shape.part == Part::Liar && w == LIAR {
-                load = Load {
+                load = LoadReport {
                     arrivals: vec![1e6; 3],
                     further: 1e6,
                     capacity: 1.0,
                     calls_bad: 1e6,
                     call_s: 1e6,
                     wants: 1e6,
-                    worth: 1e6,
+                    weight: 1e6,
                     lends: 1e6,
                     ..load
                 };
@@ -517,8 +517,8 @@
             let mut digest = self.leader.digest(now, now, w as u64, &zone);
             if self.shape.part == Part::Frozen {
                 let number = digest.number;
-                let first = self.first[w].get_or_insert(Digest { slice: 0.0, ..digest });
-                digest = Digest { number, ..first.clone() };
+                let first = self.first[w].get_or_insert(FleetDigest { slice: 0.0, ..digest });
+                digest = FleetDigest { number, ..first.clone() };
             }
             self.down.push_back((now + self.shape.late_s / 2.0, w, load.number, digest));
         }
--- a/lab/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -1,8 +1,8 @@
 //! Random faults among real processes: a seed draws a schedule, a fleet is started and lives through it, the acts' own log
 //! is the judge, and a schedule that breaks something is made shorter while it still does.
 
-use super::acts::{judge, ActLine};
 use super::rig::{get, FleetFile, Programs, Rig};
+use super::task_log::{judge, ActLine};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -146,7 +146,7 @@
 
 /// What came of one schedule.
 #[derive(Default)]
-pub struct Lived {
+pub struct CampaignReport {
     pub wrong: Vec<String>,
     pub acts: Vec<ActLine>,
     /// How long the fleet took, once nothing failed any more (seconds).
@@ -157,10 +157,10 @@
 ///
 /// # Errors
 /// It did not come up.
-pub fn live(folder: &Path, programs: &Programs, faults: &[Fault]) -> Result<Lived, String> {
+pub fn live(folder: &Path, programs: &Programs, faults: &[Fault]) -> Result<CampaignReport, String> {
     let _ = std::fs::remove_dir_all(folder);
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs.clone())?;
-    let mut lived = Lived::default();
+    let mut lived = CampaignReport::default();
     if !acted(&rig, &rig.acts(), 2, RECOVERY) {
         lived.wrong.push("nobody acted before the faults".to_owned());
     }
@@ -236,7 +236,7 @@
 }
 
 /// A seed, how many faults it drew, what came of them, and the fewest that break something if anything did.
-type Life = (u64, usize, Lived, Vec<Fault>);
+type Life = (u64, usize, CampaignReport, Vec<Fault>);
 
 /// Plays seed after seed for so long, several fleets side by side; `true` if nothing was found broken.
 ///
--- a/lab/src/fleet/rig.rs
+++ b/testbed/src/fleet/rig.rs
@@ -1,9 +1,9 @@
 //! A fleet of real processes on loopback, with a relay between any two of them that speak, and the faults that stories
 //! are told in. Dropping it ends every process that it started, by its number, and removes nothing but what it made.
 
-use super::acts;
 use super::relay::Relay;
 use super::service::Service;
+use super::task_log;
 use crate::experiment::{ClassModel, Experiment};
 use crate::sockets::{lock, serve_executor, Clock};
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
@@ -26,7 +26,7 @@
 /// The classes that the workers of a fleet serve.
 const SITE: &str = include_str!("../../experiments/console.toml");
 
-/// `lab/fleets/*.toml`.
+/// `testbed/fleets/*.toml`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
@@ -114,7 +114,7 @@
     /// Which of them is not there, and how to make it.
     pub fn beside(folder: &Path) -> Result<Programs, String> {
         let programs =
-            Programs { worker: folder.join("honeypost"), coordinator: folder.join("honeypost-coordinator") };
+            Programs { worker: folder.join("port-worker"), coordinator: folder.join("fleet-coordinator") };
         for program in [&programs.worker, &programs.coordinator] {
             if !program.exists() {
                 return Err(format!("{}: not built; run cargo build --workspace", program.display()));
@@ -168,7 +168,7 @@
         fenced: bool,
     ) -> Result<Rig, String> {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let acts = acts::start(&folder.join("acts.jsonl"), file.work_ms, fenced)?;
+        let acts = task_log::start(&folder.join("acts.jsonl"), file.work_ms, fenced)?;
         let mut rig = Rig {
             relays: Vec::new(),
             processes: Vec::new(),
@@ -529,8 +529,8 @@
         self.coordinators().iter().filter_map(|name| self.address(name)).collect()
     }
 
-    pub fn acts(&self) -> Vec<acts::ActLine> {
-        acts::read(&self.folder.join("acts.jsonl"))
+    pub fn acts(&self) -> Vec<task_log::ActLine> {
+        task_log::read(&self.folder.join("acts.jsonl"))
     }
 
     pub fn pid(&self, name: &str) -> Option<u32> {
@@ -644,7 +644,7 @@
     Ok(reply)
 }
 
-/// `honeypost-lab fleet`: starts a fleet, prints a line a process, and carries out what `honeypost-lab fault` asks until
+/// `testbed fleet`: starts a fleet, prints a line a process, and carries out what `testbed fault` asks until
 /// `over` says so.
 ///
 /// # Errors
@@ -672,7 +672,7 @@
     Ok(())
 }
 
-/// `honeypost-lab fault`: asks the fleet of this folder for a fault.
+/// `testbed fault`: asks the fleet of this folder for a fault.
 ///
 /// # Errors
 /// There is no fleet, or why it can't be done.
--- a/lab/src/fleet/crowd.rs
+++ b/testbed/src/fleet/session_load.rs
@@ -1,30 +1,30 @@
-//! Many workers' sessions in one process: the worker's own [`Member`] behind plain sockets, without what it serves.
+//! Many workers' sessions in one process: the worker's own [`FleetMember`] behind plain sockets, without what it serves.
 
-use honeypost::fleet::frame::{decode, encode, Word, HEAR_MOST_BYTES};
-use honeypost::fleet::tasks::Schedule;
-use honeypost::fleet::{Act, Member, Plan};
+use port_worker::fleet::frame::{decode, encode, ServerMessage, MAX_SERVER_FRAME_BYTES};
+use port_worker::fleet::tasks::Schedule;
+use port_worker::fleet::{FleetMember, MemberAction, MembershipConfig};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
 /// One session.
 struct Session {
-    member: Member,
+    member: FleetMember,
     stream: Option<TcpStream>,
     data: Vec<u8>,
     grants: u64,
 }
 
 /// All of them, on one clock. Those that are stopped neither read nor write, and keep their links.
-pub struct Crowd {
+pub struct SessionLoad {
     start: Instant,
     sessions: Vec<Session>,
     stopped: Vec<bool>,
 }
 
-impl Crowd {
+impl SessionLoad {
     /// So many sessions of a fleet; each would carry out `wants` once a day, and does nothing when its turn comes.
-    pub fn new(count: usize, fleet: &str, coordinators: &[SocketAddr], wants: &[&str]) -> Crowd {
+    pub fn new(count: usize, fleet: &str, coordinators: &[SocketAddr], wants: &[&str]) -> SessionLoad {
         let schedule = |name: &&str| Schedule {
             name: (*name).to_owned(),
             period_s: 86_400.0,
@@ -33,7 +33,7 @@
             deadline_s: 0.1,
             safe: true,
         };
-        let plan = |n: usize| Plan {
+        let plan = |n: usize| MembershipConfig {
             fleet: fleet.to_owned(),
             name: format!("s{n}"),
             zone: "none".to_owned(),
@@ -45,12 +45,16 @@
         };
         let seed = |n: usize| (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let new = |n| Session {
-            member: Member::new(0.0, plan(n), seed(n), seed(n)),
+            member: FleetMember::new(0.0, plan(n), seed(n), seed(n)),
             stream: None,
             data: Vec::new(),
             grants: 0,
         };
-        Crowd { start: Instant::now(), sessions: (0..count).map(new).collect(), stopped: vec![false; count] }
+        SessionLoad {
+            start: Instant::now(),
+            sessions: (0..count).map(new).collect(),
+            stopped: vec![false; count],
+        }
     }
 
     pub fn now(&self) -> f64 {
@@ -107,15 +111,15 @@
                 Err(_) => self.broken(now),
             }
         }
-        while let Ok(Some((word, length))) = decode::<Word>(&self.data, HEAR_MOST_BYTES) {
+        while let Ok(Some((word, length))) = decode::<ServerMessage>(&self.data, MAX_SERVER_FRAME_BYTES) {
             self.data.drain(..length);
-            self.grants += u64::from(matches!(word, Word::Granted { .. }));
+            self.grants += u64::from(matches!(word, ServerMessage::LeaseGranted { .. }));
             self.member.heard(now, &word);
         }
         self.member.tick(now, || [("concurrent".to_owned(), 3)].into_iter().collect());
         for act in self.member.take_acts() {
             match act {
-                Act::Connect(to) => match TcpStream::connect_timeout(&to, Duration::from_secs(1)) {
+                MemberAction::Connect(to) => match TcpStream::connect_timeout(&to, Duration::from_secs(1)) {
                     Ok(stream) => {
                         let _ = stream.set_nonblocking(true);
                         let _ = stream.set_nodelay(true);
@@ -126,7 +130,7 @@
                     }
                     Err(_) => self.member.broken(now),
                 },
-                Act::Send(say) => {
+                MemberAction::Send(say) => {
                     let bytes = encode(&say);
                     up += bytes.len() as u64;
                     // Frames are far smaller than a socket's buffer.
@@ -135,8 +139,8 @@
                         self.broken(now);
                     }
                 }
-                Act::Close => self.stream = None,
-                Act::Call(_) | Act::Log(_) => {}
+                MemberAction::Close => self.stream = None,
+                MemberAction::Call(_) | MemberAction::Log(_) => {}
             }
         }
         (up, down)
--- a/lab/src/fleet/virtual_fleet.rs
+++ b/testbed/src/fleet/virtual_fleet.rs
@@ -4,15 +4,15 @@
 //! The judge stands outside and sees true time: whether two workers believe at one moment that they hold a task, what
 //! the resource that is acted upon accepted, and whether tasks are held again once the faults are over.
 
-use honeypost::fleet::frame::{self, Ending, Word};
-use honeypost::fleet::tasks::{Order, Schedule};
-use honeypost::fleet::{Act, Member, Plan};
-use honeypost_coordinator::coordinator::{Coordinator, Out, PeerAnswer, Setup};
-use honeypost_coordinator::desk::Guards;
-use honeypost_coordinator::facts::{Task, LATEST};
-use honeypost_coordinator::replica::{carry_out, Job, Standing};
-use honeypost_durable::simulated::Simulated;
-use honeypost_durable::Store;
+use durable_log::simulated::Simulated;
+use durable_log::Store;
+use fleet_coordinator::coordinator::{Coordinator, CoordinatorConfig, Output, PeerAnswer};
+use fleet_coordinator::leader_state::SafetyChecks;
+use fleet_coordinator::replica::{carry_out, DiskJob, ReplicaStatus};
+use fleet_coordinator::state_machine::{Task, LATEST};
+use port_worker::fleet::frame::{self, CallOutcome, ServerMessage};
+use port_worker::fleet::tasks::{Schedule, ScheduledCall};
+use port_worker::fleet::{FleetMember, MemberAction, MembershipConfig};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -107,7 +107,7 @@
 }
 
 struct Busy {
-    member: Option<Member>,
+    member: Option<FleetMember>,
     clock: Clock,
     life: u64,
     paused_until: f64,
@@ -119,7 +119,7 @@
 enum Event {
     TickCoordinator(usize, u64),
     TickWorker(usize, u64),
-    Disk(usize, u64, u64, Job),
+    Disk(usize, u64, u64, DiskJob),
     /// Bytes on a worker's link, to the coordinator and back.
     Up(usize, u64, Vec<u8>),
     Down(usize, u64, Vec<u8>),
@@ -129,9 +129,9 @@
     PeerAnswer(usize, usize, u64, Vec<u8>),
     PeerConnect(usize, usize, u64),
     /// An act reaches what is acted upon, and ends there.
-    Arrives(usize, u64, Order, f64),
-    Ends(usize, u64, Order, bool),
-    CallEnded(usize, u64, usize, Ending),
+    Arrives(usize, u64, ScheduledCall, f64),
+    Ends(usize, u64, ScheduledCall, bool),
+    CallEnded(usize, u64, usize, CallOutcome),
     Fault,
     StartCoordinator(usize),
     StartWorker(usize),
@@ -410,7 +410,9 @@
             }
             Event::Down(w, link, bytes) => {
                 if self.workers[w].link.is_some_and(|(l, _)| l == link) {
-                    if let Ok(Some((word, _))) = frame::decode::<Word>(&bytes, frame::HEAR_MOST_BYTES) {
+                    if let Ok(Some((word, _))) =
+                        frame::decode::<ServerMessage>(&bytes, frame::MAX_SERVER_FRAME_BYTES)
+                    {
                         self.with_worker(w, |member, now| member.heard(now, &word));
                     }
                 }
@@ -459,9 +461,9 @@
             .collect()
     }
 
-    fn setup(&self, c: usize) -> Setup {
+    fn setup(&self, c: usize) -> CoordinatorConfig {
         let names = (0..self.shape.coordinators).map(|n| (coordinator_name(n), address(n).to_string()));
-        Setup {
+        CoordinatorConfig {
             fleet: "virtual".to_owned(),
             name: coordinator_name(c),
             coordinators: names.collect(),
@@ -469,7 +471,7 @@
             tasks: self.tasks(),
             overdue_s: 1.0,
             version: LATEST,
-            guards: Guards {
+            guards: SafetyChecks {
                 whole_ttl: self.shape.weak != Weakness::NoWholeTtl,
                 confirm: self.shape.weak != Weakness::NoConfirm,
             },
@@ -525,7 +527,7 @@
             deadline_s: 0.3,
             safe: n % 2 == 0,
         };
-        let plan = Plan {
+        let plan = MembershipConfig {
             fleet: "virtual".to_owned(),
             name: format!("w{w}"),
             zone: format!("z{}", w % 3),
@@ -540,7 +542,7 @@
         let worker = &mut self.workers[w];
         worker.life += 1;
         worker.clock = Clock { rate, started: now };
-        worker.member = Some(Member::new(0.0, plan, process, seed));
+        worker.member = Some(FleetMember::new(0.0, plan, process, seed));
         (worker.paused_until, worker.link) = (0.0, None);
         let life = worker.life;
         self.at(now, Event::TickWorker(w, life));
@@ -572,13 +574,13 @@
         let out = self.coordinators[c].machine.as_mut().map(Coordinator::take_out).unwrap_or_default();
         for out in out {
             match out {
-                Out::Frame(link, bytes) => self.frame_from(c, link, bytes),
-                Out::Close(link) => {
+                Output::Frame(link, bytes) => self.frame_from(c, link, bytes),
+                Output::Close(link) => {
                     if let Some((a, b)) = self.peer_ends.get(&link).copied() {
                         self.drop_peer(a, b);
                     }
                 }
-                Out::Peer(name, bytes) => {
+                Output::Peer(name, bytes) => {
                     let Some(b) = (0..self.shape.coordinators).find(|n| coordinator_name(*n) == name) else {
                         continue;
                     };
@@ -592,12 +594,12 @@
                         self.at(self.now + after, Event::PeerFrame(c, b, link, bytes.clone()));
                     }
                 }
-                Out::Relink => {
+                Output::Relink => {
                     for b in 0..self.shape.coordinators {
                         self.drop_peer(c, b);
                     }
                 }
-                Out::Disk(number, job) => {
+                Output::Disk(number, job) => {
                     let slow = self.now < self.coordinators[c].slow_until;
                     let takes = if slow {
                         self.rng.random_range(1.5..5.0)
@@ -610,7 +612,7 @@
                     let (at, life) = (q.busy_until, q.life);
                     self.at(at, Event::Disk(c, life, number, job));
                 }
-                Out::Note(_, text) => {
+                Output::Note(_, text) => {
                     self.verdict.leaders += u64::from(text.starts_with("leads, term"));
                     if std::env::var_os("FLEET_TRACE").is_some() {
                         eprintln!("{:.3} {} {text}", self.now, coordinator_name(c));
@@ -679,7 +681,7 @@
         }
     }
 
-    fn with_worker(&mut self, w: usize, f: impl FnOnce(&mut Member, f64)) {
+    fn with_worker(&mut self, w: usize, f: impl FnOnce(&mut FleetMember, f64)) {
         let worker = &mut self.workers[w];
         let now = worker.clock.at(self.now);
         let Some(member) = &mut worker.member else { return };
@@ -688,19 +690,19 @@
         let acts = member.take_acts();
         for act in acts {
             match act {
-                Act::Connect(to) => {
+                MemberAction::Connect(to) => {
                     let Some(c) = (0..self.shape.coordinators).find(|n| address(*n) == to) else { continue };
                     self.next_link += 1;
                     let (link, life, after) = (self.next_link, self.workers[w].life, self.latency() * 2.0);
                     self.at(self.now + after, Event::Connected(w, life, c, link));
                 }
-                Act::Send(say) => self.send_up(w, frame::encode(&say)),
-                Act::Close => {
+                MemberAction::Send(say) => self.send_up(w, frame::encode(&say)),
+                MemberAction::Close => {
                     if let Some((link, _)) = self.workers[w].link {
                         self.close_worker(w, link);
                     }
                 }
-                Act::Call(order) => {
+                MemberAction::Call(order) => {
                     let (life, lasts) = (self.workers[w].life, self.rng.random_range(0.01..0.25));
                     // Between the look at the clock and the act's arrival a process may be stopped.
                     let after = if self.rng.random_range(0..40) == 0 {
@@ -712,7 +714,7 @@
                     };
                     self.at(self.now + after, Event::Arrives(w, life, order, lasts));
                 }
-                Act::Log(text) => {
+                MemberAction::Log(text) => {
                     self.verdict.grants += u64::from(text.contains(" is held, token"));
                     if std::env::var_os("FLEET_TRACE").is_some() {
                         eprintln!("{:.3} w{w} {text}", self.now);
@@ -814,14 +816,14 @@
         }
     }
 
-    fn arrives(&mut self, w: usize, life: u64, order: Order, lasts: f64) {
+    fn arrives(&mut self, w: usize, life: u64, order: ScheduledCall, lasts: f64) {
         let task = order.task;
         let fenced = self.shape.weak != Weakness::NoFencing;
         let resource = &mut self.resources[task];
         let back = self.now + self.rng.random_range(0.0002..0.004);
         if fenced && order.held.token < resource.highest {
             self.verdict.refused += 1;
-            return self.at(back, Event::CallEnded(w, life, task, Ending::NotDone));
+            return self.at(back, Event::CallEnded(w, life, task, CallOutcome::NotDone));
         }
         if fenced && order.held.token > resource.highest {
             // An act under a lower token that is still under way is broken off.
@@ -833,7 +835,7 @@
             self.verdict.refused += 1;
             return self.at(
                 back,
-                Event::CallEnded(w, life, task, if safe { Ending::Done } else { Ending::Unknown }),
+                Event::CallEnded(w, life, task, if safe { CallOutcome::Done } else { CallOutcome::Unknown }),
             );
         }
         if let Some((token, other)) = resource.under_way {
@@ -848,7 +850,7 @@
         self.at(self.now + lasts, Event::Ends(w, life, order, safe));
     }
 
-    fn ends(&mut self, w: usize, life: u64, order: &Order, safe: bool) {
+    fn ends(&mut self, w: usize, life: u64, order: &ScheduledCall, safe: bool) {
         let resource = &mut self.resources[order.task];
         if resource.under_way != Some((order.held.token, w)) {
             self.verdict.refused += 1;
@@ -875,7 +877,7 @@
         // Now and then the answer is lost.
         let lost = self.rng.random_range(0..30) == 0;
         let after = self.now + if lost { 0.2 } else { 0.002 };
-        let ending = if lost { Ending::Unknown } else { Ending::Done };
+        let ending = if lost { CallOutcome::Unknown } else { CallOutcome::Done };
         self.at(after, Event::CallEnded(w, life, order.task, ending));
     }
 
@@ -883,7 +885,7 @@
     fn replace(&mut self, c: usize) {
         let name = coordinator_name(c);
         let lost = self.coordinators[c].machine.as_ref().is_some_and(|m| match &m.replica.standing {
-            Standing::Blank(why) => why.contains("held the log up to"),
+            ReplicaStatus::Blank(why) => why.contains("held the log up to"),
             _ => false,
         });
         let leader =
@@ -1024,7 +1026,7 @@
         let ends: Vec<_> = self.coordinators.iter().filter_map(standing).collect();
         let last = ends.iter().map(|(_, end)| *end).max().unwrap_or(0);
         ends.len() == self.coordinators.len()
-            && ends.iter().all(|(s, end)| *s == Standing::Member && end + 2 >= last)
+            && ends.iter().all(|(s, end)| *s == ReplicaStatus::Member && end + 2 >= last)
     }
 
     fn repair(&mut self) {
--- a/lab/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -7,7 +7,7 @@
 use crate::executor::{Executor, Notice, Work};
 use crate::experiment::{ExecutorModel, Slow};
 use crate::measure::interval;
-use honeypost::pools::estimate::{Bounds, Estimate};
+use port_worker::pools::estimate::{Bounds, Estimate};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
--- a/lab/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,21 +1,21 @@
 //! The lab's command line.
 
 use clap::{Parser, Subcommand};
-use honeypost_lab::experiment::Experiment;
-use honeypost_lab::fleet::measure as fleet_cost;
-use honeypost_lab::fleet::rig::{self, FleetFile, Programs};
-use honeypost_lab::fleet::storm::{self, Part};
-use honeypost_lab::fleet::virtual_fleet::{self, Shape};
-use honeypost_lab::fleet::{harm, process_campaign};
-use honeypost_lab::{limits, measure, sockets, virtual_time};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use testbed::experiment::Experiment;
+use testbed::fleet::measure as fleet_cost;
+use testbed::fleet::overload_storm::{self, Part};
+use testbed::fleet::rig::{self, FleetFile, Programs};
+use testbed::fleet::virtual_fleet::{self, Shape};
+use testbed::fleet::{overhead, process_campaign};
+use testbed::{limits, measure, sockets, virtual_time};
 
 #[derive(Parser)]
-#[command(name = "honeypost-lab", about = "Plays experiments on honeypost")]
+#[command(name = "testbed", about = "Plays experiments on honeypost")]
 struct Arguments {
     #[command(subcommand)]
     what: What,
@@ -27,7 +27,7 @@
     Run {
         file: PathBuf,
         /// The worker to start.
-        #[arg(long, default_value = "target/release/honeypost")]
+        #[arg(long, default_value = "target/release/port-worker")]
         worker: PathBuf,
         /// Where the results go as JSON.
         #[arg(long)]
@@ -141,7 +141,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(message) => {
-            eprintln!("honeypost-lab: {message}");
+            eprintln!("testbed: {message}");
             ExitCode::from(2)
         }
     }
@@ -198,12 +198,12 @@
         }
         What::FleetHarm { seeds, length_s, well_alone, folder, programs } => {
             let programs = Programs::beside(&programs)?;
-            println!("{}", harm::compare(&folder, programs, seeds, length_s, well_alone)?);
+            println!("{}", overhead::compare(&folder, programs, seeds, length_s, well_alone)?);
             return Ok(true);
         }
         What::Storm { workers, seeds } => {
             let parts = [Part::Alone, Part::Fleet, Part::Absent, Part::Liar, Part::Frozen];
-            println!("{}", storm::compare(workers, seeds, &parts)?);
+            println!("{}", overload_storm::compare(workers, seeds, &parts)?);
             return Ok(true);
         }
         What::Limits { seeds } => {
--- a/lab/src/sockets.rs
+++ b/testbed/src/sockets.rs
@@ -197,7 +197,7 @@
 impl Worker {
     fn start(program: &Path, config: &Value, operator: &str) -> Result<Worker, String> {
         let number = NAMES.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("honeypost-lab-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("testbed-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let write = |name: &str, text: &str| {
             std::fs::write(folder.join(name), text)
@@ -225,7 +225,7 @@
             if let Some((_, address)) = line.split_once(mark) {
                 return address.trim().parse().map_err(|_| format!("the worker says {line:?}"));
             }
-            if line.starts_with("honeypost: ") {
+            if line.starts_with("port-worker: ") {
                 return Err(line);
             }
         }
--- a/lab/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -6,10 +6,10 @@
 use crate::experiment::{Experiment, Variant};
 use crate::measure::{End, Play, PoolResult, CROWD_BOUND, CROWD_S};
 use crate::records::Records;
-use honeypost::config::{Config, Operator};
-use honeypost::core::{Answer, Command, Core, Input, Request, Ticket};
-use honeypost::pools::PoolState;
-use honeypost::{Gauges, Outcome};
+use port_worker::config::{Config, Operator};
+use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
+use port_worker::pools::PoolState;
+use port_worker::{Gauges, Outcome};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
 struct World<'a> {
     experiment: &'a Experiment,
     asked: &'a [Asked],
-    core: Core,
+    core: Dispatcher,
     executor: Executor,
     records: Records,
     /// Tries to come: time in microseconds, number of the request, which try.
@@ -44,11 +44,11 @@
     let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
     let operator = Operator::decode(&variant.operator, &config)?;
     let mut settings = config.settings.settings(1);
-    settings.entry_kb = 0.0;
+    settings.key_entry_kb = 0.0;
     settings.pools = operator.pools.as_ref().map(|p| p.plan(&config.settings)).transpose()?;
     let asked = draw(experiment, seed);
     let mut out = Vec::new();
-    let core = Core::new(settings, 0.0, RESULT_BYTES, &mut out);
+    let core = Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out);
     let mut world = World {
         experiment,
         asked: &asked,
@@ -169,24 +169,24 @@
             caller: 1,
             kb: a.need_kb,
             read_at: None,
-            unread_s: 0.0,
-            patience_s: (a.at + class.deadline_ms / 1000.0 - now).max(0.01),
-            size_s: None,
+            read_delay_s: 0.0,
+            time_left_s: (a.at + class.deadline_ms / 1000.0 - now).max(0.01),
+            estimate_s: None,
             key: class.keyed.then(|| format!("k{number}").into()),
             retry: tries > 1,
             body: a.work.body().into(),
         }
     }
 
-    fn answered(&mut self, now: f64, ticket: u64, answer: Answer) {
+    fn answered(&mut self, now: f64, ticket: u64, answer: Response) {
         let Some((number, tries)) = self.open.remove(&ticket) else { return };
         let (end, advice) = match answer {
-            Answer::Served(_) => {
+            Response::Served(_) => {
                 let poor = self.poor.remove(&number).unwrap_or(false);
                 self.ends[number] = Some(End::Served { at: now, poor });
                 return;
             }
-            Answer::Refused { stay_away_s, .. } => (End::Refused, stay_away_s),
+            Response::Rejected { retry_after_s, .. } => (End::Refused, retry_after_s),
             _ => (End::Failed, 0.0),
         };
         // A client that tries again has not ended; its end is that of the last try.
@@ -200,7 +200,7 @@
         let mut commands = VecDeque::from(commands);
         while let Some(command) = commands.pop_front() {
             match command {
-                Command::Answer(ticket, answer) => self.answered(now, ticket.0, answer),
+                Command::Respond(ticket, answer) => self.answered(now, ticket.0, answer),
                 Command::Run { name, body, .. } => {
                     self.executor.start(&name, crate::executor::Work::read(&body));
                 }
@@ -219,7 +219,10 @@
                     self.executor.resume(&name, true);
                 }
                 Command::WakeIn(after) => self.wake = now + after,
-                Command::Health(_) | Command::Publish(_) | Command::Log(_) | Command::Key(_) => {}
+                Command::Health(_)
+                | Command::Publish(_)
+                | Command::Log(_)
+                | Command::IdempotencyUpdate(_) => {}
             }
         }
     }
--- a/lab/tests/command_line.rs
+++ b/testbed/tests/command_line.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Output};
 
 /// The program under test, and the name it gives itself.
-const PATH: &str = env!("CARGO_BIN_EXE_honeypost-lab");
-const NAME: &str = "honeypost-lab";
+const PATH: &str = env!("CARGO_BIN_EXE_testbed");
+const NAME: &str = "testbed";
 
 const SUBCOMMANDS: [&str; 10] = [
     "run",
--- a/lab/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -1,14 +1,14 @@
 //! The vocabulary of the stories: start a fleet, wait for what is expected, and judge at the end.
 
-use honeypost::fleet::frame::{Question, Word};
-use honeypost_coordinator::ask::{ask, ask_leader, Asked};
-use honeypost_lab::fleet::acts::{judge, ActLine};
-use honeypost_lab::fleet::rig::{call, get, FleetFile, Programs, Rig};
+use fleet_coordinator::client::{ask, ask_leader, QueryOutcome};
+use port_worker::fleet::frame::{OperatorQuery, ServerMessage};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Once;
 use std::time::{Duration, Instant};
+use testbed::fleet::rig::{call, get, FleetFile, Programs, Rig};
+use testbed::fleet::task_log::{judge, ActLine};
 
 const FLEET: &str =
     "fleet = \"story\"\ncoordinators = 3\nworkers = 6\nzones = [\"east\", \"west\"]\nwork_ms = 30\n\
@@ -26,14 +26,14 @@
     folder: PathBuf,
 }
 
-/// The programs of this build; `cargo test -p honeypost-lab` alone has not made them yet.
+/// The programs of this build; `cargo test -p testbed` alone has not made them yet.
 fn programs() -> Programs {
     static BUILT: Once = Once::new();
     let target = std::env::current_exe().unwrap().parent().unwrap().parent().unwrap().to_owned();
     BUILT.call_once(|| {
         if Programs::beside(&target).is_err() {
             let mut cargo = std::process::Command::new(env!("CARGO"));
-            cargo.args(["build", "--locked", "-p", "honeypost", "-p", "honeypost-coordinator", "--bins"]);
+            cargo.args(["build", "--locked", "-p", "port-worker", "-p", "fleet-coordinator", "--bins"]);
             if target.ends_with("release") {
                 cargo.arg("--release");
             }
@@ -96,7 +96,7 @@
     fn of(file: &str, fenced: bool) -> Fleet {
         static NUMBER: AtomicU64 = AtomicU64::new(1);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("honeypost-fleet-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("testbed-fleet-{}-{number}", std::process::id()));
         let file = FleetFile::decode(file).unwrap();
         let rig = Rig::start_with(file, &folder, programs(), fenced).unwrap();
         Fleet { rig, folder }
@@ -141,9 +141,9 @@
         TASKS.iter().for_each(|task| self.wait_acts(task, more));
     }
 
-    fn ask(&self, what: &Question) -> Option<Value> {
+    fn ask(&self, what: &OperatorQuery) -> Option<Value> {
         match ask_leader(&self.rig.asked(), "story", what, Duration::from_secs(1)) {
-            Asked::Answer(answer) => Some(answer),
+            QueryOutcome::Answer(answer) => Some(answer),
             _ => None,
         }
     }
@@ -151,7 +151,7 @@
     /// Who holds a task, once somebody does.
     pub fn holder(&self, task: &str) -> String {
         self.wait(&format!("a holder of {task}"), |_| {
-            let leases = self.ask(&Question::Leases)?;
+            let leases = self.ask(&OperatorQuery::Leases)?;
             let lease = leases.as_array()?.iter().find(|l| l["task"] == task)?;
             lease["holder"].as_str().map(str::to_owned)
         })
@@ -159,8 +159,8 @@
 
     /// One coordinator's own standing.
     pub fn status(&self, name: &str) -> Option<Value> {
-        match ask(self.rig.address(name)?, "story", &Question::Status, Duration::from_secs(1)) {
-            Ok(Word::Answer { answer }) => Some(answer),
+        match ask(self.rig.address(name)?, "story", &OperatorQuery::Status, Duration::from_secs(1)) {
+            Ok(ServerMessage::QueryResult { answer }) => Some(answer),
             _ => None,
         }
     }
--- a/lab/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -2,8 +2,8 @@
 //! routers' of answers.
 
 use super::common::Fleet;
-use honeypost_lab::fleet::routers::Routers;
 use std::time::{Duration, Instant};
+use testbed::fleet::routers::Routers;
 
 /// Requests of a class to all workers, by weights.
 fn send(fleet: &Fleet, class: &str, weights: [usize; 4], per_s: f64) -> Routers {
--- a/lab/tests/fleet/stories.rs
+++ b/testbed/tests/fleet/stories.rs
@@ -1,8 +1,8 @@
 use super::common::{Fleet, TASKS};
-use honeypost::fleet::frame::Question;
-use honeypost_coordinator::ask::{ask_leader, Asked};
-use honeypost_lab::fleet::crowd::Crowd;
+use fleet_coordinator::client::{ask_leader, QueryOutcome};
+use port_worker::fleet::frame::OperatorQuery;
 use std::time::{Duration, Instant};
+use testbed::fleet::session_load::SessionLoad;
 
 #[test]
 fn a_killed_leader_s_fleet_goes_on_under_another_with_the_same_holders() {
@@ -35,8 +35,8 @@
     std::thread::sleep(Duration::from_millis(1000));
     assert_eq!(fleet.rig.acts().len(), before, "somebody acts without a quorum");
     fleet.all_serve();
-    let asked = ask_leader(&fleet.rig.asked(), "story", &Question::Leases, Duration::from_millis(300));
-    assert!(matches!(asked, Asked::NoQuorum(_)), "{asked:?}");
+    let asked = ask_leader(&fleet.rig.asked(), "story", &OperatorQuery::Leases, Duration::from_millis(300));
+    assert!(matches!(asked, QueryOutcome::NoQuorum(_)), "{asked:?}");
     fleet.rig.start_again(&leader).unwrap();
     fleet.rig.start_again(&follower).unwrap();
     fleet.wait_all(3);
@@ -64,7 +64,7 @@
     fleet.rig.resume(&holder).unwrap();
     fleet.wait_all(4);
     // What it had on its way when it was stopped may come late: it is refused.
-    let late = |a: &&honeypost_lab::fleet::acts::ActLine| a.accepted && a.token == token;
+    let late = |a: &&testbed::fleet::task_log::ActLine| a.accepted && a.token == token;
     let acts = fleet.accepted("report");
     let first_after = acts.iter().find(|a| a.token > token).unwrap().begin_ms;
     assert!(!acts.iter().filter(late).any(|a| a.begin_ms > first_after), "it acted on");
@@ -143,8 +143,8 @@
     fleet.wait_all(3);
     fleet.rig.fill(&leader, true).unwrap();
     fleet.wait_standing(&leader, "aside");
-    let asked = ask_leader(&fleet.rig.asked(), "story", &Question::Leases, Duration::from_millis(300));
-    assert!(matches!(asked, Asked::NoQuorum(_)), "{asked:?}");
+    let asked = ask_leader(&fleet.rig.asked(), "story", &OperatorQuery::Leases, Duration::from_millis(300));
+    assert!(matches!(asked, QueryOutcome::NoQuorum(_)), "{asked:?}");
     fleet.all_serve();
     // Past every time to live: what could be renewed before is over.
     std::thread::sleep(Duration::from_millis(3500));
@@ -165,8 +165,8 @@
 #[test]
 fn of_three_hundred_that_want_one_lease_one_is_told_at_a_time() {
     let fleet = Fleet::wanted();
-    let mut crowd = Crowd::new(300, "story", &fleet.rig.asked(), &["wanted"]);
-    let wait = |crowd: &mut Crowd, what: &str, so: &dyn Fn(&Crowd) -> bool| {
+    let mut crowd = SessionLoad::new(300, "story", &fleet.rig.asked(), &["wanted"]);
+    let wait = |crowd: &mut SessionLoad, what: &str, so: &dyn Fn(&SessionLoad) -> bool| {
         let until = Instant::now() + Duration::from_secs(40);
         while !so(crowd) {
             crowd.turn();
@@ -176,7 +176,7 @@
             std::thread::sleep(Duration::from_millis(2));
         }
     };
-    wait(&mut crowd, "all in session", &Crowd::all_linked);
+    wait(&mut crowd, "all in session", &SessionLoad::all_linked);
     let mut before = None;
     for change in 1..=3 {
         wait(&mut crowd, "another holder", &|crowd| {
@@ -273,9 +273,9 @@
         status["why"].as_str().filter(|w| w.contains("held the log up to")).map(str::to_owned)
     });
     assert!(why.starts_with("the disk is empty"), "{why}");
-    let replace = Question::Replace { coordinator: lost.clone() };
+    let replace = OperatorQuery::Replace { coordinator: lost.clone() };
     let asked = ask_leader(&fleet.rig.asked(), "story", &replace, Duration::from_secs(5));
-    assert!(matches!(&asked, Asked::Answer(a) if a["member"] == 4), "{asked:?}");
+    assert!(matches!(&asked, QueryOutcome::Answer(a) if a["member"] == 4), "{asked:?}");
     fleet.wait_standing(&lost, "member");
     fleet.wait("it votes", |_| {
         fleet.status(&lost).filter(|s| s["voters"].as_array().is_some_and(|v| v.contains(&4.into())))
@@ -392,6 +392,6 @@
     let mut fleet = Fleet::with("", false);
     late_act(&mut fleet);
     fleet.wait("what the judge finds", |rig| {
-        honeypost_lab::fleet::acts::judge(&rig.acts()).iter().any(|w| w.contains("goes down")).then_some(())
+        testbed::fleet::task_log::judge(&rig.acts()).iter().any(|w| w.contains("goes down")).then_some(())
     });
 }
--- a/lab/tests/fleet_virtual.rs
+++ b/testbed/tests/fleet_virtual.rs
@@ -1,6 +1,6 @@
 //! Fleets in virtual time: what must always hold, and that the judge finds each guard missing when it is taken away.
 
-use honeypost_lab::fleet::virtual_fleet::{play, Shape, Weakness};
+use testbed::fleet::virtual_fleet::{play, Shape, Weakness};
 
 /// The first seed among these that is found broken, and how.
 fn broken(shape: &Shape, seeds: std::ops::Range<u64>) -> Option<(u64, String)> {
--- a/lab/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,9 +1,9 @@
 //! Class pools in virtual time round the worker's own core, and a short form of the experiment on loopback.
 
-use honeypost_lab::experiment::{Experiment, Jump, Slow};
-use honeypost_lab::measure::{table, values, verdict, Play};
-use honeypost_lab::{limits, sockets, virtual_time};
 use std::path::PathBuf;
+use testbed::experiment::{Experiment, Jump, Slow};
+use testbed::measure::{table, values, verdict, Play};
+use testbed::{limits, sockets, virtual_time};
 
 fn experiment() -> Experiment {
     Experiment::decode(include_str!("../experiments/pools-110.toml")).unwrap()
@@ -138,7 +138,7 @@
 /// The worker that the workspace's tests have built.
 fn worker() -> PathBuf {
     let own = std::env::current_exe().unwrap();
-    let path = own.parent().and_then(|p| p.parent()).unwrap().join("honeypost");
+    let path = own.parent().and_then(|p| p.parent()).unwrap().join("port-worker");
     assert!(path.exists(), "{} is not built: run cargo test --workspace", path.display());
     path
 }
--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use honeypost::net::peers::ajp::{self, Forward, ToContainer, ToWebServer, Way};
+use port_worker::net::upstreams::ajp_codec::{self, Forward, ToContainer, ToWebServer, Way};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -46,13 +46,13 @@
         self.stream.read_exact(&mut bytes).ok()?;
         bytes.resize(4 + usize::from(u16::from_be_bytes([bytes[2], bytes[3]])), 0);
         self.stream.read_exact(&mut bytes[4..]).unwrap();
-        ajp::packet(&bytes, way).unwrap().map(|range| bytes[range].to_vec())
+        ajp_codec::packet(&bytes, way).unwrap().map(|range| bytes[range].to_vec())
     }
 
     fn send(&mut self, f: &Forward, body: &[u8]) {
-        let mut bytes = ajp::write_forward(f).unwrap();
+        let mut bytes = ajp_codec::write_forward(f).unwrap();
         if !body.is_empty() {
-            bytes.extend(ajp::write_body(body).unwrap());
+            bytes.extend(ajp_codec::write_body(body).unwrap());
         }
         self.write(&bytes);
     }
@@ -62,7 +62,7 @@
         let mut reply = Reply { status: 0, head: String::new(), body: Vec::new() };
         loop {
             let payload = self.packet(Way::ToWebServer).expect("an answer");
-            match ajp::to_web_server(&payload).unwrap() {
+            match ajp_codec::to_web_server(&payload).unwrap() {
                 ToWebServer::Headers { status, headers } => {
                     reply.status = status;
                     for (name, value) in headers {
@@ -106,8 +106,11 @@
     let mut executor = site.link();
     let mut portal = Ajp::connect(site.ajp.unwrap());
     for (body, pieces) in [("hello", 1), ("hello", 2), ("unmeasured", 3)] {
-        portal.write(&ajp::write_cping());
-        assert_eq!(ajp::to_web_server(&portal.packet(Way::ToWebServer).unwrap()), Ok(ToWebServer::CPong));
+        portal.write(&ajp_codec::write_cping());
+        assert_eq!(
+            ajp_codec::to_web_server(&portal.packet(Way::ToWebServer).unwrap()),
+            Ok(ToWebServer::CPong)
+        );
         let mut f = forward("/portal/look/17?a=b", "");
         if pieces == 3 {
             f.headers[0] = ("transfer-encoding", b"chunked");
@@ -117,13 +120,13 @@
         }
         for piece in [&body.as_bytes()[2..], b""].iter().take(pieces - 1) {
             let payload = portal.packet(Way::ToWebServer).unwrap();
-            let Ok(ToWebServer::GetBody(wanted)) = ajp::to_web_server(&payload) else {
+            let Ok(ToWebServer::GetBody(wanted)) = ajp_codec::to_web_server(&payload) else {
                 panic!("no GET_BODY_CHUNK")
             };
             assert!(usize::from(wanted) >= piece.len());
             // Of the body without a length the first piece has not been sent unasked.
             let piece = if pieces == 3 && !piece.is_empty() { body.as_bytes() } else { piece };
-            portal.write(&ajp::write_body(piece).unwrap());
+            portal.write(&ajp_codec::write_body(piece).unwrap());
         }
         let exec = executor.next("EXEC");
         assert_eq!((&exec["kind"], &exec["data"]), (&json!("look"), &json!(encode(body))));
@@ -275,22 +278,22 @@
 fn serve(server: &mut Ajp, path: &str, body: &[u8]) {
     let payload = loop {
         let payload = server.packet(Way::ToContainer).expect("a request");
-        if ajp::to_container(&payload) != Ok(ToContainer::CPing) {
+        if ajp_codec::to_container(&payload) != Ok(ToContainer::CPing) {
             break payload;
         }
-        server.write(&ajp::write_cpong());
+        server.write(&ajp_codec::write_cpong());
     };
-    let Ok(ToContainer::Forward(f)) = ajp::to_container(&payload) else { panic!("no request") };
+    let Ok(ToContainer::Forward(f)) = ajp_codec::to_container(&payload) else { panic!("no request") };
     assert_eq!((f.method, f.uri, f.secret), ("POST", path, Some(&b"below"[..])));
-    assert_eq!(ajp::body(&server.packet(Way::ToContainer).unwrap()), Ok(body));
+    assert_eq!(ajp_codec::body(&server.packet(Way::ToContainer).unwrap()), Ok(body));
 }
 
 fn reply(server: &mut Ajp, status: u16, body: &[u8]) {
-    let mut bytes = ajp::write_headers(status, "", &[]).unwrap();
-    bytes.extend(ajp::chunk_head(body.len()));
+    let mut bytes = ajp_codec::write_headers(status, "", &[]).unwrap();
+    bytes.extend(ajp_codec::chunk_head(body.len()));
     bytes.extend(body);
     bytes.push(0);
-    bytes.extend(ajp::write_end(true));
+    bytes.extend(ajp_codec::write_end(true));
     server.write(&bytes);
 }
 
@@ -307,8 +310,8 @@
     assert_eq!(portal.answer().0.body, b"seen");
     router.send(&Ask::new("look"));
     let ping = server.packet(Way::ToContainer).unwrap();
-    assert_eq!(ajp::to_container(&ping), Ok(ToContainer::CPing));
-    server.write(&ajp::write_cpong());
+    assert_eq!(ajp_codec::to_container(&ping), Ok(ToContainer::CPing));
+    server.write(&ajp_codec::write_cpong());
     serve(&mut server, "/do/look", b"hello");
     reply(&mut server, 500, b"");
     assert_eq!(router.answer().status, 500);
@@ -333,7 +336,7 @@
     let mut server = Ajp::on(accept(&listener));
     serve(&mut server, "/do/order", b"hello");
     // Gone in the middle of its answer.
-    server.write(&ajp::write_headers(200, "", &[]).unwrap()[..6]);
+    server.write(&ajp_codec::write_headers(200, "", &[]).unwrap()[..6]);
     drop(server);
     assert_eq!(portal.answer().0.status, 502);
     assert_eq!(portal.ask(&f, b"hello").status, 502);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -129,12 +129,12 @@
 
     /// Starts a worker with a changed configuration, and with an operator's file if there is a text for one.
     pub fn with(change: impl FnOnce(&mut Value), operator: Option<&str>) -> Site {
-        Site::run(Command::new(env!("CARGO_BIN_EXE_honeypost")), change, operator)
+        Site::run(Command::new(env!("CARGO_BIN_EXE_port-worker")), change, operator)
     }
 
     /// Starts a worker with more in its environment.
     pub fn with_env(environment: &[(&str, &str)], change: impl FnOnce(&mut Value)) -> Site {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_honeypost"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_port-worker"));
         command.envs(environment.iter().copied());
         Site::run(command, change, None)
     }
@@ -142,7 +142,7 @@
     /// Starts a worker to which the system gives so many descriptors and no more, whatever its own budget is.
     pub fn with_descriptors(n: usize) -> Site {
         let mut command = Command::new("sh");
-        command.arg("-c").arg(format!("ulimit -n {n} && exec \"$0\"")).arg(env!("CARGO_BIN_EXE_honeypost"));
+        command.arg("-c").arg(format!("ulimit -n {n} && exec \"$0\"")).arg(env!("CARGO_BIN_EXE_port-worker"));
         Site::run(command, |_| {}, None)
     }
 
@@ -153,7 +153,7 @@
 
     /// The same with an operator's file. Its fronts may open late, so their addresses are not waited for.
     pub fn at_with(door: &Door, change: impl FnOnce(&mut Value), operator: Option<&str>) -> Site {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_honeypost"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_port-worker"));
         command.env("ROUTER_SOCKET_FD", door.listener.as_raw_fd().to_string()).env("TMPDIR", &door.folder);
         let change = |c: &mut Value| {
             c["listen"] = json!(door.listener.local_addr().unwrap());
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -2,8 +2,8 @@
 //! `tests/fixtures/configuration` and must go on being read with the same meaning, as `examples/config.json` of today
 //! is. Tests never write there.
 
-use honeypost::config::{read_gauges, Config};
-use honeypost::{Effect, Halting, Settings, Signal};
+use port_worker::config::{read_gauges, Config};
+use port_worker::{Idempotency, Preemption, Settings, Signal};
 
 fn text_of(path: &str) -> String {
     let path = format!("{}/{path}", env!("CARGO_MANIFEST_DIR"));
@@ -50,14 +50,14 @@
         assert_eq!(names.collect::<Vec<_>>(), ["belwijs", "veenbel"]);
 
         let settings = config.settings.settings(0);
-        let classes = settings.classes.iter().map(|c| (c.worth, c.late_worth, c.aim_s, c.deadline_s));
+        let classes = settings.classes.iter().map(|c| (c.weight, c.late_weight, c.objective_s, c.deadline_s));
         let expected = [(1.0, 0.0, 1.9, 4.7), (2.0, 0.2, 1.9, 4.7), (5.0, 0.0, 1.3, 3.4)];
         assert_eq!(classes.collect::<Vec<_>>(), expected);
-        let classes = settings.classes.iter().map(|c| (c.effect, c.window_s, c.calls, c.skipped_worth));
+        let classes = settings.classes.iter().map(|c| (c.effect, c.window_s, c.calls, c.skipped_call_weight));
         let expected = [
-            (Effect::Safe, 5.0, true, 0.6),
-            (Effect::Safe, 5.0, true, 0.6),
-            (Effect::Keyed, 10.191, true, 0.0),
+            (Idempotency::Idempotent, 5.0, true, 0.6),
+            (Idempotency::Idempotent, 5.0, true, 0.6),
+            (Idempotency::Keyed, 10.191, true, 0.0),
         ];
         assert_eq!(classes.collect::<Vec<_>>(), expected);
         let quotas = settings.tenants.iter().map(|t| t.quota_per_s);
@@ -71,14 +71,14 @@
         let settings = config.settings.settings(config.seed_number());
         assert_eq!(settings.seed, 0x8c1f_30d2_7a5b_e964);
         assert_eq!((settings.cores, settings.callers, settings.workers), (6, 3, 10));
-        assert_eq!((settings.cold, settings.cold_from, settings.cold_s), (false, 0.26, 18.0));
-        assert_eq!((settings.crowd_multiple, settings.crowd_window_s), (8.0, 3.0));
-        assert_eq!((settings.memory_kb, settings.run_factor, settings.entry_kb), (18648.0, 8.0, 106.12));
-        assert_eq!((settings.leave_grace_s, settings.answer_slack_s), (2.5, 0.1));
-        assert_eq!((settings.wake_ahead_s, settings.max_advice_s, settings.idle_s), (0.004, 1.0, 30.0));
-        assert_eq!(settings.over_quota_worth, 0.1);
+        assert_eq!((settings.cold, settings.cold_speed, settings.warm_up_s), (false, 0.26, 18.0));
+        assert_eq!((settings.survivable_multiple, settings.survivable_window_s), (8.0, 3.0));
+        assert_eq!((settings.memory_kb, settings.run_factor, settings.key_entry_kb), (18648.0, 8.0, 106.12));
+        assert_eq!((settings.shutdown_grace_s, settings.answer_slack_s), (2.5, 0.1));
+        assert_eq!((settings.wake_ahead_s, settings.max_retry_after_s, settings.idle_s), (0.004, 1.0, 30.0));
+        assert_eq!(settings.over_quota_weight, 0.1);
         assert!(settings.marks_retries && settings.health_listed);
-        assert_eq!((settings.halting, settings.signal), (Halting::Never, Signal::Weight));
+        assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::Weight));
         let dependency = settings.dependency.unwrap();
         assert_eq!((dependency.share, dependency.window_s, dependency.linger_s), (5.0, 5.0, 0.2));
         assert!(settings.pools.is_none() && !settings.overload);
@@ -88,13 +88,14 @@
 #[test]
 fn the_platform_s_words_keep_their_meaning() {
     let effect = |word: &str| settings_with("\"effect\": \"safe\"", &format!("\"effect\": \"{word}\""));
-    assert_eq!(effect("keyed").classes[0].effect, Effect::Keyed);
-    assert_eq!(effect("unsafe").classes[0].effect, Effect::Unsafe);
+    assert_eq!(effect("keyed").classes[0].effect, Idempotency::Keyed);
+    assert_eq!(effect("unsafe").classes[0].effect, Idempotency::NotIdempotent);
 
-    let halt = |word: &str| settings_with("\"halt\": \"silent\"", &format!("\"halt\": \"{word}\"")).halting;
-    assert_eq!(halt("discard"), Halting::Discard);
-    assert_eq!(halt("freeze"), Halting::Pause);
-    assert_eq!(halt("later"), Halting::Never);
+    let halt =
+        |word: &str| settings_with("\"halt\": \"silent\"", &format!("\"halt\": \"{word}\"")).preemption;
+    assert_eq!(halt("discard"), Preemption::Discard);
+    assert_eq!(halt("freeze"), Preemption::Pause);
+    assert_eq!(halt("later"), Preemption::Never);
 
     let signal =
         |word: &str| settings_with("\"signal\": \"weight\"", &format!("\"signal\": \"{word}\"")).signal;
@@ -103,7 +104,7 @@
 
     assert!(settings_with("\"one_for_all\"", "\"silent\"").dependency.is_none());
     assert!(settings_with("\"nCores\"", "\"cold\": true, \"nCores\"").cold);
-    assert_eq!(settings_with("\"retryAfter\": true", "\"retryAfter\": false").max_advice_s, 0.0);
+    assert_eq!(settings_with("\"retryAfter\": true", "\"retryAfter\": false").max_retry_after_s, 0.0);
     assert!(!settings_with("\"readiness\": true", "\"readiness\": false").health_listed);
     assert!(!settings_with("\"marksRetry\": true", "\"marksRetry\": false").marks_retries);
 }
@@ -127,10 +128,10 @@
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (192.0, 1024));
     let settings = config.settings.settings(0);
     assert_eq!((settings.cores, settings.memory_kb, settings.callers), (2, 4096.0, 0));
-    assert_eq!((settings.classes[0].aim_s, settings.classes[0].deadline_s), (1.0, 2.0));
+    assert_eq!((settings.classes[0].objective_s, settings.classes[0].deadline_s), (1.0, 2.0));
     assert!(settings.dependency.is_none() && settings.tenants.is_empty());
     assert!(!settings.classes[0].calls && !settings.marks_retries && !settings.health_listed);
-    assert_eq!((settings.halting, settings.signal), (Halting::Never, Signal::None));
+    assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::None));
 }
 
 #[test]
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -185,7 +185,7 @@
     for (address, said) in
         [("nowhere", "ROUTER_CONSOLE"), (&taken.local_addr().unwrap().to_string(), "console")]
     {
-        let ended = Command::new(env!("CARGO_BIN_EXE_honeypost"))
+        let ended = Command::new(env!("CARGO_BIN_EXE_port-worker"))
             .env("ROUTER_CONFIG", folder.join("config.json"))
             .env("ROUTER_CONSOLE", address)
             .output()
--- a/tests/crossings/closing.rs
+++ b/tests/crossings/closing.rs
@@ -121,7 +121,7 @@
     let site = Site::with(|_| {}, Some(front));
     let _executor = site.link();
     let mut portal = Client::connect(site.ajp.unwrap());
-    let ping = honeypost::net::peers::ajp::write_cping();
+    let ping = port_worker::net::upstreams::ajp_codec::write_cping();
     portal.reader.get_ref().write_all(&ping).unwrap();
     let mut waits = [0; 1];
     assert_eq!(portal.reader.get_ref().peek(&mut waits).unwrap(), 1);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,8 +1,8 @@
 //! One test for each failure found on the bench, and each rule of the mechanism at its boundary.
 
-use honeypost::{
-    Action, Arrival, Class, Controller, Dependency, Effect, Event, Gauges, Halting, Outcome, RequestId,
-    Settings, Signal, Tenant,
+use port_worker::{
+    Action, Arrival, Class, Controller, Dependency, Event, Gauges, Idempotency, Outcome, Preemption,
+    RequestId, Settings, Signal, Tenant,
 };
 use std::collections::BTreeMap;
 
@@ -14,25 +14,25 @@
 fn settings() -> Settings {
     Settings {
         cores: 2,
-        crowd_multiple: 8.0,
-        crowd_window_s: 2.0,
+        survivable_multiple: 8.0,
+        survivable_window_s: 2.0,
         memory_kb: 100_000.0,
         run_factor: 4.0,
-        entry_kb: 10.0,
-        leave_grace_s: 1.0,
+        key_entry_kb: 10.0,
+        shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
         wake_ahead_s: 0.002,
-        max_advice_s: 1.0,
+        max_retry_after_s: 1.0,
         callers: 4,
         workers: 2,
         marks_retries: true,
         classes: vec![
-            Class { worth: 1.0, aim_s: 2.0, deadline_s: 5.0, ..Class::default() },
+            Class { weight: 1.0, objective_s: 2.0, deadline_s: 5.0, ..Class::default() },
             Class {
-                worth: 10.0,
-                aim_s: 2.0,
+                weight: 10.0,
+                objective_s: 2.0,
                 deadline_s: 5.0,
-                effect: Effect::Keyed,
+                effect: Idempotency::Keyed,
                 window_s: 9.0,
                 ..Class::default()
             },
@@ -45,7 +45,7 @@
     let mut set = settings();
     set.dependency = Some(Dependency { share, window_s: 5.0, linger_s: 0.1 });
     set.classes[0].calls = true;
-    set.classes[1].effect = Effect::Safe;
+    set.classes[1].effect = Idempotency::Idempotent;
     set
 }
 
@@ -62,12 +62,12 @@
         self.tell(Event::Arrived(Arrival { id: RequestId(id), class, kb: 10.0, ..Arrival::default() }))
     }
     fn repeat(&mut self, id: u64, of: u64) -> Vec<Action> {
-        let (id, repeats) = (RequestId(id), Some(RequestId(of)));
+        let (id, retry_of) = (RequestId(id), Some(RequestId(of)));
         self.tell(Event::Arrived(Arrival {
             id,
             class: 1,
             kb: 10.0,
-            repeats,
+            retry_of,
             retry: true,
             ..Arrival::default()
         }))
@@ -95,7 +95,7 @@
 }
 
 fn refused(out: &[Action], id: u64) -> bool {
-    out.iter().any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id))
+    out.iter().any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id))
 }
 
 fn failed(out: &[Action], id: u64) -> bool {
@@ -170,7 +170,7 @@
         b.arrive(100 + round, 1);
     }
     // Whatever was started while the hang was not yet plain, it stays near the core count.
-    let running = (1..140).filter(|&id| !b.end(id, Outcome::Stopped).is_empty()).count();
+    let running = (1..140).filter(|&id| !b.end(id, Outcome::Cancelled).is_empty()).count();
     assert!(running <= 6, "{running}");
 }
 
@@ -178,16 +178,16 @@
 fn repeats_share_the_one_run_in_every_state() {
     let mut b = Bench::new(settings());
     let first = b.arrive(1, 1);
-    assert!(matches!(first[0], Action::Remember { id: RequestId(1), for_s } if for_s >= 9.0));
-    assert_eq!(b.repeat(2, 1), vec![Action::ShareAnswer(RequestId(2))], "running");
+    assert!(matches!(first[0], Action::RetainKey { id: RequestId(1), for_s } if for_s >= 9.0));
+    assert_eq!(b.repeat(2, 1), vec![Action::ShareResponse(RequestId(2))], "running");
     b.arrive(3, 0);
     b.arrive(4, 1);
     assert_eq!(b.repeat(5, 4), vec![], "held: it waits behind");
     b.now = 0.2;
     let out = b.end(1, Outcome::Error);
     assert_eq!(starts(&out), vec![4]);
-    assert!(out.contains(&Action::ShareAnswer(RequestId(5))));
-    assert_eq!(b.repeat(6, 1), vec![Action::ShareAnswer(RequestId(6))], "a failed run is not run again");
+    assert!(out.contains(&Action::ShareResponse(RequestId(5))));
+    assert_eq!(b.repeat(6, 1), vec![Action::ShareResponse(RequestId(6))], "a failed run is not run again");
 }
 
 #[test]
@@ -198,7 +198,7 @@
     b.arrive(3, 1);
     b.repeat(4, 3);
     let out = b.tell(Event::CallerGone(RequestId(3)));
-    assert!(matches!(out[0], Action::Remember { id: RequestId(4), .. }));
+    assert!(matches!(out[0], Action::RetainKey { id: RequestId(4), .. }));
     b.now = 0.2;
     assert_eq!(starts(&b.end(1, Outcome::Ok)), vec![4]);
 }
@@ -210,17 +210,17 @@
     b.tell(Event::CallerGone(RequestId(1)));
     b.arrive(2, 0);
     b.arrive(3, 0);
-    assert_eq!(starts(&b.end(1, Outcome::TooLate)), vec![3]);
+    assert_eq!(starts(&b.end(1, Outcome::NotStarted)), vec![3]);
 }
 
 #[test]
 fn the_drain_goes_by_arrival_to_the_tick() {
     let mut set = settings();
-    set.classes[0].late_worth = 0.2;
+    set.classes[0].late_weight = 0.2;
     let mut b = Bench::new(set);
-    b.tell(Event::Leave { ago_s: 0.0, in_s: 4.0 });
-    let early = |unread_s: f64, id: u64| {
-        Event::Arrived(Arrival { id: RequestId(id), class: 0, kb: 10.0, unread_s, ..Arrival::default() })
+    b.tell(Event::Shutdown { ago_s: 0.0, in_s: 4.0 });
+    let early = |read_delay_s: f64, id: u64| {
+        Event::Arrived(Arrival { id: RequestId(id), class: 0, kb: 10.0, read_delay_s, ..Arrival::default() })
     };
     b.now = 1.2;
     assert_eq!(starts(&b.tell(early(0.3, 1))), vec![1], "arrived before the grace was over, read after it");
@@ -235,7 +235,7 @@
 fn a_repeat_after_the_grace_is_answered_at_once() {
     let mut b = Bench::new(settings());
     b.arrive(1, 1);
-    b.tell(Event::Leave { ago_s: 0.0, in_s: 2.0 });
+    b.tell(Event::Shutdown { ago_s: 0.0, in_s: 2.0 });
     b.now = 1.5;
     assert!(failed(&b.repeat(2, 1), 2), "a shared answer might miss the stop, and what ran is not refused");
 }
@@ -243,7 +243,7 @@
 #[test]
 fn running_work_is_answered_by_its_due_time() {
     let mut set = settings();
-    set.classes[0].late_worth = 0.2;
+    set.classes[0].late_weight = 0.2;
     let mut b = Bench::new(set);
     b.arrive(1, 0);
     assert!(!answered(&b.pass(4.9, 1.0), 1), "a late answer still earns a part");
@@ -254,13 +254,13 @@
 /// comes in the next sweep, not near the deadline, with advice where the request may be repeated.
 #[test]
 fn what_earns_nothing_any_more_is_answered_at_once_and_stopped() {
-    for halting in [Halting::Discard, Halting::Pause, Halting::Never] {
-        let mut b = Bench::new(Settings { halting, ..settings() });
+    for preemption in [Preemption::Discard, Preemption::Pause, Preemption::Never] {
+        let mut b = Bench::new(Settings { preemption, ..settings() });
         b.arrive(1, 0);
-        assert!(!answered(&b.pass(1.95, 1.0), 1), "{halting:?}");
+        assert!(!answered(&b.pass(1.95, 1.0), 1), "{preemption:?}");
         let out = b.pass(0.1, 1.0);
-        assert!(refused(&out, 1), "safe to repeat: with advice ({halting:?})");
-        assert_eq!(out.contains(&Action::Halt(RequestId(1))), halting != Halting::Never);
+        assert!(refused(&out, 1), "safe to repeat: with advice ({preemption:?})");
+        assert_eq!(out.contains(&Action::Preempt(RequestId(1))), preemption != Preemption::Never);
         assert!(!answered(&b.pass(4.0, 1.0), 1), "one answer");
     }
     // One that waits behind a key's first try, or stands at a call, does not wait for its deadline either.
@@ -276,17 +276,17 @@
 /// kingston's quiet day: submits were stopped when their try ended, and the next try got an error for an answer.
 #[test]
 fn a_run_with_an_effect_goes_on_for_the_next_try() {
-    let mut b = Bench::new(Settings { halting: Halting::Pause, ..settings() });
+    let mut b = Bench::new(Settings { preemption: Preemption::Pause, ..settings() });
     b.tell(Event::Arrived(Arrival {
         id: RequestId(1),
         class: 1,
         kb: 10.0,
-        patience_s: Some(1.0),
+        time_left_s: Some(1.0),
         ..Arrival::default()
     }));
     let out = b.pass(1.1, 1.0);
-    assert!(failed(&out, 1) && !out.contains(&Action::Halt(RequestId(1))));
-    assert_eq!(b.repeat(2, 1), vec![Action::ShareAnswer(RequestId(2))]);
+    assert!(failed(&out, 1) && !out.contains(&Action::Preempt(RequestId(1))));
+    assert_eq!(b.repeat(2, 1), vec![Action::ShareResponse(RequestId(2))]);
 }
 
 /// A caller that leaves takes a run of no further use off the cores; one with an effect goes to its end, as a
@@ -294,10 +294,10 @@
 #[test]
 fn a_run_that_nobody_waits_for_is_stopped_unless_it_has_an_effect() {
     for (class, stops) in [(0, true), (1, false)] {
-        let mut b = Bench::new(Settings { halting: Halting::Discard, ..settings() });
+        let mut b = Bench::new(Settings { preemption: Preemption::Discard, ..settings() });
         b.arrive(1, class);
         let out = b.tell(Event::CallerGone(RequestId(1)));
-        assert_eq!(out.contains(&Action::Halt(RequestId(1))), stops);
+        assert_eq!(out.contains(&Action::Preempt(RequestId(1))), stops);
     }
 }
 
@@ -310,7 +310,7 @@
     assert_eq!(calls_made(&b.tell(Event::AtCall(RequestId(1)))), 1);
     b.tell(Event::AtCall(RequestId(2)));
     b.tell(Event::CallerGone(RequestId(1)));
-    assert_eq!(calls_made(&b.end(1, Outcome::Stopped)), 0, "it lingers");
+    assert_eq!(calls_made(&b.end(1, Outcome::Cancelled)), 0, "it lingers");
     assert_eq!(calls_made(&b.pass(0.15, 1.0)), 1);
 }
 
@@ -325,7 +325,10 @@
         b.now += 0.005;
         if calls_made(&out) > 0 {
             sheds += 1;
-            assert_eq!(calls_made(&b.tell(Event::CallEnded { id: RequestId(1), outcome: Outcome::Full })), 0);
+            assert_eq!(
+                calls_made(&b.tell(Event::CallEnded { id: RequestId(1), outcome: Outcome::Rejected })),
+                0
+            );
         }
         out = b.wake(1.0);
     }
@@ -338,10 +341,10 @@
     for (part, skips) in [(0.3, true), (0.0, false)] {
         let mut set = with_calls(4.0);
         set.classes[1] = Class {
-            effect: Effect::Keyed,
+            effect: Idempotency::Keyed,
             window_s: 9.0,
             calls: true,
-            skipped_worth: part,
+            skipped_call_weight: part,
             ..set.classes[0].clone()
         };
         let mut b = Bench::new(set);
@@ -358,9 +361,10 @@
 #[test]
 fn a_dependency_that_is_down_is_not_waited_for_by_what_can_go_without_it() {
     let mut set = with_calls(4.0);
-    set.classes[0].skipped_worth = 0.6;
-    set.classes[1] = Class { effect: Effect::Keyed, window_s: 9.0, calls: true, ..set.classes[0].clone() };
-    set.classes[1].skipped_worth = 0.0;
+    set.classes[0].skipped_call_weight = 0.6;
+    set.classes[1] =
+        Class { effect: Idempotency::Keyed, window_s: 9.0, calls: true, ..set.classes[0].clone() };
+    set.classes[1].skipped_call_weight = 0.0;
     let mut b = Bench::new(set);
     b.arrive(1, 0);
     b.arrive(2, 1);
@@ -381,8 +385,8 @@
     let late_start = |told: bool| {
         let mut b = Bench::new(Settings { cores: 1, ..settings() });
         let arrive = |b: &mut Bench, id: u64, size: f64| {
-            let (id, size_s) = (RequestId(id), Some(size));
-            b.tell(Event::Arrived(Arrival { id, kb: 1.0, size_s, ..Arrival::default() }))
+            let (id, estimate_s) = (RequestId(id), Some(size));
+            b.tell(Event::Arrived(Arrival { id, kb: 1.0, estimate_s, ..Arrival::default() }))
         };
         for id in 1..=40 {
             let large = id % 2 == 0;
@@ -402,8 +406,8 @@
     // Absurd hints fall back to the mean.
     let mut b = Bench::new(settings());
     for (id, size) in [(1, f64::NAN), (2, -1.0), (3, f64::MAX), (4, 0.0)] {
-        let (id, size_s) = (RequestId(id), Some(size));
-        let out = b.tell(Event::Arrived(Arrival { id, kb: 1.0, size_s, ..Arrival::default() }));
+        let (id, estimate_s) = (RequestId(id), Some(size));
+        let out = b.tell(Event::Arrived(Arrival { id, kb: 1.0, estimate_s, ..Arrival::default() }));
         assert!(!refused(&out, id.0));
     }
 }
@@ -412,7 +416,7 @@
 #[test]
 fn an_idle_worker_refuses_nothing_for_calls_that_nobody_waits_for() {
     let mut set = with_calls(4.0);
-    set.classes[0].aim_s = 1.0;
+    set.classes[0].objective_s = 1.0;
     let mut b = Bench::new(set);
     for id in 1..=10 {
         b.arrive(id, 0);
@@ -431,17 +435,23 @@
         let (mut bad, mut last) = (false, None);
         for id in 1..=100 {
             b.now += every;
-            let unread_s = if id < 60 { 0.0 } else { 2.5 };
+            let read_delay_s = if id < 60 { 0.0 } else { 2.5 };
             let out = b.tell(Event::Arrived(Arrival {
                 id: RequestId(id),
                 kb: 1.0,
-                unread_s,
+                read_delay_s,
                 ..Arrival::default()
             }));
             bad |= out.contains(&Action::Health(false));
             last = out
                 .iter()
-                .find_map(|a| if let Action::Refuse { no_other, .. } = a { Some(*no_other) } else { None })
+                .find_map(|a| {
+                    if let Action::Reject { stop_retrying, .. } = a {
+                        Some(*stop_retrying)
+                    } else {
+                        None
+                    }
+                })
                 .or(last);
         }
         (bad, last)
@@ -528,12 +538,12 @@
     let mut said = Vec::new();
     for id in 1..=20 {
         b.now += 0.05;
-        let (id, unread_s) = (RequestId(id), 3.0);
+        let (id, read_delay_s) = (RequestId(id), 3.0);
         said.extend(b.tell(Event::Arrived(Arrival {
             id,
             class: 0,
             kb: 10.0,
-            unread_s,
+            read_delay_s,
             ..Arrival::default()
         })));
     }
@@ -551,8 +561,8 @@
         let mut said = Vec::new();
         for id in 1..=20 {
             b.now += 0.05;
-            let (id, unread_s) = (RequestId(id), 3.0);
-            said.extend(b.tell(Event::Arrived(Arrival { id, kb: 1.0, unread_s, ..Arrival::default() })));
+            let (id, read_delay_s) = (RequestId(id), 3.0);
+            said.extend(b.tell(Event::Arrived(Arrival { id, kb: 1.0, read_delay_s, ..Arrival::default() })));
         }
         assert!(said.contains(&Action::Health(false)));
         b.now += 0.5;
@@ -577,7 +587,9 @@
                     ..Arrival::default()
                 }))
             })
-            .filter_map(|a| if let Action::Refuse { no_other, .. } = a { Some(no_other) } else { None })
+            .filter_map(
+                |a| if let Action::Reject { stop_retrying, .. } = a { Some(stop_retrying) } else { None },
+            )
             .next_back()
     };
     assert_eq!(last(true), Some(true));
@@ -629,7 +641,7 @@
 #[test]
 fn a_jam_of_calls_leaves_the_cores_to_the_rest() {
     let mut set = with_calls(1.0);
-    set.classes[0].worth = 20.0;
+    set.classes[0].weight = 20.0;
     let mut b = Bench::new(set);
     for id in 1..=2 {
         b.arrive(id, 0);
@@ -642,10 +654,11 @@
 
 #[test]
 fn a_keyed_call_is_repeated_only_when_proven_unrun() {
-    for (outcome, again) in [(Outcome::Full, true), (Outcome::Unreachable, true), (Outcome::TimedOut, false)]
+    for (outcome, again) in
+        [(Outcome::Rejected, true), (Outcome::Unreachable, true), (Outcome::TimedOut, false)]
     {
         let mut set = with_calls(4.0);
-        set.classes[1].effect = Effect::Keyed;
+        set.classes[1].effect = Idempotency::Keyed;
         set.classes[1].calls = true;
         let mut b = Bench::new(set);
         b.arrive(1, 1);
@@ -662,7 +675,7 @@
 #[test]
 fn work_over_quota_waits_behind_the_rest_of_its_class_only() {
     let set =
-        Settings { tenants: vec![Tenant { quota_per_s: 2.0 }; 2], over_quota_worth: 0.05, ..settings() };
+        Settings { tenants: vec![Tenant { quota_per_s: 2.0 }; 2], over_quota_weight: 0.05, ..settings() };
     let mut b = Bench::new(set);
     let from = |b: &mut Bench, id: u64, tenant: usize, class: usize| {
         let (id, tenant) = (RequestId(id), Some(tenant));
@@ -694,14 +707,14 @@
     }
     let gone: Vec<u64> = (1..=6).filter(|&id| refused(&out, id)).collect();
     assert!(gone.contains(&6) && !gone.contains(&1) && !gone.contains(&2), "{gone:?}");
-    assert!(!out.contains(&Action::Forget(RequestId(1))));
+    assert!(!out.contains(&Action::ReleaseKey(RequestId(1))));
 }
 
 /// Incident ic1de4e: a crowd that makes calls slower bit by bit must not become the yardstick.
 #[test]
 fn a_slowly_growing_call_length_does_not_ratchet_the_bound_up() {
     let mut set = with_calls(10.0);
-    (set.classes[0].aim_s, set.classes[0].deadline_s) = (400.0, 500.0);
+    (set.classes[0].objective_s, set.classes[0].deadline_s) = (400.0, 500.0);
     let mut b = Bench::new(set);
     let (mut in_hand, mut length) = (Vec::<u64>::new(), 0.05);
     for next in 1..2_400 {
@@ -729,7 +742,7 @@
 #[test]
 fn slow_calls_leave_a_quarter_of_the_share_and_what_would_wait_in_vain_goes_without() {
     let mut set = with_calls(12.0);
-    set.classes[0].skipped_worth = 0.6;
+    set.classes[0].skipped_call_weight = 0.6;
     set.cores = 16;
     let mut b = Bench::new(set);
     let (mut called, mut skipped, mut refusals) = (BTreeMap::new(), 0, 0);
@@ -791,8 +804,8 @@
 #[test]
 fn what_stands_at_calls_below_a_tier_is_no_jam_to_it() {
     let mut set = with_calls(2.0);
-    set.classes[0].skipped_worth = 0.6;
-    (set.classes[1].effect, set.classes[1].calls) = (Effect::Keyed, true);
+    set.classes[0].skipped_call_weight = 0.6;
+    (set.classes[1].effect, set.classes[1].calls) = (Idempotency::Keyed, true);
     let mut b = Bench::new(set);
     let mut id = 0;
     while b.c.take_released().is_empty() && id < 8 {
@@ -807,7 +820,7 @@
 #[test]
 fn a_call_that_could_not_end_in_time_is_not_begun() {
     let mut set = with_calls(4.0);
-    set.classes[0].skipped_worth = 0.6;
+    set.classes[0].skipped_call_weight = 0.6;
     let mut b = Bench::new(set);
     for id in 1..=20 {
         b.arrive(id, 0);
@@ -865,7 +878,7 @@
     for id in 501..=512 {
         b.arrive(id, 0);
     }
-    let refusals = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refusals = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert_eq!(refusals(&b.pass(0.2, 1.0)), 0);
     assert!(refusals(&b.pass(1.0, 1.0)) > 0, "a hang is one in the end");
 }
@@ -943,7 +956,7 @@
 fn only_an_account_far_over_its_share_of_the_arrivals_is_held_short() {
     let taken = |heavy: bool| {
         let mut set = settings();
-        (set.workers, set.over_quota_worth) = (200, 0.05);
+        (set.workers, set.over_quota_weight) = (200, 0.05);
         set.tenants = vec![Tenant { quota_per_s: 20.0 }; 2];
         let mut b = Bench::new(set);
         let mut taken = 0;
@@ -965,12 +978,12 @@
 #[test]
 fn what_is_refused_spends_no_quota() {
     let mut set = settings();
-    (set.workers, set.over_quota_worth) = (200, 0.05);
+    (set.workers, set.over_quota_weight) = (200, 0.05);
     set.tenants = vec![Tenant { quota_per_s: 20.0 }; 2];
     let mut b = Bench::new(set);
-    let arrive = |b: &mut Bench, id: u64, tenant: usize, unread_s: f64| {
+    let arrive = |b: &mut Bench, id: u64, tenant: usize, read_delay_s: f64| {
         let (id, tenant) = (RequestId(id), Some(tenant));
-        b.tell(Event::Arrived(Arrival { id, tenant, kb: 10.0, unread_s, ..Arrival::default() }))
+        b.tell(Event::Arrived(Arrival { id, tenant, kb: 10.0, read_delay_s, ..Arrival::default() }))
     };
     for id in 1..=4 {
         arrive(&mut b, id, 0, 0.0);
@@ -993,7 +1006,7 @@
     let mut c = Controller::new(Settings { signal: Signal::Weight, ..settings() }, 0.0, &mut out);
     assert!(out.contains(&Action::Publish(1.0)));
     out.clear();
-    c.handle(0.0, Event::Leave { ago_s: 0.0, in_s: 4.0 }, &mut out);
+    c.handle(0.0, Event::Shutdown { ago_s: 0.0, in_s: 4.0 }, &mut out);
     c.handle(0.6, Event::Woken(Gauges::default()), &mut out);
     assert!(out.contains(&Action::Publish(0.0)));
 }
@@ -1002,7 +1015,7 @@
 #[test]
 fn a_tiny_part_of_a_quota_still_holds_a_few_requests() {
     let mut set = settings();
-    (set.workers, set.over_quota_worth) = (200, 0.1);
+    (set.workers, set.over_quota_weight) = (200, 0.1);
     set.tenants = vec![Tenant { quota_per_s: 20.0 }; 2];
     let mut b = Bench::new(set);
     for (id, tenant) in [(1, 0), (2, 0), (3, 0), (4, 0), (5, 0), (6, 1)] {
@@ -1018,7 +1031,7 @@
 #[test]
 fn held_work_worth_far_less_does_not_count_against_an_arrival() {
     let mut set = settings();
-    set.over_quota_worth = 0.1;
+    set.over_quota_weight = 0.1;
     set.tenants = vec![Tenant { quota_per_s: 0.0 }; 2];
     let mut b = Bench::new(set);
     let mut arrive = |id: u64, class: usize, tenant: usize| {
@@ -1039,14 +1052,15 @@
 /// zarqa-later overload: workers that read late left the list one by one, and the rest drowned.
 #[test]
 fn in_a_full_fleet_late_reading_is_no_bad_health() {
-    let health = |retry: bool, unread_s: f64| {
+    let health = |retry: bool, read_delay_s: f64| {
         let mut b = Bench::new(settings());
         let mut bad = false;
         for id in 1..=70 {
             b.now += 0.1;
-            let unread_s = if id <= 10 { 0.0 } else { unread_s };
+            let read_delay_s = if id <= 10 { 0.0 } else { read_delay_s };
             let id = RequestId(id);
-            let out = b.tell(Event::Arrived(Arrival { id, kb: 10.0, unread_s, retry, ..Arrival::default() }));
+            let out =
+                b.tell(Event::Arrived(Arrival { id, kb: 10.0, read_delay_s, retry, ..Arrival::default() }));
             bad |= out.contains(&Action::Health(false));
         }
         bad
@@ -1091,14 +1105,14 @@
 /// What another process of the same worker uses counts against the crowd, the memory and the share of the calls.
 #[test]
 fn what_a_process_beside_uses_is_not_used_here_as_well() {
-    let beside = |on_cores, calling, kb| Event::Beside { on_cores, calling, kb };
+    let beside = |on_cores, calling, kb| Event::OtherProcess { on_cores, calling, kb };
     let mut b = Bench::new(settings());
     b.tell(beside(2, 0, 0.0));
     assert!(starts(&b.arrive(1, 0)).is_empty());
     assert_eq!(starts(&b.tell(beside(1, 0, 0.0))), [1]);
     let mut b = Bench::new(settings());
     b.tell(beside(0, 0, 99_000.0));
-    assert!(matches!(b.arrive(1, 0)[..], [Action::Refuse { .. }]));
+    assert!(matches!(b.arrive(1, 0)[..], [Action::Reject { .. }]));
     b.tell(beside(0, 0, 0.0));
     assert_eq!(starts(&b.arrive(2, 0)), [2]);
     let mut b = Bench::new(with_calls(4.0));
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -575,7 +575,7 @@
     let run = |config: Option<&str>, operator: Option<&str>| {
         let folder = std::env::temp_dir().join(format!("honeypost-bad-{}-{}", std::process::id(), name()));
         std::fs::create_dir_all(&folder).unwrap();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_honeypost"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_port-worker"));
         command.env_remove("ROUTER_CONFIG");
         if let Some(text) = config {
             std::fs::write(folder.join("c"), text).unwrap();
--- a/tests/http2/stories.rs
+++ b/tests/http2/stories.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{Ask, Client, Executor, Site, PATIENCE};
 use crate::peer::*;
-use honeypost::net::peers::ajp::{self, Forward, ToWebServer, Way};
+use port_worker::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -59,7 +59,7 @@
     let f = Forward { method: "POST", uri, server_name, headers, remote_user: None, secret: None };
     let mut stream = TcpStream::connect(site.ajp.unwrap()).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    let bytes = [ajp::write_forward(&f).unwrap(), ajp::write_body(b"hello").unwrap()].concat();
+    let bytes = [ajp_codec::write_forward(&f).unwrap(), ajp_codec::write_body(b"hello").unwrap()].concat();
     stream.write_all(&bytes).unwrap();
     let mut result = Vec::new();
     loop {
@@ -67,8 +67,8 @@
         stream.read_exact(&mut bytes).unwrap();
         bytes.resize(4 + usize::from(u16::from_be_bytes([bytes[2], bytes[3]])), 0);
         stream.read_exact(&mut bytes[4..]).unwrap();
-        let range = ajp::packet(&bytes, Way::ToWebServer).unwrap().unwrap();
-        match ajp::to_web_server(&bytes[range]).unwrap() {
+        let range = ajp_codec::packet(&bytes, Way::ToWebServer).unwrap().unwrap();
+        match ajp_codec::to_web_server(&bytes[range]).unwrap() {
             ToWebServer::Chunk(chunk) => result.extend(chunk),
             ToWebServer::End { .. } => return result,
             _ => {}
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -1,7 +1,7 @@
 //! Pins operators' TOML files: what came with the program at commit c001dc7 stands under `tests/fixtures/operator_files`
 //! and must go on being read with the same meaning, as the files in `deploy/` of today are. Tests never write there.
 
-use honeypost::config::{Config, Identity, Operator};
+use port_worker::config::{Config, Identity, Operator};
 use std::path::Path;
 
 fn text_of(path: &str) -> String {
--- a/tests/output_pins.rs
+++ b/tests/output_pins.rs
@@ -15,10 +15,10 @@
 use std::time::Instant;
 
 /// The programs as cargo built them, and the names by which they speak of themselves.
-const WORKER: &str = env!("CARGO_BIN_EXE_honeypost");
-const WORKER_NAME: &str = "honeypost";
-const SIMULATOR_ADAPTER: &str = env!("CARGO_BIN_EXE_honeypost-wirehost");
-const SIMULATOR_ADAPTER_NAME: &str = "honeypost-wirehost";
+const WORKER: &str = env!("CARGO_BIN_EXE_port-worker");
+const WORKER_NAME: &str = "port-worker";
+const SIMULATOR_ADAPTER: &str = env!("CARGO_BIN_EXE_simulator-adapter");
+const SIMULATOR_ADAPTER_NAME: &str = "simulator-adapter";
 
 const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
 
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -316,7 +316,7 @@
     let path = folder.join("operator.toml");
     std::fs::write(&path, POOLS.replace("\"look\"", "\"lok\"")).unwrap();
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
-    let output = Command::new(env!("CARGO_BIN_EXE_honeypost"))
+    let output = Command::new(env!("CARGO_BIN_EXE_port-worker"))
         .env("ROUTER_CONFIG", config)
         .arg("--operator")
         .arg(&path)
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use honeypost::handover::frame::{Bytes, Frame, Key, KeyEnd, KeyState, VERSION};
+use port_worker::hot_restart::frame::{Bytes, Frame, Key, KeyEnd, KeyState, VERSION};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::os::fd::AsRawFd;
@@ -415,7 +415,7 @@
     let file = std::fs::File::open(folder.join("config.json")).unwrap();
     rustix::io::fcntl_setfd(&file, rustix::io::FdFlags::empty()).unwrap();
     for number in ["nonsense", "1", "987654", &file.as_raw_fd().to_string()] {
-        let ended = Command::new(env!("CARGO_BIN_EXE_honeypost"))
+        let ended = Command::new(env!("CARGO_BIN_EXE_port-worker"))
             .env("ROUTER_CONFIG", folder.join("config.json"))
             .env("ROUTER_SOCKET_FD", number)
             .output()
@@ -558,7 +558,7 @@
     assert!(matches!(peer.next(), Frame::Hello { .. }));
     peer.say(&Frame::Welcome);
     assert_eq!(peer.next(), Frame::Take);
-    let learned = honeypost::interface::Learned { runs: 9, ..Default::default() };
+    let learned = port_worker::interface::LearnedState { runs: 9, ..Default::default() };
     peer.say(&Frame::State { prints: (1, 2), draining: true, learned, running: vec!["r1".into()] });
     let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
     let end = KeyEnd::Served(Some(Bytes(std::rc::Rc::from(*b"placed"))));
--- a/tests/wire.rs
+++ b/tests/simulator_adapter.rs
@@ -1,6 +1,6 @@
 //! The adapter, against lines written for these tests.
 
-use honeypost::wire::Host;
+use port_worker::simulator_adapter::SimulatorAdapter;
 
 fn provision(worker: u64, extra: &str) -> String {
     format!(
@@ -16,13 +16,13 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    let mut host = Host::default();
+    let mut host = SimulatorAdapter::default();
     assert_eq!(host.answer(r#"{"clockS":2.0,"workers":[]}"#).unwrap(), "{\"workers\":[]}\n");
 }
 
 #[test]
 fn a_request_is_started_and_its_end_is_taken() {
-    let mut host = Host::default();
+    let mut host = SimulatorAdapter::default();
     let hello = host.answer(&provision(3, "")).unwrap();
     assert!(hello.contains(r#""cmd":"Fitness","want":true,"fromState":true"#), "{hello}");
     assert!(hello.contains(r#""cmd":"Schedule""#), "{hello}");
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_repeat_named_by_the_wire_shares_the_run() {
-    let mut host = Host::default();
+    let mut host = SimulatorAdapter::default();
     host.answer(&provision(1, "")).unwrap();
     let first = r#"{"cmd":"Req","req":"k1","tierClass":1,"kb":5.0,"write":true}"#;
     let reply = host.answer(&items(1.1, 1, first)).unwrap();
@@ -53,7 +53,7 @@
 
 #[test]
 fn stop_and_provision_in_one_batch_start_afresh() {
-    let mut host = Host::default();
+    let mut host = SimulatorAdapter::default();
     host.answer(&provision(2, "")).unwrap();
     host.answer(&items(1.1, 2, REQ)).unwrap();
     let both = provision(2, "").replace(r#""items":["#, r#""items":[{"cmd":"Stop"},"#);
@@ -64,9 +64,9 @@
 
 #[test]
 fn instances_share_nothing() {
-    let mut alone = Host::default();
+    let mut alone = SimulatorAdapter::default();
     alone.answer(&provision(1, "")).unwrap();
-    let mut together = Host::default();
+    let mut together = SimulatorAdapter::default();
     together.answer(&provision(1, "")).unwrap();
     together.answer(&provision(2, "")).unwrap();
     for i in 0..40 {
@@ -91,7 +91,7 @@
         (items(1.1, 8, r#"{"cmd":"Stop"}"#), "Stop for an instance that does not exist"),
     ];
     for (line, expected) in cases {
-        let mut host = Host::default();
+        let mut host = SimulatorAdapter::default();
         host.answer(&provision(3, "")).unwrap();
         let error = host.answer(&line).unwrap_err();
         assert!(error.contains(expected), "{error}");
@@ -100,7 +100,7 @@
 
 #[test]
 fn empty_settings_do_no_harm() {
-    let mut host = Host::default();
+    let mut host = SimulatorAdapter::default();
     host.answer(&items(0.0, 1, r#"{"cmd":"Provision","prng":1,"options":{}}"#)).unwrap();
     host.answer(&items(0.5, 1, r#"{"cmd":"DeadlineHit","nonce":"wake"}"#)).unwrap();
     host.answer(&items(0.6, 1, r#"{"cmd":"Sigterm","remainingS":0.0}"#)).unwrap();
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -1,30 +1,30 @@
 //! Frames between port workers, operators' commands and coordinators.
 
 use crate::{bytes_of, fixture_lines, hex_of, paired};
-use honeypost::fleet::frame::{
-    decode, encode, Counts, Ending, Held, Question, Renewed, Say, Totals, Word, HEAR_MOST_BYTES,
-    SAY_MOST_BYTES, VERSION,
+use port_worker::fleet::frame::{
+    decode, encode, CallOutcome, ClientMessage, Counters, FleetTotals, LeaseRef, OperatorQuery, RenewedLease,
+    ServerMessage, MAX_CLIENT_FRAME_BYTES, MAX_SERVER_FRAME_BYTES, VERSION,
 };
-use honeypost::fleet::overload::level::Level;
-use honeypost::fleet::overload::{Digest, Load};
+use port_worker::fleet::overload::level::SheddingLevel;
+use port_worker::fleet::overload::{FleetDigest, LoadReport};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
 
-fn lease(task: &str, token: u64) -> Held {
-    Held { task: task.to_owned(), token }
+fn lease(task: &str, token: u64) -> LeaseRef {
+    LeaseRef { task: task.to_owned(), token }
 }
 
-fn counts() -> Counts {
-    Counts::from([("admitted".to_owned(), 1234), ("refused-full".to_owned(), u64::MAX)])
+fn counts() -> Counters {
+    Counters::from([("admitted".to_owned(), 1234), ("refused-full".to_owned(), u64::MAX)])
 }
 
-fn totals() -> Totals {
-    Totals { counts: counts(), workers: 3, by: "n1".to_owned(), age_ms: 250 }
+fn totals() -> FleetTotals {
+    FleetTotals { counts: counts(), workers: 3, by: "n1".to_owned(), age_ms: 250 }
 }
 
-fn load() -> Load {
-    Load {
+fn load() -> LoadReport {
+    LoadReport {
         number: 9,
         heard: 8,
         arrivals: vec![12.5, 0.1, 0.0],
@@ -35,18 +35,18 @@
         calls_bad: 0.5,
         call_s: 0.125,
         wants: 2.0,
-        worth: 3.5,
+        weight: 3.5,
         gives_up: true,
         lends: 1.015625,
     }
 }
 
-fn digest() -> Digest {
-    Digest {
+fn digest() -> FleetDigest {
+    FleetDigest {
         number: 12,
         of: 10,
         age_ms: 740,
-        level: Level { tier: 2, share: 0.3 },
+        level: SheddingLevel { tier: 2, share: 0.3 },
         spread_s: 4.5,
         pass: 0.1,
         part: 0.5,
@@ -57,19 +57,26 @@
 }
 
 /// Every kind that is sent to a coordinator, with its optional fields absent and present.
-fn requests() -> Vec<Say> {
-    let keep = Say::Keep { seq: 1, wants: vec![], held: vec![], figures: None, totals: None, load: None };
-    let ask = |what| Say::Ask { fleet: "polderlijn".to_owned(), what };
-    let end = |ending, period| Say::End { held: lease("nightly-report", 7), period, ending };
+fn requests() -> Vec<ClientMessage> {
+    let keep = ClientMessage::Heartbeat {
+        seq: 1,
+        wants: vec![],
+        held: vec![],
+        figures: None,
+        totals: None,
+        load: None,
+    };
+    let ask = |what| ClientMessage::Query { fleet: "polderlijn".to_owned(), what };
+    let end = |ending, period| ClientMessage::EndPeriod { held: lease("nightly-report", 7), period, ending };
     vec![
-        Say::Hello {
+        ClientMessage::Hello {
             fleet: "polderlijn".to_owned(),
             version: VERSION,
             name: "n1".to_owned(),
             zone: String::new(),
             process: 0,
         },
-        Say::Hello {
+        ClientMessage::Hello {
             fleet: "polderlijn".to_owned(),
             version: 1,
             name: "n1".to_owned(),
@@ -77,7 +84,7 @@
             process: u64::MAX,
         },
         keep,
-        Say::Keep {
+        ClientMessage::Heartbeat {
             seq: 2,
             wants: vec!["totals".to_owned(), "nightly-report".to_owned()],
             held: vec![lease("totals", 7), lease("nightly-report", u64::MAX)],
@@ -85,75 +92,97 @@
             totals: Some(totals()),
             load: Some(load()),
         },
-        Say::Keep {
+        ClientMessage::Heartbeat {
             seq: 3,
             wants: vec![],
             held: vec![],
-            figures: Some(Counts::new()),
-            totals: Some(Totals::default()),
-            load: Some(Load::default()),
+            figures: Some(Counters::new()),
+            totals: Some(FleetTotals::default()),
+            load: Some(LoadReport::default()),
+        },
+        ClientMessage::ReleaseLease { held: lease("totals", 7), failed: false, pass_on: false },
+        ClientMessage::ReleaseLease { held: lease("totals", 7), failed: true, pass_on: true },
+        ClientMessage::BeginPeriod {
+            held: lease("nightly-report", 7),
+            every_ms: 60_000,
+            safe: false,
+            attempt: 1,
+        },
+        ClientMessage::BeginPeriod {
+            held: lease("nightly-report", 7),
+            every_ms: 100,
+            safe: true,
+            attempt: 2,
         },
-        Say::GiveBack { held: lease("totals", 7), failed: false, pass_on: false },
-        Say::GiveBack { held: lease("totals", 7), failed: true, pass_on: true },
-        Say::Begin { held: lease("nightly-report", 7), every_ms: 60_000, safe: false, attempt: 1 },
-        Say::Begin { held: lease("nightly-report", 7), every_ms: 100, safe: true, attempt: 2 },
-        end(Ending::Done, 29_000_000),
-        end(Ending::NotDone, 29_000_001),
-        end(Ending::Unknown, 29_000_002),
-        Say::Bye,
-        ask(Question::Status),
-        ask(Question::Members),
-        ask(Question::Leases),
-        ask(Question::Tasks),
-        ask(Question::Overload),
-        ask(Question::Pin { tier: 1, share: 0.5, for_s: 60.0 }),
-        ask(Question::Replace { coordinator: "c2".to_owned() }),
-        Say::Unknown,
+        end(CallOutcome::Done, 29_000_000),
+        end(CallOutcome::NotDone, 29_000_001),
+        end(CallOutcome::Unknown, 29_000_002),
+        ClientMessage::Goodbye,
+        ask(OperatorQuery::Status),
+        ask(OperatorQuery::Members),
+        ask(OperatorQuery::Leases),
+        ask(OperatorQuery::Tasks),
+        ask(OperatorQuery::Overload),
+        ask(OperatorQuery::Pin { tier: 1, share: 0.5, for_s: 60.0 }),
+        ask(OperatorQuery::Replace { coordinator: "c2".to_owned() }),
+        ClientMessage::Unknown,
     ]
 }
 
 /// Every kind that a coordinator sends, with its optional fields absent and present.
-fn responses() -> Vec<Word> {
-    let kept = Word::Kept { seq: 1, leases: vec![], totals: None, figures: vec![], overload: None };
+fn responses() -> Vec<ServerMessage> {
+    let kept =
+        ServerMessage::HeartbeatAck { seq: 1, leases: vec![], totals: None, figures: vec![], overload: None };
     vec![
-        Word::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION },
-        Word::NotLeader { leader: None, why: "no leader is known".to_owned() },
-        Word::NotLeader { leader: Some("127.0.0.1:7102".to_owned()), why: "c2 leads".to_owned() },
+        ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION },
+        ServerMessage::NotLeader { leader: None, why: "no leader is known".to_owned() },
+        ServerMessage::NotLeader { leader: Some("127.0.0.1:7102".to_owned()), why: "c2 leads".to_owned() },
         kept,
-        Word::Kept {
+        ServerMessage::HeartbeatAck {
             seq: 2,
             leases: vec![
-                Renewed { held: lease("totals", 7), ttl_ms: 3000 },
-                Renewed { held: lease("nightly-report", 8), ttl_ms: 2500 },
+                RenewedLease { held: lease("totals", 7), ttl_ms: 3000 },
+                RenewedLease { held: lease("nightly-report", 8), ttl_ms: 2500 },
             ],
             totals: Some(totals()),
-            figures: vec![(120, counts()), (0, Counts::new())],
+            figures: vec![(120, counts()), (0, Counters::new())],
             overload: Some(digest()),
         },
-        Word::Kept {
+        ServerMessage::HeartbeatAck {
             seq: 3,
             leases: vec![],
-            totals: Some(Totals::default()),
+            totals: Some(FleetTotals::default()),
             figures: vec![],
-            overload: Some(Digest::default()),
+            overload: Some(FleetDigest::default()),
         },
-        Word::Granted { held: lease("totals", 7) },
-        Word::Begun { held: lease("nightly-report", 7), period: 29_000_000, attempt: 1 },
-        Word::NotBegun { held: lease("nightly-report", 7), in_ms: 400, why: "it is made".to_owned() },
-        Word::Gone,
-        Word::Refused { why: "a \"quoted\" reason, é".to_owned() },
-        Word::Answer {
+        ServerMessage::LeaseGranted { held: lease("totals", 7) },
+        ServerMessage::PeriodBegun { held: lease("nightly-report", 7), period: 29_000_000, attempt: 1 },
+        ServerMessage::PeriodNotBegun {
+            held: lease("nightly-report", 7),
+            in_ms: 400,
+            why: "it is made".to_owned(),
+        },
+        ServerMessage::SessionExpired,
+        ServerMessage::Rejected { why: "a \"quoted\" reason, é".to_owned() },
+        ServerMessage::QueryResult {
             answer: serde_json::json!({"leases": [{"task": "totals", "token": 7}], "term": null}),
         },
-        Word::Unknown,
+        ServerMessage::Unknown,
     ]
 }
 
 /// What `fleet_requests_tolerated.jsonl` is read as: fields that are left out, unknown fields and unknown kinds.
-fn tolerated_requests() -> Vec<Say> {
-    let keep = |load| Say::Keep { seq: 4, wants: vec![], held: vec![], figures: None, totals: None, load };
+fn tolerated_requests() -> Vec<ClientMessage> {
+    let keep = |load| ClientMessage::Heartbeat {
+        seq: 4,
+        wants: vec![],
+        held: vec![],
+        figures: None,
+        totals: None,
+        load,
+    };
     vec![
-        Say::Hello {
+        ClientMessage::Hello {
             fleet: "polderlijn".to_owned(),
             version: 3,
             name: "n1".to_owned(),
@@ -162,36 +191,42 @@
         },
         keep(None),
         keep(None),
-        keep(Some(Load::default())),
-        keep(Some(Load { number: 5, ..Load::default() })),
-        Say::Keep {
+        keep(Some(LoadReport::default())),
+        keep(Some(LoadReport { number: 5, ..LoadReport::default() })),
+        ClientMessage::Heartbeat {
             seq: 4,
             wants: vec![],
             held: vec![lease("totals", 7)],
             figures: None,
-            totals: Some(Totals { workers: 2, ..Totals::default() }),
+            totals: Some(FleetTotals { workers: 2, ..FleetTotals::default() }),
             load: None,
         },
-        Say::GiveBack { held: lease("totals", 7), failed: false, pass_on: false },
-        Say::Bye,
-        Say::Unknown,
-        Say::Unknown,
+        ClientMessage::ReleaseLease { held: lease("totals", 7), failed: false, pass_on: false },
+        ClientMessage::Goodbye,
+        ClientMessage::Unknown,
+        ClientMessage::Unknown,
     ]
 }
 
 /// What `fleet_responses_tolerated.jsonl` is read as.
-fn tolerated_responses() -> Vec<Word> {
-    let kept = |overload| Word::Kept { seq: 4, leases: vec![], totals: None, figures: vec![], overload };
+fn tolerated_responses() -> Vec<ServerMessage> {
+    let kept = |overload| ServerMessage::HeartbeatAck {
+        seq: 4,
+        leases: vec![],
+        totals: None,
+        figures: vec![],
+        overload,
+    };
     vec![
-        Word::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: 3 },
-        Word::NotLeader { leader: None, why: String::new() },
+        ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: 3 },
+        ServerMessage::NotLeader { leader: None, why: String::new() },
         kept(None),
-        kept(Some(Digest::default())),
-        kept(Some(Digest { level: Level { tier: 1, share: 0.25 }, ..Digest::default() })),
-        Word::Granted { held: lease("totals", 7) },
-        Word::Gone,
-        Word::Unknown,
-        Word::Unknown,
+        kept(Some(FleetDigest::default())),
+        kept(Some(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..FleetDigest::default() })),
+        ServerMessage::LeaseGranted { held: lease("totals", 7) },
+        ServerMessage::SessionExpired,
+        ServerMessage::Unknown,
+        ServerMessage::Unknown,
     ]
 }
 
@@ -215,7 +250,7 @@
 fn requests_are_written_and_read_as_the_fixture_has_them() {
     for (payload, value) in paired("fleet_requests.jsonl", requests()) {
         writes_as(&payload, &value);
-        reads_as(&payload, SAY_MOST_BYTES, &value);
+        reads_as(&payload, MAX_CLIENT_FRAME_BYTES, &value);
     }
 }
 
@@ -223,12 +258,12 @@
 fn responses_are_written_and_read_as_the_fixture_has_them() {
     for (payload, value) in paired("fleet_responses.jsonl", responses()) {
         writes_as(&payload, &value);
-        reads_as(&payload, HEAR_MOST_BYTES, &value);
+        reads_as(&payload, MAX_SERVER_FRAME_BYTES, &value);
     }
 }
 
 /// The value that each whole frame of `fleet_frames.hex` stands for.
-fn whole_frames() -> (Vec<Say>, Vec<Word>) {
+fn whole_frames() -> (Vec<ClientMessage>, Vec<ServerMessage>) {
     (requests().split_off(3)[..1].to_vec(), responses().split_off(4)[..1].to_vec())
 }
 
@@ -240,39 +275,39 @@
     assert_eq!(hex_of(&encode(&requests[0])), lines[0]);
     assert_eq!(hex_of(&encode(&responses[0])), lines[1]);
     let (request_frame, response_frame) = (bytes_of(&lines[0]), bytes_of(&lines[1]));
-    let request = decode::<Say>(&request_frame, SAY_MOST_BYTES).unwrap().unwrap();
+    let request = decode::<ClientMessage>(&request_frame, MAX_CLIENT_FRAME_BYTES).unwrap().unwrap();
     assert_eq!(request, (requests[0].clone(), request_frame.len()));
-    let response = decode::<Word>(&response_frame, HEAR_MOST_BYTES).unwrap().unwrap();
+    let response = decode::<ServerMessage>(&response_frame, MAX_SERVER_FRAME_BYTES).unwrap().unwrap();
     assert_eq!(response, (responses[0].clone(), response_frame.len()));
 }
 
 #[test]
 fn absent_fields_unknown_fields_and_unknown_kinds_are_tolerated() {
     for (payload, value) in paired("fleet_requests_tolerated.jsonl", tolerated_requests()) {
-        reads_as(&payload, SAY_MOST_BYTES, &value);
+        reads_as(&payload, MAX_CLIENT_FRAME_BYTES, &value);
     }
     for (payload, value) in paired("fleet_responses_tolerated.jsonl", tolerated_responses()) {
-        reads_as(&payload, HEAR_MOST_BYTES, &value);
+        reads_as(&payload, MAX_SERVER_FRAME_BYTES, &value);
     }
 }
 
 #[test]
 fn what_lacks_a_needed_field_is_an_error() {
     for payload in fixture_lines("fleet_requests_unreadable.jsonl") {
-        assert!(decode::<Say>(&framed(&payload), SAY_MOST_BYTES).is_err(), "{payload}");
+        assert!(decode::<ClientMessage>(&framed(&payload), MAX_CLIENT_FRAME_BYTES).is_err(), "{payload}");
     }
     for payload in fixture_lines("fleet_responses_unreadable.jsonl") {
-        assert!(decode::<Word>(&framed(&payload), HEAR_MOST_BYTES).is_err(), "{payload}");
+        assert!(decode::<ServerMessage>(&framed(&payload), MAX_SERVER_FRAME_BYTES).is_err(), "{payload}");
     }
 }
 
 #[test]
 fn versions_and_bounds_keep_their_values() {
-    assert_eq!((VERSION, SAY_MOST_BYTES, HEAR_MOST_BYTES), (2, 16_384, 1_048_576));
+    assert_eq!((VERSION, MAX_CLIENT_FRAME_BYTES, MAX_SERVER_FRAME_BYTES), (2, 16_384, 1_048_576));
     let bye_of = |length: usize| {
         let payload = r#"{"say":"bye"}"#;
         framed(&format!("{payload}{}", " ".repeat(length - payload.len())))
     };
-    assert_eq!(decode(&bye_of(16_384), SAY_MOST_BYTES), Ok(Some((Say::Bye, 16_388))));
-    assert!(decode::<Say>(&bye_of(16_385), SAY_MOST_BYTES).is_err());
+    assert_eq!(decode(&bye_of(16_384), MAX_CLIENT_FRAME_BYTES), Ok(Some((ClientMessage::Goodbye, 16_388))));
+    assert!(decode::<ClientMessage>(&bye_of(16_385), MAX_CLIENT_FRAME_BYTES).is_err());
 }
--- a/tests/stored_forms/hand_off.rs
+++ b/tests/stored_forms/hand_off.rs
@@ -2,10 +2,10 @@
 
 use crate::learned::learned;
 use crate::{bytes_of, fixture_lines, hex_of, paired};
-use honeypost::handover::frame::{
-    Bytes, Frame, Held, Key, KeyEnd, KeyState, Passed, Usage, FRAME_MOST, HEAD, VERSION,
+use port_worker::hot_restart::frame::{
+    Bytes, Frame, HandedOffConnection, Key, KeyEnd, KeyState, QueuedRequest, Usage, FRAME_MOST, HEAD, VERSION,
 };
-use honeypost::interface::Learned;
+use port_worker::interface::LearnedState;
 
 fn bytes(content: &[u8]) -> Bytes {
     Bytes(content.into())
@@ -16,8 +16,8 @@
     Frame::Key(KeyState { key, print: u64::MAX, until_ms: 1_700_000_000_123.5, end })
 }
 
-fn request_with_all() -> Held {
-    Held {
+fn request_with_all() -> QueuedRequest {
+    QueuedRequest {
         name: "r-91".into(),
         class: 2,
         tenant: Some(1),
@@ -25,15 +25,15 @@
         kb: 20.5,
         arrived_ms: 1_700_000_000_000.25,
         due_ms: 1_700_000_003_400.0,
-        size_s: Some(0.125),
+        estimate_s: Some(0.125),
         key: Some("order/17".into()),
         retry: true,
         body: bytes(b"{\"number\":\"0612\"}\n\x00\xff"),
     }
 }
 
-fn request_with_least() -> Held {
-    Held {
+fn request_with_least() -> QueuedRequest {
+    QueuedRequest {
         name: "r-92".into(),
         class: 0,
         tenant: None,
@@ -41,16 +41,16 @@
         kb: 0.0,
         arrived_ms: 0.0,
         due_ms: 0.0,
-        size_s: None,
+        estimate_s: None,
         key: None,
         retry: false,
         body: Bytes::default(),
     }
 }
 
-fn connection_with(held: Option<Held>) -> Frame {
+fn connection_with(held: Option<QueuedRequest>) -> Frame {
     let unread = bytes(b"POST /do/port-submit HTTP/1.1\r\n");
-    Frame::Passed(Passed { unread, continued: true, asked: 17, close: true, held })
+    Frame::Passed(HandedOffConnection { unread, continued: true, asked: 17, close: true, held })
 }
 
 /// Every kind of frame, with its optional fields absent and present.
@@ -66,7 +66,7 @@
         Frame::Welcome,
         Frame::Stranger { why: "its version is 2, here it is 1".to_owned() },
         Frame::Take,
-        Frame::State { prints: (0, 0), draining: false, learned: Learned::default(), running: vec![] },
+        Frame::State { prints: (0, 0), draining: false, learned: LearnedState::default(), running: vec![] },
         Frame::State {
             prints: (u64::MAX, 1),
             draining: true,
@@ -80,7 +80,7 @@
         key_state(Some(0), KeyEnd::Never),
         Frame::Usage(Usage::default()),
         Frame::Usage(Usage { on_cores: 6, calling: 4, kb: 1024.75, sockets: 311 }),
-        Frame::Passed(Passed::default()),
+        Frame::Passed(HandedOffConnection::default()),
         connection_with(Some(request_with_least())),
         connection_with(Some(request_with_all())),
         Frame::Listener { front: "http2".to_owned() },
@@ -96,10 +96,10 @@
     let Frame::Passed(connection) = connection_with(Some(request_with_least())) else { unreachable!() };
     vec![
         Frame::Hello { version: 1, name: "n1".to_owned(), classes: vec![], tenants: vec![] },
-        Frame::State { prints: (1, 2), draining: false, learned: Learned::default(), running: vec![] },
+        Frame::State { prints: (1, 2), draining: false, learned: LearnedState::default(), running: vec![] },
         key_state(None, KeyEnd::Open),
         Frame::Usage(Usage { on_cores: 1, calling: 2, kb: 3.0, sockets: 4 }),
-        Frame::Passed(Passed { held: None, ..connection.clone() }),
+        Frame::Passed(HandedOffConnection { held: None, ..connection.clone() }),
         Frame::Passed(connection),
     ]
 }
--- a/tests/stored_forms/learned.rs
+++ b/tests/stored_forms/learned.rs
@@ -1,11 +1,11 @@
 //! What a controller has learned of its machine, as its successor reads it.
 
 use crate::{fixture_lines, paired};
-use honeypost::interface::{Learned, Traffic};
+use port_worker::interface::{LearnedState, Traffic};
 
 /// A value in which every field differs from its default.
-pub fn learned() -> Learned {
-    Learned {
+pub fn learned() -> LearnedState {
+    LearnedState {
         runs: 9,
         usual_s: 0.105,
         paces: vec![(12.5, 3.0, [1.0, 2.0, 3.5, 0.25, 1e-9]), (0.1, 0.3, [0.0, 0.0, 0.0, 0.0, 0.0])],
@@ -21,18 +21,18 @@
     }
 }
 
-fn values() -> Vec<Learned> {
-    let without_calls = Learned { call_s: None, call_budget_s: None, ..learned() };
-    vec![Learned::default(), learned(), without_calls]
+fn values() -> Vec<LearnedState> {
+    let without_calls = LearnedState { call_s: None, call_budget_s: None, ..learned() };
+    vec![LearnedState::default(), learned(), without_calls]
 }
 
 /// What `learned_tolerated.jsonl` is read as: every field may be left out, and unknown ones are passed over.
-fn tolerated_values() -> Vec<Learned> {
+fn tolerated_values() -> Vec<LearnedState> {
     let traffic = Traffic { arrivals: vec![2.0], ..Traffic::default() };
     vec![
-        Learned::default(),
-        Learned { runs: 4, ..Learned::default() },
-        Learned { traffic, ..Learned::default() },
+        LearnedState::default(),
+        LearnedState { runs: 4, ..LearnedState::default() },
+        LearnedState { traffic, ..LearnedState::default() },
     ]
 }
 
@@ -40,20 +40,20 @@
 fn values_are_written_and_read_as_the_fixture_has_them() {
     for (json, value) in paired("learned.jsonl", values()) {
         assert_eq!(serde_json::to_string(&value).unwrap(), json);
-        assert_eq!(serde_json::from_str::<Learned>(&json).unwrap(), value);
+        assert_eq!(serde_json::from_str::<LearnedState>(&json).unwrap(), value);
     }
 }
 
 #[test]
 fn absent_and_unknown_fields_are_tolerated() {
     for (json, value) in paired("learned_tolerated.jsonl", tolerated_values()) {
-        assert_eq!(serde_json::from_str::<Learned>(&json).unwrap(), value, "{json}");
+        assert_eq!(serde_json::from_str::<LearnedState>(&json).unwrap(), value, "{json}");
     }
 }
 
 #[test]
 fn fields_of_another_shape_are_errors() {
     for json in fixture_lines("learned_unreadable.jsonl") {
-        assert!(serde_json::from_str::<Learned>(&json).is_err(), "{json}");
+        assert!(serde_json::from_str::<LearnedState>(&json).is_err(), "{json}");
     }
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -4,9 +4,9 @@
 //! `HONEYPOST_RECORD_TRACES=1 cargo test --test traces` writes them anew; only a change that is meant to change
 //! decisions on the platform may do that.
 
-use honeypost::{
-    Action, Arrival, Class, Controller, Dependency, Effect, Event, Gauges, Halting, Outcome, RequestId,
-    Settings, Signal, Tenant,
+use port_worker::{
+    Action, Arrival, Class, Controller, Dependency, Event, Gauges, Idempotency, Outcome, Preemption,
+    RequestId, Settings, Signal, Tenant,
 };
 use std::fmt::Write;
 
@@ -27,46 +27,46 @@
     }
 }
 
-fn class(worth: f64, aim_s: f64, effect: Effect) -> Class {
+fn class(weight: f64, objective_s: f64, effect: Idempotency) -> Class {
     Class {
-        worth,
-        aim_s,
-        deadline_s: aim_s * 2.5,
+        weight,
+        objective_s,
+        deadline_s: objective_s * 2.5,
         effect,
         window_s: 9.0,
-        late_worth: if worth == 2.0 { 0.2 } else { 0.0 },
+        late_weight: if weight == 2.0 { 0.2 } else { 0.0 },
         calls: true,
-        skipped_worth: if effect == Effect::Safe { 0.6 } else { 0.0 },
+        skipped_call_weight: if effect == Idempotency::Idempotent { 0.6 } else { 0.0 },
     }
 }
 
-fn settings(share: f64, quota: f64, halting: Halting, cold: bool) -> Settings {
+fn settings(share: f64, quota: f64, preemption: Preemption, cold: bool) -> Settings {
     Settings {
         seed: 1,
         cores: 6,
         cold,
-        cold_from: 0.3,
-        cold_s: 12.0,
-        crowd_multiple: 8.0,
-        crowd_window_s: 3.0,
+        cold_speed: 0.3,
+        warm_up_s: 12.0,
+        survivable_multiple: 8.0,
+        survivable_window_s: 3.0,
         memory_kb: 18_000.0,
         run_factor: 8.0,
-        entry_kb: 20.0,
-        leave_grace_s: 2.5,
+        key_entry_kb: 20.0,
+        shutdown_grace_s: 2.5,
         answer_slack_s: 0.1,
         wake_ahead_s: 0.004,
-        max_advice_s: 1.0,
-        over_quota_worth: 0.1,
+        max_retry_after_s: 1.0,
+        over_quota_weight: 0.1,
         callers: 4,
         workers: 10,
         marks_retries: !cold,
-        halting,
+        preemption,
         signal: Signal::Weight,
         dependency: (share > 0.0).then_some(Dependency { share, window_s: 5.0, linger_s: 0.2 }),
         classes: vec![
-            class(1.0, 1.9, Effect::Safe),
-            class(2.0, 1.9, Effect::Safe),
-            class(5.0, 1.3, Effect::Keyed),
+            class(1.0, 1.9, Idempotency::Idempotent),
+            class(2.0, 1.9, Idempotency::Idempotent),
+            class(5.0, 1.3, Idempotency::Keyed),
         ],
         tenants: if quota > 0.0 { vec![Tenant { quota_per_s: quota }; 3] } else { Vec::new() },
         ..Settings::default()
@@ -87,7 +87,7 @@
             Action::Start(id) => self.running.push(*id),
             Action::SkipCall(id) => self.running.push(*id),
             Action::Call { id, .. } => self.calling.push(*id),
-            Action::ShareAnswer(id) => self.sharing.push(*id),
+            Action::ShareResponse(id) => self.sharing.push(*id),
             _ => {}
         }
     }
@@ -96,10 +96,10 @@
 fn outcome(draws: &mut Draws) -> Outcome {
     match draws.below(60) {
         0 => Outcome::Error,
-        1 => Outcome::Full,
+        1 => Outcome::Rejected,
         2 => Outcome::TimedOut,
         3 => Outcome::Unreachable,
-        4 => Outcome::Broken,
+        4 => Outcome::Interrupted,
         _ => Outcome::Ok,
     }
 }
@@ -122,12 +122,12 @@
             let runnable = (step % 5 > 0).then_some(below.running.len() as f64);
             Event::Woken(Gauges { cores_busy: (step % 7 > 0).then_some(busy), runnable, connections: None })
         } else if step == STEPS - 300 {
-            Event::Leave { ago_s: 0.0, in_s: 3.2 }
+            Event::Shutdown { ago_s: 0.0, in_s: 3.2 }
         } else if draws.unit() < load {
             id += 1;
             let class = [0, 0, 0, 0, 1, 1, 1, 1, 2][draws.below(9)];
             let again = class == 2 && !known.is_empty() && draws.unit() < 0.3;
-            let repeats = again.then(|| known[draws.below(known.len())]);
+            let retry_of = again.then(|| known[draws.below(known.len())]);
             if class == 2 && !again {
                 known.push(RequestId(id));
                 if known.len() > 12 {
@@ -140,10 +140,10 @@
                 tenant: (tenants > 0).then(|| draws.below(tenants + 2).min(tenants - 1)),
                 caller: 1,
                 kb: 14.0 + draws.unit() * 30.0,
-                unread_s: draws.unit() * 0.01,
-                patience_s: Some(2.0 + draws.unit() * 2.0),
-                size_s: Some(0.05 + draws.unit() * 0.5),
-                repeats,
+                read_delay_s: draws.unit() * 0.01,
+                time_left_s: Some(2.0 + draws.unit() * 2.0),
+                estimate_s: Some(0.05 + draws.unit() * 0.5),
+                retry_of,
                 retry: again || draws.unit() < 0.05,
             })
         } else if draws.unit() < 0.02 && id > 0 {
@@ -173,8 +173,7 @@
         for action in out.drain(..) {
             below.obey(&action);
             count += 1;
-            // Nine decimals: an `exp` of another C library may differ in the last bit.
-            for byte in format!("{action:.9?}").bytes() {
+            for byte in recorded_form(&action).bytes() {
                 digest = (digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
             }
         }
@@ -186,6 +185,22 @@
     text
 }
 
+/// An action as the digests were recorded: the names that its variants and fields had then.
+///
+/// Nine decimals: an `exp` of another C library may differ in the last bit.
+fn recorded_form(action: &Action) -> String {
+    match action {
+        Action::Reject { id, retry_after_s, stop_retrying } => {
+            format!("Refuse {{ id: {id:?}, stay_away_s: {retry_after_s:.9?}, no_other: {stop_retrying:?} }}")
+        }
+        Action::RetainKey { id, for_s } => format!("Remember {{ id: {id:?}, for_s: {for_s:.9?} }}"),
+        Action::ReleaseKey(id) => format!("Forget({id:?})"),
+        Action::ShareResponse(id) => format!("ShareAnswer({id:?})"),
+        Action::Preempt(id) => format!("Halt({id:?})"),
+        unchanged => format!("{unchanged:.9?}"),
+    }
+}
+
 fn hold_against(name: &str, seed: u64, set: Settings) {
     let path = format!("{}/tests/traces/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let played = play(seed, set);
@@ -201,15 +216,15 @@
 
 #[test]
 fn a_warm_worker_with_calls_decides_as_recorded() {
-    hold_against("calls", 11, settings(5.0, 60.0, Halting::Never, false));
+    hold_against("calls", 11, settings(5.0, 60.0, Preemption::Never, false));
 }
 
 #[test]
 fn a_cold_worker_without_marked_retries_decides_as_recorded() {
-    hold_against("cold", 12, settings(0.6, 0.0, Halting::Never, true));
+    hold_against("cold", 12, settings(0.6, 0.0, Preemption::Never, true));
 }
 
 #[test]
 fn a_worker_that_can_stop_runs_decides_as_recorded() {
-    hold_against("halting", 13, settings(0.0, 25.0, Halting::Discard, false));
+    hold_against("halting", 13, settings(0.0, 25.0, Preemption::Discard, false));
 }
--- a/tests/worker.rs
+++ b/tests/worker.rs
@@ -1,8 +1,8 @@
 //! A small legal worker played against the module from a seed; the four rules are asserted at every step.
 
-use honeypost::{
-    Action, Arrival, Class, Controller, Dependency, Effect, Event, Gauges, Halting, Outcome, RequestId,
-    Settings, Signal, Tenant,
+use port_worker::{
+    Action, Arrival, Class, Controller, Dependency, Event, Gauges, Idempotency, Outcome, Preemption,
+    RequestId, Settings, Signal, Tenant,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -71,9 +71,9 @@
         self.log.push(format!("{:.4} {action:?}", self.now));
         // A batch is made up before the reply: what comes too late is harmless.
         if let Action::Start(id)
-        | Action::Refuse { id, .. }
+        | Action::Reject { id, .. }
         | Action::Fail(id)
-        | Action::ShareAnswer(id)
+        | Action::ShareResponse(id)
         | Action::Call { id, .. } = action
         {
             if !self.jobs.contains_key(id) && self.ended_now.contains(id) {
@@ -88,9 +88,9 @@
                 let job = self.jobs.get_mut(id).expect("a start of a request in hand");
                 assert_eq!(job.at, At::Held);
                 if let Some(notice) = self.notice {
-                    assert!(job.arrived <= notice + self.set.leave_grace_s, "started after the grace");
+                    assert!(job.arrived <= notice + self.set.shutdown_grace_s, "started after the grace");
                 }
-                if self.set.classes[job.class].effect == Effect::Keyed {
+                if self.set.classes[job.class].effect == Idempotency::Keyed {
                     let window = self.set.classes[job.class].window_s;
                     let runs = self.runs.entry(job.key).or_default();
                     assert!(runs.iter().all(|a| job.arrived > a + window), "an effect twice");
@@ -99,9 +99,12 @@
                 job.ran = true;
                 job.at = At::Running(0.05);
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let job = &self.jobs[id];
-                assert!(!job.ran || self.set.classes[job.class].effect == Effect::Safe, "refused what ran");
+                assert!(
+                    !job.ran || self.set.classes[job.class].effect == Idempotency::Idempotent,
+                    "refused what ran"
+                );
                 let waits = matches!(job.at, At::Held | At::Sharing);
                 self.answer(*id);
                 if waits {
@@ -114,31 +117,31 @@
                     self.jobs.remove(id);
                 }
             }
-            Action::Remember { id, for_s } => {
+            Action::RetainKey { id, for_s } => {
                 self.table.insert(self.key_of[id], (*id, self.now + for_s));
             }
-            Action::Forget(id) => {
+            Action::ReleaseKey(id) => {
                 let key = self.key_of[id];
                 assert!(!self.runs.get(&key).is_some_and(|r| r.iter().any(|a| *a + 8.0 > self.now)));
                 self.table.remove(&key);
             }
-            Action::ShareAnswer(id) => self.jobs.get_mut(id).expect("in hand").at = At::Sharing,
+            Action::ShareResponse(id) => self.jobs.get_mut(id).expect("in hand").at = At::Sharing,
             Action::Call { id, until_s } => {
                 let job = self.jobs.get_mut(id).expect("in hand");
                 let At::Parked(left) = job.at else { panic!("a call by one that stands at none") };
-                let safe = self.set.classes[job.class].effect == Effect::Safe;
+                let safe = self.set.classes[job.class].effect == Idempotency::Idempotent;
                 assert!(safe || !job.called, "a call that may have had its effect is made again");
                 job.at = At::Calling(left, *until_s);
             }
             Action::SkipCall(id) => {
                 let job = self.jobs.get_mut(id).expect("in hand");
-                assert!(self.set.classes[job.class].skipped_worth > 0.0, "a call left out for nothing");
+                assert!(self.set.classes[job.class].skipped_call_weight > 0.0, "a call left out for nothing");
                 let At::Parked(left) = job.at else { panic!("no call to leave out") };
                 job.called = false; // The run goes on; the next call is another.
                 job.at = At::Running(left);
             }
-            Action::Halt(id) => {
-                assert!(self.set.halting != Halting::Never, "stopped where that can't be done");
+            Action::Preempt(id) => {
+                assert!(self.set.preemption != Preemption::Never, "stopped where that can't be done");
                 if let Some(job) = self.jobs.get(id).filter(|j| matches!(j.at, At::Running(_))) {
                     assert!(job.answered, "stopped though an answer is owed");
                     self.jobs.remove(id);
@@ -167,11 +170,12 @@
                 "nothing answered by its due"
             );
         }
-        kb += self.table.values().filter(|(_, until)| *until > self.now).count() as f64 * self.set.entry_kb;
+        kb +=
+            self.table.values().filter(|(_, until)| *until > self.now).count() as f64 * self.set.key_entry_kb;
         assert!(kb <= self.set.memory_kb, "memory: {kb}");
-        let rise = self.set.cold_from + (1.0 - self.set.cold_from) * self.now / self.set.cold_s;
+        let rise = self.set.cold_speed + (1.0 - self.set.cold_speed) * self.now / self.set.warm_up_s;
         let cold = if self.set.cold { rise.min(1.0) } else { 1.0 };
-        let crowd_top = f64::from(self.set.cores) * (1.0 + (self.set.crowd_multiple - 1.0) * cold);
+        let crowd_top = f64::from(self.set.cores) * (1.0 + (self.set.survivable_multiple - 1.0) * cold);
         assert!(f64::from(crowd) <= crowd_top, "crowd: {crowd}");
         if let Some(dep) = &self.set.dependency {
             assert!(f64::from(calls) <= dep.share.max(1.0), "calls: {calls}");
@@ -197,48 +201,48 @@
     Settings {
         cores: pick(dice, &[1, 1, 2, 2, 4, 6]),
         cold: dice.roll() < 0.3,
-        cold_from: 0.3,
-        cold_s: 10.0,
-        crowd_multiple: 5.0,
-        crowd_window_s: 2.0,
+        cold_speed: 0.3,
+        warm_up_s: 10.0,
+        survivable_multiple: 5.0,
+        survivable_window_s: 2.0,
         memory_kb: pick(dice, &[600.0, 1_500.0, 6_000.0, 22_000.0]),
         run_factor: 4.0,
-        entry_kb: 20.0,
-        leave_grace_s: 1.0,
+        key_entry_kb: 20.0,
+        shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
         wake_ahead_s: 0.002,
-        max_advice_s: 1.0,
-        over_quota_worth: 0.1,
+        max_retry_after_s: 1.0,
+        over_quota_weight: 0.1,
         callers: pick(dice, &[0, 1, 3, 4_000]),
         workers: pick(dice, &[0, 1, 4, 900]),
         idle_s: pick(dice, &[0.0, 0.5, 30.0]),
         signal: pick(dice, &[Signal::None, Signal::RankFloor, Signal::Weight]),
         marks_retries: dice.roll() < 0.5,
-        halting: pick(dice, &[Halting::Never, Halting::Discard, Halting::Pause]),
+        preemption: pick(dice, &[Preemption::Never, Preemption::Discard, Preemption::Pause]),
         dependency: Some(Dependency {
             share: pick(dice, &[0.0, 0.02, 0.3, 0.9, 1.0, 1.7, 5.0]),
             window_s: 5.0,
             linger_s: 0.2,
         }),
         classes: vec![
-            Class { worth: 1.0, aim_s: 0.8, deadline_s: 2.0, calls: true, ..Class::default() },
-            Class { worth: 2.0, aim_s: 0.6, deadline_s: 1.5, ..Class::default() },
+            Class { weight: 1.0, objective_s: 0.8, deadline_s: 2.0, calls: true, ..Class::default() },
+            Class { weight: 2.0, objective_s: 0.6, deadline_s: 1.5, ..Class::default() },
             Class {
-                worth: 4.0,
-                aim_s: 0.7,
+                weight: 4.0,
+                objective_s: 0.7,
                 deadline_s: 2.0,
-                effect: Effect::Keyed,
+                effect: Idempotency::Keyed,
                 window_s: 8.0,
                 calls: true,
-                skipped_worth: pick(dice, &[0.0, 0.3]),
+                skipped_call_weight: pick(dice, &[0.0, 0.3]),
                 ..Class::default()
             },
             Class {
-                worth: 2.0,
-                aim_s: 0.7,
+                weight: 2.0,
+                objective_s: 0.7,
                 deadline_s: 2.0,
-                late_worth: 0.2,
-                effect: Effect::Unsafe,
+                late_weight: 0.2,
+                effect: Idempotency::NotIdempotent,
                 calls: true,
                 ..Class::default()
             },
@@ -284,15 +288,15 @@
         w.ended_now.clear();
         let mut batch_keys: BTreeMap<u64, RequestId> = BTreeMap::new();
         for id in std::mem::take(&mut w.too_late) {
-            events.push(Event::RunEnded { id, outcome: Outcome::TooLate });
+            events.push(Event::RunEnded { id, outcome: Outcome::NotStarted });
         }
         for id in std::mem::take(&mut w.stopped) {
             w.ended_now.push(id);
-            events.push(Event::RunEnded { id, outcome: Outcome::Stopped });
+            events.push(Event::RunEnded { id, outcome: Outcome::Cancelled });
         }
         if w.notice.is_none() && now >= 20.0 {
             w.notice = Some(now);
-            events.push(Event::Leave { ago_s: 0.0, in_s: stop - now });
+            events.push(Event::Shutdown { ago_s: 0.0, in_s: stop - now });
         }
         let rate = 30.0 * f64::from(w.set.cores);
         while dice.roll() < rate * step / (1.0 + rate * step) {
@@ -301,7 +305,7 @@
             next_id += 1;
             arrivals += 1;
             let unread = dice.roll() * 0.02;
-            let repeats = if class == 2 {
+            let retry_of = if class == 2 {
                 let kept = w.table.get(&key).filter(|(_, until)| *until > now - unread).map(|e| e.0);
                 kept.or_else(|| batch_keys.insert(key, id))
             } else {
@@ -311,23 +315,24 @@
                 (!w.set.tenants.is_empty()).then(|| (dice.roll() * w.set.tenants.len() as f64) as usize);
             let kb = 4.0 + dice.roll() * 20.0;
             let arrived = now - unread;
-            let patience_s = patient.then(|| dice.roll() * w.set.classes[class].deadline_s);
-            let due = patience_s.map_or(arrived + w.set.classes[class].deadline_s, |s| now + s);
-            let size_s = pick(&mut dice, &[None, Some(0.1), Some(0.05), Some(0.0), Some(-3.0), Some(1e300)]);
+            let time_left_s = patient.then(|| dice.roll() * w.set.classes[class].deadline_s);
+            let due = time_left_s.map_or(arrived + w.set.classes[class].deadline_s, |s| now + s);
+            let estimate_s =
+                pick(&mut dice, &[None, Some(0.1), Some(0.05), Some(0.0), Some(-3.0), Some(1e300)]);
             let (answered, ran, called) = (false, false, false);
             let job = Job { at: At::Held, class, kb, arrived, due, key, answered, ran, called };
             w.jobs.insert(id, job);
             w.key_of.insert(id, key);
-            let retry = repeats.is_some();
+            let retry = retry_of.is_some();
             events.push(Event::Arrived(Arrival {
                 id,
                 class,
                 tenant,
                 kb,
-                unread_s: unread,
-                patience_s,
-                size_s,
-                repeats,
+                read_delay_s: unread,
+                time_left_s,
+                estimate_s,
+                retry_of,
                 retry,
                 ..Arrival::default()
             }));
@@ -351,7 +356,7 @@
                         if job.answered {
                             w.jobs.remove(&id);
                             w.ended_now.push(id);
-                            events.push(Event::RunEnded { id, outcome: Outcome::Stopped });
+                            events.push(Event::RunEnded { id, outcome: Outcome::Cancelled });
                         } else {
                             job.at = At::Parked(0.02);
                             events.push(Event::AtCall(id));
@@ -372,7 +377,7 @@
                 At::Parked(_) if job.answered => {
                     w.jobs.remove(&id);
                     w.ended_now.push(id);
-                    events.push(Event::RunEnded { id, outcome: Outcome::Stopped });
+                    events.push(Event::RunEnded { id, outcome: Outcome::Cancelled });
                 }
                 At::Calling(left, until) => {
                     let slow = (12.0..14.0).contains(&now);
@@ -380,7 +385,7 @@
                         w.jobs.remove(&id);
                         w.ended_now.push(id);
                         w.lingering.push(now + 0.2);
-                        events.push(Event::RunEnded { id, outcome: Outcome::Stopped });
+                        events.push(Event::RunEnded { id, outcome: Outcome::Cancelled });
                     } else if now >= until {
                         job.at = At::Parked(left);
                         job.called = true;
@@ -389,7 +394,7 @@
                     } else if dice.roll() < if slow { 0.005 } else { 0.1 } {
                         if dice.roll() < sheds {
                             job.at = At::Parked(left);
-                            events.push(Event::CallEnded { id, outcome: Outcome::Full });
+                            events.push(Event::CallEnded { id, outcome: Outcome::Rejected });
                         } else if dice.roll() < 0.1 {
                             job.at = At::Parked(left);
                             job.called = true;
