--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,37 +1,49 @@
-//! Hosts controllers behind the line protocol on standard input and output.
+//! Hosts controllers behind the simulator's line protocol on standard input and output.
 
-use port_worker::simulator_adapter::SimulatorAdapter;
+use port_worker::simulator_adapter::{AdapterError, SimulatorAdapter};
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
+/// The exit status after input that can't be answered.
+const UNUSABLE: u8 = 2;
+
+/// Why the program ends.
+#[derive(Debug, thiserror::Error)]
+enum ServeError {
+    #[error("line {number}: {source}")]
+    Read { number: u64, source: io::Error },
+    #[error("line {number}: {source}")]
+    Line { number: u64, source: AdapterError },
+    #[error("reply: {0}")]
+    Reply(#[source] io::Error),
+}
+
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("simulator-adapter: {message}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
+            ExitCode::from(UNUSABLE)
         }
     }
 }
 
-fn serve() -> Result<(), String> {
-    let mut host = SimulatorAdapter::default();
+/// Answers line by line until the input ends; empty lines are skipped.
+fn serve() -> Result<(), ServeError> {
+    let mut adapter = SimulatorAdapter::default();
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut line = String::new();
     for number in 1u64.. {
         line.clear();
-        if input.read_line(&mut line).map_err(|e| format!("line {number}: {e}"))? == 0 {
+        if input.read_line(&mut line).map_err(|source| ServeError::Read { number, source })? == 0 {
             break;
         }
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.answer(&line).map_err(|e| format!("line {number}: {e}"))?;
-        output
-            .write_all(reply.as_bytes())
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("reply: {e}"))?;
+        let reply = adapter.answer(&line).map_err(|source| ServeError::Line { number, source })?;
+        output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(ServeError::Reply)?;
     }
     Ok(())
 }
--- /dev/null
+++ b/src/config/files.rs
@@ -0,0 +1,56 @@
+//! Where a worker's configuration comes from: the files and addresses that its environment names.
+
+use super::{Config, ConfigError, Operator};
+use std::io::Read;
+
+/// A configuration or an operator's file is read up to this length (bytes).
+const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
+
+/// What the environment and the command line name.
+#[derive(Clone, Debug, Default)]
+pub struct Files {
+    /// The path of the configuration.
+    pub config: String,
+    /// The path of the operator's file.
+    pub operator: Option<String>,
+    /// The console's address; it takes precedence over the configuration's.
+    pub console: Option<String>,
+    /// The number of the listening socket that this process inherits.
+    pub socket: Option<String>,
+    /// The folder that this process shares with the one that it succeeds.
+    pub folder: Option<String>,
+}
+
+impl Files {
+    /// Reads and checks the configuration.
+    ///
+    /// # Errors
+    /// A file that can't be read or used, or a console address that is none.
+    pub fn config(&self) -> Result<Config, ConfigError> {
+        let text = read(&self.config)?;
+        let mut config = Config::decode(&text).map_err(|fault| fault.in_file(&self.config))?;
+        if let Some(text) = &self.console {
+            let address = text.parse().map_err(|_| ConfigError::ConsoleAddress { found: text.clone() })?;
+            config.console_passed_over = config.console.filter(|configured| *configured != address);
+            config.console = Some(address);
+        }
+        Ok(config)
+    }
+
+    /// Reads the operator's file and checks it against the configuration; nothing is set up where there is none.
+    ///
+    /// # Errors
+    /// A file that can't be read or used.
+    pub fn operator(&self, config: &Config) -> Result<Operator, ConfigError> {
+        let Some(path) = &self.operator else { return Ok(Operator::default()) };
+        Operator::decode(&read(path)?, config).map_err(|fault| fault.in_file(path))
+    }
+}
+
+fn read(path: &str) -> Result<String, ConfigError> {
+    let unreadable = |source| ConfigError::Unreadable { path: path.to_owned(), source };
+    let mut text = String::new();
+    let file = std::fs::File::open(path).map_err(unreadable)?;
+    file.take(MAX_FILE_BYTES).read_to_string(&mut text).map_err(unreadable)?;
+    Ok(text)
+}
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -20,7 +20,7 @@
         (good.replace("safe = true", "save = true"), "line 8: unknown field `save`"),
         (good.replace("5.0", "nan"), "fleet.task t.period_s is NaN"),
     ] {
-        let error = Operator::decode(&text, &config).expect_err(said);
+        let error = Operator::decode(&text, &config).expect_err(said).to_string();
         assert!(error.starts_with(said) && !error.contains('\n'), "{error}, not {said}");
     }
     let shown = include_str!("../../../deploy/fleet.toml");
--- a/src/config/operator/tests.rs
+++ b/src/config/operator/tests.rs
@@ -23,7 +23,7 @@
         ("[http2]\nlisten = \"here\"\n".to_owned(), "line 2"),
         ("[ajp".to_owned(), "line 1"),
     ] {
-        let error = Operator::decode(&text, &config).unwrap_err();
+        let error = Operator::decode(&text, &config).unwrap_err().to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{error}");
     }
     assert!(Operator::decode("", &config).unwrap().ajp.is_none());
@@ -52,7 +52,7 @@
         (format!("{pools}guaranty = 0.5\n"), "guaranty", 5),
         ("[http2]\nlisten = \"127.0.0.1:0\"\nstream = 5\n".to_owned(), "stream", 3),
     ] {
-        let error = Operator::decode(&text, &config).expect_err(unknown);
+        let error = Operator::decode(&text, &config).expect_err(unknown).to_string();
         let expected = format!("line {line}: unknown field `{unknown}`");
         assert!(error.starts_with(&expected) && !error.contains('\n'), "{expected}: {error}");
     }
@@ -75,5 +75,5 @@
         .fold(String::new(), |all, line| all + line + "\n");
     let operator = Operator::decode(&on, &config).unwrap();
     assert_eq!(operator.backend.unwrap().uri_of("port-submit"), "/porting/submit");
-    assert_eq!(operator.directory.unwrap().identity, Identity::RemoteUser);
+    assert_eq!(operator.directory.unwrap().identity, crate::config::Identity::RemoteUser);
 }
--- a/src/config/pools/tests.rs
+++ b/src/config/pools/tests.rs
@@ -50,7 +50,7 @@
     ] {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from}");
-        let error = Operator::decode(&text, &config).expect_err(named);
+        let error = Operator::decode(&text, &config).expect_err(named).to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{named}: {error}");
     }
 }
--- /dev/null
+++ b/src/config/process.rs
@@ -0,0 +1,197 @@
+//! A port worker's configuration: its addresses, its limits and the platform's settings.
+
+use super::{ConfigError, Options};
+use serde::Deserialize;
+use std::collections::HashSet;
+use std::net::SocketAddr;
+
+/// Descriptors that are no client connection: standard streams, the loop's own, listeners, links, spares.
+pub const RESERVED_SOCKETS: usize = 32;
+/// The console takes one descriptor in this many.
+const CONSOLE_SHARE: usize = 8;
+/// Bounds on the calls that the console keeps open at once.
+const MIN_CONSOLE_CALLS: usize = 2;
+const MAX_CONSOLE_CALLS: usize = 16;
+/// The least memory limit (MiB).
+const MIN_MEMORY_MB: f64 = 16.0;
+
+/// The limits on this process.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(default)]
+pub struct ProcessLimits {
+    /// Memory (MiB).
+    pub memory_mb: f64,
+    /// Descriptors.
+    pub sockets: usize,
+}
+
+impl Default for ProcessLimits {
+    fn default() -> Self {
+        ProcessLimits { memory_mb: 192.0, sockets: 1024 }
+    }
+}
+
+/// A port worker's configuration.
+#[derive(Deserialize)]
+pub struct Config {
+    /// The worker's name in the registry.
+    pub name: String,
+    /// Where the platform's frontend listens.
+    pub listen: SocketAddr,
+    /// The executor.
+    pub executor: SocketAddr,
+    /// The registry, where there is one.
+    pub registry: Option<SocketAddr>,
+    /// The records service, where there is one.
+    pub records: Option<SocketAddr>,
+    /// The operators' console, where there is one.
+    #[serde(default)]
+    pub console: Option<SocketAddr>,
+    /// The console's address in the file, where the environment's took precedence.
+    #[serde(skip)]
+    pub console_passed_over: Option<SocketAddr>,
+    /// The seed of all draws, in hexadecimal digits.
+    #[serde(default)]
+    pub seed: String,
+    /// How long after the shutdown notice the process is stopped (milliseconds).
+    #[serde(default = "default_stop_ms")]
+    pub stop_ms: f64,
+    /// The limits on this process.
+    #[serde(default)]
+    pub limits: ProcessLimits,
+    /// The platform's settings.
+    pub settings: Options,
+}
+
+fn default_stop_ms() -> f64 {
+    3200.0
+}
+
+/// Calls that the console keeps open at once, by the limit on descriptors: a small share of what clients have, and
+/// enough that clients which hold calls open can't keep the next one out for long.
+#[must_use]
+pub fn console_calls(sockets: usize) -> usize {
+    (sockets.saturating_sub(RESERVED_SOCKETS) / CONSOLE_SHARE).clamp(MIN_CONSOLE_CALLS, MAX_CONSOLE_CALLS)
+}
+
+impl Config {
+    /// Descriptors for clients and upstreams: what the limit leaves.
+    #[must_use]
+    pub fn socket_budget(&self) -> usize {
+        let console = self.console.map_or(0, |_| console_calls(self.limits.sockets) + 1);
+        self.limits.sockets - RESERVED_SOCKETS - console
+    }
+
+    pub(super) fn has_class(&self, name: &str) -> bool {
+        self.settings.profiles.iter().any(|class| class.name == name)
+    }
+
+    pub(super) fn has_tenant(&self, name: &str) -> bool {
+        self.settings.tenants.iter().any(|tenant| tenant.name == name)
+    }
+
+    /// Decodes and checks.
+    ///
+    /// # Errors
+    /// Text that is no configuration, or one that can't be used.
+    pub fn decode(text: &str) -> Result<Config, ConfigError> {
+        let config: Config = serde_json::from_str(text)?;
+        config.check()?;
+        Ok(config)
+    }
+
+    fn check(&self) -> Result<(), ConfigError> {
+        if self.name.is_empty() || self.name.contains(char::is_whitespace) {
+            return Err(requirement("name", "one word"));
+        }
+        self.check_classes()?;
+        self.check_tenants()?;
+        self.check_machine()?;
+        if !is_at_least(self.stop_ms, 0.0) {
+            return Err(requirement("stop_ms", "0 or more"));
+        }
+        Ok(())
+    }
+
+    fn check_classes(&self) -> Result<(), ConfigError> {
+        let classes = &self.settings.profiles;
+        if classes.is_empty() {
+            return Err(ConfigError::NoClasses);
+        }
+        let mut names = HashSet::new();
+        for class in classes {
+            let name = &class.name;
+            if name.is_empty() || !names.insert(name.as_str()) {
+                return Err(ConfigError::NameTaken { list: "profiles", name: name.clone() });
+            }
+            if !(is_positive(class.deadline_s) && is_positive(class.objective_s)) {
+                return Err(ConfigError::ClassTimes { class: name.clone() });
+            }
+            if !matches!(class.effect.as_str(), "safe" | "keyed" | "unsafe") {
+                return Err(ConfigError::UnknownEffect { class: name.clone(), effect: class.effect.clone() });
+            }
+        }
+        Ok(())
+    }
+
+    fn check_tenants(&self) -> Result<(), ConfigError> {
+        let mut names = HashSet::new();
+        let unusable =
+            |name: &str, names: &mut HashSet<String>| name.is_empty() || !names.insert(name.to_owned());
+        match self.settings.tenants.iter().find(|tenant| unusable(&tenant.name, &mut names)) {
+            Some(tenant) => Err(ConfigError::NameTaken { list: "tenants", name: tenant.name.clone() }),
+            None => Ok(()),
+        }
+    }
+
+    fn check_machine(&self) -> Result<(), ConfigError> {
+        if self.settings.domain.n_cores == 0 {
+            return Err(requirement("settings.domain.nCores", "at least 1"));
+        }
+        if !is_positive(self.settings.domain.heap_kb) {
+            return Err(requirement("settings.domain.heapKb", "above 0"));
+        }
+        if !is_at_least(self.limits.memory_mb, MIN_MEMORY_MB) {
+            return Err(requirement("limits.memory_mb", &format!("at least {MIN_MEMORY_MB}")));
+        }
+        if self.limits.sockets < RESERVED_SOCKETS * 2 {
+            return Err(requirement("limits.sockets", &format!("at least {}", RESERVED_SOCKETS * 2)));
+        }
+        Ok(())
+    }
+
+    /// What this configuration has that a running worker can't apply: the names of what differs from `old`.
+    #[must_use]
+    pub fn fixed_changes(&self, old: &Config) -> Vec<&'static str> {
+        let differs = [
+            ("name", self.name != old.name),
+            ("listen", self.listen != old.listen),
+            ("console", self.console != old.console),
+            ("limits", self.limits != old.limits),
+            ("settings", self.settings != old.settings),
+            ("registry", self.registry.is_some() != old.registry.is_some()),
+            ("records", self.records.is_some() != old.records.is_some()),
+        ];
+        differs.into_iter().filter_map(|(name, differs)| differs.then_some(name)).collect()
+    }
+
+    /// The seed as a number: hexadecimal digits; anything else is mixed into one.
+    #[must_use]
+    pub fn seed_number(&self) -> u64 {
+        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
+            self.seed.bytes().fold(7, |mixed, byte| mixed.wrapping_mul(31).wrapping_add(u64::from(byte)))
+        })
+    }
+}
+
+fn requirement(key: &'static str, expected: &str) -> ConfigError {
+    ConfigError::Requirement { key, expected: expected.to_owned() }
+}
+
+fn is_positive(value: f64) -> bool {
+    value.is_finite() && value > 0.0
+}
+
+fn is_at_least(value: f64, min: f64) -> bool {
+    value.is_finite() && value >= min
+}
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -24,7 +24,7 @@
         ("\"sockets\":256", "\"sockets\":8", "sockets"),
         ("127.0.0.1:1", "nowhere", "address"),
     ] {
-        let error = Config::decode(&GOOD.replacen(from, to, 1)).err().expect(named);
+        let error = Config::decode(&GOOD.replacen(from, to, 1)).err().expect(named).to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{error}");
     }
 }
--- a/src/net/frontends/ajp.rs
+++ b/src/net/frontends/ajp.rs
@@ -10,7 +10,7 @@
 use crate::net::upstreams::ajp_codec::{
     self, Forward, ToContainer, Way, BODY_CHUNK_MOST, PACKET_MOST, REPLY_CHUNK_MOST,
 };
-use crate::net::{Clock, Log, State};
+use crate::net::{Clock, ListenError, Log, State};
 use std::net::TcpListener;
 use std::rc::Rc;
 
@@ -78,13 +78,13 @@
     }
 
     /// Lets clients in, at a socket that listens already or at the address of its settings.
-    pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), String> {
-        let listen = self.settings.listen;
+    pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
+        let address = self.settings.listen;
         let opened = match socket {
             Some(socket) => self.connections.open(&socket, Place::AjpListener),
-            None => self.connections.listen(listen, Place::AjpListener),
+            None => self.connections.listen(address, Place::AjpListener),
         };
-        opened.map_err(|e| format!("{listen}: {e}"))
+        opened.map_err(|source| ListenError { address, source })
     }
 
     /// Accepts and reads; `true` if accepting had to be broken off and wants another look.
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -20,7 +20,7 @@
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
 use crate::net::Log;
-use crate::net::{Clock, State};
+use crate::net::{Clock, ListenError, State};
 use abuse_detection::{AbuseDetector, Allowance, PressureMonitor, Verdict};
 use response_backlog::Waiting;
 use session::Session;
@@ -80,13 +80,13 @@
     }
 
     /// Lets clients in, at a socket that listens already or at the address of its settings.
-    pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), String> {
-        let listen = self.settings.listen;
+    pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
+        let address = self.settings.listen;
         let opened = match socket {
             Some(socket) => self.connections.open(&socket, Place::Http2Listener),
-            None => self.connections.listen(listen, Place::Http2Listener),
+            None => self.connections.listen(address, Place::Http2Listener),
         };
-        opened.map_err(|e| format!("{listen}: {e}"))
+        opened.map_err(|source| ListenError { address, source })
     }
 
     pub fn owns(&self, ticket: Ticket) -> bool {
--- a/src/net/lifecycle/hot_restart.rs
+++ b/src/net/lifecycle/hot_restart.rs
@@ -368,7 +368,7 @@
                 }
                 (Err(e), _) => {
                     self.log.line(&format!("handover: {front} can't be opened: {e}"));
-                    r.shut = Some(e);
+                    r.shut = Some(e.to_string());
                 }
                 _ => {}
             }
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -41,11 +41,17 @@
 /// Plays one variant with one seed.
 pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<Play, String> {
     let nowhere = "127.0.0.1:1";
-    let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
-    let operator = Operator::decode(&variant.operator, &config)?;
+    let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())
+        .map_err(|fault| fault.to_string())?;
+    let operator = Operator::decode(&variant.operator, &config).map_err(|fault| fault.to_string())?;
     let mut settings = config.settings.settings(1);
     settings.key_entry_kb = 0.0;
-    settings.pools = operator.pools.as_ref().map(|p| p.plan(&config.settings)).transpose()?;
+    settings.pools = operator
+        .pools
+        .as_ref()
+        .map(|p| p.plan(&config.settings))
+        .transpose()
+        .map_err(|fault| fault.to_string())?;
     let asked = draw(experiment, seed);
     let mut out = Vec::new();
     let core = Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out);
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -205,10 +205,10 @@
     let text = text_of("tests/fixtures/operator_files/every_key.toml");
     for header in text.lines().filter(|line| line.starts_with('[') && *line != "[backend.paths]") {
         let wrong = text.replacen(header, &format!("{header}\nmisspelt = 1"), 1);
-        let error = Operator::decode(&wrong, &config()).expect_err(header);
+        let error = Operator::decode(&wrong, &config()).expect_err(header).to_string();
         assert!(error.contains("unknown field `misspelt`"), "{header}: {error}");
     }
-    let error = Operator::decode("[misspelt]\n", &config()).unwrap_err();
+    let error = Operator::decode("[misspelt]\n", &config()).unwrap_err().to_string();
     assert!(error.contains("unknown field `misspelt`"), "{error}");
 }
 
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -93,7 +93,7 @@
     for (line, expected) in cases {
         let mut host = SimulatorAdapter::default();
         host.answer(&provision(3, "")).unwrap();
-        let error = host.answer(&line).unwrap_err();
+        let error = host.answer(&line).unwrap_err().to_string();
         assert!(error.contains(expected), "{error}");
     }
 }
@@ -104,6 +104,6 @@
     host.answer(&items(0.0, 1, r#"{"cmd":"Provision","prng":1,"options":{}}"#)).unwrap();
     host.answer(&items(0.5, 1, r#"{"cmd":"DeadlineHit","nonce":"wake"}"#)).unwrap();
     host.answer(&items(0.6, 1, r#"{"cmd":"Sigterm","remainingS":0.0}"#)).unwrap();
-    let error = host.answer(&items(0.7, 1, REQ)).unwrap_err();
+    let error = host.answer(&items(0.7, 1, REQ)).unwrap_err().to_string();
     assert!(error.contains("no class 0"), "{error}");
 }
