--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -1,7 +1,7 @@
 //! A watched TCP connection with a bounded input buffer, in which heads are parsed where they lie, and an output
 //! queue that is written with gathered writes.
 
-use crate::net::io::poll::{Place, Poll, Watch};
+use crate::net::io::poll::{self, Place, Poll, Watch};
 use socket2::SockRef;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read, Write};
@@ -11,12 +11,15 @@
 use std::rc::Rc;
 
 /// Slices handed to one gathered write.
-const GATHER: usize = 16;
-/// Bytes dropped with one call, and the system's flag that drops them without a copy.
-const DISCARD: usize = 64 * 1024;
+const MAX_SLICES: usize = 16;
+/// Bytes discarded with one call.
+const DISCARD_BYTES: usize = 64 * 1024;
+/// How far the input buffer grows at a time, and what an empty one keeps (bytes).
+const READ_BYTES: usize = 4096;
+/// The system's flag that discards received bytes without copying them.
 const MSG_TRUNC: i32 = 0x20;
 
-/// Bytes to be written: made for this purpose, or shared with whoever else keeps them.
+/// Bytes to be written: owned, or a part of shared ones.
 enum Chunk {
     Owned(Vec<u8>),
     Shared(Rc<[u8]>, std::ops::Range<usize>),
@@ -31,7 +34,7 @@
     }
 }
 
-/// How reading went.
+/// The result of reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Filled {
     /// All there was has been read, or the buffer is full.
@@ -42,7 +45,7 @@
     Broken,
 }
 
-/// One connection.
+/// A watched TCP connection.
 pub struct Link {
     stream: Rc<TcpStream>,
     _watch: Watch,
@@ -60,7 +63,10 @@
 }
 
 impl Link {
-    /// Takes a stream in non-blocking mode; at most `room` unread bytes are kept.
+    /// Takes a stream in non-blocking mode; at most `room` unread bytes are buffered.
+    ///
+    /// # Errors
+    /// No descriptor is left in the budget.
     pub fn new(poll: &Poll, stream: TcpStream, place: Place, room: usize) -> io::Result<Link> {
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
@@ -75,14 +81,17 @@
             written: 0,
             queued: 0,
             sent: 0,
-            // The first look is free: what is there before the first event counts too.
+            // What is there before the first event counts too.
             readable: true,
             writable: true,
             ended: false,
         })
     }
 
-    /// Begins a connection; whether it comes about shows in [`Link::connect_error`] when something is ready.
+    /// Begins to connect; [`Link::connected`] tells the result once the socket is ready.
+    ///
+    /// # Errors
+    /// No descriptor is left, or the system refuses at once.
     pub fn connect(poll: &Poll, to: std::net::SocketAddr, place: Place, room: usize) -> io::Result<Link> {
         if !poll.room() {
             return Err(io::Error::from_raw_os_error(poll::EMFILE));
@@ -97,11 +106,13 @@
             Err(e) => return Err(e),
         }
         let mut link = Link::new(poll, socket.into(), place, room)?;
-        (link.readable, link.writable) = (false, false);
+        link.readable = false;
+        link.writable = false;
         Ok(link)
     }
 
-    /// Whether the connection has come about: `None` while it is under way.
+    /// Whether the connection is established: `None` while it is being established.
+    #[must_use]
     pub fn connected(&self) -> Option<io::Result<()>> {
         match self.stream.take_error() {
             Ok(Some(e)) | Err(e) => return Some(Err(e)),
@@ -114,20 +125,21 @@
         }
     }
 
-    /// Notes what the loop saw.
+    /// Notes the readiness that the loop reports.
     pub fn mark(&mut self, readable: bool, writable: bool) {
         self.readable |= readable;
         self.writable |= writable;
     }
 
-    /// Reads what is there, up to the room in the buffer; the rest waits, and so does the peer.
+    /// Reads what is there, up to the limit of the buffer; the rest waits, and so does the peer.
     pub fn fill(&mut self) -> Filled {
         while self.readable && !self.ended && self.data().len() < self.room {
             if self.start > 0 {
                 self.input.drain(..self.start);
                 self.start = 0;
             }
-            let (len, target) = (self.input.len(), self.room.min(self.input.len() + 4096));
+            let len = self.input.len();
+            let target = self.room.min(len + READ_BYTES);
             self.input.resize(target, 0);
             let got = (&*self.stream).read(&mut self.input[len..]);
             self.input.truncate(len + got.as_ref().map_or(0, |n| *n));
@@ -146,11 +158,12 @@
         }
     }
 
-    /// Reads what is there only to drop it, up to `most` bytes; how it went, and whether anything came. Guards the
-    /// processor: what a peer still sends after its refusal is not even copied.
+    /// Discards what is there, up to `most` bytes, without copying it: a peer that goes on sending after its rejection
+    /// must not cost processor time. Returns the result of reading and whether anything came.
     pub fn discard(&mut self, most: usize) -> (Filled, bool) {
         self.consume(self.input.len());
-        let (mut scratch, mut dropped) = ([MaybeUninit::uninit(); DISCARD], 0);
+        let mut scratch = [MaybeUninit::uninit(); DISCARD_BYTES];
+        let mut dropped = 0;
         while self.readable && !self.ended && dropped < most {
             match SockRef::from(&*self.stream).recv_with_flags(&mut scratch, MSG_TRUNC) {
                 Ok(0) => self.ended = true,
@@ -163,24 +176,26 @@
         (if self.ended { Filled::Ended } else { Filled::Open }, dropped > 0)
     }
 
-    /// So many unread bytes are kept at most from here on.
+    /// Sets how many unread bytes are buffered at most.
     pub fn set_room(&mut self, room: usize) {
         self.room = room;
     }
 
     /// Whether more may be there to be read.
+    #[must_use]
     pub fn unread(&self) -> bool {
         self.readable && !self.ended
     }
 
-    /// Gives back the memory of an idle connection's buffers.
+    /// Frees the memory of an idle connection's buffers.
     pub fn shrink(&mut self) {
         if self.input.is_empty() && self.output.is_empty() {
-            (self.input, self.output) = (Vec::new(), VecDeque::new());
+            self.input = Vec::new();
+            self.output = VecDeque::new();
         }
     }
 
-    /// Gives back what the input buffer holds beyond its bytes, for a connection that may wait for long.
+    /// Frees what the input buffer holds beyond its bytes, for a connection that may wait for long.
     pub fn tighten(&mut self) {
         self.input.drain(..self.start);
         self.start = 0;
@@ -188,25 +203,29 @@
     }
 
     /// What has been read and not yet consumed.
+    #[must_use]
     pub fn data(&self) -> &[u8] {
         &self.input[self.start..]
     }
 
+    /// Consumes the first `n` bytes of the input.
     pub fn consume(&mut self, n: usize) {
         self.start = (self.start + n).min(self.input.len());
         if self.start == self.input.len() {
             self.input.clear();
             self.start = 0;
             // An idle connection keeps no large buffer.
-            self.input.shrink_to(4096);
+            self.input.shrink_to(READ_BYTES);
         }
     }
 
+    /// Queues bytes to be written.
     pub fn push(&mut self, bytes: Vec<u8>) {
         self.queued += bytes.len();
         self.output.push_back(Chunk::Owned(bytes));
     }
 
+    /// Queues shared bytes.
     pub fn push_shared(&mut self, bytes: Rc<[u8]>) {
         let all = 0..bytes.len();
         self.push_part(bytes, all);
@@ -219,14 +238,18 @@
     }
 
     /// Bytes still to be written.
+    #[must_use]
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// Writes what the peer takes, gathered; an error means that the connection is broken.
+    /// Writes as much as the peer takes, with gathered writes.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn flush(&mut self) -> io::Result<()> {
         while self.writable && !self.output.is_empty() {
-            let mut slices = [IoSlice::new(&[]); GATHER];
+            let mut slices = [IoSlice::new(&[]); MAX_SLICES];
             let mut count = 0;
             for (slice, chunk) in slices.iter_mut().zip(&self.output) {
                 let skip = if count == 0 { self.written } else { 0 };
@@ -258,20 +281,21 @@
     }
 
     /// Another descriptor of the same connection, for another process.
+    ///
+    /// # Errors
+    /// The system has no descriptor left.
     pub fn duplicate(&self) -> io::Result<OwnedFd> {
         Ok(self.stream.try_clone()?.into())
     }
 
-    /// Puts bytes that another process has read before what is still to be read.
+    /// Puts bytes that another process has read in front of what is still to be read.
     pub fn put_back(&mut self, bytes: &[u8]) {
         self.input.splice(self.start..self.start, bytes.iter().copied());
     }
 
-    /// Says that no more will be written.
+    /// Ends the writing side: the peer sees that no more will come.
     pub fn end_writing(&self) {
-        // A peer that has gone already needs no word of it.
+        // A peer that has gone already does not care.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
-
-use crate::net::io::poll;
--- a/src/net/io/mod.rs
+++ b/src/net/io/mod.rs
@@ -1,4 +1,7 @@
-//! What every peer and front stands on: descriptors and their budget, buffers, kept connections, timers.
+//! Sockets and time as the loop sees them: readiness and the budget of descriptors, buffered connections, idle
+//! connections to upstreams, timers.
+
+#![warn(missing_docs)]
 
 pub mod buffer;
 pub mod idle_pool;
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -1,4 +1,6 @@
-//! What the loop watches. Callbacks only gather what is ready; all work is done between two waits.
+//! Readiness: the sockets that the loop watches, the budget of descriptors, and listening sockets.
+//!
+//! Callbacks of the loop only gather what is ready; all work is done between two waits.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -11,51 +13,69 @@
 
 /// The system's number for "too many open files".
 pub const EMFILE: i32 = 24;
+/// The system's number for "too many open files in the system".
 const ENFILE: i32 = 23;
 /// The system's number for a connection that is under way.
 pub const EINPROGRESS: i32 = 115;
-/// Connections accepted in one turn at most, so that a flood of them leaves time for the rest.
-const ACCEPTS: usize = 64;
-/// Descriptors of the budget that callers can't take: else a flood of them would leave none for calls and links.
-const KEPT_BACK: usize = 24;
-/// How long accepting rests when there is no descriptor left, or enough have come for one turn (seconds).
+/// Connections accepted in one turn at most, so that a flood of them leaves time for other work.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Descriptors that clients can't take: a flood of clients must leave some for upstreams.
+const RESERVED_FOR_UPSTREAMS: usize = 24;
+/// Connections that wait in the system's accept queue at most.
+const ACCEPT_QUEUE: i32 = 1024;
+/// How long accepting pauses when there is no descriptor left, or enough have come for one turn (seconds).
 pub const ACCEPT_PAUSE_S: f64 = 0.02;
 
-/// Whose socket is ready.
+/// The owner of a watched socket; numbers come from [`Poll::fresh`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Place {
+    /// The console's listening socket.
     ConsoleListener,
+    /// An operator's connection.
     Console(u64),
+    /// The socket on which a successor connects.
     HandoverListener,
+    /// The link to a predecessor or successor.
     Handover(u64),
+    /// The HTTP/1.1 frontend's listening socket.
     HttpListener,
+    /// The AJP frontend's listening socket.
     AjpListener,
+    /// The HTTP/2 frontend's listening socket.
     Http2Listener,
+    /// An HTTP/1.1 client's connection.
     Http(u64),
+    /// An AJP client's connection.
     Ajp(u64),
+    /// An HTTP/2 client's connection.
     Http2(u64),
+    /// The link to the executor.
     Executor(u64),
+    /// A connection to the records service.
     Records(u64),
+    /// A connection to an AJP server.
     AjpServer(u64),
+    /// The connection to the LDAP directory.
     Directory(u64),
-    /// The link to the coordinators, and calls for the fleet; at a coordinator, its links.
+    /// A coordinator's listening socket.
     FleetListener,
+    /// A worker's link to the coordinators or a scheduled call; at a coordinator, one of its links.
     Fleet(u64),
 }
 
-/// What one wait has brought.
+/// What was ready after one wait.
 #[derive(Default)]
 pub struct Gathered {
     ready: Vec<Place>,
     states: HashMap<Place, (bool, bool)>,
-    /// The notice to leave has come.
+    /// The shutdown notice has come.
     pub leave: bool,
     /// The configuration is to be read again.
     pub reload: bool,
 }
 
 impl Gathered {
-    /// Takes each place once, with whether it can be read and written, in the order seen.
+    /// Takes each owner once, with whether its socket can be read and written, in the order seen.
     pub fn take(&mut self) -> Vec<(Place, bool, bool)> {
         let states = &mut self.states;
         self.ready.drain(..).filter_map(|p| states.remove(&p).map(|(r, w)| (p, r, w))).collect()
@@ -66,55 +86,66 @@
 #[derive(Clone)]
 pub struct Poll {
     handle: LoopHandle<'static, Gathered>,
-    left: Rc<Cell<usize>>,
-    /// Of these, what another process holds under the same limit.
-    beside: Rc<Cell<usize>>,
-    whole: usize,
-    next: Rc<Cell<u64>>,
+    available: Rc<Cell<usize>>,
+    /// Descriptors that another process holds under the same limit.
+    other_process: Rc<Cell<usize>>,
+    budget: usize,
+    last_number: Rc<Cell<u64>>,
 }
 
 impl Poll {
+    /// A handle with this many descriptors to give out.
+    #[must_use]
     pub fn new(handle: LoopHandle<'static, Gathered>, descriptors: usize) -> Poll {
-        let (left, beside) = (Rc::new(Cell::new(descriptors)), Rc::new(Cell::new(0)));
-        Poll { handle, left, beside, whole: descriptors, next: Rc::new(Cell::new(1)) }
+        Poll::with_budget(handle, descriptors, Rc::new(Cell::new(1)))
     }
 
-    /// The same loop with a budget of its own: a listener and so many callers, whatever the others hold.
-    pub fn apart(&self, callers: usize) -> Poll {
-        let whole = KEPT_BACK + 1 + callers;
-        let (left, beside) = (Rc::new(Cell::new(whole)), Rc::new(Cell::new(0)));
-        Poll { handle: self.handle.clone(), left, beside, whole, next: self.next.clone() }
+    /// The same loop with a budget of its own: a listener and so many clients, whatever the others hold.
+    #[must_use]
+    pub fn apart(&self, clients: usize) -> Poll {
+        let budget = RESERVED_FOR_UPSTREAMS + 1 + clients;
+        Poll::with_budget(self.handle.clone(), budget, self.last_number.clone())
+    }
+
+    fn with_budget(handle: LoopHandle<'static, Gathered>, budget: usize, last_number: Rc<Cell<u64>>) -> Poll {
+        let available = Rc::new(Cell::new(budget));
+        let other_process = Rc::new(Cell::new(0));
+        Poll { handle, available, other_process, budget, last_number }
     }
 
     /// Whether the budget allows one more socket.
     pub fn room(&self) -> bool {
-        self.left.get() > self.beside.get()
+        self.available.get() > self.other_process.get()
     }
 
-    /// Another process holds so many descriptors that count against this budget.
+    /// Another process holds this many descriptors that count against the budget.
     pub fn set_beside(&self, held: usize) {
-        self.beside.set(held);
+        self.other_process.set(held);
     }
 
-    /// Descriptors of the budget that are taken, here and beside.
+    /// Descriptors of the budget that are taken, those of the other process included.
     pub fn used(&self) -> usize {
-        self.whole - self.left.get() + self.beside.get()
+        self.budget - self.available.get() + self.other_process.get()
     }
 
-    /// Whether the budget allows one more caller.
+    /// Whether the budget allows one more client.
     pub fn room_for_caller(&self) -> bool {
-        self.left.get() > KEPT_BACK + self.beside.get()
+        self.available.get() > RESERVED_FOR_UPSTREAMS + self.other_process.get()
     }
 
     /// A number that no other connection, call or search has had.
     pub fn fresh(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 
-    /// Watches a socket until the watch is dropped. Each change is told once: read and write until told to wait.
+    /// Watches a socket until the watch is dropped. Readiness is edge-triggered: read and write until the system says
+    /// that it would block.
+    ///
+    /// # Errors
+    /// No descriptor is left in the budget, or the system can't watch the socket.
     pub fn watch<F: AsFd + 'static>(&self, fd: F, place: Place) -> io::Result<Watch> {
-        let Some(left) = self.left.get().checked_sub(1) else {
+        let Some(available) = self.available.get().checked_sub(1) else {
             return Err(io::Error::from_raw_os_error(EMFILE));
         };
         let source = Generic::new(fd, Interest::BOTH, Mode::Edge);
@@ -130,12 +161,12 @@
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
-        self.left.set(left);
+        self.available.set(available);
         Ok(Watch { poll: self.clone(), token })
     }
 }
 
-/// A socket in the loop and in the budget.
+/// A watched socket; dropping this gives its descriptor back to the budget.
 pub struct Watch {
     poll: Poll,
     token: RegistrationToken,
@@ -144,11 +175,11 @@
 impl Drop for Watch {
     fn drop(&mut self) {
         self.poll.handle.remove(self.token);
-        self.poll.left.set(self.poll.left.get() + 1);
+        self.poll.available.set(self.poll.available.get() + 1);
     }
 }
 
-/// A listening socket that accepts while there are descriptors and rests while there are none.
+/// A listening socket that accepts while the budget allows it.
 pub struct Acceptor {
     listener: Rc<TcpListener>,
     poll: Poll,
@@ -156,8 +187,9 @@
     waiting: bool,
 }
 
-/// What accepting came to.
+/// The result of accepting.
 pub enum Accepted {
+    /// A client's connection.
     Stream(TcpStream),
     /// Nobody waits.
     Nobody,
@@ -168,47 +200,60 @@
 }
 
 impl Acceptor {
+    /// Listens at an address.
+    ///
+    /// # Errors
+    /// The system can't listen there, or no descriptor is left.
     pub fn bind(poll: &Poll, address: SocketAddr, place: Place) -> io::Result<Acceptor> {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
-        socket.listen(1024)?;
+        socket.listen(ACCEPT_QUEUE)?;
         Acceptor::on(poll, Rc::new(TcpListener::from(socket)), place)
     }
 
     /// Accepts on a socket that listens already and does not block. Dropping this leaves it listening for whoever
     /// else holds it.
+    ///
+    /// # Errors
+    /// No descriptor is left.
     pub fn on(poll: &Poll, listener: Rc<TcpListener>, place: Place) -> io::Result<Acceptor> {
         let watch = poll.watch(listener.clone(), place)?;
         Ok(Acceptor { listener, poll: poll.clone(), _watch: watch, waiting: true })
     }
 
+    /// Where it listens.
+    ///
+    /// # Errors
+    /// The system does not say.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The socket itself, for whoever else is to accept on it.
+    /// The socket itself, for another process that is to accept on it.
+    #[must_use]
     pub fn socket(&self) -> Rc<TcpListener> {
         self.listener.clone()
     }
 
+    /// Notes that somebody may wait.
     pub fn mark(&mut self) {
         self.waiting = true;
     }
 
-    /// Closes one that waits; `false` where nobody does, or the system has no descriptor even for that.
+    /// Accepts a client and closes its connection; `false` where nobody waits or the system has no descriptor.
     pub fn turn_away(&mut self) -> bool {
         self.listener.accept().is_ok()
     }
 
-    /// Takes one that waits; `taken` counts those of this turn.
+    /// Accepts a client; `taken` counts those of this turn.
     pub fn accept(&mut self, taken: usize) -> Accepted {
         if !self.waiting {
             return Accepted::Nobody;
         }
-        if taken >= ACCEPTS {
+        if taken >= MAX_ACCEPTS_PER_TURN {
             return Accepted::Pause;
         }
         if !self.poll.room_for_caller() {
@@ -222,7 +267,7 @@
                     return Accepted::Nobody;
                 }
                 Err(e) if matches!(e.raw_os_error(), Some(EMFILE | ENFILE)) => return Accepted::Full,
-                // One that has gone before it was taken, and the like: the next may be sound.
+                // A client that has gone already: the next may still be there.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Accepted::Pause,
--- a/src/net/io/poll/tests.rs
+++ b/src/net/io/poll/tests.rs
@@ -5,9 +5,9 @@
 fn what_another_process_holds_is_not_given_away_here_as_well() {
     let events: EventLoop<Gathered> = EventLoop::try_new().unwrap();
     let poll = Poll::new(events.handle(), 100);
-    poll.set_beside(100 - KEPT_BACK);
+    poll.set_beside(100 - RESERVED_FOR_UPSTREAMS);
     assert!(poll.room() && !poll.room_for_caller());
-    assert_eq!(poll.used(), 100 - KEPT_BACK);
+    assert_eq!(poll.used(), 100 - RESERVED_FOR_UPSTREAMS);
     poll.set_beside(100);
     assert!(!poll.room());
     poll.set_beside(0);
--- a/src/net/io/timer_wheel.rs
+++ b/src/net/io/timer_wheel.rs
@@ -2,25 +2,29 @@
 
 /// The length of a tick (seconds).
 pub const TICK_S: f64 = 0.004;
+/// Slots of the wheel; a timer further ahead than that waits in its slot for a later round.
 const SLOTS: usize = 512;
 
-/// What is due, by kind; a timer that has lost its meaning is let pass by whoever gets it.
+/// What is due. Timers are never removed: the owner ignores one that no longer applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// The controller asked to be woken.
     Wake,
-    /// A call below has run out of time, by its number.
+    /// A downstream call has run out of time, by its number.
     Call(u64),
     /// A run at an AJP server has run out of time, by its number.
     Run(u64),
     /// A search in the directory has run out of time, by its number.
     Search(u64),
+    /// A load report to the registry is due.
     Beat,
     /// Something is due in the worker's membership of its fleet.
     Fleet,
+    /// Idle and slow connections are to be looked for.
     Sweep,
+    /// The executor is to be connected to again.
     Relink,
-    /// Accepting was paused for want of descriptors.
+    /// Accepting is to be resumed.
     Accept,
     /// Something put off to the next tick.
     Again,
@@ -29,12 +33,14 @@
 /// A wheel of ticks; times are seconds on the loop's clock.
 pub struct Wheel {
     slots: Vec<Vec<(u64, Timer)>>,
-    /// All ticks before this one have fired.
+    /// The last tick that has fired.
     at: u64,
     count: usize,
 }
 
 impl Wheel {
+    /// An empty wheel.
+    #[must_use]
     pub fn new(now: f64) -> Self {
         Wheel { slots: vec![Vec::new(); SLOTS], at: (now / TICK_S) as u64, count: 0 }
     }
@@ -69,7 +75,8 @@
         self.at = self.at.max(to);
     }
 
-    /// When the loop should look again: the next slot in use. It may turn out to hold only later rounds.
+    /// When the loop should wake: the next slot in use. It may turn out to hold only timers of later rounds.
+    #[must_use]
     pub fn next(&self) -> Option<f64> {
         if self.count == 0 {
             return None;
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -9,7 +9,7 @@
 use crate::interface::Outcome;
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::{Filled, Link};
-use crate::net::io::idle_pool::{full, take_idle, Kept, IDLE_MOST};
+use crate::net::io::idle_pool::{full, take_idle, Pooled, MAX_IDLE};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way, PACKET_MOST};
@@ -50,7 +50,7 @@
     idle_since: f64,
 }
 
-impl Kept for Connection {
+impl Pooled for Connection {
     fn link(&mut self) -> &mut Link {
         &mut self.link
     }
@@ -111,11 +111,11 @@
     fn place(&mut self, now: f64, mut run: Run, wheel: &mut Wheel) {
         run.tries += 1;
         run.mark = None;
-        // Kept connections may all be stale: beyond them each server is tried once.
+        // Idle connections may all be stale: beyond them each server is tried once.
         let idle = take_idle(&mut self.connections, now, 0.0, IDLE_KEEP_S);
         let id = match idle {
             Some(id) => id,
-            None if run.tries <= self.settings.servers.len() + IDLE_MOST => match self.open(now) {
+            None if run.tries <= self.settings.servers.len() + MAX_IDLE => match self.open(now) {
                 Some(id) => id,
                 None => return self.place_or_give_back(now, run, wheel),
             },
--- a/src/net/upstreams/records.rs
+++ b/src/net/upstreams/records.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::Input;
 use crate::interface::Outcome;
 use crate::net::io::buffer::{Filled, Link};
-use crate::net::io::idle_pool::{full, take_idle, Kept};
+use crate::net::io::idle_pool::{full, take_idle, Pooled};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::Log;
@@ -38,7 +38,7 @@
     idle_since: f64,
 }
 
-impl Kept for Connection {
+impl Pooled for Connection {
     fn link(&mut self) -> &mut Link {
         &mut self.link
     }
