--- /dev/null
+++ b/src/admission/idempotency.rs
@@ -0,0 +1,107 @@
+//! The table of idempotency keys: which attempts belong to one key, and which of them holds it.
+//!
+//! It keeps records and decides nothing: what becomes of an attempt is up to the controller. A key is named
+//! by the first attempt that brought it.
+
+use crate::interface::RequestId;
+use std::collections::BTreeMap;
+
+/// A key and its attempts.
+#[derive(Default)]
+struct IdempotencyEntry {
+    /// The attempt that is queued or runs for the key.
+    holder: RequestId,
+    attempts: Vec<RequestId>,
+    /// Attempts that wait for the holder to start, oldest first.
+    waiting: Vec<RequestId>,
+    has_run: bool,
+    /// The key may be repeated until then (clock, seconds).
+    retained_until: f64,
+}
+
+/// All keys, by entry and by attempt.
+#[derive(Default)]
+pub(super) struct IdempotencyTable {
+    entries: BTreeMap<RequestId, IdempotencyEntry>,
+    entry_of_attempt: BTreeMap<RequestId, RequestId>,
+}
+
+impl IdempotencyTable {
+    /// The number of keys.
+    pub(super) fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether an attempt belongs to a key.
+    pub(super) fn contains_attempt(&self, attempt: RequestId) -> bool {
+        self.entry_of_attempt.contains_key(&attempt)
+    }
+
+    /// The entry of an attempt, while no attempt of it has run.
+    pub(super) fn pending_entry_of(&self, attempt: RequestId) -> Option<RequestId> {
+        let entry_id = self.entry_of_attempt.get(&attempt).copied();
+        entry_id.filter(|entry_id| !self.entries[entry_id].has_run)
+    }
+
+    /// Whether an attempt holds this entry, and no attempt of it has run.
+    pub(super) fn is_pending_holder(&self, entry_id: RequestId, attempt: RequestId) -> bool {
+        self.entries.get(&entry_id).is_some_and(|entry| entry.holder == attempt && !entry.has_run)
+    }
+
+    /// Makes an attempt the holder of an entry, which is created when it is new.
+    pub(super) fn set_holder(&mut self, entry_id: RequestId, holder: RequestId, retained_until: f64) {
+        let entry = self.entries.entry(entry_id).or_default();
+        if entry.attempts.is_empty() {
+            entry.attempts.push(holder);
+        }
+        entry.waiting.retain(|attempt| *attempt != holder);
+        entry.holder = holder;
+        entry.retained_until = retained_until;
+        self.entry_of_attempt.insert(holder, entry_id);
+    }
+
+    /// Adds an attempt that waits for the holder to start.
+    pub(super) fn add_waiting(&mut self, entry_id: RequestId, attempt: RequestId) {
+        if let Some(entry) = self.entries.get_mut(&entry_id) {
+            entry.waiting.push(attempt);
+            entry.attempts.push(attempt);
+        }
+        self.entry_of_attempt.insert(attempt, entry_id);
+    }
+
+    /// An attempt waits for the holder no longer.
+    pub(super) fn remove_waiting(&mut self, entry_id: RequestId, attempt: RequestId) {
+        if let Some(entry) = self.entries.get_mut(&entry_id) {
+            entry.waiting.retain(|waiting| *waiting != attempt);
+        }
+    }
+
+    /// The attempts that wait for the holder to start, oldest first.
+    pub(super) fn waiting(&self, entry_id: RequestId) -> &[RequestId] {
+        &self.entries[&entry_id].waiting
+    }
+
+    /// Notes that the holder has started, and takes the attempts that waited for it.
+    pub(super) fn run_started(&mut self, entry_id: RequestId) -> Vec<RequestId> {
+        let Some(entry) = self.entries.get_mut(&entry_id) else { return Vec::new() };
+        entry.has_run = true;
+        std::mem::take(&mut entry.waiting)
+    }
+
+    /// Removes a key; returns its attempts.
+    pub(super) fn remove(&mut self, entry_id: RequestId) -> Vec<RequestId> {
+        let attempts = self.entries.remove(&entry_id).map(|entry| entry.attempts).unwrap_or_default();
+        for attempt in &attempts {
+            self.entry_of_attempt.remove(attempt);
+        }
+        attempts
+    }
+
+    /// The keys whose time is over and whose attempts have all ended.
+    pub(super) fn expired(&self, now: f64, is_in_hand: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
+        let expired = |entry: &IdempotencyEntry| {
+            entry.retained_until <= now && !entry.attempts.iter().any(|attempt| is_in_hand(*attempt))
+        };
+        self.entries.iter().filter(|(_, entry)| expired(entry)).map(|(entry_id, _)| *entry_id).collect()
+    }
+}
--- a/src/admission/run_length.rs
+++ b/src/admission/run_length.rs
@@ -21,7 +21,7 @@
 
 /// Fading sums over ended runs that carried a hint, for a least-squares line from hints to lengths.
 #[derive(Clone, Copy, Default)]
-pub(super) struct HintRegression {
+struct HintRegression {
     count: f64,
     hints: f64,
     lengths: f64,
@@ -46,29 +46,29 @@
     }
 
     /// The sums in the order in which they are handed to a successor.
-    pub(super) fn to_sums(self) -> [f64; 5] {
+    fn to_sums(self) -> [f64; 5] {
         [self.count, self.hints, self.lengths, self.hints_squared, self.hints_times_lengths]
     }
 
-    pub(super) fn from_sums(sums: [f64; 5]) -> Self {
+    fn from_sums(sums: [f64; 5]) -> Self {
         let [count, hints, lengths, hints_squared, hints_times_lengths] = sums;
         HintRegression { count, hints, lengths, hints_squared, hints_times_lengths }
     }
 }
 
-/// The length of a class's runs: fading core time over fading ended runs. Unfinished runs count with the time they
-/// have taken so far.
-pub(super) struct RunLengthEstimate {
-    pub(super) core_time: f64,
-    pub(super) ended: f64,
-    pub(super) hinted: HintRegression,
-    /// Lengths are capped here: beyond the objective a run is late whatever its length, and without the cap a hang
-    /// would be remembered long after its end.
+/// The length of a class's runs: fading core time over fading ended runs. Unfinished runs count with the time
+/// they have taken so far.
+struct RunLengthEstimate {
+    core_time: f64,
+    ended: f64,
+    hinted: HintRegression,
+    /// Lengths are capped here: beyond the objective a run is late whatever its length, and without the cap a
+    /// hang would be remembered long after its end.
     max_length: f64,
 }
 
 impl RunLengthEstimate {
-    pub(super) fn new(class: &Class) -> Self {
+    fn new(class: &Class) -> Self {
         let prior = class.objective_s * PRIOR_SHARE_OF_OBJECTIVE;
         RunLengthEstimate {
             core_time: prior * PRIOR_RUNS,
@@ -78,9 +78,9 @@
         }
     }
 
-    /// What a run with this hint is expected to take. A hint counts for as much as ended runs bear it out; rough,
-    /// missing and absurd ones do no harm.
-    pub(super) fn predict(&self, hint: Option<f64>) -> f64 {
+    /// What a run with this hint is expected to take. A hint counts for as much as ended runs bear it out;
+    /// rough, missing and absurd ones do no harm.
+    fn predict(&self, hint: Option<f64>) -> f64 {
         let mean = self.mean();
         let Some(hint) = hint.filter(|_| self.hinted.count >= MIN_HINTED_RUNS) else { return mean };
         let mean_hint = self.hinted.hints / self.hinted.count;
@@ -89,7 +89,7 @@
     }
 
     /// Counts a run that has ended after `length` on the cores.
-    pub(super) fn run_ended(&mut self, hint: Option<f64>, length: f64) {
+    fn run_ended(&mut self, hint: Option<f64>, length: f64) {
         self.ended += 1.0;
         if let Some(hint) = hint {
             self.hinted.add(hint, length.min(self.max_length));
@@ -97,7 +97,7 @@
     }
 
     /// Time passes with this many runs on the cores.
-    pub(super) fn advance(&mut self, running: f64, elapsed_s: f64) {
+    fn advance(&mut self, running: f64, elapsed_s: f64) {
         if self.ended > PRIOR_RUNS {
             let fade = (-elapsed_s / MEASUREMENT_MEMORY_S).exp();
             self.core_time *= fade;
@@ -107,7 +107,7 @@
     }
 
     /// The mean length (seconds).
-    pub(super) fn mean(&self) -> f64 {
+    fn mean(&self) -> f64 {
         (self.core_time / self.ended).max(1e-6)
     }
 }
@@ -117,3 +117,67 @@
     let share = if mean < baseline { BASELINE_FALL } else { BASELINE_RISE };
     baseline + (mean - baseline) * share
 }
+
+/// The estimates of all classes, by class.
+#[derive(Default)]
+pub(super) struct RunLengths {
+    by_class: Vec<RunLengthEstimate>,
+}
+
+impl RunLengths {
+    /// First guesses.
+    pub(super) fn new(classes: &[Class]) -> Self {
+        RunLengths { by_class: classes.iter().map(RunLengthEstimate::new).collect() }
+    }
+
+    /// What a run of this class and with this hint is expected to take (seconds).
+    pub(super) fn predict(&self, class: usize, hint: Option<f64>) -> f64 {
+        self.by_class[class].predict(hint)
+    }
+
+    /// Counts a run that has ended.
+    pub(super) fn run_ended(&mut self, class: usize, hint: Option<f64>, length_s: f64) {
+        self.by_class[class].run_ended(hint, length_s);
+    }
+
+    /// Time passes with this many runs on the cores, by class.
+    pub(super) fn advance(&mut self, running_by_class: &[usize], elapsed_s: f64) {
+        for (estimate, running) in self.by_class.iter_mut().zip(running_by_class) {
+            estimate.advance(*running as f64, elapsed_s);
+        }
+    }
+
+    /// The mean length over all classes (seconds).
+    pub(super) fn mean_s(&self) -> f64 {
+        self.mean_s_of(|_| true)
+    }
+
+    /// The mean length over some classes (seconds).
+    pub(super) fn mean_s_of(&self, counts: impl Fn(usize) -> bool) -> f64 {
+        let counted = || self.by_class.iter().enumerate().filter(|(class, _)| counts(*class));
+        let core_time: f64 = counted().map(|(_, estimate)| estimate.core_time).sum();
+        let ended: f64 = counted().map(|(_, estimate)| estimate.ended).sum();
+        (core_time / ended.max(1e-6)).max(1e-6)
+    }
+
+    /// The mean lengths of the classes (seconds).
+    pub(super) fn means_s(&self) -> Vec<f64> {
+        self.by_class.iter().map(RunLengthEstimate::mean).collect()
+    }
+
+    /// The estimates, as they are handed to a successor.
+    pub(super) fn learned(&self) -> Vec<(f64, f64, [f64; 5])> {
+        let sums =
+            |estimate: &RunLengthEstimate| (estimate.core_time, estimate.ended, estimate.hinted.to_sums());
+        self.by_class.iter().map(sums).collect()
+    }
+
+    /// Takes over the estimates of a predecessor.
+    pub(super) fn adopt(&mut self, learned: Vec<(f64, f64, [f64; 5])>) {
+        for (estimate, (core_time, ended, sums)) in self.by_class.iter_mut().zip(learned) {
+            estimate.core_time = core_time;
+            estimate.ended = ended;
+            estimate.hinted = HintRegression::from_sums(sums);
+        }
+    }
+}
