--- /dev/null
+++ b/src/dispatch/actions.rs
@@ -0,0 +1,96 @@
+//! Carries out what the controller decides: on the table of requests, or as a command to the event loop.
+
+use super::dispatcher::Effects;
+use super::in_flight::{LastCommand, SentCommand};
+use super::{Command, Dispatcher, Response};
+use crate::interface::{Action, Event, Outcome, RequestId};
+
+/// A failure this close to the deadline is one for lack of time (seconds).
+const NEAR_DEADLINE_S: f64 = 0.2;
+
+impl Dispatcher {
+    /// Carries out all actions that the controller has asked for, in order.
+    pub(super) fn carry_out_actions(&mut self, effects: &mut Effects<'_>) {
+        let mut actions = std::mem::take(&mut self.actions);
+        for action in actions.drain(..) {
+            self.carry_out(action, effects);
+        }
+        self.actions = actions;
+    }
+
+    fn carry_out(&mut self, action: Action, effects: &mut Effects<'_>) {
+        match action {
+            Action::Start(id) => self.start(id, effects),
+            Action::Reject { id, retry_after_s, stop_retrying } => {
+                self.respond(id, Response::Rejected { retry_after_s, stop_retrying }, effects);
+                self.release(id);
+            }
+            Action::Fail(id) => self.fail(id, effects),
+            Action::RetainKey { id, for_s } => self.retain_key(id, effects.now + for_s),
+            Action::ReleaseKey(id) => self.release_key(id),
+            Action::ShareResponse(id) => self.share_response(id, effects),
+            Action::Call { id, until_s } => self.call(id, until_s, effects),
+            Action::SkipCall(id) => self.skip_call(id, effects),
+            // No backend of this program can stop a run, and the settings say so to the controller.
+            Action::Preempt(_) => {}
+            Action::Health(healthy) => effects.commands.push(Command::Health(healthy)),
+            Action::Publish(level) => effects.commands.push(Command::Publish(level)),
+            Action::WakeIn(after_s) => effects.commands.push(Command::WakeIn(after_s)),
+            Action::Log(text) => effects.commands.push(Command::Log(text)),
+        }
+    }
+
+    fn start(&mut self, id: RequestId, effects: &mut Effects<'_>) {
+        let Some(in_flight) = self.in_flight.get_mut(id).filter(|r| !r.responded) else {
+            // It was handed off to another process a moment ago, or responded to because the process ends.
+            effects.events.push_back(Event::RunEnded { id, outcome: Outcome::NotStarted });
+            return;
+        };
+        in_flight.started = true;
+        in_flight.last_command = Some(SentCommand { at: effects.now, command: LastCommand::Run });
+        self.metrics.dispatched(in_flight.request.class);
+        effects.commands.push(in_flight.run_command());
+    }
+
+    fn fail(&mut self, id: RequestId, effects: &mut Effects<'_>) {
+        let now = effects.now;
+        let near_deadline = self.in_flight.get(id).is_some_and(|r| now + NEAR_DEADLINE_S >= r.due);
+        let response = if near_deadline { Response::DeadlineExceeded } else { Response::Failed };
+        self.respond(id, response, effects);
+        self.release(id);
+    }
+
+    fn retain_key(&mut self, id: RequestId, expires_at: f64) {
+        let Some(in_flight) = self.in_flight.get(id) else { return };
+        if let Some(key) = &in_flight.key {
+            self.keys.retain(key, id, in_flight.body_fingerprint, expires_at);
+        }
+    }
+
+    /// Does nothing if the request got its response and was released just before.
+    fn release_key(&mut self, id: RequestId) {
+        if let Some(key) = self.in_flight.get(id).and_then(|r| r.key.clone()) {
+            self.keys.release(&key, id);
+            self.updated_keys.push(key);
+        }
+    }
+
+    fn call(&mut self, id: RequestId, until: f64, effects: &mut Effects<'_>) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let Some(call) = in_flight.pending_call.clone() else { return };
+        in_flight.calling = true;
+        effects.commands.push(Command::Call {
+            name: in_flight.request.name.clone(),
+            body: call.body,
+            for_s: (until - effects.now).max(0.0),
+            again: self.classes[in_flight.request.class].is_idempotent(),
+        });
+    }
+
+    fn skip_call(&mut self, id: RequestId, effects: &mut Effects<'_>) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        if let Some(call) = in_flight.pending_call.take() {
+            effects.commands.push(in_flight.skip_command(call.mark, effects.now));
+        }
+    }
+}
--- /dev/null
+++ b/src/dispatch/arrival.rs
@@ -0,0 +1,123 @@
+//! A request arrives: it is put in flight and reported to the controller, or answered without it.
+
+use super::dispatcher::Effects;
+use super::idempotency::{IdempotencyKey, MatchedAttempt};
+use super::in_flight::InFlight;
+use super::{Command, Dispatcher, Request, Response};
+use crate::interface::{Arrival, Event};
+
+/// When a request reached the machine, and when its caller stops waiting.
+struct ArrivalTimes {
+    /// When it arrived (loop's clock, seconds).
+    arrived: f64,
+    /// How long it has lain unread or unhandled (seconds).
+    read_delay_s: f64,
+    /// How long its caller still waits (seconds).
+    time_left_s: f64,
+}
+
+impl ArrivalTimes {
+    /// Guards window and grace: the process may have stalled between reading the request and this.
+    fn of(request: &Request, now: f64) -> ArrivalTimes {
+        let since_read_s = request.read_at.map_or(0.0, |at| (now - at).max(0.0));
+        let read_delay_s = request.read_delay_s + since_read_s;
+        let time_left_s = request.time_left_s - since_read_s;
+        ArrivalTimes { arrived: now - read_delay_s, read_delay_s, time_left_s }
+    }
+}
+
+/// A request with an idempotency key, and the attempt that it repeats, if there is one.
+struct KeyedAttempt {
+    key: IdempotencyKey,
+    body_fingerprint: u64,
+    matched: Option<MatchedAttempt>,
+}
+
+impl Dispatcher {
+    pub(super) fn accept_arrival(&mut self, request: Request, effects: &mut Effects<'_>) {
+        // Guards the executor's names: two requests of one name could not be told apart.
+        if self.is_in_flight(&request.name) || self.running_in_predecessor.contains(&request.name) {
+            return self.respond_without_controller(&request, Response::Conflict, effects);
+        }
+        let times = ArrivalTimes::of(&request, effects.now);
+        let keyed = self.keyed_attempt(&request, times.arrived);
+        if let Some(attempt) = &keyed {
+            if let Some(response) = self.response_to_unsafe_attempt(attempt, &request, &times) {
+                return self.respond_without_controller(&request, response, effects);
+            }
+        }
+        self.put_in_flight(request, keyed, &times, effects);
+    }
+
+    fn keyed_attempt(&self, request: &Request, arrived: f64) -> Option<KeyedAttempt> {
+        let key = request.key.clone()?;
+        let key = IdempotencyKey { class: request.class, tenant: request.tenant, key };
+        let body_fingerprint = self.fingerprint(&request.body);
+        let matched = self.keys.matching_attempt(&key, arrived);
+        Some(KeyedAttempt { key, body_fingerprint, matched })
+    }
+
+    /// The response to an attempt that must not be admitted, since its key could run twice or serve the wrong request.
+    fn response_to_unsafe_attempt(
+        &self,
+        attempt: &KeyedAttempt,
+        request: &Request,
+        times: &ArrivalTimes,
+    ) -> Option<Response> {
+        let is_new = attempt.matched.is_none();
+        // Guards the one run of a key: not rejected either, since it may have had its run.
+        let may_be_retry = request.retry || !self.marks_retries;
+        if is_new && self.indeterminate_keys.covers(times.arrived, may_be_retry) {
+            return Some(Response::Failed);
+        }
+        // It lay unread for longer than keys are retained: another attempt may have run and be forgotten.
+        if times.read_delay_s >= self.keys.late_reading_s() {
+            return Some(Response::DeadlineExceeded);
+        }
+        if is_new && self.keys.is_full() {
+            return Some(Response::not_started());
+        }
+        // Guards the retained result: all attempts of one request carry the same body, so this is another request, and
+        // whoever sent it must not be served with what a run made for the first.
+        let other_body = |matched: &MatchedAttempt| matched.body_fingerprint != attempt.body_fingerprint;
+        attempt.matched.as_ref().is_some_and(other_body).then_some(Response::Conflict)
+    }
+
+    fn put_in_flight(
+        &mut self,
+        request: Request,
+        keyed: Option<KeyedAttempt>,
+        times: &ArrivalTimes,
+        effects: &mut Effects<'_>,
+    ) {
+        let id = self.next_id();
+        let matched = keyed.as_ref().and_then(|attempt| attempt.matched.as_ref());
+        effects.events.push_back(Event::Arrived(Arrival {
+            id,
+            class: request.class,
+            tenant: request.tenant,
+            caller: request.caller,
+            kb: request.kb,
+            read_delay_s: times.read_delay_s,
+            time_left_s: Some(times.time_left_s),
+            estimate_s: request.estimate_s,
+            retry_of: matched.map(|m| m.holder),
+            retry: request.retry,
+        }));
+        let due = effects.now + times.time_left_s;
+        let (key, body_fingerprint) =
+            keyed.map_or((None, 0), |attempt| (Some(attempt.key), attempt.body_fingerprint));
+        self.in_flight.insert(id, InFlight::new(request, times.arrived, due, key, body_fingerprint));
+    }
+
+    /// Responds to a request that the controller never hears of.
+    fn respond_without_controller(
+        &mut self,
+        request: &Request,
+        response: Response,
+        effects: &mut Effects<'_>,
+    ) {
+        self.metrics.answered(request.class, &response);
+        effects.commands.push(Command::Respond(request.ticket, response));
+    }
+}
--- /dev/null
+++ b/src/dispatch/in_flight.rs
@@ -0,0 +1,163 @@
+//! The table of requests in flight, by number, by name and by the ticket of a pending response.
+
+use super::idempotency::IdempotencyKey;
+use super::{Request, Ticket};
+use crate::interface::RequestId;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// The last command for a run about which nothing has been heard since.
+pub(super) enum LastCommand {
+    Run,
+    Resume { reply: Rc<[u8]>, mark: u64 },
+    SkipCall { mark: u64 },
+}
+
+/// When a command was given (loop's clock, seconds), and which.
+pub(super) struct SentCommand {
+    pub(super) at: f64,
+    pub(super) command: LastCommand,
+}
+
+/// A downstream call that a run has reached and that has not been answered or skipped.
+#[derive(Clone)]
+pub(super) struct PendingCall {
+    pub(super) body: Rc<[u8]>,
+    pub(super) mark: u64,
+}
+
+/// A request that has been read and has not ended everywhere.
+pub(super) struct InFlight {
+    pub(super) request: Request,
+    pub(super) due: f64,
+    pub(super) arrived: f64,
+    /// Identifies the body of a request with an idempotency key; 0 for others.
+    pub(super) body_fingerprint: u64,
+    /// Its response was given, or nobody waits for it.
+    pub(super) responded: bool,
+    pub(super) started: bool,
+    pub(super) key: Option<IdempotencyKey>,
+    pub(super) pending_call: Option<PendingCall>,
+    /// Its downstream call is in flight.
+    pub(super) calling: bool,
+    pub(super) last_command: Option<SentCommand>,
+    /// Its run was commanded a second time, since the first command may have been lost.
+    pub(super) run_repeated: bool,
+}
+
+impl InFlight {
+    /// A request that has just been read.
+    pub(super) fn new(
+        request: Request,
+        arrived: f64,
+        due: f64,
+        key: Option<IdempotencyKey>,
+        body_fingerprint: u64,
+    ) -> InFlight {
+        InFlight {
+            request,
+            due,
+            arrived,
+            body_fingerprint,
+            responded: false,
+            started: false,
+            key,
+            pending_call: None,
+            calling: false,
+            last_command: None,
+            run_repeated: false,
+        }
+    }
+
+    /// Whether its run was commanded exactly once and has not been heard of since.
+    pub(super) fn run_commanded_once(&self) -> bool {
+        let waits_for_run = matches!(self.last_command, Some(SentCommand { command: LastCommand::Run, .. }));
+        !self.run_repeated && waits_for_run
+    }
+}
+
+/// All requests in flight.
+#[derive(Default)]
+pub(super) struct InFlightTable {
+    requests: HashMap<RequestId, InFlight>,
+    by_name: HashMap<Rc<str>, RequestId>,
+    /// Pending responses, by where they go.
+    pub(super) by_ticket: HashMap<Ticket, RequestId>,
+    pending_responses: usize,
+}
+
+impl InFlightTable {
+    pub(super) fn insert(&mut self, id: RequestId, in_flight: InFlight) {
+        self.by_name.insert(in_flight.request.name.clone(), id);
+        self.by_ticket.insert(in_flight.request.ticket, id);
+        self.pending_responses += 1;
+        self.requests.insert(id, in_flight);
+    }
+
+    pub(super) fn remove(&mut self, id: RequestId) {
+        if let Some(removed) = self.requests.remove(&id) {
+            self.by_name.remove(&removed.request.name);
+        }
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&InFlight> {
+        self.requests.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
+        self.requests.get_mut(&id)
+    }
+
+    pub(super) fn contains(&self, id: RequestId) -> bool {
+        self.requests.contains_key(&id)
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    pub(super) fn values(&self) -> impl Iterator<Item = &InFlight> {
+        self.requests.values()
+    }
+
+    pub(super) fn id_of(&self, name: &str) -> Option<RequestId> {
+        self.by_name.get(name).copied()
+    }
+
+    pub(super) fn by_name_mut(&mut self, name: &str) -> Option<(RequestId, &mut InFlight)> {
+        let id = self.id_of(name)?;
+        Some((id, self.requests.get_mut(&id)?))
+    }
+
+    /// The requests that satisfy the condition, oldest first.
+    pub(super) fn ids_where(&self, condition: impl Fn(RequestId, &InFlight) -> bool) -> Vec<RequestId> {
+        let matching = self.requests.iter().filter(|(id, in_flight)| condition(**id, in_flight));
+        let mut ids: Vec<RequestId> = matching.map(|(id, _)| *id).collect();
+        ids.sort_unstable();
+        ids
+    }
+
+    /// Requests whose response has not been given.
+    pub(super) fn pending_responses(&self) -> usize {
+        self.pending_responses
+    }
+
+    /// Marks a request as responded to; `None` if it was so before.
+    pub(super) fn mark_responded(&mut self, id: RequestId) -> Option<&InFlight> {
+        let in_flight = self.requests.get_mut(&id).filter(|r| !r.responded)?;
+        in_flight.responded = true;
+        self.pending_responses -= 1;
+        self.by_ticket.remove(&in_flight.request.ticket);
+        Some(in_flight)
+    }
+
+    /// Marks the request that waits on this ticket as abandoned by its client. By ticket and not by a search: floods
+    /// of resets come this way.
+    pub(super) fn mark_disconnected(&mut self, ticket: Ticket) -> Option<(RequestId, &InFlight)> {
+        let id = self.by_ticket.remove(&ticket)?;
+        let in_flight = self.requests.get_mut(&id)?;
+        in_flight.responded = true;
+        self.pending_responses -= 1;
+        Some((id, in_flight))
+    }
+}
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -1,8 +1,8 @@
-//! What operators read of a worker: how its requests ended and how many runs were handed over, by class.
+//! Counters that operators read: how requests ended and how many runs were dispatched, by class.
 //!
-//! The core counts here at the one place where it answers and the one where it starts a run, so that every front is
-//! counted alike and each request once. Counts begin with the process. Requests in hand are not counted here: the core
-//! knows how many answers it owes.
+//! The dispatcher counts at the one place where it responds and the one where it starts a run, so that every frontend is
+//! counted alike and each request once. Counts begin with the process. Requests in flight are not counted here:
+//! [`Dispatcher::pending_responses`](super::Dispatcher::pending_responses) tells their number.
 
 use super::Response;
 
@@ -11,11 +11,11 @@
 pub struct ClassCounters {
     /// Served with a result.
     pub success: u64,
-    /// Turned away: nothing ran for them.
+    /// Rejected: nothing ran for them.
     pub overload: u64,
-    /// Failed, whatever the cause; also those whose client left before their end.
+    /// Failed, whatever the cause; also those whose client disconnected before their end.
     pub error: u64,
-    /// Runs handed to a backend. One that is given again after a broken link is the same run.
+    /// Runs dispatched to a backend. One that is commanded again after a broken link is the same run.
     pub dispatches: u64,
 }
 
@@ -26,44 +26,46 @@
     }
 }
 
-/// The counts of all classes, by number.
+/// The counters of all classes, by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics(Vec<ClassCounters>);
 
 impl Metrics {
+    /// Counters of so many classes, all zero.
     pub fn new(classes: usize) -> Metrics {
         Metrics(vec![ClassCounters::default(); classes])
     }
 
+    /// The counters, by the number of the class.
     pub fn classes(&self) -> &[ClassCounters] {
         &self.0
     }
 
-    /// A request has ended with this answer.
-    pub fn answered(&mut self, class: usize, answer: &Response) {
+    /// A request has ended with this response.
+    pub fn answered(&mut self, class: usize, response: &Response) {
         let Some(counts) = self.0.get_mut(class) else { return };
-        match answer {
+        match response {
             Response::Served(_) => counts.success += 1,
             Response::Rejected { .. } => counts.overload += 1,
             Response::Failed | Response::DeadlineExceeded | Response::Conflict => counts.error += 1,
         }
     }
 
-    /// The client of a request has left before its end.
+    /// The client of a request has disconnected before its end.
     pub fn left(&mut self, class: usize) {
         if let Some(counts) = self.0.get_mut(class) {
             counts.error += 1;
         }
     }
 
-    /// A run has been handed over.
+    /// A run has been dispatched.
     pub fn dispatched(&mut self, class: usize) {
         if let Some(counts) = self.0.get_mut(class) {
             counts.dispatches += 1;
         }
     }
 
-    /// Takes in what was counted before there was a core.
+    /// Adds what was counted before there was a dispatcher.
     pub fn add(&mut self, earlier: &Metrics) {
         for (counts, more) in self.0.iter_mut().zip(&earlier.0) {
             counts.success += more.success;
--- a/src/dispatch/tests/crossings.rs
+++ b/src/dispatch/tests/crossings.rs
@@ -315,7 +315,7 @@
         world.pass(20.0)?;
         let owed = world.find(0, |s| s.waits && s.answer.is_none());
         prop_assert!(owed.is_none(), "r{owed:?} has no answer");
-        prop_assert_eq!(world.play.core.owed(), 0);
+        prop_assert_eq!(world.play.core.pending_responses(), 0);
         Ok(())
     });
     if let Err(e) = ran {
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -1,10 +1,15 @@
-//! Stories of the core alone, and random histories.
+//! The dispatcher alone: single scenarios, and random histories.
 
 mod crossings;
 mod request_handoff;
 
+use super::completion::{NOT_STARTED_RETRY_AFTER_S, SILENT_RUN_S};
 use super::*;
-use crate::interface::{Class, Dependency, Idempotency, Tenant, Traffic};
+use crate::interface::{
+    Class, Dependency, Gauges, Idempotency, LearnedState, Outcome, Settings, Tenant, Traffic,
+};
+use std::collections::{HashMap, VecDeque};
+use std::rc::Rc;
 
 struct Play {
     core: Dispatcher,
@@ -121,7 +126,7 @@
     let out = p.tell(Input::Arrived(Request { read_delay_s: 1.5, time_left_s: 1.5, ..request(7, "k") }));
     assert_eq!((runs(&out), answers(&out)), (0, vec![(7, served(b"done"))]));
     assert_eq!(runs(&p.arrive(8, "k")), 1);
-    assert_eq!(p.core.owed(), 2);
+    assert_eq!(p.core.pending_responses(), 2);
 }
 
 #[test]
@@ -138,7 +143,7 @@
     let mut p = Play::new();
     p.arrive(1, "k");
     p.arrive(2, "k");
-    let refused = Response::Rejected { retry_after_s: COME_BACK_S, stop_retrying: false };
+    let refused = Response::Rejected { retry_after_s: NOT_STARTED_RETRY_AFTER_S, stop_retrying: false };
     let out = p.tell(Input::NeverRan { name: "r1".into() });
     assert_eq!(answers(&out), vec![(1, refused.clone()), (2, refused)]);
     assert_eq!(runs(&p.arrive(3, "k")), 1);
@@ -181,7 +186,7 @@
     assert_eq!(answers(&p.end(1, Outcome::Ok, b"done")), vec![(1, served(b"done"))]);
     assert_eq!(p.tell(other(3)), turned_away(3));
     assert_eq!(answers(&p.arrive(4, "k")), vec![(4, served(b"done"))]);
-    assert_eq!(p.core.owed(), 0);
+    assert_eq!(p.core.pending_responses(), 0);
 }
 
 /// Lost commands held their run slots until long after their due time.
@@ -223,7 +228,7 @@
 fn a_start_that_came_too_late_frees_its_key_unless_it_was_given_twice() {
     let mut p = Play::new();
     p.arrive(1, "k");
-    assert_eq!(answers(&p.end(1, Outcome::NotStarted, b"")), vec![(1, refused())]);
+    assert_eq!(answers(&p.end(1, Outcome::NotStarted, b"")), vec![(1, Response::not_started())]);
     assert_eq!(runs(&p.arrive(2, "k")), 1);
     p.tell(Input::CommandsLost { from: -0.1, to: 0.1 });
     assert_eq!(answers(&p.end(2, Outcome::NotStarted, b"")), vec![(2, Response::Failed)]);
@@ -251,7 +256,10 @@
     for number in [1, 3, 4] {
         assert_eq!(p.tell(Input::ClientDisconnected(Ticket(number))), vec![]);
     }
-    assert_eq!((p.core.owed(), p.core.knows("r1"), p.core.knows("r3")), (1, true, false));
+    assert_eq!(
+        (p.core.pending_responses(), p.core.is_in_flight("r1"), p.core.is_in_flight("r3")),
+        (1, true, false)
+    );
     assert_eq!(p.end(1, Outcome::Ok, b"done"), vec![]);
     assert_eq!(answers(&p.arrive(5, "k")), vec![(5, served(b"done"))]);
     assert_eq!(runs(&p.arrive(6, "l")), 1);
@@ -309,7 +317,7 @@
         for (ticket, _) in answers(&p.pass(5.0)) {
             *seen.entry(ticket).or_insert(0) += 1;
         }
-        assert_eq!(p.core.owed(), 0, "seed {seed}");
+        assert_eq!(p.core.pending_responses(), 0, "seed {seed}");
         assert!((0..count).all(|n| seen.get(&n) == Some(&1)), "seed {seed}: {seen:?}");
         assert!(key_runs.values().all(|n| *n == 1), "seed {seed}: {key_runs:?}");
     }
@@ -356,14 +364,14 @@
                 };
                 // What is given again after a break is the same run.
                 started += if what == 7 { 0 } else { runs(&out) as u64 };
-                let counts = p.core.figures().classes();
+                let counts = p.core.metrics().classes();
                 let ended: u64 = counts.iter().map(|c| c.ended()).sum();
-                prop_assert_eq!(taken, ended + p.core.owed() as u64);
-                prop_assert_eq!(p.core.owed(), p.core.tickets.len());
+                prop_assert_eq!(taken, ended + p.core.pending_responses() as u64);
+                prop_assert_eq!(p.core.pending_responses(), p.core.in_flight.by_ticket.len());
                 prop_assert_eq!(started, counts.iter().map(|c| c.dispatches).sum::<u64>());
             }
             p.pass(12.0);
-            prop_assert_eq!(p.core.owed(), 0);
+            prop_assert_eq!(p.core.pending_responses(), 0);
             Ok(())
         });
         ran.unwrap();
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -8,7 +8,7 @@
 /// What the old core tells the new one, in order.
 enum Word {
     Key(IdempotencyUpdate),
-    Usage((usize, usize, f64)),
+    Usage(ResourceUsage),
 }
 
 struct Pair {
@@ -101,14 +101,14 @@
         }
         let mut out = Vec::new();
         let now = self.old.now;
-        let lent = self.old.core.lend(now, |_| true, &mut out);
+        let lent = self.old.core.hand_off(now, |_| true, &mut out);
         self.note(true, out);
-        self.new.core.succeed(lent.prints, lent.running);
+        self.new.core.succeed(lent.fingerprint_key, lent.running);
         self.tell(false, Input::LearnedState(lent.learned));
         for news in lent.keys {
             self.tell(false, Input::IdempotencyUpdate(news));
         }
-        let (on_cores, calling, kb) = self.old.core.usage();
+        let ResourceUsage { on_cores, calling, kb } = self.old.core.usage();
         self.tell(false, Input::OtherProcess { on_cores, calling, kb });
         for request in lent.requests {
             self.tell(false, Input::Arrived(request.at(now)));
@@ -118,7 +118,7 @@
     fn hear(&mut self) -> bool {
         match self.words.pop_front() {
             Some(Word::Key(news)) => self.tell(false, Input::IdempotencyUpdate(news)),
-            Some(Word::Usage((on_cores, calling, kb))) => {
+            Some(Word::Usage(ResourceUsage { on_cores, calling, kb })) => {
                 self.tell(false, Input::OtherProcess { on_cores, calling, kb });
             }
             None => return false,
@@ -132,7 +132,7 @@
             return;
         }
         while self.hear() {}
-        for ticket in self.old.core.tickets.keys() {
+        for ticket in self.old.core.in_flight.by_ticket.keys() {
             self.answers.insert(ticket.0, 1);
         }
         self.tell(false, Input::PredecessorGone);
@@ -182,9 +182,9 @@
         for number in 1..=count {
             prop_assert_eq!(pair.answers.get(&number), Some(&1), "request {}", number);
         }
-        prop_assert_eq!(pair.new.core.owed(), 0);
-        prop_assert!(pair.new.core.idle());
-        prop_assert_eq!(pair.new.core.usage(), (0, 0, 0.0));
+        prop_assert_eq!(pair.new.core.pending_responses(), 0);
+        prop_assert!(pair.new.core.is_idle());
+        prop_assert_eq!(pair.new.core.usage(), ResourceUsage::default());
         Ok(())
     });
     ran.unwrap();
@@ -199,16 +199,16 @@
     pair.arrive(4, "k");
     assert_eq!(pair.runs.len(), 2);
     pair.lend();
-    assert_eq!((pair.old.core.owed(), pair.new.core.owed()), (2, 2));
+    assert_eq!((pair.old.core.pending_responses(), pair.new.core.pending_responses()), (2, 2));
     // Both count the old core's runs.
     assert_eq!(pair.runs.len(), 2);
     // What a third process would be told is the use of both.
-    assert_eq!((pair.old.core.usage().0, pair.new.core.usage().0), (2, 2));
+    assert_eq!((pair.old.core.usage().on_cores, pair.new.core.usage().on_cores), (2, 2));
     pair.end(0, Outcome::Ok);
     pair.end(0, Outcome::Ok);
     while pair.hear() {}
     assert_eq!(pair.runs.values().filter(|(_, old)| !old).count(), 2);
-    assert!(pair.old.core.idle());
+    assert!(pair.old.core.is_idle());
 }
 
 #[test]
@@ -217,15 +217,15 @@
     p.arrive(1, "");
     p.arrive(2, "");
     p.arrive(3, "k");
-    let lent = p.core.lend(p.now, |_| true, &mut p.out);
+    let lent = p.core.hand_off(p.now, |_| true, &mut p.out);
     assert_eq!((lent.requests.len(), lent.running.len()), (1, 2));
-    p.core.end_lending();
+    p.core.end_hand_off();
     p.now = 0.5;
     let out = p.tell(Input::Arrived(lent.requests[0].at(p.now)));
     assert_eq!(answers(&out), vec![]);
     assert_eq!(runs(&p.end(1, Outcome::Ok, b"x")), 1);
     assert_eq!(answers(&p.end(3, Outcome::Ok, b"done")), vec![(3, served(b"done"))]);
-    assert_eq!(p.core.owed(), 1);
+    assert_eq!(p.core.pending_responses(), 1);
 }
 
 #[test]
@@ -240,14 +240,16 @@
 /// Tries waited for an end that had come, until their own time was over.
 #[test]
 fn the_end_of_a_key_in_the_other_process_reaches_its_tries_at_once() {
-    for (outcome, answer) in
-        [(Outcome::Ok, served(b"done")), (Outcome::Error, Response::Failed), (Outcome::NotStarted, refused())]
-    {
+    for (outcome, answer) in [
+        (Outcome::Ok, served(b"done")),
+        (Outcome::Error, Response::Failed),
+        (Outcome::NotStarted, Response::not_started()),
+    ] {
         let mut pair = Pair::new();
         pair.arrive(1, "k");
         pair.lend();
         pair.arrive(2, "k");
-        assert!(pair.new.core.knows("r2") && pair.words.is_empty());
+        assert!(pair.new.core.is_in_flight("r2") && pair.words.is_empty());
         pair.end(0, outcome);
         let Some(Word::Key(news)) = pair.words.pop_front() else { panic!("no news of the key") };
         let out = pair.new.tell(Input::IdempotencyUpdate(news));
@@ -263,10 +265,10 @@
 fn a_tenant_over_its_quota_gains_nothing_by_a_replacement() {
     let of_tenant = |number| Request { tenant: Some(0), retry: true, ..request(number, "") };
     let with_quota = || Play::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
-    let lent = |p: &mut Play| p.core.lend(p.now, |_| true, &mut Vec::new());
+    let lent = |p: &mut Play| p.core.hand_off(p.now, |_| true, &mut Vec::new());
     let mut old = with_quota();
     let whole = lent(&mut old).learned.traffic.quotas[0].0;
-    old.core.end_lending();
+    old.core.end_hand_off();
     for number in 1..=2 {
         old.tell(Input::Arrived(of_tenant(number)));
         old.end(number, Outcome::Error, b"");
@@ -282,7 +284,7 @@
     new.tell(Input::LearnedState(given.learned));
     assert_eq!(lent(&mut new).learned.traffic, Traffic { quotas, arrivals, lately });
     // A successor of other bounds takes no more than it has itself.
-    new.core.end_lending();
+    new.core.end_hand_off();
     let more = Traffic { quotas: vec![(1e6, 0.0)], ..Traffic::default() };
     new.tell(Input::LearnedState(LearnedState { traffic: more, ..lent(&mut with_quota()).learned }));
     assert_eq!(lent(&mut new).learned.traffic.quotas, [(2.0, 0.0)]);
@@ -296,22 +298,22 @@
         p.now += 0.1;
         p.end(number, Outcome::Ok, b"x");
     }
-    let learned = p.core.lend(p.now, |_| true, &mut Vec::new()).learned;
+    let learned = p.core.hand_off(p.now, |_| true, &mut Vec::new()).learned;
     assert!((0.05..0.3).contains(&(learned.paces[0].0 / learned.paces[0].1)), "{learned:?}");
     let mut new = Play::new();
     new.tell(Input::LearnedState(learned.clone()));
-    assert_eq!(new.core.lend(0.0, |_| true, &mut Vec::new()).learned, learned);
+    assert_eq!(new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned, learned);
     // What can't have been measured is let pass.
     let mut new = Play::new();
-    let before = new.core.lend(0.0, |_| true, &mut Vec::new()).learned;
-    new.core.end_lending();
+    let before = new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned;
+    new.core.end_hand_off();
     new.tell(Input::LearnedState(LearnedState { usual_s: f64::NAN, ..learned.clone() }));
     let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0)], ..Traffic::default() };
     new.tell(Input::LearnedState(LearnedState { traffic, ..learned.clone() }));
     new.tell(Input::LearnedState(LearnedState { paces: vec![(-1.0, 0.0, [0.0; 5])], ..learned.clone() }));
-    assert_eq!(new.core.lend(0.0, |_| true, &mut Vec::new()).learned, before);
+    assert_eq!(new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned, before);
     let mut new = Play::new();
     new.tell(Input::LearnedState(LearnedState { runs: 1_000_000, ..learned }));
-    let most = new.core.lend(0.0, |_| true, &mut Vec::new()).learned.runs;
+    let most = new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned.runs;
     assert!(most <= 16, "{most}");
 }
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -26,14 +26,14 @@
         let figures = || -> Counters {
             let Some(core) = core else { return Counters::new() };
             let mut counts = Counters::new();
-            for (class, one) in core.figures().classes().iter().enumerate() {
+            for (class, one) in core.metrics().classes().iter().enumerate() {
                 let name = known.class_name(class);
                 for (what, n) in [("success", one.success), ("overload", one.overload), ("error", one.error)]
                 {
                     counts.insert(format!("{name}.{what}"), n);
                 }
             }
-            counts.insert("concurrent".to_owned(), Dispatcher::owed(core) as u64);
+            counts.insert("concurrent".to_owned(), Dispatcher::pending_responses(core) as u64);
             counts
         };
         fleet.turn(now, figures, &mut self.wheel, &mut self.log);
--- a/src/net/lifecycle/hot_restart.rs
+++ b/src/net/lifecycle/hot_restart.rs
@@ -2,7 +2,7 @@
 //! `src/handover/` decides on, carried out on the fronts, the core and the links.
 
 use crate::dispatch::idempotency::IdempotencyUpdate;
-use crate::dispatch::{HandedOffRequest, Input, Ticket};
+use crate::dispatch::{FingerprintKey, HandedOffRequest, Input, ResourceUsage, Ticket};
 use crate::hot_restart::frame::{
     Frame, HandedOffConnection, KeyEnd, KeyState, QueuedRequest, Usage, VERSION,
 };
@@ -291,7 +291,7 @@
                 });
                 r.doubt = doubt;
                 if let Some(core) = &mut self.core {
-                    core.believe(doubt);
+                    core.set_indeterminate_keys(doubt);
                 }
             }
             Effect::Lend => self.lend(now, inputs),
@@ -332,8 +332,8 @@
         let Some(r) = &mut self.replacement else { return };
         self.state.passing = false;
         if let Some(core) = &mut self.core {
-            core.end_lending();
-            core.believe(r.doubt);
+            core.end_hand_off();
+            core.set_indeterminate_keys(r.doubt);
             self.wheel.set(now, 0.0, Timer::Beat);
         }
         // A drain may have closed the door for good.
@@ -384,7 +384,7 @@
         let held = stash.passed.iter().filter(|(p, _)| p.held.is_some()).count();
         if let Some(Frame::State { prints, draining, learned, running }) = stash.state.take() {
             if let Some(core) = &mut self.core {
-                core.succeed(prints, running);
+                core.succeed(FingerprintKey(prints.0, prints.1), running);
             }
             inputs.push(Input::LearnedState(learned));
             // Whoever asked this process for a drain while it waited means it all the same.
@@ -467,12 +467,13 @@
         let http = &self.http.connections;
         let mut lent = None;
         if let Some(core) = &mut self.core {
-            lent = Some(core.lend(now, |ticket| http.owns(ticket.0), &mut commands));
-            core.believe(IndeterminateKeys::Lives);
+            lent = Some(core.hand_off(now, |ticket| http.owns(ticket.0), &mut commands));
+            core.set_indeterminate_keys(IndeterminateKeys::Lives);
         }
         if let Some(lent) = lent {
             let draining = self.state.draining;
-            let (prints, learned, running) = (lent.prints, lent.learned, lent.running);
+            let prints = (lent.fingerprint_key.0, lent.fingerprint_key.1);
+            let (learned, running) = (lent.learned, lent.running);
             r.links.to_new(&Frame::State { prints, draining, learned, running }, None);
             for news in &lent.keys {
                 r.links.to_new(&Frame::Key(to_state(news, zero)), None);
@@ -542,7 +543,7 @@
 
     fn tell_usage(&mut self, less: usize) {
         let Some(core) = &self.core else { return };
-        let (on_cores, calling, kb) = core.usage();
+        let ResourceUsage { on_cores, calling, kb } = core.usage();
         let sockets = self.poll.used().saturating_sub(less) + OVERHEAD;
         let usage = Usage { on_cores, calling, kb, sockets };
         if let Some(r) = &mut self.replacement {
@@ -576,7 +577,7 @@
     pub(in crate::net) fn follow_ending(&mut self, now: f64) {
         let Some(r) = &self.replacement else { return };
         let Some(at_most) = r.ending else { return };
-        let owed = self.core.as_ref().is_some_and(|core| !core.idle());
+        let owed = self.core.as_ref().is_some_and(|core| !core.is_idle());
         let others = self.ajp.as_ref().map_or(true, |a| a.connections.quiet())
             && self.http2.as_ref().map_or(true, |h| h.connections.quiet());
         // Without a successor nobody takes what is idle.
--- a/src/net/lifecycle/hot_restart_messages.rs
+++ b/src/net/lifecycle/hot_restart_messages.rs
@@ -12,11 +12,11 @@
 }
 
 pub(in crate::net) fn to_state(news: &IdempotencyUpdate, zero_ms: f64) -> KeyState {
-    let name = &news.name;
+    let name = &news.key;
     KeyState {
         key: Key { class: name.class, tenant: name.tenant, key: name.key.clone() },
-        print: news.print,
-        until_ms: zero_ms + news.until * 1000.0,
+        print: news.body_fingerprint,
+        until_ms: zero_ms + news.expires_at * 1000.0,
         end: match &news.progress {
             Some(KeyProgress::Open) => KeyEnd::Open,
             Some(KeyProgress::Served(result)) => KeyEnd::Served(result.clone().map(Bytes)),
@@ -30,9 +30,9 @@
 pub(in crate::net) fn to_news(state: KeyState, zero_ms: f64, latest: f64) -> IdempotencyUpdate {
     let Key { class, tenant, key } = state.key;
     IdempotencyUpdate {
-        name: IdempotencyKey { class, tenant, key },
-        print: state.print,
-        until: ((state.until_ms - zero_ms) / 1000.0).min(latest),
+        key: IdempotencyKey { class, tenant, key },
+        body_fingerprint: state.print,
+        expires_at: ((state.until_ms - zero_ms) / 1000.0).min(latest),
         progress: match state.end {
             KeyEnd::Open => Some(KeyProgress::Open),
             KeyEnd::Served(result) => Some(KeyProgress::Served(result.map(|b| b.0))),
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -34,8 +34,10 @@
             }
             Call::Ready => console::Reply::new(200, "ready\n"),
             Call::Metrics => {
-                let (counts, concurrent) =
-                    self.core.as_ref().map_or((&self.early, 0), |core| (core.figures(), core.owed()));
+                let (counts, concurrent) = self
+                    .core
+                    .as_ref()
+                    .map_or((&self.early, 0), |core| (core.metrics(), core.pending_responses()));
                 let figures = console::figures(&self.state.known, counts, concurrent);
                 console::Reply::new(200, figures + &self.fleet_figures())
             }
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -132,7 +132,7 @@
 
     /// Nothing is owed, everything is written, and no half request is waited for.
     fn all_answered(&self) -> bool {
-        self.core.as_ref().map_or(0, Dispatcher::owed) == 0
+        self.core.as_ref().map_or(0, Dispatcher::pending_responses) == 0
             && self.http.connections.quiet()
             && self.ajp.as_ref().map_or(true, |a| a.connections.quiet())
             && self.http2.as_ref().map_or(true, |h| h.connections.quiet())
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::config::{Config, Files, Operator};
 use crate::dispatch::metrics::Metrics;
-use crate::dispatch::{Command, Dispatcher, Input, Response, Ticket};
+use crate::dispatch::{Command, Dispatcher, FingerprintKey, Input, Response, Ticket};
 use crate::fleet::MembershipConfig;
 use crate::hot_restart::{Event, IndeterminateKeys};
 use crate::interface::{Outcome, Settings};
@@ -593,9 +593,11 @@
         let mut core = Dispatcher::new(settings, now, room as usize, &mut commands);
         // The system's random numbers: bodies that look the same to it can't be made up outside.
         let dice = RandomState::new();
-        core.salt((dice.hash_one(1), dice.hash_one(2)));
-        core.count_earlier(&self.early);
-        core.believe(self.replacement.as_ref().map_or(IndeterminateKeys::None, Replacement::doubt));
+        core.set_fingerprint_key(FingerprintKey(dice.hash_one(1), dice.hash_one(2)));
+        core.add_metrics(&self.early);
+        core.set_indeterminate_keys(
+            self.replacement.as_ref().map_or(IndeterminateKeys::None, Replacement::doubt),
+        );
         if let Some(leaving) = &self.leaving {
             let (notice, stop) = (leaving.at.notice, leaving.at.kill_at);
             core.handle(now, [Input::Shutdown { notice, stop }], &mut commands);
