--- a/src/hot_restart/frame/tests.rs
+++ b/src/hot_restart/frame/tests.rs
@@ -1,9 +1,11 @@
 use super::*;
 
-fn all() -> Vec<Frame> {
+fn all_frames() -> Vec<Frame> {
     let key = Key { class: 1, tenant: Some(0), key: "k\u{e9}\"1".into() };
-    let state = |end| Frame::Key(KeyState { key: key.clone(), print: u64::MAX, until_ms: 1.5e12, end });
-    let held = QueuedRequest {
+    let state = |outcome| {
+        Frame::Key(KeyState { key: key.clone(), body_fingerprint: u64::MAX, expires_at_ms: 1.5e12, outcome })
+    };
+    let queued = QueuedRequest {
         name: "r1".into(),
         class: 1,
         tenant: None,
@@ -19,40 +21,40 @@
     vec![
         Frame::Hello { version: VERSION, name: "n1".into(), classes: vec!["a".into()], tenants: vec![] },
         Frame::Welcome,
-        Frame::Stranger { why: "because".into() },
-        Frame::Take,
+        Frame::Incompatible { reason: "because".into() },
+        Frame::RequestListeners,
         Frame::State {
-            prints: (1, u64::MAX),
+            fingerprint_key: (1, u64::MAX),
             draining: true,
             learned: LearnedState::default(),
             running: vec!["r9".into()],
         },
-        state(KeyEnd::Open),
-        state(KeyEnd::Served(Some(Bytes(Rc::from(*b"done"))))),
-        state(KeyEnd::Served(None)),
-        state(KeyEnd::Failed),
-        state(KeyEnd::Never),
+        state(KeyOutcome::Open),
+        state(KeyOutcome::Served(Some(Bytes(Rc::from(*b"done"))))),
+        state(KeyOutcome::Served(None)),
+        state(KeyOutcome::Failed),
+        state(KeyOutcome::NeverRan),
         Frame::Usage(Usage { on_cores: 3, calling: 1, kb: 0.5, sockets: 9 }),
-        Frame::Passed(HandedOffConnection {
+        Frame::Connection(HandedOffConnection {
             unread: Bytes(Rc::from(*b"GET /ch")),
             ..HandedOffConnection::default()
         }),
-        Frame::Passed(HandedOffConnection {
-            held: Some(held),
-            asked: 2,
-            close: true,
+        Frame::Connection(HandedOffConnection {
+            queued_request: Some(queued),
+            requests_read: 2,
+            close_after_response: true,
             ..HandedOffConnection::default()
         }),
-        Frame::Listener { front: "ajp".into() },
-        Frame::Done,
-        Frame::Opened,
+        Frame::Listener { frontend: "ajp".into() },
+        Frame::StateComplete,
+        Frame::TakeoverConfirmed,
         Frame::Drain(false),
     ]
 }
 
 #[test]
-fn every_frame_is_read_as_it_was_written_and_never_before_it_is_whole() {
-    for frame in all() {
+fn every_frame_is_decoded_as_encoded_and_not_before_it_is_complete() {
+    for frame in all_frames() {
         let bytes = frame.encode();
         for cut in 0..bytes.len() {
             assert_eq!(Frame::decode(&bytes[..cut]), Ok(None), "{frame:?} at {cut}");
@@ -62,21 +64,21 @@
 }
 
 #[test]
-fn damage_is_told_from_want_of_bytes() {
-    let bytes = Frame::Take.encode();
+fn damaged_frames_are_errors_and_not_incomplete() {
+    let bytes = Frame::RequestListeners.encode();
     let mut long = bytes.clone();
     long[0] = 0xff;
     let mut marked = bytes.clone();
     marked[4] = 1;
     let mut spoilt = bytes.clone();
-    spoilt[HEAD] = b'!';
+    spoilt[HEADER_BYTES] = b'!';
     for damaged in [long, marked, spoilt] {
         assert!(Frame::decode(&damaged).is_err(), "{damaged:?}");
     }
 }
 
 #[test]
-fn what_another_version_says_beyond_is_let_pass() {
+fn unknown_fields_of_another_version_are_ignored() {
     let text = br#"{"Usage":{"on_cores":1,"calling":0,"kb":2.0,"sockets":3,"moons":[1]}}"#;
     let mut bytes = (text.len() as u32).to_be_bytes().to_vec();
     bytes.push(0);
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -10,12 +10,13 @@
     /// The fleet's part of a turn.
     pub(in crate::net) fn fleet_turn(&mut self, now: f64) {
         let Some(fleet) = &mut self.fleet else { return };
-        let replaced = self.replacement.as_ref().is_some_and(|r| r.door.given_away());
+        let replaced = self.replacement.as_ref().is_some_and(|r| r.ownership.has_handed_off());
         if replaced || self.leaving.is_some() {
             fleet.member.leave(replaced);
         }
         // One whose place another still has does not act for the fleet beside it.
-        let serves = self.replacement.as_ref().map_or(true, |r| r.door.is_open()) && self.core.is_some();
+        let serves =
+            self.replacement.as_ref().map_or(true, |r| r.ownership.is_owner()) && self.core.is_some();
         let at = fleet.now();
         fleet.member.set_takes(at, serves && !self.state.draining);
         if fleet.member.tells(at) {
--- /dev/null
+++ b/src/net/lifecycle/hot_restart/effects.rs
@@ -0,0 +1,94 @@
+//! Carries out what the state machine of listener ownership decides.
+
+use super::staged_state::StagedState;
+use crate::dispatch::Input;
+use crate::hot_restart::frame::{Frame, VERSION};
+use crate::hot_restart::{Effect, IndeterminateKeys};
+use crate::net::frontends::connections::Stage;
+use crate::net::Worker;
+
+impl Worker {
+    pub(super) fn carry_out_hot_restart_effect(&mut self, now: f64, effect: Effect, inputs: &mut Vec<Input>) {
+        match effect {
+            Effect::SendHello => self.send_hello(),
+            Effect::RequestListeners => self.send_to_predecessor(&Frame::RequestListeners),
+            Effect::ConfirmTakeover => self.send_to_predecessor(&Frame::TakeoverConfirmed),
+            Effect::WatchPredecessor => {
+                self.discard_staged_state();
+                if let Some(hot_restart) = &mut self.replacement {
+                    hot_restart.links.watch_predecessor();
+                }
+            }
+            Effect::DiscardState => self.discard_staged_state(),
+            Effect::AdoptState => self.adopt_staged_state(now, inputs),
+            Effect::OpenListeners => self.become_listener_owner(now),
+            Effect::SetIndeterminateKeys(keys) => self.set_indeterminate_keys(keys),
+            Effect::HandOff => self.hand_off(now, inputs),
+            Effect::ReleaseHandedOff => self.release_handed_off(),
+            Effect::Reclaim => self.reclaim(now, inputs),
+            Effect::ExitWhenIdle => self.exit_when_idle(now),
+        }
+    }
+
+    fn send_to_predecessor(&mut self, frame: &Frame) {
+        if let Some(hot_restart) = &mut self.replacement {
+            hot_restart.links.send_to_predecessor(frame);
+        }
+    }
+
+    fn send_hello(&mut self) {
+        let settings = &self.config.settings;
+        let hello = Frame::Hello {
+            version: VERSION,
+            name: self.config.name.clone(),
+            classes: settings.profiles.iter().map(|p| p.name.clone()).collect(),
+            tenants: settings.tenants.iter().map(|t| t.name.clone()).collect(),
+        };
+        self.send_to_predecessor(&hello);
+    }
+
+    fn discard_staged_state(&mut self) {
+        if let Some(hot_restart) = &mut self.replacement {
+            hot_restart.staged = StagedState::default();
+        }
+    }
+
+    fn set_indeterminate_keys(&mut self, keys: IndeterminateKeys) {
+        self.log.line(match keys {
+            IndeterminateKeys::None => "handover: all keys are known again",
+            IndeterminateKeys::All => {
+                "handover: the old process says nothing: keys that are not known here fail"
+            }
+            IndeterminateKeys::RetriesUntil(_) => {
+                "handover: further tries of keys that are not known here fail for a window"
+            }
+        });
+        if let Some(hot_restart) = &mut self.replacement {
+            hot_restart.indeterminate_keys = keys;
+        }
+        if let Some(dispatcher) = &mut self.core {
+            dispatcher.set_indeterminate_keys(keys);
+        }
+    }
+
+    /// Accepts clients, and a successor.
+    fn become_listener_owner(&mut self, now: f64) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        if let Err(e) = hot_restart.links.listen_for_successor() {
+            self.log.line(&format!("handover: this process can't be replaced: {e}"));
+        }
+        self.accept_clients(now);
+        self.log.line("handover: the door is open here");
+    }
+
+    fn release_handed_off(&mut self) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        hot_restart.handed_off.clear();
+        for id in self.http.connections.ids_where(|c| c.stage == Stage::HandedOff) {
+            self.http.connections.close(id);
+        }
+        hot_restart.links.stop_listening();
+        hot_restart.frontend_listeners.clear();
+        self.log.line("handover: the new process has the door");
+    }
+}
--- /dev/null
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -0,0 +1,58 @@
+//! The exit of a process that has handed off and has had the shutdown notice.
+
+use crate::net::io::timer_wheel::Timer;
+use crate::net::Worker;
+
+/// SIGKILL follows SIGTERM after the longest deadline, which counts as this where it is shorter (seconds).
+const MIN_LONGEST_DEADLINE_S: f64 = 3.0;
+/// And so much later (seconds).
+const KILL_AFTER_DEADLINE_S: f64 = 0.7;
+/// The process exits so long before (seconds).
+const EXIT_MARGIN_S: f64 = 0.1;
+
+impl Worker {
+    /// From here on the process exits once no response is pending, and before it is killed in any case.
+    pub(super) fn exit_when_idle(&mut self, now: f64) {
+        let deadlines = self.settings.classes.iter().map(|c| c.deadline_s);
+        let longest_deadline_s = deadlines.fold(MIN_LONGEST_DEADLINE_S, f64::max);
+        // A shutdown that was under way when the listeners went has its own end.
+        let kill_at = match &self.leaving {
+            Some(leaving) => leaving.at.kill_at,
+            None => now + longest_deadline_s + KILL_AFTER_DEADLINE_S,
+        };
+        let exit_by = kill_at - EXIT_MARGIN_S;
+        if let Some(hot_restart) = &mut self.replacement {
+            hot_restart.exit_by = Some(exit_by);
+        }
+        self.wheel.set(now, exit_by - now, Timer::Again);
+        self.log.line("handover: told to leave; ends when nothing is owed");
+    }
+
+    /// Exits if it is time to.
+    pub(in crate::net) fn follow_exit(&mut self, now: f64) {
+        let Some(exit_by) = self.replacement.as_ref().and_then(|r| r.exit_by) else { return };
+        let must_exit = now >= exit_by;
+        let all_handed_off = self.has_handed_off_everything();
+        if !all_handed_off && must_exit {
+            self.answer_all();
+        }
+        if all_handed_off && self.end_connections(now, false) || must_exit {
+            let line = if all_handed_off { "left with all handed over" } else { "left with answers owed" };
+            self.log.line(line);
+            self.end(now);
+        }
+    }
+
+    /// Whether no response is pending and the successor has been sent everything.
+    fn has_handed_off_everything(&self) -> bool {
+        let Some(hot_restart) = &self.replacement else { return false };
+        let idle = self.core.as_ref().map_or(true, |dispatcher| dispatcher.is_idle());
+        let ajp_idle = self.ajp.as_ref().map_or(true, |a| a.connections.quiet());
+        let http2_idle = self.http2.as_ref().map_or(true, |h| h.connections.quiet());
+        // Without a successor nobody takes idle connections.
+        let http = &self.http.connections;
+        let http_idle = if hot_restart.links.has_successor() { http.is_empty() } else { http.quiet() };
+        let all_sent = hot_restart.links.all_sent();
+        idle && ajp_idle && http2_idle && http_idle && all_sent && !hot_restart.ownership.has_predecessor()
+    }
+}
--- /dev/null
+++ b/src/net/lifecycle/hot_restart/messages.rs
@@ -0,0 +1,92 @@
+//! Conversion between the dispatcher's types and the frames on the link between two processes.
+
+use crate::dispatch::idempotency::{IdempotencyKey, IdempotencyUpdate, KeyProgress};
+use crate::dispatch::{HandedOffRequest, Request, Ticket};
+use crate::hot_restart::frame::{Bytes, HandedOffConnection, Key, KeyOutcome, KeyState, QueuedRequest};
+use crate::net::frontends::connections::DetachedConnection;
+use crate::net::Clock;
+
+/// The Unix time of the loop's zero (milliseconds): times on the link mean the same in both processes.
+pub(super) fn loop_zero_unix_ms(clock: &Clock) -> f64 {
+    clock.unix_ms() - clock.now() * 1000.0
+}
+
+pub(super) fn to_key_state(update: &IdempotencyUpdate, zero_unix_ms: f64) -> KeyState {
+    let IdempotencyKey { class, tenant, key } = update.key.clone();
+    KeyState {
+        key: Key { class, tenant, key },
+        body_fingerprint: update.body_fingerprint,
+        expires_at_ms: zero_unix_ms + update.expires_at * 1000.0,
+        outcome: match &update.progress {
+            Some(KeyProgress::Open) => KeyOutcome::Open,
+            Some(KeyProgress::Served(result)) => KeyOutcome::Served(result.clone().map(Bytes)),
+            Some(KeyProgress::Failed) => KeyOutcome::Failed,
+            None => KeyOutcome::NeverRan,
+        },
+    }
+}
+
+/// `latest_expiry` is the end of the longest window that may begin now (loop's clock, seconds): no key matches retries
+/// for longer.
+pub(super) fn to_key_update(state: KeyState, zero_unix_ms: f64, latest_expiry: f64) -> IdempotencyUpdate {
+    let Key { class, tenant, key } = state.key;
+    IdempotencyUpdate {
+        key: IdempotencyKey { class, tenant, key },
+        body_fingerprint: state.body_fingerprint,
+        expires_at: ((state.expires_at_ms - zero_unix_ms) / 1000.0).min(latest_expiry),
+        progress: match state.outcome {
+            KeyOutcome::Open => Some(KeyProgress::Open),
+            KeyOutcome::Served(result) => Some(KeyProgress::Served(result.map(|bytes| bytes.0))),
+            KeyOutcome::Failed => Some(KeyProgress::Failed),
+            KeyOutcome::NeverRan => None,
+        },
+    }
+}
+
+pub(super) fn to_queued_request(handed_off: &HandedOffRequest, zero_unix_ms: f64) -> QueuedRequest {
+    let request = &handed_off.request;
+    QueuedRequest {
+        name: request.name.clone(),
+        class: request.class,
+        tenant: request.tenant,
+        caller: request.caller,
+        kb: request.kb,
+        arrived_ms: zero_unix_ms + handed_off.arrived * 1000.0,
+        due_ms: zero_unix_ms + handed_off.due * 1000.0,
+        estimate_s: request.estimate_s,
+        key: request.key.clone(),
+        retry: request.retry,
+        body: Bytes(request.body.clone()),
+    }
+}
+
+pub(super) fn to_request(queued: QueuedRequest, ticket: Ticket, unix_ms: f64) -> Request {
+    Request {
+        ticket,
+        name: queued.name,
+        class: queued.class,
+        tenant: queued.tenant,
+        caller: queued.caller,
+        kb: queued.kb,
+        read_at: None,
+        read_delay_s: ((unix_ms - queued.arrived_ms) / 1000.0).max(0.0),
+        time_left_s: ((queued.due_ms - unix_ms) / 1000.0).max(0.0),
+        estimate_s: queued.estimate_s,
+        key: queued.key,
+        retry: queued.retry,
+        body: queued.body.0,
+    }
+}
+
+pub(super) fn to_connection(
+    detached: &DetachedConnection<bool>,
+    queued_request: Option<QueuedRequest>,
+) -> HandedOffConnection {
+    HandedOffConnection {
+        unread: Bytes(detached.unread.as_slice().into()),
+        continued: detached.memory,
+        requests_read: detached.asked,
+        close_after_response: detached.close,
+        queued_request,
+    }
+}
--- /dev/null
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -0,0 +1,192 @@
+//! Hot restart of a worker: the effects that [`crate::hot_restart`] decides on, carried out on the frontends, the
+//! dispatcher and the links to the other processes.
+#![warn(missing_docs)]
+
+mod effects;
+mod exit;
+mod frontends;
+mod inherited_listener;
+mod links;
+mod messages;
+mod peer_link;
+mod predecessor;
+mod staged_state;
+mod successor;
+
+pub(in crate::net) use inherited_listener::inherited_listener;
+pub(in crate::net) use links::Links;
+
+use crate::dispatch::{HandedOffRequest, Input};
+use crate::hot_restart::frame::Usage;
+use crate::hot_restart::{Event, IndeterminateKeys, ListenerOwnership, PREDECESSOR_TIMEOUT_S};
+use crate::net::io::timer_wheel::Timer;
+use crate::net::Worker;
+use links::{LinkEvent, Predecessor};
+use staged_state::StagedState;
+use std::net::TcpListener;
+use std::rc::Rc;
+
+/// Why a worker that has just started can't serve.
+#[derive(Debug, thiserror::Error)]
+pub(in crate::net) enum HotRestartError {
+    /// A frontend of the operator's file can't be opened at its address.
+    #[error("{reason}")]
+    FrontendNotOpened { reason: String },
+}
+
+/// The listening socket of a frontend of the operator's file.
+struct FrontendListener {
+    /// The block of the file that sets the frontend up.
+    frontend: String,
+    socket: Rc<TcpListener>,
+}
+
+/// The part of a worker that exists where the listening socket is inherited and there is a folder to meet in.
+pub(in crate::net) struct HotRestart {
+    pub(in crate::net) links: Links,
+    pub(in crate::net) ownership: ListenerOwnership,
+    /// The inherited socket of the HTTP frontend.
+    http_socket: Rc<TcpListener>,
+    staged: StagedState,
+    /// Requests that the successor has been sent and has not confirmed.
+    handed_off: Vec<HandedOffRequest>,
+    /// Sockets that the predecessor has sent, or those that the successor has been sent.
+    frontend_listeners: Vec<FrontendListener>,
+    /// Why a frontend could not be opened.
+    frontend_error: Option<HotRestartError>,
+    /// What the successor was told last.
+    reported_usage: Usage,
+    /// This process and its successor understand each other.
+    successor_accepted: bool,
+    /// What was assumed of keys before they were handed off.
+    indeterminate_keys: IndeterminateKeys,
+    /// When the process exits at the latest, once it has had the shutdown notice and has no listeners (loop's clock,
+    /// seconds).
+    exit_by: Option<f64>,
+}
+
+impl HotRestart {
+    /// A process that has not looked for a predecessor yet. A key matches retries for `longest_window_s` at most.
+    pub(in crate::net) fn new(links: Links, http_socket: Rc<TcpListener>, longest_window_s: f64) -> Self {
+        HotRestart {
+            links,
+            ownership: ListenerOwnership::new(longest_window_s),
+            http_socket,
+            staged: StagedState::default(),
+            handed_off: Vec::new(),
+            frontend_listeners: Vec::new(),
+            frontend_error: None,
+            reported_usage: Usage::default(),
+            successor_accepted: false,
+            indeterminate_keys: IndeterminateKeys::None,
+            exit_by: None,
+        }
+    }
+
+    /// What is to be assumed of keys by a dispatcher that begins now.
+    pub(in crate::net) fn indeterminate_keys(&self) -> IndeterminateKeys {
+        self.indeterminate_keys
+    }
+}
+
+impl Worker {
+    /// Whether clients are accepted.
+    pub(in crate::net) fn owns_listeners(&self) -> bool {
+        self.replacement.as_ref().map_or(true, |r| r.ownership.is_owner())
+    }
+
+    /// Whether a successor owns the listeners, or has been sent everything for it.
+    pub(in crate::net) fn has_handed_off(&self) -> bool {
+        self.replacement.as_ref().is_some_and(|r| r.ownership.has_handed_off())
+    }
+
+    /// Looks for a process that serves already, right after the start.
+    ///
+    /// # Errors
+    ///
+    /// There is none, and an address of the operator's file can't be used.
+    pub(in crate::net) fn find_predecessor(&mut self, now: f64) -> Result<(), HotRestartError> {
+        let Some(hot_restart) = &mut self.replacement else { return Ok(()) };
+        let event = match hot_restart.links.find_predecessor() {
+            Ok(Predecessor::Connected) => Event::PredecessorConnected,
+            Ok(Predecessor::Absent) => Event::NoPredecessor,
+            Ok(Predecessor::Dead) => {
+                self.log.line("handover: the process before this one has died; what it ran is not known");
+                Event::PredecessorDead
+            }
+            Err(e) => {
+                self.log.line(&format!("handover: no link to a process before this one: {e}"));
+                Event::NoPredecessor
+            }
+        };
+        let mut inputs = Vec::new();
+        self.on_hot_restart_event(now, event, &mut inputs);
+        self.left_over.append(&mut inputs);
+        let frontend_error = self.replacement.as_mut().and_then(|r| r.frontend_error.take());
+        frontend_error.map_or(Ok(()), Err)
+    }
+
+    /// Tells the state machine what happened, and carries out what it decides.
+    pub(in crate::net) fn on_hot_restart_event(&mut self, now: f64, event: Event, inputs: &mut Vec<Input>) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        let mut effects = Vec::new();
+        hot_restart.ownership.handle(now, event, &mut effects);
+        if matches!(event, Event::PredecessorConnected | Event::HelloAccepted | Event::ReadyToServe) {
+            self.wheel.set(now, PREDECESSOR_TIMEOUT_S, Timer::Again);
+        }
+        for effect in effects {
+            self.carry_out_hot_restart_effect(now, effect, inputs);
+        }
+    }
+
+    /// Handles what the other processes have sent, before any frontend is looked at.
+    pub(in crate::net) fn receive_hot_restart_frames(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        while let Some(event) = self.replacement.as_mut().and_then(|r| r.links.next_event()) {
+            self.on_link_event(now, event, inputs);
+        }
+        // Only now: what it waits for may have come while this process got no time.
+        self.on_hot_restart_event(now, Event::Tick, inputs);
+    }
+
+    fn on_link_event(&mut self, now: f64, event: LinkEvent, inputs: &mut Vec<Input>) {
+        match event {
+            LinkEvent::FromPredecessor(received) => self.on_predecessor_frame(now, received, inputs),
+            LinkEvent::PredecessorDamaged(error) => {
+                self.log.line(&format!("handover: what the old process says is damaged: {error}"));
+                self.on_hot_restart_event(now, Event::Incompatible, inputs);
+            }
+            LinkEvent::PredecessorDisconnected => self.on_predecessor_disconnected(now, inputs),
+            LinkEvent::FromSuccessor(frame) => self.on_successor_frame(now, frame, inputs),
+            LinkEvent::SuccessorDamaged(error) => {
+                self.log.line(&format!("handover: what the new process says is damaged: {error}"));
+                if let Some(hot_restart) = &mut self.replacement {
+                    hot_restart.links.disconnect_successor();
+                }
+                self.on_hot_restart_event(now, Event::SuccessorDisconnected, inputs);
+            }
+            LinkEvent::SuccessorDisconnected => {
+                self.log.line("handover: the new process has ended");
+                self.on_hot_restart_event(now, Event::SuccessorDisconnected, inputs);
+            }
+        }
+    }
+
+    /// At the end of a round of the loop: connections that have fallen idle go to the successor, and what is queued for
+    /// the other processes is sent.
+    pub(in crate::net) fn send_hot_restart_frames(&mut self, now: f64) {
+        let Some(hot_restart) = &self.replacement else { return };
+        if hot_restart.ownership.is_released() && hot_restart.links.has_successor() {
+            self.hand_off_idle_connections();
+            self.report_usage(0);
+        }
+        let Some(hot_restart) = &mut self.replacement else { return };
+        if hot_restart.links.flush() {
+            self.wheel.set(now, 0.0, Timer::Again);
+        }
+    }
+
+    /// How long a key matches retries at most: its window, and what the controller adds to be safe (seconds).
+    fn longest_window_s(&self) -> f64 {
+        self.settings.classes.iter().map(|c| c.window_s).fold(0.0, f64::max) + 1.0
+    }
+}
--- /dev/null
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -0,0 +1,188 @@
+//! The successor's side: frames of the predecessor, and taking over what it hands off.
+
+use super::frontends::MAX_FRONTENDS;
+use super::messages::{loop_zero_unix_ms, to_key_update, to_request};
+use super::peer_link::ReceivedFrame;
+use super::staged_state::{PredecessorState, ReceivedConnection};
+use super::FrontendListener;
+use crate::dispatch::{FingerprintKey, Input, Ticket};
+use crate::hot_restart::frame::{Frame, HandedOffConnection, KeyState, QueuedRequest, Usage};
+use crate::hot_restart::Event;
+use crate::net::frontends::connections::DetachedConnection;
+use crate::net::Worker;
+use std::net::TcpListener;
+use std::os::fd::OwnedFd;
+use std::rc::Rc;
+
+/// The memory limit is so many times what the predecessor's keys and results may take before they are acted on. That is
+/// twice the room for results, since the predecessor may hold what an older one has sent it.
+const MEMORY_PER_STAGED_KEYS: f64 = crate::net::RESULT_PART / 2.0;
+
+impl Worker {
+    pub(super) fn on_predecessor_frame(
+        &mut self,
+        now: f64,
+        received: ReceivedFrame,
+        inputs: &mut Vec<Input>,
+    ) {
+        let ReceivedFrame { frame, descriptor } = received;
+        let staged_too_much = self.has_staged_too_much();
+        let Some(hot_restart) = &mut self.replacement else { return };
+        match frame {
+            Frame::Welcome => self.on_hot_restart_event(now, Event::HelloAccepted, inputs),
+            Frame::Incompatible { reason } => {
+                self.log.line(&format!("handover: the old process gives nothing: {reason}"));
+                self.on_hot_restart_event(now, Event::Incompatible, inputs);
+            }
+            Frame::State { fingerprint_key, draining, learned, running } => {
+                let state = PredecessorState { fingerprint_key, draining, learned, running };
+                hot_restart.staged.state = Some(state);
+            }
+            Frame::Key(state) if hot_restart.staged.adopted => self.update_keys(now, vec![state], inputs),
+            // More than a process can have: no port worker is sending.
+            _ if staged_too_much => {
+                self.log.line("handover: the old process says too much");
+                self.on_hot_restart_event(now, Event::Incompatible, inputs);
+            }
+            Frame::Key(state) => hot_restart.staged.add_key(state),
+            Frame::Usage(usage) => self.on_predecessor_usage(usage, inputs),
+            Frame::Connection(connection) => self.on_connection(now, connection, descriptor, inputs),
+            Frame::Listener { frontend } => self.on_listener(frontend, descriptor),
+            Frame::StateComplete => self.on_hot_restart_event(now, Event::StateReceived, inputs),
+            Frame::Drain(draining) => self.drain(draining),
+            Frame::Hello { .. } | Frame::RequestListeners | Frame::TakeoverConfirmed => {
+                self.log.often("handover: the old process said what only a new one says");
+            }
+        }
+    }
+
+    pub(super) fn on_predecessor_disconnected(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        self.log.line("handover: the old process has ended");
+        self.poll.set_beside(0);
+        self.on_hot_restart_event(now, Event::PredecessorDisconnected, inputs);
+        inputs.push(Input::PredecessorGone);
+        if self.owns_listeners() {
+            // Its addresses are free now.
+            self.open_operator_frontends();
+        }
+    }
+
+    fn has_staged_too_much(&self) -> bool {
+        let Some(hot_restart) = &self.replacement else { return false };
+        let limits = &self.config.limits;
+        let max_key_bytes = (limits.memory_mb * 1024.0 * 1024.0 / MEMORY_PER_STAGED_KEYS) as usize;
+        let staged = &hot_restart.staged;
+        staged.key_bytes > max_key_bytes || staged.connections.len() > limits.sockets
+    }
+
+    fn update_keys(&self, now: f64, states: Vec<KeyState>, inputs: &mut Vec<Input>) {
+        let zero_unix_ms = loop_zero_unix_ms(&self.clock);
+        let latest_expiry = now + self.longest_window_s();
+        let updates = states.into_iter().map(|state| to_key_update(state, zero_unix_ms, latest_expiry));
+        inputs.extend(updates.map(Input::IdempotencyUpdate));
+    }
+
+    fn on_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        if hot_restart.staged.adopted {
+            self.set_predecessor_usage(usage, inputs);
+        } else {
+            hot_restart.staged.usage = usage;
+        }
+    }
+
+    fn on_connection(
+        &mut self,
+        now: f64,
+        connection: HandedOffConnection,
+        descriptor: Option<OwnedFd>,
+        inputs: &mut Vec<Input>,
+    ) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(stream) = descriptor else { return };
+        let received = ReceivedConnection { connection, stream };
+        if hot_restart.staged.adopted {
+            self.adopt_connection(now, received, inputs);
+        } else {
+            hot_restart.staged.connections.push(received);
+        }
+    }
+
+    fn on_listener(&mut self, frontend: String, descriptor: Option<OwnedFd>) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(descriptor) = descriptor else { return };
+        if hot_restart.frontend_listeners.len() < MAX_FRONTENDS {
+            let socket = Rc::new(TcpListener::from(descriptor));
+            hot_restart.frontend_listeners.push(FrontendListener { frontend, socket });
+        }
+    }
+
+    /// Acts on all that the predecessor has sent.
+    pub(super) fn adopt_staged_state(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        let staged = hot_restart.staged.adopt();
+        let keys = staged.keys.len();
+        let connections = staged.connections.len();
+        let has_request = |c: &&ReceivedConnection| c.connection.queued_request.is_some();
+        let held = staged.connections.iter().filter(has_request).count();
+        let on_cores = staged.usage.on_cores;
+        if let Some(state) = staged.state {
+            self.adopt_predecessor_state(state, inputs);
+        }
+        self.update_keys(now, staged.keys, inputs);
+        self.set_predecessor_usage(staged.usage, inputs);
+        for received in staged.connections {
+            self.adopt_connection(now, received, inputs);
+        }
+        self.open_operator_frontends();
+        self.log.line(&format!(
+            "handover: taken over: keys={keys} connections={connections} held={held} runs_beside={on_cores}"
+        ));
+    }
+
+    fn adopt_predecessor_state(&mut self, state: PredecessorState, inputs: &mut Vec<Input>) {
+        let (key_0, key_1) = state.fingerprint_key;
+        if let Some(dispatcher) = &mut self.core {
+            dispatcher.succeed(FingerprintKey(key_0, key_1), state.running);
+        }
+        inputs.push(Input::LearnedState(state.learned));
+        // Whoever asked this process for a drain while it waited means it all the same.
+        self.drain(state.draining || self.state.draining);
+    }
+
+    fn set_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
+        let Usage { on_cores, calling, kb, sockets } = usage;
+        self.poll.set_beside(sockets);
+        inputs.push(Input::OtherProcess { on_cores, calling, kb });
+    }
+
+    fn adopt_connection(&mut self, now: f64, received: ReceivedConnection, inputs: &mut Vec<Input>) {
+        let ReceivedConnection { connection, stream } = received;
+        // The controller ignores what it can't place, and nobody would respond to it.
+        if connection.queued_request.as_ref().is_some_and(|request| !self.is_valid_request(request)) {
+            return self.log.often("handover: a request that was handed over fits no class or tenant");
+        }
+        let detached = DetachedConnection {
+            stream,
+            unread: connection.unread.0.to_vec(),
+            asked: connection.requests_read,
+            close: connection.close_after_response,
+            memory: connection.continued,
+        };
+        let has_request = connection.queued_request.is_some();
+        let Some(id) = self.http.connections.adopt(now, detached, has_request) else {
+            return self.log.often("handover: a connection could not be taken over");
+        };
+        if let Some(request) = connection.queued_request {
+            inputs.push(Input::Arrived(to_request(request, Ticket(id), self.clock.unix_ms())));
+        }
+    }
+
+    fn is_valid_request(&self, request: &QueuedRequest) -> bool {
+        let settings = &self.config.settings;
+        let known_class = request.class < settings.profiles.len();
+        let known_tenant = request.tenant.map_or(true, |tenant| tenant < settings.tenants.len());
+        let numbers = [request.kb, request.arrived_ms, request.due_ms];
+        known_class && known_tenant && numbers.iter().all(|n| n.is_finite() && *n >= 0.0)
+    }
+}
--- /dev/null
+++ b/src/net/lifecycle/hot_restart/staged_state.rs
@@ -0,0 +1,53 @@
+//! What the predecessor has sent and this process has not acted on yet.
+
+use crate::hot_restart::frame::{HandedOffConnection, KeyOutcome, KeyState, Usage};
+use crate::interface::LearnedState;
+use std::os::fd::OwnedFd;
+use std::rc::Rc;
+
+/// What a key without a result counts for (bytes).
+const KEY_BYTES: usize = 256;
+
+/// The fields of [`Frame::State`](crate::hot_restart::frame::Frame::State).
+pub(super) struct PredecessorState {
+    pub(super) fingerprint_key: (u64, u64),
+    pub(super) draining: bool,
+    pub(super) learned: LearnedState,
+    pub(super) running: Vec<Rc<str>>,
+}
+
+/// A connection that the predecessor has sent.
+pub(super) struct ReceivedConnection {
+    pub(super) connection: HandedOffConnection,
+    pub(super) stream: OwnedFd,
+}
+
+/// What the predecessor has sent before it said that this was all.
+#[derive(Default)]
+pub(super) struct StagedState {
+    pub(super) state: Option<PredecessorState>,
+    pub(super) keys: Vec<KeyState>,
+    /// What the keys take, roughly (bytes).
+    pub(super) key_bytes: usize,
+    pub(super) usage: Usage,
+    pub(super) connections: Vec<ReceivedConnection>,
+    /// It has been acted on: what comes now is acted on as it comes.
+    pub(super) adopted: bool,
+}
+
+impl StagedState {
+    pub(super) fn add_key(&mut self, state: KeyState) {
+        let result_bytes = match &state.outcome {
+            KeyOutcome::Served(Some(result)) => result.0.len(),
+            _ => 0,
+        };
+        self.key_bytes += KEY_BYTES + state.key.key.len() + result_bytes;
+        self.keys.push(state);
+    }
+
+    /// Takes everything; what comes from now on is acted on as it comes.
+    pub(super) fn adopt(&mut self) -> StagedState {
+        let adopted = StagedState { adopted: true, ..StagedState::default() };
+        std::mem::replace(self, adopted)
+    }
+}
--- /dev/null
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -0,0 +1,250 @@
+//! The predecessor's side: frames of the successor, and handing off to it.
+
+use super::frontends::{AJP, HTTP2};
+use super::messages::{loop_zero_unix_ms, to_connection, to_key_state, to_queued_request};
+use super::FrontendListener;
+use crate::dispatch::idempotency::IdempotencyUpdate;
+use crate::dispatch::{Command, HandedOff, HandedOffRequest, Input, ResourceUsage};
+use crate::hot_restart::frame::{Frame, Usage, VERSION};
+use crate::hot_restart::{Event, IndeterminateKeys};
+use crate::net::frontends::connections::{Connection, Stage};
+use crate::net::Worker;
+
+/// Descriptors that a process holds beside its budget: standard streams, the loop's, links.
+const OVERHEAD_DESCRIPTORS: usize = 10;
+
+/// Why a process is not accepted as the successor.
+#[derive(Debug, thiserror::Error)]
+enum SuccessorMismatch {
+    #[error("version {found}, expected {expected}")]
+    Version { found: u32, expected: u32 },
+    #[error("another name, other classes or other tenants")]
+    Identity,
+}
+
+/// Whether nothing is owed on this connection.
+fn is_idle<P>(connection: &Connection<P>) -> bool {
+    matches!(connection.stage, Stage::Idle | Stage::Reading)
+}
+
+impl Worker {
+    pub(super) fn on_successor_frame(&mut self, now: f64, frame: Frame, inputs: &mut Vec<Input>) {
+        match frame {
+            Frame::Hello { version, name, classes, tenants } => {
+                let compatible = self.check_successor(version, &name, &classes, &tenants);
+                self.answer_hello(compatible);
+            }
+            Frame::RequestListeners if self.replacement.as_ref().is_some_and(|r| r.successor_accepted) => {
+                self.on_hot_restart_event(now, Event::ListenersRequested, inputs);
+            }
+            Frame::TakeoverConfirmed => self.on_hot_restart_event(now, Event::TakeoverConfirmed, inputs),
+            _ => self.log.often("handover: the new process said what only an old one says"),
+        }
+    }
+
+    fn check_successor(
+        &self,
+        version: u32,
+        name: &str,
+        classes: &[String],
+        tenants: &[String],
+    ) -> Result<(), SuccessorMismatch> {
+        let settings = &self.config.settings;
+        let same_classes = classes.iter().eq(settings.profiles.iter().map(|p| &p.name));
+        let same_tenants = tenants.iter().eq(settings.tenants.iter().map(|t| &t.name));
+        if version != VERSION {
+            return Err(SuccessorMismatch::Version { found: version, expected: VERSION });
+        }
+        if name != self.config.name || !same_classes || !same_tenants {
+            return Err(SuccessorMismatch::Identity);
+        }
+        Ok(())
+    }
+
+    fn answer_hello(&mut self, compatible: Result<(), SuccessorMismatch>) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        hot_restart.successor_accepted = compatible.is_ok();
+        match compatible {
+            Ok(()) => hot_restart.links.send_to_successor(&Frame::Welcome, None),
+            Err(mismatch) => {
+                self.log.line(&format!("handover: the new process gets nothing: {mismatch}"));
+                let reason = mismatch.to_string();
+                hot_restart.links.send_to_successor(&Frame::Incompatible { reason }, None);
+            }
+        }
+    }
+
+    /// Sends everything that the successor needs, in one go; what it gets is retained until it confirms.
+    pub(super) fn hand_off(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        self.dispatch_gathered(now, inputs);
+        let mut commands = Vec::new();
+        self.close_listeners_for_hand_off();
+        self.send_listeners();
+        if let Some(handed_off) = self.hand_off_dispatcher(now, &mut commands) {
+            self.send_handed_off(now, handed_off, inputs);
+        }
+        for id in self.http.connections.ids_where(is_idle) {
+            self.send_connection(id);
+        }
+        let held = self.replacement.as_ref().map_or(0, |r| r.handed_off.len());
+        self.log.line(&format!("handover: lent to the new process: held={held}"));
+        // Connections that were handed off count there.
+        let handed_off = self.http.connections.ids_where(|c| c.stage == Stage::HandedOff).len();
+        self.report_usage(handed_off);
+        self.send_to_successor(&Frame::StateComplete);
+        for command in commands {
+            self.carry_out(now, command, inputs);
+        }
+    }
+
+    /// What was gathered before the hand-off concerns requests that are about to be handed off.
+    fn dispatch_gathered(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        let mut commands = Vec::new();
+        if let Some(dispatcher) = &mut self.core {
+            dispatcher.handle(now, inputs.drain(..), &mut commands);
+        }
+        for command in commands {
+            self.carry_out(now, command, inputs);
+        }
+    }
+
+    /// Closes the listeners of all frontends. Those of the operator's frontends are retained for the successor.
+    fn close_listeners_for_hand_off(&mut self) {
+        self.http.connections.stop_listening();
+        self.state.passing = true;
+        let Some(hot_restart) = &mut self.replacement else { return };
+        hot_restart.frontend_listeners.clear();
+        let mut retain = |frontend: &str, socket| {
+            hot_restart.frontend_listeners.push(FrontendListener { frontend: frontend.to_owned(), socket });
+        };
+        if let Some(ajp) = &mut self.ajp {
+            ajp.connections.socket().into_iter().for_each(|socket| retain(AJP, socket));
+            ajp.connections.stop_listening();
+        }
+        if let Some(http2) = &mut self.http2 {
+            http2.connections.socket().into_iter().for_each(|socket| retain(HTTP2, socket));
+            http2.connections.stop_listening();
+            // Each connection is told to go.
+            http2.connections.touch_all();
+        }
+    }
+
+    fn send_listeners(&mut self) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        for listener in &hot_restart.frontend_listeners {
+            // Without a descriptor for it the successor binds the address once this process has ended.
+            if let Ok(socket) = listener.socket.try_clone() {
+                let frame = Frame::Listener { frontend: listener.frontend.clone() };
+                hot_restart.links.send_to_successor(&frame, Some(socket.into()));
+            }
+        }
+    }
+
+    fn hand_off_dispatcher(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<HandedOff> {
+        let dispatcher = self.core.as_mut()?;
+        let connections = &self.http.connections;
+        let handed_off = dispatcher.hand_off(now, |ticket| connections.owns(ticket.0), commands);
+        dispatcher.set_indeterminate_keys(IndeterminateKeys::All);
+        Some(handed_off)
+    }
+
+    fn send_handed_off(&mut self, now: f64, handed_off: HandedOff, inputs: &mut Vec<Input>) {
+        let zero_unix_ms = loop_zero_unix_ms(&self.clock);
+        self.send_to_successor(&Frame::State {
+            fingerprint_key: (handed_off.fingerprint_key.0, handed_off.fingerprint_key.1),
+            draining: self.state.draining,
+            learned: handed_off.learned,
+            running: handed_off.running,
+        });
+        for update in &handed_off.keys {
+            self.send_to_successor(&Frame::Key(to_key_state(update, zero_unix_ms)));
+        }
+        for request in handed_off.requests {
+            self.send_request(now, request, zero_unix_ms, inputs);
+        }
+    }
+
+    /// Sends a request with its connection. It stays here and gets its response here if the connection can't go.
+    fn send_request(
+        &mut self,
+        now: f64,
+        request: HandedOffRequest,
+        zero_unix_ms: f64,
+        inputs: &mut Vec<Input>,
+    ) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(detached) = self.http.connections.lend(request.request.ticket.0) else {
+            inputs.push(Input::Arrived(request.at(now)));
+            return;
+        };
+        let queued = to_queued_request(&request, zero_unix_ms);
+        let frame = Frame::Connection(to_connection(&detached, Some(queued)));
+        hot_restart.links.send_to_successor(&frame, Some(detached.stream));
+        hot_restart.handed_off.push(request);
+    }
+
+    /// Sends a connection without a request.
+    fn send_connection(&mut self, id: u64) {
+        let Some(hot_restart) = &mut self.replacement else { return };
+        if let Some(detached) = self.http.connections.lend(id) {
+            let frame = Frame::Connection(to_connection(&detached, None));
+            hot_restart.links.send_to_successor(&frame, Some(detached.stream));
+        }
+    }
+
+    /// Sends connections that have fallen idle since the hand-off, and closes them here.
+    pub(super) fn hand_off_idle_connections(&mut self) {
+        for id in self.http.connections.ids_where(is_idle) {
+            self.send_connection(id);
+            self.http.connections.close(id);
+        }
+    }
+
+    /// The successor has ended before it confirmed: everything is as it was before the hand-off.
+    pub(super) fn reclaim(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        self.accept_clients(now);
+        let Some(hot_restart) = &mut self.replacement else { return };
+        for request in std::mem::take(&mut hot_restart.handed_off) {
+            self.http.connections.take_back(now, request.request.ticket.0, true);
+            inputs.push(Input::Arrived(request.at(now)));
+        }
+        for id in self.http.connections.ids_where(|c| c.stage == Stage::HandedOff) {
+            self.http.connections.take_back(now, id, false);
+        }
+        self.log.line("handover: the door is taken back");
+    }
+
+    fn send_to_successor(&mut self, frame: &Frame) {
+        if let Some(hot_restart) = &mut self.replacement {
+            hot_restart.links.send_to_successor(frame, None);
+        }
+    }
+
+    /// Tells the successor about a key.
+    pub(in crate::net) fn send_key_update(&mut self, update: &IdempotencyUpdate) {
+        let state = to_key_state(update, loop_zero_unix_ms(&self.clock));
+        self.send_to_successor(&Frame::Key(state));
+    }
+
+    /// Tells the successor about a drain that operators began or ended here; `false` where there is no successor.
+    pub(in crate::net) fn forward_drain(&mut self, draining: bool) -> bool {
+        let has_handed_off = self.has_handed_off();
+        if has_handed_off {
+            self.send_to_successor(&Frame::Drain(draining));
+        }
+        has_handed_off
+    }
+
+    /// Tells the successor what this process uses, if that has changed. So many connections are not counted.
+    pub(super) fn report_usage(&mut self, uncounted_connections: usize) {
+        let Some(dispatcher) = &self.core else { return };
+        let ResourceUsage { on_cores, calling, kb } = dispatcher.usage();
+        let sockets = self.poll.used().saturating_sub(uncounted_connections) + OVERHEAD_DESCRIPTORS;
+        let usage = Usage { on_cores, calling, kb, sockets };
+        let Some(hot_restart) = &mut self.replacement else { return };
+        if hot_restart.reported_usage != usage {
+            hot_restart.reported_usage = usage;
+            hot_restart.links.send_to_successor(&Frame::Usage(usage), None);
+        }
+    }
+}
--- a/src/net/lifecycle/mod.rs
+++ b/src/net/lifecycle/mod.rs
@@ -3,8 +3,6 @@
 pub mod console;
 pub(in crate::net) mod fleet;
 pub(in crate::net) mod hot_restart;
-pub mod hot_restart_links;
-pub(in crate::net) mod hot_restart_messages;
 pub(in crate::net) mod operator_commands;
 pub(in crate::net) mod reload;
 pub(in crate::net) mod shutdown;
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -22,8 +22,8 @@
         let linked = self.servers.is_some() || self.executor.linked();
         match call {
             Call::Ready if self.state.leaving => console::Reply::new(503, "leaving\n"),
-            Call::Ready if !self.door_open() => {
-                let given = self.given_away();
+            Call::Ready if !self.owns_listeners() => {
+                let given = self.has_handed_off();
                 console::Reply::new(
                     503,
                     if given { "handed over\n" } else { "waiting for the process before\n" },
@@ -57,7 +57,7 @@
 
     /// Sends clients away, or lets them come again: health and reports change at once, decisions don't.
     pub(in crate::net) fn drain(&mut self, on: bool) {
-        if self.pass_drain(on) {
+        if self.forward_drain(on) {
             return;
         }
         if self.state.draining != on {
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -26,13 +26,13 @@
 
 impl Worker {
     pub(in crate::net) fn leave(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        if self.given_away() {
-            return self.door(now, Event::Leave, inputs);
+        if self.has_handed_off() {
+            return self.on_hot_restart_event(now, Event::ShutdownNotice, inputs);
         }
         if self.leaving.is_some() {
             return;
         }
-        self.door(now, Event::Leave, inputs);
+        self.on_hot_restart_event(now, Event::ShutdownNotice, inputs);
         let in_s = self.config.stop_ms / 1000.0;
         self.log.line(&format!("notice to leave; {in_s} s to the stop"));
         // It may have come at any time since the turn before began: a process that was stopped meanwhile reads it late,
@@ -116,7 +116,7 @@
                 self.log.line(&format!("pools: state {state}"));
             }
             if let Some(r) = &mut self.replacement {
-                r.links.leave();
+                r.links.remove_socket();
             }
             self.log.line(if answered { "left with all answered" } else { "left with answers owed" });
             self.end(now);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -22,8 +22,7 @@
 use io::poll::{Gathered, Place, Poll, ACCEPT_PAUSE_S};
 use io::timer_wheel::{Timer, Wheel};
 use lifecycle::console::Console;
-use lifecycle::hot_restart::Replacement;
-use lifecycle::hot_restart_links::Links;
+use lifecycle::hot_restart::{inherited_listener, HotRestart, Links};
 use lifecycle::shutdown::Leaving;
 use std::collections::hash_map::RandomState;
 use std::collections::HashMap;
@@ -163,7 +162,7 @@
     idle_s: f64,
     poll: Poll,
     console: Option<Console>,
-    replacement: Option<Replacement>,
+    replacement: Option<HotRestart>,
     /// What was turned away before there was a core.
     early: Metrics,
     http: HttpFront,
@@ -209,7 +208,7 @@
     let mut timer_token: Option<RegistrationToken> = None;
     let poll = Poll::new(handle.clone(), config.socket_budget());
     let mut worker = Worker::new(files, config, &poll)?;
-    worker.look_round(worker.clock.now())?;
+    worker.find_predecessor(worker.clock.now()).map_err(|e| e.to_string())?;
     let mut gathered = Gathered::default();
     let mut armed = None;
     worker.turn(&mut gathered);
@@ -253,7 +252,8 @@
         let bind =
             |address| Console::bind(poll, address, sockets).map_err(|e| format!("console {address}: {e}"));
         let console = config.console.map(bind).transpose()?;
-        let socket = files.socket.as_deref().map(lifecycle::hot_restart_links::inherited).transpose()?;
+        let socket =
+            files.socket.as_deref().map(inherited_listener).transpose().map_err(|e| e.to_string())?;
         // Another process may have the operator's addresses, and hand them over.
         let meets = socket.is_some() && files.folder.is_some();
         let mut http = match &socket {
@@ -314,7 +314,7 @@
             match &files.folder {
                 Some(folder) => {
                     let links = Links::new(poll, Path::new(folder));
-                    replacement = Some(Replacement::new(links, socket, window_s));
+                    replacement = Some(HotRestart::new(links, socket, window_s));
                 }
                 None => {
                     log.line("handover: TMPDIR names no folder: this process can't replace or be replaced");
@@ -437,7 +437,7 @@
         }
         let mut inputs = std::mem::take(&mut self.left_over);
         // A word that waits goes before the notice to leave: with the door given away that is no drain.
-        self.replace(now, &mut inputs);
+        self.receive_hot_restart_frames(now, &mut inputs);
         if std::mem::take(&mut gathered.leave) {
             // Before all that has been read, since it may have come before it.
             let mut first = Vec::new();
@@ -457,8 +457,8 @@
         if std::mem::take(&mut self.sweep_due) {
             self.sweep();
         }
-        if self.given_away() {
-            self.follow_ending(now);
+        if self.has_handed_off() {
+            self.follow_exit(now);
         } else {
             self.follow_leaving();
         }
@@ -487,7 +487,7 @@
                 self.carry_out(now, command, &mut inputs);
             }
             self.flush(now);
-            self.pass_on(now);
+            self.send_hot_restart_frames(now);
             if !self.pending() && inputs.is_empty() {
                 break;
             }
@@ -596,7 +596,7 @@
         core.set_fingerprint_key(FingerprintKey(dice.hash_one(1), dice.hash_one(2)));
         core.add_metrics(&self.early);
         core.set_indeterminate_keys(
-            self.replacement.as_ref().map_or(IndeterminateKeys::None, Replacement::doubt),
+            self.replacement.as_ref().map_or(IndeterminateKeys::None, HotRestart::indeterminate_keys),
         );
         if let Some(leaving) = &self.leaving {
             let (notice, stop) = (leaving.at.notice, leaving.at.kill_at);
@@ -609,7 +609,7 @@
         self.state.fit = self.healthy;
         self.wheel.set(now, 0.0, Timer::Beat);
         self.executor.ask_gauges();
-        self.door(now, Event::Able, inputs);
+        self.on_hot_restart_event(now, Event::ReadyToServe, inputs);
     }
 
     fn timer(&mut self, now: f64, timer: Timer, inputs: &mut Vec<Input>) {
@@ -650,7 +650,7 @@
     /// Reports to the registry once the executor is up: the list takes `draining` for "no work, please".
     fn beat(&mut self, due: bool) {
         let ready = self.state.good();
-        let listed = self.core.is_some() && self.door_open();
+        let listed = self.core.is_some() && self.owns_listeners();
         if let Some(registry) = self.registry.as_mut().filter(|_| listed) {
             registry.beat(ready, due);
         }
@@ -696,7 +696,7 @@
             Command::Publish(level) => self.state.level = Some(level),
             Command::WakeIn(after) => self.wheel.set(now, after, Timer::Wake),
             Command::Log(text) => self.log.line(&text),
-            Command::IdempotencyUpdate(news) => self.tell_key(&news),
+            Command::IdempotencyUpdate(news) => self.send_key_update(&news),
         }
     }
 
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use port_worker::hot_restart::frame::{Bytes, Frame, Key, KeyEnd, KeyState, VERSION};
+use port_worker::hot_restart::frame::{Bytes, Frame, Key, KeyOutcome, KeyState, VERSION};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::os::fd::AsRawFd;
@@ -221,12 +221,12 @@
     let mut peer = Peer::connect(&door);
     peer.hello(VERSION);
     assert_eq!(peer.next(), Frame::Welcome);
-    peer.say(&Frame::Take);
+    peer.say(&Frame::RequestListeners);
     let mut passed = 0;
     loop {
         match peer.next() {
-            Frame::Passed(p) => passed += if p.held.is_some() { 10 } else { 1 },
-            Frame::Done => break,
+            Frame::Connection(p) => passed += if p.queued_request.is_some() { 10 } else { 1 },
+            Frame::StateComplete => break,
             _ => {}
         }
     }
@@ -306,13 +306,13 @@
         let mut executor = new.link_silently();
         if damage {
             peer.say(&Frame::Welcome);
-            assert_eq!(peer.next(), Frame::Take);
+            assert_eq!(peer.next(), Frame::RequestListeners);
             let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
-            let end = KeyEnd::Served(Some(Bytes(std::rc::Rc::from(*b"made up"))));
-            peer.say(&Frame::Key(KeyState { key, print: 0, until_ms: 4e12, end }));
+            let outcome = KeyOutcome::Served(Some(Bytes(std::rc::Rc::from(*b"made up"))));
+            peer.say(&Frame::Key(KeyState { key, body_fingerprint: 0, expires_at_ms: 4e12, outcome }));
             peer.stream.write_all(b"\0\0\0\x05\0nonsense").unwrap();
         } else {
-            peer.say(&Frame::Stranger { why: "too old".into() });
+            peer.say(&Frame::Incompatible { reason: "too old".into() });
         }
         new.wait_log("keys that are not known here fail");
         wait_ready(&new);
@@ -336,8 +336,8 @@
     let (mut old, _executor) = first(&door);
     let mut peer = Peer::connect(&door);
     peer.hello(VERSION + 1);
-    assert!(matches!(peer.next(), Frame::Stranger { .. }));
-    peer.say(&Frame::Take);
+    assert!(matches!(peer.next(), Frame::Incompatible { .. }));
+    peer.say(&Frame::RequestListeners);
     assert_eq!(old.health(), 200);
     assert_eq!(old.call("GET", "/-/ready").0, 200);
     drop(peer);
@@ -557,12 +557,14 @@
     let mut executor = new.link_silently();
     assert!(matches!(peer.next(), Frame::Hello { .. }));
     peer.say(&Frame::Welcome);
-    assert_eq!(peer.next(), Frame::Take);
+    assert_eq!(peer.next(), Frame::RequestListeners);
     let learned = port_worker::interface::LearnedState { runs: 9, ..Default::default() };
-    peer.say(&Frame::State { prints: (1, 2), draining: true, learned, running: vec!["r1".into()] });
+    peer.say(&Frame::State { fingerprint_key: (1, 2), draining: true, learned, running: vec!["r1".into()] });
     let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
-    let end = KeyEnd::Served(Some(Bytes(std::rc::Rc::from(*b"placed"))));
-    let state = Frame::Key(KeyState { key, print: 7, until_ms: unix_ms() as f64 + 9000.0, end }).encode();
+    let outcome = KeyOutcome::Served(Some(Bytes(std::rc::Rc::from(*b"placed"))));
+    let state =
+        Frame::Key(KeyState { key, body_fingerprint: 7, expires_at_ms: unix_ms() as f64 + 9000.0, outcome })
+            .encode();
     peer.stream.write_all(&state[..state.len() / 2]).unwrap();
     drop(peer);
     new.wait_log("the old process has ended");
@@ -629,13 +631,13 @@
     let _executor = new.link_silently();
     assert!(matches!(peer.next(), Frame::Hello { .. }));
     peer.say(&Frame::Welcome);
-    assert_eq!(peer.next(), Frame::Take);
+    assert_eq!(peer.next(), Frame::RequestListeners);
     // Results of 4 KiB, for keys without end.
     let result = Bytes(vec![b'x'; 4096].into());
     for n in 0..5000 {
         let key = Key { class: 1, tenant: Some(0), key: format!("k{n}").into() };
-        let end = KeyEnd::Served(Some(result.clone()));
-        let state = Frame::Key(KeyState { key, print: 0, until_ms: 4e12, end });
+        let outcome = KeyOutcome::Served(Some(result.clone()));
+        let state = Frame::Key(KeyState { key, body_fingerprint: 0, expires_at_ms: 4e12, outcome });
         if peer.stream.write_all(&state.encode()).is_err() {
             break;
         }
--- a/tests/stored_forms/hand_off.rs
+++ b/tests/stored_forms/hand_off.rs
@@ -3,7 +3,8 @@
 use crate::learned::learned;
 use crate::{bytes_of, fixture_lines, hex_of, paired};
 use port_worker::hot_restart::frame::{
-    Bytes, Frame, HandedOffConnection, Key, KeyEnd, KeyState, QueuedRequest, Usage, FRAME_MOST, HEAD, VERSION,
+    Bytes, Frame, HandedOffConnection, Key, KeyOutcome, KeyState, QueuedRequest, Usage, HEADER_BYTES,
+    MAX_FRAME_BYTES, VERSION,
 };
 use port_worker::interface::LearnedState;
 
@@ -11,9 +12,9 @@
     Bytes(content.into())
 }
 
-fn key_state(tenant: Option<usize>, end: KeyEnd) -> Frame {
+fn key_state(tenant: Option<usize>, outcome: KeyOutcome) -> Frame {
     let key = Key { class: 2, tenant, key: "order/17".into() };
-    Frame::Key(KeyState { key, print: u64::MAX, until_ms: 1_700_000_000_123.5, end })
+    Frame::Key(KeyState { key, body_fingerprint: u64::MAX, expires_at_ms: 1_700_000_000_123.5, outcome })
 }
 
 fn request_with_all() -> QueuedRequest {
@@ -48,9 +49,15 @@
     }
 }
 
-fn connection_with(held: Option<QueuedRequest>) -> Frame {
+fn connection_with(queued_request: Option<QueuedRequest>) -> Frame {
     let unread = bytes(b"POST /do/port-submit HTTP/1.1\r\n");
-    Frame::Passed(HandedOffConnection { unread, continued: true, asked: 17, close: true, held })
+    Frame::Connection(HandedOffConnection {
+        unread,
+        continued: true,
+        requests_read: 17,
+        close_after_response: true,
+        queued_request,
+    })
 }
 
 /// Every kind of frame, with its optional fields absent and present.
@@ -64,28 +71,33 @@
             tenants: vec!["belwijs".to_owned()],
         },
         Frame::Welcome,
-        Frame::Stranger { why: "its version is 2, here it is 1".to_owned() },
-        Frame::Take,
-        Frame::State { prints: (0, 0), draining: false, learned: LearnedState::default(), running: vec![] },
+        Frame::Incompatible { reason: "its version is 2, here it is 1".to_owned() },
+        Frame::RequestListeners,
         Frame::State {
-            prints: (u64::MAX, 1),
+            fingerprint_key: (0, 0),
+            draining: false,
+            learned: LearnedState::default(),
+            running: vec![],
+        },
+        Frame::State {
+            fingerprint_key: (u64::MAX, 1),
             draining: true,
             learned: learned(),
             running: vec!["r-91".into(), "r-92".into()],
         },
-        key_state(None, KeyEnd::Open),
-        key_state(Some(1), KeyEnd::Served(None)),
-        key_state(Some(1), KeyEnd::Served(Some(bytes(b"accepted\r\n\x80")))),
-        key_state(Some(0), KeyEnd::Failed),
-        key_state(Some(0), KeyEnd::Never),
+        key_state(None, KeyOutcome::Open),
+        key_state(Some(1), KeyOutcome::Served(None)),
+        key_state(Some(1), KeyOutcome::Served(Some(bytes(b"accepted\r\n\x80")))),
+        key_state(Some(0), KeyOutcome::Failed),
+        key_state(Some(0), KeyOutcome::NeverRan),
         Frame::Usage(Usage::default()),
         Frame::Usage(Usage { on_cores: 6, calling: 4, kb: 1024.75, sockets: 311 }),
-        Frame::Passed(HandedOffConnection::default()),
+        Frame::Connection(HandedOffConnection::default()),
         connection_with(Some(request_with_least())),
         connection_with(Some(request_with_all())),
-        Frame::Listener { front: "http2".to_owned() },
-        Frame::Done,
-        Frame::Opened,
+        Frame::Listener { frontend: "http2".to_owned() },
+        Frame::StateComplete,
+        Frame::TakeoverConfirmed,
         Frame::Drain(false),
         Frame::Drain(true),
     ]
@@ -93,14 +105,19 @@
 
 /// What `hand_off_tolerated.jsonl` is read as: unknown fields, and optional fields that are left out.
 fn tolerated_frames() -> Vec<Frame> {
-    let Frame::Passed(connection) = connection_with(Some(request_with_least())) else { unreachable!() };
+    let Frame::Connection(connection) = connection_with(Some(request_with_least())) else { unreachable!() };
     vec![
         Frame::Hello { version: 1, name: "n1".to_owned(), classes: vec![], tenants: vec![] },
-        Frame::State { prints: (1, 2), draining: false, learned: LearnedState::default(), running: vec![] },
-        key_state(None, KeyEnd::Open),
+        Frame::State {
+            fingerprint_key: (1, 2),
+            draining: false,
+            learned: LearnedState::default(),
+            running: vec![],
+        },
+        key_state(None, KeyOutcome::Open),
         Frame::Usage(Usage { on_cores: 1, calling: 2, kb: 3.0, sockets: 4 }),
-        Frame::Passed(HandedOffConnection { held: None, ..connection.clone() }),
-        Frame::Passed(connection),
+        Frame::Connection(HandedOffConnection { queued_request: None, ..connection.clone() }),
+        Frame::Connection(connection),
     ]
 }
 
@@ -176,8 +193,8 @@
 
 #[test]
 fn version_and_bounds_keep_their_values() {
-    assert_eq!((VERSION, FRAME_MOST, HEAD), (1, 131_072, 5));
+    assert_eq!((VERSION, MAX_FRAME_BYTES, HEADER_BYTES), (1, 131_072, 5));
     let padded = |length: usize| framed(&format!("\"Done\"{}", " ".repeat(length - 6)), false);
-    assert_eq!(Frame::decode(&padded(131_072)), Ok(Some((Frame::Done, 131_077))));
+    assert_eq!(Frame::decode(&padded(131_072)), Ok(Some((Frame::StateComplete, 131_077))));
     assert!(Frame::decode(&padded(131_073)).is_err());
 }
