--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -1,6 +1,7 @@
 //! Why a worker could not start or go on.
 
 use crate::config::ConfigError;
+use crate::net::lifecycle::hot_restart::InheritedListenerError;
 use std::io;
 use std::net::SocketAddr;
 
@@ -45,9 +46,9 @@
     /// The inherited listening socket can't be used.
     #[error("ROUTER_SOCKET_FD: {0}")]
     InheritedSocket(#[source] io::Error),
-    /// A listening socket can't be inherited or handed over.
-    #[error("{0}")]
-    HotRestart(String),
+    /// `$ROUTER_SOCKET_FD` does not name a listening socket.
+    #[error(transparent)]
+    InheritedListener(#[from] InheritedListenerError),
 }
 
 /// A frontend can't listen.
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -10,12 +10,13 @@
     /// The fleet's part of a turn.
     pub(in crate::net) fn fleet_turn(&mut self, now: f64) {
         let Some(fleet) = &mut self.fleet else { return };
-        let replaced = self.replacement.as_ref().is_some_and(|r| r.door.given_away());
+        let replaced = self.replacement.as_ref().is_some_and(|r| r.ownership.has_handed_off());
         if replaced || self.leaving.is_some() {
             fleet.member.leave(replaced);
         }
         // One whose place another still has does not act for the fleet beside it.
-        let serves = self.replacement.as_ref().map_or(true, |r| r.door.is_open()) && self.core.is_some();
+        let serves =
+            self.replacement.as_ref().map_or(true, |r| r.ownership.is_owner()) && self.core.is_some();
         let at = fleet.now();
         fleet.member.set_takes(at, serves && !self.state.draining);
         if fleet.member.tells(at) {
@@ -26,14 +27,14 @@
         let figures = || -> Counters {
             let Some(core) = core else { return Counters::new() };
             let mut counts = Counters::new();
-            for (class, one) in core.figures().classes().iter().enumerate() {
+            for (class, one) in core.metrics().classes().iter().enumerate() {
                 let name = known.class_name(class);
                 for (what, n) in [("success", one.success), ("overload", one.overload), ("error", one.error)]
                 {
                     counts.insert(format!("{name}.{what}"), n);
                 }
             }
-            counts.insert("concurrent".to_owned(), Dispatcher::owed(core) as u64);
+            counts.insert("concurrent".to_owned(), Dispatcher::pending_responses(core) as u64);
             counts
         };
         fleet.turn(now, figures, &mut self.wheel, &mut self.log);
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -40,7 +40,7 @@
             Command::Publish(level) => self.state.level = Some(level),
             Command::WakeIn(after) => self.wheel.set(now, after, Timer::Wake),
             Command::Log(text) => self.log.line(&text),
-            Command::IdempotencyUpdate(update) => self.tell_key(&update),
+            Command::IdempotencyUpdate(update) => self.send_key_update(&update),
         }
     }
 
@@ -55,7 +55,7 @@
     /// Sends a load report to the registry once the executor is up: a worker that is not good reports `draining`.
     pub(in crate::net) fn beat(&mut self, due: bool) {
         let ready = self.state.good();
-        let listed = self.core.is_some() && self.door_open();
+        let listed = self.core.is_some() && self.owns_listeners();
         if let Some(registry) = self.registry.as_mut().filter(|_| listed) {
             registry.beat(ready, due);
         }
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -21,7 +21,7 @@
     let config = files.config()?;
     let poll = Poll::new(handle.clone(), config.socket_budget());
     let mut worker = Worker::new(files, config, &poll)?;
-    worker.look_round(worker.clock.now()).map_err(WorkerError::HotRestart)?;
+    worker.find_predecessor(worker.clock.now())?;
     let mut timer = WheelTimer::new(handle);
     let mut gathered = Gathered::default();
     worker.poll_once(&mut gathered);
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -28,7 +28,7 @@
 use crate::net::io::poll::Poll;
 use crate::net::io::timer_wheel::Wheel;
 use crate::net::lifecycle::console::Console;
-use crate::net::lifecycle::hot_restart::Replacement;
+use crate::net::lifecycle::hot_restart::HotRestart;
 use crate::net::lifecycle::shutdown::Leaving;
 use crate::net::upstreams::ajp_backend::AjpBackend;
 use crate::net::upstreams::coordinator_link::Fleet;
@@ -62,7 +62,7 @@
     pub(in crate::net) idle_s: f64,
     pub(in crate::net) poll: Poll,
     pub(in crate::net) console: Option<Console>,
-    pub(in crate::net) replacement: Option<Replacement>,
+    pub(in crate::net) replacement: Option<HotRestart>,
     /// Requests that were rejected before there was a dispatcher.
     pub(in crate::net) early: Metrics,
     pub(in crate::net) http: HttpFront,
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -13,8 +13,8 @@
 use crate::net::io::poll::Poll;
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::lifecycle::console::Console;
-use crate::net::lifecycle::hot_restart::Replacement;
-use crate::net::lifecycle::hot_restart_links::{self, Links};
+use crate::net::lifecycle::hot_restart::{inherited_listener, HotRestart, Links};
+
 use crate::net::upstreams::ajp_backend::AjpBackend;
 use crate::net::upstreams::coordinator_link::Fleet;
 use crate::net::upstreams::directory::Directory;
@@ -115,7 +115,7 @@
 
 fn inherited_socket(files: &Files) -> Result<Option<Rc<TcpListener>>, WorkerError> {
     let Some(number) = files.socket.as_deref() else { return Ok(None) };
-    hot_restart_links::inherited(number).map(Some).map_err(WorkerError::HotRestart)
+    Ok(Some(inherited_listener(number)?))
 }
 
 fn http_frontend(config: &Config, poll: &Poll, inherited: bool) -> Result<HttpFront, WorkerError> {
@@ -181,7 +181,7 @@
     http: &mut HttpFront,
     socket: Rc<TcpListener>,
     log: &mut Log,
-) -> Result<Option<Replacement>, WorkerError> {
+) -> Result<Option<HotRestart>, WorkerError> {
     log.line(&format!("{}: http on {}, inherited", config.name, config.listen));
     let Some(folder) = &files.folder else {
         log.line("handover: TMPDIR names no folder: this process can't replace or be replaced");
@@ -190,5 +190,5 @@
     };
     let longest_window_s = settings.classes.iter().map(|class| class.window_s).fold(0.0, f64::max);
     let links = Links::new(poll, Path::new(folder));
-    Ok(Some(Replacement::new(links, socket, longest_window_s)))
+    Ok(Some(HotRestart::new(links, socket, longest_window_s)))
 }
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -1,11 +1,11 @@
 //! Starts the dispatcher once the executor is up.
 
 use super::Worker;
-use crate::dispatch::{Dispatcher, Input};
+use crate::dispatch::{Dispatcher, FingerprintKey, Input};
 use crate::hot_restart::{Event, IndeterminateKeys};
 use crate::interface::Settings;
 use crate::net::io::timer_wheel::Timer;
-use crate::net::lifecycle::hot_restart::Replacement;
+use crate::net::lifecycle::hot_restart::HotRestart;
 use crate::net::upstreams::executor::Welcome;
 use crate::net::RESULT_PART;
 use std::collections::hash_map::RandomState;
@@ -26,9 +26,11 @@
         let mut core = Dispatcher::new(settings, now, result_bytes as usize, &mut commands);
         // Random keys: a client can't make up bodies that have the same fingerprint.
         let random = RandomState::new();
-        core.salt((random.hash_one(1), random.hash_one(2)));
-        core.count_earlier(&self.early);
-        core.believe(self.replacement.as_ref().map_or(IndeterminateKeys::None, Replacement::doubt));
+        core.set_fingerprint_key(FingerprintKey(random.hash_one(1), random.hash_one(2)));
+        core.add_metrics(&self.early);
+        core.set_indeterminate_keys(
+            self.replacement.as_ref().map_or(IndeterminateKeys::None, HotRestart::indeterminate_keys),
+        );
         if let Some(leaving) = &self.leaving {
             let shutdown = Input::Shutdown { notice: leaving.at.notice, stop: leaving.at.kill_at };
             core.handle(now, [shutdown], &mut commands);
@@ -40,7 +42,7 @@
         self.state.fit = self.healthy;
         self.wheel.set(now, 0.0, Timer::Beat);
         self.executor.ask_gauges();
-        self.door(now, Event::Able, inputs);
+        self.on_hot_restart_event(now, Event::ReadyToServe, inputs);
     }
 
     fn settings_at_start(&mut self, now: f64, welcome: Welcome) -> Settings {
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -24,7 +24,7 @@
         }
         let mut inputs = std::mem::take(&mut self.left_over);
         // A successor's message goes before the shutdown notice: once the listener is handed over, that is no drain.
-        self.replace(now, &mut inputs);
+        self.receive_hot_restart_frames(now, &mut inputs);
         if std::mem::take(&mut gathered.leave) {
             // Before all that has been read, since the notice may have come before it.
             let mut first = Vec::new();
@@ -42,8 +42,8 @@
         if std::mem::take(&mut self.sweep_due) {
             self.sweep();
         }
-        if self.given_away() {
-            self.follow_ending(now);
+        if self.has_handed_off() {
+            self.follow_exit(now);
         } else {
             self.follow_leaving();
         }
@@ -93,7 +93,7 @@
             }
             self.dispatch(now, &mut inputs);
             self.flush(now);
-            self.pass_on(now);
+            self.send_hot_restart_frames(now);
             if !self.pending() && inputs.is_empty() {
                 break;
             }
