--- a/src/fleet/frame/tests.rs
+++ b/src/fleet/frame/tests.rs
@@ -1,25 +1,36 @@
 use super::*;
 
 #[test]
-fn frames_are_read_at_every_cut_and_bounded() {
-    let say = ClientMessage::BeginPeriod {
+fn partial_frames_are_incomplete_and_oversized_or_malformed_ones_are_errors() {
+    let message = ClientMessage::BeginPeriod {
         held: LeaseRef { task: "trial".into(), token: 7 },
         every_ms: 1000,
         safe: false,
         attempt: 1,
     };
-    let bytes = encode(&say);
+    let bytes = encode(&message);
     for cut in 0..bytes.len() {
-        assert_eq!(decode::<ClientMessage>(&bytes[..cut], MAX_CLIENT_FRAME_BYTES), Ok(None), "{cut}");
+        let decoded = decode::<ClientMessage>(&bytes[..cut], MAX_CLIENT_FRAME_BYTES).unwrap();
+        assert_eq!(decoded, None, "{cut}");
     }
-    assert_eq!(decode(&bytes, MAX_CLIENT_FRAME_BYTES), Ok(Some((say, bytes.len()))));
+    let decoded = decode(&bytes, MAX_CLIENT_FRAME_BYTES).unwrap();
+    assert_eq!(decoded, Some((message, bytes.len())));
     for bad in [&b"GET /check HTTP/1.1\r\n\r\n"[..], &[0, 0, 0, 2, b'{', b'x'], &[0xff; 8]] {
         assert!(decode::<ClientMessage>(bad, MAX_CLIENT_FRAME_BYTES).is_err(), "{bad:?}");
     }
 }
 
 #[test]
-fn a_later_version_s_kinds_and_keys_are_passed_over() {
+fn errors_say_what_was_found_and_what_is_accepted() {
+    let error = decode::<ClientMessage>(&[0, 0, 1, 1], 256).unwrap_err();
+    assert!(matches!(error, FrameError::TooLarge { length: 257, limit: 256 }), "{error:?}");
+    assert_eq!(error.to_string(), "a frame of 257 bytes; at most 256 are taken");
+    let error = decode::<ClientMessage>(&[0, 0, 0, 2, b'{', b'x'], 256).unwrap_err();
+    assert_eq!(error.to_string(), "a frame that can't be read: key must be a string at line 1 column 2");
+}
+
+#[test]
+fn unknown_kinds_and_keys_of_a_later_version_are_ignored() {
     let frame = |text: &str| [&(text.len() as u32).to_be_bytes()[..], text.as_bytes()].concat();
     let read = |text: &str| decode::<ServerMessage>(&frame(text), 1000).unwrap().unwrap().0;
     assert_eq!(read(r#"{"word":"sing","song":"x"}"#), ServerMessage::Unknown);
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -308,6 +308,7 @@
         let payload = r#"{"say":"bye"}"#;
         framed(&format!("{payload}{}", " ".repeat(length - payload.len())))
     };
-    assert_eq!(decode(&bye_of(16_384), MAX_CLIENT_FRAME_BYTES), Ok(Some((ClientMessage::Goodbye, 16_388))));
+    let largest = decode(&bye_of(16_384), MAX_CLIENT_FRAME_BYTES).unwrap();
+    assert_eq!(largest, Some((ClientMessage::Goodbye, 16_388)));
     assert!(decode::<ClientMessage>(&bye_of(16_385), MAX_CLIENT_FRAME_BYTES).is_err());
 }
