--- a/fleet-coordinator/src/coordinator.rs
+++ b/fleet-coordinator/src/coordinator.rs
@@ -11,7 +11,7 @@
 };
 use port_worker::fleet::overload::leader::{Leader, Settings as Overload};
 use port_worker::fleet::overload::level::SheddingLevel;
-use port_worker::fleet::overload::TIERS_MOST;
+use port_worker::fleet::overload::MAX_TIERS;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -425,7 +425,7 @@
                 let good = (0.0..=1.0).contains(share) && (0.0..=PIN_MOST_S).contains(for_s);
                 match self.desk.overload_mut().filter(|_| good) {
                     Some(leader) => {
-                        let level = SheddingLevel { tier: (*tier).min(TIERS_MOST), share: *share };
+                        let level = SheddingLevel { tier: (*tier).min(MAX_TIERS), share: *share };
                         leader.pin(level, now + for_s);
                         self.out.push(Output::Note(true, format!("overload: pinned to {level:?} for {for_s} s")));
                         overload_of(now, leader)
--- a/fleet-coordinator/tests/lease_world.rs
+++ b/fleet-coordinator/tests/lease_world.rs
@@ -16,7 +16,7 @@
 use fleet_coordinator::lease_clock::{LeaseClock, ReadIndexQueue, SafetyChecks};
 use fleet_coordinator::state_machine::{Command, Entry, LeaseStateMachine, Outcome, ReleaseReason, Task};
 use port_worker::fleet::frame::{LeaseRef, RenewedLease};
-use port_worker::fleet::lease_holder::LeaseHolder;
+use port_worker::fleet::lease_holder::{LeaseHolder, OutstandingHeartbeat};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -275,7 +275,7 @@
                     return None;
                 }
                 worker.seq += 1;
-                let held = worker.holder.ask(self.now, worker.seq);
+                let held = worker.holder.heartbeat_sent(self.now, worker.seq);
                 worker.up.push((to, Up::Keep { seq: worker.seq, held }));
             }
             Action::Relink(worker) => {
@@ -284,7 +284,7 @@
                 {
                     return None;
                 }
-                worker.holder.relinked();
+                worker.holder.reconnected();
                 worker.up.clear();
                 worker.down.clear();
             }
@@ -301,7 +301,7 @@
                     return None;
                 }
                 let token = worker.holder.token(TASK)?;
-                worker.holder.drop_lease(TASK);
+                worker.holder.release(TASK);
                 worker.up.push((to, Up::GiveBack(LeaseRef { task: TASK.into(), token })));
             }
             Action::Arrive { worker, mail } => {
@@ -338,7 +338,7 @@
                 }
                 match worker.down.remove(word) {
                     Down::Granted(held) => worker.holder.granted(&held),
-                    Down::Kept { seq, leases } => drop(worker.holder.kept(seq, &leases)),
+                    Down::Kept { seq, leases } => drop(worker.holder.heartbeat_acked(seq, &leases)),
                 }
             }
             Action::Confirm => {
@@ -409,7 +409,7 @@
     fn tell(&mut self, limits: &Limits, words: impl IntoIterator<Item = (usize, Down)>) -> Option<()> {
         for (worker, word) in words {
             let to = &mut self.workers[worker];
-            let waits = |seq: u64| to.holder.outstanding().any(|(own, ..)| *own == seq);
+            let waits = |seq: u64| to.holder.outstanding().any(|own| own.seq == seq);
             if matches!(&word, Down::Kept { seq, .. } if !waits(*seq)) {
                 continue;
             }
@@ -426,7 +426,7 @@
     fn forget(&mut self) {
         let leases = [0, 1].map(|at| self.lease(at));
         for worker in &mut self.workers {
-            let looked_for: Vec<u64> = worker.holder.outstanding().map(|(seq, ..)| *seq).collect();
+            let looked_for: Vec<u64> = worker.holder.outstanding().map(|own| own.seq).collect();
             let known = worker.holder.token(TASK).unwrap_or(0);
             worker.down.retain(|word| match word {
                 Down::Kept { seq, .. } => looked_for.contains(seq),
@@ -466,7 +466,7 @@
         // A number that is looked for by its place, else one for all.
         let seq_of = |worker: usize, seq: u64| {
             let mut outstanding = self.workers[worker].holder.outstanding();
-            outstanding.position(|(s, ..)| *s == seq).map_or(200, |at| at as u8)
+            outstanding.position(|own| own.seq == seq).map_or(200, |at| at as u8)
         };
         // Beyond the longest that a sign of life can bring, one is as old as another.
         let longest = TTL_MS * if limits.retimes { 2 } else { 1 };
@@ -513,9 +513,9 @@
         for at in order {
             let worker = &self.workers[at];
             let known = worker.holder.token(TASK);
-            let until = worker.holder.until(TASK).map_or(0, |u| (u - self.now).max(0.0) as u8);
+            let until = worker.holder.valid_until(TASK).map_or(0, |u| (u - self.now).max(0.0) as u8);
             key.extend([254, known.map_or(255, rank), until, worker.looked.map_or(255, rank)]);
-            for (_, sent, held) in worker.holder.outstanding() {
+            for OutstandingHeartbeat { sent_at: sent, leases: held, .. } in worker.holder.outstanding() {
                 // What was asked for a lease that it has no more brings nothing.
                 let counts = held.iter().any(|held| known == Some(held.token));
                 key.push(if counts { (self.now - sent).min(old) as u8 } else { 100 });
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -121,7 +121,7 @@
             zone: self.zone.clone(),
             coordinators: self.coordinators.clone(),
             drift: self.drift_percent / 100.0,
-            adds_up: self.totals,
+            computes_totals: self.totals,
             tasks: self.tasks.iter().map(TaskSettings::schedule).collect(),
             overload: None,
         }
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -9,7 +9,7 @@
     let config = Config::decode(GOOD).unwrap();
     let good = format!("{FLEET}{TASK}");
     let plan = Operator::decode(&good, &config).unwrap().fleet.unwrap().plan(&config);
-    assert_eq!((plan.drift, plan.adds_up, plan.tasks[0].deadline_s), (0.1, true, 0.5));
+    assert_eq!((plan.drift, plan.computes_totals, plan.tasks[0].deadline_s), (0.1, true, 0.5));
     for (text, said) in [
         (good.replace("\"polder\"", "\"a b\""), "fleet.name is \"a b\"; expected letters"),
         (good.replace("[\"127.0.0.1:1\"]", "[]"), "fleet.coordinators is 0; expected 1 to 9"),
--- /dev/null
+++ b/src/fleet/config.rs
@@ -0,0 +1,27 @@
+//! Configuration of a worker's membership.
+
+use super::tasks::Schedule;
+use std::net::SocketAddr;
+
+/// What a worker knows of its fleet at the start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MembershipConfig {
+    /// Name of the fleet.
+    pub fleet: String,
+    /// Name of this worker.
+    pub name: String,
+    /// Zone that this worker runs in.
+    pub zone: String,
+    /// Addresses of the coordinators.
+    pub coordinators: Vec<SocketAddr>,
+    /// The share of a lease's time to live that is left unused, for the drift of the holder's and the coordinators' clocks
+    /// together.
+    pub drift: f64,
+    /// Whether this worker is a candidate for computing the fleet's totals.
+    pub computes_totals: bool,
+    /// Tasks for which this worker is a candidate.
+    pub tasks: Vec<Schedule>,
+    /// Where overload is handled fleet-wide: this worker's own part of the downstream service's capacity (mean number of
+    /// calls in flight).
+    pub overload: Option<f64>,
+}
--- a/src/fleet/lease_holder.rs
+++ b/src/fleet/lease_holder.rs
@@ -1,127 +1,157 @@
-//! What a worker may believe of its leases: until when, on its own clock, nobody else can hold them.
+//! What a worker knows of its leases: until when, on its own clock, nobody else can hold them.
 //!
-//! Owed to callers: [`LeaseHolder::may_act`] says yes only while no other process can hold the lease. A lease counts from
-//! when the renewal that was granted had been *sent*, less a share of its time for clocks that run apart: the
-//! coordinators count from when they received it. The clock has to go on while the machine sleeps.
+//! Guarantee to callers: [`LeaseHolder::may_act`] permits an action only while no other process can hold the lease. A lease
+//! counts from when the heartbeat that requested its renewal was *sent*, less a share of its time to live for clock drift:
+//! the coordinators count from when they received it. The clock has to go on while the machine is suspended.
 
 use super::frame::{LeaseRef, RenewedLease};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Signs of life whose answers may still come.
-const SENT_MOST: usize = 64;
+/// Most unacknowledged heartbeats that are remembered.
+const MAX_OUTSTANDING: usize = 64;
+/// Renewals per time to live.
+const RENEWALS_PER_TTL: f64 = 3.0;
+/// Renewal interval of a lease whose time to live is not known yet (seconds).
+const FIRST_RENEWAL_INTERVAL_S: f64 = 0.1;
 
 /// A lease as its holder knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Known {
+struct HeldLease {
     token: u64,
-    /// `None` until the first renewal: a grant alone does not say since when.
-    until: Option<f64>,
+    /// `None` until the first renewal: a grant alone does not say since when it counts.
+    valid_until: Option<f64>,
     ttl_s: f64,
 }
 
+/// A heartbeat that has not been acknowledged yet.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OutstandingHeartbeat {
+    /// Its number.
+    pub seq: u64,
+    /// When it was sent.
+    pub sent_at: f64,
+    /// The leases whose renewal it requested.
+    pub leases: Vec<LeaseRef>,
+}
+
+/// The leases that a worker holds.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
-    /// The share of a lease's time that is not used, for drift of both clocks together.
+    /// The share of a time to live that is not used, for the drift of both clocks together.
     drift: f64,
-    leases: BTreeMap<String, Known>,
-    /// Signs of life by number: when each was sent, and what it asked to renew.
-    sent: VecDeque<(u64, f64, Vec<LeaseRef>)>,
+    leases: BTreeMap<String, HeldLease>,
+    /// In the order in which they were sent.
+    outstanding: VecDeque<OutstandingHeartbeat>,
 }
 
 impl LeaseHolder {
+    /// A holder without leases; `drift` is the share of a time to live that is left unused.
     pub fn new(drift: f64) -> LeaseHolder {
-        LeaseHolder { drift, leases: BTreeMap::new(), sent: VecDeque::new() }
+        LeaseHolder { drift, leases: BTreeMap::new(), outstanding: VecDeque::new() }
     }
 
-    /// A task was granted: it is held from the next renewal on. One under a lower token is over.
-    pub fn granted(&mut self, held: &LeaseRef) {
-        let known = self.leases.get(&held.task).map_or(0, |k| k.token);
-        if held.token > known {
-            self.leases.insert(held.task.clone(), Known { token: held.token, until: None, ttl_s: 0.0 });
+    /// A lease was granted: it is valid from its first renewal on. One under a lower token is over.
+    pub fn granted(&mut self, lease: &LeaseRef) {
+        let known_token = self.token(&lease.task).unwrap_or(0);
+        if lease.token > known_token {
+            let held = HeldLease { token: lease.token, valid_until: None, ttl_s: 0.0 };
+            self.leases.insert(lease.task.clone(), held);
         }
     }
 
-    /// What to ask for in the sign of life that is sent now.
-    pub fn ask(&mut self, now: f64, seq: u64) -> Vec<LeaseRef> {
-        let held: Vec<LeaseRef> =
-            self.leases.iter().map(|(task, k)| LeaseRef { task: task.clone(), token: k.token }).collect();
-        self.sent.push_back((seq, now, held.clone()));
-        if self.sent.len() > SENT_MOST {
-            self.sent.pop_front();
+    /// A heartbeat is sent now: returns the leases whose renewal it has to request.
+    pub fn heartbeat_sent(&mut self, now: f64, seq: u64) -> Vec<LeaseRef> {
+        let leases: Vec<LeaseRef> = self.all().collect();
+        self.outstanding.push_back(OutstandingHeartbeat { seq, sent_at: now, leases: leases.clone() });
+        if self.outstanding.len() > MAX_OUTSTANDING {
+            self.outstanding.pop_front();
         }
-        held
+        leases
     }
 
-    /// The answer to a sign of life; which leases are lost with it.
-    pub fn kept(&mut self, seq: u64, leases: &[RenewedLease]) -> Vec<LeaseRef> {
-        let Some(at) = self.sent.iter().position(|(sent, ..)| *sent == seq) else { return Vec::new() };
-        // Answers to earlier ones say nothing more.
-        self.sent.drain(..at);
-        let Some((_, sent_at, asked)) = self.sent.pop_front() else { return Vec::new() };
+    /// A heartbeat was acknowledged: extends the leases that were renewed, and returns those that are lost.
+    pub fn heartbeat_acked(&mut self, seq: u64, renewed: &[RenewedLease]) -> Vec<LeaseRef> {
+        let Some(index) = self.outstanding.iter().position(|heartbeat| heartbeat.seq == seq) else {
+            return Vec::new();
+        };
+        // Answers to earlier heartbeats say nothing more.
+        self.outstanding.drain(..index);
+        let Some(heartbeat) = self.outstanding.pop_front() else { return Vec::new() };
         let mut lost = Vec::new();
-        for held in asked {
-            let Some(known) = self.leases.get_mut(&held.task).filter(|k| k.token == held.token) else {
+        for lease in heartbeat.leases {
+            if self.token(&lease.task) != Some(lease.token) {
                 continue;
-            };
-            match leases.iter().find(|r| r.held == held) {
-                Some(renewed) => {
-                    known.ttl_s = renewed.ttl_ms as f64 / 1000.0;
-                    let until = sent_at + known.ttl_s * (1.0 - self.drift);
-                    known.until = Some(known.until.map_or(until, |u| u.max(until)));
-                }
+            }
+            match renewed.iter().find(|renewal| renewal.held == lease) {
+                Some(renewal) => self.extend(&lease.task, heartbeat.sent_at, renewal.ttl_ms),
                 None => {
-                    self.leases.remove(&held.task);
-                    lost.push(held);
+                    self.leases.remove(&lease.task);
+                    lost.push(lease);
                 }
             }
         }
         lost
     }
 
-    /// The token under which an act that takes up to `for_s` may begin now.
-    pub fn may_act(&self, now: f64, task: &str, for_s: f64) -> Option<u64> {
-        let known = self.leases.get(task)?;
-        (now + for_s < known.until?).then_some(known.token)
+    fn extend(&mut self, task: &str, requested_at: f64, ttl_ms: u64) {
+        let Some(held) = self.leases.get_mut(task) else { return };
+        held.ttl_s = ttl_ms as f64 / 1000.0;
+        let valid_until = requested_at + held.ttl_s * (1.0 - self.drift);
+        held.valid_until = Some(held.valid_until.map_or(valid_until, |known| known.max(valid_until)));
+    }
+
+    /// The fencing token under which an action that takes up to `duration_s` may begin now.
+    pub fn may_act(&self, now: f64, task: &str, duration_s: f64) -> Option<u64> {
+        let held = self.leases.get(task)?;
+        (now + duration_s < held.valid_until?).then_some(held.token)
     }
 
     /// The token of a lease that is held, valid now or not.
     pub fn token(&self, task: &str) -> Option<u64> {
-        self.leases.get(task).map(|k| k.token)
+        self.leases.get(task).map(|held| held.token)
     }
 
     /// Until when a lease is valid on this worker's clock.
-    pub fn until(&self, task: &str) -> Option<f64> {
-        self.leases.get(task)?.until
+    pub fn valid_until(&self, task: &str) -> Option<f64> {
+        self.leases.get(task)?.valid_until
     }
 
+    /// All leases that are held, valid now or not, by task.
     pub fn all(&self) -> impl Iterator<Item = LeaseRef> + '_ {
-        self.leases.iter().map(|(task, k)| LeaseRef { task: task.clone(), token: k.token })
+        self.leases.iter().map(|(task, held)| LeaseRef { task: task.clone(), token: held.token })
     }
 
-    /// Signs of life whose answers are still looked for: number, when it was sent, what it asked to renew.
-    pub fn outstanding(&self) -> impl Iterator<Item = &(u64, f64, Vec<LeaseRef>)> {
-        self.sent.iter()
+    /// Heartbeats whose acknowledgement may still come.
+    pub fn outstanding(&self) -> impl Iterator<Item = &OutstandingHeartbeat> {
+        self.outstanding.iter()
     }
 
-    /// A third of the shortest time to live among what is held: so often signs of life are due.
-    pub fn renew_every(&self) -> Option<f64> {
-        self.leases.values().map(|k| if k.ttl_s > 0.0 { k.ttl_s / 3.0 } else { 0.1 }).reduce(f64::min)
+    /// The interval at which heartbeats are needed to keep all leases (seconds): a third of the shortest time to live.
+    pub fn renewal_interval_s(&self) -> Option<f64> {
+        let interval_s = |held: &HeldLease| {
+            if held.ttl_s > 0.0 {
+                held.ttl_s / RENEWALS_PER_TTL
+            } else {
+                FIRST_RENEWAL_INTERVAL_S
+            }
+        };
+        self.leases.values().map(interval_s).reduce(f64::min)
     }
 
-    /// The holder has given a lease back: it does not act under it any more.
-    pub fn drop_lease(&mut self, task: &str) {
+    /// The lease is released: the worker does not act under it any more.
+    pub fn release(&mut self, task: &str) {
         self.leases.remove(task);
     }
 
-    /// Another session: nothing of the one before counts.
+    /// The session is over, and every lease with it.
     pub fn clear(&mut self) {
         self.leases.clear();
-        self.sent.clear();
+        self.outstanding.clear();
     }
 
-    /// Another link in the same session: answers to what went over the old one may be lost, leases stay.
-    pub fn relinked(&mut self) {
-        self.sent.clear();
+    /// The session goes on over another link: leases stay, acknowledgements on the old link may be lost.
+    pub fn reconnected(&mut self) {
+        self.outstanding.clear();
     }
 }
 
--- a/src/fleet/lease_holder/tests.rs
+++ b/src/fleet/lease_holder/tests.rs
@@ -9,44 +9,44 @@
 }
 
 #[test]
-fn a_lease_counts_from_when_its_renewal_was_sent_and_not_from_the_answer() {
+fn a_lease_counts_from_when_its_renewal_was_sent_and_not_from_the_acknowledgement() {
     let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(4));
-    assert_eq!(holder.may_act(0.0, "t", 0.0), None, "a grant alone says nothing of since when");
-    holder.ask(1.0, 1);
-    holder.kept(1, &renewed(4));
+    assert_eq!(holder.may_act(0.0, "t", 0.0), None, "a grant alone does not say since when it counts");
+    holder.heartbeat_sent(1.0, 1);
+    holder.heartbeat_acked(1, &renewed(4));
     assert_eq!(holder.may_act(3.6, "t", 0.0), Some(4));
     assert_eq!(holder.may_act(3.75, "t", 0.0), None);
-    assert_eq!(holder.may_act(3.0, "t", 1.0), None, "an act must end before the lease does");
+    assert_eq!(holder.may_act(3.0, "t", 1.0), None, "an action must end before the lease does");
 }
 
 #[test]
-fn a_late_answer_to_an_early_renewal_gives_no_more_than_that() {
+fn a_late_acknowledgement_extends_a_lease_only_from_when_its_heartbeat_was_sent() {
     let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(4));
-    holder.ask(1.0, 1);
-    holder.ask(2.0, 2);
-    holder.kept(1, &renewed(4));
-    assert_eq!(holder.until("t"), Some(1.0 + 2.7));
-    holder.kept(2, &renewed(4));
-    holder.kept(1, &renewed(4));
-    assert_eq!(holder.until("t"), Some(2.0 + 2.7));
+    holder.heartbeat_sent(1.0, 1);
+    holder.heartbeat_sent(2.0, 2);
+    holder.heartbeat_acked(1, &renewed(4));
+    assert_eq!(holder.valid_until("t"), Some(1.0 + 2.7));
+    holder.heartbeat_acked(2, &renewed(4));
+    holder.heartbeat_acked(1, &renewed(4));
+    assert_eq!(holder.valid_until("t"), Some(2.0 + 2.7));
 }
 
 #[test]
-fn a_renewal_that_comes_after_the_lease_was_given_up_or_lost_brings_nothing_back() {
+fn a_renewal_after_release_or_loss_does_not_restore_the_lease() {
     let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(4));
-    holder.ask(1.0, 1);
-    holder.ask(1.5, 2);
-    assert_eq!(holder.kept(2, &[]), vec![held(4)]);
-    assert_eq!(holder.kept(1, &renewed(4)), vec![]);
+    holder.heartbeat_sent(1.0, 1);
+    holder.heartbeat_sent(1.5, 2);
+    assert_eq!(holder.heartbeat_acked(2, &[]), vec![held(4)]);
+    assert_eq!(holder.heartbeat_acked(1, &renewed(4)), vec![]);
     assert_eq!(holder.may_act(1.6, "t", 0.0), None);
     holder.granted(&held(6));
     holder.granted(&held(5));
-    assert_eq!(holder.token("t"), Some(6), "a grant that was overtaken");
-    holder.ask(2.0, 3);
-    holder.drop_lease("t");
-    holder.kept(3, &renewed(6));
+    assert_eq!(holder.token("t"), Some(6), "an older grant that arrives late");
+    holder.heartbeat_sent(2.0, 3);
+    holder.release("t");
+    holder.heartbeat_acked(3, &renewed(6));
     assert_eq!(holder.token("t"), None);
 }
--- /dev/null
+++ b/src/fleet/member/receive.rs
@@ -0,0 +1,120 @@
+//! Handling of the coordinators' messages.
+
+use super::{FleetMember, MemberAction};
+use crate::fleet::frame::{ClientMessage, Counters, FleetTotals, LeaseRef, RenewedLease, ServerMessage};
+use crate::fleet::overload::client::FleetOverloadClient;
+use crate::fleet::overload::FleetDigest;
+use crate::fleet::tasks::PeriodDecision;
+use crate::fleet::totals::{sum_counters, ReceivedTotals, TOTALS};
+
+/// Added to the pause that a coordinator asks for (seconds): a request that comes a little early is rejected, and each
+/// period would be requested twice.
+const PERIOD_REQUEST_MARGIN_S: f64 = 0.002;
+
+impl FleetMember {
+    /// Handles a message from the coordinator.
+    pub fn receive(&mut self, now: f64, message: &ServerMessage) {
+        let was_established = self.session.is_established();
+        let mut link_actions = Vec::new();
+        let session_over = self.session.receive(now, message, &mut link_actions);
+        if session_over {
+            self.drop_all_leases("the session before is over");
+        }
+        self.push_link_actions(link_actions);
+        match message {
+            ServerMessage::Welcome { session, .. } => self.welcomed(now, *session),
+            ServerMessage::NotLeader { why, .. } if was_established => {
+                self.log(format!("fleet: the coordinator does not lead any more: {why}"));
+            }
+            ServerMessage::Rejected { why } => self.log(format!("fleet: refused: {why}")),
+            ServerMessage::HeartbeatAck { seq, leases, totals, figures, overload } => {
+                self.update_overload(*seq, overload.as_ref());
+                self.renew_leases(*seq, leases);
+                self.update_totals(now, totals.as_ref());
+                self.compute_totals(now, figures);
+            }
+            ServerMessage::LeaseGranted { held } => self.lease_granted(now, held),
+            ServerMessage::PeriodBegun { held, period, attempt } => {
+                self.period_begun(now, held, *period, *attempt);
+            }
+            ServerMessage::PeriodNotBegun { held, in_ms, .. } => self.period_not_begun(now, held, *in_ms),
+            _ => {}
+        }
+    }
+
+    fn welcomed(&mut self, now: f64, session: u64) {
+        let address = self.session.coordinator().map_or_else(String::new, |address| address.to_string());
+        self.log(format!("fleet: session {session} over {address}"));
+        self.leases.reconnected();
+        self.overload.iter_mut().for_each(FleetOverloadClient::reconnected);
+        for task in &mut self.tasks {
+            self.actions.extend(task.reconnected(now).map(MemberAction::Send));
+        }
+    }
+
+    fn update_overload(&mut self, seq: u64, digest: Option<&FleetDigest>) {
+        if let (Some(client), Some(digest)) = (&mut self.overload, digest) {
+            client.receive(seq, digest);
+        }
+    }
+
+    fn renew_leases(&mut self, seq: u64, renewed: &[RenewedLease]) {
+        for lost in self.leases.heartbeat_acked(seq, renewed) {
+            self.log(format!("fleet: {} is lost, token {}", lost.task, lost.token));
+        }
+    }
+
+    fn update_totals(&mut self, now: f64, totals: Option<&FleetTotals>) {
+        if let Some(totals) = totals {
+            self.received_totals = Some(ReceivedTotals { totals: totals.clone(), received_at: now });
+        }
+    }
+
+    fn compute_totals(&mut self, now: f64, workers: &[(u64, Counters)]) {
+        if self.leases.may_act(now, TOTALS, 0.0).is_some() && !workers.is_empty() {
+            self.computed_totals = Some(sum_counters(&self.config.name, workers));
+        }
+    }
+
+    fn lease_granted(&mut self, now: f64, lease: &LeaseRef) {
+        let is_wanted = self.may_take_tasks() && self.wanted_tasks().contains(&lease.task);
+        if is_wanted {
+            self.log(format!("fleet: {} is held, token {}", lease.task, lease.token));
+            self.leases.granted(lease);
+        } else {
+            // It was requested before the worker began to drain: nobody here will act under it.
+            self.send(ClientMessage::ReleaseLease {
+                held: lease.clone(),
+                failed: false,
+                pass_on: self.replaced,
+            });
+        }
+        self.session.heartbeat_now(now);
+    }
+
+    fn period_begun(&mut self, now: f64, lease: &LeaseRef, period: u64, attempt: u64) {
+        if !self.may_take_tasks() {
+            return;
+        }
+        let Some(task) = self.tasks.iter_mut().find(|task| task.schedule.name == lease.task) else { return };
+        match task.period_begun(now, lease, period, attempt, &self.leases) {
+            PeriodDecision::Call(call) => self.actions.push(MemberAction::Call(call)),
+            PeriodDecision::Report(report) => self.send(report),
+            PeriodDecision::Superseded => {}
+        }
+    }
+
+    fn period_not_begun(&mut self, now: f64, lease: &LeaseRef, pause_ms: u64) {
+        if let Some(task) = self.tasks.iter_mut().find(|task| task.schedule.name == lease.task) {
+            task.period_not_begun(now, pause_ms as f64 / 1000.0 + PERIOD_REQUEST_MARGIN_S);
+        }
+    }
+
+    fn drop_all_leases(&mut self, cause: &str) {
+        let leases: Vec<LeaseRef> = self.leases.all().collect();
+        for lease in leases {
+            self.log(format!("fleet: {} is lost, token {}: {cause}", lease.task, lease.token));
+        }
+        self.leases.clear();
+    }
+}
--- /dev/null
+++ b/src/fleet/member/tests.rs
@@ -0,0 +1,85 @@
+use super::*;
+use crate::fleet::frame::ServerMessage;
+use crate::fleet::tasks::Schedule;
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn lease(token: u64) -> LeaseRef {
+    LeaseRef { task: "t".into(), token }
+}
+
+fn config() -> MembershipConfig {
+    let schedule = Schedule {
+        name: "t".into(),
+        period_s: 10.0,
+        address: address(9),
+        path: "/".into(),
+        deadline_s: 0.5,
+        safe: true,
+    };
+    MembershipConfig {
+        fleet: "f".into(),
+        name: "w1".into(),
+        zone: "z".into(),
+        coordinators: vec![address(1)],
+        drift: 0.1,
+        computes_totals: false,
+        tasks: vec![schedule],
+        overload: None,
+    }
+}
+
+/// A member whose session is established at 1 s, and which holds the task's lease under token 3.
+fn holding() -> FleetMember {
+    let mut member = FleetMember::new(0.0, config(), 1, 1);
+    member.tick(1.0, Counters::new);
+    member.connected();
+    let welcome =
+        ServerMessage::Welcome { session: 5, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION };
+    member.receive(1.0, &welcome);
+    member.receive(1.0, &ServerMessage::LeaseGranted { held: lease(3) });
+    member.take_actions();
+    member
+}
+
+fn sent(member: &mut FleetMember) -> Vec<ClientMessage> {
+    let message = |action| match action {
+        MemberAction::Send(message) => Some(message),
+        _ => None,
+    };
+    member.take_actions().into_iter().filter_map(message).collect()
+}
+
+fn released(token: u64, pass_on: bool) -> ClientMessage {
+    ClientMessage::ReleaseLease { held: lease(token), failed: false, pass_on }
+}
+
+#[test]
+fn a_draining_worker_releases_its_lease_and_rejects_one_that_was_granted_meanwhile() {
+    let mut member = holding();
+    member.set_accepting_tasks(2.0, false);
+    assert_eq!(sent(&mut member), [released(3, false)]);
+    member.receive(2.1, &ServerMessage::LeaseGranted { held: lease(4) });
+    assert_eq!(sent(&mut member), [released(4, false)]);
+    assert_eq!(member.may_act(2.1, "t", 0.0), None);
+}
+
+#[test]
+fn a_worker_that_is_replaced_passes_its_lease_on_and_closes_its_session_once() {
+    let mut member = holding();
+    member.leave(true);
+    member.leave(true);
+    assert_eq!(sent(&mut member), [released(3, true), ClientMessage::Goodbye]);
+}
+
+#[test]
+fn an_expired_session_ends_every_lease() {
+    let mut member = holding();
+    member.receive(2.0, &ServerMessage::SessionExpired);
+    assert!(!member.is_connected());
+    assert_eq!(member.leases.token("t"), None);
+    let line = MemberAction::Log("fleet: t is lost, token 3: the session before is over".to_owned());
+    assert_eq!(member.take_actions(), [line, MemberAction::Close]);
+}
--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -85,7 +85,7 @@
     }
 
     /// The answer to a sign of life.
-    pub fn heard(&mut self, number: u64, digest: &FleetDigest) {
+    pub fn receive(&mut self, number: u64, digest: &FleetDigest) {
         if !digest.is_sound() {
             return;
         }
@@ -97,13 +97,13 @@
     }
 
     /// Another link: what was on the old one is lost, and the view goes on until it is too old.
-    pub fn relinked(&mut self) {
+    pub fn reconnected(&mut self) {
         self.part.relinked();
         self.sent.clear();
     }
 
     /// What the worker may go by now, on the same clock.
-    pub fn advice(&self, now: f64) -> OverloadDirective {
+    pub fn directive(&self, now: f64) -> OverloadDirective {
         let (lent, slice) = self.part.now(now);
         let (mut digest, until) = self.digest.clone().unwrap_or((FleetDigest::default(), f64::NEG_INFINITY));
         digest.slice = slice as f32;
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -6,7 +6,7 @@
 //! swing; every change has a cause.
 
 use super::view::Sums;
-use super::TIERS_MOST;
+use super::MAX_TIERS;
 use serde::{Deserialize, Serialize};
 
 /// What the level lets in, against what the cores can do: a little more, since each worker's own module refuses what it can't
@@ -39,19 +39,19 @@
 
 impl Default for SheddingLevel {
     fn default() -> SheddingLevel {
-        SheddingLevel { tier: TIERS_MOST, share: 0.0 }
+        SheddingLevel { tier: MAX_TIERS, share: 0.0 }
     }
 }
 
 impl SheddingLevel {
     /// All tiers are let in.
     pub fn is_open(&self) -> bool {
-        self.tier >= TIERS_MOST
+        self.tier >= MAX_TIERS
     }
 
     /// Whether a request of this tier with this rank in it (0 the highest, below 1) is let in.
     pub fn lets_in(&self, tier: usize, rank: f64) -> bool {
-        let tier = tier.min(TIERS_MOST - 1);
+        let tier = tier.min(MAX_TIERS - 1);
         tier < self.tier || tier == self.tier && rank < f64::from(self.share)
     }
 
@@ -62,7 +62,7 @@
 
     fn at(depth: f64) -> SheddingLevel {
         let tier = depth.max(0.0).floor();
-        if tier >= TIERS_MOST as f64 {
+        if tier >= MAX_TIERS as f64 {
             return SheddingLevel::default();
         }
         SheddingLevel { tier: tier as usize, share: (depth.max(0.0) - tier) as f32 }
--- a/src/fleet/overload/level/tests.rs
+++ b/src/fleet/overload/level/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn sums(arrivals: &[f64], capacity: f64) -> Sums {
-    let mut all = [0.0; TIERS_MOST];
+    let mut all = [0.0; MAX_TIERS];
     all[..arrivals.len()].copy_from_slice(arrivals);
     Sums { of: 10, arrivals: all, capacity, refused: 5.0, ..Sums::default() }
 }
@@ -20,7 +20,7 @@
 #[test]
 fn tables_of_demand_give_the_level_that_fits_the_cores() {
     for (arrivals, capacity, tier, share) in [
-        (&[10.0, 10.0, 10.0][..], 40.0, TIERS_MOST, 0.0),
+        (&[10.0, 10.0, 10.0][..], 40.0, MAX_TIERS, 0.0),
         (&[10.0, 10.0, 10.0], 26.0, 2, 0.75),
         (&[10.0, 10.0, 10.0], 20.0, 2, 0.25),
         (&[10.0, 10.0, 10.0], 18.0, 1, 1.0),
@@ -54,9 +54,9 @@
 
 #[test]
 fn no_lower_rank_is_let_in_where_a_higher_one_is_refused() {
-    for depth in 0..=TIERS_MOST * 4 {
+    for depth in 0..=MAX_TIERS * 4 {
         let level = SheddingLevel::at(depth as f64 / 4.0);
-        let ranks = (0..TIERS_MOST).flat_map(|tier| (0..8).map(move |n| (tier, n as f64 / 8.0)));
+        let ranks = (0..MAX_TIERS).flat_map(|tier| (0..8).map(move |n| (tier, n as f64 / 8.0)));
         let let_in: Vec<bool> = ranks.map(|(tier, rank)| level.lets_in(tier, rank)).collect();
         assert!(let_in.windows(2).all(|w| w[0] >= w[1]), "{level:?}: {let_in:?}");
     }
@@ -89,7 +89,7 @@
     assert_eq!(levels.level(2.0), SheddingLevel { tier: 0, share: 0.75 });
     let changes = look(&mut levels, 2.0, 12.0, |_| sums(&[10.0, 0.0, 10.0], 50.0));
     let depths: Vec<f64> = changes.iter().map(|(_, c)| c.level.depth()).collect();
-    assert_eq!(depths, [2.0, 2.25, 2.5, 2.75, TIERS_MOST as f64], "{changes:?}");
+    assert_eq!(depths, [2.0, 2.25, 2.5, 2.75, MAX_TIERS as f64], "{changes:?}");
     assert!(changes[0].0 >= 2.0 + ROOM_S);
     assert!(changes.windows(2).all(|w| w[1].0 - w[0].0 >= OPEN_S));
 }
--- a/src/fleet/overload/mod.rs
+++ b/src/fleet/overload/mod.rs
@@ -27,9 +27,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Tiers that are told apart; what ranks lower counts as the last of them.
-pub const TIERS_MOST: usize = 8;
+pub const MAX_TIERS: usize = 8;
 /// How often a worker tells its load (seconds).
-pub const TELL_S: f64 = 0.5;
+pub const REPORT_INTERVAL_S: f64 = 0.5;
 /// A figure beyond this is no measurement (a second, or calls).
 const FIGURE_MOST: f32 = 1e6;
 
@@ -92,7 +92,7 @@
 
     /// Whether it can have been measured.
     pub fn is_sound(&self) -> bool {
-        self.arrivals.len() <= TIERS_MOST && self.figures().all(|f| (0.0..=FIGURE_MOST).contains(&f))
+        self.arrivals.len() <= MAX_TIERS && self.figures().all(|f| (0.0..=FIGURE_MOST).contains(&f))
     }
 
     /// The same but for its numbers: what a worker says whose figures have frozen.
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -6,7 +6,7 @@
 //! its part, less what is lent, and its slice.
 
 use super::client::{LoadSample, OverloadDirective};
-use super::{dice, FleetDigest, TIERS_MOST};
+use super::{dice, FleetDigest, MAX_TIERS};
 use crate::interface::Settings;
 use std::cell::Cell;
 
@@ -31,7 +31,7 @@
     own: f64,
     advice: Option<OverloadDirective>,
     told: f64,
-    arrivals: [u64; TIERS_MOST],
+    arrivals: [u64; MAX_TIERS],
     further: u64,
     calls_good: u64,
     calls_bad: u64,
@@ -55,7 +55,7 @@
             own,
             advice: None,
             told: now,
-            arrivals: [0; TIERS_MOST],
+            arrivals: [0; MAX_TIERS],
             further: 0,
             calls_good: 0,
             calls_bad: 0,
@@ -103,7 +103,7 @@
     /// then, and is no load that others would have to wait behind.
     pub fn arrived(&mut self, tier: usize, further: bool) -> bool {
         if !further {
-            self.arrivals[tier.min(TIERS_MOST - 1)] += 1;
+            self.arrivals[tier.min(MAX_TIERS - 1)] += 1;
             return false;
         }
         self.further += 1;
@@ -195,7 +195,7 @@
             weight: weight / waiting.max(1.0),
             spare: if spare.is_finite() && self.own >= 1.0 && waiting == 0.0 { spare.max(0.0) } else { 0.0 },
         };
-        (self.told, self.arrivals, self.further) = (now, [0; TIERS_MOST], 0);
+        (self.told, self.arrivals, self.further) = (now, [0; MAX_TIERS], 0);
         (self.calls_good, self.calls_bad, self.call_time) = (0, 0, 0.0);
         numbers
     }
--- a/src/fleet/overload/retries/tests.rs
+++ b/src/fleet/overload/retries/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::fleet::overload::TIERS_MOST;
+use crate::fleet::overload::MAX_TIERS;
 
 fn sums(first: f64, further: f64) -> Sums {
-    let mut arrivals = [0.0; TIERS_MOST];
+    let mut arrivals = [0.0; MAX_TIERS];
     arrivals[0] = first;
     Sums { of: 10, arrivals, further, ..Sums::default() }
 }
--- a/src/fleet/overload/tests.rs
+++ b/src/fleet/overload/tests.rs
@@ -5,7 +5,7 @@
     let full = LoadReport {
         number: 1_000_000,
         heard: 1_000_000,
-        arrivals: vec![12345.6; TIERS_MOST],
+        arrivals: vec![12345.6; MAX_TIERS],
         further: 1234.5,
         refused: 1234.5,
         capacity: 4321.5,
@@ -24,7 +24,7 @@
         assert!(!LoadReport { arrivals: vec![bad], ..full.clone() }.is_sound(), "{bad}");
         assert!(!FleetDigest { slice: bad, ..FleetDigest::default() }.is_sound(), "{bad}");
     }
-    assert!(!LoadReport { arrivals: vec![1.0; TIERS_MOST + 1], ..full }.is_sound());
+    assert!(!LoadReport { arrivals: vec![1.0; MAX_TIERS + 1], ..full }.is_sound());
 }
 
 #[test]
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -1,7 +1,7 @@
 //! What is believed of the fleet's sums. A worker that reports nonsense shifts nothing by more than a few workers' shares; one
 //! that has fallen silent, or says the same over and over while it claims to be busy, is left out.
 
-use super::{LoadReport, TIERS_MOST};
+use super::{LoadReport, MAX_TIERS};
 use std::collections::BTreeMap;
 
 /// A report older than this is left out (seconds): five that should have come.
@@ -33,7 +33,7 @@
     pub of: usize,
     pub age_s: f64,
     /// First tries a second by tier, further ones, and what the cores could end.
-    pub arrivals: [f64; TIERS_MOST],
+    pub arrivals: [f64; MAX_TIERS],
     pub further: f64,
     /// What the workers' own modules turned away.
     pub refused: f64,
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -1,220 +1,270 @@
-//! A worker's one session to the coordinators: which of them it is linked to, when it tries another, and when a link
-//! that stands is of no use.
+//! A worker's one session with the coordinators: which of them it connects to, when it tries another, and when an
+//! established link is abandoned.
 //!
-//! Owed to callers: attempts are spread at random, so that a whole fleet that is cut off at once comes back over seconds;
-//! a leader that does not answer is left; nothing here ever waits.
+//! Guarantees to callers: connection attempts are spread at random, so that a whole fleet that is cut off at the same
+//! moment reconnects over seconds; a leader that does not answer is abandoned; nothing here ever blocks.
 
 use super::frame::{ClientMessage, ServerMessage};
 use std::net::SocketAddr;
 
-/// How long a link may take to come about and to be welcomed (seconds).
-pub const WELCOME_S: f64 = 2.0;
-/// The first pause between two attempts, and the longest (seconds); each is drawn from half to one and a half of it.
-const FIRST_PAUSE_S: f64 = 0.15;
-const LONGEST_PAUSE_S: f64 = 1.0;
-/// After a link that had stood, over how long the fleet's returns are spread (seconds).
-const RETURN_S: f64 = 0.4;
-/// Signs of life that may go without an answer before the link is left.
-const UNANSWERED_MOST: f64 = 2.5;
-
-/// What the session wants done.
+/// How long it may take to connect and to be welcomed (seconds).
+pub const HANDSHAKE_TIMEOUT_S: f64 = 2.0;
+/// Backoff before the second attempt (seconds); each is drawn from half to one and a half of its value.
+const INITIAL_BACKOFF_S: f64 = 0.15;
+/// Longest backoff between two attempts (seconds).
+const MAX_BACKOFF_S: f64 = 1.0;
+/// Growth of the backoff from one attempt to the next.
+const BACKOFF_FACTOR: f64 = 1.3;
+/// Period over which a fleet's reconnections are spread after established links were lost (seconds).
+const RECONNECT_SPREAD_S: f64 = 0.4;
+/// Heartbeat intervals that may pass without an acknowledgement before the link is abandoned.
+const MAX_UNANSWERED_INTERVALS: f64 = 2.5;
+/// Heartbeat interval until a coordinator has announced one (seconds).
+const DEFAULT_HEARTBEAT_INTERVAL_S: f64 = 1.0;
+/// Shortest heartbeat interval that is accepted from a coordinator (seconds).
+const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.05;
+/// Longest heartbeat interval that is accepted from a coordinator (seconds).
+const MAX_HEARTBEAT_INTERVAL_S: f64 = 60.0;
+
+/// What the session wants done with its link.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum LinkAction {
+    /// Connect to this coordinator.
     Connect(SocketAddr),
+    /// Send a message on the link.
     Send(ClientMessage),
+    /// Close the link.
     Close,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    /// Nothing is under way until this time.
-    Resting(f64),
-    /// Since when a link is under way, or a greeting.
-    Greeting(f64),
-    /// Since when the coordinator has owed an answer, if it does.
-    Up { owed_since: Option<f64> },
+enum LinkState {
+    /// The next attempt is due at `until`.
+    BackingOff { until: f64 },
+    /// Connecting, or waiting for the welcome.
+    Handshaking { since: f64 },
+    /// In session. `unanswered_since` is when the oldest unacknowledged heartbeat was sent.
+    Established { unanswered_since: Option<f64> },
 }
 
+/// State machine of one worker's session.
 pub struct Session {
     coordinators: Vec<SocketAddr>,
-    at: usize,
-    stage: Stage,
-    pause_s: f64,
-    dice: u64,
-    /// The session's number, once there was one.
+    /// Index of the coordinator that is connected to, or tried next.
+    current: usize,
+    state: LinkState,
+    backoff_s: f64,
+    /// State of the random generator (xorshift, never zero).
+    random_state: u64,
+    /// Number of the session, once there has been one.
     pub number: Option<u64>,
-    pub keep_every_s: f64,
+    /// Interval at which the coordinators expect heartbeats (seconds).
+    pub heartbeat_interval_s: f64,
+    /// Number of the last heartbeat.
     pub seq: u64,
-    next_keep: f64,
-    /// Where it is linked to, and since when it has been linked or not.
-    pub since: f64,
+    next_heartbeat: f64,
+    /// When the link was last established or lost.
+    pub state_since: f64,
     hello: ClientMessage,
 }
 
 impl Session {
+    /// A session that is not connected yet; `hello` is sent on each new link, `seed` varies the backoffs.
     pub fn new(now: f64, coordinators: Vec<SocketAddr>, seed: u64, hello: ClientMessage) -> Session {
         let mut session = Session {
-            at: 0,
-            stage: Stage::Resting(now),
-            pause_s: FIRST_PAUSE_S,
-            dice: seed | 1,
+            current: 0,
+            state: LinkState::BackingOff { until: now },
+            backoff_s: INITIAL_BACKOFF_S,
+            random_state: seed | 1,
             number: None,
-            keep_every_s: 1.0,
+            heartbeat_interval_s: DEFAULT_HEARTBEAT_INTERVAL_S,
             seq: 0,
-            next_keep: now,
-            since: now,
+            next_heartbeat: now,
+            state_since: now,
             hello,
             coordinators,
         };
-        session.at = (session.draw() * session.coordinators.len() as f64) as usize;
-        session.stage = Stage::Resting(now + session.draw() * RETURN_S);
+        session.current = (session.random() * session.coordinators.len() as f64) as usize;
+        let until = now + session.random() * RECONNECT_SPREAD_S;
+        session.state = LinkState::BackingOff { until };
         session
     }
 
-    /// A number from 0 to 1.
-    fn draw(&mut self) -> f64 {
-        self.dice ^= self.dice << 13;
-        self.dice ^= self.dice >> 7;
-        self.dice ^= self.dice << 17;
-        (self.dice >> 11) as f64 / (1u64 << 53) as f64
+    /// A random number from 0 to 1.
+    fn random(&mut self) -> f64 {
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn is_up(&self) -> bool {
-        matches!(self.stage, Stage::Up { .. })
+    /// Whether the session is established now.
+    pub fn is_established(&self) -> bool {
+        matches!(self.state, LinkState::Established { .. })
     }
 
+    /// The coordinator that is connected to, or tried next.
     pub fn coordinator(&self) -> Option<SocketAddr> {
-        self.coordinators.get(self.at).copied()
+        self.coordinators.get(self.current).copied()
     }
 
-    /// What is due by now. `true` if a sign of life is: the caller writes it with [`Session::keep`].
-    pub fn tick(&mut self, now: f64, steps: &mut Vec<Step>) -> bool {
-        match self.stage {
-            Stage::Resting(until) if now >= until => {
-                if let Some(to) = self.coordinator() {
-                    self.stage = Stage::Greeting(now);
-                    steps.push(Step::Connect(to));
+    /// Carries out what is due by now. `true` if a heartbeat is: the caller sends it, with the number that
+    /// [`Session::heartbeat_sent`] returns.
+    pub fn tick(&mut self, now: f64, actions: &mut Vec<LinkAction>) -> bool {
+        match self.state {
+            LinkState::BackingOff { until } => {
+                if now >= until {
+                    self.connect(now, actions);
                 }
                 false
             }
-            Stage::Greeting(since) if now - since > WELCOME_S => {
-                self.leave(now, steps);
+            LinkState::Handshaking { since } => {
+                if now - since > HANDSHAKE_TIMEOUT_S {
+                    self.abandon_link(now, actions);
+                }
                 false
             }
-            Stage::Up { owed_since: Some(since) } if now - since > UNANSWERED_MOST * self.keep_every_s => {
-                // A leader that has lost its quorum, or a link that goes one way.
-                self.leave(now, steps);
+            // A leader that has lost its quorum, or a link that works in one direction only.
+            LinkState::Established { unanswered_since: Some(since) }
+                if now - since > self.answer_timeout_s() =>
+            {
+                self.abandon_link(now, actions);
                 false
             }
-            Stage::Up { .. } => self.keep_due(now),
-            _ => false,
+            LinkState::Established { .. } => self.heartbeat_due(now),
         }
     }
 
-    fn leave(&mut self, now: f64, steps: &mut Vec<Step>) {
-        steps.push(Step::Close);
-        self.broken(now);
+    fn connect(&mut self, now: f64, actions: &mut Vec<LinkAction>) {
+        if let Some(address) = self.coordinator() {
+            self.state = LinkState::Handshaking { since: now };
+            actions.push(LinkAction::Connect(address));
+        }
     }
 
-    /// Whether a sign of life is due.
-    pub fn keep_due(&self, now: f64) -> bool {
-        self.is_up() && now >= self.next_keep
+    fn abandon_link(&mut self, now: f64, actions: &mut Vec<LinkAction>) {
+        actions.push(LinkAction::Close);
+        self.disconnected(now);
     }
 
-    /// A sign of life goes out: its number. The next one is due after `every_s`.
-    pub fn keep(&mut self, now: f64, every_s: f64) -> u64 {
+    /// How long an acknowledgement is waited for (seconds).
+    fn answer_timeout_s(&self) -> f64 {
+        MAX_UNANSWERED_INTERVALS * self.heartbeat_interval_s
+    }
+
+    /// Whether a heartbeat is due.
+    pub fn heartbeat_due(&self, now: f64) -> bool {
+        self.is_established() && now >= self.next_heartbeat
+    }
+
+    /// A heartbeat is sent now: returns its number. The next one is due after `interval_s`.
+    pub fn heartbeat_sent(&mut self, now: f64, interval_s: f64) -> u64 {
         self.seq += 1;
-        self.next_keep = now + every_s;
-        if let Stage::Up { owed_since } = &mut self.stage {
-            owed_since.get_or_insert(now);
+        self.next_heartbeat = now + interval_s;
+        if let LinkState::Established { unanswered_since } = &mut self.state {
+            unanswered_since.get_or_insert(now);
         }
         self.seq
     }
 
-    /// Brings the next sign of life forward.
-    pub fn keep_soon(&mut self, now: f64) {
-        self.next_keep = now;
+    /// Makes the next heartbeat due now.
+    pub fn heartbeat_now(&mut self, now: f64) {
+        self.next_heartbeat = now;
     }
 
-    /// The link has come about.
-    pub fn connected(&mut self, steps: &mut Vec<Step>) {
-        if matches!(self.stage, Stage::Greeting(_)) {
-            steps.push(Step::Send(self.hello.clone()));
+    /// The link is connected: the hello follows.
+    pub fn connected(&mut self, actions: &mut Vec<LinkAction>) {
+        if matches!(self.state, LinkState::Handshaking { .. }) {
+            actions.push(LinkAction::Send(self.hello.clone()));
         }
     }
 
-    /// The link is no more, or never came about: the next coordinator is tried after a pause.
-    pub fn broken(&mut self, now: f64) {
-        let spread = if self.is_up() { RETURN_S } else { 0.0 };
-        if self.is_up() {
-            self.since = now;
-            self.pause_s = FIRST_PAUSE_S;
+    /// The link was lost, or could not be established: the next coordinator is tried after a backoff.
+    pub fn disconnected(&mut self, now: f64) {
+        let mut spread_s = 0.0;
+        if self.is_established() {
+            spread_s = RECONNECT_SPREAD_S;
+            self.state_since = now;
+            self.backoff_s = INITIAL_BACKOFF_S;
         }
-        if !matches!(self.stage, Stage::Resting(_)) {
-            self.at = (self.at + 1) % self.coordinators.len().max(1);
-            self.rest(now, spread);
+        if !matches!(self.state, LinkState::BackingOff { .. }) {
+            self.current = (self.current + 1) % self.coordinators.len().max(1);
+            self.back_off(now, spread_s);
         }
     }
 
-    fn rest(&mut self, now: f64, spread_s: f64) {
-        let pause = self.pause_s * (0.5 + self.draw()) + spread_s * self.draw();
-        self.pause_s = (self.pause_s * 1.3).min(LONGEST_PAUSE_S);
-        self.stage = Stage::Resting(now + pause);
+    fn back_off(&mut self, now: f64, spread_s: f64) {
+        let pause_s = self.backoff_s * (0.5 + self.random()) + spread_s * self.random();
+        self.backoff_s = (self.backoff_s * BACKOFF_FACTOR).min(MAX_BACKOFF_S);
+        self.state = LinkState::BackingOff { until: now + pause_s };
     }
 
-    /// What a coordinator says of the session itself; `true` if this is another session than before.
-    pub fn heard(&mut self, now: f64, word: &ServerMessage, steps: &mut Vec<Step>) -> bool {
-        match word {
+    /// Handles what a message says of the session itself. `true` if the session before is over.
+    pub fn receive(&mut self, now: f64, message: &ServerMessage, actions: &mut Vec<LinkAction>) -> bool {
+        match message {
             ServerMessage::Welcome { session, keep_every_ms, .. } => {
-                let another = self.number != Some(*session);
-                self.number = Some(*session);
-                self.keep_every_s = (*keep_every_ms as f64 / 1000.0).clamp(0.05, 60.0);
-                self.stage = Stage::Up { owed_since: None };
-                self.pause_s = FIRST_PAUSE_S;
-                (self.since, self.next_keep) = (now, now);
-                another
+                self.receive_welcome(now, *session, *keep_every_ms)
             }
             ServerMessage::HeartbeatAck { seq, .. } => {
-                if let Stage::Up { owed_since } = &mut self.stage {
-                    // Whatever was asked before is answered by this, or will not be.
-                    *owed_since = (*seq < self.seq).then_some(now);
-                }
+                self.receive_heartbeat_ack(now, *seq);
                 false
             }
             ServerMessage::NotLeader { leader, .. } => {
-                steps.push(Step::Close);
-                let named = leader.as_ref().and_then(|l| l.parse::<SocketAddr>().ok());
-                let known = named.and_then(|l| self.coordinators.iter().position(|c| *c == l));
-                self.broken(now);
-                if let Some(known) = known {
-                    self.at = known;
-                }
+                self.abandon_link(now, actions);
+                self.follow_leader(leader.as_deref());
                 false
             }
             ServerMessage::SessionExpired => {
-                steps.push(Step::Close);
-                self.broken(now);
+                self.abandon_link(now, actions);
                 self.number = None;
                 true
             }
             ServerMessage::Rejected { .. } => {
-                self.pause_s = LONGEST_PAUSE_S;
-                steps.push(Step::Close);
-                self.broken(now);
+                self.backoff_s = MAX_BACKOFF_S;
+                self.abandon_link(now, actions);
                 false
             }
             _ => false,
         }
     }
 
+    /// `true` if this is another session than before.
+    fn receive_welcome(&mut self, now: f64, session: u64, heartbeat_interval_ms: u64) -> bool {
+        let is_new = self.number != Some(session);
+        let interval_s = heartbeat_interval_ms as f64 / 1000.0;
+        self.number = Some(session);
+        self.heartbeat_interval_s = interval_s.clamp(MIN_HEARTBEAT_INTERVAL_S, MAX_HEARTBEAT_INTERVAL_S);
+        self.state = LinkState::Established { unanswered_since: None };
+        self.backoff_s = INITIAL_BACKOFF_S;
+        self.state_since = now;
+        self.next_heartbeat = now;
+        is_new
+    }
+
+    fn receive_heartbeat_ack(&mut self, now: f64, seq: u64) {
+        if let LinkState::Established { unanswered_since } = &mut self.state {
+            // Earlier heartbeats are answered by this one as well, or never will be.
+            *unanswered_since = (seq < self.seq).then_some(now);
+        }
+    }
+
+    /// Tries the leader next that a coordinator has named, if it is one of the configured ones.
+    fn follow_leader(&mut self, leader: Option<&str>) {
+        let address = leader.and_then(|l| l.parse::<SocketAddr>().ok());
+        let index = address.and_then(|a| self.coordinators.iter().position(|c| *c == a));
+        if let Some(index) = index {
+            self.current = index;
+        }
+    }
+
     /// When something is due next.
-    pub fn next(&self) -> f64 {
-        match self.stage {
-            Stage::Resting(until) => until,
-            Stage::Greeting(since) => since + WELCOME_S,
-            Stage::Up { owed_since } => {
-                let owed = owed_since.map(|since| since + UNANSWERED_MOST * self.keep_every_s);
-                owed.unwrap_or(f64::INFINITY).min(self.next_keep)
+    pub fn next_wakeup(&self) -> f64 {
+        match self.state {
+            LinkState::BackingOff { until } => until,
+            LinkState::Handshaking { since } => since + HANDSHAKE_TIMEOUT_S,
+            LinkState::Established { unanswered_since } => {
+                let timeout = unanswered_since.map(|since| since + self.answer_timeout_s());
+                timeout.unwrap_or(f64::INFINITY).min(self.next_heartbeat)
             }
         }
     }
--- a/src/fleet/session/tests.rs
+++ b/src/fleet/session/tests.rs
@@ -10,15 +10,15 @@
 }
 
 #[test]
-fn three_hundred_that_are_cut_off_at_once_come_back_spread_out() {
+fn reconnections_of_a_fleet_that_is_cut_off_are_spread() {
     let mut at = Vec::new();
     for seed in 1..=300u64 {
         let mut s = session(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let mut steps = Vec::new();
-        s.tick(10.0, &mut steps);
-        s.heard(10.0, &welcome(1), &mut steps);
-        s.broken(20.0);
-        at.push(s.next() - 20.0);
+        let mut actions = Vec::new();
+        s.tick(10.0, &mut actions);
+        s.receive(10.0, &welcome(1), &mut actions);
+        s.disconnected(20.0);
+        at.push(s.next_wakeup() - 20.0);
     }
     at.sort_by(f64::total_cmp);
     assert!(at[0] >= 0.05 && at[299] <= 0.7, "{} to {}", at[0], at[299]);
@@ -27,43 +27,43 @@
 }
 
 #[test]
-fn a_leader_that_does_not_answer_is_left_for_the_next() {
+fn a_leader_that_does_not_answer_is_abandoned_for_the_next_coordinator() {
     let mut s = session(5);
-    let mut steps = Vec::new();
-    s.tick(1.0, &mut steps);
-    s.heard(1.0, &welcome(1), &mut steps);
+    let mut actions = Vec::new();
+    s.tick(1.0, &mut actions);
+    s.receive(1.0, &welcome(1), &mut actions);
     let first = s.coordinator();
-    assert!(s.tick(1.0, &mut steps));
-    s.keep(1.0, 1.0);
-    assert!(s.tick(2.1, &mut steps));
-    s.keep(2.1, 1.0);
-    steps.clear();
-    s.tick(3.6, &mut steps);
-    assert_eq!(steps, vec![Step::Close]);
+    assert!(s.tick(1.0, &mut actions));
+    s.heartbeat_sent(1.0, 1.0);
+    assert!(s.tick(2.1, &mut actions));
+    s.heartbeat_sent(2.1, 1.0);
+    actions.clear();
+    s.tick(3.6, &mut actions);
+    assert_eq!(actions, vec![LinkAction::Close]);
     assert_ne!(s.coordinator(), first);
     assert_eq!(s.number, Some(1), "the session goes on over another coordinator");
 }
 
 #[test]
-fn answers_that_keep_coming_keep_the_link_and_the_word_of_a_leader_is_followed() {
+fn a_link_stays_while_heartbeats_are_acknowledged_and_a_named_leader_is_followed() {
     let mut s = session(5);
-    let mut steps = Vec::new();
-    s.tick(1.0, &mut steps);
+    let mut actions = Vec::new();
+    s.tick(1.0, &mut actions);
     let named = SocketAddr::from(([127, 0, 0, 1], 3));
-    s.heard(
+    s.receive(
         1.0,
         &ServerMessage::NotLeader { leader: Some(named.to_string()), why: String::new() },
-        &mut steps,
+        &mut actions,
     );
     assert_eq!(s.coordinator(), Some(named));
-    let at = s.next();
-    s.tick(at, &mut steps);
-    assert!(s.heard(at, &welcome(4), &mut steps));
+    let at = s.next_wakeup();
+    s.tick(at, &mut actions);
+    assert!(s.receive(at, &welcome(4), &mut actions));
     for n in 0..20 {
         let now = at + f64::from(n);
-        assert!(s.tick(now, &mut steps), "{n}");
-        let seq = s.keep(now, 1.0);
-        s.heard(
+        assert!(s.tick(now, &mut actions), "{n}");
+        let seq = s.heartbeat_sent(now, 1.0);
+        s.receive(
             now + 0.9,
             &ServerMessage::HeartbeatAck {
                 seq,
@@ -72,12 +72,12 @@
                 figures: vec![],
                 overload: None,
             },
-            &mut steps,
+            &mut actions,
         );
     }
-    assert!(s.is_up());
-    s.broken(40.0);
-    let at = s.next();
-    s.tick(at, &mut steps);
-    assert!(!s.heard(at, &welcome(4), &mut steps), "the same session");
+    assert!(s.is_established());
+    s.disconnected(40.0);
+    let at = s.next_wakeup();
+    s.tick(at, &mut actions);
+    assert!(!s.receive(at, &welcome(4), &mut actions), "the same session");
 }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -1,26 +1,33 @@
-//! Scheduled calls: when the holder of a task asks for its next period, sends the call, and what it makes of the end.
+//! Scheduled calls: when the holder of a task's lease requests the next period, makes its call, and how it handles the
+//! outcome.
 //!
-//! Owed to callers: a call is ordered only under a lease that lasts longer than the call may take, and only after its
-//! period's beginning is in the log; one that isn't safe is ordered at most once for each beginning.
+//! Guarantees to callers: a call is made only under a lease that lasts longer than the call may take, and only after the
+//! beginning of its period has been committed to the coordinators' log; a call that is not idempotent is made at most once
+//! for each beginning.
 
 use super::frame::{CallOutcome, ClientMessage, LeaseRef};
 use super::lease_holder::LeaseHolder;
 use std::net::SocketAddr;
 
-/// How long an answer to a question is waited for before it is asked again (seconds).
-const ASK_AGAIN_S: f64 = 1.5;
-/// Calls that may fail in a row before the holder gives its turn away.
-const FAILURES_MOST: u32 = 3;
-/// Until a call that may be made again is tried again (seconds).
-const RETRY_S: f64 = 0.5;
+/// How long the answer to a request for a period is waited for before the request is repeated (seconds).
+const REQUEST_TIMEOUT_S: f64 = 1.5;
+/// Calls that may fail in a row before the holder releases its lease.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// Pause after a call before the next request for a period (seconds).
+const RETRY_PAUSE_S: f64 = 0.5;
 
 /// A task that workers carry out for the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
+    /// Name of the task.
     pub name: String,
+    /// Length of a period: one call is made in each (seconds).
     pub period_s: f64,
+    /// Address that is called.
     pub address: SocketAddr,
+    /// Path of the request.
     pub path: String,
+    /// How long a call may take (seconds).
     pub deadline_s: f64,
     /// Whether the call may be made twice in a period.
     pub safe: bool,
@@ -29,85 +36,101 @@
 /// A call to be made now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledCall {
+    /// Index of the task in the configuration.
     pub task: usize,
+    /// The lease under which the call is made.
     pub held: LeaseRef,
+    /// Number of the period.
     pub period: u64,
 }
 
-/// What the word that a period has begun leads to.
+/// What follows from the beginning of a period.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeriodDecision {
+    /// The call is to be made.
     Call(ScheduledCall),
-    /// There is no time left for the call: the log is told that it surely had no effect.
-    Tell(ClientMessage),
-    /// It was answered before, or belongs to an earlier question.
-    Overtaken,
+    /// No time is left for the call under this lease: the coordinators are told that it certainly had no effect.
+    Report(ClientMessage),
+    /// A repeated answer, or one to an earlier request: nothing is to be done.
+    Superseded,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Stage {
-    /// Nothing is asked for before this time.
-    Resting(f64),
-    Asked(f64),
+enum TaskState {
+    /// No period is requested before this time.
+    Idle { until: f64 },
+    /// A period was requested.
+    Requested { at: f64 },
+    /// The call of a period is being made.
     Calling(ScheduledCall),
 }
 
 /// One task, as this worker carries it out while it holds the lease.
 pub struct ScheduledTask {
+    /// Configuration of the task.
     pub schedule: Schedule,
-    number: usize,
-    stage: Stage,
+    index: usize,
+    state: TaskState,
+    /// Number of the last request for a period.
     attempt: u64,
-    failures: u32,
-    /// An end that the coordinators may not have heard of.
-    untold: Option<ClientMessage>,
+    consecutive_failures: u32,
+    /// The last outcome, which the coordinators may not have received.
+    unconfirmed_outcome: Option<ClientMessage>,
+    /// Calls made.
     pub calls: u64,
+    /// Calls whose outcome is indeterminate.
     pub unknown: u64,
 }
 
 impl ScheduledTask {
-    pub fn new(number: usize, schedule: Schedule) -> ScheduledTask {
+    /// A task at rest; `index` identifies it in [`ScheduledCall::task`].
+    pub fn new(index: usize, schedule: Schedule) -> ScheduledTask {
         ScheduledTask {
             schedule,
-            number,
-            stage: Stage::Resting(0.0),
+            index,
+            state: TaskState::Idle { until: 0.0 },
             attempt: 0,
-            failures: 0,
-            untold: None,
+            consecutive_failures: 0,
+            unconfirmed_outcome: None,
             calls: 0,
             unknown: 0,
         }
     }
 
-    pub fn calling(&self) -> bool {
-        matches!(self.stage, Stage::Calling(_))
+    /// Whether a call is being made.
+    pub fn is_calling(&self) -> bool {
+        matches!(self.state, TaskState::Calling(_))
     }
 
-    /// Whether the holder should give its turn away.
-    pub fn gives_up(&mut self) -> bool {
-        let over = self.failures >= FAILURES_MOST && !self.calling();
-        if over {
-            self.failures = 0;
+    /// Whether the holder should release the lease since too many calls have failed. The count begins anew then.
+    pub fn take_failure_limit_reached(&mut self) -> bool {
+        let is_reached = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && !self.is_calling();
+        if is_reached {
+            self.consecutive_failures = 0;
         }
-        over
+        is_reached
     }
 
-    fn token(&self, now: f64, holder: &LeaseHolder) -> Option<u64> {
-        holder.may_act(now, &self.schedule.name, self.schedule.deadline_s)
+    /// The token under which a call may be made now.
+    fn token(&self, now: f64, leases: &LeaseHolder) -> Option<u64> {
+        leases.may_act(now, &self.schedule.name, self.schedule.deadline_s)
     }
 
-    /// A question that is due.
-    pub fn tick(&mut self, now: f64, holder: &LeaseHolder) -> Option<ClientMessage> {
-        let due = match self.stage {
-            Stage::Resting(until) => now >= until,
-            Stage::Asked(since) => now - since >= ASK_AGAIN_S,
-            Stage::Calling(_) => false,
+    /// The request for a period, if one is due.
+    pub fn tick(&mut self, now: f64, leases: &LeaseHolder) -> Option<ClientMessage> {
+        let is_due = match self.state {
+            TaskState::Idle { until } => now >= until,
+            TaskState::Requested { at } => now - at >= REQUEST_TIMEOUT_S,
+            TaskState::Calling(_) => false,
         };
-        let token = self.token(now, holder).filter(|_| due)?;
-        if matches!(self.stage, Stage::Resting(_)) {
+        if !is_due {
+            return None;
+        }
+        let token = self.token(now, leases)?;
+        if matches!(self.state, TaskState::Idle { .. }) {
             self.attempt += 1;
         }
-        self.stage = Stage::Asked(now);
+        self.state = TaskState::Requested { at: now };
         Some(ClientMessage::BeginPeriod {
             held: LeaseRef { task: self.schedule.name.clone(), token },
             every_ms: (self.schedule.period_s * 1000.0) as u64,
@@ -116,71 +139,71 @@
         })
     }
 
-    /// When it should be looked at again.
-    pub fn next(&self) -> f64 {
-        match self.stage {
-            Stage::Resting(until) => until,
-            Stage::Asked(since) => since + ASK_AGAIN_S,
-            Stage::Calling(_) => f64::INFINITY,
+    /// When something is due next.
+    pub fn next_wakeup(&self) -> f64 {
+        match self.state {
+            TaskState::Idle { until } => until,
+            TaskState::Requested { at } => at + REQUEST_TIMEOUT_S,
+            TaskState::Calling(_) => f64::INFINITY,
         }
     }
 
-    /// The period has begun: the call, if there is still time for it under this lease.
-    pub fn begun(
+    /// The period has begun: the call follows, if there is still time for it under this lease.
+    pub fn period_begun(
         &mut self,
         now: f64,
-        held: &LeaseRef,
+        lease: &LeaseRef,
         period: u64,
         attempt: u64,
-        holder: &LeaseHolder,
+        leases: &LeaseHolder,
     ) -> PeriodDecision {
-        if !matches!(self.stage, Stage::Asked(_)) || attempt != self.attempt {
-            // An answer that was overtaken, or came twice.
-            return PeriodDecision::Overtaken;
+        let is_awaited = matches!(self.state, TaskState::Requested { .. }) && attempt == self.attempt;
+        if !is_awaited {
+            return PeriodDecision::Superseded;
         }
-        if self.token(now, holder) == Some(held.token) {
+        if self.token(now, leases) == Some(lease.token) {
             self.calls += 1;
-            let order = ScheduledCall { task: self.number, held: held.clone(), period };
-            self.stage = Stage::Calling(order.clone());
-            return PeriodDecision::Call(order);
+            let call = ScheduledCall { task: self.index, held: lease.clone(), period };
+            self.state = TaskState::Calling(call.clone());
+            return PeriodDecision::Call(call);
         }
-        self.stage = Stage::Resting(now + RETRY_S);
-        PeriodDecision::Tell(self.tell(held.clone(), period, CallOutcome::NotDone))
+        self.state = TaskState::Idle { until: now + RETRY_PAUSE_S };
+        PeriodDecision::Report(self.report_outcome(lease.clone(), period, CallOutcome::NotDone))
     }
 
-    /// It has not: nothing is due before `in_s`.
-    pub fn not_begun(&mut self, now: f64, in_s: f64) {
-        if matches!(self.stage, Stage::Asked(_)) {
-            self.untold = None;
-            self.stage = Stage::Resting(now + in_s);
+    /// The period has not begun: the next request is due after `pause_s`.
+    pub fn period_not_begun(&mut self, now: f64, pause_s: f64) {
+        if matches!(self.state, TaskState::Requested { .. }) {
+            self.unconfirmed_outcome = None;
+            self.state = TaskState::Idle { until: now + pause_s };
         }
     }
 
-    /// The call has ended.
-    pub fn ended(&mut self, now: f64, ending: CallOutcome) -> Option<ClientMessage> {
-        let Stage::Calling(order) = std::mem::replace(&mut self.stage, Stage::Resting(now + RETRY_S)) else {
-            return None;
-        };
-        match ending {
-            CallOutcome::Done => self.failures = 0,
-            CallOutcome::NotDone | CallOutcome::Unknown => self.failures += 1,
+    /// The call has ended: returns the report for the coordinators.
+    pub fn call_ended(&mut self, now: f64, outcome: CallOutcome) -> Option<ClientMessage> {
+        let idle = TaskState::Idle { until: now + RETRY_PAUSE_S };
+        let TaskState::Calling(call) = std::mem::replace(&mut self.state, idle) else { return None };
+        match outcome {
+            CallOutcome::Done => self.consecutive_failures = 0,
+            CallOutcome::NotDone | CallOutcome::Unknown => self.consecutive_failures += 1,
         }
-        self.unknown += u64::from(ending == CallOutcome::Unknown);
-        Some(self.tell(order.held, order.period, ending))
+        self.unknown += u64::from(outcome == CallOutcome::Unknown);
+        Some(self.report_outcome(call.held, call.period, outcome))
     }
 
-    fn tell(&mut self, held: LeaseRef, period: u64, ending: CallOutcome) -> ClientMessage {
-        let say = ClientMessage::EndPeriod { held, period, ending };
-        self.untold = Some(say.clone());
-        say
+    fn report_outcome(&mut self, lease: LeaseRef, period: u64, outcome: CallOutcome) -> ClientMessage {
+        let report = ClientMessage::EndPeriod { held: lease, period, ending: outcome };
+        self.unconfirmed_outcome = Some(report.clone());
+        report
     }
 
-    /// Over a new link: what may have been lost with the old one. It changes nothing where it was not.
-    pub fn relinked(&mut self, now: f64) -> Option<ClientMessage> {
-        if matches!(self.stage, Stage::Asked(_)) {
-            self.stage = Stage::Asked(now - ASK_AGAIN_S);
+    /// The session goes on over another link: returns the report that may have been lost with the old one. It has no effect
+    /// where it was not.
+    pub fn reconnected(&mut self, now: f64) -> Option<ClientMessage> {
+        if matches!(self.state, TaskState::Requested { .. }) {
+            self.state = TaskState::Requested { at: now - REQUEST_TIMEOUT_S };
         }
-        self.untold.clone()
+        self.unconfirmed_outcome.clone()
     }
 }
 
--- /dev/null
+++ b/src/fleet/totals.rs
@@ -0,0 +1,30 @@
+//! The counters of the whole fleet, summed up by whoever holds the lease on [`TOTALS`].
+
+use super::frame::{Counters, FleetTotals};
+
+/// The task whose lease holder computes the fleet's totals.
+pub const TOTALS: &str = "totals";
+
+/// Totals as the coordinators sent them.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct ReceivedTotals {
+    pub totals: FleetTotals,
+    pub received_at: f64,
+}
+
+/// Sums up all workers' counters; each comes with its age (milliseconds). The sum is as old as the oldest of them, and
+/// saturates: no value that one worker sends can make it overflow.
+pub(super) fn sum_counters(computed_by: &str, workers: &[(u64, Counters)]) -> FleetTotals {
+    let mut counts = Counters::new();
+    for (_, counters) in workers {
+        for (name, value) in counters {
+            let sum = counts.entry(name.clone()).or_default();
+            *sum = sum.saturating_add(*value);
+        }
+    }
+    let age_ms = workers.iter().map(|(age_ms, _)| *age_ms).max().unwrap_or(0);
+    FleetTotals { counts, workers: workers.len(), by: computed_by.to_owned(), age_ms }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/fleet/totals/tests.rs
@@ -0,0 +1,17 @@
+use super::*;
+
+fn counters(pairs: &[(&str, u64)]) -> Counters {
+    pairs.iter().map(|(name, value)| ((*name).to_owned(), *value)).collect()
+}
+
+#[test]
+fn sums_saturate_and_are_as_old_as_the_oldest_counters() {
+    let workers = [
+        (40, counters(&[("a.success", 3), ("huge", u64::MAX)])),
+        (900, counters(&[("a.success", 4), ("huge", 1)])),
+    ];
+    let totals = sum_counters("w1", &workers);
+    assert_eq!(totals.counts, counters(&[("a.success", 7), ("huge", u64::MAX)]));
+    assert_eq!((totals.workers, totals.by.as_str(), totals.age_ms), (2, "w1", 900));
+    assert_eq!(sum_counters("w1", &[]).age_ms, 0);
+}
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -17,10 +17,10 @@
         // One whose place another still has does not act for the fleet beside it.
         let serves = self.replacement.as_ref().map_or(true, |r| r.door.is_open()) && self.core.is_some();
         let at = fleet.now();
-        fleet.member.set_takes(at, serves && !self.state.draining);
-        if fleet.member.tells(at) {
+        fleet.member.set_accepting_tasks(at, serves && !self.state.draining);
+        if fleet.member.load_report_due(at) {
             let numbers = self.core.as_mut().and_then(|core| core.fleet_load_sample(now));
-            numbers.into_iter().for_each(|n| fleet.member.tell(n));
+            numbers.into_iter().for_each(|n| fleet.member.set_load_sample(n));
         }
         let (core, known) = (&self.core, &self.state.known);
         let figures = || -> Counters {
@@ -37,7 +37,7 @@
             counts
         };
         fleet.turn(now, figures, &mut self.wheel, &mut self.log);
-        let advice = fleet.member.advice(at);
+        let advice = fleet.member.overload_directive(at);
         if let (Some(advice), Some(o)) = (advice, self.core.as_mut().and_then(Dispatcher::overload)) {
             // The module's clock is another, and stands still while the machine sleeps.
             let (until, slice_until) = (advice.until - at + now, advice.slice_until - at + now);
@@ -48,7 +48,7 @@
     /// The fleet's figures for operators, a line each.
     pub(in crate::net) fn fleet_figures(&self) -> String {
         let Some(fleet) = &self.fleet else { return String::new() };
-        fleet.member.figures(fleet.now()).iter().fold(String::new(), |mut text, (name, value)| {
+        fleet.member.metrics(fleet.now()).iter().fold(String::new(), |mut text, (name, value)| {
             let _ = writeln!(text, "{name}={value}");
             text
         }) + &self.overload_figures()
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -86,7 +86,7 @@
         self.follow_calls(now);
         self.member.tick(now, &figures);
         for round in 0..8 {
-            let acts = self.member.take_acts();
+            let acts = self.member.take_actions();
             if acts.is_empty() {
                 break;
             }
@@ -104,7 +104,7 @@
             // The rest comes with the next turn.
             wheel.set(loop_now, 0.0, Timer::Again);
         }
-        let due = self.calls.iter().map(|c| c.until).fold(self.member.next(now), f64::min);
+        let due = self.calls.iter().map(|c| c.until).fold(self.member.next_wakeup(now), f64::min);
         let at = loop_now + (due - now).clamp(0.004, 3600.0);
         // Timers are never taken off the wheel: one that is early does no harm, but there must not be many.
         if at < self.armed - 0.004 || self.armed <= loop_now {
@@ -115,7 +115,7 @@
 
     fn drop_link(&mut self, now: f64) {
         self.link = None;
-        self.member.broken(now);
+        self.member.disconnected(now);
     }
 
     fn hear(&mut self, now: f64) {
@@ -150,7 +150,7 @@
         }
         self.more |= words.len() == WORDS_MOST || link.unread();
         for word in &words {
-            self.member.heard(now, word);
+            self.member.receive(now, word);
         }
         if bad || filled != Filled::Open {
             self.drop_link(now);
@@ -163,7 +163,7 @@
                 let id = self.poll.fresh();
                 match Link::connect(&self.poll, to, Place::Fleet(id), MAX_SERVER_FRAME_BYTES + 4) {
                     Ok(link) => self.link = Some((id, link, false)),
-                    Err(_) => self.member.broken(now),
+                    Err(_) => self.member.disconnected(now),
                 }
             }
             MemberAction::Send(say) => {
@@ -184,7 +184,7 @@
     }
 
     fn call(&mut self, now: f64, order: ScheduledCall) {
-        let plan = self.member.plan();
+        let plan = self.member.config();
         let Some(task) = plan.tasks.get(order.task) else { return };
         let request = format!(
             "POST {} HTTP/1.1\r\nHost: {}\r\nFencing-Token: {}\r\nTask-Period: {}\r\nTask: {}\r\nTask-Holder: {}\r\n\
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -10,7 +10,7 @@
 use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
 use port_worker::fleet::overload::client::FleetOverloadClient;
 use port_worker::fleet::overload::leader::{Leader, Settings as Overload};
-use port_worker::fleet::overload::{FleetDigest, LoadReport, TELL_S};
+use port_worker::fleet::overload::{FleetDigest, LoadReport, REPORT_INTERVAL_S};
 use port_worker::{Gauges, Outcome};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -242,7 +242,7 @@
             side: FleetOverloadClient::new(0.0, shape.slots_each, 0.1),
             wake: 0.025,
             busy: (0.0, 0.0),
-            tells_at: TELL_S * n as f64 / shape.workers as f64,
+            tells_at: REPORT_INTERVAL_S * n as f64 / shape.workers as f64,
             reports: 0,
             open: BTreeMap::new(),
             poor: BTreeMap::new(),
@@ -419,7 +419,7 @@
         }
         let inputs = std::mem::take(&mut worker.inbox);
         if let Some(overload) = worker.core.overload() {
-            overload.advise(worker.side.advice(now));
+            overload.advise(worker.side.directive(now));
         }
         let mut commands = Vec::new();
         worker.core.handle(now, inputs, &mut commands);
@@ -491,7 +491,7 @@
             if now < worker.tells_at {
                 continue;
             }
-            worker.tells_at += TELL_S;
+            worker.tells_at += REPORT_INTERVAL_S;
             let Some(numbers) = worker.core.fleet_load_sample(now) else { continue };
             worker.reports += 1;
             let mut load = worker.side.report(now, worker.reports, &numbers);
@@ -524,7 +524,7 @@
         }
         while self.down.front().is_some_and(|(when, ..)| *when <= now) {
             let Some((_, w, number, digest)) = self.down.pop_front() else { break };
-            self.workers[w].side.heard(number, &digest);
+            self.workers[w].side.receive(number, &digest);
         }
         let lines = self.leader.look(now);
         self.storm.lines.extend(lines.into_iter().map(|line| (now, line)));
--- a/testbed/src/fleet/session_load.rs
+++ b/testbed/src/fleet/session_load.rs
@@ -39,7 +39,7 @@
             zone: "none".to_owned(),
             coordinators: coordinators.to_vec(),
             drift: 0.1,
-            adds_up: false,
+            computes_totals: false,
             tasks: wants.iter().map(schedule).collect(),
             overload: None,
         };
@@ -75,7 +75,7 @@
     }
 
     pub fn all_linked(&self) -> bool {
-        self.sessions.iter().all(|s| s.member.is_linked())
+        self.sessions.iter().all(|s| s.member.is_connected())
     }
 
     /// Who may act for a task now.
@@ -114,10 +114,10 @@
         while let Ok(Some((word, length))) = decode::<ServerMessage>(&self.data, MAX_SERVER_FRAME_BYTES) {
             self.data.drain(..length);
             self.grants += u64::from(matches!(word, ServerMessage::LeaseGranted { .. }));
-            self.member.heard(now, &word);
+            self.member.receive(now, &word);
         }
         self.member.tick(now, || [("concurrent".to_owned(), 3)].into_iter().collect());
-        for act in self.member.take_acts() {
+        for act in self.member.take_actions() {
             match act {
                 MemberAction::Connect(to) => match TcpStream::connect_timeout(&to, Duration::from_secs(1)) {
                     Ok(stream) => {
@@ -128,7 +128,7 @@
                         self.member.connected();
                         // Its greeting goes with the next round.
                     }
-                    Err(_) => self.member.broken(now),
+                    Err(_) => self.member.disconnected(now),
                 },
                 MemberAction::Send(say) => {
                     let bytes = encode(&say);
@@ -148,6 +148,6 @@
 
     fn broken(&mut self, now: f64) {
         self.stream = None;
-        self.member.broken(now);
+        self.member.disconnected(now);
     }
 }
--- a/testbed/src/fleet/virtual_fleet.rs
+++ b/testbed/src/fleet/virtual_fleet.rs
@@ -413,7 +413,7 @@
                     if let Ok(Some((word, _))) =
                         frame::decode::<ServerMessage>(&bytes, frame::MAX_SERVER_FRAME_BYTES)
                     {
-                        self.with_worker(w, |member, now| member.heard(now, &word));
+                        self.with_worker(w, |member, now| member.receive(now, &word));
                     }
                 }
             }
@@ -533,7 +533,7 @@
             zone: format!("z{}", w % 3),
             coordinators: (0..self.shape.coordinators).map(address).collect(),
             drift,
-            adds_up: false,
+            computes_totals: false,
             tasks: (0..self.shape.tasks).map(schedule).collect(),
             overload: None,
         };
@@ -687,7 +687,7 @@
         let Some(member) = &mut worker.member else { return };
         f(member, now);
         member.tick(now, Default::default);
-        let acts = member.take_acts();
+        let acts = member.take_actions();
         for act in acts {
             match act {
                 MemberAction::Connect(to) => {
@@ -749,7 +749,7 @@
         let node = self.worker_node(w);
         let there = self.coordinators[c].machine.is_some();
         if !there || self.is_cut(node, c) || self.is_cut(c, node) {
-            return self.with_worker(w, |member, now| member.broken(now));
+            return self.with_worker(w, |member, now| member.disconnected(now));
         }
         self.workers[w].link = Some((link, c));
         self.links.insert(link, w);
@@ -760,7 +760,7 @@
     fn break_link(&mut self, w: usize, link: u64) {
         if self.workers[w].link.is_some_and(|(l, _)| l == link) {
             self.close_worker(w, link);
-            self.with_worker(w, |member, now| member.broken(now));
+            self.with_worker(w, |member, now| member.disconnected(now));
         }
     }
 
@@ -784,7 +784,8 @@
         let (clock, now) = (&self.workers[w].clock, self.now);
         let mut found = None;
         for task in 0..self.shape.tasks {
-            let until = member.holds_until(&task_name(task)).map(|local| clock.started + local / clock.rate);
+            let until =
+                member.lease_valid_until(&task_name(task)).map(|local| clock.started + local / clock.rate);
             let claims = &mut self.claims[task];
             match until.filter(|until| *until > now) {
                 Some(until) => {
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -81,7 +81,7 @@
         assert_eq!([&plan.fleet, &plan.name, &plan.zone], ["polderlijn", "n1", "east"]);
         assert_eq!(plan.coordinators.iter().map(|c| c.port()).collect::<Vec<_>>(), [7101, 7102, 7103]);
         assert_eq!(plan.drift, 0.1);
-        assert!(plan.adds_up);
+        assert!(plan.computes_totals);
         let [task] = &plan.tasks[..] else { panic!("one task, not {:?}", plan.tasks) };
         assert_eq!((task.name.as_str(), task.path.as_str()), ("nightly-report", "/report"));
         assert_eq!((task.period_s, task.deadline_s, task.safe), (60.0, 0.5, false));
@@ -156,7 +156,7 @@
     assert!(fleet.overload());
     let plan = fleet.plan(&config());
     assert_eq!((plan.fleet.as_str(), plan.zone.as_str()), ("polderlijn", "west"));
-    assert_eq!((plan.drift, plan.adds_up), (0.125, false));
+    assert_eq!((plan.drift, plan.computes_totals), (0.125, false));
     let task = &plan.tasks[0];
     assert_eq!((task.period_s, task.deadline_s, task.safe), (30.5, 0.25, true));
     assert_eq!((task.name.as_str(), task.path.as_str()), ("nightly-report", "/report"));
@@ -196,7 +196,7 @@
     let fleet = operator.fleet.unwrap();
     assert!(!fleet.overload());
     let plan = fleet.plan(&config());
-    assert_eq!((plan.zone.as_str(), plan.drift, plan.adds_up), ("none", 0.1, true));
+    assert_eq!((plan.zone.as_str(), plan.drift, plan.computes_totals), ("none", 0.1, true));
     assert_eq!((plan.tasks[0].path.as_str(), plan.tasks[0].deadline_s), ("/", 0.5));
 }
 
