--- a/fleet-coordinator/src/coordinator.rs
+++ b/fleet-coordinator/src/coordinator.rs
@@ -3,7 +3,9 @@
 //! The same code runs behind sockets ([`crate::net`]) and in the lab's virtual time. Links are numbered by the caller and
 //! never used again; frames go in as bytes and come out as bytes.
 
-use crate::leader_state::{Asked, Hello, Keep, LeaderAction, LeaderState, LinkId, SafetyChecks};
+use crate::leader_state::{
+    BeginRequest, Heartbeat, Hello, LeaderAction, LeaderState, LinkId, ReleaseRequest, SafetyChecks,
+};
 use crate::replica::{DiskJob, DiskResult, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus};
 use crate::state_machine::{Command, Task};
 use port_worker::fleet::frame::{
@@ -228,7 +230,7 @@
 
     pub fn closed(&mut self, link: LinkId) {
         self.roles.remove(&link);
-        self.desk.closed(link);
+        self.desk.on_link_closed(link);
         self.questions.retain(|(_, l, ..)| *l != link);
     }
 
@@ -274,7 +276,7 @@
                 } else {
                     self.roles.insert(link, Role::Worker);
                     let zone = if zone.is_empty() { "none".to_owned() } else { zone };
-                    self.desk.hello(now, link, Hello { name, zone, process, version }, facts);
+                    self.desk.on_hello(now, link, Hello { name, zone, incarnation: process, version }, facts);
                 }
             }
             ClientMessage::Query { fleet, what } => {
@@ -293,20 +295,39 @@
                 self.say(link, &word);
             }
             ClientMessage::Heartbeat { seq, wants, held, figures, totals, load } => {
-                self.desk.keep(now, link, Keep { seq, wants, held, figures, totals, load }, facts);
+                let heartbeat = Heartbeat {
+                    sequence: seq,
+                    wanted_tasks: wants,
+                    leases: held,
+                    counters: figures,
+                    totals,
+                    load,
+                };
+                self.desk.on_heartbeat(now, link, heartbeat, facts);
             }
             ClientMessage::ReleaseLease { held, failed, pass_on } => {
-                self.desk.give_back(now, link, held, failed, pass_on, facts);
+                self.desk.on_release(
+                    now,
+                    link,
+                    ReleaseRequest { lease: held, failed, hand_over: pass_on },
+                    facts,
+                );
             }
             ClientMessage::BeginPeriod { held, every_ms, safe, attempt } => {
-                self.desk.begin(link, Asked { held, every_ms, safe, attempt }, facts);
+                self.desk.on_begin_request(
+                    link,
+                    BeginRequest { lease: held, every_ms, idempotent: safe, attempt },
+                    facts,
+                );
+            }
+            ClientMessage::EndPeriod { held, period, ending } => {
+                self.desk.on_period_ended(held, period, ending)
             }
-            ClientMessage::EndPeriod { held, period, ending } => self.desk.end(held, period, ending),
-            ClientMessage::Goodbye => self.desk.bye(now, link, facts),
+            ClientMessage::Goodbye => self.desk.on_goodbye(now, link, facts),
             ClientMessage::Unknown => {}
         }
         // The rest of what is due can wait for the tick: it looks at every session.
-        self.desk.ask(now, &self.replica.facts);
+        self.desk.request_confirmation(now, &self.replica.facts);
         Ok(())
     }
 
@@ -344,7 +365,7 @@
         }
         let facts = &self.replica.facts;
         let yours = facts.member(&hello.peer).unwrap_or(0);
-        let kept = facts.progress.get(&yours).copied().unwrap_or(0);
+        let kept = facts.persisted.get(&yours).copied().unwrap_or(0);
         let known = self.replica.ends().1 > 0;
         let mut barred = None;
         if known && hello.member != 0 && hello.member != yours && hello.member <= facts.last_member {
@@ -396,7 +417,7 @@
         let answer = match what {
             OperatorQuery::Status => self.status(),
             OperatorQuery::Members => facts.sessions.iter().map(|(id, s)| {
-                let (silent_s, linked) = self.desk.silence(now, *id).unwrap_or((0.0, false));
+                let crate::leader_state::SessionActivity { silent_s, linked } = self.desk.session_activity(now, *id).unwrap_or_default();
                 let holds: Vec<_> = facts.leases.iter().filter(|(_, l)| l.session == *id).map(|(t, _)| t).collect();
                 json!({"session": id, "name": s.name, "zone": s.zone, "version": s.version, "linked": linked,
                        "silent_s": (silent_s * 10.0).round() / 10.0, "holds": holds,
@@ -404,7 +425,7 @@
             }).collect::<Value>(),
             OperatorQuery::Leases => facts.leases.iter().map(|(task, l)| {
                 let name = facts.sessions.get(&l.session).map(|s| s.name.clone());
-                let left_s = (self.desk.left(now, l.token) * 10.0).round() / 10.0;
+                let left_s = (self.desk.remaining_s(now, l.token) * 10.0).round() / 10.0;
                 json!({"task": task, "holder": name, "session": l.session, "token": l.token, "ttl_ms": l.ttl_ms,
                        "free_in_s": left_s, "waiting": self.desk.waiting(task)})
             }).collect(),
@@ -414,8 +435,8 @@
                            "held": facts.leases.contains_key(&t.name), "waiting": self.desk.waiting(&t.name),
                            "period": facts.periods.get(&t.name)})
                 }).collect();
-                json!({"epoch": facts.epoch, "tasks": tasks, "unknown": facts.doubts,
-                       "unknown_in_all": facts.doubts_in_all})
+                json!({"epoch": facts.epoch, "tasks": tasks, "unknown": facts.indeterminate_calls,
+                       "unknown_in_all": facts.indeterminate_calls_total})
             }
             OperatorQuery::Overload => match self.desk.overload() {
                 Some(leader) => overload_of(now, leader),
@@ -455,7 +476,7 @@
             "member": self.replica.member(), "term": self.replica.term(), "last": last, "applied": applied,
             "version": facts.version, "epoch": facts.epoch, "members": facts.members,
             "voters": self.replica.voters(), "sessions": facts.sessions.len(), "leases": facts.leases.len(),
-            "unknown_in_all": facts.doubts_in_all, "kept": facts.progress,
+            "unknown_in_all": facts.indeterminate_calls_total, "kept": facts.persisted,
         })
     }
 
@@ -469,7 +490,7 @@
     fn propose_tasks(&mut self, now: f64) {
         if self.replica.leads() && self.setup.epoch > self.replica.facts.epoch {
             let (epoch, tasks) = (self.setup.epoch, self.setup.tasks.clone());
-            self.replica.propose(now, Command::Tasks { epoch, tasks });
+            self.replica.propose(now, Command::SetTasks { epoch, tasks });
         }
     }
 
@@ -477,7 +498,7 @@
     fn settle(&mut self, now: f64) {
         loop {
             let happened = self.replica.take_happened();
-            let acts = self.desk.take_acts();
+            let acts = self.desk.take_actions();
             if happened.is_empty() && acts.is_empty() {
                 break;
             }
@@ -490,7 +511,7 @@
                     // What can't be proposed now is proposed again by whoever still wants it.
                     LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
                     LeaderAction::Confirm(number) => self.replica.confirm(now, number),
-                    LeaderAction::Note(line) => self.out.push(Output::Note(false, line)),
+                    LeaderAction::Log(line) => self.out.push(Output::Note(false, line)),
                 }
             }
         }
@@ -519,13 +540,13 @@
         match event {
             ReplicaEvent::Led => {
                 self.out.push(Output::Note(false, format!("leads, term {}", self.replica.term())));
-                self.desk.lead(now, &self.replica.facts);
+                self.desk.start_term(now, &self.replica.facts);
                 self.propose_tasks(now);
             }
             ReplicaEvent::Followed => {
                 self.out.push(Output::Note(false, "leads no more".to_owned()));
                 let word = self.not_leader();
-                for link in self.desk.follow() {
+                for link in self.desk.step_down() {
                     self.say(link, &word);
                 }
                 for (_, link, ..) in std::mem::take(&mut self.questions) {
@@ -533,7 +554,7 @@
                 }
             }
             ReplicaEvent::Applied(entry, result) => {
-                self.desk.applied(now, &entry, &result, &self.replica.facts);
+                self.desk.on_applied(now, &entry, &result, &self.replica.facts);
                 self.desk.tick(now, &self.replica.facts);
             }
             ReplicaEvent::Confirmed(number) if number > QUESTIONS_FROM => {
@@ -542,7 +563,7 @@
                     self.answer(now, link, &what);
                 }
             }
-            ReplicaEvent::Confirmed(number) => self.desk.confirmed(now, number, &self.replica.facts),
+            ReplicaEvent::Confirmed(number) => self.desk.on_confirmed(now, number, &self.replica.facts),
         }
     }
 }
--- /dev/null
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -0,0 +1,118 @@
+//! Granting free tasks to workers that wait for them, and the backoff of holders that failed.
+
+use super::{LeaderState, LiveSession, PROPOSAL_RETRY_S};
+use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection, Task};
+use port_worker::fleet::frame::ServerMessage;
+
+/// A grant that is proposed and not applied yet.
+#[derive(Clone, Debug)]
+pub(super) struct PendingGrant {
+    proposed_at: f64,
+    session: u64,
+}
+
+/// A worker that failed at a task.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct HolderOfTask {
+    task: String,
+    worker: String,
+}
+
+/// Until when a worker is not granted a task at which it failed.
+#[derive(Clone, Debug)]
+pub(super) struct Backoff {
+    /// By the log's time (milliseconds).
+    log_until_ms: u64,
+    /// By this leader's clock (seconds).
+    until: f64,
+}
+
+/// A worker's rank for a task; the lowest is granted it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct GrantRank {
+    /// The zone's place in the task's preferences.
+    zone_preference: usize,
+    /// Tasks that the worker holds or is being granted: tasks are spread before queues are followed.
+    leases: usize,
+    queue_place: u64,
+    session: u64,
+}
+
+impl LeaderState {
+    /// Translates the log's backoffs to this leader's clock. A new leader counts what was left at the last entry's time,
+    /// so a backoff lasts a little longer over a change of leader, never shorter.
+    pub(super) fn update_backoffs(&mut self, now: f64, state: &LeaseStateMachine) {
+        self.backoffs.retain(|key, _| {
+            state.failures.get(&key.task).is_some_and(|by_name| by_name.contains_key(&key.worker))
+        });
+        for (task, by_name) in &state.failures {
+            for (worker, failure) in by_name {
+                let log_until_ms = failure.backoff_until_ms;
+                let left_s = log_until_ms.saturating_sub(state.log_time_ms) as f64 / 1000.0;
+                let key = HolderOfTask { task: task.clone(), worker: worker.clone() };
+                let backoff = self.backoffs.entry(key).or_insert(Backoff { log_until_ms: 0, until: now });
+                if backoff.log_until_ms != log_until_ms {
+                    backoff.log_until_ms = log_until_ms;
+                    backoff.until = now + left_s;
+                }
+            }
+        }
+    }
+
+    /// Proposes to grant each free task to one of the workers that wait for it. Only that one is notified.
+    pub(super) fn grant_free_tasks(&mut self, now: f64, state: &LeaseStateMachine) {
+        for (name, task) in &state.tasks {
+            let pending = self.pending_grants.get(name);
+            let proposed = pending.is_some_and(|grant| now - grant.proposed_at < PROPOSAL_RETRY_S);
+            if state.leases.contains_key(name) || proposed {
+                continue;
+            }
+            let candidates =
+                self.sessions.iter().filter_map(|(id, live)| self.grant_rank(now, task, *id, live, state));
+            if let Some(GrantRank { session, .. }) = candidates.min() {
+                self.pending_grants.insert(name.clone(), PendingGrant { proposed_at: now, session });
+                self.propose(Command::GrantLease { task: name.clone(), session });
+            }
+        }
+    }
+
+    /// `None` for a session that can't be granted the task now.
+    fn grant_rank(
+        &self,
+        now: f64,
+        task: &Task,
+        id: u64,
+        live: &LiveSession,
+        state: &LeaseStateMachine,
+    ) -> Option<GrantRank> {
+        let queue_place = *live.wanted_tasks.get(&task.name)?;
+        let session = state.sessions.get(&id)?;
+        // Of two processes of one name the older one is granted leases; it hands them over when it leaves.
+        let has_elder = state.sessions.iter().any(|(other, s)| *other < id && s.name == session.name);
+        let ready = live.link.is_some() && live.closing_since.is_none() && now < live.expires_at;
+        let key = HolderOfTask { task: task.name.clone(), worker: session.name.clone() };
+        let backs_off = self.backoffs.get(&key).is_some_and(|backoff| now < backoff.until);
+        if has_elder || !ready || backs_off {
+            return None;
+        }
+        let zone_preference =
+            task.zones.iter().position(|zone| *zone == session.zone).unwrap_or(task.zones.len());
+        let held = state.leases.values().filter(|lease| lease.session == id).count();
+        let pending = self.pending_grants.values().filter(|grant| grant.session == id).count();
+        Some(GrantRank { zone_preference, leases: held + pending, queue_place, session: id })
+    }
+
+    pub(super) fn on_lease_granted(
+        &mut self,
+        now: f64,
+        result: &Result<Outcome, Rejection>,
+        state: &LeaseStateMachine,
+    ) {
+        let Ok(Outcome::Granted(held)) = result else { return };
+        let ttl_ms = state.lease(held).map_or(0, |lease| lease.ttl_ms);
+        self.lease_clock.record_grant(now, held.token, ttl_ms);
+        if let Some(link) = self.link_of_holder(held, state) {
+            self.send(link, ServerMessage::LeaseGranted { held: held.clone() });
+        }
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/leader_state/periods.rs
@@ -0,0 +1,50 @@
+//! Holders' requests to begin a period, and their reports of how it ended.
+
+use super::{BeginRequest, LeaderState, LinkId, HEARTBEAT_INTERVAL_MS};
+use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection};
+use port_worker::fleet::frame::{CallOutcome, LeaseRef, ServerMessage};
+
+impl LeaderState {
+    /// A holder asks whether it may make the call of a period.
+    pub fn on_begin_request(&mut self, link: LinkId, request: BeginRequest, state: &LeaseStateMachine) {
+        let BeginRequest { lease, every_ms, idempotent, attempt } = request;
+        let holder = state.lease(&lease).map(|current| current.session);
+        let own = holder.is_some() && holder == self.session(link);
+        if own && !self.lease_clock.is_releasing(lease.token) {
+            let every_ms = every_ms.max(1);
+            self.propose(Command::BeginPeriod { lease, every_ms, idempotent, attempt });
+        } else {
+            let why = Rejection::NotHeld.to_string();
+            self.send(link, ServerMessage::PeriodNotBegun { held: lease, in_ms: 0, why });
+        }
+    }
+
+    /// A holder, present or past, reports how the call of a period ended.
+    pub fn on_period_ended(&mut self, lease: LeaseRef, period: u64, outcome: CallOutcome) {
+        self.propose(Command::EndPeriod { lease, period, outcome });
+    }
+
+    pub(super) fn answer_begin_request(
+        &mut self,
+        lease: &LeaseRef,
+        attempt: u64,
+        result: &Result<Outcome, Rejection>,
+        state: &LeaseStateMachine,
+    ) {
+        let Some(link) = self.link_of_holder(lease, state) else { return };
+        let held = lease.clone();
+        let answer = match result {
+            Ok(Outcome::Begun(period)) => ServerMessage::PeriodBegun { held, period: *period, attempt },
+            Ok(_) => return,
+            Err(Rejection::NotDue(in_ms)) => {
+                ServerMessage::PeriodNotBegun { held, in_ms: *in_ms, why: String::new() }
+            }
+            Err(rejection) => ServerMessage::PeriodNotBegun {
+                held,
+                in_ms: HEARTBEAT_INTERVAL_MS,
+                why: rejection.to_string(),
+            },
+        };
+        self.send(link, answer);
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/leader_state/releasing.rs
@@ -0,0 +1,76 @@
+//! Leases that end: returned by their holder, handed over to its successor, or expired.
+
+use super::{LeaderState, LinkId, ReleaseRequest, PROPOSAL_RETRY_S};
+use crate::state_machine::{Command, LeaseStateMachine, ReleaseReason};
+use port_worker::fleet::frame::LeaseRef;
+
+/// How long a lease waits for the session of its holder's successor (seconds): at a hot restart the successor may take
+/// over within milliseconds of its start.
+const SUCCESSOR_WAIT_S: f64 = 2.0;
+
+/// A lease that waits for the session of its holder's successor.
+#[derive(Clone, Debug)]
+pub(super) struct HandOver {
+    lease: LeaseRef,
+    from_session: u64,
+    deadline: f64,
+}
+
+impl LeaderState {
+    /// A holder has stopped acting under a lease.
+    pub fn on_release(&mut self, now: f64, link: LinkId, request: ReleaseRequest, state: &LeaseStateMachine) {
+        let ReleaseRequest { lease, failed, hand_over } = request;
+        let Some(session) = self.session(link) else { return };
+        if !state.lease(&lease).is_some_and(|current| current.session == session) {
+            return;
+        }
+        self.lease_clock.start_release(now, lease.token);
+        if hand_over {
+            let token = lease.token;
+            let deadline = now + SUCCESSOR_WAIT_S;
+            self.hand_overs.insert(token, HandOver { lease, from_session: session, deadline });
+            return self.hand_over_leases(now, state);
+        }
+        let reason = if failed { ReleaseReason::Failed } else { ReleaseReason::Returned };
+        self.propose(Command::ReleaseLease { lease, reason });
+    }
+
+    /// Proposes to transfer leases to their holders' successors, or to release those whose successor has not come.
+    pub(super) fn hand_over_leases(&mut self, now: f64, state: &LeaseStateMachine) {
+        let mut commands = Vec::new();
+        self.hand_overs.retain(|_, hand_over| {
+            let command = hand_over.command(now, state);
+            let waits = command.is_none();
+            commands.extend(command);
+            waits
+        });
+        for command in commands {
+            self.propose(command);
+        }
+    }
+
+    pub(super) fn release_expired_leases(&mut self, now: f64, state: &LeaseStateMachine) {
+        for (task, lease) in &state.leases {
+            if self.lease_clock.start_release_if_expired(now, lease, PROPOSAL_RETRY_S) {
+                let lease = LeaseRef { task: task.clone(), token: lease.token };
+                self.propose(Command::ReleaseLease { lease, reason: ReleaseReason::Expired });
+            }
+        }
+    }
+}
+
+impl HandOver {
+    /// What to propose now; `None` while the successor may still come.
+    fn command(&self, now: f64, state: &LeaseStateMachine) -> Option<Command> {
+        let name = state.sessions.get(&self.from_session).map_or("", |session| session.name.as_str());
+        let successor = state.newest_session(name).filter(|newest| *newest > self.from_session);
+        let lease = self.lease.clone();
+        match successor {
+            Some(session) => Some(Command::TransferLease { lease, session }),
+            None if now >= self.deadline => {
+                Some(Command::ReleaseLease { lease, reason: ReleaseReason::Returned })
+            }
+            None => None,
+        }
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -0,0 +1,170 @@
+//! Heartbeats: each renews a session and its leases, and is answered once a quorum has confirmed the leader.
+
+use super::{Heartbeat, LeaderAction, LeaderState, LinkId, ReceivedTotals, SESSION_TTL_S, TOTALS_TASK};
+use crate::state_machine::LeaseStateMachine;
+use port_worker::fleet::frame::{Counters, FleetTotals, LeaseRef, RenewedLease, ServerMessage, MAX_TASKS};
+use port_worker::fleet::overload::{FleetDigest, LoadReport};
+use std::collections::btree_map::Entry;
+use std::collections::BTreeSet;
+
+/// The largest number of counters that one worker may send.
+const MAX_COUNTERS: usize = 64;
+
+/// A heartbeat that waits for a quorum to confirm the leader.
+#[derive(Clone, Debug)]
+pub(super) struct Renewal {
+    link: LinkId,
+    session: u64,
+    sequence: u64,
+    received_at: f64,
+    /// The worker sent its load, and is sent the fleet's.
+    reports_load: bool,
+    /// With the TTL that was counted when the heartbeat was received: the answer gives no more than that, whatever TTL
+    /// is in force by then.
+    leases: Vec<RenewedLease>,
+}
+
+impl LeaderState {
+    /// A heartbeat was received.
+    pub fn on_heartbeat(&mut self, now: f64, link: LinkId, heartbeat: Heartbeat, state: &LeaseStateMachine) {
+        let open = self.session(link).filter(|session| state.sessions.contains_key(session));
+        let Some(session) = open else {
+            return self.send(link, ServerMessage::SessionExpired);
+        };
+        let Some(live) = self.sessions.get_mut(&session) else { return };
+        live.expires_at = now + SESSION_TTL_S;
+        if let Some(counters) = heartbeat.counters {
+            live.counters = counters.into_iter().take(MAX_COUNTERS).collect();
+            live.counters_at = now;
+        }
+        self.update_queue_places(session, heartbeat.wanted_tasks, state);
+        if let Some(totals) = heartbeat.totals {
+            if state.leases.get(TOTALS_TASK).is_some_and(|lease| lease.session == session) {
+                self.totals = Some(ReceivedTotals { totals, received_at: now });
+            }
+        }
+        let leases = self.count_renewals(now, session, heartbeat.leases, state);
+        if let Some(load) = &heartbeat.load {
+            self.record_load(now, session, load, state);
+        }
+        self.renewals.push(Renewal {
+            link,
+            session,
+            sequence: heartbeat.sequence,
+            received_at: now,
+            reports_load: heartbeat.load.is_some(),
+            leases,
+        });
+    }
+
+    /// Whoever holds a task is not in its queue, and goes to the end when the lease has ended.
+    fn update_queue_places(&mut self, session: u64, wanted_tasks: Vec<String>, state: &LeaseStateMachine) {
+        let Some(live) = self.sessions.get_mut(&session) else { return };
+        let wanted: BTreeSet<String> = wanted_tasks.into_iter().take(MAX_TASKS).collect();
+        live.wanted_tasks.retain(|task, _| wanted.contains(task));
+        for task in wanted {
+            let holds = state.leases.get(&task).is_some_and(|lease| lease.session == session);
+            if holds {
+                live.wanted_tasks.remove(&task);
+            } else if let Entry::Vacant(vacant) = live.wanted_tasks.entry(task) {
+                self.last_queue_place += 1;
+                vacant.insert(self.last_queue_place);
+            }
+        }
+    }
+
+    /// A lease that is not this session's is counted with a TTL of 0.
+    fn count_renewals(
+        &mut self,
+        now: f64,
+        session: u64,
+        leases: Vec<LeaseRef>,
+        state: &LeaseStateMachine,
+    ) -> Vec<RenewedLease> {
+        let mut counted = Vec::new();
+        for held in leases.into_iter().take(MAX_TASKS) {
+            let own = state.lease(&held).filter(|lease| lease.session == session);
+            let ttl_ms = own.map_or(0, |lease| self.lease_clock.record_renewal(now, lease));
+            counted.push(RenewedLease { held, ttl_ms });
+        }
+        counted
+    }
+
+    fn record_load(&mut self, now: f64, session: u64, load: &LoadReport, state: &LeaseStateMachine) {
+        if let Some(overload) = &mut self.overload {
+            overload.leader.heard(now, session, zone_of(session, state), load);
+        }
+    }
+
+    /// Asks a quorum to confirm this leader for all heartbeats that are in no batch yet.
+    pub fn request_confirmation(&mut self, now: f64, state: &LeaseStateMachine) {
+        if !self.checks.read_index {
+            for renewal in self.renewals.take_unsent() {
+                self.answer_heartbeat(now, &renewal, state);
+            }
+        }
+        self.actions.extend(self.renewals.start_batch(now).map(LeaderAction::Confirm));
+    }
+
+    /// A quorum has confirmed that this member led after it asked under this number.
+    pub fn on_confirmed(&mut self, now: f64, number: u64, state: &LeaseStateMachine) {
+        for renewal in self.renewals.confirm(number) {
+            self.answer_heartbeat(now, &renewal, state);
+        }
+        self.request_confirmation(now, state);
+    }
+
+    fn answer_heartbeat(&mut self, now: f64, renewal: &Renewal, state: &LeaseStateMachine) {
+        let leases = self.renewed_leases(renewal, state);
+        let adds_up_totals = leases.iter().any(|renewed| renewed.held.task == TOTALS_TASK);
+        let figures = if adds_up_totals { self.counters_with_age(now) } else { Vec::new() };
+        let totals = self.totals.clone().map(|received| FleetTotals {
+            age_ms: received.totals.age_ms + age_ms(now, received.received_at),
+            ..received.totals
+        });
+        let overload = self.overload_digest(now, renewal, state);
+        let answer = ServerMessage::HeartbeatAck { seq: renewal.sequence, leases, totals, figures, overload };
+        self.send(renewal.link, answer);
+    }
+
+    fn renewed_leases(&self, renewal: &Renewal, state: &LeaseStateMachine) -> Vec<RenewedLease> {
+        let is_valid = |held: &LeaseRef| {
+            let still_held = state.lease(held).is_some_and(|lease| lease.session == renewal.session);
+            still_held && !self.lease_clock.is_releasing(held.token)
+        };
+        renewal
+            .leases
+            .iter()
+            .filter(|renewed| renewed.ttl_ms > 0 && is_valid(&renewed.held))
+            .cloned()
+            .collect()
+    }
+
+    /// Each worker's counters with their age (milliseconds).
+    fn counters_with_age(&self, now: f64) -> Vec<(u64, Counters)> {
+        self.sessions
+            .values()
+            .filter(|live| !live.counters.is_empty())
+            .map(|live| (age_ms(now, live.counters_at), live.counters.clone()))
+            .collect()
+    }
+
+    fn overload_digest(
+        &mut self,
+        now: f64,
+        renewal: &Renewal,
+        state: &LeaseStateMachine,
+    ) -> Option<FleetDigest> {
+        let overload = self.overload.as_mut().filter(|_| renewal.reports_load)?;
+        let zone = zone_of(renewal.session, state);
+        Some(overload.leader.digest(now, renewal.received_at, renewal.session, zone))
+    }
+}
+
+fn zone_of(session: u64, state: &LeaseStateMachine) -> &str {
+    state.sessions.get(&session).map_or("", |session| session.zone.as_str())
+}
+
+fn age_ms(now: f64, since: f64) -> u64 {
+    ((now - since) * 1000.0) as u64
+}
--- /dev/null
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -0,0 +1,131 @@
+//! Sessions as the leader sees them: opening, links, goodbye, and silence.
+
+use super::{
+    Hello, LeaderState, LinkId, LiveSession, ProcessId, HEARTBEAT_INTERVAL_MS, PROPOSAL_RETRY_S,
+    SESSION_TTL_MS, SESSION_TTL_S,
+};
+use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection, ReleaseReason, LATEST};
+use port_worker::fleet::frame::{LeaseRef, ServerMessage};
+use std::collections::BTreeMap;
+
+impl LeaderState {
+    /// A worker asks for a session on this link.
+    pub fn on_hello(&mut self, now: f64, link: LinkId, hello: Hello, state: &LeaseStateMachine) {
+        let Hello { name, zone, incarnation, version } = hello;
+        self.opening.insert(link, ProcessId { name: name.clone(), incarnation });
+        // Reopening a known session writes nothing to the log: after a change of leader all workers do it at once.
+        let known = state.session_of(&name, incarnation);
+        if let Some(id) = known.filter(|id| !self.is_closing(*id)) {
+            return self.on_session_opened(now, &name, incarnation, &Ok(Outcome::Opened(id)));
+        }
+        self.propose(Command::OpenSession { name, zone, incarnation, version });
+    }
+
+    fn is_closing(&self, session: u64) -> bool {
+        self.sessions.get(&session).is_some_and(|live| live.closing_since.is_some())
+    }
+
+    /// A link was closed.
+    pub fn on_link_closed(&mut self, link: LinkId) {
+        self.opening.remove(&link);
+        if let Some(live) = self.links.remove(&link).and_then(|session| self.sessions.get_mut(&session)) {
+            if live.link == Some(link) {
+                live.link = None;
+                // Its place in the queues goes with the link: it could not be notified of a grant.
+                live.wanted_tasks = BTreeMap::new();
+            }
+        }
+    }
+
+    /// The session on this link.
+    #[must_use]
+    pub fn session(&self, link: LinkId) -> Option<u64> {
+        self.links.get(&link).copied()
+    }
+
+    /// The link of the session that holds the lease.
+    pub(super) fn link_of_holder(&self, lease: &LeaseRef, state: &LeaseStateMachine) -> Option<LinkId> {
+        self.sessions.get(&state.lease(lease)?.session)?.link
+    }
+
+    /// The worker leaves, and has stopped acting under all its leases.
+    pub fn on_goodbye(&mut self, now: f64, link: LinkId, state: &LeaseStateMachine) {
+        let Some(session) = self.session(link) else { return };
+        for (task, lease) in state.leases.iter().filter(|(_, lease)| lease.session == session) {
+            if self.hand_overs.contains_key(&lease.token) {
+                continue;
+            }
+            self.lease_clock.start_release(now, lease.token);
+            let lease = LeaseRef { task: task.clone(), token: lease.token };
+            self.propose(Command::ReleaseLease { lease, reason: ReleaseReason::Returned });
+        }
+        self.propose(Command::CloseSession { session });
+        if let Some(live) = self.sessions.get_mut(&session) {
+            // A session that still has a lease to hand over is closed after that.
+            live.closing_since = Some(now);
+            live.expires_at = now;
+        }
+    }
+
+    pub(super) fn on_session_opened(
+        &mut self,
+        now: f64,
+        name: &str,
+        incarnation: u64,
+        result: &Result<Outcome, Rejection>,
+    ) {
+        let process = ProcessId { name: name.to_owned(), incarnation };
+        let waiting = self.opening.iter().filter(|(_, opening)| **opening == process);
+        let links: Vec<LinkId> = waiting.map(|(link, _)| *link).collect();
+        for link in links {
+            self.opening.remove(&link);
+            let answer = match result {
+                Ok(Outcome::Opened(session)) => {
+                    self.attach_link(now, *session, link);
+                    ServerMessage::Welcome {
+                        session: *session,
+                        session_ttl_ms: SESSION_TTL_MS,
+                        keep_every_ms: HEARTBEAT_INTERVAL_MS,
+                        version: LATEST,
+                    }
+                }
+                Ok(_) => continue,
+                Err(rejection) => ServerMessage::Rejected { why: rejection.to_string() },
+            };
+            self.send(link, answer);
+        }
+    }
+
+    /// Nothing that is received on the session's earlier link counts any more.
+    fn attach_link(&mut self, now: f64, session: u64, link: LinkId) {
+        let live = self.sessions.entry(session).or_default();
+        if let Some(earlier) = live.link.replace(link).filter(|earlier| *earlier != link) {
+            self.links.remove(&earlier);
+        }
+        live.expires_at = now + SESSION_TTL_S;
+        self.links.insert(link, session);
+    }
+
+    pub(super) fn on_session_closed(&mut self, session: u64) {
+        if let Some(overload) = &mut self.overload {
+            overload.leader.gone(session);
+        }
+        if let Some(link) = self.sessions.remove(&session).and_then(|live| live.link) {
+            self.links.remove(&link);
+        }
+    }
+
+    /// Proposes to close sessions that were silent for their TTL and hold no lease.
+    pub(super) fn close_silent_sessions(&mut self, now: f64, state: &LeaseStateMachine) {
+        for id in state.sessions.keys() {
+            let live = self.sessions.entry(*id).or_insert_with(|| LiveSession::starting(now));
+            let holds_lease = state.leases.values().any(|lease| lease.session == *id);
+            let proposed = live.closing_since.is_some_and(|since| now - since <= PROPOSAL_RETRY_S);
+            if now >= live.expires_at && !holds_lease && !proposed {
+                live.closing_since = Some(now);
+                self.propose(Command::CloseSession { session: *id });
+            }
+        }
+        self.sessions.retain(|id, _| state.sessions.contains_key(id));
+    }
+}
--- a/fleet-coordinator/src/replica.rs
+++ b/fleet-coordinator/src/replica.rs
@@ -9,7 +9,7 @@
 pub mod recovered_log;
 pub mod scan;
 
-use crate::state_machine::{Command, Entry, LeaseStateMachine, Outcome, Refusal, LATEST};
+use crate::state_machine::{Command, LeaseStateMachine, LogEntry, Outcome, Rejection, LATEST};
 use durable_log::{Disk, Recovered, Store};
 use log::Log;
 use protobuf::Message as _;
@@ -104,7 +104,7 @@
     /// This member leads, and has applied all that was decided before.
     Led,
     Followed,
-    Applied(Entry, Result<Outcome, Refusal>),
+    Applied(LogEntry, Result<Outcome, Rejection>),
     /// A quorum has confirmed that this member led after this number was asked for.
     Confirmed(u64),
 }
@@ -237,7 +237,7 @@
 
     /// Begins a fleet, with the same list on all coordinators; for a blank disk alone.
     pub fn found(&mut self, now: f64, coordinators: &[String], own: &str) {
-        let facts = LeaseStateMachine::found(coordinators);
+        let facts = LeaseStateMachine::bootstrap(coordinators);
         let Some(member) = facts.member(own) else { return };
         let mut image = RecoveredLog { member, ..RecoveredLog::default() };
         image.snapshot.data = json(&facts).into();
@@ -438,7 +438,7 @@
         for (id, progress) in node.raft.prs().iter() {
             // What is committed is never taken back; more than that a new leader might.
             let index = progress.matched.min(commit);
-            let known = self.facts.progress.get(id).copied().unwrap_or(0);
+            let known = self.facts.persisted.get(id).copied().unwrap_or(0);
             // The first word of a disk is noted at once.
             new |= known == 0 && index > 1;
             if index > known {
@@ -447,7 +447,7 @@
         }
         // The note itself moves all ends by one.
         let moved =
-            kept.iter().any(|(id, index)| *index > self.facts.progress.get(id).copied().unwrap_or(0) + 1);
+            kept.iter().any(|(id, index)| *index > self.facts.persisted.get(id).copied().unwrap_or(0) + 1);
         let ready_learner = learners.iter().copied().find(|id| {
             node.raft.prs().get(*id).is_some_and(|p| p.recent_active && p.matched + CAUGHT_UP >= last)
         });
@@ -460,10 +460,10 @@
         let least = least.min().unwrap_or(0);
         if new && now - self.progress_at > 1.0 || moved && now - self.progress_at > PROGRESS_S {
             self.progress_at = now;
-            self.propose(now, Command::Progress { kept });
+            self.propose(now, Command::RecordProgress { persisted: kept });
         }
         if least > self.facts.version {
-            self.propose(now, Command::Raise { version: least });
+            self.propose(now, Command::RaiseVersion { version: least });
         }
         if let Some(id) = joining {
             self.change(ConfChangeType::AddLearnerNode, id, 0);
@@ -535,10 +535,10 @@
         if !self.leads {
             return false;
         }
-        let entry = Entry { at_ms: self.log_ms(now), command };
+        let entry = LogEntry { at_ms: self.log_ms(now), command };
         let bytes = json(&entry);
         // What can't be read back would put every member aside that comes to it.
-        if serde_json::from_slice::<Entry>(&bytes).ok().as_ref() != Some(&entry) {
+        if serde_json::from_slice::<LogEntry>(&bytes).ok().as_ref() != Some(&entry) {
             debug_assert!(false, "{entry:?} can't be read back");
             return false;
         }
@@ -636,7 +636,7 @@
         }
         self.leads = leads;
         if leads {
-            (self.led_at, self.progress_at) = ((self.facts.at_ms, now), now);
+            (self.led_at, self.progress_at) = ((self.facts.log_time_ms, now), now);
         }
         self.happened.push(if leads { ReplicaEvent::Led } else { ReplicaEvent::Followed });
     }
@@ -649,7 +649,7 @@
         if entry.data.is_empty() {
             return;
         }
-        match serde_json::from_slice::<Entry>(&entry.data) {
+        match serde_json::from_slice::<LogEntry>(&entry.data) {
             Ok(entry) => {
                 let result = self.facts.apply(&entry);
                 self.happened.push(ReplicaEvent::Applied(entry, result));
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
+use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 
-fn held(task: &str, token: u64) -> LeaseRef {
+fn lease(task: &str, token: u64) -> LeaseRef {
     LeaseRef { task: task.to_owned(), token }
 }
 
@@ -8,40 +9,41 @@
     Task { name: "t".into(), ttl_ms, zones: Vec::new(), pause_ms: 100 }
 }
 
-fn open(process: u64) -> Command {
-    Command::Open { name: "w".into(), zone: "z".into(), process, version: LATEST }
+fn open(incarnation: u64) -> Command {
+    Command::OpenSession { name: "w".into(), zone: "z".into(), incarnation, version: LATEST }
 }
 
-/// A story is a list of commands with their times, and what each came to, as text.
-fn tell(story: Vec<(u64, Command, &str)>) -> LeaseStateMachine {
-    let mut facts = LeaseStateMachine { version: LATEST, ..LeaseStateMachine::default() };
-    for (at_ms, command, expected) in story {
-        let entry = Entry { at_ms, command };
+/// Applies commands at their times, and compares what each returned with the start of its text.
+fn run(steps: Vec<(u64, Command, &str)>) -> LeaseStateMachine {
+    let mut state = LeaseStateMachine { version: LATEST, ..LeaseStateMachine::default() };
+    for (at_ms, command, expected) in steps {
+        let entry = LogEntry { at_ms, command };
         // Through the log's own form: what is applied is what was written.
-        let entry: Entry = serde_json::from_slice(&serde_json::to_vec(&entry).unwrap()).unwrap();
-        let text = match facts.apply(&entry) {
+        let entry: LogEntry = serde_json::from_slice(&serde_json::to_vec(&entry).unwrap()).unwrap();
+        let text = match state.apply(&entry) {
             Ok(outcome) => format!("{outcome:?}"),
-            Err(refusal) => format!("{refusal:?}"),
+            Err(rejection) => format!("{rejection:?}"),
         };
         assert!(text.starts_with(expected), "{entry:?}: {text}, not {expected}");
     }
-    let copy: LeaseStateMachine = serde_json::from_slice(&serde_json::to_vec(&facts).unwrap()).unwrap();
-    assert_eq!(copy, facts, "a snapshot is not the same");
-    facts
+    let copy: LeaseStateMachine = serde_json::from_slice(&serde_json::to_vec(&state).unwrap()).unwrap();
+    assert_eq!(copy, state, "a snapshot is not the same");
+    state
 }
 
-/// A new question each time.
-fn begin(token: u64, safe: bool) -> Command {
+/// A new request each time.
+fn begin(token: u64, idempotent: bool) -> Command {
     use std::sync::atomic::{AtomicU64, Ordering};
     static ATTEMPT: AtomicU64 = AtomicU64::new(1);
     let attempt = ATTEMPT.fetch_add(1, Ordering::Relaxed);
-    Command::Begin { held: held("t", token), every_ms: 1000, safe, attempt }
+    Command::BeginPeriod { lease: lease("t", token), every_ms: 1000, idempotent, attempt }
 }
 
 #[test]
-fn a_question_asked_again_has_the_same_answer_until_its_call_has_ended() {
-    let same = || Command::Begin { held: held("t", 1), every_ms: 1000, safe: false, attempt: 5 };
-    tell(vec![
+fn a_repeated_begin_request_gets_the_same_answer_until_its_call_has_ended() {
+    let same =
+        || Command::BeginPeriod { lease: lease("t", 1), every_ms: 1000, idempotent: false, attempt: 5 };
+    run(vec![
         (0, tasks(1, 3000), "Done"),
         (0, open(1), "Opened"),
         (0, grant(1), "Granted"),
@@ -52,69 +54,69 @@
     ]);
 }
 
-fn end(token: u64, period: u64, ending: CallOutcome) -> Command {
-    Command::End { held: held("t", token), period, ending }
+fn end(token: u64, period: u64, outcome: CallOutcome) -> Command {
+    Command::EndPeriod { lease: lease("t", token), period, outcome }
 }
 
 fn free(token: u64) -> Command {
-    Command::Free { held: held("t", token), why: ReleaseReason::Lapsed }
+    Command::ReleaseLease { lease: lease("t", token), reason: ReleaseReason::Expired }
 }
 
 fn grant(session: u64) -> Command {
-    Command::Grant { task: "t".into(), session }
+    Command::GrantLease { task: "t".into(), session }
 }
 
 fn tasks(epoch: u64, ttl_ms: u64) -> Command {
-    Command::Tasks { epoch, tasks: vec![task(ttl_ms)] }
+    Command::SetTasks { epoch, tasks: vec![task(ttl_ms)] }
 }
 
 #[test]
-fn one_holds_a_task_and_tokens_only_grow() {
-    let facts = tell(vec![
-        (0, grant(1), "NoTask"),
+fn a_task_has_one_holder_and_tokens_only_grow() {
+    let state = run(vec![
+        (0, grant(1), "UnknownTask"),
         (0, tasks(1, 3000), "Done"),
-        (0, grant(1), "NoSession"),
+        (0, grant(1), "UnknownSession"),
         (1, open(7), "Opened(1)"),
         (1, open(7), "Opened(1)"),
         (1, open(8), "Opened(2)"),
         (2, grant(1), "Granted(LeaseRef { task: \"t\", token: 1 })"),
-        (2, grant(2), "Taken"),
-        (3, Command::Close { session: 1 }, "Holds"),
+        (2, grant(2), "AlreadyHeld"),
+        (3, Command::CloseSession { session: 1 }, "StillHoldsLeases"),
         (4, free(1), "Done"),
         (4, free(1), "NotHeld"),
         (5, grant(2), "Granted(LeaseRef { task: \"t\", token: 2 })"),
         (5, free(1), "NotHeld"),
-        (6, Command::Transfer { held: held("t", 2), session: 9 }, "NoSession"),
+        (6, Command::TransferLease { lease: lease("t", 2), session: 9 }, "UnknownSession"),
         (
             6,
-            Command::Transfer { held: held("t", 2), session: 1 },
+            Command::TransferLease { lease: lease("t", 2), session: 1 },
             "Granted(LeaseRef { task: \"t\", token: 3 })",
         ),
-        (7, Command::Close { session: 2 }, "Done"),
+        (7, Command::CloseSession { session: 2 }, "Done"),
     ]);
-    assert_eq!((facts.leases["t"].session, facts.leases["t"].token), (1, 3));
+    assert_eq!((state.leases["t"].session, state.leases["t"].token), (1, 3));
 }
 
 #[test]
-fn a_shorter_time_to_live_still_counts_whole_for_a_new_leader() {
-    let facts = tell(vec![
+fn a_new_leader_waits_the_longest_ttl_after_the_ttl_was_shortened() {
+    let state = run(vec![
         (0, tasks(1, 9000), "Done"),
         (0, open(1), "Opened"),
         (0, grant(1), "Granted"),
         (1, tasks(2, 2000), "Done"),
-        (1, Command::Progress { kept: vec![(1, 7), (2, 5)] }, "Done"),
-        (1, Command::Raise { version: LATEST }, "Done"),
-        (1, tasks(2, 5000), "OldEpoch"),
+        (1, Command::RecordProgress { persisted: vec![(1, 7), (2, 5)] }, "Done"),
+        (1, Command::RaiseVersion { version: LATEST }, "Done"),
+        (1, tasks(2, 5000), "StaleEpoch"),
     ]);
-    assert_eq!((facts.leases["t"].ttl_ms, facts.leases["t"].whole_ms), (2000, 9000));
+    assert_eq!((state.leases["t"].ttl_ms, state.leases["t"].max_ttl_ms), (2000, 9000));
 }
 
 #[test]
 fn a_period_is_begun_once_unless_its_call_surely_had_no_effect() {
     let ready = [(0, tasks(1, 3000), "Done"), (0, open(1), "Opened"), (0, grant(1), "Granted")];
-    let with = |more: Vec<(u64, Command, &'static str)>| tell(ready.iter().cloned().chain(more).collect());
+    let with = |more: Vec<(u64, Command, &'static str)>| run(ready.iter().cloned().chain(more).collect());
     // Of a call of unknown outcome operators hear once, and it is not made again in its period.
-    let facts = with(vec![
+    let state = with(vec![
         (10, begin(1, false), "Begun(1)"),
         (20, begin(1, false), "NotDue(990)"),
         (30, end(1, 1, CallOutcome::Unknown), "Done"),
@@ -126,7 +128,14 @@
         (1050, end(1, 2, CallOutcome::Unknown), "NotHeld"),
         (1060, begin(1, false), "NotDue"),
     ]);
-    assert_eq!((facts.doubts.len(), facts.doubts[0].period, facts.doubts_in_all), (1, 1, 1));
+    assert_eq!(
+        (
+            state.indeterminate_calls.len(),
+            state.indeterminate_calls[0].period,
+            state.indeterminate_calls_total
+        ),
+        (1, 1, 1)
+    );
     // A holder dies in its call: the next one may make a safe call again, and no other.
     let safe = with(vec![
         (10, begin(1, true), "Begun(1)"),
@@ -138,7 +147,7 @@
         (50, end(1, 1, CallOutcome::Done), "NotHeld"),
         (60, end(2, 1, CallOutcome::Done), "Done"),
     ]);
-    assert!(safe.doubts.is_empty());
+    assert!(safe.indeterminate_calls.is_empty());
     let unsafe_one = with(vec![
         (10, begin(1, false), "Begun(1)"),
         (30, free(1), "Done"),
@@ -146,34 +155,38 @@
         (40, begin(2, false), "NotDue"),
         (1010, begin(2, false), "Begun(2)"),
     ]);
-    assert_eq!(unsafe_one.doubts.iter().map(|d| d.period).collect::<Vec<_>>(), [1]);
+    assert_eq!(unsafe_one.indeterminate_calls.iter().map(|d| d.period).collect::<Vec<_>>(), [1]);
 }
 
 #[test]
-fn a_holder_that_fails_waits_twice_as_long_each_time_until_it_has_done_its_task() {
-    let failed = |token| Command::Free { held: held("t", token), why: ReleaseReason::Failed };
-    let mut story = vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened(1)")];
+fn the_backoff_of_a_failing_holder_doubles_until_it_succeeds() {
+    let failed = |token| Command::ReleaseLease { lease: lease("t", token), reason: ReleaseReason::Failed };
+    let mut steps = vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened(1)")];
     for token in 1..=9 {
-        story.extend([(1000, grant(1), "Granted"), (1000, failed(token), "Done")]);
+        steps.extend([(1000, grant(1), "Granted"), (1000, failed(token), "Done")]);
     }
-    let facts = tell(story.clone());
+    let state = run(steps.clone());
     // The task's pause is 100 ms, and the longest is 64 times that.
-    assert_eq!(facts.failed["t"]["w"], Failed { times: 9, until_ms: 1000 + 6400 });
-    story.extend([(1100, grant(1), "Granted"), (1100, begin(10, true), "Begun(1)")]);
-    story.extend([(1101, end(10, 1, CallOutcome::Done), "Done"), (1102, failed(10), "Done")]);
-    let facts = tell(story.clone());
-    assert_eq!(facts.failed["t"]["w"], Failed { times: 1, until_ms: 1202 }, "it begins anew after a success");
+    assert_eq!(state.failures["t"]["w"], FailureRecord { count: 9, backoff_until_ms: 1000 + 6400 });
+    steps.extend([(1100, grant(1), "Granted"), (1100, begin(10, true), "Begun(1)")]);
+    steps.extend([(1101, end(10, 1, CallOutcome::Done), "Done"), (1102, failed(10), "Done")]);
+    let state = run(steps.clone());
+    assert_eq!(
+        state.failures["t"]["w"],
+        FailureRecord { count: 1, backoff_until_ms: 1202 },
+        "it begins anew after a success"
+    );
     // An hour later it is forgotten, and with its task at once.
-    story.extend([(3_700_000, grant(1), "Granted"), (3_700_000, failed(11), "Done")]);
-    assert_eq!(tell(story.clone()).failed["t"]["w"].times, 1);
-    story.push((3_700_001, Command::Tasks { epoch: 2, tasks: Vec::new() }, "Done"));
-    assert!(tell(story).failed.is_empty());
+    steps.extend([(3_700_000, grant(1), "Granted"), (3_700_000, failed(11), "Done")]);
+    assert_eq!(run(steps.clone()).failures["t"]["w"].count, 1);
+    steps.push((3_700_001, Command::SetTasks { epoch: 2, tasks: Vec::new() }, "Done"));
+    assert!(run(steps).failures.is_empty());
 }
 
 #[test]
-fn a_clock_that_steps_an_hour_moves_the_log_s_time_forward_only_and_makes_no_call_twice() {
+fn a_clock_step_of_an_hour_repeats_no_call_and_never_moves_the_log_time_back() {
     const HOUR: u64 = 3_600_000;
-    let facts = tell(vec![
+    let state = run(vec![
         (HOUR, tasks(1, 3000), "Done"),
         (HOUR, open(1), "Opened"),
         (HOUR, grant(1), "Granted"),
@@ -188,12 +201,12 @@
         (3 * HOUR, end(1, 3, CallOutcome::Done), "Done"),
         (3 * HOUR + 1, begin(1, false), "NotDue(999)"),
     ]);
-    assert_eq!((facts.at_ms, facts.doubts_in_all), (3 * HOUR + 1, 0));
+    assert_eq!((state.log_time_ms, state.indeterminate_calls_total), (3 * HOUR + 1, 0));
 }
 
 #[test]
-fn periods_keep_their_grid_and_begin_anew_after_a_gap() {
-    tell(vec![
+fn periods_keep_their_grid_and_restart_after_a_gap() {
+    run(vec![
         (0, tasks(1, 3000), "Done"),
         (0, open(1), "Opened"),
         (0, grant(1), "Granted"),
@@ -211,20 +224,30 @@
 }
 
 #[test]
-fn what_is_not_agreed_or_out_of_bounds_changes_nothing() {
-    let mut facts = tell(vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened"), (0, grant(1), "Granted")]);
-    facts.version = 1;
-    let before = facts.clone();
-    let later: Entry = serde_json::from_str(r#"{"at_ms":0,"do":"levitate","height":3}"#).unwrap();
-    assert_eq!(facts.apply(&later), Err(Refusal::Version));
-    assert_eq!(facts.apply(&Entry { at_ms: 0, command: begin(1, true) }), Err(Refusal::Version));
+fn commands_of_later_versions_or_out_of_bounds_change_nothing() {
+    let mut state = run(vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened"), (0, grant(1), "Granted")]);
+    state.version = 1;
+    let before = state.clone();
+    let later: LogEntry = serde_json::from_str(r#"{"at_ms":0,"do":"levitate","height":3}"#).unwrap();
+    assert_eq!(state.apply(&later), Err(Rejection::UnsupportedVersion));
+    assert_eq!(
+        state.apply(&LogEntry { at_ms: 0, command: begin(1, true) }),
+        Err(Rejection::UnsupportedVersion)
+    );
     for name in ["", "a b", &"x".repeat(65)] {
-        let command = Command::Open { name: name.into(), zone: "z".into(), process: 2, version: 1 };
-        assert!(matches!(facts.apply(&Entry { at_ms: 0, command }), Err(Refusal::Name(_))), "{name}");
+        let command =
+            Command::OpenSession { name: name.into(), zone: "z".into(), incarnation: 2, version: 1 };
+        assert!(
+            matches!(state.apply(&LogEntry { at_ms: 0, command }), Err(Rejection::InvalidName(_))),
+            "{name}"
+        );
     }
-    assert_eq!(facts, before);
-    for process in 2..=SESSIONS_MOST as u64 {
-        facts.apply(&Entry { at_ms: 0, command: open(process) }).unwrap();
+    assert_eq!(state, before);
+    for incarnation in 2..=MAX_SESSIONS as u64 {
+        state.apply(&LogEntry { at_ms: 0, command: open(incarnation) }).unwrap();
     }
-    assert!(matches!(facts.apply(&Entry { at_ms: 0, command: open(99_999) }), Err(Refusal::Full(_))));
+    assert!(matches!(
+        state.apply(&LogEntry { at_ms: 0, command: open(99_999) }),
+        Err(Rejection::TooManySessions(_))
+    ));
 }
--- a/fleet-coordinator/tests/lease_world.rs
+++ b/fleet-coordinator/tests/lease_world.rs
@@ -1,20 +1,19 @@
-//! Two workers, a leader, the leader before it that does not know better, and one task: every world that they can come to,
-//! searched in full round the modules that run in service (`LeaseHolder`, `LeaseClock`, `ReadIndexQueue`, `LeaseStateMachine`).
+//! Two workers, a leader, its predecessor that has not stepped down, and one task: every reachable state, searched in full
+//! with the modules that run in service (`LeaseHolder`, `LeaseClock`, `ReadIndexQueue`, `LeaseStateMachine`).
 //!
-//! What stands in for the rest: one log that only the newest leader writes to, a quorum that confirms only the newest
-//! leader, and mail that may be late, overtaken or lost. A leader hears the quorum's word as it is given, and a leader that
-//! is superseded hears at once that its last proposal was taken up: what it makes of either is mail, and that may be late.
-//! After that it can do nothing but keep what comes to it, so it is in these worlds only where it answers without the
-//! quorum. Clocks run as far apart as the drift bound allows, in the
-//! direction that harms: leaders' twice as fast as holders'. Leaders need not free what has lapsed, so worlds with
-//! slower ones are among these.
+//! The rest is modelled: one log that only the newest leader writes to, a quorum that confirms only the newest leader,
+//! and messages that may be late, reordered or lost. A leader learns of a confirmation immediately, and a superseded
+//! leader learns immediately that its last proposal was committed: what it sends upon either is a message, which may be
+//! late. After that it can only retain what it receives, so it takes part only where it answers without confirmation.
+//! Clocks drift as far apart as the bound allows, in the harmful direction: leaders' run twice as fast as holders'.
+//! Leaders need not release what has expired, so states with slower leaders are included.
 //!
-//! Worlds are the same that differ only in when they are and in the numbers of tokens, questions and signs of life: nothing
-//! in the modules looks at more than differences and order. That makes their number finite without a bound on time,
-//! grants, renewals or changes of leader.
+//! States are equal that differ only in absolute time and in the numbers of tokens, batches and heartbeats: the modules
+//! look only at differences and order. That makes the number of states finite without a bound on time, grants, renewals
+//! or changes of leader.
 
-use fleet_coordinator::lease_clock::{LeaseClock, ReadIndexQueue, SafetyChecks};
-use fleet_coordinator::state_machine::{Command, Entry, LeaseStateMachine, Outcome, ReleaseReason, Task};
+use fleet_coordinator::lease_clock::{LeaseClock, ReadIndexBatch, ReadIndexQueue, SafetyChecks};
+use fleet_coordinator::state_machine::{Command, LeaseStateMachine, LogEntry, Outcome, ReleaseReason, Task};
 use port_worker::fleet::frame::{LeaseRef, RenewedLease};
 use port_worker::fleet::lease_holder::LeaseHolder;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -22,71 +21,77 @@
 use std::hash::{Hash, Hasher};
 
 const TASK: &str = "t";
-/// A lease's time on a leader's clock (milliseconds); twice as much after the epoch has changed.
+/// A lease's TTL on a leader's clock (milliseconds); twice as much after the epoch has changed.
 const TTL_MS: u64 = 4000;
-/// Of a lease's time, what a holder does not use; a leader's clock runs twice as fast as a holder's.
+/// The share of a lease's TTL that a holder does not use; a leader's clock runs twice as fast as a holder's.
 const DRIFT: f64 = 0.5;
 const LEADERS_RATE: f64 = 2.0;
 
-/// What is taken away, or how much may happen.
+/// Which safety checks are on, and how much may happen.
 #[derive(Clone, Copy, Debug)]
 struct Limits {
-    /// Signs of life of a worker that may be without an answer, and words to it on their way.
+    /// Heartbeats of a worker that may be unanswered, and messages to it that may be on their way.
     outstanding: usize,
-    words: usize,
-    /// The tasks' file changes once, and with it the time to live.
-    retimes: bool,
-    gives_back: bool,
-    /// Holders look at their clock, and act some time after that.
+    messages: usize,
+    /// The list of tasks changes once, and with it the TTL.
+    changes_ttl: bool,
+    releases: bool,
+    /// Holders check their lease, and act some time after that.
     acts: bool,
     drift: f64,
-    guards: SafetyChecks,
+    checks: SafetyChecks,
     fenced: bool,
 }
 
 const SMALL: Limits = Limits {
     outstanding: 1,
-    words: 1,
-    retimes: false,
-    gives_back: true,
+    messages: 1,
+    changes_ttl: false,
+    releases: true,
     acts: false,
     drift: DRIFT,
-    guards: SafetyChecks { whole_ttl: true, confirm: true },
+    checks: SafetyChecks { wait_full_ttl: true, read_index: true },
     fenced: true,
 };
 
-/// A sign of life at a leader: whose, its number, and what it asked with what was counted for it.
-type Came = (usize, u64, Vec<(LeaseRef, u64)>);
+/// A heartbeat that a leader has received.
+#[derive(Clone, Debug)]
+struct ReceivedHeartbeat {
+    worker: usize,
+    seq: u64,
+    /// With the TTL that was counted for each lease (0 for none).
+    leases: Vec<RenewedLease>,
+}
 
 #[derive(Clone, Debug)]
 struct Leader {
-    facts: LeaseStateMachine,
-    tenure: LeaseClock,
-    questions: ReadIndexQueue<Came>,
-    asked: Option<u64>,
+    state: LeaseStateMachine,
+    clock: LeaseClock,
+    queue: ReadIndexQueue<ReceivedHeartbeat>,
+    batch: Option<u64>,
     proposed: Option<Command>,
 }
 
 #[derive(Clone, Debug)]
-enum Up {
-    Keep { seq: u64, held: Vec<LeaseRef> },
-    GiveBack(LeaseRef),
+enum ToLeader {
+    Heartbeat { seq: u64, held: Vec<LeaseRef> },
+    Release(LeaseRef),
 }
 
 #[derive(Clone, Debug)]
-enum Down {
+enum ToWorker {
     Granted(LeaseRef),
-    Kept { seq: u64, leases: Vec<RenewedLease> },
+    HeartbeatAck { seq: u64, leases: Vec<RenewedLease> },
 }
 
 #[derive(Clone, Debug)]
 struct Worker {
     holder: LeaseHolder,
     seq: u64,
-    /// Mail on its way, and for which leader: the newest (0) or the one before (1).
-    up: Vec<(usize, Up)>,
-    down: Vec<Down>,
-    /// It has looked at its clock under this token, and has not acted yet.
+    /// Messages on their way, and to which leader: the newest (0) or the one before (1).
+    up: Vec<(usize, ToLeader)>,
+    down: Vec<ToWorker>,
+    /// It has checked its lease under this token, and has not acted yet.
     looked: Option<u64>,
 }
 
@@ -95,10 +100,10 @@
     now: f64,
     leaders: [Option<Leader>; 2],
     workers: [Worker; 2],
-    /// The highest token that what is acted upon has accepted.
-    highest: u64,
-    /// It accepted a lower one after that.
-    went_down: bool,
+    /// The highest token that the fenced resource has accepted.
+    highest_token: u64,
+    /// The fenced resource accepted a lower token after a higher one.
+    token_decreased: bool,
     key: Vec<u8>,
 }
 
@@ -116,49 +121,49 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Action {
-    Pass,
-    /// Another member leads; what the one before had proposed is in the log or is not.
+    Tick,
+    /// Another member leads; what its predecessor had proposed is committed or lost.
     Elect {
         proposal_stays: bool,
     },
-    /// The leader before hears of the newer one.
+    /// The predecessor learns of the newer leader.
     StepDown,
-    Keep {
+    Heartbeat {
         worker: usize,
         to: usize,
     },
-    /// The worker's link is lost with all that is on it, and stands again.
-    Relink(usize),
+    /// The worker's link is lost with all messages on it, and made anew.
+    Reconnect(usize),
     Restart(usize),
-    GiveBack {
+    Release {
         worker: usize,
         to: usize,
     },
     Arrive {
         worker: usize,
-        mail: usize,
+        message: usize,
     },
     Deliver {
         worker: usize,
-        word: usize,
+        message: usize,
     },
-    /// The quorum says that the newest leader led when it asked.
+    /// The quorum confirms that the newest leader led when it asked.
     Confirm,
-    Lapse,
+    Expire,
     Grant(usize),
-    Retime,
+    ChangeTtl,
     Commit,
     Look(usize),
     Act(usize),
 }
 
-fn entry(command: Command) -> Entry {
-    Entry { at_ms: 0, command }
+fn entry(command: Command) -> LogEntry {
+    LogEntry { at_ms: 0, command }
 }
 
 fn tasks(epoch: u64) -> Command {
     let task = Task { name: TASK.into(), ttl_ms: TTL_MS * epoch, zones: Vec::new(), pause_ms: 0 };
-    Command::Tasks { epoch, tasks: vec![task] }
+    Command::SetTasks { epoch, tasks: vec![task] }
 }
 
 fn session(worker: usize) -> u64 {
@@ -166,52 +171,56 @@
 }
 
 impl Leader {
-    fn lead(guards: SafetyChecks, now: f64, facts: LeaseStateMachine) -> Leader {
-        let tenure = LeaseClock::lead(guards, now * LEADERS_RATE, facts.leases.values());
-        // A question that seems lost would be asked again only to be answered sooner.
-        let questions = ReadIndexQueue::new(1, f64::INFINITY);
-        Leader { facts, tenure, questions, asked: None, proposed: None }
+    fn start_term(checks: SafetyChecks, now: f64, state: LeaseStateMachine) -> Leader {
+        let clock = LeaseClock::start_term(checks, now * LEADERS_RATE, state.leases.values());
+        // A batch that seems lost would be repeated only to be confirmed sooner.
+        let queue = ReadIndexQueue::new(1, f64::INFINITY);
+        Leader { state, clock, queue, batch: None, proposed: None }
     }
 
-    /// The log has taken up a command: the facts, the account of leases, and who is told.
+    /// Applies a command to the state and the lease clock; returns whom to notify of a grant.
     fn apply(&mut self, now: f64, command: &Command) -> Option<(usize, LeaseRef)> {
-        match (command, self.facts.apply(&entry(command.clone()))) {
-            (Command::Grant { session, .. }, Ok(Outcome::Granted(held))) => {
-                let ttl_ms = self.facts.lease(&held).map_or(0, |l| l.ttl_ms);
-                self.tenure.granted(now * LEADERS_RATE, held.token, ttl_ms);
+        match (command, self.state.apply(&entry(command.clone()))) {
+            (Command::GrantLease { session, .. }, Ok(Outcome::Granted(held))) => {
+                let ttl_ms = self.state.lease(&held).map_or(0, |l| l.ttl_ms);
+                self.clock.record_grant(now * LEADERS_RATE, held.token, ttl_ms);
                 Some((*session as usize - 1, held))
             }
-            (Command::Free { held, .. }, Ok(_)) => {
-                self.tenure.freed(held.token);
+            (Command::ReleaseLease { lease, .. }, Ok(_)) => {
+                self.clock.record_release(lease.token);
                 None
             }
             _ => None,
         }
     }
 
-    /// What a leader answers to these signs of life now, as `LeaderState::renew` does.
-    fn answers(&self, came: Vec<Came>) -> Vec<(usize, Down)> {
-        let answer = |(worker, seq, held): Came| {
+    /// What a leader answers to these heartbeats now, as `LeaderState::answer_heartbeat` does.
+    fn answers(&self, received: Vec<ReceivedHeartbeat>) -> Vec<(usize, ToWorker)> {
+        let answer = |ReceivedHeartbeat { worker, seq, leases }: ReceivedHeartbeat| {
             let valid = |held: &LeaseRef| {
-                let own = self.facts.lease(held).is_some_and(|l| l.session == session(worker));
-                own && !self.tenure.is_freeing(held.token)
+                let own = self.state.lease(held).is_some_and(|l| l.session == session(worker));
+                own && !self.clock.is_releasing(held.token)
             };
-            let granted = held.into_iter().filter(|(held, ttl_ms)| *ttl_ms > 0 && valid(held));
-            let leases = granted.map(|(held, ttl_ms)| RenewedLease { held, ttl_ms }).collect();
-            (worker, Down::Kept { seq, leases })
+            let leases = leases.into_iter().filter(|l| l.ttl_ms > 0 && valid(&l.held)).collect();
+            (worker, ToWorker::HeartbeatAck { seq, leases })
         };
-        came.into_iter().map(answer).collect()
+        received.into_iter().map(answer).collect()
     }
 }
 
 impl World {
-    fn first(limits: &Limits) -> World {
-        let mut facts = LeaseStateMachine { version: 2, ..LeaseStateMachine::default() };
-        for process in 1..=2 {
-            let open = Command::Open { name: format!("w{process}"), zone: "z".into(), process, version: 2 };
-            facts.apply(&entry(open)).unwrap();
+    fn initial(limits: &Limits) -> World {
+        let mut state = LeaseStateMachine { version: 2, ..LeaseStateMachine::default() };
+        for incarnation in 1..=2 {
+            let open = Command::OpenSession {
+                name: format!("w{incarnation}"),
+                zone: "z".into(),
+                incarnation,
+                version: 2,
+            };
+            state.apply(&entry(open)).unwrap();
         }
-        facts.apply(&entry(tasks(1))).unwrap();
+        state.apply(&entry(tasks(1))).unwrap();
         let worker = || Worker {
             holder: LeaseHolder::new(limits.drift),
             seq: 0,
@@ -221,10 +230,10 @@
         };
         World {
             now: 0.0,
-            leaders: [Some(Leader::lead(limits.guards, 0.0, facts)), None],
+            leaders: [Some(Leader::start_term(limits.checks, 0.0, state)), None],
             workers: [worker(), worker()],
-            highest: 0,
-            went_down: false,
+            highest_token: 0,
+            token_decreased: false,
             key: Vec::new(),
         }
     }
@@ -234,26 +243,26 @@
     }
 
     /// The newest leader, while it has nothing proposed.
-    fn free_to_propose(&mut self) -> Option<&mut Leader> {
+    fn leader_without_proposal(&mut self) -> Option<&mut Leader> {
         self.leaders[0].as_mut().filter(|l| l.proposed.is_none())
     }
 
-    /// Does it, if it can be done now.
+    /// Performs the action; `None` where it is not possible now.
     fn step(&mut self, limits: &Limits, action: Action) -> Option<()> {
         let leaders_now = self.now * LEADERS_RATE;
         match action {
-            Action::Pass => self.now += 1.0,
+            Action::Tick => self.now += 1.0,
             Action::Elect { proposal_stays } => {
                 let mut before = self.leaders[0].take()?;
-                let mut told = None;
+                let mut notified = None;
                 match (before.proposed.take(), proposal_stays) {
-                    (Some(command), true) => told = before.apply(self.now, &command),
+                    (Some(command), true) => notified = before.apply(self.now, &command),
                     (None, true) => return None,
                     (_, false) => {}
                 }
-                let leader = Leader::lead(limits.guards, self.now, before.facts.clone());
-                self.leaders = [Some(leader), Some(before).filter(|_| !limits.guards.confirm)];
-                // Mail for the one before stays with it; what was for the one before that goes nowhere.
+                let leader = Leader::start_term(limits.checks, self.now, before.state.clone());
+                self.leaders = [Some(leader), Some(before).filter(|_| !limits.checks.read_index)];
+                // Messages to the predecessor reach it still; those to its own predecessor are lost.
                 for worker in &mut self.workers {
                     worker.up.retain(|(to, _)| *to == 0);
                     worker.up.iter_mut().for_each(|(to, _)| *to = 1);
@@ -261,14 +270,14 @@
                         worker.up.clear();
                     }
                 }
-                // Where there is no room for it, it is lost.
-                let _ = self.tell(limits, told.map(|(worker, held)| (worker, Down::Granted(held))));
+                // The notification is lost where the limit of messages is reached.
+                let _ = self.send(limits, notified.map(|(worker, held)| (worker, ToWorker::Granted(held))));
             }
             Action::StepDown => {
                 self.leaders[1].take()?;
                 self.workers.iter_mut().for_each(|w| w.up.retain(|(to, _)| *to == 0));
             }
-            Action::Keep { worker, to } => {
+            Action::Heartbeat { worker, to } => {
                 self.leaders[to].as_ref()?;
                 let worker = &mut self.workers[worker];
                 if worker.holder.outstanding().count() >= limits.outstanding {
@@ -276,9 +285,9 @@
                 }
                 worker.seq += 1;
                 let held = worker.holder.ask(self.now, worker.seq);
-                worker.up.push((to, Up::Keep { seq: worker.seq, held }));
+                worker.up.push((to, ToLeader::Heartbeat { seq: worker.seq, held }));
             }
-            Action::Relink(worker) => {
+            Action::Reconnect(worker) => {
                 let worker = &mut self.workers[worker];
                 if worker.holder.outstanding().count() == 0 && worker.up.is_empty() && worker.down.is_empty()
                 {
@@ -294,79 +303,80 @@
                 worker.up.clear();
                 worker.down.clear();
             }
-            Action::GiveBack { worker, to } => {
+            Action::Release { worker, to } => {
                 self.leaders[to].as_ref()?;
                 let worker = &mut self.workers[worker];
-                if !limits.gives_back || worker.up.len() > limits.outstanding {
+                if !limits.releases || worker.up.len() > limits.outstanding {
                     return None;
                 }
                 let token = worker.holder.token(TASK)?;
                 worker.holder.drop_lease(TASK);
-                worker.up.push((to, Up::GiveBack(LeaseRef { task: TASK.into(), token })));
+                worker.up.push((to, ToLeader::Release(LeaseRef { task: TASK.into(), token })));
             }
-            Action::Arrive { worker, mail } => {
-                if mail >= self.workers[worker].up.len() {
+            Action::Arrive { worker, message } => {
+                if message >= self.workers[worker].up.len() {
                     return None;
                 }
-                let (to, mail) = self.workers[worker].up.remove(mail);
+                let (to, message) = self.workers[worker].up.remove(message);
                 let leader = self.leaders[to].as_mut()?;
-                match mail {
-                    Up::Keep { seq, held } => {
+                match message {
+                    ToLeader::Heartbeat { seq, held } => {
                         let count = |held: LeaseRef| {
-                            let own = leader.facts.lease(&held).filter(|l| l.session == session(worker));
-                            let ttl_ms = own.map_or(0, |lease| leader.tenure.came(leaders_now, lease));
-                            (held, ttl_ms)
+                            let own = leader.state.lease(&held).filter(|l| l.session == session(worker));
+                            let ttl_ms =
+                                own.map_or(0, |lease| leader.clock.record_renewal(leaders_now, lease));
+                            RenewedLease { held, ttl_ms }
                         };
-                        let counted = held.into_iter().map(count).collect();
-                        leader.questions.came((worker, seq, counted));
-                        return self.ask(limits, to);
+                        let leases = held.into_iter().map(count).collect();
+                        leader.queue.push(ReceivedHeartbeat { worker, seq, leases });
+                        return self.request_confirmation(limits, to);
                     }
-                    Up::GiveBack(held) => {
-                        let own = leader.facts.lease(&held).is_some_and(|l| l.session == session(worker));
+                    ToLeader::Release(held) => {
+                        let own = leader.state.lease(&held).is_some_and(|l| l.session == session(worker));
                         if own && leader.proposed.is_none() {
-                            leader.tenure.free(leaders_now, held.token);
-                            let free = Command::Free { held, why: ReleaseReason::GivenBack };
+                            leader.clock.start_release(leaders_now, held.token);
+                            let free = Command::ReleaseLease { lease: held, reason: ReleaseReason::Returned };
                             leader.proposed = (to == 0).then_some(free);
                         }
                     }
                 }
             }
-            Action::Deliver { worker, word } => {
+            Action::Deliver { worker, message } => {
                 let worker = &mut self.workers[worker];
-                if word >= worker.down.len() {
+                if message >= worker.down.len() {
                     return None;
                 }
-                match worker.down.remove(word) {
-                    Down::Granted(held) => worker.holder.granted(&held),
-                    Down::Kept { seq, leases } => drop(worker.holder.kept(seq, &leases)),
+                match worker.down.remove(message) {
+                    ToWorker::Granted(held) => worker.holder.granted(&held),
+                    ToWorker::HeartbeatAck { seq, leases } => drop(worker.holder.kept(seq, &leases)),
                 }
             }
             Action::Confirm => {
                 let leader = self.leaders[0].as_mut()?;
-                let came = leader.questions.confirmed(leader.asked.take()?);
-                let answers = leader.answers(came);
-                self.tell(limits, answers)?;
-                return self.ask(limits, 0);
+                let received = leader.queue.confirm(leader.batch.take()?);
+                let answers = leader.answers(received);
+                self.send(limits, answers)?;
+                return self.request_confirmation(limits, 0);
             }
-            Action::Lapse => {
-                let leader = self.free_to_propose()?;
-                let lease = leader.facts.leases.get(TASK)?.clone();
-                if !leader.tenure.lapses(leaders_now, &lease, -1.0) {
+            Action::Expire => {
+                let leader = self.leader_without_proposal()?;
+                let lease = leader.state.leases.get(TASK)?.clone();
+                if !leader.clock.start_release_if_expired(leaders_now, &lease, -1.0) {
                     return None;
                 }
                 let held = LeaseRef { task: TASK.into(), token: lease.token };
-                leader.proposed = Some(Command::Free { held, why: ReleaseReason::Lapsed });
+                leader.proposed = Some(Command::ReleaseLease { lease: held, reason: ReleaseReason::Expired });
             }
             Action::Grant(worker) => {
-                let leader = self.free_to_propose()?;
-                if leader.facts.leases.contains_key(TASK) {
+                let leader = self.leader_without_proposal()?;
+                if leader.state.leases.contains_key(TASK) {
                     return None;
                 }
-                leader.proposed = Some(Command::Grant { task: TASK.into(), session: session(worker) });
+                leader.proposed = Some(Command::GrantLease { task: TASK.into(), session: session(worker) });
             }
-            Action::Retime => {
-                let leader = self.free_to_propose()?;
-                if !limits.retimes || leader.facts.epoch > 1 {
+            Action::ChangeTtl => {
+                let leader = self.leader_without_proposal()?;
+                if !limits.changes_ttl || leader.state.epoch > 1 {
                     return None;
                 }
                 leader.proposed = Some(tasks(2));
@@ -374,8 +384,8 @@
             Action::Commit => {
                 let leader = self.leaders[0].as_mut()?;
                 let command = leader.proposed.take()?;
-                let told = leader.apply(self.now, &command);
-                self.tell(limits, told.map(|(worker, held)| (worker, Down::Granted(held))))?;
+                let notified = leader.apply(self.now, &command);
+                self.send(limits, notified.map(|(worker, held)| (worker, ToWorker::Granted(held))))?;
             }
             Action::Look(worker) => {
                 let may = self.may_act(worker).filter(|_| limits.acts);
@@ -384,129 +394,135 @@
             }
             Action::Act(worker) => {
                 let token = self.workers[worker].looked.take()?;
-                if token >= self.highest || !limits.fenced {
-                    self.went_down |= token < self.highest;
-                    self.highest = token;
+                if token >= self.highest_token || !limits.fenced {
+                    self.token_decreased |= token < self.highest_token;
+                    self.highest_token = token;
                 }
             }
         }
         Some(())
     }
 
-    /// A leader asks the quorum about what has come, or answers without, as `LeaderState::ask` does.
-    fn ask(&mut self, limits: &Limits, at: usize) -> Option<()> {
+    /// A leader asks for confirmation of what it received, or answers without, as
+    /// `LeaderState::request_confirmation` does.
+    fn request_confirmation(&mut self, limits: &Limits, at: usize) -> Option<()> {
         let leader = self.leaders[at].as_mut()?;
-        if limits.guards.confirm {
-            leader.asked = leader.questions.ask(0.0).or(leader.asked);
+        if limits.checks.read_index {
+            leader.batch = leader.queue.start_batch(0.0).or(leader.batch);
             return Some(());
         }
-        let came = leader.questions.take_fresh();
-        let answers = leader.answers(came);
-        self.tell(limits, answers)
+        let received = leader.queue.take_unsent();
+        let answers = leader.answers(received);
+        self.send(limits, answers)
     }
 
-    /// Words to workers are on their way; `None` where there are more than this world has room for.
-    fn tell(&mut self, limits: &Limits, words: impl IntoIterator<Item = (usize, Down)>) -> Option<()> {
-        for (worker, word) in words {
+    /// Sends messages to workers; `None` where the limit of messages is reached.
+    fn send(&mut self, limits: &Limits, messages: impl IntoIterator<Item = (usize, ToWorker)>) -> Option<()> {
+        for (worker, message) in messages {
             let to = &mut self.workers[worker];
             let waits = |seq: u64| to.holder.outstanding().any(|(own, ..)| *own == seq);
-            if matches!(&word, Down::Kept { seq, .. } if !waits(*seq)) {
+            if matches!(&message, ToWorker::HeartbeatAck { seq, .. } if !waits(*seq)) {
                 continue;
             }
-            if to.down.len() >= limits.words {
+            if to.down.len() >= limits.messages {
                 return None;
             }
-            to.down.push(word);
+            to.down.push(message);
         }
         Some(())
     }
 
-    /// What nobody will look at any more need not be told apart: answers that no holder waits for, grants that were
-    /// overtaken, and leases given back that are free.
-    fn forget(&mut self) {
+    /// Drops messages without effect, so that states that differ only in them are equal: answers that no holder waits
+    /// for, superseded grants, and returned leases that have ended.
+    fn drop_obsolete(&mut self) {
         let leases = [0, 1].map(|at| self.lease(at));
         for worker in &mut self.workers {
             let looked_for: Vec<u64> = worker.holder.outstanding().map(|(seq, ..)| *seq).collect();
             let known = worker.holder.token(TASK).unwrap_or(0);
-            worker.down.retain(|word| match word {
-                Down::Kept { seq, .. } => looked_for.contains(seq),
-                Down::Granted(held) => held.token > known,
+            worker.down.retain(|message| match message {
+                ToWorker::HeartbeatAck { seq, .. } => looked_for.contains(seq),
+                ToWorker::Granted(held) => held.token > known,
             });
-            worker.up.retain(|(to, mail)| match mail {
-                Up::GiveBack(held) => leases[*to] == Some(held.token),
-                Up::Keep { .. } => true,
+            worker.up.retain(|(to, message)| match message {
+                ToLeader::Release(held) => leases[*to] == Some(held.token),
+                ToLeader::Heartbeat { .. } => true,
             });
         }
     }
 
     /// The token under which the task is held, as this leader knows.
     fn lease(&self, at: usize) -> Option<u64> {
-        Some(self.leaders[at].as_ref()?.facts.leases.get(TASK)?.token)
+        Some(self.leaders[at].as_ref()?.state.leases.get(TASK)?.token)
     }
 
     /// Every token that may still be compared with another, in order.
     fn tokens(&self) -> Vec<u64> {
-        let mut tokens = BTreeSet::from([self.highest]);
+        let mut tokens = BTreeSet::from([self.highest_token]);
         tokens.extend([0, 1].into_iter().flat_map(|at| self.lease(at)));
         for worker in &self.workers {
             tokens.extend(worker.holder.token(TASK));
             tokens.extend(worker.looked);
-            tokens.extend(worker.down.iter().filter_map(|word| match word {
-                Down::Granted(held) => Some(held.token),
-                Down::Kept { .. } => None,
+            tokens.extend(worker.down.iter().filter_map(|message| match message {
+                ToWorker::Granted(held) => Some(held.token),
+                ToWorker::HeartbeatAck { .. } => None,
             }));
         }
         tokens.into_iter().collect()
     }
 
-    /// All that this world's future depends on, with times as differences and numbers as ranks; the workers in `order`.
+    /// All that this state's future depends on, with times as differences and numbers as ranks; the workers in `order`.
     fn key(&self, limits: &Limits, tokens: &[u64], order: [usize; 2]) -> Vec<u8> {
         let rank = |token: u64| tokens.binary_search(&token).map_or(255, |at| at as u8);
         let place = |worker: usize| order.iter().position(|w| *w == worker).unwrap_or(9) as u8;
-        // A number that is looked for by its place, else one for all.
+        // An awaited heartbeat by its place, all others by the same number.
         let seq_of = |worker: usize, seq: u64| {
             let mut outstanding = self.workers[worker].holder.outstanding();
             outstanding.position(|(s, ..)| *s == seq).map_or(200, |at| at as u8)
         };
-        // Beyond the longest that a sign of life can bring, one is as old as another.
-        let longest = TTL_MS * if limits.retimes { 2 } else { 1 };
+        // Older than the longest TTL that a heartbeat can renew: differences have no effect.
+        let longest = TTL_MS * if limits.changes_ttl { 2 } else { 1 };
         let old = (longest as f64 / 1000.0 * (1.0 - limits.drift)).ceil();
-        let mut key = vec![u8::from(self.went_down), rank(self.highest)];
+        let mut key = vec![u8::from(self.token_decreased), rank(self.highest_token)];
         for (at, leader) in self.leaders.iter().enumerate() {
             let Some(leader) = leader else {
                 key.push(250);
                 continue;
             };
-            let facts = &leader.facts;
-            key.extend([251, facts.epoch as u8]);
-            if let Some(lease) = facts.leases.get(TASK) {
-                let freeing = leader.tenure.is_freeing(lease.token);
-                let left = leader.tenure.left_s(self.now * LEADERS_RATE, lease.token);
-                let left = if freeing { 200 } else { left as u8 };
-                let (ttl, whole) = ((lease.ttl_ms / 1000) as u8, (lease.whole_ms / 1000) as u8);
-                key.extend([rank(lease.token), place(lease.session as usize - 1), left, ttl, whole]);
+            let state = &leader.state;
+            key.extend([251, state.epoch as u8]);
+            if let Some(lease) = state.leases.get(TASK) {
+                let releasing = leader.clock.is_releasing(lease.token);
+                let left = leader.clock.remaining_s(self.now * LEADERS_RATE, lease.token);
+                let left = if releasing { 200 } else { left as u8 };
+                let ttl = (lease.ttl_ms / 1000) as u8;
+                let max_ttl = (lease.max_ttl_ms / 1000) as u8;
+                key.extend([rank(lease.token), place(lease.session as usize - 1), left, ttl, max_ttl]);
             }
-            // A sign of life counts for the lease that stands: no other comes back under its token.
-            let one = |(worker, seq, held): &Came| {
-                let counts = held.iter().filter(|(held, _)| self.lease(at) == Some(held.token));
-                let counts = counts.map(|(_, ttl_ms)| (*ttl_ms / 1000) as u8);
+            // A heartbeat counts only for the current lease: no other is granted under its token.
+            let one = |heartbeat: &ReceivedHeartbeat| {
+                let ReceivedHeartbeat { worker, seq, leases } = heartbeat;
+                let counts = leases.iter().filter(|l| self.lease(at) == Some(l.held.token));
+                let counts = counts.map(|l| (l.ttl_ms / 1000) as u8);
                 [place(*worker), seq_of(*worker, *seq)].into_iter().chain(counts).collect::<Vec<u8>>()
             };
-            let (fresh, asked) = leader.questions.waiting();
-            // Answers that nobody waits for any more are none.
-            let waits = |(worker, seq, _): &&Came| seq_of(*worker, *seq) != 200;
-            let mut lists = vec![fresh.iter().filter(waits).map(one).collect::<Vec<_>>()];
-            lists.extend(asked.map(|(_, came)| came.iter().filter(waits).map(one).collect()));
+            let (unsent, batches) = leader.queue.pending();
+            // Answers that no holder waits for have no effect.
+            let waits = |h: &&ReceivedHeartbeat| seq_of(h.worker, h.seq) != 200;
+            let mut lists = vec![unsent.iter().filter(waits).map(one).collect::<Vec<_>>()];
+            let in_batch = |batch: &ReadIndexBatch<ReceivedHeartbeat>| {
+                batch.requests.iter().filter(waits).map(one).collect()
+            };
+            lists.extend(batches.map(in_batch));
             for mut list in lists {
                 list.sort();
                 key.push(252);
                 list.into_iter().for_each(|bytes| key.extend(bytes));
             }
-            key.extend([253, u8::from(leader.asked.is_some())]);
+            key.extend([253, u8::from(leader.batch.is_some())]);
             match &leader.proposed {
                 None => key.push(0),
-                Some(Command::Free { .. }) => key.push(1),
-                Some(Command::Grant { session, .. }) => key.extend([2, place(*session as usize - 1)]),
+                Some(Command::ReleaseLease { .. }) => key.push(1),
+                Some(Command::GrantLease { session, .. }) => key.extend([2, place(*session as usize - 1)]),
                 Some(_) => key.push(3),
             }
         }
@@ -516,30 +532,30 @@
             let until = worker.holder.until(TASK).map_or(0, |u| (u - self.now).max(0.0) as u8);
             key.extend([254, known.map_or(255, rank), until, worker.looked.map_or(255, rank)]);
             for (_, sent, held) in worker.holder.outstanding() {
-                // What was asked for a lease that it has no more brings nothing.
+                // A heartbeat for a lease that the holder no longer has renews nothing.
                 let counts = held.iter().any(|held| known == Some(held.token));
                 key.push(if counts { (self.now - sent).min(old) as u8 } else { 100 });
             }
             key.push(253);
-            let up = |(to, mail): &(usize, Up)| match mail {
-                Up::Keep { seq, held } => {
+            let up = |(to, message): &(usize, ToLeader)| match message {
+                ToLeader::Heartbeat { seq, held } => {
                     let counts = held.iter().any(|held| self.lease(*to) == Some(held.token));
                     vec![*to as u8, 1, seq_of(at, *seq), u8::from(counts)]
                 }
-                Up::GiveBack(_) => vec![*to as u8, 2],
+                ToLeader::Release(_) => vec![*to as u8, 2],
             };
-            let down = |word: &Down| match word {
-                Down::Granted(held) => vec![3, rank(held.token)],
-                Down::Kept { seq, leases } => {
+            let down = |message: &ToWorker| match message {
+                ToWorker::Granted(held) => vec![3, rank(held.token)],
+                ToWorker::HeartbeatAck { seq, leases } => {
                     let own = leases.iter().filter(|l| known == Some(l.held.token));
                     let own = own.map(|l| (l.ttl_ms / 1000) as u8);
                     [4, seq_of(at, *seq)].into_iter().chain(own).collect()
                 }
             };
-            let mut mail: Vec<Vec<u8>> =
+            let mut messages: Vec<Vec<u8>> =
                 worker.up.iter().map(up).chain(worker.down.iter().map(down)).collect();
-            mail.sort();
-            for bytes in mail {
+            messages.sort();
+            for bytes in messages {
                 key.push(252);
                 key.extend(bytes);
             }
@@ -547,47 +563,47 @@
         key
     }
 
-    /// Two worlds in which the workers have changed places are one.
-    fn named(mut self, limits: &Limits) -> World {
-        self.forget();
+    /// States in which the workers have changed places are equal.
+    fn canonical(mut self, limits: &Limits) -> World {
+        self.drop_obsolete();
         let tokens = self.tokens();
         self.key = self.key(limits, &tokens, [0, 1]).min(self.key(limits, &tokens, [1, 0]));
         self
     }
 
-    /// When nothing fails any more, somebody comes to hold the task.
+    /// Once nothing fails any more, a worker comes to hold the task.
     fn recovers(&self, limits: &Limits) -> bool {
         let mut world = self.clone();
         world.leaders[1] = None;
         for worker in 0..2 {
-            world.step(limits, Action::Relink(worker));
+            world.step(limits, Action::Reconnect(worker));
         }
         for _round in 0..20 {
             for worker in 0..2 {
-                world.step(limits, Action::Keep { worker, to: 0 });
-                world.step(limits, Action::Arrive { worker, mail: 0 });
+                world.step(limits, Action::Heartbeat { worker, to: 0 });
+                world.step(limits, Action::Arrive { worker, message: 0 });
             }
-            // One question may be out already, about what came before.
-            for _question in 0..2 {
+            // One batch may be out already, with earlier heartbeats.
+            for _batch in 0..2 {
                 world.step(limits, Action::Confirm);
                 world.deliver(limits);
             }
             if (0..2).any(|worker| world.may_act(worker).is_some()) {
                 return true;
             }
-            for action in [Action::Lapse, Action::Commit, Action::Grant(0), Action::Commit] {
+            for action in [Action::Expire, Action::Commit, Action::Grant(0), Action::Commit] {
                 world.step(limits, action);
                 world.deliver(limits);
             }
-            world.step(limits, Action::Pass);
+            world.step(limits, Action::Tick);
         }
         false
     }
 
-    /// All that is on its way to workers arrives.
+    /// Delivers all messages to workers.
     fn deliver(&mut self, limits: &Limits) {
         for worker in 0..2 {
-            while self.step(limits, Action::Deliver { worker, word: 0 }).is_some() {}
+            while self.step(limits, Action::Deliver { worker, message: 0 }).is_some() {}
         }
     }
 }
@@ -597,41 +613,41 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        vec![World::first(self).named(self)]
+        vec![World::initial(self).canonical(self)]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         use Action as A;
-        actions.extend([A::Pass, A::StepDown, A::Confirm, A::Lapse, A::Retime, A::Commit]);
+        actions.extend([A::Tick, A::StepDown, A::Confirm, A::Expire, A::ChangeTtl, A::Commit]);
         actions.extend([true, false].map(|proposal_stays| A::Elect { proposal_stays }));
         for at in 0..2 {
             actions.extend([A::Grant(at), A::Look(at), A::Act(at)]);
-            actions.extend([A::Relink(at), A::Restart(at)]);
-            actions.extend([0, 1].map(|to| A::Keep { worker: at, to }));
-            actions.extend([0, 1].map(|to| A::GiveBack { worker: at, to }));
-            actions.extend((0..world.workers[at].up.len()).map(|mail| A::Arrive { worker: at, mail }));
-            actions.extend((0..world.workers[at].down.len()).map(|word| A::Deliver { worker: at, word }));
+            actions.extend([A::Reconnect(at), A::Restart(at)]);
+            actions.extend([0, 1].map(|to| A::Heartbeat { worker: at, to }));
+            actions.extend([0, 1].map(|to| A::Release { worker: at, to }));
+            actions.extend((0..world.workers[at].up.len()).map(|message| A::Arrive { worker: at, message }));
+            actions
+                .extend((0..world.workers[at].down.len()).map(|message| A::Deliver { worker: at, message }));
         }
     }
 
     fn next_state(&self, world: &World, action: Action) -> Option<World> {
         let mut next = world.clone();
         next.step(self, action)?;
-        Some(next.named(self))
+        Some(next.canonical(self))
     }
 
     fn properties(&self) -> Vec<Property<Limits>> {
         vec![
             Property::always("one holder", |_, w: &World| w.may_act(0).is_none() || w.may_act(1).is_none()),
-            Property::always("tokens only grow", |_, w: &World| !w.went_down),
+            Property::always("tokens only grow", |_, w: &World| !w.token_decreased),
             Property::always("held in the end", |limits: &Limits, w: &World| w.recovers(limits)),
-            // Worlds without which the search would be worth little.
-            // Worlds without which the search would be worth little.
+            // States that must be reachable for the search to prove anything.
             Property::sometimes("a renewal is late", |_, w: &World| {
                 w.workers.iter().any(|worker| {
-                    let held = |word: &Down| matches!(word, Down::Kept { leases, .. } if !leases.is_empty());
+                    let held = |message: &ToWorker| matches!(message, ToWorker::HeartbeatAck { leases, .. } if !leases.is_empty());
                     worker.down.iter().any(held)
-                        && w.leaders[0].as_ref().is_some_and(|l| l.facts.leases.is_empty())
+                        && w.leaders[0].as_ref().is_some_and(|l| l.state.leases.is_empty())
                 })
             }),
             Property::sometimes(
@@ -645,7 +661,7 @@
     }
 }
 
-/// Searches all of it; how many worlds there are.
+/// Searches all reachable states; returns their number.
 fn search(limits: Limits) -> usize {
     let checker = limits.checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
@@ -661,18 +677,19 @@
 
 #[test]
 fn each_guard_that_is_taken_away_is_missed_in_a_small_world() {
-    let without = SafetyChecks { whole_ttl: false, confirm: true };
-    let unasked = SafetyChecks { whole_ttl: true, confirm: false };
-    for (weak, property) in [
+    let without_full_ttl = SafetyChecks { wait_full_ttl: false, read_index: true };
+    let without_read_index = SafetyChecks { wait_full_ttl: true, read_index: false };
+    for (limits, property) in [
         (Limits { drift: 0.0, ..SMALL }, "one holder"),
-        (Limits { guards: without, ..SMALL }, "one holder"),
-        (Limits { guards: unasked, ..SMALL }, "one holder"),
+        (Limits { checks: without_full_ttl, ..SMALL }, "one holder"),
+        (Limits { checks: without_read_index, ..SMALL }, "one holder"),
         (Limits { acts: true, fenced: false, ..SMALL }, "tokens only grow"),
     ] {
         let finds = HasDiscoveries::AnyOf(BTreeSet::from([property]));
-        let checker = weak.checker().threads(4).finish_when(finds).spawn_bfs().join();
-        let path = checker.discovery(property).unwrap_or_else(|| panic!("{weak:?}: {property} always holds"));
-        println!("{weak:?}: {property} broken by {:?}", path.into_actions());
+        let checker = limits.checker().threads(4).finish_when(finds).spawn_bfs().join();
+        let path =
+            checker.discovery(property).unwrap_or_else(|| panic!("{limits:?}: {property} always holds"));
+        println!("{limits:?}: {property} broken by {:?}", path.into_actions());
     }
 }
 
@@ -681,9 +698,9 @@
 #[ignore = "takes minutes"]
 fn two_holders_never_act_at_once_in_larger_worlds() {
     for limits in [
-        Limits { retimes: true, ..SMALL },
+        Limits { changes_ttl: true, ..SMALL },
         Limits { acts: true, ..SMALL },
-        Limits { outstanding: 2, gives_back: false, ..SMALL },
+        Limits { outstanding: 2, releases: false, ..SMALL },
     ] {
         search(limits);
     }
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -5,7 +5,7 @@
 use fleet_coordinator::config::File;
 use fleet_coordinator::coordinator::{Coordinator, Output};
 use fleet_coordinator::replica::{carry_out, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus};
-use fleet_coordinator::state_machine::{Command, Entry, LeaseStateMachine, ReleaseReason, Task, LATEST};
+use fleet_coordinator::state_machine::{Command, LeaseStateMachine, LogEntry, ReleaseReason, Task, LATEST};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -277,7 +277,7 @@
     quorum.leader().unwrap().take_happened();
 
     quorum.propose(open("worker-f", "west", 16));
-    quorum.propose(Command::Grant { task: "inventory".into(), session: 6 });
+    quorum.propose(Command::GrantLease { task: "inventory".into(), session: 6 });
 
     let leader = quorum.leader().unwrap();
     assert_eq!((leader.term(), leader.ends()), (3, (50, 50)));
@@ -307,24 +307,24 @@
     assert_eq!(lines.len(), entries.len());
     for (line, entry) in lines.into_iter().zip(entries) {
         assert_eq!(serde_json::to_string(&entry).unwrap(), line);
-        assert_eq!(serde_json::from_str::<Entry>(line).unwrap(), entry, "{line}");
+        assert_eq!(serde_json::from_str::<LogEntry>(line).unwrap(), entry, "{line}");
     }
 }
 
 #[test]
 fn commands_of_a_later_version_are_read_as_unknown_and_their_new_keys_passed_over() {
-    let read = |line: &str| serde_json::from_str::<Entry>(line).unwrap();
+    let read = |line: &str| serde_json::from_str::<LogEntry>(line).unwrap();
     let later = read(r#"{"at_ms":9999,"do":"seal","held":{"task":"archive","token":9},"until_ms":12000}"#);
-    assert_eq!(later, Entry { at_ms: 9999, command: Command::Unknown });
+    assert_eq!(later, LogEntry { at_ms: 9999, command: Command::Unknown });
     let more_keys = read(r#"{"at_ms":7,"do":"close","session":4,"later":true}"#);
-    assert_eq!(more_keys, Entry { at_ms: 7, command: Command::Close { session: 4 } });
+    assert_eq!(more_keys, LogEntry { at_ms: 7, command: Command::CloseSession { session: 4 } });
 }
 
 /// In the order of `commands.jsonl`; variants with an enum inside stand once for each of its values.
-fn one_of_each_command() -> Vec<Entry> {
+fn one_of_each_command() -> Vec<LogEntry> {
     let held = || LeaseRef { task: "archive".into(), token: 9 };
-    let end = |ending| Command::End { held: held(), period: 3, ending };
-    let free = |why| Command::Free { held: held(), why };
+    let end = |ending| Command::EndPeriod { lease: held(), period: 3, outcome: ending };
+    let free = |why| Command::ReleaseLease { lease: held(), reason: why };
     let task = Task {
         name: "archive".into(),
         ttl_ms: 4000,
@@ -333,26 +333,26 @@
     };
     let commands = vec![
         open("worker-a", "east", u64::MAX),
-        Command::Close { session: 4 },
-        Command::Grant { task: "archive".into(), session: 4 },
-        free(ReleaseReason::Lapsed),
-        free(ReleaseReason::GivenBack),
+        Command::CloseSession { session: 4 },
+        Command::GrantLease { task: "archive".into(), session: 4 },
+        free(ReleaseReason::Expired),
+        free(ReleaseReason::Returned),
         free(ReleaseReason::Failed),
-        Command::Transfer { held: held(), session: 5 },
-        Command::Begin { held: held(), every_ms: 60_000, safe: true, attempt: 2 },
+        Command::TransferLease { lease: held(), session: 5 },
+        Command::BeginPeriod { lease: held(), every_ms: 60_000, idempotent: true, attempt: 2 },
         end(CallOutcome::Done),
         end(CallOutcome::NotDone),
         end(CallOutcome::Unknown),
-        Command::Tasks { epoch: 2, tasks: vec![task] },
-        Command::Progress { kept: vec![(1, 20), (2, 19)] },
-        Command::Raise { version: 2 },
+        Command::SetTasks { epoch: 2, tasks: vec![task] },
+        Command::RecordProgress { persisted: vec![(1, 20), (2, 19)] },
+        Command::RaiseVersion { version: 2 },
         Command::Unknown,
     ];
-    (1..).zip(commands).map(|(at_ms, command)| Entry { at_ms, command }).collect()
+    (1..).zip(commands).map(|(at_ms, command)| LogEntry { at_ms, command }).collect()
 }
 
-fn open(name: &str, zone: &str, process: u64) -> Command {
-    Command::Open { name: name.into(), zone: zone.into(), process, version: LATEST }
+fn open(name: &str, zone: &str, incarnation: u64) -> Command {
+    Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST }
 }
 
 fn sorted(mut numbers: Vec<u64>) -> Vec<u64> {
--- a/testbed/src/fleet/virtual_fleet.rs
+++ b/testbed/src/fleet/virtual_fleet.rs
@@ -472,8 +472,8 @@
             overdue_s: 1.0,
             version: LATEST,
             guards: SafetyChecks {
-                whole_ttl: self.shape.weak != Weakness::NoWholeTtl,
-                confirm: self.shape.weak != Weakness::NoConfirm,
+                wait_full_ttl: self.shape.weak != Weakness::NoWholeTtl,
+                read_index: self.shape.weak != Weakness::NoConfirm,
             },
             overload: None,
         }
