--- a/fleet-coordinator/src/coordinator.rs
+++ b/fleet-coordinator/src/coordinator.rs
@@ -144,8 +144,8 @@
         frame::encode(&PeerHello {
             peer: self.setup.name.clone(),
             fleet: self.setup.fleet.clone(),
-            member: if self.replica.standing == ReplicaStatus::Member { self.replica.member() } else { 0 },
-            last: self.replica.ends().0,
+            member: if self.replica.status == ReplicaStatus::Member { self.replica.member() } else { 0 },
+            last: self.replica.log_position().last,
             version: self.replica.version(),
         })
     }
@@ -153,12 +153,12 @@
     /// What a peer answered to that.
     pub fn peer_answered(&mut self, now: f64, peer: &str, answer: PeerAnswer) {
         if answer.member != 0 {
-            self.replica.versions.insert(answer.member, answer.version);
+            self.replica.record_peer_version(answer.member, answer.version);
             self.numbers.insert(answer.member, peer.to_owned());
         }
         if let Some(why) = &answer.barred {
-            if self.replica.standing == ReplicaStatus::Member {
-                self.replica.bar(now, &format!("{peer} says: {why}"));
+            if self.replica.status == ReplicaStatus::Member {
+                self.replica.exclude(now, &format!("{peer} says: {why}"));
             }
         }
         self.answers.insert(peer.to_owned(), answer);
@@ -168,7 +168,7 @@
 
     /// A blank member finds out whether it founds the fleet, joins it, or has lost its disk.
     fn become_member(&mut self, now: f64) {
-        let ReplicaStatus::Blank(why) = &self.replica.standing else { return };
+        let ReplicaStatus::Blank(why) = &self.replica.status else { return };
         let known = self.answers.values().filter(|a| a.yours != 0);
         let Some(best) = known.max_by_key(|a| a.yours).cloned() else {
             // Nobody knows of a fleet: it is founded when all are there and blank.
@@ -182,7 +182,7 @@
             let lost = format!("{why}, and {} knows that it held the log up to {kept}", self.setup.name);
             if !why.contains("knows that it held") {
                 self.out.push(Output::Note(true, format!("disk lost: {lost}; replace this member")));
-                self.replica.standing = ReplicaStatus::Blank(lost.replace(&self.setup.name, "the quorum"));
+                self.replica.status = ReplicaStatus::Blank(lost.replace(&self.setup.name, "the quorum"));
             }
         } else if !best.founder {
             self.replica.join(now, best.yours);
@@ -199,7 +199,7 @@
 
     pub fn tick(&mut self, now: f64) {
         self.replica.tick(now);
-        self.desk.tick(now, &self.replica.facts);
+        self.desk.tick(now, &self.replica.state_machine);
         self.questions.retain(|(_, link, _, since)| {
             let waits = now - since < QUESTION_S;
             if !waits {
@@ -211,7 +211,7 @@
             }
             waits
         });
-        if matches!(self.replica.standing, ReplicaStatus::Blank(_)) && now - self.ask_at >= ASK_PEERS_S {
+        if matches!(self.replica.status, ReplicaStatus::Blank(_)) && now - self.ask_at >= ASK_PEERS_S {
             self.ask_at = now;
             self.out.push(Output::Relink);
         }
@@ -220,7 +220,7 @@
 
     /// The disk has answered.
     pub fn disk_done(&mut self, now: f64, job: u64, done: DiskResult) {
-        self.replica.done(now, job, done);
+        self.replica.on_disk_result(now, job, done);
         self.settle(now);
     }
 
@@ -249,7 +249,7 @@
     pub fn heard(&mut self, now: f64, link: LinkId, body: &[u8]) -> Result<(), String> {
         let result = match self.roles.get(&link).cloned() {
             None => Ok(()),
-            Some(Role::Peer(member)) => self.replica.step(now, member, body),
+            Some(Role::Peer(member)) => self.replica.step(now, member, body).map_err(|e| e.to_string()),
             Some(role) => self.heard_words(now, link, &role, body),
         };
         self.settle(now);
@@ -264,7 +264,7 @@
         }
         let say: ClientMessage =
             serde_json::from_slice(body).map_err(|e| format!("a frame that can't be read: {e}"))?;
-        let facts = &self.replica.facts;
+        let facts = &self.replica.state_machine;
         match say {
             ClientMessage::Hello { fleet, version, name, zone, process } => {
                 if fleet != self.setup.fleet {
@@ -327,7 +327,7 @@
             ClientMessage::Unknown => {}
         }
         // The rest of what is due can wait for the tick: it looks at every session.
-        self.desk.request_confirmation(now, &self.replica.facts);
+        self.desk.request_confirmation(now, &self.replica.state_machine);
         Ok(())
     }
 
@@ -336,7 +336,7 @@
     }
 
     fn not_leader(&self) -> ServerMessage {
-        let why = match &self.replica.standing {
+        let why = match &self.replica.status {
             ReplicaStatus::Member => "another coordinator leads, or none does yet".to_owned(),
             other => format!("{}: {}", word_of(other).0, word_of(other).1),
         };
@@ -350,7 +350,7 @@
     }
 
     fn name_of(&self, member: u64) -> Option<String> {
-        self.replica.facts.members.get(&member).or_else(|| self.numbers.get(&member)).cloned()
+        self.replica.state_machine.members.get(&member).or_else(|| self.numbers.get(&member)).cloned()
     }
 
     /// Another coordinator's link: whether it is who it says, and remembers what it should.
@@ -363,10 +363,10 @@
         {
             return Err(format!("a coordinator {} that the file does not name", hello.peer));
         }
-        let facts = &self.replica.facts;
+        let facts = &self.replica.state_machine;
         let yours = facts.member(&hello.peer).unwrap_or(0);
         let kept = facts.persisted.get(&yours).copied().unwrap_or(0);
-        let known = self.replica.ends().1 > 0;
+        let known = self.replica.log_position().applied > 0;
         let mut barred = None;
         if known && hello.member != 0 && hello.member != yours && hello.member <= facts.last_member {
             barred = Some(format!("member {} has been replaced", hello.member));
@@ -387,7 +387,7 @@
             self.out.push(Output::Note(true, format!("coordinator {} is barred: {why}", hello.peer)));
             self.out.push(Output::Close(link));
         } else if hello.member != 0 {
-            self.replica.versions.insert(hello.member, hello.version);
+            self.replica.record_peer_version(hello.member, hello.version);
             self.numbers.insert(hello.member, hello.peer.clone());
             self.roles.insert(link, Role::Peer(hello.member));
         }
@@ -409,11 +409,11 @@
         }
         self.next_question += 1;
         self.questions.push((self.next_question, link, what, now));
-        self.replica.confirm(now, self.next_question);
+        self.replica.request_read_index(now, self.next_question);
     }
 
     fn answer(&mut self, now: f64, link: LinkId, what: &OperatorQuery) {
-        let facts = &self.replica.facts;
+        let facts = &self.replica.state_machine;
         let answer = match what {
             OperatorQuery::Status => self.status(),
             OperatorQuery::Members => facts.sessions.iter().map(|(id, s)| {
@@ -459,7 +459,7 @@
             }
             OperatorQuery::Replace { coordinator } => match self.replica.replace(now, coordinator) {
                 Ok(member) => json!({"coordinator": coordinator, "member": member}),
-                Err(why) => return self.say(link, &ServerMessage::Rejected { why }),
+                Err(why) => return self.say(link, &ServerMessage::Rejected { why: why.to_string() }),
             },
         };
         self.say(link, &ServerMessage::QueryResult { answer });
@@ -467,9 +467,9 @@
 
     /// How this member stands, for whoever asks.
     pub fn status(&self) -> Value {
-        let (standing, why) = word_of(&self.replica.standing);
-        let (last, applied) = self.replica.ends();
-        let facts = &self.replica.facts;
+        let (standing, why) = word_of(&self.replica.status);
+        let crate::replica::LogPosition { last, applied } = self.replica.log_position();
+        let facts = &self.replica.state_machine;
         json!({
             "name": self.setup.name, "fleet": self.setup.fleet, "standing": standing, "why": why,
             "leads": self.replica.leads(), "leader": self.replica.leader().and_then(|l| self.name_of(l)),
@@ -488,7 +488,7 @@
     }
 
     fn propose_tasks(&mut self, now: f64) {
-        if self.replica.leads() && self.setup.epoch > self.replica.facts.epoch {
+        if self.replica.leads() && self.setup.epoch > self.replica.state_machine.epoch {
             let (epoch, tasks) = (self.setup.epoch, self.setup.tasks.clone());
             self.replica.propose(now, Command::SetTasks { epoch, tasks });
         }
@@ -497,7 +497,7 @@
     /// Lets one part's words reach the others until nothing more comes of it.
     fn settle(&mut self, now: f64) {
         loop {
-            let happened = self.replica.take_happened();
+            let happened = self.replica.take_events();
             let acts = self.desk.take_actions();
             if happened.is_empty() && acts.is_empty() {
                 break;
@@ -510,12 +510,12 @@
                     LeaderAction::Send(link, word) => self.say(link, &word),
                     // What can't be proposed now is proposed again by whoever still wants it.
                     LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
-                    LeaderAction::Confirm(number) => self.replica.confirm(now, number),
+                    LeaderAction::Confirm(number) => self.replica.request_read_index(now, number),
                     LeaderAction::Log(line) => self.out.push(Output::Note(false, line)),
                 }
             }
         }
-        for effect in self.replica.take_effects() {
+        for effect in self.replica.take_outputs() {
             match effect {
                 ReplicaOutput::Disk(number, job) => self.out.push(Output::Disk(number, job)),
                 ReplicaOutput::Send(member, bytes) => {
@@ -526,11 +526,11 @@
                 }
             }
         }
-        if self.was != self.replica.standing {
-            let (standing, why) = word_of(&self.replica.standing);
-            let warn = self.replica.standing != ReplicaStatus::Member;
+        if self.was != self.replica.status {
+            let (standing, why) = word_of(&self.replica.status);
+            let warn = self.replica.status != ReplicaStatus::Member;
             self.out.push(Output::Note(warn, format!("standing: {standing} {why}").trim_end().to_owned()));
-            self.was = self.replica.standing.clone();
+            self.was = self.replica.status.clone();
             self.answers.clear();
             self.out.push(Output::Relink);
         }
@@ -538,12 +538,12 @@
 
     fn happened(&mut self, now: f64, event: ReplicaEvent) {
         match event {
-            ReplicaEvent::Led => {
+            ReplicaEvent::Elected => {
                 self.out.push(Output::Note(false, format!("leads, term {}", self.replica.term())));
-                self.desk.start_term(now, &self.replica.facts);
+                self.desk.start_term(now, &self.replica.state_machine);
                 self.propose_tasks(now);
             }
-            ReplicaEvent::Followed => {
+            ReplicaEvent::SteppedDown => {
                 self.out.push(Output::Note(false, "leads no more".to_owned()));
                 let word = self.not_leader();
                 for link in self.desk.step_down() {
@@ -554,8 +554,8 @@
                 }
             }
             ReplicaEvent::Applied(entry, result) => {
-                self.desk.on_applied(now, &entry, &result, &self.replica.facts);
-                self.desk.tick(now, &self.replica.facts);
+                self.desk.on_applied(now, &entry, &result, &self.replica.state_machine);
+                self.desk.tick(now, &self.replica.state_machine);
             }
             ReplicaEvent::Confirmed(number) if number > QUESTIONS_FROM => {
                 let ready = self.questions.iter().position(|(n, ..)| *n == number);
@@ -563,7 +563,9 @@
                     self.answer(now, link, &what);
                 }
             }
-            ReplicaEvent::Confirmed(number) => self.desk.on_confirmed(now, number, &self.replica.facts),
+            ReplicaEvent::Confirmed(number) => {
+                self.desk.on_confirmed(now, number, &self.replica.state_machine)
+            }
         }
     }
 }
@@ -595,8 +597,8 @@
         ReplicaStatus::Opening => ("opening", String::new()),
         ReplicaStatus::Blank(why) => ("blank", why.clone()),
         ReplicaStatus::Member => ("member", String::new()),
-        ReplicaStatus::Aside(why) => ("aside", why.clone()),
-        ReplicaStatus::Barred(why) => ("barred", why.clone()),
+        ReplicaStatus::Suspended(why) => ("aside", why.clone()),
+        ReplicaStatus::Excluded(why) => ("barred", why.clone()),
     }
 }
 
--- /dev/null
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -0,0 +1,138 @@
+//! What a leader does for the quorum itself: it records progress, raises the agreed version, and changes members.
+
+use super::Replica;
+use crate::state_machine::Command;
+use raft::eraftpb::{ConfChange, ConfChangeType};
+
+/// How often progress is recorded in the log (seconds). A disk that is older than recorded is detected.
+const PROGRESS_INTERVAL_S: f64 = 10.0;
+/// How often progress is recorded while a disk is recorded for the first time (seconds).
+const FIRST_PROGRESS_INTERVAL_S: f64 = 1.0;
+/// A learner that lags by at most so many entries may vote.
+const MAX_LEARNER_LAG_ENTRIES: u64 = 16;
+
+/// Why a coordinator can't be replaced now.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ReplaceError {
+    /// No member has this name.
+    #[error("there is no coordinator {0}")]
+    UnknownCoordinator(String),
+    /// The coordinator of this name is the leader.
+    #[error("{0} leads; it has not lost its disk")]
+    Leads(String),
+    /// The consensus library changes one member at a time.
+    #[error("another change of members is on its way")]
+    ChangePending,
+}
+
+/// What a leader finds to do for the quorum.
+struct QuorumReview {
+    /// Members with the log index up to which they are known to have persisted, where that is more than recorded.
+    unrecorded_progress: Vec<(u64, u64)>,
+    record_progress: bool,
+    /// The version that all voters can apply.
+    common_version: u32,
+    /// A member that is not in the configuration yet.
+    joining: Option<u64>,
+    /// A learner that may vote.
+    caught_up_learner: Option<u64>,
+}
+
+impl Replica {
+    pub(super) fn maintain_quorum(&mut self, now: f64) {
+        if !self.leads {
+            return;
+        }
+        let Some(review) = self.review_quorum(now) else { return };
+        if review.record_progress {
+            self.progress_recorded_at = now;
+            self.propose(now, Command::RecordProgress { persisted: review.unrecorded_progress });
+        }
+        if review.common_version > self.state_machine.version {
+            self.propose(now, Command::RaiseVersion { version: review.common_version });
+        }
+        if let Some(member) = review.joining {
+            self.change_members(ConfChangeType::AddLearnerNode, member, 0);
+        } else if let Some(member) = review.caught_up_learner {
+            self.change_members(ConfChangeType::AddNode, member, 0);
+        }
+        self.process_ready(now);
+    }
+
+    fn review_quorum(&self, now: f64) -> Option<QuorumReview> {
+        let node = self.node.as_ref()?;
+        let voters = &node.store().members.voters;
+        let learners = &node.store().members.learners;
+        let last = node.raft.raft_log.last_index();
+        let caught_up_learner = learners.iter().copied().find(|id| {
+            let progress = node.raft.prs().get(*id);
+            progress.is_some_and(|p| p.recent_active && p.matched + MAX_LEARNER_LAG_ENTRIES >= last)
+        });
+        let mut members = self.state_machine.members.keys().copied();
+        let joining = members.find(|id| !voters.contains(id) && !learners.contains(id));
+        let versions = voters.iter().map(|id| match *id {
+            id if id == self.member => self.version,
+            id => self.peer_versions.get(&id).copied().unwrap_or(0),
+        });
+        let common_version = versions.min().unwrap_or(0);
+        let (unrecorded_progress, record_progress) = self.review_progress(now);
+        Some(QuorumReview {
+            unrecorded_progress,
+            record_progress,
+            common_version,
+            joining,
+            caught_up_learner,
+        })
+    }
+
+    /// The progress that is not recorded, and whether it is to be recorded now.
+    fn review_progress(&self, now: f64) -> (Vec<(u64, u64)>, bool) {
+        let Some(node) = &self.node else { return (Vec::new(), false) };
+        let recorded = |member: u64| self.state_machine.persisted.get(&member).copied().unwrap_or(0);
+        let commit = node.raft.raft_log.committed;
+        let mut unrecorded = Vec::new();
+        let mut first_record = false;
+        for (member, progress) in node.raft.prs().iter() {
+            // What is committed is never truncated; more than that a new leader might truncate.
+            let index = progress.matched.min(commit);
+            first_record |= recorded(*member) == 0 && index > 1;
+            if index > recorded(*member) {
+                unrecorded.push((*member, index));
+            }
+        }
+        // The record itself moves all ends by one.
+        let moved = unrecorded.iter().any(|(member, index)| *index > recorded(*member) + 1);
+        let since_s = now - self.progress_recorded_at;
+        let due =
+            first_record && since_s > FIRST_PROGRESS_INTERVAL_S || moved && since_s > PROGRESS_INTERVAL_S;
+        (unrecorded, due)
+    }
+
+    /// Proposes a change of members; the library rejects it while another is on its way. `replacement` is the number of
+    /// the member that takes the removed one's place; 0 for none.
+    fn change_members(&mut self, kind: ConfChangeType, member: u64, replacement: u64) -> bool {
+        let Some(node) = &mut self.node else { return false };
+        let mut change = ConfChange { node_id: member, ..ConfChange::default() };
+        change.set_change_type(kind);
+        change.context = replacement.to_le_bytes().to_vec().into();
+        !node.raft.has_pending_conf() && node.propose_conf_change(Vec::new(), change).is_ok()
+    }
+
+    /// Replaces the member of this coordinator, which has lost its disk, by a new one. Returns the new member's number.
+    ///
+    /// # Errors
+    /// Why that can't be done now.
+    pub fn replace(&mut self, now: f64, name: &str) -> Result<u64, ReplaceError> {
+        let old = self.state_machine.member(name);
+        let old = old.ok_or_else(|| ReplaceError::UnknownCoordinator(name.to_owned()))?;
+        if old == self.member {
+            return Err(ReplaceError::Leads(name.to_owned()));
+        }
+        let replacement = self.state_machine.last_member + 1;
+        if !self.change_members(ConfChangeType::RemoveNode, old, replacement) {
+            return Err(ReplaceError::ChangePending);
+        }
+        self.process_ready(now);
+        Ok(replacement)
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -0,0 +1,191 @@
+//! One member of the quorum: the consensus library, the replicated log and its state machine, without I/O.
+//!
+//! Messages, ticks and results of the disk go in; messages, jobs for the disk, and events come out.
+//!
+//! Invariants: nothing is sent that depends on what the disk has not confirmed, and nothing is applied before. A write
+//! that fails or is overdue suspends the member: it sends nothing to its peers until the disk has been opened anew, and
+//! goes on from what the disk then holds.
+
+#![warn(missing_docs)]
+
+mod disk;
+mod election;
+mod membership;
+mod proposals;
+mod raft_log;
+mod ready;
+pub mod recovered_log;
+pub mod scan;
+mod startup;
+mod status;
+
+pub use disk::{carry_out, DiskJob, DiskResult};
+pub use membership::ReplaceError;
+pub use proposals::StepError;
+pub use status::{LogPosition, ReplicaEvent, ReplicaOutput, ReplicaStatus};
+
+use crate::state_machine::{LeaseStateMachine, LATEST};
+use disk::PendingJob;
+use election::ElectionTimeout;
+use raft::RawNode;
+use raft_log::RaftLog;
+use ready::PendingReady;
+use std::collections::{BTreeMap, VecDeque};
+
+/// The length of a tick (seconds). A leader sends a heartbeat every two; an election begins after 10 to 19 without one.
+pub const TICK_S: f64 = 0.05;
+/// How often a suspended member tries to open its disk (seconds).
+const DISK_RETRY_S: f64 = 0.5;
+
+/// One member of the quorum.
+pub struct Replica {
+    /// The replicated state as of the last applied entry.
+    pub state_machine: LeaseStateMachine,
+    /// Whether the member takes part.
+    pub status: ReplicaStatus,
+    /// By member number, the latest version that its program can apply.
+    peer_versions: BTreeMap<u64, u32>,
+    version: u32,
+    node: Option<RawNode<RaftLog>>,
+    member: u64,
+    applied: u64,
+    leads: bool,
+    /// What waits for the disk, in order.
+    pending_ready: VecDeque<PendingReady>,
+    pending_jobs: VecDeque<PendingJob>,
+    next_job: u64,
+    /// The last job that opens the disk.
+    opening_job: u64,
+    write_overdue_s: f64,
+    disk_retry_at: f64,
+    ticked_at: f64,
+    term_start: TermStart,
+    progress_recorded_at: f64,
+    election_timeout: Option<ElectionTimeout>,
+    random_state: u64,
+    outputs: Vec<ReplicaOutput>,
+    events: Vec<ReplicaEvent>,
+}
+
+/// When this member began to lead.
+struct TermStart {
+    /// By the log's time (milliseconds).
+    log_time_ms: u64,
+    /// By this member's clock (seconds).
+    at: f64,
+}
+
+impl Replica {
+    /// A member whose disk has yet to be opened.
+    ///
+    /// `seed` determines its election timeouts; a write that takes longer than `write_overdue_s` (seconds) suspends it;
+    /// `version` is the latest that the program claims to understand.
+    #[must_use]
+    pub fn new(now: f64, seed: u64, write_overdue_s: f64, version: u32) -> Replica {
+        let mut replica = Replica {
+            state_machine: LeaseStateMachine::default(),
+            status: ReplicaStatus::Opening,
+            peer_versions: BTreeMap::new(),
+            version: version.min(LATEST),
+            node: None,
+            member: 0,
+            applied: 0,
+            leads: false,
+            pending_ready: VecDeque::new(),
+            pending_jobs: VecDeque::new(),
+            next_job: 1,
+            opening_job: 1,
+            write_overdue_s,
+            disk_retry_at: now,
+            ticked_at: now,
+            term_start: TermStart { log_time_ms: 0, at: now },
+            progress_recorded_at: now,
+            election_timeout: None,
+            random_state: seed | 1,
+            outputs: Vec::new(),
+            events: Vec::new(),
+        };
+        replica.start_job(now, DiskJob::Open);
+        replica
+    }
+
+    /// Takes what is to be carried out since the last call, in order.
+    pub fn take_outputs(&mut self) -> Vec<ReplicaOutput> {
+        std::mem::take(&mut self.outputs)
+    }
+
+    /// Takes what has happened since the last call, in order.
+    pub fn take_events(&mut self) -> Vec<ReplicaEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// This member's number; 0 while it has none.
+    #[must_use]
+    pub fn member(&self) -> u64 {
+        self.member
+    }
+
+    /// The latest version that this program claims to understand.
+    #[must_use]
+    pub fn version(&self) -> u32 {
+        self.version
+    }
+
+    /// Records the latest version that another member's program can apply.
+    pub fn record_peer_version(&mut self, member: u64, version: u32) {
+        self.peer_versions.insert(member, version);
+    }
+
+    /// Whether this member leads and may serve.
+    #[must_use]
+    pub fn leads(&self) -> bool {
+        self.leads
+    }
+
+    /// The member that leads, as far as this one knows.
+    #[must_use]
+    pub fn leader(&self) -> Option<u64> {
+        self.node.as_ref().map(|node| node.raft.leader_id).filter(|id| *id != 0)
+    }
+
+    /// The current term; 0 while this member does not take part.
+    #[must_use]
+    pub fn term(&self) -> u64 {
+        self.node.as_ref().map_or(0, |node| node.raft.term)
+    }
+
+    /// How far the log reaches, and has been applied.
+    #[must_use]
+    pub fn log_position(&self) -> LogPosition {
+        let last = self.node.as_ref().map_or(0, |node| node.raft.raft_log.last_index());
+        LogPosition { last, applied: self.applied }
+    }
+
+    /// Members that may vote.
+    #[must_use]
+    pub fn voters(&self) -> Vec<u64> {
+        self.node.as_ref().map_or_else(Vec::new, |node| node.store().members.voters.clone())
+    }
+
+    /// Peers refuse this member, for this reason; see [`ReplicaStatus::Excluded`].
+    pub fn exclude(&mut self, now: f64, reason: &str) {
+        if self.status == ReplicaStatus::Member {
+            self.leave(now, ReplicaStatus::Excluded(reason.to_owned()));
+        }
+    }
+
+    /// Takes no part until the disk has been opened anew.
+    fn suspend(&mut self, now: f64, reason: String) {
+        self.leave(now, ReplicaStatus::Suspended(reason));
+    }
+
+    fn leave(&mut self, now: f64, status: ReplicaStatus) {
+        self.node = None;
+        self.pending_ready.clear();
+        self.disk_retry_at = now + DISK_RETRY_S;
+        if std::mem::take(&mut self.leads) {
+            self.events.push(ReplicaEvent::SteppedDown);
+        }
+        self.status = status;
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/replica/raft_log.rs
@@ -0,0 +1,140 @@
+//! The replicated log in memory, as the consensus library reads it.
+
+use super::recovered_log::RecoveredLog;
+use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
+use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
+use std::cell::Cell;
+
+/// A snapshot, and the entries after it without a gap.
+pub struct RaftLog {
+    /// Term, vote and commit index.
+    pub hard_state: HardState,
+    /// The configuration as of the last applied entry.
+    pub members: ConfState,
+    snapshot: Snapshot,
+    entries: Vec<Entry>,
+    /// A follower needs a newer snapshot than this one. Set where the library asks for one, which has only a shared
+    /// reference.
+    pub snapshot_wanted: Cell<bool>,
+}
+
+impl RaftLog {
+    /// The log as a disk held it.
+    pub fn new(recovered: &RecoveredLog) -> RaftLog {
+        RaftLog {
+            hard_state: recovered.hard_state.clone(),
+            members: recovered.snapshot.get_metadata().get_conf_state().clone(),
+            snapshot: recovered.snapshot.clone(),
+            entries: recovered.entries.clone(),
+            snapshot_wanted: Cell::new(false),
+        }
+    }
+
+    /// The log as a disk should hold it.
+    pub fn to_recovered(&self, member: u64) -> RecoveredLog {
+        RecoveredLog {
+            member,
+            hard_state: self.hard_state.clone(),
+            snapshot: self.snapshot.clone(),
+            entries: self.entries.clone(),
+        }
+    }
+
+    /// The snapshot's index; 0 while there is none.
+    pub fn start(&self) -> u64 {
+        self.snapshot.get_metadata().index
+    }
+
+    /// The last entry's index; the snapshot's while there is no entry.
+    pub fn last(&self) -> u64 {
+        self.entries.last().map_or(self.start(), |entry| entry.index)
+    }
+
+    pub fn entries_since_snapshot(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Appends entries, in the place of those from the first one's index on.
+    pub fn append(&mut self, entries: &[Entry]) {
+        let Some(first) = entries.first() else { return };
+        self.entries.retain(|entry| entry.index < first.index);
+        self.entries.extend_from_slice(entries);
+    }
+
+    /// Replaces everything by a snapshot that a leader sent.
+    pub fn restore(&mut self, snapshot: &Snapshot) {
+        self.members = snapshot.get_metadata().get_conf_state().clone();
+        self.entries.clear();
+        self.hard_state.commit = self.hard_state.commit.max(snapshot.get_metadata().index);
+        self.snapshot = snapshot.clone();
+    }
+
+    /// Replaces the entries up to an applied one by a snapshot of the state at that entry.
+    pub fn compact(&mut self, applied: u64, state: Vec<u8>) {
+        let Ok(term) = self.term(applied) else { return };
+        let mut snapshot = Snapshot { data: state.into(), ..Snapshot::default() };
+        let metadata = snapshot.mut_metadata();
+        metadata.index = applied;
+        metadata.term = term;
+        metadata.set_conf_state(self.members.clone());
+        self.snapshot = snapshot;
+        self.entries.retain(|entry| entry.index > applied);
+        self.snapshot_wanted.set(false);
+    }
+
+    /// The place in `entries` of the entry with this index, which must be beyond the snapshot's.
+    fn offset(&self, index: u64) -> usize {
+        (index - self.start() - 1) as usize
+    }
+}
+
+impl Storage for RaftLog {
+    fn initial_state(&self) -> Result<RaftState> {
+        Ok(RaftState::new(self.hard_state.clone(), self.members.clone()))
+    }
+
+    fn entries(
+        &self,
+        low: u64,
+        high: u64,
+        max_size: impl Into<Option<u64>>,
+        _: GetEntriesContext,
+    ) -> Result<Vec<Entry>> {
+        if low <= self.start() {
+            return Err(Error::Store(StorageError::Compacted));
+        }
+        if high > self.last() + 1 {
+            return Err(Error::Store(StorageError::Unavailable));
+        }
+        let mut entries = self.entries[self.offset(low)..self.offset(high)].to_vec();
+        raft::util::limit_size(&mut entries, max_size.into());
+        Ok(entries)
+    }
+
+    fn term(&self, index: u64) -> Result<u64> {
+        if index == self.start() {
+            return Ok(self.snapshot.get_metadata().term);
+        }
+        if index < self.start() {
+            return Err(Error::Store(StorageError::Compacted));
+        }
+        let entry = self.entries.get(self.offset(index));
+        entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
+    }
+
+    fn first_index(&self) -> Result<u64> {
+        Ok(self.start() + 1)
+    }
+
+    fn last_index(&self) -> Result<u64> {
+        Ok(self.last())
+    }
+
+    fn snapshot(&self, request_index: u64, _: u64) -> Result<Snapshot> {
+        if self.start() == 0 || self.start() < request_index {
+            self.snapshot_wanted.set(true);
+            return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
+        }
+        Ok(self.snapshot.clone())
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -0,0 +1,200 @@
+//! What comes out of the consensus library: records to persist, messages, and committed entries to apply.
+
+use super::recovered_log::{entry_record, hard_state_record, snapshot_record};
+use super::scan;
+use super::{DiskJob, Replica, ReplicaEvent, ReplicaOutput};
+use crate::state_machine::LogEntry;
+use protobuf::Message as _;
+use raft::eraftpb::{ConfChange, ConfChangeType, Entry, EntryType, Message, Snapshot};
+use raft::Ready;
+
+/// Entries after which the log is replaced by a snapshot.
+const MAX_LOG_ENTRIES: usize = 4096;
+
+/// Messages that wait for a job of the disk.
+pub(super) struct PendingReady {
+    /// The library's number.
+    number: u64,
+    messages: Vec<Message>,
+    /// `None` where nothing has to be written.
+    job: Option<u64>,
+    /// The last index of a leader's snapshot that is being written; 0 for none.
+    snapshot_index: u64,
+}
+
+impl PendingReady {
+    fn waits_beyond(&self, job: u64) -> bool {
+        self.job.is_some_and(|own| own > job)
+    }
+}
+
+/// A snapshot that a leader sent can't be decoded.
+struct UnreadableSnapshot(serde_json::Error);
+
+impl Replica {
+    /// Processes what the library has ready until it has no more.
+    pub(super) fn process_ready(&mut self, now: f64) {
+        while let Some(ready) = self.next_ready() {
+            if let Err(UnreadableSnapshot(error)) = self.process_one(now, ready) {
+                return self.suspend(now, format!("a leader's snapshot can't be read: {error}"));
+            }
+        }
+        self.compact(now);
+    }
+
+    fn next_ready(&mut self) -> Option<Ready> {
+        self.node.as_mut().filter(|node| node.has_ready()).map(raft::RawNode::ready)
+    }
+
+    fn process_one(&mut self, now: f64, mut ready: Ready) -> Result<(), UnreadableSnapshot> {
+        send(&mut self.outputs, ready.take_messages());
+        let mut records = Vec::new();
+        let mut snapshot_index = 0;
+        if !ready.snapshot().is_empty() {
+            snapshot_index = self.restore_snapshot(ready.snapshot())?;
+            records.push(snapshot_record(ready.snapshot()));
+        }
+        self.append_entries(&mut ready, &mut records);
+        let number = ready.number();
+        let messages = ready.take_persisted_messages();
+        let committed = ready.take_committed_entries();
+        let read_states = ready.take_read_states();
+        if let Some(node) = &mut self.node {
+            node.advance_append_async(ready);
+        }
+        let job = (!records.is_empty()).then(|| self.start_job(now, DiskJob::Append(records)));
+        self.pending_ready.push_back(PendingReady { number, messages, job, snapshot_index });
+        if self.pending_ready.len() == 1 && job.is_none() {
+            self.on_persisted(0);
+        }
+        self.apply_committed(now, &committed);
+        self.update_role(now);
+        for read_state in read_states {
+            if let Ok(number) = read_state.request_ctx.as_slice().try_into() {
+                self.events.push(ReplicaEvent::Confirmed(u64::from_le_bytes(number)));
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes up a snapshot that a leader sent; returns its index.
+    fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<u64, UnreadableSnapshot> {
+        self.state_machine = serde_json::from_slice(&snapshot.data).map_err(UnreadableSnapshot)?;
+        if let Some(node) = &mut self.node {
+            node.mut_store().restore(snapshot);
+        }
+        self.applied = snapshot.get_metadata().index;
+        Ok(self.applied)
+    }
+
+    /// Takes up new entries and the hard state, with their records for the disk.
+    fn append_entries(&mut self, ready: &mut Ready, records: &mut Vec<Vec<u8>>) {
+        let Some(node) = &mut self.node else { return };
+        let entries = ready.take_entries();
+        records.extend(entries.iter().map(entry_record));
+        node.mut_store().append(&entries);
+        if let Some(hard_state) = ready.hs() {
+            node.mut_store().hard_state = hard_state.clone();
+            // A new commit index alone need not be persisted.
+            if ready.must_sync() {
+                records.push(hard_state_record(hard_state));
+            }
+        }
+    }
+
+    /// Sends all messages that waited for this job, or for none since.
+    pub(super) fn on_persisted(&mut self, job: u64) {
+        let Some(node) = &mut self.node else { return };
+        let mut persisted_number = None;
+        let mut snapshot_index = 0;
+        while self.pending_ready.front().is_some_and(|pending| !pending.waits_beyond(job)) {
+            let Some(pending) = self.pending_ready.pop_front() else { break };
+            persisted_number = Some(pending.number);
+            snapshot_index = snapshot_index.max(pending.snapshot_index);
+            send(&mut self.outputs, pending.messages);
+        }
+        if let Some(number) = persisted_number {
+            node.on_persist_ready(number);
+            if snapshot_index > 0 {
+                node.advance_apply_to(snapshot_index);
+            }
+        }
+    }
+
+    fn apply_committed(&mut self, now: f64, committed: &[Entry]) {
+        for entry in committed {
+            self.apply(now, entry);
+        }
+        if let Some(node) = self.node.as_mut().filter(|_| !committed.is_empty()) {
+            node.advance_apply_to(self.applied);
+        }
+    }
+
+    fn apply(&mut self, now: f64, entry: &Entry) {
+        self.applied = entry.index;
+        if entry.get_entry_type() != EntryType::EntryNormal {
+            return self.apply_member_change(now, entry);
+        }
+        if entry.data.is_empty() {
+            return;
+        }
+        match serde_json::from_slice::<LogEntry>(&entry.data) {
+            Ok(entry) => {
+                let result = self.state_machine.apply(&entry);
+                self.events.push(ReplicaEvent::Applied(entry, result));
+            }
+            // A command that can't be decoded here can't be skipped: other members may have applied it.
+            Err(error) => self.suspend(now, format!("entry {} can't be read: {error}", self.applied)),
+        }
+    }
+
+    fn apply_member_change(&mut self, now: f64, entry: &Entry) {
+        let change = match scan::parse::<ConfChange>(&entry.data) {
+            Ok(change) if entry.get_entry_type() == EntryType::EntryConfChange => change,
+            _ => {
+                let reason = format!("entry {} changes members in a way not known here", entry.index);
+                return self.suspend(now, reason);
+            }
+        };
+        let Some(node) = &mut self.node else { return };
+        match node.apply_conf_change(&change) {
+            Ok(members) => {
+                node.mut_store().members = members;
+                // A new member accepts no snapshot that does not name it.
+                let is_new = change.get_change_type() == ConfChangeType::AddLearnerNode;
+                node.mut_store().snapshot_wanted.set(is_new);
+            }
+            Err(error) => return self.suspend(now, format!("entry {}: {error}", entry.index)),
+        }
+        if change.get_change_type() == ConfChangeType::RemoveNode {
+            if let Ok(replacement) = change.context.as_ref().try_into() {
+                self.state_machine.replace_member(change.node_id, u64::from_le_bytes(replacement));
+            }
+        }
+    }
+
+    /// Replaces a long log, or one from which a follower can't be served, by a snapshot.
+    fn compact(&mut self, now: f64) {
+        let Some(node) = &mut self.node else { return };
+        let log = node.mut_store();
+        let is_long = log.entries_since_snapshot() >= MAX_LOG_ENTRIES;
+        if self.applied > log.start() && (is_long || log.snapshot_wanted.get()) {
+            log.compact(self.applied, to_json(&self.state_machine));
+            let snapshot = log.to_recovered(self.member).encode();
+            self.start_job(now, DiskJob::Replace(snapshot));
+        }
+    }
+}
+
+pub(super) fn to_json<T: serde::Serialize>(value: &T) -> Vec<u8> {
+    // Maps with keys of numbers and strings, and plain values: serialization can't fail.
+    serde_json::to_vec(value).unwrap_or_default()
+}
+
+fn send(outputs: &mut Vec<ReplicaOutput>, messages: Vec<Message>) {
+    for message in messages {
+        if let Ok(bytes) = message.write_to_bytes() {
+            outputs.push(ReplicaOutput::Send(message.to, bytes));
+        }
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/replica/scan/mod.rs
@@ -0,0 +1,103 @@
+//! Checks protobuf bytes before the library parses them.
+//!
+//! The consensus library depends on an old protobuf crate that parses nested unknown groups by recursion without a limit
+//! (RUSTSEC-2024-0437). The messages here have no groups: bytes with one are rejected before they are parsed.
+
+use protobuf::{Message, ProtobufError};
+use raft::eraftpb::{ConfChange, Entry, HardState, Message as RaftMessage, Snapshot};
+
+/// Protobuf's wire types.
+const VARINT: u64 = 0;
+const FIXED_64: u64 = 1;
+const LENGTH_DELIMITED: u64 = 2;
+const FIXED_32: u64 = 5;
+/// The lowest bits of a field's key are its wire type.
+const WIRE_TYPE_BITS: u32 = 3;
+const WIRE_TYPE_MASK: u64 = 7;
+
+/// Why bytes are not one of the consensus library's messages.
+#[derive(Debug, thiserror::Error)]
+pub enum ParseError {
+    /// The bytes end within a field's key.
+    #[error("a field's number is cut off")]
+    TruncatedKey,
+    /// The bytes end within a field.
+    #[error("a field is cut off")]
+    TruncatedField,
+    /// A field is a group, or of an unknown wire type.
+    #[error("a group, which no message of ours has")]
+    Group,
+    /// The parser rejected the bytes.
+    #[error("not a message: {0}")]
+    Invalid(#[from] ProtobufError),
+}
+
+/// Which fields of a message are messages, by number.
+pub struct Shape(&'static [(u64, &'static Shape)]);
+
+const FLAT: Shape = Shape(&[]);
+const METADATA: Shape = Shape(&[(1, &FLAT)]);
+const SNAPSHOT: Shape = Shape(&[(2, &METADATA)]);
+
+/// A message of the consensus library, with its nesting.
+pub trait Shaped: Message {
+    /// The fields that are messages.
+    const SHAPE: Shape = FLAT;
+}
+
+impl Shaped for Entry {}
+impl Shaped for HardState {}
+impl Shaped for ConfChange {}
+impl Shaped for Snapshot {
+    const SHAPE: Shape = SNAPSHOT;
+}
+impl Shaped for RaftMessage {
+    const SHAPE: Shape = Shape(&[(7, &FLAT), (9, &SNAPSHOT)]);
+}
+
+/// Parses a message whose bytes hold no group.
+///
+/// # Errors
+/// Why the bytes are not such a message.
+pub fn parse<M: Shaped>(bytes: &[u8]) -> Result<M, ParseError> {
+    reject_groups(bytes, &M::SHAPE)?;
+    Ok(M::parse_from_bytes(bytes)?)
+}
+
+fn reject_groups(bytes: &[u8], shape: &Shape) -> Result<(), ParseError> {
+    let mut at = 0usize;
+    while at < bytes.len() {
+        let key = read_varint(bytes, &mut at).ok_or(ParseError::TruncatedKey)?;
+        let length = match key & WIRE_TYPE_MASK {
+            VARINT => read_varint(bytes, &mut at).map(|_| 0),
+            FIXED_64 => Some(8),
+            FIXED_32 => Some(4),
+            LENGTH_DELIMITED => read_varint(bytes, &mut at),
+            _ => return Err(ParseError::Group),
+        };
+        let end = length.and_then(|length| at.checked_add(usize::try_from(length).ok()?));
+        let field = end.and_then(|end| bytes.get(at..end)).ok_or(ParseError::TruncatedField)?;
+        let is_message = |number: u64| key == number << WIRE_TYPE_BITS | LENGTH_DELIMITED;
+        if let Some((_, inner)) = shape.0.iter().find(|(number, _)| is_message(*number)) {
+            reject_groups(field, inner)?;
+        }
+        at += field.len();
+    }
+    Ok(())
+}
+
+fn read_varint(bytes: &[u8], at: &mut usize) -> Option<u64> {
+    let mut value = 0u64;
+    for shift in (0..70).step_by(7) {
+        let byte = *bytes.get(*at)?;
+        *at += 1;
+        value |= u64::from(byte & 0x7f).checked_shl(shift).unwrap_or(0);
+        if byte & 0x80 == 0 {
+            return Some(value);
+        }
+    }
+    None
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -0,0 +1,110 @@
+//! How a replica begins to take part: from what its disk holds, as a founder, or as a new member.
+
+use super::election::{ELECTION_TICKS, HEARTBEAT_TICKS};
+use super::raft_log::RaftLog;
+use super::recovered_log::RecoveredLog;
+use super::{DiskJob, Replica, ReplicaStatus};
+use crate::state_machine::LeaseStateMachine;
+use durable_log::Recovered;
+use raft::{Config, RawNode, ReadOnlyOption};
+
+/// The largest sum of entries in one message (bytes).
+const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
+/// The largest number of messages on their way to one member.
+const MAX_INFLIGHT_MESSAGES: usize = 64;
+/// The largest sum of entries that are proposed and not committed (bytes).
+const MAX_UNCOMMITTED_BYTES: u64 = 4 * 1024 * 1024;
+
+impl Replica {
+    /// Founds a fleet, with the same list on all coordinators. Does nothing unless the disk is blank.
+    pub fn found(&mut self, now: f64, coordinators: &[String], own: &str) {
+        let state_machine = LeaseStateMachine::bootstrap(coordinators);
+        let Some(member) = state_machine.member(own) else { return };
+        let mut log = RecoveredLog { member, ..RecoveredLog::default() };
+        log.snapshot.data = super::ready::to_json(&state_machine).into();
+        let metadata = log.snapshot.mut_metadata();
+        metadata.index = 1;
+        metadata.term = 1;
+        metadata.mut_conf_state().voters = state_machine.members.keys().copied().collect();
+        log.hard_state.term = 1;
+        log.hard_state.commit = 1;
+        self.begin(now, &log);
+    }
+
+    /// Takes part as a new member, which the others know by this number. Does nothing unless the disk is blank.
+    pub fn join(&mut self, now: f64, member: u64) {
+        self.begin(now, &RecoveredLog { member, ..RecoveredLog::default() });
+    }
+
+    fn begin(&mut self, now: f64, log: &RecoveredLog) {
+        if !matches!(self.status, ReplicaStatus::Blank(_)) {
+            return;
+        }
+        self.start_job(now, DiskJob::Replace(log.encode()));
+        self.start(now, log);
+    }
+
+    pub(super) fn on_opened(&mut self, now: f64, took_s: f64, recovered: &Recovered) {
+        if matches!(self.status, ReplicaStatus::Member | ReplicaStatus::Blank(_) | ReplicaStatus::Excluded(_))
+        {
+            return;
+        }
+        if took_s > self.write_overdue_s {
+            return self.suspend(now, format!("the disk is slow: opening took {took_s:.1} s"));
+        }
+        let blank = match RecoveredLog::read(recovered) {
+            Err(error) => format!("the disk can't be read: {error}"),
+            Ok(_) if recovered.damaged => format!("the disk is damaged: {}", recovered.dropped.join("; ")),
+            Ok(log) if log.member == 0 => "the disk is empty".to_owned(),
+            Ok(log) => return self.start(now, &log),
+        };
+        self.status = ReplicaStatus::Blank(blank);
+    }
+
+    fn start(&mut self, now: f64, log: &RecoveredLog) {
+        let index = log.snapshot.get_metadata().index;
+        self.state_machine = match index {
+            0 => LeaseStateMachine::default(),
+            _ => match serde_json::from_slice(&log.snapshot.data) {
+                Ok(state_machine) => state_machine,
+                Err(error) => {
+                    let reason = format!("the snapshot's facts can't be read: {error}");
+                    self.status = ReplicaStatus::Suspended(reason);
+                    return;
+                }
+            },
+        };
+        let no_logger = slog::Logger::root(slog::Discard, slog::o!());
+        match RawNode::new(&raft_config(log.member, index), RaftLog::new(log), &no_logger) {
+            Ok(node) => {
+                self.member = log.member;
+                self.applied = index;
+                self.node = Some(node);
+                self.ticked_at = now;
+                self.status = ReplicaStatus::Member;
+                self.election_timeout = None;
+                self.update_election_timeout();
+                self.process_ready(now);
+            }
+            Err(error) => {
+                self.status = ReplicaStatus::Suspended(format!("the log can't be taken up: {error}"));
+            }
+        }
+    }
+}
+
+fn raft_config(member: u64, applied: u64) -> Config {
+    Config {
+        id: member,
+        election_tick: ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied,
+        max_size_per_msg: MAX_MESSAGE_BYTES,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        check_quorum: true,
+        pre_vote: true,
+        read_only_option: ReadOnlyOption::Safe,
+        ..Config::default()
+    }
+}
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -47,7 +47,7 @@
         };
         // A fleet of one founds itself when it asks and nobody else is named.
         site.until("it leads", 10.0, |site| {
-            if matches!(site.machine.replica.standing, ReplicaStatus::Blank(_)) {
+            if matches!(site.machine.replica.status, ReplicaStatus::Blank(_)) {
                 site.machine.replica.found(site.now, &["c1".to_owned()], "c1");
             }
             site.machine.replica.leads()
@@ -93,7 +93,7 @@
             assert!(
                 self.now - start <= most_s + 1e-9,
                 "{what}: not within {most_s} s; {:?}",
-                self.machine.replica.standing
+                self.machine.replica.status
             );
         }
         self.now - start
@@ -118,7 +118,7 @@
     }
 
     fn is_aside(&self) -> bool {
-        matches!(self.machine.replica.standing, ReplicaStatus::Aside(_))
+        matches!(self.machine.replica.status, ReplicaStatus::Suspended(_))
     }
 }
 
@@ -150,7 +150,7 @@
         let took = site.until(name, most_s, |s| s.is_aside());
         assert!(took <= 1.0, "{name}: {took}");
         assert_eq!(site.welcomed(), 1, "{name}: a session was acknowledged that the disk may not have");
-        let why = format!("{:?}", site.machine.replica.standing);
+        let why = format!("{:?}", site.machine.replica.status);
         assert!(why.contains("disk is slow") == name.contains("sync") && why.len() > 12, "{name}: {why}");
         let status = site.machine.status();
         assert_eq!((&status["standing"], &status["leads"]), (&"aside".into(), &false.into()), "{name}");
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -4,7 +4,9 @@
 use durable_log::{Folder, Store};
 use fleet_coordinator::config::File;
 use fleet_coordinator::coordinator::{Coordinator, Output};
-use fleet_coordinator::replica::{carry_out, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus};
+use fleet_coordinator::replica::{
+    carry_out, LogPosition, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus,
+};
 use fleet_coordinator::state_machine::{Command, LeaseStateMachine, LogEntry, ReleaseReason, Task, LATEST};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde_json::{json, Value};
@@ -117,15 +119,15 @@
     let coordinator = start_c3(&data.member("c3"));
 
     let replica = &coordinator.replica;
-    assert_eq!(replica.standing, ReplicaStatus::Member);
+    assert_eq!(replica.status, ReplicaStatus::Member);
     assert_eq!((replica.member(), replica.term()), (MEMBER_C3, 2));
     // What is behind the snapshot is applied once a quorum has confirmed it.
-    assert_eq!(replica.ends(), (LAST_INDEX, SNAPSHOT_INDEX));
+    assert_eq!(replica.log_position(), LogPosition { last: LAST_INDEX, applied: SNAPSHOT_INDEX });
     assert_eq!((replica.leads(), replica.leader()), (false, None));
     assert_eq!(sorted(replica.voters()), [MEMBER_C1, MEMBER_C3]);
     let status = serde_json::to_string(&coordinator.status()).unwrap();
     assert_eq!(status, fixture_text("expected/status.json").trim_end());
-    assert_facts_are(&replica.facts, "expected/snapshot-facts.json");
+    assert_facts_are(&replica.state_machine, "expected/snapshot-facts.json");
 }
 
 #[test]
@@ -136,10 +138,10 @@
     let leader = quorum.leader().unwrap();
     assert_eq!((leader.member(), leader.term()), (MEMBER_C3, 3));
     // One more than was stored: a new leader's own first entry.
-    assert_eq!(leader.ends(), (LAST_INDEX + 1, LAST_INDEX + 1));
+    assert_eq!(leader.log_position(), LogPosition { last: LAST_INDEX + 1, applied: LAST_INDEX + 1 });
     assert_eq!(sorted(leader.voters()), [MEMBER_C3, MEMBER_C2]);
-    assert_eq!(serde_json::to_value(&leader.facts).unwrap(), expected_facts());
-    assert_facts_are(&leader.facts, "expected/facts.json");
+    assert_eq!(serde_json::to_value(&leader.state_machine).unwrap(), expected_facts());
+    assert_facts_are(&leader.state_machine, "expected/facts.json");
 }
 
 /// What the fleet of the fixtures was made to hold.
@@ -222,12 +224,12 @@
             let mut messages = Vec::new();
             let mut idle = true;
             for (replica, store, folder) in &mut self.members {
-                for effect in replica.take_effects() {
+                for effect in replica.take_outputs() {
                     idle = false;
                     match effect {
                         ReplicaOutput::Disk(number, job) => {
                             let done = carry_out(store, &job, || Folder::lock(folder));
-                            replica.done(now, number, done);
+                            replica.on_disk_result(now, number, done);
                         }
                         ReplicaOutput::Send(to, bytes) => messages.push((replica.member(), to, bytes)),
                     }
@@ -274,15 +276,15 @@
     let data = DataCopy::new("continue");
     let mut quorum = Quorum::start(&data);
     quorum.tick_until_led();
-    quorum.leader().unwrap().take_happened();
+    quorum.leader().unwrap().take_events();
 
     quorum.propose(open("worker-f", "west", 16));
     quorum.propose(Command::GrantLease { task: "inventory".into(), session: 6 });
 
     let leader = quorum.leader().unwrap();
-    assert_eq!((leader.term(), leader.ends()), (3, (50, 50)));
+    assert_eq!((leader.term(), leader.log_position()), (3, LogPosition { last: 50, applied: 50 }));
     let outcomes: Vec<String> = leader
-        .take_happened()
+        .take_events()
         .into_iter()
         .filter_map(|event| match event {
             ReplicaEvent::Applied(_, outcome) => Some(format!("{outcome:?}")),
@@ -291,7 +293,7 @@
         .collect();
     assert_eq!(outcomes.len(), 2, "{outcomes:?}");
     assert!(outcomes.iter().all(|outcome| outcome.starts_with("Ok(")), "{outcomes:?}");
-    let facts = serde_json::to_value(&leader.facts).unwrap();
+    let facts = serde_json::to_value(&leader.state_machine).unwrap();
     assert_eq!(facts["sessions"]["6"]["name"], "worker-f");
     assert_eq!(facts["leases"]["inventory"]["token"], 11, "tokens only grow");
     for member in MEMBERS {
--- a/testbed/src/fleet/virtual_fleet.rs
+++ b/testbed/src/fleet/virtual_fleet.rs
@@ -884,7 +884,7 @@
     /// What an operator does about a coordinator that says it has lost its disk, or is barred for an old one.
     fn replace(&mut self, c: usize) {
         let name = coordinator_name(c);
-        let lost = self.coordinators[c].machine.as_ref().is_some_and(|m| match &m.replica.standing {
+        let lost = self.coordinators[c].machine.as_ref().is_some_and(|m| match &m.replica.status {
             ReplicaStatus::Blank(why) => why.contains("held the log up to"),
             _ => false,
         });
@@ -1021,8 +1021,9 @@
 
     /// Every coordinator is a member, and knows what has been decided.
     fn all_well(&self) -> bool {
-        let standing =
-            |q: &Quorate| q.machine.as_ref().map(|m| (m.replica.standing.clone(), m.replica.ends().1));
+        let standing = |q: &Quorate| {
+            q.machine.as_ref().map(|m| (m.replica.status.clone(), m.replica.log_position().applied))
+        };
         let ends: Vec<_> = self.coordinators.iter().filter_map(standing).collect();
         let last = ends.iter().map(|(_, end)| *end).max().unwrap_or(0);
         ends.len() == self.coordinators.len()
