--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -1,111 +1,174 @@
-//! Asking coordinators from a command: one question a connection, in plain blocking calls with a bound in time.
+//! Queries to coordinators from a command: one query a connection, in blocking calls with a timeout.
+
+#![warn(missing_docs)]
 
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES,
 };
 use serde_json::{json, Value};
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long one coordinator may take (seconds), and the pause before all are tried again.
-const ONE: Duration = Duration::from_millis(1500);
-const PAUSE: Duration = Duration::from_millis(100);
+/// How long one coordinator may take.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The shortest timeout of one coordinator's attempt at a leader's query, before [`ATTEMPT_TIMEOUT`] is added.
+const MIN_LEADER_TIMEOUT: Duration = Duration::from_millis(100);
+/// The pause before all coordinators are asked again.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// The shortest timeout of a connection; the system accepts no zero.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+const READ_BYTES: usize = 16 * 1024;
 
-/// What became of a question.
+/// What became of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryOutcome {
+    /// The answer.
     Answer(Value),
+    /// The query was rejected, for this reason.
     Refused(String),
+    /// No leader was confirmed in time; this is what was last found.
     NoQuorum(String),
 }
 
-/// Asks one coordinator.
+/// Why a coordinator gave no complete answer.
+#[derive(Debug, thiserror::Error)]
+pub enum ClientError {
+    /// The connection failed.
+    #[error("{address}: {source}")]
+    Connection {
+        /// The coordinator.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The answer is not a valid frame.
+    #[error("{address}: {reason}")]
+    InvalidFrame {
+        /// The coordinator.
+        address: SocketAddr,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The answer was not complete in time.
+    #[error("{address}: no whole answer in time")]
+    Timeout {
+        /// The coordinator.
+        address: SocketAddr,
+    },
+    /// The connection was closed before the answer was complete.
+    #[error("{address}: closed without an answer")]
+    Closed {
+        /// The coordinator.
+        address: SocketAddr,
+    },
+}
+
+/// Sends a query to one coordinator, and waits for the answer.
 ///
 /// # Errors
-/// Why it gave no whole answer.
+/// Why there is no complete answer.
 pub fn ask(
-    to: SocketAddr,
+    address: SocketAddr,
     fleet: &str,
-    what: &OperatorQuery,
-    within: Duration,
-) -> Result<ServerMessage, String> {
-    let text = |e: std::io::Error| format!("{to}: {e}");
-    let within = within.max(Duration::from_millis(1));
-    let mut stream = TcpStream::connect_timeout(&to, within).map_err(text)?;
-    stream.set_read_timeout(Some(within)).map_err(text)?;
-    stream.set_write_timeout(Some(within)).map_err(text)?;
-    let say = ClientMessage::Query { fleet: fleet.to_owned(), what: what.clone() };
-    stream.write_all(&encode(&say)).map_err(text)?;
-    let mut data = Vec::new();
-    let mut part = [0; 16 * 1024];
-    let until = Instant::now() + within;
+    query: &OperatorQuery,
+    timeout: Duration,
+) -> Result<ServerMessage, ClientError> {
+    let timeout = timeout.max(MIN_TIMEOUT);
+    let connection_error = |source| ClientError::Connection { address, source };
+    let mut stream = send_query(address, fleet, query, timeout).map_err(connection_error)?;
+    let mut received = Vec::new();
+    let mut buffer = [0; READ_BYTES];
+    let deadline = Instant::now() + timeout;
     loop {
-        if let Some((word, _)) = decode(&data, MAX_SERVER_FRAME_BYTES).map_err(|e| format!("{to}: {e}"))? {
-            return Ok(word);
+        let decoded = decode(&received, MAX_SERVER_FRAME_BYTES)
+            .map_err(|error| ClientError::InvalidFrame { address, reason: error.to_string() })?;
+        if let Some((answer, _)) = decoded {
+            return Ok(answer);
         }
-        if Instant::now() > until {
-            return Err(format!("{to}: no whole answer in time"));
+        if Instant::now() > deadline {
+            return Err(ClientError::Timeout { address });
         }
-        match stream.read(&mut part).map_err(text)? {
-            0 => return Err(format!("{to}: closed without an answer")),
-            n => data.extend_from_slice(&part[..n]),
+        match stream.read(&mut buffer).map_err(connection_error)? {
+            0 => return Err(ClientError::Closed { address }),
+            count => received.extend_from_slice(&buffer[..count]),
         }
     }
 }
 
-/// Every coordinator's own standing; one that does not answer is in the list with the reason. No leader among those
-/// that answer counts as no quorum.
-pub fn ask_all(all: &[SocketAddr], fleet: &str, within: Duration) -> QueryOutcome {
-    let until = Instant::now() + within;
+fn send_query(
+    address: SocketAddr,
+    fleet: &str,
+    query: &OperatorQuery,
+    timeout: Duration,
+) -> io::Result<TcpStream> {
+    let mut stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    stream.set_write_timeout(Some(timeout))?;
+    let message = ClientMessage::Query { fleet: fleet.to_owned(), what: query.clone() };
+    stream.write_all(&encode(&message))?;
+    Ok(stream)
+}
+
+/// Asks every coordinator for its own status. One that does not answer is in the list with the reason; no leader among
+/// those that answer counts as no quorum.
+#[must_use]
+pub fn ask_all(addresses: &[SocketAddr], fleet: &str, timeout: Duration) -> QueryOutcome {
+    let deadline = Instant::now() + timeout;
     loop {
-        let rows: Vec<Value> = all
-            .iter()
-            .map(|to| match ask(*to, fleet, &OperatorQuery::Status, ONE.min(within)) {
-                Ok(ServerMessage::QueryResult { answer }) => answer,
-                Ok(ServerMessage::Rejected { why }) => {
-                    json!({"name": to.to_string(), "standing": "refuses", "why": why})
-                }
-                Ok(other) => {
-                    json!({"name": to.to_string(), "standing": "unclear", "why": format!("{other:?}")})
-                }
-                Err(why) => json!({"name": to.to_string(), "standing": "silent", "why": why}),
-            })
-            .collect();
-        if let Some(refused) = rows.iter().find(|r| r["standing"] == "refuses") {
+        let rows: Vec<Value> = addresses.iter().map(|address| status_row(*address, fleet, timeout)).collect();
+        if let Some(refused) = rows.iter().find(|row| row["standing"] == "refuses") {
             return QueryOutcome::Refused(refused["why"].as_str().unwrap_or_default().to_owned());
         }
-        if rows.iter().any(|r| r["leads"] == true) {
-            // Columns are those of the first row: one that answered.
-            let (mut up, silent): (Vec<Value>, Vec<Value>) =
-                rows.into_iter().partition(|r| r.get("term").is_some());
-            up.extend(silent);
-            return QueryOutcome::Answer(Value::Array(up));
+        if rows.iter().any(|row| row["leads"] == true) {
+            // A table takes its columns from the first row, which must be one that answered.
+            let (mut sorted, silent): (Vec<Value>, Vec<Value>) =
+                rows.into_iter().partition(|row| row.get("term").is_some());
+            sorted.extend(silent);
+            return QueryOutcome::Answer(Value::Array(sorted));
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return QueryOutcome::NoQuorum(Value::Array(rows).to_string());
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(RETRY_PAUSE);
     }
 }
 
-/// The leader's answer, after a quorum has confirmed it.
-pub fn ask_leader(all: &[SocketAddr], fleet: &str, what: &OperatorQuery, within: Duration) -> QueryOutcome {
-    let until = Instant::now() + within;
-    let mut last = "no coordinator was asked".to_owned();
+fn status_row(address: SocketAddr, fleet: &str, timeout: Duration) -> Value {
+    let row =
+        |standing: &str, why: String| json!({"name": address.to_string(), "standing": standing, "why": why});
+    match ask(address, fleet, &OperatorQuery::Status, ATTEMPT_TIMEOUT.min(timeout)) {
+        Ok(ServerMessage::QueryResult { answer }) => answer,
+        Ok(ServerMessage::Rejected { why }) => row("refuses", why),
+        Ok(other) => row("unclear", format!("{other:?}")),
+        Err(error) => row("silent", error.to_string()),
+    }
+}
+
+/// Asks for what only the leader answers, after a quorum has confirmed it.
+#[must_use]
+pub fn ask_leader(
+    addresses: &[SocketAddr],
+    fleet: &str,
+    query: &OperatorQuery,
+    timeout: Duration,
+) -> QueryOutcome {
+    let deadline = Instant::now() + timeout;
+    let attempt_timeout = ATTEMPT_TIMEOUT.min(timeout).max(MIN_LEADER_TIMEOUT) + ATTEMPT_TIMEOUT;
+    let mut last_failure = "no coordinator was asked".to_owned();
     loop {
-        for to in all {
-            match ask(*to, fleet, what, ONE.min(within).max(PAUSE) + ONE) {
+        for address in addresses {
+            last_failure = match ask(*address, fleet, query, attempt_timeout) {
                 Ok(ServerMessage::QueryResult { answer }) => return QueryOutcome::Answer(answer),
                 Ok(ServerMessage::Rejected { why }) => return QueryOutcome::Refused(why),
-                Ok(ServerMessage::NotLeader { why, .. }) => last = format!("{to}: {why}"),
-                Ok(other) => last = format!("{to}: {other:?}"),
-                Err(why) => last = why,
-            }
+                Ok(ServerMessage::NotLeader { why, .. }) => format!("{address}: {why}"),
+                Ok(other) => format!("{address}: {other:?}"),
+                Err(error) => error.to_string(),
+            };
         }
-        if Instant::now() >= until {
-            return QueryOutcome::NoQuorum(last);
+        if Instant::now() >= deadline {
+            return QueryOutcome::NoQuorum(last_failure);
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(RETRY_PAUSE);
     }
 }
--- /dev/null
+++ b/fleet-coordinator/src/config/mod.rs
@@ -0,0 +1,146 @@
+//! A coordinator's file (TOML). Its keys are the operators' and are fixed.
+
+#![warn(missing_docs)]
+
+mod check;
+mod error;
+
+pub use error::ConfigError;
+
+use crate::coordinator::{CoordinatorAddress, CoordinatorConfig};
+use crate::leader_state::SafetyChecks;
+use crate::state_machine::{Task, LATEST};
+use port_worker::fleet::overload::leader::Settings;
+use serde::Deserialize;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+/// The file's content.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct File {
+    /// The fleet's name.
+    pub fleet: String,
+    /// This coordinator's name.
+    pub name: String,
+    /// The folder of its log; nothing else may be in it.
+    pub folder: PathBuf,
+    /// Where it listens, unless at its own address in the list.
+    pub listen: Option<SocketAddr>,
+    /// The tasks of this file come into force if this is higher than the fleet's current epoch.
+    pub epoch: u64,
+    /// A write that takes longer suspends the coordinator (milliseconds).
+    #[serde(default = "default_write_overdue_ms")]
+    pub write_overdue_ms: u64,
+    /// The latest version that this program may claim to understand: holds a fleet at an older version until all
+    /// coordinators run the new one.
+    #[serde(default = "default_version")]
+    pub version: u32,
+    /// All coordinators, this one among them.
+    #[serde(rename = "coordinator")]
+    pub coordinators: Vec<CoordinatorEntry>,
+    /// The fleet's tasks.
+    #[serde(default, rename = "task")]
+    pub tasks: Vec<Task>,
+    /// The fleet's overload control; the same in all coordinators' files.
+    pub overload: Option<Overload>,
+}
+
+/// `[overload]`.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct Overload {
+    /// What one worker may have in flight at the downstream service by itself (mean number of calls). A worker lends at
+    /// most a quarter of that, whatever it reports.
+    pub calls_part: f64,
+    /// Retries that the fleet admits per first attempt while it is at capacity (percent).
+    #[serde(default = "default_retry_percent")]
+    pub retry_percent: f64,
+}
+
+/// `[[coordinator]]`.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct CoordinatorEntry {
+    /// The coordinator's name.
+    pub name: String,
+    /// Where workers and other coordinators connect to it.
+    pub address: SocketAddr,
+}
+
+fn default_retry_percent() -> f64 {
+    10.0
+}
+
+fn default_write_overdue_ms() -> u64 {
+    1000
+}
+
+fn default_version() -> u32 {
+    LATEST
+}
+
+impl File {
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    /// One line: the file, the key, and what was expected.
+    pub fn read(path: &Path) -> Result<File, ConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
+        File::decode(&text)
+            .map_err(|error| ConfigError::File { path: path.to_owned(), source: Box::new(error) })
+    }
+
+    /// Decodes and checks a file's text.
+    ///
+    /// # Errors
+    /// One line: the key, and what was expected.
+    pub fn decode(text: &str) -> Result<File, ConfigError> {
+        let file: File = toml::from_str(text).map_err(|error| {
+            let line = error.span().map_or(1, |span| line_of(text, span.start));
+            ConfigError::Syntax { line, source: Box::new(error) }
+        })?;
+        file.check()?;
+        Ok(file)
+    }
+
+    /// Where this coordinator listens.
+    #[must_use]
+    pub fn listen_address(&self) -> Option<SocketAddr> {
+        let own = || self.coordinators.iter().find(|coordinator| coordinator.name == self.name);
+        self.listen.or_else(|| own().map(|coordinator| coordinator.address))
+    }
+
+    /// The coordinator's settings.
+    #[must_use]
+    pub fn coordinator_config(&self) -> CoordinatorConfig {
+        let coordinators = self
+            .coordinators
+            .iter()
+            .map(|entry| CoordinatorAddress { name: entry.name.clone(), address: entry.address.to_string() });
+        CoordinatorConfig {
+            fleet: self.fleet.clone(),
+            name: self.name.clone(),
+            coordinators: coordinators.collect(),
+            epoch: self.epoch,
+            tasks: self.tasks.clone(),
+            write_overdue_s: self.write_overdue_ms as f64 / 1000.0,
+            version: self.version,
+            safety_checks: SafetyChecks::default(),
+            overload: self.overload.map(|overload| Settings {
+                part: overload.calls_part,
+                retry_share: overload.retry_percent / 100.0,
+            }),
+        }
+    }
+}
+
+/// The line of a place in the text, from 1 on.
+fn line_of(text: &str, at: usize) -> usize {
+    let before = &text.as_bytes()[..at.min(text.len())];
+    before.iter().filter(|byte| **byte == b'\n').count() + 1
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/fleet-coordinator/src/coordinator/events.rs
@@ -0,0 +1,104 @@
+//! What the replica and the leader's state have to tell each other and the caller.
+
+use super::{frames, Coordinator, Output, Severity};
+use crate::leader_state::LeaderAction;
+use crate::replica::{ReplicaEvent, ReplicaOutput, ReplicaStatus};
+use crate::state_machine::Command;
+
+impl Coordinator {
+    /// Passes events and actions between the parts until there are none, then collects what is to be carried out.
+    pub(super) fn process_events(&mut self, now: f64) {
+        loop {
+            let events = self.replica.take_events();
+            let actions = self.leader_state.take_actions();
+            if events.is_empty() && actions.is_empty() {
+                break;
+            }
+            for event in events {
+                self.on_replica_event(now, event);
+            }
+            for action in actions {
+                self.on_leader_action(now, action);
+            }
+        }
+        for output in self.replica.take_outputs() {
+            self.on_replica_output(output);
+        }
+        self.report_status();
+    }
+
+    fn on_replica_event(&mut self, now: f64, event: ReplicaEvent) {
+        match event {
+            ReplicaEvent::Elected => {
+                self.log(Severity::Info, format!("leads, term {}", self.replica.term()));
+                self.leader_state.start_term(now, &self.replica.state_machine);
+                self.propose_tasks(now);
+            }
+            ReplicaEvent::SteppedDown => self.on_stepped_down(),
+            ReplicaEvent::Applied(entry, result) => {
+                let state = &self.replica.state_machine;
+                self.leader_state.on_applied(now, &entry, &result, state);
+                self.leader_state.tick(now, state);
+            }
+            ReplicaEvent::Confirmed(number) => self.on_confirmed(now, number),
+        }
+    }
+
+    fn on_stepped_down(&mut self) {
+        self.log(Severity::Info, "leads no more");
+        let answer = self.not_leader();
+        for link in self.leader_state.step_down() {
+            self.send(link, &answer);
+        }
+        for query in std::mem::take(&mut self.pending_queries) {
+            self.send(query.link, &answer);
+        }
+    }
+
+    fn on_confirmed(&mut self, now: f64, number: u64) {
+        if !self.answer_confirmed_query(now, number) {
+            self.leader_state.on_confirmed(now, number, &self.replica.state_machine);
+        }
+    }
+
+    fn on_leader_action(&mut self, now: f64, action: LeaderAction) {
+        match action {
+            LeaderAction::Send(link, message) => self.send(link, &message),
+            // What can't be proposed now is proposed again by whoever still wants it.
+            LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
+            LeaderAction::Confirm(number) => self.replica.request_read_index(now, number),
+            LeaderAction::Log(message) => self.log(Severity::Info, message),
+        }
+    }
+
+    fn on_replica_output(&mut self, output: ReplicaOutput) {
+        match output {
+            ReplicaOutput::Disk(number, job) => self.outputs.push(Output::Disk(number, job)),
+            ReplicaOutput::Send(member, bytes) => {
+                let Some(name) = self.name_of(member) else { return };
+                self.outputs.push(Output::Peer(name, frames::encode_body(&bytes)));
+            }
+        }
+    }
+
+    fn report_status(&mut self) {
+        if self.reported_status == self.replica.status {
+            return;
+        }
+        let status = self.replica.status.clone();
+        let severity = if status == ReplicaStatus::Member { Severity::Info } else { Severity::Warning };
+        let line = format!("standing: {} {}", status.label(), status.reason());
+        self.log(severity, line.trim_end());
+        self.reported_status = status;
+        self.peer_answers.clear();
+        self.outputs.push(Output::Relink);
+    }
+
+    pub(super) fn propose_tasks(&mut self, now: f64) {
+        if self.replica.leads() && self.config.epoch > self.replica.state_machine.epoch {
+            let epoch = self.config.epoch;
+            let tasks = self.config.tasks.clone();
+            self.replica.propose(now, Command::SetTasks { epoch, tasks });
+        }
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -0,0 +1,175 @@
+//! How coordinators introduce themselves to each other, and how a blank one finds out who it is.
+
+use super::{Coordinator, Output, ReceiveError, Role, Severity};
+use crate::leader_state::LinkId;
+use crate::replica::ReplicaStatus;
+use port_worker::fleet::frame;
+use serde::{Deserialize, Serialize};
+
+/// Marks the status of a member that was told that it has lost its disk.
+const DISK_LOST_MARK: &str = "knows that it held";
+
+/// The first frame on a link from another coordinator. All that follow are the consensus library's messages.
+#[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
+pub struct PeerHello {
+    /// The sender's name.
+    #[serde(rename = "peer")]
+    pub name: String,
+    /// Its fleet's name.
+    pub fleet: String,
+    /// Its member number; 0 while its disk holds no member.
+    pub member: u64,
+    /// The last index of its log.
+    #[serde(rename = "last")]
+    pub last_index: u64,
+    /// The latest version that its program can apply.
+    pub version: u32,
+}
+
+/// The one frame that is sent back.
+#[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
+#[serde(default)]
+pub struct PeerAnswer {
+    /// The answering member's number.
+    pub member: u64,
+    /// The latest version that its program can apply.
+    pub version: u32,
+    /// The number under which the caller is known; 0 where the answering member knows of no members.
+    #[serde(rename = "yours")]
+    pub caller_member: u64,
+    /// The log index up to which the caller's disk is known to have been written.
+    #[serde(rename = "kept")]
+    pub caller_persisted: u64,
+    /// The caller is one of the fleet's founders.
+    #[serde(rename = "founder")]
+    pub caller_is_founder: bool,
+    /// Why nothing is accepted from the caller, if so.
+    #[serde(rename = "barred")]
+    pub exclusion: Option<String>,
+}
+
+impl Coordinator {
+    /// The first frame that this member sends on a new link to a peer.
+    #[must_use]
+    pub fn peer_hello(&self) -> Vec<u8> {
+        let is_member = self.replica.status == ReplicaStatus::Member;
+        frame::encode(&PeerHello {
+            name: self.config.name.clone(),
+            fleet: self.config.fleet.clone(),
+            member: if is_member { self.replica.member() } else { 0 },
+            last_index: self.replica.log_position().last,
+            version: self.replica.version(),
+        })
+    }
+
+    /// A peer has answered that frame.
+    pub fn peer_answered(&mut self, now: f64, peer: &str, answer: PeerAnswer) {
+        if answer.member != 0 {
+            self.record_peer(answer.member, answer.version, peer);
+        }
+        if let Some(reason) = &answer.exclusion {
+            if self.replica.status == ReplicaStatus::Member {
+                self.replica.exclude(now, &format!("{peer} says: {reason}"));
+            }
+        }
+        self.peer_answers.insert(peer.to_owned(), answer);
+        self.identify_blank_member(now);
+        self.process_events(now);
+    }
+
+    fn record_peer(&mut self, member: u64, version: u32, name: &str) {
+        self.replica.record_peer_version(member, version);
+        self.peer_names.insert(member, name.to_owned());
+    }
+
+    /// A blank member finds out whether it founds the fleet, joins it, or has lost its disk.
+    fn identify_blank_member(&mut self, now: f64) {
+        let ReplicaStatus::Blank(reason) = self.replica.status.clone() else { return };
+        let all_answered = self.peer_answers.len() + 1 == self.config.coordinators.len();
+        let known = self.peer_answers.values().filter(|answer| answer.caller_member != 0);
+        let Some(newest) = known.max_by_key(|answer| answer.caller_member).cloned() else {
+            // Nobody knows of a fleet: it is founded once all have answered and are blank.
+            if all_answered {
+                self.found(now);
+            }
+            return;
+        };
+        let same_member = self.peer_answers.values().filter(|a| a.caller_member == newest.caller_member);
+        let persisted = same_member.map(|answer| answer.caller_persisted).max().unwrap_or(0);
+        if persisted > 0 {
+            self.report_lost_disk(&reason, persisted);
+        } else if !newest.caller_is_founder {
+            self.replica.join(now, newest.caller_member);
+        } else if all_answered {
+            // The others have begun; this disk has never acknowledged anything.
+            self.found(now);
+        }
+    }
+
+    fn report_lost_disk(&mut self, reason: &str, persisted: u64) {
+        if reason.contains(DISK_LOST_MARK) {
+            return;
+        }
+        let name = &self.config.name;
+        let lost = format!("{reason}, and {name} {DISK_LOST_MARK} the log up to {persisted}");
+        let status = ReplicaStatus::Blank(lost.replace(name, "the quorum"));
+        self.log(Severity::Warning, format!("disk lost: {lost}; replace this member"));
+        self.replica.status = status;
+    }
+
+    fn found(&mut self, now: f64) {
+        let names: Vec<String> = self.config.coordinators.iter().map(|c| c.name.clone()).collect();
+        self.replica.found(now, &names, &self.config.name);
+    }
+
+    /// Another coordinator introduces itself: checks that it is in the file, has not been replaced, and that its disk
+    /// holds at least what is recorded of it.
+    pub(super) fn on_peer_hello(&mut self, link: LinkId, hello: &PeerHello) -> Result<(), ReceiveError> {
+        if hello.fleet != self.config.fleet {
+            return Err(ReceiveError::OtherFleet(hello.fleet.clone()));
+        }
+        let is_listed = self.config.coordinators.iter().any(|coordinator| coordinator.name == hello.name);
+        if !is_listed || hello.name == self.config.name {
+            return Err(ReceiveError::UnknownPeer(hello.name.clone()));
+        }
+        let answer = self.answer_to_peer(hello);
+        self.outputs.push(Output::Frame(link, frame::encode(&answer)));
+        if let Some(reason) = answer.exclusion {
+            self.log(Severity::Warning, format!("coordinator {} is barred: {reason}", hello.name));
+            self.outputs.push(Output::Close(link));
+        } else if hello.member != 0 {
+            self.record_peer(hello.member, hello.version, &hello.name);
+            self.roles.insert(link, Role::Peer(hello.member));
+        }
+        Ok(())
+    }
+
+    fn answer_to_peer(&self, hello: &PeerHello) -> PeerAnswer {
+        let state = &self.replica.state_machine;
+        let caller_member = state.member(&hello.name).unwrap_or(0);
+        let caller_persisted = state.persisted.get(&caller_member).copied().unwrap_or(0);
+        let has_state = self.replica.log_position().applied > 0;
+        let was_replaced = has_state
+            && hello.member != 0
+            && hello.member != caller_member
+            && hello.member <= state.last_member;
+        let disk_is_older =
+            hello.member != 0 && hello.member == caller_member && hello.last_index < caller_persisted;
+        let exclusion = if was_replaced {
+            Some(format!("member {} has been replaced", hello.member))
+        } else if disk_is_older {
+            let last = hello.last_index;
+            Some(format!("its disk is older than it was: it ends at {last}, and held {caller_persisted}"))
+        } else {
+            None
+        };
+        PeerAnswer {
+            member: self.replica.member(),
+            version: self.replica.version(),
+            caller_member,
+            caller_persisted,
+            caller_is_founder: caller_member != 0 && caller_member <= state.founders,
+            exclusion,
+        }
+    }
+}
--- /dev/null
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -0,0 +1,100 @@
+//! Messages of workers and operators' commands: each goes to the part that answers it.
+
+use super::{Coordinator, PeerHello, ReceiveError, Role};
+use crate::leader_state::{BeginRequest, Heartbeat, Hello, LinkId, ReleaseRequest};
+use port_worker::fleet::frame::{ClientMessage, OperatorQuery, ServerMessage};
+
+/// The zone of a worker that names none.
+const NO_ZONE: &str = "none";
+
+impl Coordinator {
+    pub(super) fn receive_message(
+        &mut self,
+        now: f64,
+        link: LinkId,
+        role: &Role,
+        body: &[u8],
+    ) -> Result<(), ReceiveError> {
+        if *role == Role::New {
+            if let Ok(hello) = serde_json::from_slice::<PeerHello>(body) {
+                return self.on_peer_hello(link, &hello);
+            }
+        }
+        let message: ClientMessage = serde_json::from_slice(body)?;
+        match message {
+            ClientMessage::Hello { fleet, version, name, zone, process } => {
+                let hello = Hello { name, zone, incarnation: process, version };
+                self.on_worker_hello(now, link, &fleet, hello);
+            }
+            ClientMessage::Query { fleet, what } => self.on_operator_query(now, link, &fleet, what),
+            // The link never said hello, or this member does not lead any more.
+            _ if *role != Role::Worker => self.send(link, &ServerMessage::SessionExpired),
+            _ if !self.replica.leads() => {
+                let answer = self.not_leader();
+                self.send(link, &answer);
+            }
+            message => self.on_session_message(now, link, message),
+        }
+        // Whatever else is due waits for the tick, which looks at every session.
+        self.leader_state.request_confirmation(now, &self.replica.state_machine);
+        Ok(())
+    }
+
+    fn on_worker_hello(&mut self, now: f64, link: LinkId, fleet: &str, hello: Hello) {
+        if fleet != self.config.fleet {
+            return self.reject_other_fleet(link);
+        }
+        if !self.replica.leads() {
+            let answer = self.not_leader();
+            return self.send(link, &answer);
+        }
+        self.roles.insert(link, Role::Worker);
+        let zone = if hello.zone.is_empty() { NO_ZONE.to_owned() } else { hello.zone };
+        let hello = Hello { zone, ..hello };
+        self.leader_state.on_hello(now, link, hello, &self.replica.state_machine);
+    }
+
+    fn on_operator_query(&mut self, now: f64, link: LinkId, fleet: &str, query: OperatorQuery) {
+        self.roles.insert(link, Role::Operator);
+        if fleet != self.config.fleet {
+            return self.reject_other_fleet(link);
+        }
+        self.receive_query(now, link, query);
+    }
+
+    fn reject_other_fleet(&mut self, link: LinkId) {
+        let reason = format!("this is the fleet {}", self.config.fleet);
+        self.reject(link, reason);
+    }
+
+    fn on_session_message(&mut self, now: f64, link: LinkId, message: ClientMessage) {
+        let state = &self.replica.state_machine;
+        match message {
+            ClientMessage::Heartbeat { seq, wants, held, figures, totals, load } => {
+                let heartbeat = Heartbeat {
+                    sequence: seq,
+                    wanted_tasks: wants,
+                    leases: held,
+                    counters: figures,
+                    totals,
+                    load,
+                };
+                self.leader_state.on_heartbeat(now, link, heartbeat, state);
+            }
+            ClientMessage::ReleaseLease { held, failed, pass_on } => {
+                let request = ReleaseRequest { lease: held, failed, hand_over: pass_on };
+                self.leader_state.on_release(now, link, request, state);
+            }
+            ClientMessage::BeginPeriod { held, every_ms, safe, attempt } => {
+                let request = BeginRequest { lease: held, every_ms, idempotent: safe, attempt };
+                self.leader_state.on_begin_request(link, request, state);
+            }
+            ClientMessage::EndPeriod { held, period, ending } => {
+                self.leader_state.on_period_ended(held, period, ending);
+            }
+            ClientMessage::Goodbye => self.leader_state.on_goodbye(now, link, state),
+            // Hello and queries need no session and are answered before; a later version's messages are ignored.
+            ClientMessage::Hello { .. } | ClientMessage::Query { .. } | ClientMessage::Unknown => {}
+        }
+    }
+}
--- a/fleet-coordinator/src/lib.rs
+++ b/fleet-coordinator/src/lib.rs
@@ -1,8 +1,10 @@
-//! The coordinators of a fleet: its few hard facts in a replicated log. `docs/design/05-leases.md` has the reasons.
+//! The coordinators of a fleet: sessions, leases and periods of tasks in a replicated log.
+//! `docs/design/05-leases.md` has the reasons.
 //!
-//! [`facts`] is the state machine, [`replica`] one member of the quorum, [`desk`] what a leader does beside the log and
-//! [`tenure`] how it counts leases' time there, [`coordinator`] all of it as one machine without I/O; [`net`] puts
-//! sockets, a disk and a clock round it.
+//! [`state_machine`] is the replicated state, [`replica`] one member of the quorum, [`leader_state`] what a leader does
+//! beside the log, [`lease_clock`] how it counts leases' time, and [`coordinator`] all of it as one machine without I/O.
+//! [`net`] puts sockets, a disk and a clock around it. [`client`] sends operators' queries, and [`config`] reads a
+//! coordinator's file.
 
 pub mod client;
 pub mod config;
--- a/fleet-coordinator/src/main.rs
+++ b/fleet-coordinator/src/main.rs
@@ -15,7 +15,7 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let filter = tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into());
-    // A log that can't be written, as on a full disk, must not end the process.
+    // A line that can't be written, as on a full disk, must not end the process.
     tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
@@ -24,8 +24,8 @@
         .init();
     match fleet_coordinator::net::run(&arguments.config) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("fleet-coordinator: {}", why.replace('\n', " "));
+        Err(error) => {
+            eprintln!("fleet-coordinator: {}", error.to_string().replace('\n', " "));
             ExitCode::from(2)
         }
     }
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -1,6 +1,7 @@
 //! The coordinators' file: values that the shipped one decodes to, and the line for one that can't be used.
 
 use fleet_coordinator::config::File;
+use fleet_coordinator::coordinator::CoordinatorAddress;
 use fleet_coordinator::state_machine::LATEST;
 use std::path::Path;
 
@@ -14,7 +15,7 @@
     assert_eq!(file.name, "c1");
     assert_eq!(file.folder, Path::new("/var/lib/honeypost/c1"));
     assert_eq!(file.listen, None);
-    assert_eq!(file.listens().unwrap().to_string(), "127.0.0.1:7101");
+    assert_eq!(file.listen_address().unwrap().to_string(), "127.0.0.1:7101");
     assert_eq!(file.epoch, 1);
     assert_eq!(file.write_overdue_ms, 1000);
     assert_eq!(file.version, LATEST);
@@ -43,7 +44,7 @@
     ))
     .unwrap();
 
-    assert_eq!(file.listens().unwrap().to_string(), "0.0.0.0:9");
+    assert_eq!(file.listen_address().unwrap().to_string(), "0.0.0.0:9");
     let overload = file.overload.unwrap();
     assert_eq!((overload.calls_part, overload.retry_percent), (4.0, 25.0));
     assert_eq!(
@@ -53,11 +54,14 @@
             r#"{"name":"defaults","ttl_ms":3000,"zones":[],"pause_ms":2000}]"#
         )
     );
-    let setup = file.setup();
+    let setup = file.coordinator_config();
     assert_eq!((setup.fleet.as_str(), setup.name.as_str(), setup.epoch, setup.version), ("f", "a", 7, 1));
-    assert_eq!(setup.coordinators, [("a".to_owned(), "[::1]:1".to_owned())]);
+    assert_eq!(
+        setup.coordinators,
+        [CoordinatorAddress { name: "a".to_owned(), address: "[::1]:1".to_owned() }]
+    );
     assert_eq!(setup.tasks, file.tasks);
-    assert_eq!(setup.overdue_s, 0.25);
+    assert_eq!(setup.write_overdue_s, 0.25);
     let settings = setup.overload.unwrap();
     assert_eq!((settings.part, settings.retry_share), (4.0, 0.25));
 }
@@ -91,12 +95,12 @@
     for (from, to, expected) in cases {
         let text = SHIPPED.replacen(from, to, 1);
         assert_ne!(text, SHIPPED, "{from} is not in the file");
-        assert_eq!(File::decode(&text).unwrap_err(), expected);
+        assert_eq!(File::decode(&text).unwrap_err().to_string(), expected);
     }
 }
 
 #[test]
 fn a_file_that_cannot_be_read_is_named() {
-    let error = File::read(Path::new("/nowhere/coordinator.toml")).unwrap_err();
+    let error = File::read(Path::new("/nowhere/coordinator.toml")).unwrap_err().to_string();
     assert_eq!(error, "/nowhere/coordinator.toml: No such file or directory (os error 2)");
 }
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -1,69 +1,69 @@
-//! One coordinator whose disk fails it: how soon it steps aside, that it acknowledges nothing it could not write, and that
-//! it takes part again by itself. The clock and the disk are the test's own.
+//! One coordinator whose disk fails: how soon it is suspended, that it acknowledges nothing it could not write, and that
+//! it takes part again without help. The clock and the disk are the test's own.
 
 use durable_log::simulated::Simulated;
 use durable_log::Store;
-use fleet_coordinator::coordinator::{Coordinator, CoordinatorConfig, Output};
+use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::replica::{carry_out, DiskResult, ReplicaStatus};
 use fleet_coordinator::state_machine::LATEST;
 use port_worker::fleet::frame::{decode, encode, ClientMessage, ServerMessage, MAX_SERVER_FRAME_BYTES};
 
-const OVERDUE_S: f64 = 0.5;
+const WRITE_OVERDUE_S: f64 = 0.5;
 const TICK_S: f64 = 0.01;
 
-struct Site {
+struct Scenario {
     now: f64,
-    machine: Coordinator,
+    coordinator: Coordinator,
     disk: Simulated,
     store: Option<Store<Simulated>>,
-    /// How long each job takes.
-    takes_s: f64,
+    /// How long each job of the disk takes.
+    job_duration_s: f64,
     answers: Vec<(f64, u64, DiskResult)>,
-    words: Vec<ServerMessage>,
+    messages: Vec<ServerMessage>,
 }
 
-impl Site {
-    fn up() -> Site {
-        let setup = CoordinatorConfig {
+impl Scenario {
+    fn start() -> Scenario {
+        let config = CoordinatorConfig {
             fleet: "f".into(),
             name: "c1".into(),
-            coordinators: vec![("c1".into(), "127.0.0.1:1".into())],
+            coordinators: vec![CoordinatorAddress { name: "c1".into(), address: "127.0.0.1:1".into() }],
             epoch: 1,
             tasks: Vec::new(),
-            overdue_s: OVERDUE_S,
+            write_overdue_s: WRITE_OVERDUE_S,
             version: LATEST,
-            guards: SafetyChecks::default(),
+            safety_checks: SafetyChecks::default(),
             overload: None,
         };
-        let mut site = Site {
+        let mut scenario = Scenario {
             now: 0.0,
-            machine: Coordinator::new(0.0, setup, 1),
+            coordinator: Coordinator::new(0.0, config, 1),
             disk: Simulated::new(),
             store: None,
-            takes_s: 0.0,
+            job_duration_s: 0.0,
             answers: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
         };
-        // A fleet of one founds itself when it asks and nobody else is named.
-        site.until("it leads", 10.0, |site| {
-            if matches!(site.machine.replica.status, ReplicaStatus::Blank(_)) {
-                site.machine.replica.found(site.now, &["c1".to_owned()], "c1");
+        // A coordinator without peers founds its fleet when it ticks.
+        scenario.until("it leads", 10.0, |scenario| {
+            if matches!(scenario.coordinator.replica.status, ReplicaStatus::Blank(_)) {
+                scenario.coordinator.replica.found(scenario.now, &["c1".to_owned()], "c1");
             }
-            site.machine.replica.leads()
+            scenario.coordinator.replica.leads()
         });
-        site
+        scenario
     }
 
-    fn turn(&mut self) {
+    fn step(&mut self) {
         self.now += TICK_S;
-        self.machine.tick(self.now);
+        self.coordinator.tick(self.now);
         loop {
             let due = self.answers.iter().position(|(at, ..)| *at <= self.now);
             if let Some((_, job, done)) = due.map(|at| self.answers.remove(at)) {
-                self.machine.disk_done(self.now, job, done);
+                self.coordinator.disk_done(self.now, job, done);
             }
-            let out = self.machine.take_out();
+            let out = self.coordinator.take_outputs();
             if out.is_empty() && due.is_none() {
                 break;
             }
@@ -72,12 +72,12 @@
                     Output::Disk(number, job) => {
                         let disk = self.disk.clone();
                         let done = carry_out(&mut self.store, &job, || Ok(disk));
-                        self.answers.push((self.now + self.takes_s, number, done));
+                        self.answers.push((self.now + self.job_duration_s, number, done));
                     }
                     Output::Frame(_, bytes) => {
-                        let (word, _) =
+                        let (message, _) =
                             decode::<ServerMessage>(&bytes, MAX_SERVER_FRAME_BYTES).unwrap().unwrap();
-                        self.words.push(word);
+                        self.messages.push(message);
                     }
                     _ => {}
                 }
@@ -85,23 +85,23 @@
         }
     }
 
-    /// How long it took (seconds).
-    fn until(&mut self, what: &str, most_s: f64, mut so: impl FnMut(&mut Site) -> bool) -> f64 {
+    /// Steps until the condition holds; returns how long that took (seconds).
+    fn until(&mut self, what: &str, limit_s: f64, mut condition: impl FnMut(&mut Scenario) -> bool) -> f64 {
         let start = self.now;
-        while !so(self) {
-            self.turn();
+        while !condition(self) {
+            self.step();
             assert!(
-                self.now - start <= most_s + 1e-9,
-                "{what}: not within {most_s} s; {:?}",
-                self.machine.replica.status
+                self.now - start <= limit_s + 1e-9,
+                "{what}: not within {limit_s} s; {:?}",
+                self.coordinator.replica.status
             );
         }
         self.now - start
     }
 
-    /// A worker comes over a new link; its session is a fact that has to be written.
+    /// A worker connects over a new link; its session has to be written to the log.
     fn hello(&mut self, link: u64) {
-        self.machine.opened(link);
+        self.coordinator.opened(link);
         let hello = ClientMessage::Hello {
             fleet: "f".into(),
             version: LATEST,
@@ -110,22 +110,22 @@
             process: link,
         };
         let bytes = encode(&hello);
-        self.machine.heard(self.now, link, &bytes[4..]).unwrap();
+        self.coordinator.receive(self.now, link, &bytes[4..]).unwrap();
     }
 
     fn welcomed(&self) -> usize {
-        self.words.iter().filter(|w| matches!(w, ServerMessage::Welcome { .. })).count()
+        self.messages.iter().filter(|message| matches!(message, ServerMessage::Welcome { .. })).count()
     }
 
-    fn is_aside(&self) -> bool {
-        matches!(self.machine.replica.status, ReplicaStatus::Suspended(_))
+    fn is_suspended(&self) -> bool {
+        matches!(self.coordinator.replica.status, ReplicaStatus::Suspended(_))
     }
 }
 
 #[test]
-fn a_disk_that_fails_or_is_overdue_puts_its_coordinator_aside_within_a_second_and_nothing_is_acknowledged() {
-    type Set = fn(&mut Site);
-    let cases: [(&str, Set, Set, f64); 4] = [
+fn a_failing_or_overdue_disk_suspends_its_coordinator_within_a_second_and_nothing_is_acknowledged() {
+    type Change = fn(&mut Scenario);
+    let cases: [(&str, Change, Change, f64); 4] = [
         ("full", |s| s.disk.set_full(true), |s| s.disk.set_full(false), 0.02),
         (
             "an error at the next call",
@@ -133,7 +133,7 @@
             |s| s.disk.fail_at(None),
             0.02,
         ),
-        ("a sync of 5 s", |s| s.takes_s = 5.0, |s| s.takes_s = 0.0, OVERDUE_S + 0.05),
+        ("a sync of 5 s", |s| s.job_duration_s = 5.0, |s| s.job_duration_s = 0.0, WRITE_OVERDUE_S + 0.05),
         (
             "an error at the call after",
             |s| s.disk.fail_at(Some(s.disk.calls() + 1)),
@@ -141,36 +141,36 @@
             0.02,
         ),
     ];
-    for (n, (name, fails, mends, most_s)) in cases.into_iter().enumerate() {
-        let mut site = Site::up();
-        site.hello(1);
-        site.until("a session", 1.0, |s| s.welcomed() == 1);
-        fails(&mut site);
-        site.hello(2 + n as u64);
-        let took = site.until(name, most_s, |s| s.is_aside());
+    for (n, (name, fail, repair, limit_s)) in cases.into_iter().enumerate() {
+        let mut scenario = Scenario::start();
+        scenario.hello(1);
+        scenario.until("a session", 1.0, |s| s.welcomed() == 1);
+        fail(&mut scenario);
+        scenario.hello(2 + n as u64);
+        let took = scenario.until(name, limit_s, |s| s.is_suspended());
         assert!(took <= 1.0, "{name}: {took}");
-        assert_eq!(site.welcomed(), 1, "{name}: a session was acknowledged that the disk may not have");
-        let why = format!("{:?}", site.machine.replica.status);
+        assert_eq!(scenario.welcomed(), 1, "{name}: a session was acknowledged that the disk may not have");
+        let why = format!("{:?}", scenario.coordinator.replica.status);
         assert!(why.contains("disk is slow") == name.contains("sync") && why.len() > 12, "{name}: {why}");
-        let status = site.machine.status();
+        let status = scenario.coordinator.status();
         assert_eq!((&status["standing"], &status["leads"]), (&"aside".into(), &false.into()), "{name}");
-        // It stays aside for as long as the disk is bad, and takes part by itself when it is well.
+        // It stays suspended while the disk fails, and takes part again without help once it works.
         for _ in 0..200 {
-            site.turn();
-            assert!(name.contains("call") || !site.machine.replica.leads(), "{name}");
+            scenario.step();
+            assert!(name.contains("call") || !scenario.coordinator.replica.leads(), "{name}");
         }
-        mends(&mut site);
-        site.until("it leads again", 10.0, |s| s.machine.replica.leads());
-        site.hello(90);
-        site.until("another session", 1.0, |s| s.welcomed() == 2);
+        repair(&mut scenario);
+        scenario.until("it leads again", 10.0, |s| s.coordinator.replica.leads());
+        scenario.hello(90);
+        scenario.until("another session", 1.0, |s| s.welcomed() == 2);
     }
 }
 
 #[test]
-fn a_slow_disk_that_is_not_overdue_costs_time_alone() {
-    let mut site = Site::up();
-    site.takes_s = OVERDUE_S * 0.8;
-    site.hello(1);
-    let took = site.until("a session", 1.0, |s| s.welcomed() == 1);
-    assert!(took >= OVERDUE_S * 0.8 && !site.is_aside(), "{took}");
+fn a_slow_disk_that_is_not_overdue_only_delays_answers() {
+    let mut scenario = Scenario::start();
+    scenario.job_duration_s = WRITE_OVERDUE_S * 0.8;
+    scenario.hello(1);
+    let took = scenario.until("a session", 1.0, |s| s.welcomed() == 1);
+    assert!(took >= WRITE_OVERDUE_S * 0.8 && !scenario.is_suspended(), "{took}");
 }
--- a/fleet-coordinator/tests/operator_file.rs
+++ b/fleet-coordinator/tests/operator_file.rs
@@ -20,7 +20,7 @@
         assert_eq!([&file.fleet, &file.name], ["polderlijn", "c1"]);
         assert_eq!(file.folder, Path::new("/var/lib/honeypost/c1"));
         assert_eq!((file.epoch, file.write_overdue_ms, file.version), (1, 1000, 2));
-        assert_eq!(file.listens(), Some("127.0.0.1:7101".parse().unwrap()));
+        assert_eq!(file.listen_address(), Some("127.0.0.1:7101".parse().unwrap()));
         let peers = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.port()));
         assert_eq!(peers.collect::<Vec<_>>(), [("c1", 7101), ("c2", 7102), ("c3", 7103)]);
         let [totals, report] = &file.tasks[..] else { panic!("two tasks, not {:?}", file.tasks) };
@@ -36,7 +36,7 @@
 fn every_key_is_understood() {
     let file = read("tests/fixtures/operator_files/coordinator_every_key.toml");
     assert_eq!((file.epoch, file.write_overdue_ms, file.version), (4, 750, 1));
-    assert_eq!(file.listens(), Some("0.0.0.0:7201".parse().unwrap()));
+    assert_eq!(file.listen_address(), Some("0.0.0.0:7201".parse().unwrap()));
     let task = &file.tasks[0];
     assert_eq!((task.name.as_str(), task.ttl_ms, task.pause_ms), ("nightly-report", 2500, 1500));
     assert_eq!(task.zones, ["east", "west"]);
@@ -48,7 +48,7 @@
 fn keys_that_are_left_out_have_their_defaults() {
     let file = read("tests/fixtures/operator_files/coordinator_needed_keys.toml");
     assert_eq!((file.write_overdue_ms, file.version), (1000, 2));
-    assert_eq!(file.listens(), Some("127.0.0.1:7101".parse().unwrap()));
+    assert_eq!(file.listen_address(), Some("127.0.0.1:7101".parse().unwrap()));
     let task = &file.tasks[0];
     assert_eq!((task.ttl_ms, task.pause_ms, task.zones.len()), (3000, 2000, 0));
     assert_eq!(file.overload.unwrap().retry_percent, 10.0);
@@ -63,7 +63,7 @@
     }
     assert_eq!(wrong.len(), 4);
     for text in wrong {
-        let error = File::decode(&text).expect_err(&text);
+        let error = File::decode(&text).expect_err(&text).to_string();
         assert!(error.contains("unknown field `misspelt`"), "{error}");
     }
 }
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -92,15 +92,15 @@
     }
 }
 
-/// Starts the coordinator `c3` over a folder, and carries out what it asks of its disk.
+/// Starts the coordinator `c3` over a folder, and carries out the jobs for its disk.
 fn start_c3(folder: &Path) -> Coordinator {
     let text =
         include_str!("../../deploy/coordinator.toml").replacen("name = \"c1\"  ", "name = \"c3\"  ", 1);
-    let setup = File::decode(&text).unwrap().setup();
-    let mut coordinator = Coordinator::new(0.0, setup, 1);
+    let config = File::decode(&text).unwrap().coordinator_config();
+    let mut coordinator = Coordinator::new(0.0, config, 1);
     let mut store: Option<Store<Folder>> = None;
     loop {
-        let out = coordinator.take_out();
+        let out = coordinator.take_outputs();
         if out.is_empty() {
             return coordinator;
         }
--- a/testbed/src/fleet/virtual_fleet.rs
+++ b/testbed/src/fleet/virtual_fleet.rs
@@ -6,7 +6,9 @@
 
 use durable_log::simulated::Simulated;
 use durable_log::Store;
-use fleet_coordinator::coordinator::{Coordinator, CoordinatorConfig, Output, PeerAnswer};
+use fleet_coordinator::coordinator::{
+    Coordinator, CoordinatorAddress, CoordinatorConfig, Output, PeerAnswer,
+};
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::replica::{carry_out, DiskJob, ReplicaStatus};
 use fleet_coordinator::state_machine::{Task, LATEST};
@@ -401,7 +403,7 @@
                 if let Some((_, c)) = self.workers[w].link.filter(|(l, _)| *l == link) {
                     let mut bad = false;
                     self.with_coordinator(c, |machine, now| {
-                        bad = machine.heard(now, link, &bytes[4..]).is_err()
+                        bad = machine.receive(now, link, &bytes[4..]).is_err()
                     });
                     if bad {
                         self.violation("a coordinator could not read a worker's frame".to_owned());
@@ -420,7 +422,7 @@
             Event::PeerConnect(a, b, life) => self.peer_connect(a, b, life),
             Event::PeerFrame(a, b, link, bytes) => {
                 if self.peer_links.get(&(a, b)) == Some(&link) {
-                    self.with_coordinator(b, |machine, now| drop(machine.heard(now, link, &bytes[4..])));
+                    self.with_coordinator(b, |machine, now| drop(machine.receive(now, link, &bytes[4..])));
                 }
             }
             Event::PeerAnswer(a, b, link, bytes) => {
@@ -462,16 +464,17 @@
     }
 
     fn setup(&self, c: usize) -> CoordinatorConfig {
-        let names = (0..self.shape.coordinators).map(|n| (coordinator_name(n), address(n).to_string()));
+        let names = (0..self.shape.coordinators)
+            .map(|n| CoordinatorAddress { name: coordinator_name(n), address: address(n).to_string() });
         CoordinatorConfig {
             fleet: "virtual".to_owned(),
             name: coordinator_name(c),
             coordinators: names.collect(),
             epoch: self.epoch,
             tasks: self.tasks(),
-            overdue_s: 1.0,
+            write_overdue_s: 1.0,
             version: LATEST,
-            guards: SafetyChecks {
+            safety_checks: SafetyChecks {
                 wait_full_ttl: self.shape.weak != Weakness::NoWholeTtl,
                 read_index: self.shape.weak != Weakness::NoConfirm,
             },
@@ -571,7 +574,7 @@
     }
 
     fn drain_coordinator(&mut self, c: usize) {
-        let out = self.coordinators[c].machine.as_mut().map(Coordinator::take_out).unwrap_or_default();
+        let out = self.coordinators[c].machine.as_mut().map(Coordinator::take_outputs).unwrap_or_default();
         for out in out {
             match out {
                 Output::Frame(link, bytes) => self.frame_from(c, link, bytes),
@@ -612,7 +615,7 @@
                     let (at, life) = (q.busy_until, q.life);
                     self.at(at, Event::Disk(c, life, number, job));
                 }
-                Output::Note(_, text) => {
+                Output::Log { message: text, .. } => {
                     self.verdict.leaders += u64::from(text.starts_with("leads, term"));
                     if std::env::var_os("FLEET_TRACE").is_some() {
                         eprintln!("{:.3} {} {text}", self.now, coordinator_name(c));
@@ -668,7 +671,7 @@
         self.peer_ends.insert(link, (a, b));
         self.with_coordinator(b, |machine, now| {
             machine.opened(link);
-            let _ = machine.heard(now, link, &hello[4..]);
+            let _ = machine.receive(now, link, &hello[4..]);
         });
     }
 
