--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -4,8 +4,10 @@
 use durable_log::{Folder, Store};
 use fleet_coordinator::config::File;
 use fleet_coordinator::coordinator::{Coordinator, Output};
-use fleet_coordinator::replica::{carry_out, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus};
-use fleet_coordinator::state_machine::{Command, Entry, LeaseStateMachine, ReleaseReason, Task, LATEST};
+use fleet_coordinator::replica::{
+    carry_out, LogPosition, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus,
+};
+use fleet_coordinator::state_machine::{Command, LeaseStateMachine, LogEntry, ReleaseReason, Task, LATEST};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -90,15 +92,15 @@
     }
 }
 
-/// Starts the coordinator `c3` over a folder, and carries out what it asks of its disk.
+/// Starts the coordinator `c3` over a folder, and carries out the jobs for its disk.
 fn start_c3(folder: &Path) -> Coordinator {
     let text =
         include_str!("../../deploy/coordinator.toml").replacen("name = \"c1\"  ", "name = \"c3\"  ", 1);
-    let setup = File::decode(&text).unwrap().setup();
-    let mut coordinator = Coordinator::new(0.0, setup, 1);
+    let config = File::decode(&text).unwrap().coordinator_config();
+    let mut coordinator = Coordinator::new(0.0, config, 1);
     let mut store: Option<Store<Folder>> = None;
     loop {
-        let out = coordinator.take_out();
+        let out = coordinator.take_outputs();
         if out.is_empty() {
             return coordinator;
         }
@@ -117,15 +119,15 @@
     let coordinator = start_c3(&data.member("c3"));
 
     let replica = &coordinator.replica;
-    assert_eq!(replica.standing, ReplicaStatus::Member);
+    assert_eq!(replica.status, ReplicaStatus::Member);
     assert_eq!((replica.member(), replica.term()), (MEMBER_C3, 2));
     // What is behind the snapshot is applied once a quorum has confirmed it.
-    assert_eq!(replica.ends(), (LAST_INDEX, SNAPSHOT_INDEX));
+    assert_eq!(replica.log_position(), LogPosition { last: LAST_INDEX, applied: SNAPSHOT_INDEX });
     assert_eq!((replica.leads(), replica.leader()), (false, None));
     assert_eq!(sorted(replica.voters()), [MEMBER_C1, MEMBER_C3]);
     let status = serde_json::to_string(&coordinator.status()).unwrap();
     assert_eq!(status, fixture_text("expected/status.json").trim_end());
-    assert_facts_are(&replica.facts, "expected/snapshot-facts.json");
+    assert_facts_are(&replica.state_machine, "expected/snapshot-facts.json");
 }
 
 #[test]
@@ -136,10 +138,10 @@
     let leader = quorum.leader().unwrap();
     assert_eq!((leader.member(), leader.term()), (MEMBER_C3, 3));
     // One more than was stored: a new leader's own first entry.
-    assert_eq!(leader.ends(), (LAST_INDEX + 1, LAST_INDEX + 1));
+    assert_eq!(leader.log_position(), LogPosition { last: LAST_INDEX + 1, applied: LAST_INDEX + 1 });
     assert_eq!(sorted(leader.voters()), [MEMBER_C3, MEMBER_C2]);
-    assert_eq!(serde_json::to_value(&leader.facts).unwrap(), expected_facts());
-    assert_facts_are(&leader.facts, "expected/facts.json");
+    assert_eq!(serde_json::to_value(&leader.state_machine).unwrap(), expected_facts());
+    assert_facts_are(&leader.state_machine, "expected/facts.json");
 }
 
 /// What the fleet of the fixtures was made to hold.
@@ -222,12 +224,12 @@
             let mut messages = Vec::new();
             let mut idle = true;
             for (replica, store, folder) in &mut self.members {
-                for effect in replica.take_effects() {
+                for effect in replica.take_outputs() {
                     idle = false;
                     match effect {
                         ReplicaOutput::Disk(number, job) => {
                             let done = carry_out(store, &job, || Folder::lock(folder));
-                            replica.done(now, number, done);
+                            replica.on_disk_result(now, number, done);
                         }
                         ReplicaOutput::Send(to, bytes) => messages.push((replica.member(), to, bytes)),
                     }
@@ -274,15 +276,15 @@
     let data = DataCopy::new("continue");
     let mut quorum = Quorum::start(&data);
     quorum.tick_until_led();
-    quorum.leader().unwrap().take_happened();
+    quorum.leader().unwrap().take_events();
 
     quorum.propose(open("worker-f", "west", 16));
-    quorum.propose(Command::Grant { task: "inventory".into(), session: 6 });
+    quorum.propose(Command::GrantLease { task: "inventory".into(), session: 6 });
 
     let leader = quorum.leader().unwrap();
-    assert_eq!((leader.term(), leader.ends()), (3, (50, 50)));
+    assert_eq!((leader.term(), leader.log_position()), (3, LogPosition { last: 50, applied: 50 }));
     let outcomes: Vec<String> = leader
-        .take_happened()
+        .take_events()
         .into_iter()
         .filter_map(|event| match event {
             ReplicaEvent::Applied(_, outcome) => Some(format!("{outcome:?}")),
@@ -291,7 +293,7 @@
         .collect();
     assert_eq!(outcomes.len(), 2, "{outcomes:?}");
     assert!(outcomes.iter().all(|outcome| outcome.starts_with("Ok(")), "{outcomes:?}");
-    let facts = serde_json::to_value(&leader.facts).unwrap();
+    let facts = serde_json::to_value(&leader.state_machine).unwrap();
     assert_eq!(facts["sessions"]["6"]["name"], "worker-f");
     assert_eq!(facts["leases"]["inventory"]["token"], 11, "tokens only grow");
     for member in MEMBERS {
@@ -307,24 +309,24 @@
     assert_eq!(lines.len(), entries.len());
     for (line, entry) in lines.into_iter().zip(entries) {
         assert_eq!(serde_json::to_string(&entry).unwrap(), line);
-        assert_eq!(serde_json::from_str::<Entry>(line).unwrap(), entry, "{line}");
+        assert_eq!(serde_json::from_str::<LogEntry>(line).unwrap(), entry, "{line}");
     }
 }
 
 #[test]
 fn commands_of_a_later_version_are_read_as_unknown_and_their_new_keys_passed_over() {
-    let read = |line: &str| serde_json::from_str::<Entry>(line).unwrap();
+    let read = |line: &str| serde_json::from_str::<LogEntry>(line).unwrap();
     let later = read(r#"{"at_ms":9999,"do":"seal","held":{"task":"archive","token":9},"until_ms":12000}"#);
-    assert_eq!(later, Entry { at_ms: 9999, command: Command::Unknown });
+    assert_eq!(later, LogEntry { at_ms: 9999, command: Command::Unknown });
     let more_keys = read(r#"{"at_ms":7,"do":"close","session":4,"later":true}"#);
-    assert_eq!(more_keys, Entry { at_ms: 7, command: Command::Close { session: 4 } });
+    assert_eq!(more_keys, LogEntry { at_ms: 7, command: Command::CloseSession { session: 4 } });
 }
 
 /// In the order of `commands.jsonl`; variants with an enum inside stand once for each of its values.
-fn one_of_each_command() -> Vec<Entry> {
+fn one_of_each_command() -> Vec<LogEntry> {
     let held = || LeaseRef { task: "archive".into(), token: 9 };
-    let end = |ending| Command::End { held: held(), period: 3, ending };
-    let free = |why| Command::Free { held: held(), why };
+    let end = |ending| Command::EndPeriod { lease: held(), period: 3, outcome: ending };
+    let free = |why| Command::ReleaseLease { lease: held(), reason: why };
     let task = Task {
         name: "archive".into(),
         ttl_ms: 4000,
@@ -333,26 +335,26 @@
     };
     let commands = vec![
         open("worker-a", "east", u64::MAX),
-        Command::Close { session: 4 },
-        Command::Grant { task: "archive".into(), session: 4 },
-        free(ReleaseReason::Lapsed),
-        free(ReleaseReason::GivenBack),
+        Command::CloseSession { session: 4 },
+        Command::GrantLease { task: "archive".into(), session: 4 },
+        free(ReleaseReason::Expired),
+        free(ReleaseReason::Returned),
         free(ReleaseReason::Failed),
-        Command::Transfer { held: held(), session: 5 },
-        Command::Begin { held: held(), every_ms: 60_000, safe: true, attempt: 2 },
+        Command::TransferLease { lease: held(), session: 5 },
+        Command::BeginPeriod { lease: held(), every_ms: 60_000, idempotent: true, attempt: 2 },
         end(CallOutcome::Done),
         end(CallOutcome::NotDone),
         end(CallOutcome::Unknown),
-        Command::Tasks { epoch: 2, tasks: vec![task] },
-        Command::Progress { kept: vec![(1, 20), (2, 19)] },
-        Command::Raise { version: 2 },
+        Command::SetTasks { epoch: 2, tasks: vec![task] },
+        Command::RecordProgress { persisted: vec![(1, 20), (2, 19)] },
+        Command::RaiseVersion { version: 2 },
         Command::Unknown,
     ];
-    (1..).zip(commands).map(|(at_ms, command)| Entry { at_ms, command }).collect()
+    (1..).zip(commands).map(|(at_ms, command)| LogEntry { at_ms, command }).collect()
 }
 
-fn open(name: &str, zone: &str, process: u64) -> Command {
-    Command::Open { name: name.into(), zone: zone.into(), process, version: LATEST }
+fn open(name: &str, zone: &str, incarnation: u64) -> Command {
+    Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST }
 }
 
 fn sorted(mut numbers: Vec<u64>) -> Vec<u64> {
--- a/testbed/src/fleet/virtual_fleet.rs
+++ b/testbed/src/fleet/virtual_fleet.rs
@@ -6,7 +6,9 @@
 
 use durable_log::simulated::Simulated;
 use durable_log::Store;
-use fleet_coordinator::coordinator::{Coordinator, CoordinatorConfig, Output, PeerAnswer};
+use fleet_coordinator::coordinator::{
+    Coordinator, CoordinatorAddress, CoordinatorConfig, Output, PeerAnswer,
+};
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::replica::{carry_out, DiskJob, ReplicaStatus};
 use fleet_coordinator::state_machine::{Task, LATEST};
@@ -401,7 +403,7 @@
                 if let Some((_, c)) = self.workers[w].link.filter(|(l, _)| *l == link) {
                     let mut bad = false;
                     self.with_coordinator(c, |machine, now| {
-                        bad = machine.heard(now, link, &bytes[4..]).is_err()
+                        bad = machine.receive(now, link, &bytes[4..]).is_err()
                     });
                     if bad {
                         self.violation("a coordinator could not read a worker's frame".to_owned());
@@ -420,7 +422,7 @@
             Event::PeerConnect(a, b, life) => self.peer_connect(a, b, life),
             Event::PeerFrame(a, b, link, bytes) => {
                 if self.peer_links.get(&(a, b)) == Some(&link) {
-                    self.with_coordinator(b, |machine, now| drop(machine.heard(now, link, &bytes[4..])));
+                    self.with_coordinator(b, |machine, now| drop(machine.receive(now, link, &bytes[4..])));
                 }
             }
             Event::PeerAnswer(a, b, link, bytes) => {
@@ -462,18 +464,19 @@
     }
 
     fn setup(&self, c: usize) -> CoordinatorConfig {
-        let names = (0..self.shape.coordinators).map(|n| (coordinator_name(n), address(n).to_string()));
+        let names = (0..self.shape.coordinators)
+            .map(|n| CoordinatorAddress { name: coordinator_name(n), address: address(n).to_string() });
         CoordinatorConfig {
             fleet: "virtual".to_owned(),
             name: coordinator_name(c),
             coordinators: names.collect(),
             epoch: self.epoch,
             tasks: self.tasks(),
-            overdue_s: 1.0,
+            write_overdue_s: 1.0,
             version: LATEST,
-            guards: SafetyChecks {
-                whole_ttl: self.shape.weak != Weakness::NoWholeTtl,
-                confirm: self.shape.weak != Weakness::NoConfirm,
+            safety_checks: SafetyChecks {
+                wait_full_ttl: self.shape.weak != Weakness::NoWholeTtl,
+                read_index: self.shape.weak != Weakness::NoConfirm,
             },
             overload: None,
         }
@@ -571,7 +574,7 @@
     }
 
     fn drain_coordinator(&mut self, c: usize) {
-        let out = self.coordinators[c].machine.as_mut().map(Coordinator::take_out).unwrap_or_default();
+        let out = self.coordinators[c].machine.as_mut().map(Coordinator::take_outputs).unwrap_or_default();
         for out in out {
             match out {
                 Output::Frame(link, bytes) => self.frame_from(c, link, bytes),
@@ -612,7 +615,7 @@
                     let (at, life) = (q.busy_until, q.life);
                     self.at(at, Event::Disk(c, life, number, job));
                 }
-                Output::Note(_, text) => {
+                Output::Log { message: text, .. } => {
                     self.verdict.leaders += u64::from(text.starts_with("leads, term"));
                     if std::env::var_os("FLEET_TRACE").is_some() {
                         eprintln!("{:.3} {} {text}", self.now, coordinator_name(c));
@@ -668,7 +671,7 @@
         self.peer_ends.insert(link, (a, b));
         self.with_coordinator(b, |machine, now| {
             machine.opened(link);
-            let _ = machine.heard(now, link, &hello[4..]);
+            let _ = machine.receive(now, link, &hello[4..]);
         });
     }
 
@@ -885,7 +888,7 @@
     /// What an operator does about a coordinator that says it has lost its disk, or is barred for an old one.
     fn replace(&mut self, c: usize) {
         let name = coordinator_name(c);
-        let lost = self.coordinators[c].machine.as_ref().is_some_and(|m| match &m.replica.standing {
+        let lost = self.coordinators[c].machine.as_ref().is_some_and(|m| match &m.replica.status {
             ReplicaStatus::Blank(why) => why.contains("held the log up to"),
             _ => false,
         });
@@ -1022,8 +1025,9 @@
 
     /// Every coordinator is a member, and knows what has been decided.
     fn all_well(&self) -> bool {
-        let standing =
-            |q: &Quorate| q.machine.as_ref().map(|m| (m.replica.standing.clone(), m.replica.ends().1));
+        let standing = |q: &Quorate| {
+            q.machine.as_ref().map(|m| (m.replica.status.clone(), m.replica.log_position().applied))
+        };
         let ends: Vec<_> = self.coordinators.iter().filter_map(standing).collect();
         let last = ends.iter().map(|(_, end)| *end).max().unwrap_or(0);
         ends.len() == self.coordinators.len()
