--- a/src/net/upstreams/records.rs
+++ b/src/net/upstreams/records.rs
@@ -1,5 +1,5 @@
-//! Calls to the records service: HTTP/1.1, one at a time on a connection, kept connections used again. A call is
-//! given up by closing its connection.
+//! Downstream calls to the records service: HTTP/1.1, one at a time on a connection, idle connections used again. A
+//! call is abandoned by closing its connection.
 
 use crate::dispatch::Input;
 use crate::interface::Outcome;
@@ -12,27 +12,31 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A reply's head, and both with its body, at most (bytes).
-const HEAD_MOST: usize = 8 * 1024;
-const REPLY_MOST: usize = 64 * 1024;
-const HEADERS_MOST: usize = 64;
+/// The longest head of a reply (bytes).
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The longest reply with its head (bytes).
+const MAX_REPLY_BYTES: usize = 64 * 1024;
+const MAX_HEADERS: usize = 64;
 /// The service closes a connection idle for 10 s; one that may be about to close is not used (seconds).
-const IDLE_KEEP_S: f64 = 5.0;
-/// A connection is used again only after so long without another byte: what comes late behind a reply would be
+const MAX_IDLE_S: f64 = 5.0;
+/// A connection is used again only after this long without another byte: what comes late behind a reply would be
 /// taken for the reply to the next call (seconds).
 const QUIET_S: f64 = 0.004;
-/// A refused connection comes back at once and is tried again at once; this keeps the two from spinning while
-/// the service is down (seconds).
-const REFUSED_S: f64 = 0.04;
+/// A refused connection is reported after this pause: the controller tries again at once, and without the pause the
+/// two would spin while the service is down (seconds).
+const REFUSED_PAUSE_S: f64 = 0.04;
 
+/// A call in flight.
 struct Call {
+    /// The number of its timer.
     number: u64,
     name: Rc<str>,
 }
 
+/// A connection to the service.
 struct Connection {
     link: Link,
-    to: SocketAddr,
+    address: SocketAddr,
     connected: bool,
     call: Option<Call>,
     idle_since: f64,
@@ -48,18 +52,22 @@
     }
 }
 
-/// The pool of connections, and the calls in hand.
+/// The connections to the records service, and the calls in flight.
 pub struct Records {
     address: SocketAddr,
     poll: Poll,
     connections: HashMap<u64, Connection>,
+    /// By the name of the run: the connection of its call.
     by_name: HashMap<Rc<str>, u64>,
-    /// Calls that never left, by their numbers: told after a pause.
+    /// Calls that were never sent, by the numbers of the timers at which that is reported.
     refused: HashMap<u64, Rc<str>>,
+    /// Connections that something happened to.
     touched: Vec<u64>,
 }
 
 impl Records {
+    /// A service without connections.
+    #[must_use]
     pub fn new(poll: &Poll, address: SocketAddr) -> Records {
         Records {
             address,
@@ -71,6 +79,7 @@
         }
     }
 
+    /// Notes the readiness that the loop reports.
     pub fn mark(&mut self, id: u64, readable: bool, writable: bool) {
         if let Some(c) = self.connections.get_mut(&id) {
             c.link.mark(readable, writable);
@@ -78,20 +87,21 @@
         }
     }
 
-    /// New calls go to another address from here on; calls in hand end where they are.
+    /// Sends new calls to another address; calls in flight end where they are.
     pub fn move_to(&mut self, address: SocketAddr) {
         self.address = address;
-        self.connections.retain(|_, c| c.to == address || c.call.is_some());
+        self.connections.retain(|_, c| c.address == address || c.call.is_some());
     }
 
-    /// Whether a call waits to be written. Guards against a call on a kept connection, of which the loop tells
-    /// nothing, lying there until the next wake-up.
+    /// Whether a call waits to be written: the loop reports nothing of one on an idle connection.
+    #[must_use]
     pub fn pending(&self) -> bool {
         !self.touched.is_empty()
     }
 
-    /// Places a call for a run, to be given up after `for_s`. A second call for a run gives up the first. One that
-    /// can't be made `again` goes on a new connection: a kept one may be reset by the call, which proves nothing.
+    /// Makes a call for a run, to be abandoned after `for_s` seconds. A second call for a run abandons the first. A call
+    /// that can't be made `again` goes on a new connection: the peer may close an idle one as the call is written, and
+    /// nobody knows then whether it ran.
     pub fn call(
         &mut self,
         now: f64,
@@ -103,9 +113,9 @@
     ) {
         self.give_up(&name);
         let number = self.poll.fresh();
-        let kept = if again { take_idle(&mut self.connections, now, QUIET_S, IDLE_KEEP_S) } else { None };
-        let Some(id) = kept.or_else(|| self.open(now)) else {
-            // No descriptor is left, or the system refused at once: the call never left.
+        let idle = if again { take_idle(&mut self.connections, now, QUIET_S, MAX_IDLE_S) } else { None };
+        let Some(id) = idle.or_else(|| self.open(now)) else {
+            // No descriptor is left, or the system refused at once: the call was never sent.
             return self.refuse(now, name, wheel);
         };
         let Some(c) = self.connections.get_mut(&id) else { return };
@@ -126,18 +136,19 @@
     fn refuse(&mut self, now: f64, name: Rc<str>, wheel: &mut Wheel) {
         let number = self.poll.fresh();
         self.refused.insert(number, name);
-        wheel.set(now, REFUSED_S, Timer::Call(number));
+        wheel.set(now, REFUSED_PAUSE_S, Timer::Call(number));
     }
 
     fn open(&mut self, now: f64) -> Option<u64> {
         let id = self.poll.fresh();
-        let link = Link::connect(&self.poll, self.address, Place::Records(id), REPLY_MOST).ok()?;
-        let (to, connected, call, idle_since) = (self.address, false, None, now);
-        self.connections.insert(id, Connection { link, to, connected, call, idle_since });
+        let link = Link::connect(&self.poll, self.address, Place::Records(id), MAX_REPLY_BYTES).ok()?;
+        let connection =
+            Connection { link, address: self.address, connected: false, call: None, idle_since: now };
+        self.connections.insert(id, connection);
         Some(id)
     }
 
-    /// Gives up the call of a run, if there is one.
+    /// Abandons the call of a run, if there is one.
     pub fn give_up(&mut self, name: &str) {
         if let Some(id) = self.by_name.remove(name) {
             self.connections.remove(&id);
@@ -145,7 +156,7 @@
         self.refused.retain(|_, refused| &**refused != name);
     }
 
-    /// A timer of a call has come: the call is given up, or it is told that it never left.
+    /// A timer of a call is due: the call is abandoned, or reported as never sent.
     pub fn due(&mut self, number: u64, inputs: &mut Vec<Input>) {
         if let Some(name) = self.refused.remove(&number) {
             inputs.push(Input::CallEnded { name, outcome: Outcome::Unreachable, reply: None });
@@ -159,43 +170,38 @@
         }
     }
 
-    /// Takes what has come, for all connections that something happened to.
+    /// Reads and writes on all connections that something happened to.
     pub fn gather(&mut self, now: f64, inputs: &mut Vec<Input>, wheel: &mut Wheel, log: &mut Log) {
         let mut touched = std::mem::take(&mut self.touched);
         touched.sort_unstable();
         touched.dedup();
         for id in touched {
-            self.look(now, id, inputs, wheel, log);
+            self.process_connection(now, id, inputs, wheel, log);
         }
     }
 
-    fn look(&mut self, now: f64, id: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel, log: &mut Log) {
-        let Some(c) = self.connections.get_mut(&id) else { return };
-        if !c.connected {
-            match c.link.connected() {
-                None => return,
-                // Nothing has been sent: refused or not, the call never ran.
-                Some(Err(_)) => {
-                    let call = self.connections.remove(&id).and_then(|c| c.call);
-                    if let Some(call) = call {
-                        self.by_name.remove(&call.name);
-                        self.refuse(now, call.name, wheel);
-                    }
-                    return;
-                }
-                Some(Ok(())) => c.connected = true,
-            }
+    fn process_connection(
+        &mut self,
+        now: f64,
+        id: u64,
+        inputs: &mut Vec<Input>,
+        wheel: &mut Wheel,
+        log: &mut Log,
+    ) {
+        if !self.establish(now, id, wheel) {
+            return;
         }
+        let Some(c) = self.connections.get_mut(&id) else { return };
         let flushed = c.link.flush();
         let filled = c.link.fill();
-        let reply = parse(c.link.data());
         if c.call.is_none() {
-            // An idle connection that says something or ends is of no more use.
+            // An idle connection that sends something or ends can't be used again.
             if filled != Filled::Open || !c.link.data().is_empty() {
                 self.connections.remove(&id);
             }
             return;
         }
+        let reply = parse(c.link.data());
         let (outcome, body, keep) = match reply {
             Ok(Some(reply)) => {
                 let body = c.link.data().get(reply.body).unwrap_or(&[]);
@@ -204,9 +210,9 @@
                 // Bytes beyond the reply spoil the connection, not the reply.
                 (reply.outcome, body, reply.keep && filled == Filled::Open && c.link.data().is_empty())
             }
-            // What can't be read proves nothing, and neither does a break.
-            Err(why) => {
-                log.often(why);
+            // Neither a reply that can't be read nor a break proves that the call did not run.
+            Err(error) => {
+                log.often(error.line());
                 (Outcome::Interrupted, None, false)
             }
             Ok(None) if filled != Filled::Open || flushed.is_err() => (Outcome::Interrupted, None, false),
@@ -214,7 +220,7 @@
         };
         c.idle_since = now;
         let call = c.call.take();
-        let keep = keep && c.to == self.address;
+        let keep = keep && c.address == self.address;
         if !keep || full(&self.connections) {
             self.connections.remove(&id);
         }
@@ -224,42 +230,89 @@
         }
     }
 
+    /// Whether a connection is established; a call on one that can't be was never sent.
+    fn establish(&mut self, now: f64, id: u64, wheel: &mut Wheel) -> bool {
+        let Some(c) = self.connections.get_mut(&id) else { return false };
+        if c.connected {
+            return true;
+        }
+        match c.link.connected() {
+            None => false,
+            Some(Ok(())) => {
+                c.connected = true;
+                true
+            }
+            Some(Err(_)) => {
+                if let Some(call) = self.connections.remove(&id).and_then(|c| c.call) {
+                    self.by_name.remove(&call.name);
+                    self.refuse(now, call.name, wheel);
+                }
+                false
+            }
+        }
+    }
+
     /// Closes connections that have been idle for long.
     pub fn sweep(&mut self, now: f64) {
-        self.connections.retain(|_, c| c.call.is_some() || now - c.idle_since < IDLE_KEEP_S);
+        self.connections.retain(|_, c| c.call.is_some() || now - c.idle_since < MAX_IDLE_S);
     }
 }
 
+/// A complete reply in the input buffer.
 struct Reply {
     outcome: Outcome,
     body: std::ops::Range<usize>,
     length: usize,
+    /// The connection can be used again.
     keep: bool,
 }
 
-/// Reads a reply where it lies, behind interim ones if there are any; `None` while it is not whole.
-fn parse(data: &[u8]) -> Result<Option<Reply>, &'static str> {
+/// Why a reply can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReplyError {
+    Head,
+    ProtocolChange,
+    Length,
+    Encoding,
+}
+
+impl ReplyError {
+    /// The line for the log.
+    fn line(self) -> &'static str {
+        match self {
+            ReplyError::Head => "records service: the head of a reply can't be read",
+            ReplyError::ProtocolChange => "records service: a reply changes the protocol",
+            ReplyError::Length => "records service: a reply has no fit Content-Length",
+            ReplyError::Encoding => "records service: a reply comes in an encoding that was not asked for",
+        }
+    }
+}
+
+/// Parses a reply where it lies, behind interim ones if there are any; `None` while it is not complete.
+fn parse(data: &[u8]) -> Result<Option<Reply>, ReplyError> {
     let mut start = 0;
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let rest = data.get(start..).unwrap_or(&[]);
         match head.parse(rest) {
-            Ok(httparse::Status::Complete(n)) if start + n <= HEAD_MOST => start += n,
-            Ok(httparse::Status::Partial) if data.len() < HEAD_MOST => return Ok(None),
-            _ => return Err("records service: the head of a reply can't be read"),
+            Ok(httparse::Status::Complete(n)) if start + n <= MAX_HEAD_BYTES => start += n,
+            Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
+            _ => return Err(ReplyError::Head),
         }
-        // An interim answer has no body, and the reply follows it. A change of protocol was not asked for.
+        // An interim response has no body, and the reply follows it. A change of protocol was not requested.
         match head.code {
-            Some(101) => return Err("records service: a reply changes the protocol"),
+            Some(101) => return Err(ReplyError::ProtocolChange),
             Some(100..=199) => {}
-            _ => return whole(&head, start, data),
+            _ => return parse_body(&head, start, data),
         }
     }
 }
 
-fn whole(head: &httparse::Response, start: usize, data: &[u8]) -> Result<Option<Reply>, &'static str> {
-    let (mut length, mut never_ran, mut keep) = (None, false, head.version == Some(1));
+fn parse_body(head: &httparse::Response, start: usize, data: &[u8]) -> Result<Option<Reply>, ReplyError> {
+    let mut length = None;
+    let mut never_ran = false;
+    let mut keep = head.version == Some(1);
     for h in head.headers.iter() {
         let value = std::str::from_utf8(h.value).unwrap_or("").trim();
         if h.name.eq_ignore_ascii_case("Content-Length") {
@@ -267,18 +320,18 @@
             // Two lengths, or one with a sign, could be read two ways.
             length = value.parse::<usize>().ok().filter(|_| digits && length.is_none());
             if length.is_none() {
-                return Err("records service: a reply has no fit Content-Length");
+                return Err(ReplyError::Length);
             }
         } else if h.name.eq_ignore_ascii_case("Transfer-Encoding") {
-            return Err("records service: a reply comes in an encoding that was not asked for");
+            return Err(ReplyError::Encoding);
         } else if h.name.eq_ignore_ascii_case("Op-Not-Begun") {
             never_ran = value == "1";
         } else if h.name.eq_ignore_ascii_case("Connection") {
             keep &= !value.eq_ignore_ascii_case("close");
         }
     }
-    let fit = |n: &usize| *n <= REPLY_MOST - HEAD_MOST;
-    let length = length.filter(fit).ok_or("records service: a reply has no fit Content-Length")?;
+    let fit = |n: &usize| *n <= MAX_REPLY_BYTES - MAX_HEAD_BYTES;
+    let length = length.filter(fit).ok_or(ReplyError::Length)?;
     if data.len() < start + length {
         return Ok(None);
     }
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -26,8 +26,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\nok",
         "HTTP/1.1 200 OK\r\n\r\nok",
-        &format!("HTTP/1.1 200 OK\r\nA: {}", "a".repeat(HEAD_MOST)),
-        &"HTTP/1.1 100 Continue\r\n\r\n".repeat(HEAD_MOST / 20),
+        &format!("HTTP/1.1 200 OK\r\nA: {}", "a".repeat(MAX_HEAD_BYTES)),
+        &"HTTP/1.1 100 Continue\r\n\r\n".repeat(MAX_HEAD_BYTES / 20),
     ] {
         assert!(parse(bad.as_bytes()).is_err(), "{bad:.60}");
     }
--- a/src/net/upstreams/registry.rs
+++ b/src/net/upstreams/registry.rs
@@ -1,48 +1,58 @@
-//! Reports to the registry: a datagram of three words, without an answer.
+//! Load reports to the registry: datagrams of three words, without an answer.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// How often a report is due (seconds); a worker is struck off the list 3 s after its last.
-/// Often enough that a quarter of them may get lost: all of those within 3 s are then lost once in 10^9 times.
+/// How often a report is due (seconds). A worker is delisted 3 s after its last one. A quarter of the reports may be
+/// lost: all of those within 3 s are then lost once in 10^9 times.
 pub const BEAT_S: f64 = 0.2;
 
-/// The registry, and what it has been told last.
+/// The registry, and what was reported last.
 pub struct Registry {
-    to: SocketAddr,
+    address: SocketAddr,
     socket: UdpSocket,
     name: String,
-    told: Option<bool>,
+    /// The last reported readiness.
+    reported: Option<bool>,
 }
 
 impl Registry {
-    pub fn new(to: SocketAddr, name: &str) -> io::Result<Registry> {
-        Ok(Registry { to, socket: socket(to)?, name: name.to_owned(), told: None })
+    /// Opens a socket for reports about the worker of this name.
+    ///
+    /// # Errors
+    /// The system has no socket for the address.
+    pub fn new(address: SocketAddr, name: &str) -> io::Result<Registry> {
+        Ok(Registry { address, socket: socket(address)?, name: name.to_owned(), reported: None })
     }
 
-    /// Reports go to another address from here on.
-    pub fn move_to(&mut self, to: SocketAddr) -> io::Result<()> {
-        if to != self.to {
-            (self.socket, self.to, self.told) = (socket(to)?, to, None);
+    /// Sends later reports to another address.
+    ///
+    /// # Errors
+    /// The system has no socket for it; reports go on to the old one.
+    pub fn move_to(&mut self, address: SocketAddr) -> io::Result<()> {
+        if address != self.address {
+            self.socket = socket(address)?;
+            self.address = address;
+            self.reported = None;
         }
         Ok(())
     }
 
-    /// Reports if the state has changed, or if `due`. A lost datagram is made up for by the next.
+    /// Reports if the readiness has changed, or if a report is due. A lost datagram is made up for by the next.
     pub fn beat(&mut self, ready: bool, due: bool) {
-        if due || self.told != Some(ready) {
+        if due || self.reported != Some(ready) {
             let state = if ready { "ready" } else { "draining" };
-            // The registry may be down: nothing lapses until it is back.
+            // The registry may be down; the next report tells it the same.
             let _ = self.socket.send(format!("BEAT {} {state}", self.name).as_bytes());
-            self.told = Some(ready);
+            self.reported = Some(ready);
         }
     }
 }
 
-fn socket(to: SocketAddr) -> io::Result<UdpSocket> {
-    let any: SocketAddr = if to.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
+fn socket(address: SocketAddr) -> io::Result<UdpSocket> {
+    let any: SocketAddr = if address.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
     let socket = UdpSocket::bind(any)?;
     socket.set_nonblocking(true)?;
-    socket.connect(to)?;
+    socket.connect(address)?;
     Ok(socket)
 }
