--- a/src/dispatch/idempotency/tests.rs
+++ b/src/dispatch/idempotency/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_try_is_linked_by_its_arrival_not_by_when_it_is_read() {
+fn an_attempt_is_matched_by_its_arrival_and_not_by_when_it_is_read() {
     let mut keys = IdempotencyTable::new(100, 9, 0.0);
     keys.retain(&name("a"), RequestId(1), 0, 10.0);
     keys.complete(&name("a"), RequestId(1), served(b"done"));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_open_run_is_linked_beyond_its_time() {
+fn an_open_run_is_matched_beyond_its_window() {
     let mut keys = IdempotencyTable::new(100, 9, 0.0);
     keys.retain(&name("a"), RequestId(1), 0, 10.0);
     keys.remove_expired(30.0);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn results_beyond_the_room_go_oldest_first_and_their_links_stay() {
+fn results_beyond_the_capacity_go_oldest_first_and_their_keys_stay() {
     let mut keys = IdempotencyTable::new(10, 9, 0.0);
     for (i, key) in ["a", "b"].iter().enumerate() {
         keys.retain(&name(key), RequestId(i as u64), 0, 10.0);
@@ -50,7 +50,7 @@
 
 /// A try of the old window ran a second time, or was refused, because a later one was read before it.
 #[test]
-fn a_run_stands_for_its_window_while_another_holder_has_the_key_and_after_it() {
+fn a_previous_run_is_matched_within_its_window_while_another_holder_has_the_key_and_after() {
     let mut keys = IdempotencyTable::new(100, 9, 0.0);
     keys.retain(&name("a"), RequestId(1), 5, 10.0);
     keys.complete(&name("a"), RequestId(1), served(b"done"));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_entry_is_kept_for_as_long_as_callers_wait() {
+fn an_entry_is_retained_for_as_long_as_callers_wait() {
     let mut keys = IdempotencyTable::new(100, 9, 14.0);
     keys.retain(&name("a"), RequestId(1), 0, 1.0);
     keys.complete(&name("a"), RequestId(1), KeyProgress::Failed);
--- a/src/dispatch/tests/crossings.rs
+++ b/src/dispatch/tests/crossings.rs
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn under_any_settings_and_in_any_order_each_has_one_answer_and_each_key_one_run() {
+fn under_any_settings_and_in_any_order_each_request_gets_one_response_and_each_key_one_run() {
     let cases = std::env::var("CROSSINGS_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(300);
     let config = Config { cases, failure_persistence: None, max_shrink_iters: 20_000, ..Config::default() };
     let dice = TestRng::from_seed(RngAlgorithm::ChaCha, &[24; 32]);
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn tries_of_a_key_share_one_run_before_during_and_after_it() {
+fn retries_of_a_key_share_one_run_before_during_and_after_it() {
     let mut p = Play::new();
     // Both slots are taken: the key's first try is held, its second is linked to it there.
     p.arrive(1, "");
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_run_past_its_due_time_is_answered_once_and_its_result_kept() {
+fn a_run_past_its_deadline_gets_one_response_and_its_result_is_retained() {
     let mut p = Play::new();
     p.arrive(1, "k");
     assert_eq!(answers(&p.pass(3.2)), vec![(1, Response::DeadlineExceeded)]);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_run_that_never_began_frees_its_key_and_one_that_failed_does_not() {
+fn a_run_that_never_began_releases_its_key_and_one_that_failed_does_not() {
     let mut p = Play::new();
     p.arrive(1, "k");
     p.arrive(2, "k");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_call_is_given_up_with_its_run_and_late_news_of_either_is_let_pass() {
+fn a_call_is_abandoned_with_its_run_and_late_inputs_for_either_are_ignored() {
     let mut p = Play::new();
     p.arrive(1, "");
     let out = p.tell(Input::AtCall { name: "r1".into(), body: Rc::from(*b"?"), mark: 7 });
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_second_request_of_a_name_in_hand_is_failed_and_the_first_is_not_touched() {
+fn a_second_request_with_a_name_in_flight_conflicts_and_the_first_goes_on() {
     let mut p = Play::new();
     p.arrive(1, "");
     let out = p.tell(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
@@ -177,7 +177,7 @@
 
 /// Bad clients were served with the result of the request whose key they used.
 #[test]
-fn a_known_key_with_another_body_is_turned_away_and_the_first_is_not_touched() {
+fn a_known_key_with_another_body_conflicts_and_the_first_goes_on() {
     let other = |number| Input::Arrived(Request { body: Rc::from(*b"other"), ..request(number, "k") });
     let turned_away = |number| vec![Command::Respond(Ticket(number), Response::Conflict)];
     let mut p = Play::new();
@@ -191,7 +191,7 @@
 
 /// Lost commands held their run slots until long after their due time.
 #[test]
-fn what_a_broken_link_may_have_lost_is_given_again_and_a_reply_not_to_the_next_call() {
+fn lost_commands_are_sent_again_and_a_reply_never_answers_the_next_call() {
     let mut p = Play::new();
     p.arrive(1, "");
     p.arrive(2, "k");
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_start_that_came_too_late_frees_its_key_unless_it_was_given_twice() {
+fn a_start_that_came_too_late_releases_its_key_unless_it_was_commanded_twice() {
     let mut p = Play::new();
     p.arrive(1, "k");
     assert_eq!(answers(&p.end(1, Outcome::NotStarted, b"")), vec![(1, Response::not_started())]);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_caller_that_is_gone_is_forgotten_while_held_and_its_run_goes_on() {
+fn a_disconnected_caller_is_released_while_queued_and_its_run_goes_on() {
     let mut p = Play::new();
     p.arrive(1, "k");
     p.arrive(2, "");
@@ -277,7 +277,7 @@
 
 /// Whatever happens in whatever order: one answer each, and one run a key and window.
 #[test]
-fn every_request_has_one_answer_and_every_key_one_run() {
+fn every_request_gets_one_response_and_every_key_one_run() {
     for seed in 0..20u64 {
         let (mut p, mut dice) = (Play::new(), seed.wrapping_mul(77) + 5);
         let mut roll = |n: u64| {
@@ -330,7 +330,7 @@
 
     /// Taken = served + refused + failed + in hand, at any instant, whatever happens in whatever order.
     #[test]
-    fn each_request_is_counted_once_and_at_any_instant() {
+    fn each_request_is_counted_once_at_any_instant() {
         let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
         let dice = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
         let step = (0..10u8, 0..60u64, 0..4usize, 1..40u32);
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_key_runs_once_in_both_and_every_request_has_one_answer() {
+fn a_key_runs_once_in_both_processes_and_every_request_gets_one_response() {
     let config = Config { cases: 120, failure_persistence: None, ..Config::default() };
     let dice = TestRng::from_seed(RngAlgorithm::ChaCha, &[23; 32]);
     let step = (0..20u8, 0..12usize, 0..4usize, 1..30u32);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn what_waits_for_a_slot_is_lent_and_runs_where_it_was_lent_to() {
+fn queued_requests_are_handed_off_and_run_in_the_successor() {
     let mut pair = Pair::new();
     for number in 1..=3 {
         pair.arrive(number, "");
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_is_taken_back_is_decided_as_if_it_had_never_been_lent() {
+fn reclaimed_requests_are_decided_as_if_they_had_never_been_handed_off() {
     let mut p = Play::new();
     p.arrive(1, "");
     p.arrive(2, "");
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_name_that_runs_in_the_other_process_is_taken() {
+fn a_name_that_runs_in_the_predecessor_conflicts() {
     let mut pair = Pair::new();
     pair.arrive(1, "");
     pair.lend();
@@ -239,7 +239,7 @@
 
 /// Tries waited for an end that had come, until their own time was over.
 #[test]
-fn the_end_of_a_key_in_the_other_process_reaches_its_tries_at_once() {
+fn the_end_of_a_key_in_the_predecessor_reaches_its_retries_immediately() {
     for (outcome, answer) in [
         (Outcome::Ok, served(b"done")),
         (Outcome::Error, Response::Failed),
@@ -262,7 +262,7 @@
 
 /// Each replacement gave every tenant its whole bucket again, and called a flood of further tries quiet.
 #[test]
-fn a_tenant_over_its_quota_gains_nothing_by_a_replacement() {
+fn a_tenant_over_its_quota_gains_nothing_by_a_hot_restart() {
     let of_tenant = |number| Request { tenant: Some(0), retry: true, ..request(number, "") };
     let with_quota = || Play::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
     let lent = |p: &mut Play| p.core.hand_off(p.now, |_| true, &mut Vec::new());
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_successor_knows_what_was_learned_and_no_more_runs_than_the_cores_survive() {
+fn a_successor_adopts_what_was_learned_within_its_own_run_limit() {
     let mut p = Play::new();
     for number in 1..=40 {
         p.arrive(number, "");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -75,28 +75,28 @@
 }
 
 /// What the platform holds for a worker and its successors: the listening socket, and the folder that they share.
-pub struct Door {
+pub struct SharedListener {
     pub listener: TcpListener,
     pub folder: std::path::PathBuf,
 }
 
-impl Door {
-    pub fn new() -> Door {
+impl SharedListener {
+    pub fn new() -> SharedListener {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         // Every process that is started from here on inherits it.
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
         let folder = std::env::temp_dir().join(format!("honeypost-door-{}-{}", std::process::id(), name()));
         std::fs::create_dir_all(&folder).unwrap();
-        Door { listener, folder }
+        SharedListener { listener, folder }
     }
 
     /// Where a worker waits for its successor.
-    pub fn socket(&self) -> std::path::PathBuf {
+    pub fn hot_restart_socket(&self) -> std::path::PathBuf {
         self.folder.join("honeypost-handover.sock")
     }
 }
 
-impl Drop for Door {
+impl Drop for SharedListener {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -146,23 +146,25 @@
         Site::run(command, |_| {}, None)
     }
 
-    /// Starts a worker at a door that the platform holds, beside whichever workers it has let in before.
-    pub fn at(door: &Door, change: impl FnOnce(&mut Value)) -> Site {
-        Site::at_with(door, change, None)
+    /// Starts a worker on a listener that the platform holds, beside the workers that were started on it before.
+    pub fn at(shared: &SharedListener, change: impl FnOnce(&mut Value)) -> Site {
+        Site::at_with(shared, change, None)
     }
 
     /// The same with an operator's file. Its fronts may open late, so their addresses are not waited for.
-    pub fn at_with(door: &Door, change: impl FnOnce(&mut Value), operator: Option<&str>) -> Site {
+    pub fn at_with(shared: &SharedListener, change: impl FnOnce(&mut Value), operator: Option<&str>) -> Site {
         let mut command = Command::new(env!("CARGO_BIN_EXE_port-worker"));
-        command.env("ROUTER_SOCKET_FD", door.listener.as_raw_fd().to_string()).env("TMPDIR", &door.folder);
+        command
+            .env("ROUTER_SOCKET_FD", shared.listener.as_raw_fd().to_string())
+            .env("TMPDIR", &shared.folder);
         let change = |c: &mut Value| {
-            c["listen"] = json!(door.listener.local_addr().unwrap());
+            c["listen"] = json!(shared.listener.local_addr().unwrap());
             c["console"] = json!("127.0.0.1:0");
             change(c);
         };
         if let Some(text) = operator {
-            std::fs::write(door.folder.join("operator.toml"), text).unwrap();
-            command.arg("--operator").arg(door.folder.join("operator.toml"));
+            std::fs::write(shared.folder.join("operator.toml"), text).unwrap();
+            command.arg("--operator").arg(shared.folder.join("operator.toml"));
         }
         Site::run(command, change, None)
     }
--- a/tests/crossings/closing.rs
+++ b/tests/crossings/closing.rs
@@ -1,21 +1,21 @@
-//! The end of one connection against its next request, its last answer and its peer's last bytes.
+//! The close of one connection against its next request, its last response and its peer's last bytes.
 
 use super::*;
 use std::io::Write;
 
-/// The oldest that rests gives way where descriptors run out, but not one whose next request lies unread.
+/// The oldest idle connection is closed where descriptors run out, but not one whose next request lies unread.
 #[test]
-fn a_resting_connection_whose_next_request_lies_unread_makes_room_for_nobody() {
+fn an_idle_connection_with_an_unread_request_is_not_closed_for_another() {
     let site = Site::with(|c| c["limits"]["sockets"] = json!(96), None);
     let mut executor = site.link();
-    // As many as the budget allows, each of which asked once.
+    // As many as the budget allows, each of which has sent a request.
     let mut resting: Vec<Client> = Vec::new();
     for _ in 0..28 {
         let mut client = Client::connect(site.http);
         assert_eq!(client.ask_check(), 200);
         resting.push(client);
     }
-    // All have rested for long enough to give way.
+    // All have been idle for long enough to be closed.
     let_pass(Duration::from_millis(60));
     assert_eq!(site.health(), 200);
     site.hang(true);
@@ -27,13 +27,13 @@
     for client in &mut late {
         assert_eq!(client.answer().status, 200);
     }
-    let (mut client, job) = begin(&site, &mut executor, &Ask::new("look"));
-    done(&mut executor, &job, &mut client);
+    let (mut client, job) = start_run(&site, &mut executor, &Ask::new("look"));
+    finish_run(&mut executor, &job, &mut client);
 }
 
-/// A refusal of bad input is followed by more of it: the close must not reset the answer away.
+/// More bad input follows after the rejection: the close must not reset the connection before the response is read.
 #[test]
-fn a_refusal_is_read_whole_by_a_peer_that_goes_on_sending() {
+fn a_rejection_reaches_a_peer_that_goes_on_sending() {
     let site = Site::start();
     let _executor = site.link();
     for bad in
@@ -42,7 +42,7 @@
         let mut client = Client::connect(site.http);
         client.write(bad);
         let mut waits = [0; 1];
-        // The answer is there, and not read yet.
+        // The response is there, and not read yet.
         assert_eq!(client.reader.get_ref().peek(&mut waits).unwrap(), 1);
         for _ in 0..50 {
             client.write(&"x".repeat(8192));
@@ -52,7 +52,7 @@
     }
 }
 
-/// Half a head, half a body, nothing at all: closed within 3 s by a close, and nothing of it reaches the core.
+/// Half a head, half a body, nothing at all: closed within 3 s without a reset, and nothing of it is dispatched.
 #[test]
 fn half_requests_end_by_a_close_and_never_by_a_reset() {
     let site = Site::start();
@@ -74,7 +74,7 @@
     executor.quiet_but_for(&site, "");
 }
 
-/// Bytes that follow a close which the peer asked for are no request.
+/// Bytes that follow a close which the peer requested are no request.
 #[test]
 fn what_follows_a_request_that_asked_for_the_close_is_dropped() {
     let site = Site::start();
@@ -92,9 +92,9 @@
     executor.quiet_but_for(&site, &second);
 }
 
-/// A peer that never reads and never ends is waited for, but not for ever, and costs nobody their answer.
+/// A peer that never reads and never closes is waited for, but not for ever, and no other client loses its response.
 #[test]
-fn peers_that_go_on_sending_after_the_end_are_dropped_and_the_rest_is_served() {
+fn peers_that_go_on_sending_after_the_close_are_dropped_and_the_rest_is_served() {
     let site = Site::start();
     let mut executor = site.link();
     let mut senders: Vec<TcpStream> = (0..8).map(|_| TcpStream::connect(site.http).unwrap()).collect();
@@ -104,17 +104,17 @@
     }
     let bytes = [b'x'; 64 * 1024];
     let begun = Instant::now();
-    // Each ends although it never stops.
+    // Each is closed although it never stops sending.
     for sender in &mut senders {
         while sender.write_all(&bytes).is_ok() {
             assert!(begun.elapsed() < PATIENCE, "it is read for ever");
         }
     }
-    let (mut client, job) = begin(&site, &mut executor, &Ask::new("look"));
-    done(&mut executor, &job, &mut client);
+    let (mut client, job) = start_run(&site, &mut executor, &Ask::new("look"));
+    finish_run(&mut executor, &job, &mut client);
 }
 
-/// A packet that can't be read, with more behind it than is ever kept unread, behind an answer that is not read yet.
+/// A packet that can't be parsed, with more behind it than is ever buffered, behind a response that is not read yet.
 #[test]
 fn a_bad_ajp_packet_ends_its_connection_without_a_reset() {
     let front = "[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3cret\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n";
--- a/tests/crossings/below.rs
+++ b/tests/crossings/downstream.rs
@@ -1,19 +1,20 @@
-//! Executor and records service: what they say against the end of their links, and of time.
+//! Executor and records service: their messages against the end of their links and of timeouts.
 
 use super::*;
 
-/// So many calls show the module how long one takes.
+/// After so many calls the controller knows how long one takes.
 const CALLS: usize = 40;
 
-/// The reply lies there when its time is over: what has come in time counts.
+/// The reply is there when its timeout ends: what came in time counts.
 #[test]
-fn a_reply_that_meets_the_end_of_its_wait_counts() {
+fn a_reply_that_meets_its_timeout_counts() {
     let site = Site::start();
     let mut executor = site.link();
     let mut records: Option<Client> = None;
-    // The first calls show how long one takes; later ones are waited for accordingly.
+    // The first calls show how long one takes; the timeout of later ones follows.
     for round in 0..CALLS {
-        let (mut client, job) = begin(&site, &mut executor, &Ask { key: Some(&name()), ..Ask::new("order") });
+        let (mut client, job) =
+            start_run(&site, &mut executor, &Ask { key: Some(&name()), ..Ask::new("order") });
         executor.notice(json!({"type": "CALLOUT", "job": job, "data": encode("number?")}));
         let mut service = Client::on(accept(&site.records));
         let (_, head, _) = service.message();
@@ -30,19 +31,19 @@
         }
         let command = executor.next("RETURN");
         assert_eq!((&command["job"], &command["data"]), (&job, &json!(encode("yes"))));
-        done(&mut executor, &job, &mut client);
+        finish_run(&mut executor, &job, &mut client);
         records = Some(service);
     }
     drop(records);
 }
 
-/// Whole notices, half a one and the end of the link in one piece: what came in whole counts, once.
+/// Complete notices, half a notice and the end of the link at once: complete ones count, once.
 #[test]
-fn notices_before_the_end_of_the_link_count_and_half_a_one_comes_again() {
+fn notices_before_the_end_of_a_link_count_once_and_half_a_notice_is_repeated() {
     let site = Site::start();
     let mut executor = site.link();
-    let (mut first, one) = begin(&site, &mut executor, &Ask { key: Some("a"), ..Ask::new("order") });
-    let (mut second, two) = begin(&site, &mut executor, &Ask { key: Some("b"), ..Ask::new("order") });
+    let (mut first, one) = start_run(&site, &mut executor, &Ask { key: Some("a"), ..Ask::new("order") });
+    let (mut second, two) = start_run(&site, &mut executor, &Ask { key: Some("b"), ..Ask::new("order") });
     site.hang(true);
     executor.exit(&one, "PASS", "one");
     let half =
@@ -61,13 +62,13 @@
     executor.quiet_but_for(&site, "");
 }
 
-/// The end of a run and the word that its request is unknown, for one job and in either order: one answer.
+/// The end of a run and the notice that its request is unknown, for one job and in either order: one response.
 #[test]
-fn an_exit_and_a_bad_for_one_job_are_one_answer() {
+fn an_exit_and_a_bad_for_one_job_are_one_response() {
     let site = Site::start();
     let mut executor = site.link();
     for bad_first in [true, false] {
-        let (mut client, job) = begin(&site, &mut executor, &Ask::new("look"));
+        let (mut client, job) = start_run(&site, &mut executor, &Ask::new("look"));
         site.hang(true);
         let bad = json!({"type": "BAD", "state": "EXEC", "job": job});
         if bad_first {
@@ -79,19 +80,19 @@
         }
         site.hang(false);
         assert_eq!(client.answer().status, if bad_first { 500 } else { 200 });
-        let (mut client, job) = begin(&site, &mut executor, &Ask::new("look"));
+        let (mut client, job) = start_run(&site, &mut executor, &Ask::new("look"));
         executor.exit(&job, "PASS", "next");
         assert_eq!(client.answer().body, b"next");
     }
 }
 
-/// A link breaks after a start was given, and a further try comes before the new link's fence is answered.
+/// A link breaks after a run was commanded, and a retry comes before the new link's fence is answered.
 #[test]
-fn a_try_between_the_break_of_a_link_and_its_fence_shares_the_run() {
+fn a_retry_between_the_break_of_a_link_and_its_fence_shares_the_run() {
     let site = Site::start();
     let mut executor = site.link();
     let order = || Ask { key: Some("5c0f"), ..Ask::new("order") };
-    let (mut first, job) = begin(&site, &mut executor, &order());
+    let (mut first, job) = start_run(&site, &mut executor, &order());
     let mut again = Client::connect(site.http);
     assert_eq!(again.ask_check(), 200);
     site.hang(true);
@@ -109,9 +110,9 @@
     executor.quiet_but_for(&site, "");
 }
 
-/// A reply and the close of its connection in one piece; a reply cut at its last byte; bytes behind a reply.
+/// A reply and the close of its connection at once; a reply truncated by a byte; bytes behind a reply.
 #[test]
-fn a_reply_counts_when_it_is_whole_and_proves_nothing_when_it_is_cut() {
+fn a_complete_reply_counts_and_a_truncated_one_proves_nothing() {
     let site = Site::start();
     let mut executor = site.link();
     for (text, whole) in [
@@ -121,7 +122,8 @@
         ("HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1\r\nContent-Length: 3\r\n\r\nno", false),
     ] {
         let key = name();
-        let (mut client, job) = begin(&site, &mut executor, &Ask { key: Some(&key), ..Ask::new("order") });
+        let (mut client, job) =
+            start_run(&site, &mut executor, &Ask { key: Some(&key), ..Ask::new("order") });
         executor.notice(json!({"type": "CALLOUT", "job": job, "data": encode("number?")}));
         let mut service = Client::on(accept(&site.records));
         service.message();
@@ -134,7 +136,7 @@
             executor.exit(&job, "PASS", "done");
             assert_eq!(client.answer().body, b"done");
         } else {
-            // It may have had its effect: the order fails, and is called for no second time.
+            // It may have had its effect: the order fails, and the call is not repeated.
             assert_eq!(client.answer().status, 500);
             executor.exit(&job, "KILLED", "");
             let mut again = Client::connect(site.http);
@@ -144,10 +146,10 @@
     }
 }
 
-/// Ready as soon as it can serve, and not before: the executor may take long, its word may come in pieces, and the
+/// Ready as soon as it can serve, and not before: the executor may take long, its message may come in pieces, and the
 /// link may break in the middle of it.
 #[test]
-fn a_worker_is_ready_with_the_whole_welcome_and_not_before() {
+fn a_worker_is_ready_with_the_complete_welcome_and_not_before() {
     let site = Site::with(|c| c["console"] = json!("127.0.0.1:0"), None);
     let mut executor = Executor::accept(&site.executor);
     assert_eq!(executor.next("JOIN")["n"], 0);
@@ -157,6 +159,6 @@
     drop(executor);
     let mut executor = site.link();
     assert_eq!((site.health(), site.call("GET", "/-/ready").0), (200, 200));
-    let (mut client, job) = begin(&site, &mut executor, &Ask::new("look"));
-    done(&mut executor, &job, &mut client);
+    let (mut client, job) = start_run(&site, &mut executor, &Ask::new("look"));
+    finish_run(&mut executor, &job, &mut client);
 }
--- a/tests/crossings/keys.rs
+++ b/tests/crossings/keys.rs
@@ -1,4 +1,4 @@
-//! Tries of one key against the end of its run, its window and their callers.
+//! Attempts with one idempotency key against the end of its run, its window and their callers.
 
 use super::*;
 
@@ -12,72 +12,73 @@
 
 /// The window ends long before the run does.
 #[test]
-fn a_key_is_not_forgotten_while_its_run_goes_on_however_short_its_window() {
+fn a_key_is_retained_while_its_run_goes_on_however_short_its_window() {
     for window_s in [0.0, 0.1] {
         let site = short_window(window_s);
         let mut executor = site.link();
-        let (mut first, job) = begin(&site, &mut executor, &order());
+        let (mut first, job) = start_run(&site, &mut executor, &order());
         // The table is swept each second.
         let_pass(Duration::from_millis(1300));
-        let mut again = Client::connect(site.http);
-        again.send(&order());
+        let mut retry = Client::connect(site.http);
+        retry.send(&order());
         executor.quiet_but_for(&site, "");
         executor.exit(&job, "PASS", "once");
-        assert_eq!((first.answer().body, again.answer().body), (b"once".to_vec(), b"once".to_vec()));
+        assert_eq!((first.answer().body, retry.answer().body), (b"once".to_vec(), b"once".to_vec()));
     }
 }
 
-/// The try and the end of the run are both there when the worker looks.
+/// The retry and the end of the run are handled in one turn.
 #[test]
-fn a_try_that_meets_the_end_of_its_run_gets_its_result() {
+fn a_retry_that_meets_the_end_of_its_run_gets_its_result() {
     let site = Site::start();
     let mut executor = site.link();
-    let (mut first, job) = begin(&site, &mut executor, &order());
-    let mut again = Client::connect(site.http);
-    assert_eq!(again.ask_check(), 200);
+    let (mut first, job) = start_run(&site, &mut executor, &order());
+    let mut retry = Client::connect(site.http);
+    assert_eq!(retry.ask_check(), 200);
     for round in 0..2 {
         site.hang(true);
         // In the second round the run has ended long ago.
         if round == 0 {
             executor.exit(&job, "PASS", "once");
         }
-        again.send(&order());
+        retry.send(&order());
         site.hang(false);
-        assert_eq!(again.answer().body, b"once");
+        assert_eq!(retry.answer().body, b"once");
     }
     assert_eq!(first.answer().body, b"once");
     executor.quiet_but_for(&site, "");
 }
 
-/// The first caller resets as its run ends; the next try comes in the same turn.
+/// The first caller resets its connection as its run ends; the retry comes in the same turn.
 #[test]
-fn a_reset_the_end_of_the_run_and_a_further_try_in_one_turn_are_one_run() {
+fn a_reset_the_end_of_the_run_and_a_retry_in_one_turn_are_one_run() {
     let site = Site::start();
     let mut executor = site.link();
-    let (first, job) = begin(&site, &mut executor, &order());
+    let (first, job) = start_run(&site, &mut executor, &order());
     site.hang(true);
     first.reset();
     executor.exit(&job, "PASS", "once");
-    let mut again = Client::connect(site.http);
-    again.send(&order());
+    let mut retry = Client::connect(site.http);
+    retry.send(&order());
     site.hang(false);
-    assert_eq!(again.answer().body, b"once");
+    assert_eq!(retry.answer().body, b"once");
     executor.quiet_but_for(&site, "");
 }
 
-/// A try that reached the machine within the window is read after one that came when it was over, whose run may not
-/// begin: the first run still stands for it.
+/// An attempt that reached the machine within the window is read after one that came when it was over, whose run may
+/// not begin: it still gets the result of the first run.
 #[test]
-fn a_try_of_the_window_is_no_new_run_because_a_later_one_was_read_first() {
+fn an_attempt_of_the_window_that_is_read_after_a_later_one_does_not_run_again() {
     let site = short_window(0.3);
     let mut executor = site.link();
     executor.gauges = [1.0, 4.0, 0.1, 3.0];
-    let (mut first, job) = begin(&site, &mut executor, &order());
+    let (mut first, job) = start_run(&site, &mut executor, &order());
     let arrived_ms = unix_ms();
     executor.exit(&job, "PASS", "once");
     assert_eq!(first.answer().body, b"once");
-    // Both slots are taken, so that the late one is held.
-    let busy: Vec<(Client, Value)> = (0..2).map(|_| begin(&site, &mut executor, &Ask::new("look"))).collect();
+    // Both slots are taken, so that the late one is queued.
+    let busy: Vec<(Client, Value)> =
+        (0..2).map(|_| start_run(&site, &mut executor, &Ask::new("look"))).collect();
     let_pass(Duration::from_millis(500));
     let mut late = Client::connect(site.http);
     late.send(&order());
--- a/tests/crossings/main.rs
+++ b/tests/crossings/main.rs
@@ -1,12 +1,12 @@
-//! Where two events cross: each story forces both to meet, on real processes and sockets. The table of them stands in
+//! Race conditions: each test forces two events to meet, on real processes and sockets. The table of them stands in
 //! `docs/design/08-crossings.md`.
 //!
-//! A worker that is stopped by the system can't look: what is put before it meanwhile, it finds in one turn.
+//! A worker that is stopped by SIGSTOP handles nothing: what reaches it meanwhile, it finds in one turn of its loop.
 
-mod below;
 mod closing;
 #[path = "../common/mod.rs"]
 mod common;
+mod downstream;
 mod keys;
 mod shutdown;
 
@@ -16,12 +16,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Lets so much time pass while the worker can't look: past the end of some time that is the story's subject.
+/// Lets so much time pass while the worker is stopped: past the end of the timeout that is the test's subject.
 fn let_pass(time: Duration) {
     std::thread::sleep(time);
 }
 
-/// How a connection ended, after whatever still came.
+/// How a connection ended, after what was still received.
 #[derive(Debug, PartialEq)]
 enum End {
     Closed,
@@ -34,15 +34,15 @@
         match client.reader.read(&mut bytes) {
             Ok(0) => return End::Closed,
             Ok(_) => {}
-            // The system breaks such a wait off where this process was stopped for a moment.
+            // The system interrupts such a wait where this process was stopped for a moment.
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::ConnectionReset => return End::Reset,
-            Err(e) => panic!("neither an end nor a reset: {e}"),
+            Err(e) => panic!("neither a close nor a reset: {e}"),
         }
     }
 }
 
-/// Waits until nobody listens there any more.
+/// Waits until nothing listens there any more.
 fn wait_refused(address: SocketAddr) {
     let until = Instant::now() + PATIENCE;
     while TcpStream::connect(address).is_ok() {
@@ -51,8 +51,8 @@
     }
 }
 
-/// A site whose grace and stop are these (seconds, milliseconds).
-fn leaving(grace_s: f64, stop_ms: u64) -> Site {
+/// A site with this grace and this time from the shutdown notice to the stop.
+fn site_with_shutdown(grace_s: f64, stop_ms: u64) -> Site {
     Site::with(
         |c| {
             c["settings"]["contract"]["drainGraceS"] = json!(grace_s);
@@ -63,14 +63,14 @@
 }
 
 /// Starts a run of this class on a connection of its own.
-fn begin(site: &Site, executor: &mut Executor, ask: &Ask) -> (Client, Value) {
+fn start_run(site: &Site, executor: &mut Executor, ask: &Ask) -> (Client, Value) {
     let mut client = Client::connect(site.http);
     client.send(ask);
     (client, executor.next("EXEC")["job"].clone())
 }
 
-/// Ends a run with this result, which its caller then gets.
-fn done(executor: &mut Executor, job: &Value, client: &mut Client) {
+/// Ends a run successfully and checks that its caller gets the result.
+fn finish_run(executor: &mut Executor, job: &Value, client: &mut Client) {
     executor.exit(job, "PASS", "done");
     let reply = client.answer();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"done"[..]), "{}", reply.head);
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -1,18 +1,18 @@
-//! The end of the process against what is on its way in and out.
+//! The end of the process against requests and responses that are on their way.
 
 use super::*;
 
-/// Connections that the system has accepted are the worker's, whether it has taken them in or not: closing the socket
-/// resets them, requests and all.
+/// Connections in the system's backlog are the worker's, whether it has accepted them or not: closing the listener
+/// resets them, and their requests are lost.
 #[test]
-fn a_queue_longer_than_one_turn_takes_in_is_answered_before_the_door_closes() {
+fn a_backlog_longer_than_one_turn_accepts_is_answered_before_the_listeners_close() {
     let change = |c: &mut Value| {
         c["settings"]["contract"]["drainGraceS"] = json!(1.0);
         c["limits"]["sockets"] = json!(1024);
     };
     let mut site = Site::with(change, None);
     let mut executor = site.link();
-    let (mut busy, job) = begin(&site, &mut executor, &Ask::new("look"));
+    let (mut busy, job) = start_run(&site, &mut executor, &Ask::new("look"));
     site.terminate();
     site.wait_log("notice to leave");
     site.hang(true);
@@ -24,17 +24,17 @@
         let reply = client.answer();
         assert_eq!((reply.status, reply.header("Connection")), (503, Some("close")));
     }
-    done(&mut executor, &job, &mut busy);
+    finish_run(&mut executor, &job, &mut busy);
     drop((queue, busy));
     assert!(site.ended_well());
 }
 
-/// The notice may lie unread while the process is stopped: the grace counts from when it was sent.
+/// The notice may lie unhandled while the process is stopped: the grace counts from when it was sent.
 #[test]
 fn a_notice_read_late_lets_nothing_run_that_came_after_its_grace() {
-    let mut site = leaving(0.2, 8000);
+    let mut site = site_with_shutdown(0.2, 8000);
     let mut executor = site.link();
-    // The worker is seen to be awake just before it is stopped, so that this is when the notice comes.
+    // The worker is seen to run just before it is stopped, so that this is when the notice comes.
     assert_eq!(site.health(), 200);
     site.hang(true);
     site.terminate();
@@ -49,34 +49,34 @@
     assert!(site.ended_well());
 }
 
-/// What is owed at the stop is owed whatever the stop is.
+/// Responses that are pending at the stop are given however early the stop is.
 #[test]
-fn however_short_the_stop_what_runs_and_what_is_held_is_answered() {
+fn running_and_queued_requests_are_answered_however_short_the_shutdown() {
     for stop_ms in [300, 120, 30, 1, 0] {
-        let mut site = leaving(2.0, stop_ms);
+        let mut site = site_with_shutdown(2.0, stop_ms);
         let mut executor = site.link();
         executor.gauges = [1.0, 4.0, 0.1, 3.0];
-        let (mut first, _) = begin(&site, &mut executor, &Ask { key: Some("k"), ..Ask::new("order") });
-        let (mut second, _) = begin(&site, &mut executor, &Ask::new("look"));
-        let mut held = Client::connect(site.http);
-        held.send(&Ask::new("look"));
+        let (mut first, _) = start_run(&site, &mut executor, &Ask { key: Some("k"), ..Ask::new("order") });
+        let (mut second, _) = start_run(&site, &mut executor, &Ask::new("look"));
+        let mut queued = Client::connect(site.http);
+        queued.send(&Ask::new("look"));
         assert_eq!(site.health(), 200);
         site.terminate();
-        // What may have run is never said not to have; what never ran is.
+        // What may have run is never reported as not run; what never ran is.
         assert_eq!(first.answer().status / 100, 5);
         assert!([500, 503, 504].contains(&second.answer().status));
-        assert_eq!(held.answer().status, 503);
-        drop((first, second, held));
+        assert_eq!(queued.answer().status, 503);
+        drop((first, second, queued));
         assert!(site.ended_well(), "stop of {stop_ms} ms");
     }
 }
 
 #[test]
-fn an_order_that_runs_at_the_stop_is_failed_and_not_refused() {
-    let mut site = leaving(2.0, 0);
+fn a_keyed_request_that_runs_at_the_stop_fails_and_is_not_rejected() {
+    let mut site = site_with_shutdown(2.0, 0);
     let mut executor = site.link();
     let order = || Ask { key: Some("k"), ..Ask::new("order") };
-    let (mut first, _) = begin(&site, &mut executor, &order());
+    let (mut first, _) = start_run(&site, &mut executor, &order());
     let mut again = Client::connect(site.http);
     again.send(&order());
     assert_eq!(site.health(), 200);
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn with_no_grace_at_all_nothing_that_comes_after_the_notice_runs() {
-    let mut site = leaving(0.0, 8000);
+fn with_no_grace_nothing_that_arrives_after_the_notice_runs() {
+    let mut site = site_with_shutdown(0.0, 8000);
     let mut executor = site.link();
-    let (mut busy, job) = begin(&site, &mut executor, &Ask::new("look"));
+    let (mut busy, job) = start_run(&site, &mut executor, &Ask::new("look"));
     let mut resting = Client::connect(site.http);
     assert_eq!(resting.ask_check(), 200);
     site.terminate();
@@ -101,7 +101,7 @@
     // It ends by a close, in which a request that crosses it is dropped unread by anybody.
     assert_eq!(end_of(&mut resting), End::Closed);
     resting.write(&Ask::new("look").text());
-    done(&mut executor, &job, &mut busy);
+    finish_run(&mut executor, &job, &mut busy);
     drop((busy, resting));
     assert_eq!(executor.rest(), Vec::<Value>::new(), "what crossed the close was run");
     assert!(site.ended_well());
@@ -110,9 +110,9 @@
 /// A request on a resting connection, and the moment at which such connections are ended: in one turn.
 #[test]
 fn a_request_that_meets_the_end_of_its_resting_connection_is_answered() {
-    let mut site = leaving(1.0, 8000);
+    let mut site = site_with_shutdown(1.0, 8000);
     let mut executor = site.link();
-    let (mut busy, job) = begin(&site, &mut executor, &Ask::new("look"));
+    let (mut busy, job) = start_run(&site, &mut executor, &Ask::new("look"));
     let mut resting = Client::connect(site.http);
     assert_eq!(resting.ask_check(), 200);
     site.terminate();
@@ -123,15 +123,15 @@
     site.hang(false);
     let reply = resting.answer();
     assert_eq!((reply.status, reply.header("Connection")), (503, Some("close")));
-    done(&mut executor, &job, &mut busy);
+    finish_run(&mut executor, &job, &mut busy);
     drop((busy, resting));
     assert!(site.ended_well());
 }
 
 /// Half a request keeps the process, but not beyond its time; the half that comes in time is answered.
 #[test]
-fn half_a_request_at_the_door_is_answered_when_it_becomes_whole() {
-    let mut site = leaving(0.1, 8000);
+fn half_a_request_at_the_close_of_the_listeners_is_answered_when_it_is_complete() {
+    let mut site = site_with_shutdown(0.1, 8000);
     let mut executor = site.link();
     let (mut whole, mut half) = (Client::connect(site.http), Client::connect(site.http));
     let text = Ask::new("look").text();
@@ -156,10 +156,10 @@
     assert!(site.ended_well());
 }
 
-/// The answer is written, and its reader is slow: the end of the process must not reset it away.
+/// The response is written, and its reader is slow: the exit of the process must not reset the connection.
 #[test]
-fn an_answer_that_a_slow_peer_has_not_taken_outlives_the_process() {
-    let mut site = leaving(0.1, 8000);
+fn a_response_that_a_slow_peer_has_not_read_outlives_the_process() {
+    let mut site = site_with_shutdown(0.1, 8000);
     let mut executor = site.link();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(1).unwrap();
@@ -171,14 +171,14 @@
     wait_refused(site.http);
     let result = "r".repeat(4096);
     executor.exit(&job, "PASS", &result);
-    // Nothing is read until the process has gone.
+    // Nothing is read until the process has exited.
     assert!(site.ended_well());
     assert_eq!(slow.answer().body, result.as_bytes());
 }
 
 #[test]
-fn a_notice_before_the_executor_is_up_refuses_what_comes_and_ends_in_time() {
-    let mut site = leaving(0.2, 1000);
+fn a_notice_before_the_executor_is_up_rejects_requests_and_exits_in_time() {
+    let mut site = site_with_shutdown(0.2, 1000);
     let mut client = Client::connect(site.http);
     client.send(&Ask::new("look"));
     assert_eq!(client.answer().status, 503);
@@ -193,9 +193,9 @@
 
 #[test]
 fn a_second_notice_and_a_reload_in_its_turn_change_nothing_about_the_first() {
-    let mut site = leaving(0.3, 8000);
+    let mut site = site_with_shutdown(0.3, 8000);
     let mut executor = site.link();
-    let (mut busy, job) = begin(&site, &mut executor, &Ask::new("look"));
+    let (mut busy, job) = start_run(&site, &mut executor, &Ask::new("look"));
     site.terminate();
     site.wait_log("notice to leave");
     site.hang(true);
@@ -204,7 +204,7 @@
     let_pass(Duration::from_millis(200));
     site.hang(false);
     wait_refused(site.http);
-    done(&mut executor, &job, &mut busy);
+    finish_run(&mut executor, &job, &mut busy);
     drop(busy);
     assert!(site.ended_well());
     assert!(site.find_log("notice to leave").is_none());
@@ -213,9 +213,9 @@
 /// The registry is down at the notice, and hears `draining` once it is back.
 #[test]
 fn draining_is_repeated_for_a_registry_that_was_away() {
-    let mut site = leaving(60.0, 60_000);
+    let mut site = site_with_shutdown(60.0, 60_000);
     let mut executor = site.link();
-    let (mut busy, job) = begin(&site, &mut executor, &Ask::new("look"));
+    let (mut busy, job) = start_run(&site, &mut executor, &Ask::new("look"));
     let address = site.registry.local_addr().unwrap();
     // Another socket takes its place, so that the old one closes.
     site.registry = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -233,28 +233,29 @@
     site.registry.set_read_timeout(Some(PATIENCE)).unwrap();
     site.wait_beat("draining");
     site.wait_beat("draining");
-    done(&mut executor, &job, &mut busy);
+    finish_run(&mut executor, &job, &mut busy);
 }
 
-/// An old process ends by its time while a caller still waits for a run: that caller is answered first.
+/// A predecessor reaches its exit deadline while a caller still waits for a run: that caller gets its response first.
 #[test]
-fn an_old_process_whose_time_is_over_answers_what_still_runs() {
-    let door = Door::new();
+fn a_predecessor_at_its_exit_deadline_answers_what_still_runs() {
+    let shared = SharedListener::new();
     let short = |c: &mut Value| {
         for class in 0..2 {
             c["settings"]["profiles"][class]["deadlineS"] = json!(1.0);
         }
     };
-    let mut old = Site::at(&door, short);
-    let mut executor = old.link();
-    while old.call("GET", "/-/ready").0 != 200 {}
+    let mut predecessor = Site::at(&shared, short);
+    let mut executor = predecessor.link();
+    while predecessor.call("GET", "/-/ready").0 != 200 {}
     // Its caller waits for longer than the settings say of the class.
-    let (mut client, _) = begin(&old, &mut executor, &Ask { key: Some("k"), ..Ask::new("order") });
-    let new = Site::at(&door, short);
-    let _other = new.link();
-    while new.call("GET", "/-/ready").0 != 200 {}
-    old.terminate();
+    let (mut client, _) =
+        start_run(&predecessor, &mut executor, &Ask { key: Some("k"), ..Ask::new("order") });
+    let successor = Site::at(&shared, short);
+    let _successor_executor = successor.link();
+    while successor.call("GET", "/-/ready").0 != 200 {}
+    predecessor.terminate();
     assert_eq!(client.answer().status, 500);
-    assert!(old.ended_well());
-    assert_eq!(new.health(), 200);
+    assert!(predecessor.ended_well());
+    assert_eq!(successor.health(), 200);
 }
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -1,4 +1,4 @@
-//! Stories of a worker that is replaced under load: real processes at one door, and scripted ones on the link between.
+//! Hot restarts under load: real processes on one listener, and scripted processes at the other end of the link.
 
 mod common;
 
@@ -11,27 +11,27 @@
 use std::process::Command;
 use std::time::Instant;
 
-/// A scripted process at the other end of the handover link. Descriptors that come with frames are closed unread.
-struct Peer {
+/// A scripted process at the other end of the link. Descriptors that come with frames are closed.
+struct ScriptedProcess {
     stream: UnixStream,
     input: Vec<u8>,
 }
 
-impl Peer {
-    fn on(stream: UnixStream) -> Peer {
+impl ScriptedProcess {
+    fn on(stream: UnixStream) -> ScriptedProcess {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Peer { stream, input: Vec::new() }
+        ScriptedProcess { stream, input: Vec::new() }
     }
 
-    fn connect(door: &Door) -> Peer {
-        Peer::on(UnixStream::connect(door.socket()).unwrap())
+    fn connect(shared: &SharedListener) -> ScriptedProcess {
+        ScriptedProcess::on(UnixStream::connect(shared.hot_restart_socket()).unwrap())
     }
 
-    fn say(&mut self, frame: &Frame) {
+    fn send(&mut self, frame: &Frame) {
         self.stream.write_all(&frame.encode()).unwrap();
     }
 
-    fn next(&mut self) -> Frame {
+    fn receive(&mut self) -> Frame {
         loop {
             if let Some((frame, length)) = Frame::decode(&self.input).unwrap() {
                 self.input.drain(..length);
@@ -44,9 +44,9 @@
         }
     }
 
-    fn hello(&mut self, version: u32) {
+    fn send_hello(&mut self, version: u32) {
         let (classes, tenants) = (vec!["look".into(), "order".into()], vec!["acme".into()]);
-        self.say(&Frame::Hello { version, name: "n1".into(), classes, tenants });
+        self.send(&Frame::Hello { version, name: "n1".into(), classes, tenants });
     }
 }
 
@@ -61,24 +61,24 @@
     Ask { key: Some(key), ..Ask::new("order") }
 }
 
-fn again<'a>(key: &'a str) -> Ask<'a> {
+fn retry<'a>(key: &'a str) -> Ask<'a> {
     Ask { extra: "X-Resent: 1\r\n", ..order(key) }
 }
 
-/// An old process that serves, and its executor.
-fn first(door: &Door) -> (Site, Executor) {
-    let old = Site::at(door, |_| {});
-    let executor = old.link();
-    wait_ready(&old);
-    (old, executor)
+/// A process without a predecessor that serves, and its executor.
+fn start_first(shared: &SharedListener) -> (Site, Executor) {
+    let predecessor = Site::at(shared, |_| {});
+    let executor = predecessor.link();
+    wait_ready(&predecessor);
+    (predecessor, executor)
 }
 
-/// A new one that has taken over.
-fn second(door: &Door) -> (Site, Executor) {
-    let new = Site::at(door, |_| {});
-    let executor = new.link();
-    wait_ready(&new);
-    (new, executor)
+/// A successor that has taken over, and its executor.
+fn start_successor(shared: &SharedListener) -> (Site, Executor) {
+    let successor = Site::at(shared, |_| {});
+    let executor = successor.link();
+    wait_ready(&successor);
+    (successor, executor)
 }
 
 fn job(command: &Value) -> &Value {
@@ -86,299 +86,299 @@
 }
 
 #[test]
-fn no_request_ends_at_the_door_and_each_is_answered_where_it_was_asked() {
-    let door = Door::new();
-    let (mut old, mut old_executor) = first(&door);
-    // One connection of each kind: idle, in the middle of a request, with a run, and with one that waits for a slot.
-    let mut idle = Client::connect(old.http);
+fn no_request_is_lost_in_a_hot_restart_and_each_is_answered_on_its_connection() {
+    let shared = SharedListener::new();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    // One connection of each kind: idle, half-way through a request, with a run, and with a queued request.
+    let mut idle = Client::connect(predecessor.http);
     idle.send(&Ask::new("look"));
-    old_executor.serve(&mut idle, "first");
+    predecessor_executor.serve(&mut idle, "first");
     let text = Ask::new("look").text();
-    let mut half = Client::connect(old.http);
+    let mut half = Client::connect(predecessor.http);
     half.write(&text[..60]);
     let (mut runs, mut execs) = (Vec::new(), Vec::new());
     for _ in 0..2 {
-        let mut client = Client::connect(old.http);
+        let mut client = Client::connect(predecessor.http);
         client.send(&Ask::new("look"));
-        execs.push(old_executor.next("EXEC"));
+        execs.push(predecessor_executor.next("EXEC"));
         runs.push(client);
     }
-    let mut held = Client::connect(old.http);
-    held.send(&order("k-held"));
-    while old.figure("svc.concurrent") < 3 {}
-
-    let (new, mut new_executor) = second(&door);
-    assert_eq!(old.call("GET", "/-/ready").0, 503);
-    old.terminate();
-    old.wait_log("told to leave");
-    // The held one runs at the new process, once a slot is free there: both count the old one's runs.
+    let mut queued = Client::connect(predecessor.http);
+    queued.send(&order("k-queued"));
+    while predecessor.figure("svc.concurrent") < 3 {}
+
+    let (successor, mut successor_executor) = start_successor(&shared);
+    assert_eq!(predecessor.call("GET", "/-/ready").0, 503);
+    predecessor.terminate();
+    predecessor.wait_log("told to leave");
+    // The queued request runs in the successor, once a slot is free there: both count the predecessor's runs.
     for (exec, client) in execs.iter().zip(&mut runs) {
-        old_executor.exit(job(exec), "PASS", "of the old");
-        assert_eq!(client.answer().body, b"of the old");
+        predecessor_executor.exit(job(exec), "PASS", "of the predecessor");
+        assert_eq!(client.answer().body, b"of the predecessor");
     }
-    let exec = new_executor.next("EXEC");
+    let exec = successor_executor.next("EXEC");
     assert_eq!(exec["kind"], "order");
-    new_executor.exit(job(&exec), "PASS", "held no more");
-    assert_eq!(held.answer().body, b"held no more");
+    successor_executor.exit(job(&exec), "PASS", "no longer queued");
+    assert_eq!(queued.answer().body, b"no longer queued");
     // All connections go on, those of the runs included.
     half.write(&text[60..]);
     for (i, client) in [&mut half, &mut idle].into_iter().chain(&mut runs).enumerate() {
         if i > 0 {
             client.send(&Ask::new("look"));
         }
-        new_executor.serve(client, "of the new");
+        successor_executor.serve(client, "of the successor");
     }
-    assert!(old.ended_well());
-    old.wait_log("left with all handed over");
-    // SIGTERM was no notice to drain: the old process never said so.
-    old.registry.set_nonblocking(true).unwrap();
+    assert!(predecessor.ended_well());
+    predecessor.wait_log("left with all handed over");
+    // SIGTERM began no drain: the predecessor never reported one.
+    predecessor.registry.set_nonblocking(true).unwrap();
     let mut bytes = [0; 64];
-    while let Ok(n) = old.registry.recv(&mut bytes) {
+    while let Ok(n) = predecessor.registry.recv(&mut bytes) {
         assert_eq!(&bytes[..n], b"BEAT n1 ready");
     }
-    assert_eq!(new.figure("svc.replies.look.success"), 4);
-    assert_eq!(new.health(), 200);
+    assert_eq!(successor.figure("svc.replies.look.success"), 4);
+    assert_eq!(successor.health(), 200);
 }
 
 #[test]
 fn a_key_runs_once_in_both_processes_together() {
-    let door = Door::new();
-    let (old, mut old_executor) = first(&door);
-    let mut served = Client::connect(old.http);
+    let shared = SharedListener::new();
+    let (predecessor, mut predecessor_executor) = start_first(&shared);
+    let mut served = Client::connect(predecessor.http);
     served.send(&order("k-served"));
-    let exec = old_executor.next("EXEC");
-    old_executor.exit(job(&exec), "PASS", "placed 1");
+    let exec = predecessor_executor.next("EXEC");
+    predecessor_executor.exit(job(&exec), "PASS", "placed 1");
     served.answer();
-    let mut open = Client::connect(old.http);
+    let mut open = Client::connect(predecessor.http);
     open.send(&order("k-open"));
-    let exec = old_executor.next("EXEC");
+    let exec = predecessor_executor.next("EXEC");
 
-    let (new, mut new_executor) = second(&door);
-    let mut client = Client::connect(new.http);
-    assert_eq!(client.ask(&again("k-served")).body, b"placed 1");
-    let other = Ask { body: "another order", ..again("k-served") };
+    let (successor, mut successor_executor) = start_successor(&shared);
+    let mut client = Client::connect(successor.http);
+    assert_eq!(client.ask(&retry("k-served")).body, b"placed 1");
+    let other = Ask { body: "another order", ..retry("k-served") };
     assert_eq!(client.ask(&other).status, 409);
-    let mut client = Client::connect(new.http);
-    client.send(&again("k-open"));
-    new_executor.quiet_but_for(&new, "");
+    let mut client = Client::connect(successor.http);
+    client.send(&retry("k-open"));
+    successor_executor.quiet_but_for(&successor, "");
     assert!(!client.has_answer());
-    old_executor.exit(job(&exec), "PASS", "placed 2");
+    predecessor_executor.exit(job(&exec), "PASS", "placed 2");
     assert_eq!(open.answer().body, b"placed 2");
     assert_eq!(client.answer().body, b"placed 2");
-    assert_eq!(client.ask(&again("k-open")).body, b"placed 2");
+    assert_eq!(client.ask(&retry("k-open")).body, b"placed 2");
 }
 
 #[test]
-fn a_key_whose_end_died_with_the_old_process_fails_and_never_runs_again() {
-    let door = Door::new();
-    let (mut old, mut old_executor) = first(&door);
-    let mut open = Client::connect(old.http);
+fn a_key_that_ran_in_a_dead_predecessor_fails_and_never_runs_retry() {
+    let shared = SharedListener::new();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    let mut open = Client::connect(predecessor.http);
     open.send(&order("k1"));
-    old_executor.next("EXEC");
-    let (new, mut new_executor) = second(&door);
-    let mut client = Client::connect(new.http);
-    client.send(&again("k1"));
-    new_executor.quiet_but_for(&new, "");
-    old.kill();
+    predecessor_executor.next("EXEC");
+    let (successor, mut successor_executor) = start_successor(&shared);
+    let mut client = Client::connect(successor.http);
+    client.send(&retry("k1"));
+    successor_executor.quiet_but_for(&successor, "");
+    predecessor.kill();
     assert_eq!(client.answer().status, 500);
-    assert_eq!(client.ask(&again("k1")).status, 500);
-    // The old process told of all its keys: another one runs.
-    client.send(&again("k2"));
-    new_executor.serve(&mut client, "placed");
+    assert_eq!(client.ask(&retry("k1")).status, 500);
+    // The predecessor reported all its keys: another one runs.
+    client.send(&retry("k2"));
+    successor_executor.serve(&mut client, "placed");
 }
 
 #[test]
-fn a_new_process_that_dies_before_it_can_serve_changes_nothing() {
-    let door = Door::new();
-    let (mut old, mut old_executor) = first(&door);
-    let mut new = Site::at(&door, |_| {});
-    assert_eq!(new.call("GET", "/-/ready").0, 503);
-    new.kill();
-    old.wait_log("the new process has ended");
-    let mut client = Client::connect(old.http);
+fn a_successor_that_dies_before_it_can_serve_changes_nothing() {
+    let shared = SharedListener::new();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    let mut successor = Site::at(&shared, |_| {});
+    assert_eq!(successor.call("GET", "/-/ready").0, 503);
+    successor.kill();
+    predecessor.wait_log("the new process has ended");
+    let mut client = Client::connect(predecessor.http);
     client.send(&Ask::new("look"));
-    old_executor.serve(&mut client, "as ever");
-    assert_eq!(old.call("GET", "/-/ready").0, 200);
+    predecessor_executor.serve(&mut client, "as before");
+    assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
 }
 
 #[test]
-fn what_was_lent_to_a_process_that_died_before_its_word_is_taken_back() {
-    let door = Door::new();
-    let (mut old, mut old_executor) = first(&door);
-    let mut idle = Client::connect(old.http);
+fn requests_handed_off_to_a_successor_that_died_unconfirmed_are_reclaimed() {
+    let shared = SharedListener::new();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    let mut idle = Client::connect(predecessor.http);
     assert_eq!(idle.ask_check(), 200);
     let mut clients = Vec::new();
     let mut execs = Vec::new();
     for _ in 0..2 {
-        let mut client = Client::connect(old.http);
+        let mut client = Client::connect(predecessor.http);
         client.send(&Ask::new("look"));
-        execs.push(old_executor.next("EXEC"));
+        execs.push(predecessor_executor.next("EXEC"));
         clients.push(client);
     }
-    let mut held = Client::connect(old.http);
-    held.send(&order("k1"));
-    while old.figure("svc.concurrent") < 3 {}
-    let mut peer = Peer::connect(&door);
-    peer.hello(VERSION);
-    assert_eq!(peer.next(), Frame::Welcome);
-    peer.say(&Frame::RequestListeners);
-    let mut passed = 0;
+    let mut queued = Client::connect(predecessor.http);
+    queued.send(&order("k1"));
+    while predecessor.figure("svc.concurrent") < 3 {}
+    let mut peer = ScriptedProcess::connect(&shared);
+    peer.send_hello(VERSION);
+    assert_eq!(peer.receive(), Frame::Welcome);
+    peer.send(&Frame::RequestListeners);
+    let mut received = 0;
     loop {
-        match peer.next() {
-            Frame::Connection(p) => passed += if p.queued_request.is_some() { 10 } else { 1 },
+        match peer.receive() {
+            Frame::Connection(p) => received += if p.queued_request.is_some() { 10 } else { 1 },
             Frame::StateComplete => break,
             _ => {}
         }
     }
-    assert_eq!(passed, 11, "one held request and one idle connection");
-    assert_eq!(old.call("GET", "/-/ready").0, 503);
+    assert_eq!(received, 11, "one queued request and one idle connection");
+    assert_eq!(predecessor.call("GET", "/-/ready").0, 503);
     drop(peer);
-    old.wait_log("the door is taken back");
-    assert_eq!(old.call("GET", "/-/ready").0, 200);
+    predecessor.wait_log("the door is taken back");
+    assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
     assert_eq!(idle.ask_check(), 200);
     for (exec, client) in execs.iter().zip(&mut clients) {
-        old_executor.exit(job(exec), "PASS", "");
+        predecessor_executor.exit(job(exec), "PASS", "");
         assert_eq!(client.answer().status, 200);
     }
-    old_executor.serve(&mut held, "placed");
-    assert_eq!(old.figure("svc.replies.order.success"), 1);
-    assert_eq!(old.figure("svc.concurrent"), 0);
+    predecessor_executor.serve(&mut queued, "placed");
+    assert_eq!(predecessor.figure("svc.replies.order.success"), 1);
+    assert_eq!(predecessor.figure("svc.concurrent"), 0);
 }
 
 #[test]
-fn the_door_goes_back_when_the_new_process_dies_and_unknown_keys_fail_for_a_window() {
-    let door = Door::new();
-    let (mut old, mut old_executor) = first(&door);
-    let (mut new, _new_executor) = second(&door);
-    old.wait_log("the new process has the door");
-    new.kill();
-    old.wait_log("the door is open here");
-    assert_eq!(old.call("GET", "/-/ready").0, 200);
-    old.wait_beat("ready");
-    let mut client = Client::connect(old.http);
+fn listeners_reopen_when_the_successor_dies_and_unknown_retries_fail_for_a_window() {
+    let shared = SharedListener::new();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    let (mut successor, _successor_executor) = start_successor(&shared);
+    predecessor.wait_log("the new process has the door");
+    successor.kill();
+    predecessor.wait_log("the door is open here");
+    assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
+    predecessor.wait_beat("ready");
+    let mut client = Client::connect(predecessor.http);
     client.send(&Ask::new("look"));
-    old_executor.serve(&mut client, "");
-    assert_eq!(client.ask(&again("k1")).status, 500);
+    predecessor_executor.serve(&mut client, "");
+    assert_eq!(client.ask(&retry("k1")).status, 500);
     client.send(&order("k2"));
-    old_executor.serve(&mut client, "placed");
-    // And it can be replaced again.
-    let (third, _executor) = second(&door);
+    predecessor_executor.serve(&mut client, "placed");
+    // Another successor can take over.
+    let (third, _executor) = start_successor(&shared);
     assert_eq!(third.health(), 200);
-    old.terminate();
-    assert!(old.ended_well());
+    predecessor.terminate();
+    assert!(predecessor.ended_well());
 }
 
 #[test]
-fn a_process_that_hangs_is_not_waited_for_and_gives_all_when_it_wakes() {
-    let door = Door::new();
-    let (mut old, mut old_executor) = first(&door);
-    let mut client = Client::connect(old.http);
+fn a_hung_predecessor_is_not_waited_for_and_hands_off_when_it_recovers() {
+    let shared = SharedListener::new();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    let mut client = Client::connect(predecessor.http);
     client.send(&order("k1"));
-    let exec = old_executor.next("EXEC");
-    old_executor.exit(job(&exec), "PASS", "placed 1");
+    let exec = predecessor_executor.next("EXEC");
+    predecessor_executor.exit(job(&exec), "PASS", "placed 1");
     client.answer();
-    old.hang(true);
-    let (mut new, mut new_executor) = second(&door);
-    let mut fresh = Client::connect(new.http);
+    predecessor.hang(true);
+    let (mut successor, mut successor_executor) = start_successor(&shared);
+    let mut fresh = Client::connect(successor.http);
     fresh.send(&Ask::new("look"));
-    new_executor.serve(&mut fresh, "");
-    // Nobody knows what the old one runs: a key fails, even one that comes for the first time.
+    successor_executor.serve(&mut fresh, "");
+    // What the predecessor runs is not known: a key fails, even one that comes for the first time.
     assert_eq!(fresh.ask(&order("k2")).status, 500);
-    old.hang(false);
-    new.wait_log("all keys are known again");
-    old.wait_log("the new process has the door");
-    let mut fresh = Client::connect(new.http);
-    assert_eq!(fresh.ask(&again("k1")).body, b"placed 1");
+    predecessor.hang(false);
+    successor.wait_log("all keys are known again");
+    predecessor.wait_log("the new process has the door");
+    let mut fresh = Client::connect(successor.http);
+    assert_eq!(fresh.ask(&retry("k1")).body, b"placed 1");
     client.send(&Ask::new("look"));
-    new_executor.serve(&mut client, "on the old connection");
-    old.terminate();
-    assert!(old.ended_well());
+    successor_executor.serve(&mut client, "on the predecessor connection");
+    predecessor.terminate();
+    assert!(predecessor.ended_well());
 }
 
 #[test]
-fn a_stranger_and_a_damaged_word_give_nothing_and_take_nothing() {
+fn an_incompatible_or_damaged_predecessor_is_not_believed() {
     for damage in [false, true] {
-        let door = Door::new();
-        let listener = UnixListener::bind(door.socket()).unwrap();
-        let mut new = Site::at(&door, |_| {});
-        let mut peer = Peer::on(listener.accept().unwrap().0);
-        assert!(matches!(peer.next(), Frame::Hello { version: VERSION, .. }));
-        let mut executor = new.link_silently();
+        let shared = SharedListener::new();
+        let listener = UnixListener::bind(shared.hot_restart_socket()).unwrap();
+        let mut successor = Site::at(&shared, |_| {});
+        let mut peer = ScriptedProcess::on(listener.accept().unwrap().0);
+        assert!(matches!(peer.receive(), Frame::Hello { version: VERSION, .. }));
+        let mut executor = successor.link_silently();
         if damage {
-            peer.say(&Frame::Welcome);
-            assert_eq!(peer.next(), Frame::RequestListeners);
+            peer.send(&Frame::Welcome);
+            assert_eq!(peer.receive(), Frame::RequestListeners);
             let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
             let outcome = KeyOutcome::Served(Some(Bytes(std::rc::Rc::from(*b"made up"))));
-            peer.say(&Frame::Key(KeyState { key, body_fingerprint: 0, expires_at_ms: 4e12, outcome }));
+            peer.send(&Frame::Key(KeyState { key, body_fingerprint: 0, expires_at_ms: 4e12, outcome }));
             peer.stream.write_all(b"\0\0\0\x05\0nonsense").unwrap();
         } else {
-            peer.say(&Frame::Incompatible { reason: "too old".into() });
+            peer.send(&Frame::Incompatible { reason: "too predecessor".into() });
         }
-        new.wait_log("keys that are not known here fail");
-        wait_ready(&new);
-        let mut client = Client::connect(new.http);
+        successor.wait_log("keys that are not known here fail");
+        wait_ready(&successor);
+        let mut client = Client::connect(successor.http);
         assert_eq!(client.ask(&order("k1")).status, 500);
         client.send(&Ask::new("look"));
         executor.serve(&mut client, "");
-        // It is watched all the same: with its end the doubt gets one.
+        // It is watched all the same: its end limits for how long keys are indeterminate.
         let watched = damage.then(|| listener.accept().unwrap());
         let (link, watched) = (peer, watched);
         drop((link, watched));
         if damage {
-            new.wait_log("the old process has ended");
+            successor.wait_log("the old process has ended");
         }
     }
 }
 
 #[test]
-fn an_unknown_version_is_told_so_and_the_old_process_serves_on() {
-    let door = Door::new();
-    let (mut old, _executor) = first(&door);
-    let mut peer = Peer::connect(&door);
-    peer.hello(VERSION + 1);
-    assert!(matches!(peer.next(), Frame::Incompatible { .. }));
-    peer.say(&Frame::RequestListeners);
-    assert_eq!(old.health(), 200);
-    assert_eq!(old.call("GET", "/-/ready").0, 200);
+fn a_successor_of_an_unknown_version_is_rejected_and_the_predecessor_serves_on() {
+    let shared = SharedListener::new();
+    let (mut predecessor, _executor) = start_first(&shared);
+    let mut peer = ScriptedProcess::connect(&shared);
+    peer.send_hello(VERSION + 1);
+    assert!(matches!(peer.receive(), Frame::Incompatible { .. }));
+    peer.send(&Frame::RequestListeners);
+    assert_eq!(predecessor.health(), 200);
+    assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
     drop(peer);
-    // Noise on the link does no more.
-    let mut peer = Peer::connect(&door);
+    // Bytes that are no frame do no more.
+    let mut peer = ScriptedProcess::connect(&shared);
     peer.stream.write_all(&[0xff; 64]).unwrap();
-    old.wait_log("is damaged");
-    assert_eq!(old.health(), 200);
+    predecessor.wait_log("is damaged");
+    assert_eq!(predecessor.health(), 200);
 }
 
 #[test]
-fn a_socket_file_without_a_process_leaves_further_tries_in_doubt() {
-    let door = Door::new();
-    drop(UnixListener::bind(door.socket()).unwrap());
-    let (mut site, mut executor) = first(&door);
+fn unknown_retries_fail_after_a_dead_predecessor() {
+    let shared = SharedListener::new();
+    drop(UnixListener::bind(shared.hot_restart_socket()).unwrap());
+    let (mut site, mut executor) = start_first(&shared);
     site.wait_log("has died");
     let mut client = Client::connect(site.http);
-    assert_eq!(client.ask(&again("k1")).status, 500);
+    assert_eq!(client.ask(&retry("k1")).status, 500);
     client.send(&order("k2"));
     executor.serve(&mut client, "placed");
-    // One that leaves in good order leaves no file.
+    // A graceful shutdown leaves no file.
     site.terminate();
     assert!(site.ended_well());
-    assert!(!door.socket().exists());
+    assert!(!shared.hot_restart_socket().exists());
 }
 
 #[test]
-fn a_second_replacement_right_after_the_first_keeps_the_first_ones_runs() {
-    let door = Door::new();
-    let (mut a, mut a_executor) = first(&door);
+fn a_second_hot_restart_right_after_the_first_keeps_the_runs_of_the_first() {
+    let shared = SharedListener::new();
+    let (mut a, mut a_executor) = start_first(&shared);
     let mut client = Client::connect(a.http);
     client.send(&order("k1"));
     let exec = a_executor.next("EXEC");
-    let (mut b, _b_executor) = second(&door);
+    let (mut b, _b_executor) = start_successor(&shared);
     a.terminate();
     a.wait_log("told to leave");
-    let (c, mut c_executor) = second(&door);
+    let (c, mut c_executor) = start_successor(&shared);
     b.terminate();
     b.wait_log("told to leave");
     let mut late = Client::connect(c.http);
-    late.send(&again("k1"));
+    late.send(&retry("k1"));
     c_executor.quiet_but_for(&c, "");
     a_executor.exit(job(&exec), "PASS", "placed");
     assert_eq!(client.answer().body, b"placed");
@@ -389,23 +389,23 @@
 }
 
 #[test]
-fn a_drain_goes_over_with_the_door_and_reaches_it_by_the_old_console() {
-    let door = Door::new();
-    let (mut old, _old_executor) = first(&door);
-    assert_eq!(old.call("POST", "/-/drain").0, 200);
-    let new = Site::at(&door, |_| {});
-    let _new_executor = new.link_silently();
-    wait_ready(&new);
-    assert_eq!(new.health(), 503);
-    new.wait_beat("draining");
-    old.reload(|c| c["stop_ms"] = json!(7000));
-    assert_eq!(old.call("POST", "/-/resume").0, 200);
-    new.wait_beat("ready");
-    assert_eq!(new.health(), 200);
+fn a_drain_reaches_the_successor_at_the_hand_off_and_by_the_predecessors_console() {
+    let shared = SharedListener::new();
+    let (mut predecessor, _predecessor_executor) = start_first(&shared);
+    assert_eq!(predecessor.call("POST", "/-/drain").0, 200);
+    let successor = Site::at(&shared, |_| {});
+    let _successor_executor = successor.link_silently();
+    wait_ready(&successor);
+    assert_eq!(successor.health(), 503);
+    successor.wait_beat("draining");
+    predecessor.reload(|c| c["stop_ms"] = json!(7000));
+    assert_eq!(predecessor.call("POST", "/-/resume").0, 200);
+    successor.wait_beat("ready");
+    assert_eq!(successor.health(), 200);
 }
 
 #[test]
-fn a_descriptor_that_does_not_listen_is_one_line_and_a_bad_end() {
+fn a_descriptor_that_does_not_listen_is_a_one_line_error() {
     let folder = std::env::temp_dir().join(format!("honeypost-fd-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let config = json!({
@@ -428,16 +428,16 @@
 }
 
 #[test]
-fn without_a_folder_to_meet_in_it_serves_as_the_first_process() {
+fn without_a_shared_folder_a_process_serves_alone() {
     for folder in ["", "/nowhere/at/all"] {
-        let mut door = Door::new();
-        let kept = std::mem::replace(&mut door.folder, folder.into());
-        let (mut site, _executor) = first(&door);
+        let mut shared = SharedListener::new();
+        let kept = std::mem::replace(&mut shared.folder, folder.into());
+        let (mut site, _executor) = start_first(&shared);
         assert_eq!(site.health(), 200);
         let line = |l: &String| l.contains("can't replace") || l.contains("can't be replaced");
         let said = site.log.iter().any(line) || site.find_log("replaced").is_some();
         assert!(said, "{:?}", site.log);
-        door.folder = kept;
+        shared.folder = kept;
     }
 }
 
@@ -459,12 +459,12 @@
 }
 
 #[test]
-fn under_load_three_replacements_close_on_nobody_and_run_no_key_twice() {
+fn three_hot_restarts_under_load_drop_no_connection_and_run_no_key_twice() {
     use std::sync::atomic::{AtomicBool, Ordering};
-    let door = Door::new();
-    let (old, executor) = first(&door);
+    let shared = SharedListener::new();
+    let (predecessor, executor) = start_first(&shared);
     let mut executors = vec![run_all(executor)];
-    let (http, over) = (old.http, std::sync::Arc::new(AtomicBool::new(false)));
+    let (http, over) = (predecessor.http, std::sync::Arc::new(AtomicBool::new(false)));
     let clients: Vec<_> = (0..6)
         .map(|n| {
             let over = over.clone();
@@ -473,9 +473,9 @@
                 let (mut served, mut round) = (0, 0);
                 while !over.load(Ordering::Relaxed) {
                     round += 1;
-                    // Each order comes twice, the second time perhaps at another process than the first.
+                    // Each order is sent twice, perhaps to two processes.
                     let key = format!("k{n}-{round}");
-                    for ask in [order(&key), again(&key)] {
+                    for ask in [order(&key), retry(&key)] {
                         let reply = client.ask(&Ask { body: &key, ..ask });
                         assert!(matches!(reply.status, 200 | 503), "{reply:?}");
                         served += u32::from(reply.status == 200);
@@ -486,14 +486,14 @@
             })
         })
         .collect();
-    let mut current = old;
+    let mut current = predecessor;
     for _ in 0..3 {
         std::thread::sleep(std::time::Duration::from_millis(150));
-        let (new, executor) = second(&door);
+        let (successor, executor) = start_successor(&shared);
         executors.push(run_all(executor));
         current.terminate();
         assert!(current.ended_well());
-        current = new;
+        current = successor;
     }
     over.store(true, Ordering::Relaxed);
     let served: u32 = clients.into_iter().map(|c| c.join().unwrap()).sum();
@@ -507,7 +507,7 @@
     assert_eq!(ran.len(), all, "some key ran twice");
 }
 
-/// Asks an AJP front whether it is there.
+/// Whether an AJP frontend answers a CPing.
 fn cping(stream: &mut std::net::TcpStream) -> bool {
     let mut answer = [0; 5];
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -517,28 +517,28 @@
 }
 
 #[test]
-fn the_operators_fronts_go_over_with_their_sockets() {
-    let door = Door::new();
+fn operator_frontends_are_handed_off_with_their_sockets() {
+    let shared = SharedListener::new();
     let (_kept, ajp) = reserve();
     let (_also, http2) = reserve();
     drop((_kept, _also));
     let operator = format!(
         "[ajp]\nlisten = \"{ajp}\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n[http2]\nlisten = \"{http2}\"\n"
     );
-    let mut old = Site::at_with(&door, |_| {}, Some(&operator));
-    old.wait_log("the door is open here");
-    let _old_executor = old.link();
+    let mut predecessor = Site::at_with(&shared, |_| {}, Some(&operator));
+    predecessor.wait_log("the door is open here");
+    let _predecessor_executor = predecessor.link();
     let mut resting = std::net::TcpStream::connect(ajp).unwrap();
     assert!(cping(&mut resting));
-    let mut new = Site::at_with(&door, |_| {}, Some(&operator));
-    let _new_executor = new.link();
-    wait_ready(&new);
-    new.wait_log(&format!("ajp on {ajp}"));
-    new.wait_log(&format!("http2 on {http2}"));
-    // What rests at the old process is closed, as in a drain; whoever comes is the new one's.
+    let mut successor = Site::at_with(&shared, |_| {}, Some(&operator));
+    let _successor_executor = successor.link();
+    wait_ready(&successor);
+    successor.wait_log(&format!("ajp on {ajp}"));
+    successor.wait_log(&format!("http2 on {http2}"));
+    // Idle connections of the predecessor are closed, as in a shutdown; successor ones are the successor's.
     assert_eq!(resting.read(&mut [0; 8]).unwrap_or(0), 0);
-    old.terminate();
-    assert!(old.ended_well());
+    predecessor.terminate();
+    assert!(predecessor.ended_well());
     assert!(cping(&mut std::net::TcpStream::connect(ajp).unwrap()));
     let mut client = std::net::TcpStream::connect(http2).unwrap();
     client.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -549,17 +549,17 @@
 }
 
 #[test]
-fn an_old_process_killed_in_the_middle_of_its_words_leaves_nothing_half_believed() {
-    let door = Door::new();
-    let listener = UnixListener::bind(door.socket()).unwrap();
-    let mut new = Site::at(&door, |_| {});
-    let mut peer = Peer::on(listener.accept().unwrap().0);
-    let mut executor = new.link_silently();
-    assert!(matches!(peer.next(), Frame::Hello { .. }));
-    peer.say(&Frame::Welcome);
-    assert_eq!(peer.next(), Frame::RequestListeners);
+fn a_predecessor_killed_while_it_sends_state_leaves_nothing_half_adopted() {
+    let shared = SharedListener::new();
+    let listener = UnixListener::bind(shared.hot_restart_socket()).unwrap();
+    let mut successor = Site::at(&shared, |_| {});
+    let mut peer = ScriptedProcess::on(listener.accept().unwrap().0);
+    let mut executor = successor.link_silently();
+    assert!(matches!(peer.receive(), Frame::Hello { .. }));
+    peer.send(&Frame::Welcome);
+    assert_eq!(peer.receive(), Frame::RequestListeners);
     let learned = port_worker::interface::LearnedState { runs: 9, ..Default::default() };
-    peer.say(&Frame::State { fingerprint_key: (1, 2), draining: true, learned, running: vec!["r1".into()] });
+    peer.send(&Frame::State { fingerprint_key: (1, 2), draining: true, learned, running: vec!["r1".into()] });
     let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
     let outcome = KeyOutcome::Served(Some(Bytes(std::rc::Rc::from(*b"placed"))));
     let state =
@@ -567,72 +567,72 @@
             .encode();
     peer.stream.write_all(&state[..state.len() / 2]).unwrap();
     drop(peer);
-    new.wait_log("the old process has ended");
-    wait_ready(&new);
-    // Neither the drain nor the key came in whole.
-    assert_eq!(new.health(), 200);
-    let mut client = Client::connect(new.http);
-    assert_eq!(client.ask(&again("k1")).status, 500);
-    assert_eq!(client.ask(&again("k2")).status, 500);
+    successor.wait_log("the old process has ended");
+    wait_ready(&successor);
+    // Neither the drain nor the key was received completely.
+    assert_eq!(successor.health(), 200);
+    let mut client = Client::connect(successor.http);
+    assert_eq!(client.ask(&retry("k1")).status, 500);
+    assert_eq!(client.ask(&retry("k2")).status, 500);
     client.send(&order("k3"));
     executor.serve(&mut client, "placed");
 }
 
 #[test]
-fn a_reload_of_both_in_the_overlap_moves_their_peers_and_loses_nothing() {
-    let door = Door::new();
-    let (mut old, mut old_executor) = first(&door);
-    let mut open = Client::connect(old.http);
+fn a_reload_during_a_hot_restart_moves_the_peers_of_both_and_loses_nothing() {
+    let shared = SharedListener::new();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    let mut open = Client::connect(predecessor.http);
     open.send(&order("k1"));
-    let exec = old_executor.next("EXEC");
-    let (mut new, _new_executor) = second(&door);
+    let exec = predecessor_executor.next("EXEC");
+    let (mut successor, _successor_executor) = start_successor(&shared);
     // The executor of each is to be found elsewhere from now on.
-    let _kept = (old.move_peers(), new.move_peers());
-    let mut old_next = Executor::accept(&old.executor);
-    let mut new_next = Executor::accept(&new.executor);
-    for executor in [&mut old_next, &mut new_next] {
+    let _kept = (predecessor.move_peers(), successor.move_peers());
+    let mut predecessor_next = Executor::accept(&predecessor.executor);
+    let mut successor_next = Executor::accept(&successor.executor);
+    for executor in [&mut predecessor_next, &mut successor_next] {
         executor.next("JOIN");
         executor.say(json!({"type": "WELCOME", "state": "LOADED", "took": 3_600_000.0}));
     }
-    old_next.n = old_executor.n;
-    let mut client = Client::connect(new.http);
-    client.send(&again("k1"));
-    // What was commanded just before may be given again on the new link.
-    old_next.started.push(exec["job"].clone());
-    old_next.exit(job(&exec), "PASS", "placed");
+    predecessor_next.n = predecessor_executor.n;
+    let mut client = Client::connect(successor.http);
+    client.send(&retry("k1"));
+    // What was commanded just before may be sent again on the successor link.
+    predecessor_next.started.push(exec["job"].clone());
+    predecessor_next.exit(job(&exec), "PASS", "placed");
     assert_eq!(open.answer().body, b"placed");
     assert_eq!(client.answer().body, b"placed");
     client.send(&Ask::new("look"));
-    new_next.serve(&mut client, "moved");
-    new.wait_beat("ready");
-    old.terminate();
-    assert!(old.ended_well());
+    successor_next.serve(&mut client, "moved");
+    successor.wait_beat("ready");
+    predecessor.terminate();
+    assert!(predecessor.ended_well());
 }
 
 #[test]
-fn a_new_process_told_to_leave_before_it_can_serve_ends_at_once() {
-    let door = Door::new();
-    let (mut old, _executor) = first(&door);
-    let mut new = Site::at(&door, |_| {});
-    assert_eq!(new.call("GET", "/-/ready").0, 503);
-    new.terminate();
-    assert!(new.ended_well());
-    old.wait_log("the new process has ended");
-    assert_eq!(old.call("GET", "/-/ready").0, 200);
-    assert_eq!(old.health(), 200);
+fn a_successor_shut_down_before_it_can_serve_exits_immediately() {
+    let shared = SharedListener::new();
+    let (mut predecessor, _executor) = start_first(&shared);
+    let mut successor = Site::at(&shared, |_| {});
+    assert_eq!(successor.call("GET", "/-/ready").0, 503);
+    successor.terminate();
+    assert!(successor.ended_well());
+    predecessor.wait_log("the new process has ended");
+    assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
+    assert_eq!(predecessor.health(), 200);
 }
 
 #[test]
-fn an_old_process_that_says_more_than_one_can_have_is_not_believed() {
-    let door = Door::new();
-    let listener = UnixListener::bind(door.socket()).unwrap();
-    let mut new = Site::at(&door, |c| c["limits"]["memory_mb"] = json!(16));
-    let mut peer = Peer::on(listener.accept().unwrap().0);
-    let _executor = new.link_silently();
-    assert!(matches!(peer.next(), Frame::Hello { .. }));
-    peer.say(&Frame::Welcome);
-    assert_eq!(peer.next(), Frame::RequestListeners);
-    // Results of 4 KiB, for keys without end.
+fn a_predecessor_that_sends_too_much_state_is_not_believed() {
+    let shared = SharedListener::new();
+    let listener = UnixListener::bind(shared.hot_restart_socket()).unwrap();
+    let mut successor = Site::at(&shared, |c| c["limits"]["memory_mb"] = json!(16));
+    let mut peer = ScriptedProcess::on(listener.accept().unwrap().0);
+    let _executor = successor.link_silently();
+    assert!(matches!(peer.receive(), Frame::Hello { .. }));
+    peer.send(&Frame::Welcome);
+    assert_eq!(peer.receive(), Frame::RequestListeners);
+    // Results of 4 KiB, for more keys than a process can have.
     let result = Bytes(vec![b'x'; 4096].into());
     for n in 0..5000 {
         let key = Key { class: 1, tenant: Some(0), key: format!("k{n}").into() };
@@ -642,7 +642,7 @@
             break;
         }
     }
-    new.wait_log("the old process says too much");
-    wait_ready(&new);
-    assert!(new.resident_kb() < 24.0 * 1024.0, "{} KB", new.resident_kb());
+    successor.wait_log("the old process says too much");
+    wait_ready(&successor);
+    assert!(successor.resident_kb() < 24.0 * 1024.0, "{} KB", successor.resident_kb());
 }
