--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -11,8 +11,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-struct Play {
-    core: Dispatcher,
+/// A dispatcher, its clock, and what it wants done.
+struct Harness {
+    dispatcher: Dispatcher,
     now: f64,
     out: Vec<Command>,
 }
@@ -60,28 +61,28 @@
     }
 }
 
-impl Play {
-    fn new() -> Play {
-        Play::with(settings())
+impl Harness {
+    fn new() -> Harness {
+        Harness::with(settings())
     }
 
-    fn with(settings: Settings) -> Play {
+    fn with(settings: Settings) -> Harness {
         let mut out = Vec::new();
-        Play { core: Dispatcher::new(settings, 0.0, 1000, &mut out), now: 0.0, out }
+        Harness { dispatcher: Dispatcher::new(settings, 0.0, 1000, &mut out), now: 0.0, out }
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Command> {
-        self.core.handle(self.now, [input], &mut self.out);
+    fn input(&mut self, input: Input) -> Vec<Command> {
+        self.dispatcher.handle(self.now, [input], &mut self.out);
         std::mem::take(&mut self.out)
     }
 
     fn arrive(&mut self, number: u64, key: &str) -> Vec<Command> {
-        self.tell(Input::Arrived(request(number, key)))
+        self.input(Input::Arrived(request(number, key)))
     }
 
     fn end(&mut self, number: u64, outcome: Outcome, result: &[u8]) -> Vec<Command> {
         let result = (outcome == Outcome::Ok).then(|| result.into());
-        self.tell(Input::RunEnded { name: format!("r{number}").into(), outcome, result })
+        self.input(Input::RunEnded { name: format!("r{number}").into(), outcome, result })
     }
 
     fn pass(&mut self, seconds: f64) -> Vec<Command> {
@@ -89,7 +90,7 @@
         let mut all = Vec::new();
         while self.now < until {
             self.now += 0.025;
-            all.extend(self.tell(Input::Woken(Gauges::default())));
+            all.extend(self.input(Input::Woken(Gauges::default())));
         }
         all
     }
@@ -99,7 +100,7 @@
     out.iter().filter(|c| matches!(c, Command::Run { .. })).count()
 }
 
-fn answers(out: &[Command]) -> Vec<(u64, Response)> {
+fn responses(out: &[Command]) -> Vec<(u64, Response)> {
     let given = |c: &Command| if let Command::Respond(t, a) = c { Some((t.0, a.clone())) } else { None };
     out.iter().filter_map(given).collect()
 }
@@ -110,91 +111,91 @@
 
 #[test]
 fn retries_of_a_key_share_one_run_before_during_and_after_it() {
-    let mut p = Play::new();
-    // Both slots are taken: the key's first try is held, its second is linked to it there.
-    p.arrive(1, "");
-    p.arrive(2, "");
-    assert_eq!(runs(&p.arrive(3, "k")) + runs(&p.arrive(4, "k")), 0);
-    assert_eq!(runs(&p.end(1, Outcome::Ok, b"x")), 1);
-    assert_eq!(runs(&p.arrive(5, "k")), 0);
-    let out = p.end(3, Outcome::Ok, b"done");
-    assert_eq!(answers(&out), vec![(3, served(b"done")), (4, served(b"done")), (5, served(b"done"))]);
-    p.now = 9.9;
-    assert_eq!(answers(&p.arrive(6, "k")), vec![(6, served(b"done"))]);
-    // A try that reached the machine within the window and was read after it.
-    p.now = 11.0;
-    let out = p.tell(Input::Arrived(Request { read_delay_s: 1.5, time_left_s: 1.5, ..request(7, "k") }));
-    assert_eq!((runs(&out), answers(&out)), (0, vec![(7, served(b"done"))]));
-    assert_eq!(runs(&p.arrive(8, "k")), 1);
-    assert_eq!(p.core.pending_responses(), 2);
+    let mut h = Harness::new();
+    // Both slots are taken: the key's first attempt is queued, its retry is matched to it there.
+    h.arrive(1, "");
+    h.arrive(2, "");
+    assert_eq!(runs(&h.arrive(3, "k")) + runs(&h.arrive(4, "k")), 0);
+    assert_eq!(runs(&h.end(1, Outcome::Ok, b"x")), 1);
+    assert_eq!(runs(&h.arrive(5, "k")), 0);
+    let out = h.end(3, Outcome::Ok, b"done");
+    assert_eq!(responses(&out), vec![(3, served(b"done")), (4, served(b"done")), (5, served(b"done"))]);
+    h.now = 9.9;
+    assert_eq!(responses(&h.arrive(6, "k")), vec![(6, served(b"done"))]);
+    // A retry that reached the machine within the window and was read after it.
+    h.now = 11.0;
+    let out = h.input(Input::Arrived(Request { read_delay_s: 1.5, time_left_s: 1.5, ..request(7, "k") }));
+    assert_eq!((runs(&out), responses(&out)), (0, vec![(7, served(b"done"))]));
+    assert_eq!(runs(&h.arrive(8, "k")), 1);
+    assert_eq!(h.dispatcher.pending_responses(), 2);
 }
 
 #[test]
 fn a_run_past_its_deadline_gets_one_response_and_its_result_is_retained() {
-    let mut p = Play::new();
-    p.arrive(1, "k");
-    assert_eq!(answers(&p.pass(3.2)), vec![(1, Response::DeadlineExceeded)]);
-    assert_eq!(answers(&p.end(1, Outcome::Ok, b"late")), vec![]);
-    assert_eq!(answers(&p.arrive(2, "k")), vec![(2, served(b"late"))]);
+    let mut h = Harness::new();
+    h.arrive(1, "k");
+    assert_eq!(responses(&h.pass(3.2)), vec![(1, Response::DeadlineExceeded)]);
+    assert_eq!(responses(&h.end(1, Outcome::Ok, b"late")), vec![]);
+    assert_eq!(responses(&h.arrive(2, "k")), vec![(2, served(b"late"))]);
 }
 
 #[test]
 fn a_run_that_never_began_releases_its_key_and_one_that_failed_does_not() {
-    let mut p = Play::new();
-    p.arrive(1, "k");
-    p.arrive(2, "k");
-    let refused = Response::Rejected { retry_after_s: NOT_STARTED_RETRY_AFTER_S, stop_retrying: false };
-    let out = p.tell(Input::NeverRan { name: "r1".into() });
-    assert_eq!(answers(&out), vec![(1, refused.clone()), (2, refused)]);
-    assert_eq!(runs(&p.arrive(3, "k")), 1);
-    assert_eq!(answers(&p.end(3, Outcome::Interrupted, b"")), vec![(3, Response::Failed)]);
-    let out = p.arrive(4, "k");
-    assert_eq!((runs(&out), answers(&out)), (0, vec![(4, Response::Failed)]));
+    let mut h = Harness::new();
+    h.arrive(1, "k");
+    h.arrive(2, "k");
+    let rejected = Response::Rejected { retry_after_s: NOT_STARTED_RETRY_AFTER_S, stop_retrying: false };
+    let out = h.input(Input::NeverRan { name: "r1".into() });
+    assert_eq!(responses(&out), vec![(1, rejected.clone()), (2, rejected)]);
+    assert_eq!(runs(&h.arrive(3, "k")), 1);
+    assert_eq!(responses(&h.end(3, Outcome::Interrupted, b"")), vec![(3, Response::Failed)]);
+    let out = h.arrive(4, "k");
+    assert_eq!((runs(&out), responses(&out)), (0, vec![(4, Response::Failed)]));
 }
 
 #[test]
 fn a_call_is_abandoned_with_its_run_and_late_inputs_for_either_are_ignored() {
-    let mut p = Play::new();
-    p.arrive(1, "");
-    let out = p.tell(Input::AtCall { name: "r1".into(), body: Rc::from(*b"?"), mark: 7 });
+    let mut h = Harness::new();
+    h.arrive(1, "");
+    let out = h.input(Input::AtCall { name: "r1".into(), body: Rc::from(*b"?"), mark: 7 });
     assert!(matches!(&out[..], [Command::Call { body, .. }] if **body == *b"?"), "{out:?}");
-    let out = p.end(1, Outcome::Cancelled, b"");
+    let out = h.end(1, Outcome::Cancelled, b"");
     assert_eq!(out, vec![Command::GiveUpCall("r1".into()), Command::Respond(Ticket(1), Response::Failed)]);
     let reply = Some(Rc::from(*b"!"));
-    assert_eq!(p.tell(Input::CallEnded { name: "r1".into(), outcome: Outcome::Ok, reply }), vec![]);
-    assert_eq!(p.tell(Input::AtCall { name: "r1".into(), body: Rc::from([]), mark: 8 }), vec![]);
-    assert_eq!(p.end(1, Outcome::Ok, b"again"), vec![]);
+    assert_eq!(h.input(Input::CallEnded { name: "r1".into(), outcome: Outcome::Ok, reply }), vec![]);
+    assert_eq!(h.input(Input::AtCall { name: "r1".into(), body: Rc::from([]), mark: 8 }), vec![]);
+    assert_eq!(h.end(1, Outcome::Ok, b"again"), vec![]);
 }
 
 #[test]
 fn a_second_request_with_a_name_in_flight_conflicts_and_the_first_goes_on() {
-    let mut p = Play::new();
-    p.arrive(1, "");
-    let out = p.tell(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
+    let mut h = Harness::new();
+    h.arrive(1, "");
+    let out = h.input(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
     assert_eq!(out, vec![Command::Respond(Ticket(9), Response::Conflict)]);
-    assert_eq!(answers(&p.end(1, Outcome::Ok, b"x")), vec![(1, served(b"x"))]);
+    assert_eq!(responses(&h.end(1, Outcome::Ok, b"x")), vec![(1, served(b"x"))]);
 }
 
-/// Bad clients were served with the result of the request whose key they used.
+/// Faulty clients were served with the result of the request whose key they used.
 #[test]
 fn a_known_key_with_another_body_conflicts_and_the_first_goes_on() {
     let other = |number| Input::Arrived(Request { body: Rc::from(*b"other"), ..request(number, "k") });
-    let turned_away = |number| vec![Command::Respond(Ticket(number), Response::Conflict)];
-    let mut p = Play::new();
-    p.arrive(1, "k");
-    assert_eq!(p.tell(other(2)), turned_away(2));
-    assert_eq!(answers(&p.end(1, Outcome::Ok, b"done")), vec![(1, served(b"done"))]);
-    assert_eq!(p.tell(other(3)), turned_away(3));
-    assert_eq!(answers(&p.arrive(4, "k")), vec![(4, served(b"done"))]);
-    assert_eq!(p.core.pending_responses(), 0);
+    let conflict = |number| vec![Command::Respond(Ticket(number), Response::Conflict)];
+    let mut h = Harness::new();
+    h.arrive(1, "k");
+    assert_eq!(h.input(other(2)), conflict(2));
+    assert_eq!(responses(&h.end(1, Outcome::Ok, b"done")), vec![(1, served(b"done"))]);
+    assert_eq!(h.input(other(3)), conflict(3));
+    assert_eq!(responses(&h.arrive(4, "k")), vec![(4, served(b"done"))]);
+    assert_eq!(h.dispatcher.pending_responses(), 0);
 }
 
-/// Lost commands held their run slots until long after their due time.
+/// Lost commands held their run slots until long after the deadline.
 #[test]
 fn lost_commands_are_sent_again_and_a_reply_never_answers_the_next_call() {
-    let mut p = Play::new();
-    p.arrive(1, "");
-    p.arrive(2, "k");
+    let mut h = Harness::new();
+    h.arrive(1, "");
+    h.arrive(2, "k");
     let at_call =
         |number: u64, mark| Input::AtCall { name: format!("r{number}").into(), body: Rc::from(*b"?"), mark };
     let reply = |number: u64| Input::CallEnded {
@@ -202,107 +203,107 @@
         outcome: Outcome::Ok,
         reply: Some(Rc::from(*b"!")),
     };
-    let doubt = |from, to| Input::CommandsLost { from, to };
-    // Both starts are in doubt, but one run has been heard of since.
-    p.tell(at_call(1, 7));
-    let out = p.tell(doubt(-0.1, 0.1));
+    let commands_lost = |from, to| Input::CommandsLost { from, to };
+    // Both commands to run may be lost, but one run has been heard of since.
+    h.input(at_call(1, 7));
+    let out = h.input(commands_lost(-0.1, 0.1));
     assert!(matches!(&out[..], [Command::Run { name, body, .. }] if &**name == "r2" && **body == *b"body"));
-    assert_eq!(p.tell(doubt(0.1, 0.2)), vec![]);
-    // A reply in doubt is left out where that keeps a part of the worth.
-    p.tell(reply(1));
-    assert!(p.tell(doubt(-0.1, 0.1)).contains(&Command::SkipCall { name: "r1".into(), mark: 7 }));
-    // Else it is sent again when its run has been silent for long, and not once the run has gone on.
-    p.tell(at_call(2, 8));
-    p.tell(reply(2));
-    assert!(!p.tell(doubt(-0.1, 0.1)).iter().any(|c| matches!(c, Command::Resume { .. })));
-    let out = p.pass(1.0);
+    assert_eq!(h.input(commands_lost(0.1, 0.2)), vec![]);
+    // Where a call may be skipped, that is done instead of sending its reply again.
+    h.input(reply(1));
+    assert!(h.input(commands_lost(-0.1, 0.1)).contains(&Command::SkipCall { name: "r1".into(), mark: 7 }));
+    // Else the reply is sent again when its run has been silent for long, and not once the run has gone on.
+    h.input(at_call(2, 8));
+    h.input(reply(2));
+    assert!(!h.input(commands_lost(-0.1, 0.1)).iter().any(|c| matches!(c, Command::Resume { .. })));
+    let out = h.pass(1.0);
     assert!(out.iter().any(|c| matches!(c, Command::Resume { name, .. } if &**name == "r2")), "{out:?}");
-    p.tell(at_call(2, 9));
-    p.tell(reply(2));
-    p.tell(doubt(0.9, 1.1));
-    p.tell(at_call(2, 10));
-    assert!(!p.pass(1.0).iter().any(|c| matches!(c, Command::Resume { .. })));
+    h.input(at_call(2, 9));
+    h.input(reply(2));
+    h.input(commands_lost(0.9, 1.1));
+    h.input(at_call(2, 10));
+    assert!(!h.pass(1.0).iter().any(|c| matches!(c, Command::Resume { .. })));
 }
 
 #[test]
 fn a_start_that_came_too_late_releases_its_key_unless_it_was_commanded_twice() {
-    let mut p = Play::new();
-    p.arrive(1, "k");
-    assert_eq!(answers(&p.end(1, Outcome::NotStarted, b"")), vec![(1, Response::not_started())]);
-    assert_eq!(runs(&p.arrive(2, "k")), 1);
-    p.tell(Input::CommandsLost { from: -0.1, to: 0.1 });
-    assert_eq!(answers(&p.end(2, Outcome::NotStarted, b"")), vec![(2, Response::Failed)]);
-    assert_eq!(runs(&p.arrive(3, "k")), 0);
+    let mut h = Harness::new();
+    h.arrive(1, "k");
+    assert_eq!(responses(&h.end(1, Outcome::NotStarted, b"")), vec![(1, Response::not_started())]);
+    assert_eq!(runs(&h.arrive(2, "k")), 1);
+    h.input(Input::CommandsLost { from: -0.1, to: 0.1 });
+    assert_eq!(responses(&h.end(2, Outcome::NotStarted, b"")), vec![(2, Response::Failed)]);
+    assert_eq!(runs(&h.arrive(3, "k")), 0);
 }
 
-/// Made-up requests counted as failed runs, and the worker took itself for sick.
+/// Invented requests counted as failed runs, and the worker considered itself unhealthy.
 #[test]
 fn requests_that_the_backend_does_not_know_are_no_sign_of_bad_health() {
-    let mut p = Play::new();
+    let mut h = Harness::new();
     for number in 0..20 {
-        p.arrive(number, "");
-        let out = p.tell(Input::UnknownRequest { name: format!("r{number}").into() });
+        h.arrive(number, "");
+        let out = h.input(Input::UnknownRequest { name: format!("r{number}").into() });
         assert_eq!(out, vec![Command::Respond(Ticket(number), Response::Failed)]);
     }
 }
 
 #[test]
 fn a_disconnected_caller_is_released_while_queued_and_its_run_goes_on() {
-    let mut p = Play::new();
-    p.arrive(1, "k");
-    p.arrive(2, "");
-    p.arrive(3, "");
-    p.arrive(4, "l");
+    let mut h = Harness::new();
+    h.arrive(1, "k");
+    h.arrive(2, "");
+    h.arrive(3, "");
+    h.arrive(4, "l");
     for number in [1, 3, 4] {
-        assert_eq!(p.tell(Input::ClientDisconnected(Ticket(number))), vec![]);
+        assert_eq!(h.input(Input::ClientDisconnected(Ticket(number))), vec![]);
     }
     assert_eq!(
-        (p.core.pending_responses(), p.core.is_in_flight("r1"), p.core.is_in_flight("r3")),
+        (h.dispatcher.pending_responses(), h.dispatcher.is_in_flight("r1"), h.dispatcher.is_in_flight("r3")),
         (1, true, false)
     );
-    assert_eq!(p.end(1, Outcome::Ok, b"done"), vec![]);
-    assert_eq!(answers(&p.arrive(5, "k")), vec![(5, served(b"done"))]);
-    assert_eq!(runs(&p.arrive(6, "l")), 1);
+    assert_eq!(h.end(1, Outcome::Ok, b"done"), vec![]);
+    assert_eq!(responses(&h.arrive(5, "k")), vec![(5, served(b"done"))]);
+    assert_eq!(runs(&h.arrive(6, "l")), 1);
 }
 
 #[test]
 fn a_run_that_never_ends_gives_its_slot_back() {
-    let mut p = Play::new();
-    p.arrive(1, "");
-    p.arrive(2, "");
-    p.pass(3.0 + SILENT_RUN_S + 2.0);
-    let out = [p.arrive(3, ""), p.pass(1.0)].concat();
+    let mut h = Harness::new();
+    h.arrive(1, "");
+    h.arrive(2, "");
+    h.pass(3.0 + SILENT_RUN_S + 2.0);
+    let out = [h.arrive(3, ""), h.pass(1.0)].concat();
     assert!(runs(&out) == 1, "{out:?}");
 }
 
-/// Whatever happens in whatever order: one answer each, and one run a key and window.
+/// Whatever happens in whatever order: one response for each request, and one run for each key and window.
 #[test]
 fn every_request_gets_one_response_and_every_key_one_run() {
     for seed in 0..20u64 {
-        let (mut p, mut dice) = (Play::new(), seed.wrapping_mul(77) + 5);
+        let (mut h, mut random_state) = (Harness::new(), seed.wrapping_mul(77) + 5);
         let mut roll = |n: u64| {
-            dice = dice.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-            (dice >> 33) % n
+            random_state = random_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            (random_state >> 33) % n
         };
         let (mut seen, mut key_runs) = (HashMap::new(), HashMap::new());
         let (mut count, mut keys) = (0, HashMap::new());
         for _ in 0..1500 {
-            p.now += 0.004;
+            h.now += 0.004;
             let some: Rc<str> = format!("r{}", roll(count + 1)).into();
             let reply = || Some(Rc::from(*b"!"));
             let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Cancelled, Outcome::Interrupted];
             let outcome = outcomes[roll(4) as usize];
             let out = match roll(8) {
-                0..=2 if p.now < 4.0 => {
+                0..=2 if h.now < 4.0 => {
                     let key = ["", "a", "b", "c"][roll(4) as usize];
                     keys.insert(format!("r{count}"), key);
                     count += 1;
-                    p.arrive(count - 1, key)
+                    h.arrive(count - 1, key)
                 }
-                3 => p.tell(Input::AtCall { name: some, body: Rc::from([]), mark: 1 }),
-                4 => p.tell(Input::CallEnded { name: some, outcome, reply: reply() }),
-                5 => p.tell(Input::RunEnded { name: some, outcome, result: reply() }),
-                _ => p.tell(Input::Woken(Gauges::default())),
+                3 => h.input(Input::AtCall { name: some, body: Rc::from([]), mark: 1 }),
+                4 => h.input(Input::CallEnded { name: some, outcome, reply: reply() }),
+                5 => h.input(Input::RunEnded { name: some, outcome, result: reply() }),
+                _ => h.input(Input::Woken(Gauges::default())),
             };
             for command in &out {
                 match command {
@@ -314,64 +315,64 @@
                 }
             }
         }
-        for (ticket, _) in answers(&p.pass(5.0)) {
+        for (ticket, _) in responses(&h.pass(5.0)) {
             *seen.entry(ticket).or_insert(0) += 1;
         }
-        assert_eq!(p.core.pending_responses(), 0, "seed {seed}");
+        assert_eq!(h.dispatcher.pending_responses(), 0, "seed {seed}");
         assert!((0..count).all(|n| seen.get(&n) == Some(&1)), "seed {seed}: {seen:?}");
         assert!(key_runs.values().all(|n| *n == 1), "seed {seed}: {key_runs:?}");
     }
 }
 
-mod figures {
+mod metrics {
     use super::*;
     use proptest::prelude::*;
     use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-    /// Taken = served + refused + failed + in hand, at any instant, whatever happens in whatever order.
+    /// Received = served + rejected + failed + in flight, at any instant, whatever happens in whatever order.
     #[test]
     fn each_request_is_counted_once_at_any_instant() {
         let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
-        let dice = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
+        let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
         let step = (0..10u8, 0..60u64, 0..4usize, 1..40u32);
         let steps = proptest::collection::vec(step, 1..400);
-        let mut runner = TestRunner::new_with_rng(config, dice);
+        let mut runner = TestRunner::new_with_rng(config, rng);
         let ran = runner.run(&steps, |steps| {
-            let (mut p, mut taken, mut started) = (Play::new(), 0, 0);
+            let (mut h, mut received, mut started) = (Harness::new(), 0, 0);
             for (what, number, which, ms) in steps {
-                p.now += f64::from(ms) / 1000.0;
+                h.now += f64::from(ms) / 1000.0;
                 let some: Rc<str> = format!("r{number}").into();
                 let outcome = [Outcome::Ok, Outcome::Error, Outcome::NotStarted, Outcome::Cancelled][which];
                 let body: Rc<[u8]> = Rc::from(*b"!");
                 let out = match what {
-                    // Names come again while they are open, keys again and again, now and then with another body.
+                    // Names are repeated while they are in flight, keys often, now and then with another body.
                     0..=3 => {
-                        taken += 1;
+                        received += 1;
                         let mut request = request(number, ["", "a", "b", "c"][which]);
-                        request.ticket = Ticket(taken);
+                        request.ticket = Ticket(received);
                         request.time_left_s = f64::from(ms) / 10.0;
                         if number == 7 {
                             request.body = body;
                         }
-                        p.tell(Input::Arrived(request))
+                        h.input(Input::Arrived(request))
                     }
-                    4 => p.tell(Input::ClientDisconnected(Ticket(number))),
-                    5 => p.tell(Input::NeverRan { name: some }),
-                    6 => p.tell(Input::RunsLost),
-                    7 => p.tell(Input::CommandsLost { from: p.now - 0.1, to: p.now + 0.1 }),
-                    8 => p.tell(Input::Woken(Gauges::default())),
-                    _ => p.tell(Input::RunEnded { name: some, outcome, result: Some(body) }),
+                    4 => h.input(Input::ClientDisconnected(Ticket(number))),
+                    5 => h.input(Input::NeverRan { name: some }),
+                    6 => h.input(Input::RunsLost),
+                    7 => h.input(Input::CommandsLost { from: h.now - 0.1, to: h.now + 0.1 }),
+                    8 => h.input(Input::Woken(Gauges::default())),
+                    _ => h.input(Input::RunEnded { name: some, outcome, result: Some(body) }),
                 };
-                // What is given again after a break is the same run.
+                // What is commanded again after a break is the same run.
                 started += if what == 7 { 0 } else { runs(&out) as u64 };
-                let counts = p.core.metrics().classes();
+                let counts = h.dispatcher.metrics().classes();
                 let ended: u64 = counts.iter().map(|c| c.ended()).sum();
-                prop_assert_eq!(taken, ended + p.core.pending_responses() as u64);
-                prop_assert_eq!(p.core.pending_responses(), p.core.in_flight.by_ticket.len());
+                prop_assert_eq!(received, ended + h.dispatcher.pending_responses() as u64);
+                prop_assert_eq!(h.dispatcher.pending_responses(), h.dispatcher.in_flight.by_ticket.len());
                 prop_assert_eq!(started, counts.iter().map(|c| c.dispatches).sum::<u64>());
             }
-            p.pass(12.0);
-            prop_assert_eq!(p.core.pending_responses(), 0);
+            h.pass(12.0);
+            prop_assert_eq!(h.dispatcher.pending_responses(), 0);
             Ok(())
         });
         ran.unwrap();
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -1,76 +1,94 @@
-//! Two cores at one executor, the one in the place of the other.
+//! A dispatcher and its successor at one executor.
 
 use super::*;
 use crate::dispatch::idempotency::IdempotencyUpdate;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// What the old core tells the new one, in order.
-enum Word {
+/// What the predecessor reports to the successor, in order.
+enum Report {
     Key(IdempotencyUpdate),
     Usage(ResourceUsage),
 }
 
+/// Which process of the pair.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Role {
+    Predecessor,
+    Successor,
+}
+
+/// A run at the executor: the key of its request, and who began it.
+struct ExecutorRun {
+    key: String,
+    began_by: Role,
+}
+
 struct Pair {
-    old: Play,
-    new: Play,
-    lent: bool,
-    old_alive: bool,
-    words: VecDeque<Word>,
-    /// Runs by name: the key, and whether the old core began it.
-    runs: HashMap<Rc<str>, (String, bool)>,
+    predecessor: Harness,
+    successor: Harness,
+    handed_off: bool,
+    predecessor_alive: bool,
+    reports: VecDeque<Report>,
+    /// Runs by the name of their request.
+    runs: HashMap<Rc<str>, ExecutorRun>,
     /// Runs of a key that may have had their effect.
-    of_key: HashMap<String, u32>,
+    runs_by_key: HashMap<String, u32>,
     keys: HashMap<u64, String>,
-    answers: HashMap<u64, u32>,
+    responses: HashMap<u64, u32>,
 }
 
 impl Pair {
     fn new() -> Pair {
         Pair {
-            old: Play::new(),
-            new: Play::new(),
-            lent: false,
-            old_alive: true,
-            words: VecDeque::new(),
+            predecessor: Harness::new(),
+            successor: Harness::new(),
+            handed_off: false,
+            predecessor_alive: true,
+            reports: VecDeque::new(),
             runs: HashMap::new(),
-            of_key: HashMap::new(),
+            runs_by_key: HashMap::new(),
             keys: HashMap::new(),
-            answers: HashMap::new(),
+            responses: HashMap::new(),
         }
     }
 
     fn pass(&mut self, seconds: f64) {
-        self.old.now += seconds;
-        self.new.now = self.old.now;
-        self.tell(true, Input::Woken(Gauges::default()));
-        self.tell(false, Input::Woken(Gauges::default()));
+        self.predecessor.now += seconds;
+        self.successor.now = self.predecessor.now;
+        self.input(Role::Predecessor, Input::Woken(Gauges::default()));
+        self.input(Role::Successor, Input::Woken(Gauges::default()));
     }
 
-    fn tell(&mut self, old: bool, input: Input) {
-        if old && !self.old_alive {
+    fn input(&mut self, role: Role, input: Input) {
+        if role == Role::Predecessor && !self.predecessor_alive {
             return;
         }
-        let out = if old { self.old.tell(input) } else { self.new.tell(input) };
-        self.note(old, out);
-        if old && self.lent {
-            self.words.push_back(Word::Usage(self.old.core.usage()));
+        let out = match role {
+            Role::Predecessor => self.predecessor.input(input),
+            Role::Successor => self.successor.input(input),
+        };
+        self.record(role, out);
+        if role == Role::Predecessor && self.handed_off {
+            self.reports.push_back(Report::Usage(self.predecessor.dispatcher.usage()));
         }
     }
 
-    fn note(&mut self, old: bool, out: Vec<Command>) {
+    fn record(&mut self, role: Role, out: Vec<Command>) {
         for command in out {
             match command {
-                Command::Respond(ticket, _) => *self.answers.entry(ticket.0).or_default() += 1,
+                Command::Respond(ticket, _) => *self.responses.entry(ticket.0).or_default() += 1,
                 Command::Run { name, .. } => {
                     let number: u64 = name[1..].parse().unwrap();
                     let key = self.keys[&number].clone();
                     if !key.is_empty() {
-                        *self.of_key.entry(key.clone()).or_default() += 1;
+                        *self.runs_by_key.entry(key.clone()).or_default() += 1;
                     }
-                    self.runs.insert(name, (key, old));
+                    self.runs.insert(name, ExecutorRun { key, began_by: role });
+                }
+                Command::IdempotencyUpdate(update) if role == Role::Predecessor => {
+                    self.reports.push_back(Report::Key(update));
                 }
-                Command::IdempotencyUpdate(news) if old => self.words.push_back(Word::Key(news)),
                 _ => {}
             }
         }
@@ -78,83 +96,85 @@
 
     fn arrive(&mut self, number: u64, key: &str) {
         self.keys.insert(number, key.to_owned());
-        let old = !self.lent && self.old_alive;
-        self.tell(old, Input::Arrived(request(number, key)));
+        let at_predecessor = !self.handed_off && self.predecessor_alive;
+        let role = if at_predecessor { Role::Predecessor } else { Role::Successor };
+        self.input(role, Input::Arrived(request(number, key)));
     }
 
     fn end(&mut self, which: usize, outcome: Outcome) {
         let mut names: Vec<_> = self.runs.keys().cloned().collect();
         names.sort();
         let Some(name) = names.get(which % names.len().max(1)).cloned() else { return };
-        let (key, old) = self.runs.remove(&name).unwrap();
-        // Nothing was begun: it was no run.
-        if outcome == Outcome::NotStarted && !key.is_empty() && (!old || self.old_alive) {
-            *self.of_key.get_mut(&key).unwrap() -= 1;
+        let ExecutorRun { key, began_by } = self.runs.remove(&name).unwrap();
+        let is_heard = began_by == Role::Successor || self.predecessor_alive;
+        // Nothing was started: it was no run.
+        if outcome == Outcome::NotStarted && !key.is_empty() && is_heard {
+            *self.runs_by_key.get_mut(&key).unwrap() -= 1;
         }
         let result = (outcome == Outcome::Ok).then(|| Rc::from(*b"done"));
-        self.tell(old, Input::RunEnded { name, outcome, result });
+        self.input(began_by, Input::RunEnded { name, outcome, result });
     }
 
-    fn lend(&mut self) {
-        if std::mem::replace(&mut self.lent, true) || !self.old_alive {
+    fn hand_off(&mut self) {
+        if std::mem::replace(&mut self.handed_off, true) || !self.predecessor_alive {
             return;
         }
         let mut out = Vec::new();
-        let now = self.old.now;
-        let lent = self.old.core.hand_off(now, |_| true, &mut out);
-        self.note(true, out);
-        self.new.core.succeed(lent.fingerprint_key, lent.running);
-        self.tell(false, Input::LearnedState(lent.learned));
-        for news in lent.keys {
-            self.tell(false, Input::IdempotencyUpdate(news));
+        let now = self.predecessor.now;
+        let handed_off = self.predecessor.dispatcher.hand_off(now, |_| true, &mut out);
+        self.record(Role::Predecessor, out);
+        self.successor.dispatcher.succeed(handed_off.fingerprint_key, handed_off.running);
+        self.input(Role::Successor, Input::LearnedState(handed_off.learned));
+        for update in handed_off.keys {
+            self.input(Role::Successor, Input::IdempotencyUpdate(update));
         }
-        let ResourceUsage { on_cores, calling, kb } = self.old.core.usage();
-        self.tell(false, Input::OtherProcess { on_cores, calling, kb });
-        for request in lent.requests {
-            self.tell(false, Input::Arrived(request.at(now)));
+        let ResourceUsage { on_cores, calling, kb } = self.predecessor.dispatcher.usage();
+        self.input(Role::Successor, Input::OtherProcess { on_cores, calling, kb });
+        for request in handed_off.requests {
+            self.input(Role::Successor, Input::Arrived(request.at(now)));
         }
     }
 
-    fn hear(&mut self) -> bool {
-        match self.words.pop_front() {
-            Some(Word::Key(news)) => self.tell(false, Input::IdempotencyUpdate(news)),
-            Some(Word::Usage(ResourceUsage { on_cores, calling, kb })) => {
-                self.tell(false, Input::OtherProcess { on_cores, calling, kb });
+    fn receive_report(&mut self) -> bool {
+        match self.reports.pop_front() {
+            Some(Report::Key(update)) => self.input(Role::Successor, Input::IdempotencyUpdate(update)),
+            Some(Report::Usage(ResourceUsage { on_cores, calling, kb })) => {
+                self.input(Role::Successor, Input::OtherProcess { on_cores, calling, kb });
             }
             None => return false,
         }
         true
     }
 
-    /// The old process is killed: its last words arrive, its runs go on unheard, its answers are lost.
-    fn kill_old(&mut self) {
-        if !self.lent || !std::mem::replace(&mut self.old_alive, false) {
+    /// The predecessor is killed: its last reports arrive, its runs go on unnoticed, its responses are lost.
+    fn kill_predecessor(&mut self) {
+        if !self.handed_off || !std::mem::replace(&mut self.predecessor_alive, false) {
             return;
         }
-        while self.hear() {}
-        for ticket in self.old.core.in_flight.by_ticket.keys() {
-            self.answers.insert(ticket.0, 1);
+        while self.receive_report() {}
+        for ticket in self.predecessor.dispatcher.in_flight.by_ticket.keys() {
+            self.responses.insert(ticket.0, 1);
         }
-        self.tell(false, Input::PredecessorGone);
+        self.input(Role::Successor, Input::PredecessorGone);
     }
 }
 
 #[test]
 fn a_key_runs_once_in_both_processes_and_every_request_gets_one_response() {
     let config = Config { cases: 120, failure_persistence: None, ..Config::default() };
-    let dice = TestRng::from_seed(RngAlgorithm::ChaCha, &[23; 32]);
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[23; 32]);
     let step = (0..20u8, 0..12usize, 0..4usize, 1..30u32);
     let steps = proptest::collection::vec(step, 20..250);
-    let ran = TestRunner::new_with_rng(config, dice).run(&steps, |steps| {
+    let ran = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
         let mut pair = Pair::new();
         let (mut count, lends_at, dies) = (0, steps.len() / 3, steps[0].0 < 8);
         for (i, (what, which, key, ms)) in steps.iter().enumerate() {
             pair.pass(f64::from(*ms) / 1000.0);
             if i == lends_at {
-                pair.lend();
+                pair.hand_off();
             }
             if dies && i == 2 * lends_at {
-                pair.kill_old();
+                pair.kill_predecessor();
             }
             match what {
                 0..=8 => {
@@ -164,27 +184,27 @@
                 9..=14 => {
                     pair.end(*which, [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::NotStarted][*key])
                 }
-                _ => drop(pair.hear()),
+                _ => drop(pair.receive_report()),
             }
-            for (key, runs) in &pair.of_key {
+            for (key, runs) in &pair.runs_by_key {
                 prop_assert!(*runs <= 1, "key {} ran {} times", key, runs);
             }
         }
-        pair.lend();
+        pair.hand_off();
         for i in 0..400 {
             pair.pass(0.05);
             if i % 2 == 0 {
                 pair.end(0, Outcome::Ok);
             }
-            while pair.hear() {}
+            while pair.receive_report() {}
         }
-        pair.kill_old();
+        pair.kill_predecessor();
         for number in 1..=count {
-            prop_assert_eq!(pair.answers.get(&number), Some(&1), "request {}", number);
+            prop_assert_eq!(pair.responses.get(&number), Some(&1), "request {}", number);
         }
-        prop_assert_eq!(pair.new.core.pending_responses(), 0);
-        prop_assert!(pair.new.core.is_idle());
-        prop_assert_eq!(pair.new.core.usage(), ResourceUsage::default());
+        prop_assert_eq!(pair.successor.dispatcher.pending_responses(), 0);
+        prop_assert!(pair.successor.dispatcher.is_idle());
+        prop_assert_eq!(pair.successor.dispatcher.usage(), ResourceUsage::default());
         Ok(())
     });
     ran.unwrap();
@@ -198,46 +218,52 @@
     }
     pair.arrive(4, "k");
     assert_eq!(pair.runs.len(), 2);
-    pair.lend();
-    assert_eq!((pair.old.core.pending_responses(), pair.new.core.pending_responses()), (2, 2));
-    // Both count the old core's runs.
+    pair.hand_off();
+    assert_eq!(
+        (pair.predecessor.dispatcher.pending_responses(), pair.successor.dispatcher.pending_responses()),
+        (2, 2)
+    );
+    // Both count the predecessor's runs.
     assert_eq!(pair.runs.len(), 2);
-    // What a third process would be told is the use of both.
-    assert_eq!((pair.old.core.usage().on_cores, pair.new.core.usage().on_cores), (2, 2));
+    // A third process would be told the usage of both.
+    assert_eq!(
+        (pair.predecessor.dispatcher.usage().on_cores, pair.successor.dispatcher.usage().on_cores),
+        (2, 2)
+    );
     pair.end(0, Outcome::Ok);
     pair.end(0, Outcome::Ok);
-    while pair.hear() {}
-    assert_eq!(pair.runs.values().filter(|(_, old)| !old).count(), 2);
-    assert!(pair.old.core.is_idle());
+    while pair.receive_report() {}
+    assert_eq!(pair.runs.values().filter(|run| run.began_by == Role::Successor).count(), 2);
+    assert!(pair.predecessor.dispatcher.is_idle());
 }
 
 #[test]
 fn reclaimed_requests_are_decided_as_if_they_had_never_been_handed_off() {
-    let mut p = Play::new();
-    p.arrive(1, "");
-    p.arrive(2, "");
-    p.arrive(3, "k");
-    let lent = p.core.hand_off(p.now, |_| true, &mut p.out);
-    assert_eq!((lent.requests.len(), lent.running.len()), (1, 2));
-    p.core.end_hand_off();
-    p.now = 0.5;
-    let out = p.tell(Input::Arrived(lent.requests[0].at(p.now)));
-    assert_eq!(answers(&out), vec![]);
-    assert_eq!(runs(&p.end(1, Outcome::Ok, b"x")), 1);
-    assert_eq!(answers(&p.end(3, Outcome::Ok, b"done")), vec![(3, served(b"done"))]);
-    assert_eq!(p.core.pending_responses(), 1);
+    let mut h = Harness::new();
+    h.arrive(1, "");
+    h.arrive(2, "");
+    h.arrive(3, "k");
+    let handed_off = h.dispatcher.hand_off(h.now, |_| true, &mut h.out);
+    assert_eq!((handed_off.requests.len(), handed_off.running.len()), (1, 2));
+    h.dispatcher.end_hand_off();
+    h.now = 0.5;
+    let out = h.input(Input::Arrived(handed_off.requests[0].at(h.now)));
+    assert_eq!(responses(&out), vec![]);
+    assert_eq!(runs(&h.end(1, Outcome::Ok, b"x")), 1);
+    assert_eq!(responses(&h.end(3, Outcome::Ok, b"done")), vec![(3, served(b"done"))]);
+    assert_eq!(h.dispatcher.pending_responses(), 1);
 }
 
 #[test]
 fn a_name_that_runs_in_the_predecessor_conflicts() {
     let mut pair = Pair::new();
     pair.arrive(1, "");
-    pair.lend();
-    let out = pair.new.tell(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
+    pair.hand_off();
+    let out = pair.successor.input(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
     assert_eq!(out, vec![Command::Respond(Ticket(9), Response::Conflict)]);
 }
 
-/// Tries waited for an end that had come, until their own time was over.
+/// Retries waited until their own deadline for an end that had come.
 #[test]
 fn the_end_of_a_key_in_the_predecessor_reaches_its_retries_immediately() {
     for (outcome, answer) in [
@@ -247,73 +273,73 @@
     ] {
         let mut pair = Pair::new();
         pair.arrive(1, "k");
-        pair.lend();
+        pair.hand_off();
         pair.arrive(2, "k");
-        assert!(pair.new.core.is_in_flight("r2") && pair.words.is_empty());
+        assert!(pair.successor.dispatcher.is_in_flight("r2") && pair.reports.is_empty());
         pair.end(0, outcome);
-        let Some(Word::Key(news)) = pair.words.pop_front() else { panic!("no news of the key") };
-        let out = pair.new.tell(Input::IdempotencyUpdate(news));
-        assert_eq!(answers(&out), vec![(2, answer)], "{outcome:?}");
+        let Some(Report::Key(update)) = pair.reports.pop_front() else { panic!("no report of the key") };
+        let out = pair.successor.input(Input::IdempotencyUpdate(update));
+        assert_eq!(responses(&out), vec![(2, answer)], "{outcome:?}");
         // Only what never ran may run again.
-        let again = pair.new.arrive(3, "k");
+        let again = pair.successor.arrive(3, "k");
         assert_eq!(runs(&again), usize::from(outcome == Outcome::NotStarted));
     }
 }
 
-/// Each replacement gave every tenant its whole bucket again, and called a flood of further tries quiet.
+/// Each hot restart refilled every tenant's bucket, and the successor did not know of a flood of retries.
 #[test]
 fn a_tenant_over_its_quota_gains_nothing_by_a_hot_restart() {
     let of_tenant = |number| Request { tenant: Some(0), retry: true, ..request(number, "") };
-    let with_quota = || Play::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
-    let lent = |p: &mut Play| p.core.hand_off(p.now, |_| true, &mut Vec::new());
+    let with_quota = || Harness::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
+    let hand_off = |h: &mut Harness| h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new());
     let mut old = with_quota();
-    let whole = lent(&mut old).learned.traffic.quotas[0].0;
-    old.core.end_hand_off();
+    let whole = hand_off(&mut old).learned.traffic.quotas[0].0;
+    old.dispatcher.end_hand_off();
     for number in 1..=2 {
-        old.tell(Input::Arrived(of_tenant(number)));
+        old.input(Input::Arrived(of_tenant(number)));
         old.end(number, Outcome::Error, b"");
     }
-    // Two that run are paid for here; two that wait are paid for where they are decided on next.
-    (3..=6).for_each(|number| drop(old.tell(Input::Arrived(of_tenant(number)))));
-    let given = lent(&mut old);
-    assert_eq!((whole, given.requests.len()), (6.0, 2));
-    let Traffic { quotas, arrivals, lately } = given.learned.traffic.clone();
+    // Two that run are charged here; two that wait are charged where they are decided on next.
+    (3..=6).for_each(|number| drop(old.input(Input::Arrived(of_tenant(number)))));
+    let handed_off = hand_off(&mut old);
+    assert_eq!((whole, handed_off.requests.len()), (6.0, 2));
+    let Traffic { quotas, arrivals, lately } = handed_off.learned.traffic.clone();
     assert_eq!(quotas, [(2.0, 4.0)]);
     assert!(arrivals[0] > 0.0 && lately == (arrivals[0], 2.0, 2.0), "{arrivals:?} {lately:?}");
     let mut new = with_quota();
-    new.tell(Input::LearnedState(given.learned));
-    assert_eq!(lent(&mut new).learned.traffic, Traffic { quotas, arrivals, lately });
-    // A successor of other bounds takes no more than it has itself.
-    new.core.end_hand_off();
+    new.input(Input::LearnedState(handed_off.learned));
+    assert_eq!(hand_off(&mut new).learned.traffic, Traffic { quotas, arrivals, lately });
+    // A successor with other limits takes no more than its own.
+    new.dispatcher.end_hand_off();
     let more = Traffic { quotas: vec![(1e6, 0.0)], ..Traffic::default() };
-    new.tell(Input::LearnedState(LearnedState { traffic: more, ..lent(&mut with_quota()).learned }));
-    assert_eq!(lent(&mut new).learned.traffic.quotas, [(2.0, 0.0)]);
+    new.input(Input::LearnedState(LearnedState { traffic: more, ..hand_off(&mut with_quota()).learned }));
+    assert_eq!(hand_off(&mut new).learned.traffic.quotas, [(2.0, 0.0)]);
 }
 
 #[test]
 fn a_successor_adopts_what_was_learned_within_its_own_run_limit() {
-    let mut p = Play::new();
+    let mut h = Harness::new();
     for number in 1..=40 {
-        p.arrive(number, "");
-        p.now += 0.1;
-        p.end(number, Outcome::Ok, b"x");
+        h.arrive(number, "");
+        h.now += 0.1;
+        h.end(number, Outcome::Ok, b"x");
     }
-    let learned = p.core.hand_off(p.now, |_| true, &mut Vec::new()).learned;
+    let learned = h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new()).learned;
     assert!((0.05..0.3).contains(&(learned.paces[0].0 / learned.paces[0].1)), "{learned:?}");
-    let mut new = Play::new();
-    new.tell(Input::LearnedState(learned.clone()));
-    assert_eq!(new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned, learned);
-    // What can't have been measured is let pass.
-    let mut new = Play::new();
-    let before = new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned;
-    new.core.end_hand_off();
-    new.tell(Input::LearnedState(LearnedState { usual_s: f64::NAN, ..learned.clone() }));
+    let mut new = Harness::new();
+    new.input(Input::LearnedState(learned.clone()));
+    assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, learned);
+    // What can't have been measured is ignored.
+    let mut new = Harness::new();
+    let before = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned;
+    new.dispatcher.end_hand_off();
+    new.input(Input::LearnedState(LearnedState { usual_s: f64::NAN, ..learned.clone() }));
     let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0)], ..Traffic::default() };
-    new.tell(Input::LearnedState(LearnedState { traffic, ..learned.clone() }));
-    new.tell(Input::LearnedState(LearnedState { paces: vec![(-1.0, 0.0, [0.0; 5])], ..learned.clone() }));
-    assert_eq!(new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned, before);
-    let mut new = Play::new();
-    new.tell(Input::LearnedState(LearnedState { runs: 1_000_000, ..learned }));
-    let most = new.core.hand_off(0.0, |_| true, &mut Vec::new()).learned.runs;
+    new.input(Input::LearnedState(LearnedState { traffic, ..learned.clone() }));
+    new.input(Input::LearnedState(LearnedState { paces: vec![(-1.0, 0.0, [0.0; 5])], ..learned.clone() }));
+    assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, before);
+    let mut new = Harness::new();
+    new.input(Input::LearnedState(LearnedState { runs: 1_000_000, ..learned }));
+    let most = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned.runs;
     assert!(most <= 16, "{most}");
 }
