--- a/fleet-coordinator/src/config.rs
+++ b/fleet-coordinator/src/config.rs
@@ -158,7 +158,7 @@
             guards: SafetyChecks::default(),
             overload: self
                 .overload
-                .map(|o| Settings { part: o.calls_part, retry_share: o.retry_percent / 100.0 }),
+                .map(|o| Settings { base_calls: o.calls_part, retry_share: o.retry_percent / 100.0 }),
         }
     }
 }
--- a/fleet-coordinator/src/coordinator.rs
+++ b/fleet-coordinator/src/coordinator.rs
@@ -550,21 +550,21 @@
 /// How the fleet stands in overload.
 fn overload_of(now: f64, leader: &Leader) -> Value {
     let (level, sums) = (leader.level(now), leader.sums());
-    let (lent, out) = leader.calls(now);
+    let capacity = leader.capacity_totals(now);
     let zones: Vec<Value> = leader
         .service()
         .zones()
-        .map(|(zone, part, given_up, tries)| {
-            json!({"zone": zone, "calls_part": part, "given_up": given_up, "tried_by_session": tries})
+        .map(|z| {
+            json!({"zone": z.zone, "calls_part": z.call_share, "given_up": z.circuit_open, "tried_by_session": z.prober})
         })
         .collect();
     json!({
         "level": if level.is_open() { json!("open") } else { json!({"tier": level.tier, "share": level.share}) },
-        "workers": sums.of, "age_s": (sums.age_s * 10.0).round() / 10.0,
-        "asked_per_s": sums.arrivals.iter().sum::<f64>().round(), "further_per_s": sums.further.round(),
-        "capacity_per_s": sums.capacity.round(), "calls_per_s": (sums.calls_good + sums.calls_bad).round(),
-        "call_ms": (sums.call_s * 10_000.0).round() / 10.0, "retries_pass": leader.retries().pass(),
-        "retries_saved": leader.retries().saved().round(), "calls_lent": lent, "calls_in_slices": out,
+        "workers": sums.workers, "age_s": (sums.age_s * 10.0).round() / 10.0,
+        "asked_per_s": sums.arrivals.iter().sum::<f64>().round(), "further_per_s": sums.retries.round(),
+        "capacity_per_s": sums.capacity.round(), "calls_per_s": (sums.calls_succeeded + sums.calls_failed).round(),
+        "call_ms": (sums.call_s * 10_000.0).round() / 10.0, "retries_pass": leader.retry_budget().admitted_share(),
+        "retries_saved": leader.retry_budget().balance().round(), "calls_lent": capacity.lent, "calls_in_slices": capacity.granted,
         "zones": zones,
     })
 }
--- a/fleet-coordinator/src/leader_state.rs
+++ b/fleet-coordinator/src/leader_state.rs
@@ -210,7 +210,7 @@
         }
         if let (Some(load), Some((_, overload))) = (&keep.load, &mut self.overload) {
             let zone = facts.sessions.get(&session).map_or("", |s| s.zone.as_str());
-            overload.heard(now, session, zone, load);
+            overload.receive(now, session, zone, load);
         }
         let (seq, tells) = (keep.seq, keep.load.is_some());
         self.renewals.came(Renewal { link, session, seq, came: now, tells, held: counted });
@@ -358,7 +358,7 @@
         match (&entry.command, result) {
             (Command::Open { name, process, .. }, result) => self.opened(now, name, *process, result),
             (Command::Close { session }, Ok(_)) => {
-                self.overload.iter_mut().for_each(|(_, overload)| overload.gone(*session));
+                self.overload.iter_mut().for_each(|(_, overload)| overload.remove(*session));
                 if let Some(link) = self.sessions.remove(session).and_then(|live| live.link) {
                     self.links.remove(&link);
                 }
@@ -462,7 +462,7 @@
         self.pass_on(now, facts);
         self.note_pauses(now, facts);
         if let Some((_, overload)) = &mut self.overload {
-            self.acts.extend(overload.look(now).into_iter().map(LeaderAction::Note));
+            self.acts.extend(overload.evaluate(now).into_iter().map(LeaderAction::Note));
         }
         self.free_silent(now, facts);
         self.grant_free(now, facts);
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -59,7 +59,7 @@
     assert_eq!(setup.tasks, file.tasks);
     assert_eq!(setup.overdue_s, 0.25);
     let settings = setup.overload.unwrap();
-    assert_eq!((settings.part, settings.retry_share), (4.0, 0.25));
+    assert_eq!((settings.base_calls, settings.retry_share), (4.0, 0.25));
 }
 
 #[test]
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -293,12 +293,12 @@
     pub fn fleet_load_sample(&mut self, now: f64) -> Option<LoadSample> {
         let (served, refused) =
             self.figures.classes().iter().fold((0, 0), |(s, r), c| (s + c.success, r + c.overload));
-        Some(self.controller.overload.as_mut()?.numbers(now, served, refused))
+        Some(self.controller.overload.as_mut()?.take_sample(now, served, refused))
     }
 
     /// What operators read of it: names and values.
     pub fn overload_figures(&self) -> Vec<(&'static str, String)> {
-        self.controller.overload.as_ref().map(OverloadPolicy::figures).unwrap_or_default()
+        self.controller.overload.as_ref().map(OverloadPolicy::metrics).unwrap_or_default()
     }
 
     /// How requests have ended so far, by class.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -14,6 +14,8 @@
 //!
 //! Without `[fleet]` in an operator's file nothing of it is constructed.
 
+#![warn(missing_docs)]
+
 pub mod frame;
 pub mod lease_holder;
 pub mod overload;
--- a/src/fleet/overload/capacity_leases/tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -1,8 +1,10 @@
+use super::server::{divide, Demand};
 use super::*;
 use proptest::prelude::*;
+use std::collections::VecDeque;
 
 const WORKERS: usize = 3;
-const OWN: f64 = 4.0;
+const BASE_CALLS: f64 = 4.0;
 /// Clocks differ by as much as the drift allows for, in the direction that harms.
 const DRIFT: f64 = 0.1;
 
@@ -16,7 +18,7 @@
     Answer(usize),
     Deliver(usize),
     /// A worker's link is lost; the next one is to the newest leader.
-    Relink(usize),
+    Reconnect(usize),
     Restart(usize),
     Lead,
 }
@@ -29,56 +31,68 @@
         5 => worker.clone().prop_map(Step::Arrive),
         5 => worker.clone().prop_map(Step::Answer),
         5 => worker.clone().prop_map(Step::Deliver),
-        1 => worker.clone().prop_map(Step::Relink),
+        1 => worker.clone().prop_map(Step::Reconnect),
         1 => worker.prop_map(Step::Restart),
         1 => Just(Step::Lead),
     ];
     prop::collection::vec(step, 0..200)
 }
 
-/// The guard that is taken away.
+/// The guard that is removed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Weak {
     Nothing,
     /// A new leader gives at once.
     NoWait,
-    /// A loan counts from when the latest digest went out, whatever the lender had heard by then.
+    /// A loan counts from when the latest digest went out, whatever the lender had received by then.
     AnyDigest,
-    /// A new process uses its whole part.
-    WholePart,
-    /// Holders use the whole of a slice.
+    /// A new process uses its full base allocation.
+    FullAllocation,
+    /// Holders use a slice until its end, without a margin for drift.
     NoDrift,
 }
 
+/// What a worker reports that has calls to spare, or, where that is negative, wants some.
+fn report_of(offer: LoanOffer, spare: f64) -> CapacityReport {
+    CapacityReport {
+        last_digest: offer.last_digest,
+        lends: offer.lends,
+        wants: (-spare).max(0.0),
+        weight: 1.0,
+    }
+}
+
 struct Worker {
-    part: CapacityClient,
+    client: CapacityClient,
     leader: usize,
     number: u64,
+    /// Reports on their way to the leader, by number.
     up: VecDeque<(u64, CapacityReport)>,
-    /// What came to the leader and waits for the quorum.
-    came: VecDeque<(u64, f64)>,
-    down: VecDeque<(u64, u64, f64)>,
+    /// Numbers of reports that wait for the quorum, and when they were received.
+    received: VecDeque<(u64, f64)>,
+    /// Answers on their way to the worker, by the number of their report.
+    down: VecDeque<(u64, SliceGrant)>,
 }
 
-/// Plays the steps; the first moment at which more may be in hand than the parts come to.
-fn overdrawn(steps: &[Step], weak: Weak) -> Option<f64> {
+/// Plays the steps; the first total of calls that may be in flight beyond the sum of the base allocations.
+fn first_excess(steps: &[Step], weak: Weak) -> Option<f64> {
     let (leaders_rate, workers_rate) = (1.0 + DRIFT / 2.0, 1.0 - DRIFT / 2.0);
     // Lenders' clocks are fast: their promises end early; borrowers' are slow, and so hold on for long.
     let rate = |w: usize| if w == 0 { 1.0 + DRIFT / 2.0 } else { workers_rate };
     let drift = if weak == Weak::NoDrift { 0.0 } else { DRIFT };
     let new = |w: usize, now: f64, whole: bool| {
         let began = if whole { now * rate(w) - 100.0 } else { now * rate(w) };
-        CapacityClient::new(began, OWN, drift)
+        CapacityClient::new(began, BASE_CALLS, drift)
     };
     let mut now = 1000.0;
-    let mut leaders = vec![CapacityLeaseServer::lead(now * leaders_rate, OWN)];
+    let mut leaders = vec![CapacityLeaseServer::new(now * leaders_rate, BASE_CALLS)];
     let mut workers: Vec<Worker> = (0..WORKERS)
         .map(|w| Worker {
-            part: new(w, now, true),
+            client: new(w, now, true),
             leader: 0,
             number: 0,
             up: VecDeque::new(),
-            came: VecDeque::new(),
+            received: VecDeque::new(),
             down: VecDeque::new(),
         })
         .collect();
@@ -90,54 +104,56 @@
             Step::Report(w, spare) => {
                 let worker = &mut workers[w];
                 worker.number += 1;
-                let (lends, heard) = worker.part.report(now * rate(w), worker.number, spare);
-                let claim = CapacityReport { heard, lends, wants: (-spare).max(0.0), weight: 1.0 };
-                worker.up.push_back((worker.number, claim));
+                let offer = worker.client.report(now * rate(w), worker.number, spare);
+                worker.up.push_back((worker.number, report_of(offer, spare)));
             }
             Step::Arrive(w) => {
                 let worker = &mut workers[w];
-                let Some((number, mut claim)) = worker.up.pop_front() else { continue };
+                let Some((number, mut report)) = worker.up.pop_front() else { continue };
                 if weak == Weak::AnyDigest {
-                    let sent = leaders[worker.leader].parties.get(&(w as u64));
-                    claim.heard = sent.and_then(|p| p.sent.back()).map_or(0, |(number, _)| *number);
+                    let holder = leaders[worker.leader].holders.get(&(w as u64));
+                    let newest_digest = holder.and_then(|holder| holder.sent_digests.back());
+                    report.last_digest = newest_digest.map_or(0, |digest| digest.number);
                 }
-                leaders[worker.leader].came(leaders_now, w as u64, claim);
-                worker.came.push_back((number, leaders_now));
+                leaders[worker.leader].receive_report(leaders_now, w as u64, report);
+                worker.received.push_back((number, leaders_now));
             }
             Step::Answer(w) => {
                 let worker = &mut workers[w];
                 // A leader before has no quorum.
                 if worker.leader == newest {
-                    if let Some((number, came)) = worker.came.pop_front() {
-                        let (digest, slice) = leaders[newest].deal(leaders_now, came, w as u64);
-                        worker.down.push_back((number, digest, slice));
+                    if let Some((number, received_at)) = worker.received.pop_front() {
+                        let grant = leaders[newest].grant(leaders_now, received_at, w as u64);
+                        worker.down.push_back((number, grant));
                     }
                 }
             }
             Step::Deliver(w) => {
                 let worker = &mut workers[w];
-                if let Some((number, digest, slice)) = worker.down.pop_front() {
-                    worker.part.heard(number, digest, slice);
+                if let Some((number, grant)) = worker.down.pop_front() {
+                    worker.client.receive(number, grant.digest, grant.slice);
                 }
             }
-            Step::Relink(w) | Step::Restart(w) => {
+            Step::Reconnect(w) | Step::Restart(w) => {
                 let worker = &mut workers[w];
-                (worker.up, worker.came, worker.down) = Default::default();
-                // What it is under another link is another party to the leader: a session goes on, a process does not.
+                worker.up.clear();
+                worker.received.clear();
+                worker.down.clear();
+                // The session goes on over another link, the process does not survive a restart.
                 worker.leader = newest;
                 match step {
-                    Step::Restart(_) => worker.part = new(w, now, weak == Weak::WholePart),
-                    _ => worker.part.relinked(),
+                    Step::Restart(_) => worker.client = new(w, now, weak == Weak::FullAllocation),
+                    _ => worker.client.reconnected(),
                 }
             }
             Step::Lead => {
                 let from = if weak == Weak::NoWait { leaders_now } else { leaders_now + SLICE_S };
-                leaders.push(CapacityLeaseServer::lead_after(from, OWN));
+                leaders.push(CapacityLeaseServer::granting_from(from, BASE_CALLS));
             }
         }
         let may: f64 =
-            workers.iter().enumerate().map(|(w, worker)| worker.part.may_have(now * rate(w))).sum();
-        if may > OWN * WORKERS as f64 + 1e-9 {
+            workers.iter().enumerate().map(|(w, worker)| worker.client.max_in_flight(now * rate(w))).sum();
+        if may > BASE_CALLS * WORKERS as f64 + 1e-9 {
             return Some(may);
         }
     }
@@ -147,8 +163,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn what_all_may_have_in_hand_never_passes_the_sum_of_their_parts(steps in steps()) {
-        prop_assert_eq!(overdrawn(&steps, Weak::Nothing), None);
+    fn calls_in_flight_never_exceed_the_sum_of_base_allocations(steps in steps()) {
+        prop_assert_eq!(first_excess(&steps, Weak::Nothing), None);
     }
 }
 
@@ -164,8 +180,9 @@
 }
 
 #[test]
-fn each_guard_of_loans_and_slices_that_is_taken_away_is_missed() {
-    let again = [vec![Step::Lead, Step::Relink(0), Step::Relink(2)], told(0, 3.0), told(0, 3.0)].concat();
+fn without_any_one_guard_of_loans_and_slices_calls_exceed_the_sum() {
+    let again =
+        [vec![Step::Lead, Step::Reconnect(0), Step::Reconnect(2)], told(0, 3.0), told(0, 3.0)].concat();
     let late = vec![
         // The answer to one report is late, and a later report, in which it lends, is on its way for long.
         Step::Report(0, 0.0),
@@ -182,61 +199,67 @@
             Weak::AnyDigest,
             [vec![Step::Pass(1.2)], told(0, 0.0), late, end, told(1, -3.0), vec![Step::Pass(0.4)]].concat(),
         ),
-        (Weak::WholePart, [lent(), vec![Step::Restart(0)]].concat()),
+        (Weak::FullAllocation, [lent(), vec![Step::Restart(0)]].concat()),
         (
             Weak::NoDrift,
             [lent(), vec![Step::Pass(1.75)], told(1, -3.0), vec![Step::Pass(1.0), Step::Pass(0.0)]].concat(),
         ),
     ] {
-        assert_eq!(overdrawn(&steps, Weak::Nothing), None, "{weak:?}");
-        assert!(overdrawn(&steps, weak).is_some(), "{weak:?} is not missed");
+        assert_eq!(first_excess(&steps, Weak::Nothing), None, "{weak:?}");
+        assert!(first_excess(&steps, weak).is_some(), "without {weak:?} nothing is exceeded");
     }
 }
 
 #[test]
-fn what_one_lends_another_has_within_two_reports_and_back_when_the_loan_ends() {
-    let mut dealer = CapacityLeaseServer::lead(0.0, OWN);
-    let mut parts = [CapacityClient::new(-10.0, OWN, DRIFT), CapacityClient::new(-10.0, OWN, DRIFT)];
+fn lent_calls_are_granted_within_two_reports_and_return_when_the_loan_expires() {
+    let mut server = CapacityLeaseServer::new(0.0, BASE_CALLS);
+    let mut clients =
+        [CapacityClient::new(-10.0, BASE_CALLS, DRIFT), CapacityClient::new(-10.0, BASE_CALLS, DRIFT)];
     let mut round = |now: f64, number: u64, spare: [f64; 2]| {
         for w in 0..2 {
-            let (lends, heard) = parts[w].report(now, number, spare[w]);
-            dealer.came(
-                now,
-                w as u64,
-                CapacityReport { heard, lends, wants: (-spare[w]).max(0.0), weight: 1.0 },
-            );
+            let offer = clients[w].report(now, number, spare[w]);
+            server.receive_report(now, w as u64, report_of(offer, spare[w]));
         }
-        for (w, part) in parts.iter_mut().enumerate() {
-            let (digest, slice) = dealer.deal(now, now, w as u64);
-            part.heard(number, digest, slice);
+        for (w, client) in clients.iter_mut().enumerate() {
+            let grant = server.grant(now, now, w as u64);
+            client.receive(number, grant.digest, grant.slice);
         }
-        [parts[0].may_have(now), parts[1].may_have(now)]
+        [clients[0].max_in_flight(now), clients[1].max_in_flight(now)]
     };
-    assert_eq!(round(1.0, 1, [3.0, -3.0]), [OWN, OWN], "nobody has been told how to count yet");
-    assert_eq!(round(1.5, 2, [3.0, -3.0]), [OWN - 1.0, OWN + 1.0], "a quarter of a part at most");
-    assert_eq!(round(2.0, 3, [0.0, -0.5]), [OWN - 1.0, OWN + 0.5], "no more than is wanted");
+    assert_eq!(
+        round(1.0, 1, [3.0, -3.0]),
+        [BASE_CALLS, BASE_CALLS],
+        "without a digest the leader could not count a loan"
+    );
+    assert_eq!(
+        round(1.5, 2, [3.0, -3.0]),
+        [BASE_CALLS - 1.0, BASE_CALLS + 1.0],
+        "a quarter of a base allocation at most"
+    );
+    assert_eq!(round(2.0, 3, [0.0, -0.5]), [BASE_CALLS - 1.0, BASE_CALLS + 0.5], "no more than is wanted");
     // The lender wants it back: the promise ends first, and the slice before it.
-    assert_eq!(round(2.5, 4, [-1.0, -3.0])[0], OWN - 1.0);
-    assert_eq!(round(4.0, 5, [-1.0, -3.0]), [OWN - 1.0, OWN]);
-    assert_eq!(round(5.0, 6, [-1.0, -3.0]), [OWN, OWN]);
+    assert_eq!(round(2.5, 4, [-1.0, -3.0])[0], BASE_CALLS - 1.0);
+    assert_eq!(round(4.0, 5, [-1.0, -3.0]), [BASE_CALLS - 1.0, BASE_CALLS]);
+    assert_eq!(round(5.0, 6, [-1.0, -3.0]), [BASE_CALLS, BASE_CALLS]);
 }
 
 #[test]
-fn slices_go_by_worth_and_nobody_gets_more_than_it_wants() {
-    let filled = fill(6.0, vec![(1, 1.0, 5.0), (2, 9.0, 2.0), (3, 9.0, 3.0)]);
-    assert_eq!(filled.into_iter().collect::<Vec<_>>(), [(1, 1.0), (2, 2.0), (3, 3.0)]);
-    assert!(fill(6.0, Vec::new()).is_empty());
+fn shares_go_by_weight_and_never_exceed_what_is_wanted() {
+    let demand = |worker, wants, weight| Demand { worker, wants, weight };
+    let shares = divide(6.0, vec![demand(1, 1.0, 5.0), demand(2, 9.0, 2.0), demand(3, 9.0, 3.0)]);
+    assert_eq!(shares.into_iter().collect::<Vec<_>>(), [(1, 1.0), (2, 2.0), (3, 3.0)]);
+    assert!(divide(6.0, Vec::new()).is_empty());
 }
 
 #[test]
-fn a_liar_lends_no_more_than_a_quarter_of_a_part_and_takes_no_more_than_is_lent() {
-    let mut dealer = CapacityLeaseServer::lead(0.0, OWN);
+fn false_reports_lend_no_more_than_a_quarter_and_get_no_more_than_is_lent() {
+    let mut server = CapacityLeaseServer::new(0.0, BASE_CALLS);
     for now in [1.0, 1.5] {
         for (worker, lends, wants) in [(1, 1e6, 0.0), (2, 0.0, 1e6)] {
-            let heard = if now > 1.0 { 1 } else { 0 };
-            dealer.came(now, worker, CapacityReport { heard, lends, wants, weight: 1e6 });
-            dealer.deal(now, now, worker);
+            let last_digest = if now > 1.0 { 1 } else { 0 };
+            server.receive_report(now, worker, CapacityReport { last_digest, lends, wants, weight: 1e6 });
+            server.grant(now, now, worker);
         }
     }
-    assert_eq!(dealer.sums(1.5), (1.0, 1.0));
+    assert_eq!(server.totals(1.5), CapacityTotals { lent: 1.0, granted: 1.0 });
 }
--- /dev/null
+++ b/src/fleet/overload/digest.rs
@@ -0,0 +1,50 @@
+//! The leader's answer to a load report.
+
+use super::level::SheddingLevel;
+use super::MAX_MEASUREMENT;
+use serde::{Deserialize, Serialize};
+
+/// Longest period over which retries may be spread (seconds).
+const MAX_SPREAD_S: f32 = 60.0;
+
+/// The fleet's state in overload, for one worker.
+#[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
+#[serde(default)]
+pub struct FleetDigest {
+    /// Increases with each digest that this worker is sent.
+    pub number: u64,
+    /// Number of workers whose reports are in it.
+    #[serde(rename = "of")]
+    pub workers: usize,
+    /// Age of the oldest report in it (milliseconds).
+    pub age_ms: u64,
+    /// How deep the fleet sheds load.
+    pub level: SheddingLevel,
+    /// Period over which rejected requests are to be spread by their Retry-After where the fleet is at capacity (seconds).
+    pub spread_s: f32,
+    /// Share of retries that is admitted.
+    #[serde(rename = "pass")]
+    pub retry_share: f32,
+    /// Share of its downstream capacity that a worker of this zone may use.
+    #[serde(rename = "part")]
+    pub call_share: f32,
+    /// The downstream circuit is open in this worker's zone.
+    #[serde(rename = "given_up")]
+    pub circuit_open: bool,
+    /// This worker makes the zone's half-open probes.
+    #[serde(rename = "trial")]
+    pub is_prober: bool,
+    /// Calls in flight beyond this worker's own capacity, for [`super::capacity_leases::SLICE_S`] from when it sent the
+    /// report.
+    pub slice: f32,
+}
+
+impl FleetDigest {
+    /// Whether all values are in range; other digests are ignored.
+    pub fn is_sound(&self) -> bool {
+        let shares = [self.retry_share, self.call_share, self.level.share];
+        shares.iter().all(|share| (0.0..=1.0).contains(share))
+            && (0.0..=MAX_MEASUREMENT).contains(&self.slice)
+            && (0.0..=MAX_SPREAD_S).contains(&self.spread_s)
+    }
+}
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -1,157 +1,175 @@
-//! What a leading coordinator makes of the workers' reports. It begins anew with each leader, from what the workers say.
+//! What a leading coordinator makes of the workers' load reports. Each leader begins anew, from what the workers report.
 
-use super::capacity_leases::{CapacityLeaseServer, CapacityReport};
-use super::level::{SheddingController, SheddingLevel};
-use super::retries::Retries;
-use super::service::Service;
-use super::view::{FleetLoadView, Sums};
+use super::capacity_leases::{CapacityLeaseServer, CapacityReport, CapacityTotals};
+use super::level::{LevelChange, SheddingController, SheddingLevel};
+use super::retries::RetryBudget;
+use super::service::DownstreamService;
+use super::view::{FleetLoadView, LoadSums};
 use super::{FleetDigest, LoadReport};
 
-/// How often it looks at the sums anew (seconds).
-pub const LOOK_S: f64 = 0.5;
-/// Returns are spread over so long at least and at most where the fleet has no room (seconds).
-const SPREAD_LEAST_S: f64 = 1.0;
-const SPREAD_MOST_S: f64 = 10.0;
-
-/// The fleet counts as short for so long after it last was (seconds), and while its workers turn away more than this share.
+/// Interval at which the sums are evaluated (seconds).
+pub const EVALUATION_INTERVAL_S: f64 = 0.5;
+/// Shortest period over which retries are spread where the fleet is at capacity (seconds).
+const MIN_SPREAD_S: f64 = 1.0;
+/// Longest period over which retries are spread where the fleet is at capacity (seconds).
+const MAX_SPREAD_S: f64 = 10.0;
+/// The fleet counts as short for so long after it last was (seconds).
 const SHORT_FOR_S: f64 = 3.0;
-const TURNED_AWAY: f64 = 0.01;
+/// The fleet counts as short while its workers reject more than this share of first attempts.
+const MAX_REJECTED_SHARE: f64 = 0.01;
+/// A smaller capacity counts as this (requests a second).
+const MIN_CAPACITY: f64 = 1e-3;
 
 /// `[overload]` of the coordinators' file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// What each worker may have in hand at the service below by itself (mean number of calls).
-    pub part: f64,
-    /// Further tries that the fleet takes for each first one while it is short.
+    /// Each worker's base allocation: what it may have in flight downstream by itself (mean number of calls).
+    pub base_calls: f64,
+    /// Retries that the fleet admits for each first attempt while it is short.
     pub retry_share: f64,
 }
 
+/// Fleet-wide overload control, for one term of a leader.
 #[derive(Clone, Debug)]
 pub struct Leader {
     view: FleetLoadView,
     levels: SheddingController,
-    service: Service,
-    retries: Retries,
-    dealer: CapacityLeaseServer,
-    looked: f64,
+    service: DownstreamService,
+    retry_budget: RetryBudget,
+    capacity: CapacityLeaseServer,
+    evaluated_at: f64,
     short_until: f64,
-    sums: Sums,
+    sums: LoadSums,
 }
 
 impl Leader {
-    /// A coordinator that begins to lead now.
+    /// For a coordinator whose term begins now.
     pub fn lead(now: f64, settings: Settings) -> Leader {
         Leader {
             view: FleetLoadView::default(),
             levels: SheddingController::new(now),
-            service: Service::lead(now),
-            retries: Retries::new(now, settings.retry_share),
-            dealer: CapacityLeaseServer::lead(now, settings.part),
-            looked: now,
+            service: DownstreamService::new(now),
+            retry_budget: RetryBudget::new(now, settings.retry_share),
+            capacity: CapacityLeaseServer::new(now, settings.base_calls),
+            evaluated_at: now,
             short_until: f64::NEG_INFINITY,
-            sums: Sums::default(),
+            sums: LoadSums::default(),
         }
     }
 
-    /// A worker's report came.
-    pub fn heard(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) {
-        if !self.view.heard(now, worker, zone, load) {
+    /// A worker's report has arrived.
+    pub fn receive(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) {
+        if !self.view.receive(now, worker, zone, load) {
             return;
         }
-        self.service.heard(now, worker, zone, load.gives_up);
-        let claim = CapacityReport {
-            heard: load.heard,
+        self.service.receive_report(now, worker, zone, load.circuit_open);
+        let report = CapacityReport {
+            last_digest: load.last_digest,
             lends: f64::from(load.lends),
             wants: f64::from(load.wants),
             weight: f64::from(load.weight),
         };
-        self.dealer.came(now, worker, claim);
+        self.capacity.receive_report(now, worker, report);
     }
 
     /// A worker has left.
-    pub fn gone(&mut self, worker: u64) {
-        self.view.gone(worker);
+    pub fn remove(&mut self, worker: u64) {
+        self.view.remove(worker);
     }
 
-    /// Time passes; what has changed, for the log.
-    pub fn look(&mut self, now: f64) -> Vec<String> {
-        if now - self.looked < LOOK_S {
+    /// Evaluates the sums where that is due; what has changed, for the log.
+    pub fn evaluate(&mut self, now: f64) -> Vec<String> {
+        if now - self.evaluated_at < EVALUATION_INTERVAL_S {
             return Vec::new();
         }
-        self.looked = now;
-        let mut lines = Vec::new();
+        self.evaluated_at = now;
         self.sums = self.view.sums(now, None);
-        if let Some(change) = self.levels.look(now, &self.sums) {
-            let level = change.level;
-            let at = if level.is_open() {
-                "open".to_owned()
-            } else {
-                format!("tier {} and {:.0}% of it", level.tier, level.share * 100.0)
-            };
-            lines.push(format!("overload: level {at}: {}", change.cause));
-        }
+        let mut lines = Vec::new();
+        lines.extend(self.levels.evaluate(now, &self.sums).map(|change| level_line(&change)));
+        self.evaluate_zones(now, &mut lines);
+        self.update_shortage(now);
+        self.retry_budget.evaluate(now, &self.sums, now < self.short_until);
+        lines
+    }
+
+    fn evaluate_zones(&mut self, now: f64, lines: &mut Vec<String>) {
         let zones = self.view.zones();
-        self.service.keep(&zones);
+        self.service.retain_zones(&zones);
         for zone in &zones {
             let sums = self.view.sums(now, Some(zone));
-            lines.extend(self.service.look(now, zone, &sums).map(|line| format!("overload: {line}")));
+            lines.extend(self.service.evaluate(now, zone, &sums).map(|line| format!("overload: {line}")));
         }
-        // What workers turn away by themselves counts as well: a storm of further tries goes on where all looks well again.
-        let turned_away = self.sums.refused > TURNED_AWAY * self.sums.arrivals.iter().sum::<f64>();
-        if !self.levels.level(now).is_open() || self.service.is_short() || turned_away {
+    }
+
+    fn update_shortage(&mut self, now: f64) {
+        // What workers reject by themselves counts as well: a retry storm goes on where all else looks well again.
+        let first_attempts = self.sums.arrivals.iter().sum::<f64>();
+        let workers_reject = self.sums.rejected > MAX_REJECTED_SHARE * first_attempts;
+        if !self.levels.level(now).is_open() || self.service.is_short() || workers_reject {
             self.short_until = now + SHORT_FOR_S;
         }
-        self.retries.look(now, &self.sums, now < self.short_until);
-        lines
     }
 
-    /// What goes out now to a worker whose report came at `came`.
-    pub fn digest(&mut self, now: f64, came: f64, worker: u64, zone: &str) -> FleetDigest {
-        let (number, slice) = self.dealer.deal(now, came, worker);
-        let standing = self.service.standing(worker, zone);
+    /// The digest that goes out now to a worker whose report arrived at `report_received_at`.
+    pub fn digest(&mut self, now: f64, report_received_at: f64, worker: u64, zone: &str) -> FleetDigest {
+        let grant = self.capacity.grant(now, report_received_at, worker);
+        let service = self.service.state_for(worker, zone);
         FleetDigest {
-            number,
-            of: self.sums.of,
-            age_ms: ((now - self.looked + self.sums.age_s) * 1000.0) as u64,
+            number: grant.digest,
+            workers: self.sums.workers,
+            age_ms: ((now - self.evaluated_at + self.sums.age_s) * 1000.0) as u64,
             level: self.levels.level(now),
             spread_s: self.spread_s() as f32,
-            pass: self.retries.pass() as f32,
-            part: standing.part as f32,
-            given_up: standing.given_up,
-            trial: standing.trial,
-            slice: slice as f32,
+            retry_share: self.retry_budget.admitted_share() as f32,
+            call_share: service.call_share as f32,
+            circuit_open: service.circuit_open,
+            is_prober: service.is_prober,
+            slice: grant.slice as f32,
         }
     }
 
-    /// Over how long those that are sent away fit in again: what is asked, over what can be done.
+    /// The period over which rejected requests fit in again: demand over capacity.
     fn spread_s(&self) -> f64 {
-        let asked = self.sums.arrivals.iter().sum::<f64>() + self.sums.further;
-        (asked / self.sums.capacity.max(1e-3)).clamp(SPREAD_LEAST_S, SPREAD_MOST_S)
+        let demand = self.sums.arrivals.iter().sum::<f64>() + self.sums.retries;
+        (demand / self.sums.capacity.max(MIN_CAPACITY)).clamp(MIN_SPREAD_S, MAX_SPREAD_S)
     }
 
-    /// An operator sets the level for so long.
+    /// An operator sets the level until then.
     pub fn pin(&mut self, level: SheddingLevel, until: f64) {
         self.levels.pin(level, until);
     }
 
+    /// The shedding level that is in force now.
     pub fn level(&self, now: f64) -> SheddingLevel {
         self.levels.level(now)
     }
 
-    pub fn sums(&self) -> &Sums {
+    /// The fleet's sums when they were last evaluated.
+    pub fn sums(&self) -> &LoadSums {
         &self.sums
     }
 
-    pub fn service(&self) -> &Service {
+    /// State of the downstream service.
+    pub fn service(&self) -> &DownstreamService {
         &self.service
     }
 
-    pub fn retries(&self) -> &Retries {
-        &self.retries
+    /// State of the retry budget.
+    pub fn retry_budget(&self) -> &RetryBudget {
+        &self.retry_budget
     }
 
-    /// Calls that are lent and that are out in slices.
-    pub fn calls(&self, now: f64) -> (f64, f64) {
-        self.dealer.sums(now)
+    /// Downstream calls that are lent and granted in slices.
+    pub fn capacity_totals(&self, now: f64) -> CapacityTotals {
+        self.capacity.totals(now)
     }
 }
+
+fn level_line(change: &LevelChange) -> String {
+    let level = if change.level.is_open() {
+        "open".to_owned()
+    } else {
+        format!("tier {} and {:.0}% of it", change.level.tier, change.level.share * 100.0)
+    };
+    format!("overload: level {level}: {}", change.cause)
+}
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -1,38 +1,43 @@
-//! How deep the fleet sheds: tiers in their order, and of the tier at the edge a share. The same for all, so that a low request
-//! is not served at one worker at the price of a high one at another.
+//! The fleet's shedding level: which tiers are admitted, and of the tier at the edge which share. It is the same for all
+//! workers, so that no low request is served at one at the price of a high one at another.
 //!
-//! Owed to callers: no lower tier is let in by the level where a higher one is refused by it; it deepens within a second of
-//! a lasting shortage, and opens step by step, so that load that swings round the threshold changes it at most once a
-//! swing; every change has a cause.
+//! Guarantees to callers: the level admits no lower tier where it sheds a higher one; it deepens within a second of a
+//! lasting shortage, and opens step by step, so that load that swings round the threshold changes it at most once a swing;
+//! every change has a cause.
 
-use super::view::Sums;
+use super::view::LoadSums;
 use super::MAX_TIERS;
 use serde::{Deserialize, Serialize};
 
-/// What the level lets in, against what the cores can do: a little more, since each worker's own module refuses what it can't
-/// end in time, and what the level refuses too much is lost.
-const USED: f64 = 1.05;
-/// A shortage, and room, have to last so long before they count (seconds).
-const SHORT_S: f64 = 0.4;
-const ROOM_S: f64 = 4.0;
+/// Demand that the level admits, against the capacity of the cores: a little more, since each worker's own admission
+/// control rejects what it can't complete in time, and what the level sheds too much is lost.
+const TARGET_UTILIZATION: f64 = 1.05;
+/// How long a shortage has to last before the level deepens (seconds).
+const SHORT_FOR_S: f64 = 0.4;
+/// How long there has to be headroom before the level opens (seconds).
+const HEADROOM_FOR_S: f64 = 4.0;
 /// Steps in a tier: a share moves by one of these, or the level would change with each report.
-const STEPS: f64 = 4.0;
-/// Time between two steps on the way back (seconds).
-const OPEN_S: f64 = 0.5;
-/// A shortage counts only where the workers themselves turn away so large a share of what comes: what they hold for their
-/// capacity is a guess until then, as after a start.
-const REFUSED_LEAST: f64 = 0.01;
-/// Further tries count as demand up to this share of the first ones: what the budget lets in. All of them would make each
-/// refusal a reason for the next.
-const FURTHER_MOST: f64 = 0.1;
-/// Too few workers in a view say nothing of a fleet.
-const OF_LEAST: usize = 2;
-
-/// Tiers before `tier` are let in, of `tier` a share, and none after it.
+const STEPS_PER_TIER: f64 = 4.0;
+/// Time between two steps while the level opens (seconds).
+const OPEN_STEP_S: f64 = 0.5;
+/// A shortage counts only where the workers themselves reject so large a share of what arrives: until then their capacity
+/// is a guess, as after a start.
+const MIN_REJECTED_SHARE: f64 = 0.01;
+/// Retries count as demand up to this share of first attempts: what the budget admits. All of them would make each rejection
+/// a reason for the next.
+const MAX_RETRY_DEMAND: f64 = 0.1;
+/// Fewer workers in a view say nothing of a fleet.
+const MIN_WORKERS: usize = 2;
+/// Depths that differ by less are equal.
+const DEPTH_TOLERANCE: f64 = 1e-9;
+
+/// Tiers before `tier` are admitted, of `tier` a share, and none after it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct SheddingLevel {
+    /// The first tier that is not admitted in full; [`MAX_TIERS`] if all are.
     #[serde(rename = "t")]
     pub tier: usize,
+    /// The share of that tier that is admitted.
     #[serde(rename = "s")]
     pub share: f32,
 }
@@ -44,126 +49,169 @@
 }
 
 impl SheddingLevel {
-    /// All tiers are let in.
+    /// Whether all tiers are admitted.
     pub fn is_open(&self) -> bool {
         self.tier >= MAX_TIERS
     }
 
-    /// Whether a request of this tier with this rank in it (0 the highest, below 1) is let in.
-    pub fn lets_in(&self, tier: usize, rank: f64) -> bool {
+    /// Whether a request of this tier with this rank in it (0 the highest, below 1) is admitted.
+    pub fn admits(&self, tier: usize, rank: f64) -> bool {
         let tier = tier.min(MAX_TIERS - 1);
         tier < self.tier || tier == self.tier && rank < f64::from(self.share)
     }
 
-    /// How much it lets in, as one number that grows with it.
+    /// How much it admits, as one number that grows with it.
     fn depth(&self) -> f64 {
         self.tier as f64 + f64::from(self.share)
     }
 
-    fn at(depth: f64) -> SheddingLevel {
+    fn from_depth(depth: f64) -> SheddingLevel {
         let tier = depth.max(0.0).floor();
         if tier >= MAX_TIERS as f64 {
             return SheddingLevel::default();
         }
         SheddingLevel { tier: tier as usize, share: (depth.max(0.0) - tier) as f32 }
     }
+
+    /// The deepest level that admits no more than the cores' capacity.
+    fn for_load(sums: &LoadSums) -> SheddingLevel {
+        let mut headroom = sums.capacity * TARGET_UTILIZATION;
+        // Retries arrive in the proportions in which first attempts do.
+        let first_attempts: f64 = sums.arrivals.iter().sum();
+        let retry_factor = if first_attempts > 0.0 {
+            1.0 + (sums.retries / first_attempts).min(MAX_RETRY_DEMAND)
+        } else {
+            1.0
+        };
+        for (tier, arrivals) in sums.arrivals.iter().enumerate() {
+            let demand = arrivals * retry_factor;
+            if demand > headroom {
+                let steps = (headroom.max(0.0) / demand * STEPS_PER_TIER).ceil();
+                return SheddingLevel { tier, share: (steps / STEPS_PER_TIER) as f32 };
+            }
+            headroom -= demand;
+        }
+        SheddingLevel::default()
+    }
 }
 
-/// A change, for the log.
+/// A change of the level.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct LevelChange {
+    /// The new level.
     pub level: SheddingLevel,
+    /// Why it changed, for the log.
     pub cause: String,
 }
 
+/// A level that an operator has set.
+#[derive(Clone, Copy, Debug)]
+struct PinnedLevel {
+    level: SheddingLevel,
+    until: f64,
+}
+
+/// Moves the level with the fleet's load.
 #[derive(Clone, Debug)]
 pub struct SheddingController {
     level: SheddingLevel,
-    /// Since when the sums want another level in this direction: deeper, or open.
+    /// Since when the load asks for a deeper level.
     short_since: Option<f64>,
-    room_since: Option<f64>,
-    moved: f64,
-    /// An operator's word, and until when it counts.
-    pinned: Option<(SheddingLevel, f64)>,
+    /// Since when the load asks for a more open one.
+    headroom_since: Option<f64>,
+    changed_at: f64,
+    pinned: Option<PinnedLevel>,
 }
 
 impl SheddingController {
+    /// An open level.
     pub fn new(now: f64) -> SheddingController {
-        let level = SheddingLevel::default();
-        SheddingController { level, short_since: None, room_since: None, moved: now, pinned: None }
+        SheddingController {
+            level: SheddingLevel::default(),
+            short_since: None,
+            headroom_since: None,
+            changed_at: now,
+            pinned: None,
+        }
     }
 
+    /// The level that is in force now.
     pub fn level(&self, now: f64) -> SheddingLevel {
-        self.pinned.filter(|(_, until)| now < *until).map_or(self.level, |(level, _)| level)
+        self.pinned.filter(|pinned| now < pinned.until).map_or(self.level, |pinned| pinned.level)
     }
 
     /// An operator sets the level until then.
     pub fn pin(&mut self, level: SheddingLevel, until: f64) {
-        self.pinned = Some((level, until));
+        self.pinned = Some(PinnedLevel { level, until });
     }
 
-    /// The level that these sums ask for.
-    fn wanted(sums: &Sums) -> SheddingLevel {
-        let mut room = sums.capacity * USED;
-        // Further tries come in the shares in which first ones do.
-        let first: f64 = sums.arrivals.iter().sum();
-        let times = if first > 0.0 { 1.0 + (sums.further / first).min(FURTHER_MOST) } else { 1.0 };
-        for (tier, arrivals) in sums.arrivals.iter().enumerate() {
-            let asked = arrivals * times;
-            if asked > room {
-                let steps = (room.max(0.0) / asked * STEPS).ceil();
-                return SheddingLevel { tier, share: (steps / STEPS) as f32 };
-            }
-            room -= asked;
+    /// Evaluates new sums; what has changed, and why.
+    pub fn evaluate(&mut self, now: f64, sums: &LoadSums) -> Option<LevelChange> {
+        self.update_trends(now, sums);
+        if self.short_since.is_some_and(|since| now - since >= SHORT_FOR_S) {
+            return self.deepen(now, sums);
         }
-        SheddingLevel::default()
+        let has_headroom = self.headroom_since.is_some_and(|since| now - since >= HEADROOM_FOR_S);
+        if has_headroom && now - self.changed_at >= OPEN_STEP_S && !self.level.is_open() {
+            return self.open_one_step(now, sums);
+        }
+        None
     }
 
-    /// Looks at the sums anew; what has changed, and why.
-    pub fn look(&mut self, now: f64, sums: &Sums) -> Option<Change> {
-        if sums.of < OF_LEAST {
-            // Nothing is known: the level opens as if there were room.
-            (self.short_since, self.room_since) = (None, Some(self.room_since.unwrap_or(now)));
-        } else {
-            let (wanted, depth) = (SheddingController::wanted(sums).depth(), self.level.depth());
-            let since = |was: Option<f64>, so: bool| so.then(|| was.unwrap_or(now));
-            let turned_away = sums.refused >= REFUSED_LEAST * sums.arrivals.iter().sum::<f64>();
-            let short = wanted < depth - 1e-9 && (turned_away || !self.level.is_open());
-            self.short_since = since(self.short_since, short);
-            self.room_since = since(self.room_since, wanted > depth + 1e-9);
-        }
-        let asked: f64 = sums.arrivals.iter().sum::<f64>() + sums.further;
-        if self.short_since.is_some_and(|at| now - at >= SHORT_S) {
-            // The first step may be far; after it the sums of a deeper level have to come in.
+    fn update_trends(&mut self, now: f64, sums: &LoadSums) {
+        if sums.workers < MIN_WORKERS {
+            // Nothing is known: the level opens as if there were headroom.
             self.short_since = None;
-            let cause =
-                format!("{asked:.0} a second are asked of {:.0} that the cores can do", sums.capacity);
-            return self.change(now, SheddingController::wanted(sums), cause);
+            self.headroom_since = Some(self.headroom_since.unwrap_or(now));
+            return;
         }
-        let open = self.room_since.is_some_and(|at| now - at >= ROOM_S) && now - self.moved >= OPEN_S;
-        if open && !self.level.is_open() {
-            let mut next = SheddingLevel::at((self.level.depth() * STEPS + 1.0).round() / STEPS);
-            // Tiers in which nothing comes are no steps.
-            while !next.is_open() && next.share == 0.0 && sums.arrivals[next.tier] == 0.0 {
-                next = SheddingLevel::at((next.tier + 1) as f64);
-            }
-            let cause = match sums.of < OF_LEAST {
-                true => "too few workers report".to_owned(),
-                false => format!("{asked:.0} a second are asked of {:.0}, for {ROOM_S:.0} s", sums.capacity),
-            };
-            return self.change(now, next, cause);
+        let depth = self.level.depth();
+        let wanted_depth = SheddingLevel::for_load(sums).depth();
+        let workers_reject = sums.rejected >= MIN_REJECTED_SHARE * sums.arrivals.iter().sum::<f64>();
+        let is_short = wanted_depth < depth - DEPTH_TOLERANCE && (workers_reject || !self.level.is_open());
+        let has_headroom = wanted_depth > depth + DEPTH_TOLERANCE;
+        self.short_since = is_short.then(|| self.short_since.unwrap_or(now));
+        self.headroom_since = has_headroom.then(|| self.headroom_since.unwrap_or(now));
+    }
+
+    fn deepen(&mut self, now: f64, sums: &LoadSums) -> Option<LevelChange> {
+        // The first step may be far; before the next one the sums have to show its effect.
+        self.short_since = None;
+        let demand = demand(sums);
+        let cause = format!("{demand:.0} a second are asked of {:.0} that the cores can do", sums.capacity);
+        self.change(now, SheddingLevel::for_load(sums), cause)
+    }
+
+    fn open_one_step(&mut self, now: f64, sums: &LoadSums) -> Option<LevelChange> {
+        let next_depth = (self.level.depth() * STEPS_PER_TIER + 1.0).round() / STEPS_PER_TIER;
+        let mut next = SheddingLevel::from_depth(next_depth);
+        // Tiers in which nothing arrives are no steps.
+        while !next.is_open() && next.share == 0.0 && sums.arrivals[next.tier] == 0.0 {
+            next = SheddingLevel::from_depth((next.tier + 1) as f64);
         }
-        None
+        let cause = if sums.workers < MIN_WORKERS {
+            "too few workers report".to_owned()
+        } else {
+            let demand = demand(sums);
+            format!("{demand:.0} a second are asked of {:.0}, for {HEADROOM_FOR_S:.0} s", sums.capacity)
+        };
+        self.change(now, next, cause)
     }
 
-    fn change(&mut self, now: f64, level: SheddingLevel, cause: String) -> Option<Change> {
+    fn change(&mut self, now: f64, level: SheddingLevel, cause: String) -> Option<LevelChange> {
         if level == self.level {
             return None;
         }
-        (self.level, self.moved) = (level, now);
-        Some(Change { level, cause })
+        self.level = level;
+        self.changed_at = now;
+        Some(LevelChange { level, cause })
     }
 }
 
+/// First attempts and retries of all tiers.
+fn demand(sums: &LoadSums) -> f64 {
+    sums.arrivals.iter().sum::<f64>() + sums.retries
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/fleet/overload/level/tests.rs
+++ b/src/fleet/overload/level/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-fn sums(arrivals: &[f64], capacity: f64) -> Sums {
+fn sums(arrivals: &[f64], capacity: f64) -> LoadSums {
     let mut all = [0.0; MAX_TIERS];
     all[..arrivals.len()].copy_from_slice(arrivals);
-    Sums { of: 10, arrivals: all, capacity, refused: 5.0, ..Sums::default() }
+    LoadSums { workers: 10, arrivals: all, capacity, rejected: 5.0, ..LoadSums::default() }
 }
 
-/// Looks twice a second for so long; what changed.
-fn look(
+/// Evaluates twice a second for so long; what changed.
+fn evaluate(
     levels: &mut SheddingController,
     from: f64,
     for_s: f64,
-    sums: impl Fn(f64) -> Sums,
-) -> Vec<(f64, Change)> {
+    sums: impl Fn(f64) -> LoadSums,
+) -> Vec<(f64, LevelChange)> {
     let times = (0..).map(|n| from + 0.5 * n as f64).take_while(|t| *t < from + for_s);
-    times.filter_map(|now| levels.look(now, &sums(now)).map(|change| (now, change))).collect()
+    times.filter_map(|now| levels.evaluate(now, &sums(now)).map(|change| (now, change))).collect()
 }
 
 #[test]
-fn tables_of_demand_give_the_level_that_fits_the_cores() {
+fn the_level_admits_no_more_demand_than_the_cores_can_do() {
     for (arrivals, capacity, tier, share) in [
         (&[10.0, 10.0, 10.0][..], 40.0, MAX_TIERS, 0.0),
         (&[10.0, 10.0, 10.0], 26.0, 2, 0.75),
@@ -29,16 +29,16 @@
         (&[1.0], 0.0, 0, 0.0),
     ] {
         assert_eq!(
-            SheddingController::wanted(&sums(arrivals, capacity)),
+            SheddingLevel::for_load(&sums(arrivals, capacity)),
             SheddingLevel { tier, share },
             "{arrivals:?} of {capacity}"
         );
     }
-    // Further tries weigh as what they are.
-    for further in [2.0, 2000.0] {
-        let stormed = Sums { further, ..sums(&[10.0, 10.0], 17.0) };
+    // Retries count as demand up to what the budget admits.
+    for retries in [2.0, 2000.0] {
+        let stormed = LoadSums { retries, ..sums(&[10.0, 10.0], 17.0) };
         assert_eq!(
-            SheddingController::wanted(&stormed),
+            SheddingLevel::for_load(&stormed),
             SheddingLevel { tier: 1, share: 0.75 },
             "no storm deepens it by itself"
         );
@@ -46,60 +46,63 @@
 }
 
 #[test]
-fn a_capacity_that_is_only_guessed_sheds_nothing_while_no_worker_turns_anything_away() {
+fn an_estimated_shortage_sheds_nothing_while_no_worker_rejects_anything() {
     let mut levels = SheddingController::new(0.0);
-    let guessed = |_| Sums { refused: 0.0, ..sums(&[10.0, 10.0], 5.0) };
-    assert!(look(&mut levels, 0.0, 10.0, guessed).is_empty());
+    let guessed = |_| LoadSums { rejected: 0.0, ..sums(&[10.0, 10.0], 5.0) };
+    assert!(evaluate(&mut levels, 0.0, 10.0, guessed).is_empty());
 }
 
 #[test]
-fn no_lower_rank_is_let_in_where_a_higher_one_is_refused() {
+fn no_lower_rank_is_admitted_where_a_higher_one_is_shed() {
     for depth in 0..=MAX_TIERS * 4 {
-        let level = SheddingLevel::at(depth as f64 / 4.0);
+        let level = SheddingLevel::from_depth(depth as f64 / 4.0);
         let ranks = (0..MAX_TIERS).flat_map(|tier| (0..8).map(move |n| (tier, n as f64 / 8.0)));
-        let let_in: Vec<bool> = ranks.map(|(tier, rank)| level.lets_in(tier, rank)).collect();
-        assert!(let_in.windows(2).all(|w| w[0] >= w[1]), "{level:?}: {let_in:?}");
+        let admitted: Vec<bool> = ranks.map(|(tier, rank)| level.admits(tier, rank)).collect();
+        assert!(admitted.windows(2).all(|w| w[0] >= w[1]), "{level:?}: {admitted:?}");
     }
 }
 
 #[test]
-fn a_lasting_shortage_deepens_it_within_a_second_and_a_blink_does_not() {
+fn a_lasting_shortage_deepens_the_level_within_a_second_and_a_short_one_does_not() {
     let mut levels = SheddingController::new(0.0);
-    assert!(look(&mut levels, 0.0, 0.5, |_| sums(&[10.0, 10.0], 12.0)).is_empty(), "one look is a blink");
-    assert!(look(&mut levels, 0.5, 2.0, |_| sums(&[10.0, 10.0], 30.0)).is_empty());
-    let changes = look(&mut levels, 2.5, 2.0, |_| sums(&[10.0, 10.0], 12.0));
+    assert!(
+        evaluate(&mut levels, 0.0, 0.5, |_| sums(&[10.0, 10.0], 12.0)).is_empty(),
+        "one evaluation is no lasting shortage"
+    );
+    assert!(evaluate(&mut levels, 0.5, 2.0, |_| sums(&[10.0, 10.0], 30.0)).is_empty());
+    let changes = evaluate(&mut levels, 2.5, 2.0, |_| sums(&[10.0, 10.0], 12.0));
     assert_eq!(changes.len(), 1, "{changes:?}");
     assert!(changes[0].0 <= 3.5 && changes[0].1.cause.contains("20 a second are asked of 12"), "{changes:?}");
 }
 
 #[test]
-fn load_that_swings_every_three_seconds_changes_it_no_more_than_once_a_swing() {
+fn swinging_load_changes_the_level_at_most_once_a_swing() {
     let mut levels = SheddingController::new(0.0);
     let swing = |now: f64| sums(&[10.0, 10.0], if now % 3.0 < 1.5 { 15.0 } else { 30.0 });
-    let changes = look(&mut levels, 0.0, 60.0, swing);
+    let changes = evaluate(&mut levels, 0.0, 60.0, swing);
     assert!(changes.len() <= 20 && !changes.is_empty(), "{changes:?}");
-    // In fact it stays where the shortage put it: there is never room for long.
+    // In fact it stays where the shortage put it: there is never headroom for long.
     assert_eq!(changes.len(), 1, "{changes:?}");
 }
 
 #[test]
-fn it_opens_step_by_step_and_skips_tiers_in_which_nothing_comes() {
+fn the_level_opens_step_by_step_and_skips_tiers_without_arrivals() {
     let mut levels = SheddingController::new(0.0);
-    look(&mut levels, 0.0, 2.0, |_| sums(&[10.0, 0.0, 10.0], 5.0));
+    evaluate(&mut levels, 0.0, 2.0, |_| sums(&[10.0, 0.0, 10.0], 5.0));
     assert_eq!(levels.level(2.0), SheddingLevel { tier: 0, share: 0.75 });
-    let changes = look(&mut levels, 2.0, 12.0, |_| sums(&[10.0, 0.0, 10.0], 50.0));
+    let changes = evaluate(&mut levels, 2.0, 12.0, |_| sums(&[10.0, 0.0, 10.0], 50.0));
     let depths: Vec<f64> = changes.iter().map(|(_, c)| c.level.depth()).collect();
     assert_eq!(depths, [2.0, 2.25, 2.5, 2.75, MAX_TIERS as f64], "{changes:?}");
-    assert!(changes[0].0 >= 2.0 + ROOM_S);
-    assert!(changes.windows(2).all(|w| w[1].0 - w[0].0 >= OPEN_S));
+    assert!(changes[0].0 >= 2.0 + HEADROOM_FOR_S);
+    assert!(changes.windows(2).all(|w| w[1].0 - w[0].0 >= OPEN_STEP_S));
 }
 
 #[test]
-fn a_view_of_hardly_anybody_opens_it_and_a_pin_counts_until_its_end() {
+fn too_few_reports_open_the_level_and_a_pinned_level_expires() {
     let mut levels = SheddingController::new(0.0);
-    look(&mut levels, 0.0, 2.0, |_| sums(&[10.0], 5.0));
+    evaluate(&mut levels, 0.0, 2.0, |_| sums(&[10.0], 5.0));
     assert!(!levels.level(2.0).is_open());
-    let changes = look(&mut levels, 2.0, 30.0, |_| Sums { of: 1, ..sums(&[10.0], 1.0) });
+    let changes = evaluate(&mut levels, 2.0, 30.0, |_| LoadSums { workers: 1, ..sums(&[10.0], 1.0) });
     assert!(
         levels.level(32.0).is_open() && changes.iter().all(|(_, c)| c.cause.contains("too few")),
         "{changes:?}"
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -1,225 +1,284 @@
-//! What the decision module asks while the fleet handles overload as one. It counts what its worker does for the reports, and
-//! holds the latest advice until that is too old; without advice every answer is the one that a worker alone gives.
+//! What a worker's admission control asks while overload is handled fleet-wide. It counts what its worker does for the load
+//! reports, and holds the latest directive until that expires; without one every answer is that of a worker alone.
 //!
-//! Owed to callers: it only ever adds refusals to those of the module, and none while the worker could start the request at
-//! once, but for further tries beyond the budget of a fleet that is short; what it may have in hand below is never more than
-//! its part, less what is lent, and its slice.
+//! Guarantees to callers: it only ever adds rejections to those of the admission control, and none while the worker could
+//! start the request immediately, but for retries beyond the budget of a fleet that is short; what the worker may have in
+//! flight downstream is never more than its base allocation, less what is lent, and its slice.
 
 use super::client::{LoadSample, OverloadDirective};
-use super::{dice, FleetDigest, MAX_TIERS};
+use super::random::random_unit;
+use super::{FleetDigest, MAX_TIERS};
 use crate::interface::Settings;
 use std::cell::Cell;
 
-/// A worker that tries a given up service again makes one call in so long (seconds): two a second a zone.
-const TRIAL_EVERY_S: f64 = 0.5;
-/// Of its part a worker lends what it has not had in hand lately, less this much of it and one call.
+/// Interval between half-open probes (seconds): two a second and zone.
+const PROBE_INTERVAL_S: f64 = 0.5;
+/// The share of its base allocation that a worker does not lend beyond its recent peak; one call at least.
 const SPARE_MARGIN: f64 = 0.25;
-/// How fast the most that was in hand is forgotten (seconds).
-const PEAK_S: f64 = 3.0;
-/// Returns are spread from half to one and a half of what is told, and a tier further down waits for longer by this share.
-const SPREAD_TIER: f64 = 0.25;
+/// Time constant by which the peak of calls in flight decays (seconds).
+const PEAK_DECAY_S: f64 = 3.0;
+/// The highest peak that is assumed at the start (calls in flight).
+const MAX_INITIAL_PEAK: f64 = 1e6;
+/// The share by which retries are spread over a longer period for each tier further down.
+const SPREAD_PER_TIER: f64 = 0.25;
+/// A smaller base allocation is kept in the mean by the admission control (calls in flight): nothing of it can be lent.
+const MIN_LENDABLE_CALLS: f64 = 1.0;
+/// A sample over a shorter time counts as this (seconds).
+const MIN_SAMPLE_S: f64 = 0.05;
 
+/// What is counted between two samples.
+#[derive(Clone, Debug, Default)]
+struct Counts {
+    /// First attempts by tier.
+    arrivals: [u64; MAX_TIERS],
+    retries: u64,
+    calls_succeeded: u64,
+    calls_failed: u64,
+    /// Sum of the durations of successful calls (seconds).
+    call_time_s: f64,
+}
+
+/// Answers to all requests since the start.
+#[derive(Clone, Copy, Debug, Default)]
+struct Answers {
+    served: u64,
+    rejected: u64,
+}
+
+/// Requests that wait for a downstream call.
+#[derive(Clone, Copy, Debug, Default)]
+struct WaitingCalls {
+    count: f64,
+    /// Sum of their priority weights.
+    weight: f64,
+}
+
+/// A worker's part in fleet-wide overload control.
 #[derive(Clone, Debug)]
 pub struct OverloadPolicy {
     seed: u64,
+    /// Random numbers drawn so far.
     drawn: Cell<u64>,
-    /// What it has shed for the fleet, and answers of all requests when it was last told: served and refused.
+    /// Requests shed for the fleet since the last sample.
     shed: Cell<u64>,
-    answered: (u64, u64),
     now: f64,
-    /// Its part of the calls below (mean number in hand); infinite where there is no service below.
-    own: f64,
-    advice: Option<OverloadDirective>,
-    told: f64,
-    arrivals: [u64; MAX_TIERS],
-    further: u64,
-    calls_good: u64,
-    calls_bad: u64,
-    call_time: f64,
+    /// The worker's base allocation (mean calls in flight); infinite where there is no downstream service.
+    base_calls: f64,
+    directive: Option<OverloadDirective>,
+    sampled_at: f64,
+    /// The answers when the last sample was taken.
+    sampled_answers: Answers,
+    counts: Counts,
+    /// Requests a second that the admission control holds itself capable of.
     capacity: f64,
-    waiting: (f64, f64),
+    waiting: WaitingCalls,
+    /// The most calls in flight, decaying.
     peak: f64,
-    trial_at: f64,
+    last_call_at: f64,
 }
 
 impl OverloadPolicy {
     /// For a worker that starts now.
     pub fn new(now: f64, settings: &Settings) -> OverloadPolicy {
-        let (seed, own) = (settings.seed, settings.dependency.as_ref().map_or(f64::INFINITY, |d| d.share));
+        let base_calls = settings.dependency.as_ref().map_or(f64::INFINITY, |dependency| dependency.share);
         OverloadPolicy {
-            seed,
+            seed: settings.seed,
             drawn: Cell::new(0),
             shed: Cell::new(0),
-            answered: (0, 0),
             now,
-            own,
-            advice: None,
-            told: now,
-            arrivals: [0; MAX_TIERS],
-            further: 0,
-            calls_good: 0,
-            calls_bad: 0,
-            call_time: 0.0,
+            base_calls,
+            directive: None,
+            sampled_at: now,
+            sampled_answers: Answers::default(),
+            counts: Counts::default(),
             capacity: 0.0,
-            waiting: (0.0, 0.0),
-            peak: own.min(1e6),
-            trial_at: f64::NEG_INFINITY,
+            waiting: WaitingCalls::default(),
+            peak: base_calls.min(MAX_INITIAL_PEAK),
+            last_call_at: f64::NEG_INFINITY,
         }
     }
 
-    fn draw(&self) -> f64 {
+    fn random(&self) -> f64 {
         self.drawn.set(self.drawn.get() + 1);
-        dice(self.seed, self.drawn.get())
+        random_unit(self.seed, self.drawn.get())
+    }
+
+    fn count_shed(&self, is_shed: bool) {
+        self.shed.set(self.shed.get() + u64::from(is_shed));
     }
 
-    /// What the worker's session makes of the latest digest, on the module's clock.
-    pub fn advise(&mut self, advice: OverloadDirective) {
-        self.advice = Some(advice);
+    /// What the worker's session makes of the latest digest, on the clock of the admission control.
+    pub fn set_directive(&mut self, directive: OverloadDirective) {
+        self.directive = Some(directive);
     }
 
-    /// The advice, while it is fresh.
-    fn fresh(&self) -> Option<&OverloadDirective> {
-        self.advice.as_ref().filter(|a| self.now < a.until)
+    /// The latest digest, while it is valid.
+    fn digest(&self) -> Option<&FleetDigest> {
+        let directive = self.directive.as_ref()?;
+        (self.now < directive.until).then_some(&directive.digest)
     }
 
-    /// Time passes, and so does the bound on calls in hand. `top` and `room` are the module's: the first is set, and the
-    /// second is held under it; what it has more of it takes up by its own steps.
-    pub fn bound_calls(&mut self, now: f64, in_hand: usize, top: &mut f64, room: &mut f64) {
-        let fade = (-(now - self.now).max(0.0) / PEAK_S).exp();
-        self.peak = (self.peak * fade).max(in_hand as f64);
+    fn is_circuit_open(&self) -> bool {
+        self.digest().is_some_and(|digest| digest.circuit_open)
+    }
+
+    /// Advances the clock, and the limit on calls in flight. `top` and `room` are the admission control's: its upper bound,
+    /// which is set, and its current limit, which is kept below; where there is more it grows by its own steps.
+    pub fn bound_calls(&mut self, now: f64, in_flight: usize, top: &mut f64, room: &mut f64) {
+        let decay = (-(now - self.now).max(0.0) / PEAK_DECAY_S).exp();
+        self.peak = (self.peak * decay).max(in_flight as f64);
         self.now = self.now.max(now);
-        // A part under one call is kept in the mean by the module; there is nothing of it to lend.
-        if self.own < 1.0 || !self.own.is_finite() {
+        if self.base_calls < MIN_LENDABLE_CALLS || !self.base_calls.is_finite() {
             return;
         }
-        let Some(advice) = &self.advice else { return };
-        let slice = if now < advice.slice_until { f64::from(advice.digest.slice) } else { 0.0 };
-        let part = self.fresh().map_or(1.0, |a| f64::from(a.digest.part));
-        let next = ((self.own - advice.lent + slice) * part).max(self.own.min(1.0));
-        (*room, *top) = (room.min(next), next);
-    }
-
-    /// A first or a further try has come. Whether it is beyond what the fleet takes of further ones: it is refused at once
-    /// then, and is no load that others would have to wait behind.
-    pub fn arrived(&mut self, tier: usize, further: bool) -> bool {
-        if !further {
-            self.arrivals[tier.min(MAX_TIERS - 1)] += 1;
+        let Some(directive) = &self.directive else { return };
+        let slice = if now < directive.slice_until { f64::from(directive.digest.slice) } else { 0.0 };
+        let call_share = self.digest().map_or(1.0, |digest| f64::from(digest.call_share));
+        let limit = (self.base_calls - directive.lent + slice) * call_share;
+        let limit = limit.max(self.base_calls.min(MIN_LENDABLE_CALLS));
+        *room = room.min(limit);
+        *top = limit;
+    }
+
+    /// A first attempt or a retry has arrived. `true` if it is beyond the retry budget: it is rejected immediately, and is no
+    /// load that others would have to wait behind.
+    pub fn arrived(&mut self, tier: usize, is_retry: bool) -> bool {
+        if !is_retry {
+            self.counts.arrivals[tier.min(MAX_TIERS - 1)] += 1;
             return false;
         }
-        self.further += 1;
-        let over = self.fresh().is_some_and(|a| self.draw() >= f64::from(a.digest.pass));
-        self.shed.set(self.shed.get() + u64::from(over));
-        over
+        self.counts.retries += 1;
+        let is_over_budget =
+            self.digest().is_some_and(|digest| self.random() >= f64::from(digest.retry_share));
+        self.count_shed(is_over_budget);
+        is_over_budget
     }
 
-    /// Whether the fleet sheds it. `free` says that it could start at once.
-    pub fn sheds(&self, tier: usize, free: bool) -> bool {
-        let Some(OverloadDirective { digest, .. }) = self.fresh() else { return false };
-        let sheds = !free && !digest.level.lets_in(tier, self.draw());
-        self.shed.set(self.shed.get() + u64::from(sheds));
-        sheds
+    /// Whether the fleet's level sheds a request. `can_start` says that it could start immediately.
+    pub fn sheds(&self, tier: usize, can_start: bool) -> bool {
+        let Some(digest) = self.digest() else { return false };
+        let is_shed = !can_start && !digest.level.admits(tier, self.random());
+        self.count_shed(is_shed);
+        is_shed
     }
 
-    /// Whether the fleet has no room elsewhere, if that is known: it sheds, has given the service below up, or holds back
-    /// further tries.
+    /// Whether the fleet has no headroom elsewhere, if that is known.
     pub fn fleet_full(&self) -> Option<bool> {
-        let full = |d: &FleetDigest| !d.level.is_open() || d.given_up || d.pass < 1.0;
-        self.fresh().filter(|a| a.digest.of > 1).map(|a| full(&a.digest))
+        self.digest().filter(|digest| digest.workers > 1).map(is_at_capacity)
     }
 
-    /// How long a refused request of this tier stays away, where alone it would be told `away_s`: shortly where another
-    /// worker has room, else spread over what the fleet can take, the lower tiers later.
-    pub fn stay_away_s(&self, tier: usize, away_s: f64) -> f64 {
-        let Some(OverloadDirective { digest, .. }) = self.fresh() else { return away_s };
-        if digest.level.is_open() && !digest.given_up && digest.pass >= 1.0 {
-            return away_s;
+    /// The Retry-After for a rejected request of this tier, where alone it would be `alone_s`: the same while another worker
+    /// has headroom, else spread over what the fleet can take, the lower tiers later.
+    pub fn stay_away_s(&self, tier: usize, alone_s: f64) -> f64 {
+        let Some(digest) = self.digest() else { return alone_s };
+        if !is_at_capacity(digest) {
+            return alone_s;
         }
-        let below = tier.saturating_sub(digest.level.tier.min(tier)) as f64;
-        let spread = f64::from(digest.spread_s) * (1.0 + SPREAD_TIER * below);
-        away_s.max(spread * (0.5 + self.draw()))
+        let tiers_below_edge = tier.saturating_sub(digest.level.tier.min(tier)) as f64;
+        let spread_s = f64::from(digest.spread_s) * (1.0 + SPREAD_PER_TIER * tiers_below_edge);
+        alone_s.max(spread_s * (0.5 + self.random()))
     }
 
-    /// Whether calls are not made at all here: the service is given up, and what stands at a call does not wait.
-    pub fn gives_up_call(&self, safe: bool) -> bool {
-        self.fresh().is_some_and(|a| a.digest.given_up && !(a.digest.trial && safe))
+    /// Whether a call is skipped altogether, since the circuit is open: requests that need it do not wait for it.
+    pub fn gives_up_call(&self, is_idempotent: bool) -> bool {
+        self.digest().is_some_and(|digest| digest.circuit_open && !(digest.is_prober && is_idempotent))
     }
 
     /// Whether a call may be made now.
-    pub fn may_call(&self, safe: bool) -> bool {
-        let trial_due = self.now - self.trial_at >= TRIAL_EVERY_S;
-        !self.gives_up_call(safe) && (trial_due || !self.fresh().is_some_and(|a| a.digest.given_up))
+    pub fn may_call(&self, is_idempotent: bool) -> bool {
+        let probe_due = self.now - self.last_call_at >= PROBE_INTERVAL_S;
+        !self.gives_up_call(is_idempotent) && (probe_due || !self.is_circuit_open())
     }
 
     /// A call has been made.
     pub fn called(&mut self) {
-        self.trial_at = self.now;
+        self.last_call_at = self.now;
     }
 
     /// A call has ended, after so long.
-    pub fn call_ended(&mut self, good: bool, took_s: f64) {
-        match good {
-            true => {
-                (self.calls_good, self.call_time) = (self.calls_good + 1, self.call_time + took_s.max(0.0))
-            }
-            false => self.calls_bad += 1,
+    pub fn call_ended(&mut self, succeeded: bool, duration_s: f64) {
+        if succeeded {
+            self.counts.calls_succeeded += 1;
+            self.counts.call_time_s += duration_s.max(0.0);
+        } else {
+            self.counts.calls_failed += 1;
         }
     }
 
-    /// What the worker could end a second, and what waits for a call: by tier, how many, and what one is worth.
+    /// The state of the admission control: requests a second that it holds itself capable of, and the requests that wait for
+    /// a call, each entry a number of them and their priority weight.
     pub fn stands<'a>(&mut self, capacity: f64, waiting: impl Iterator<Item = (usize, &'a f64)>) {
-        let add =
-            |(all, weight): (f64, f64), (n, one): (usize, &f64)| (all + n as f64, weight + n as f64 * one);
-        let waiting = waiting.fold((0.0, 0.0), add);
-        (self.capacity, self.waiting) = (capacity, waiting);
-    }
-
-    /// What is to be reported; it is counted anew from now on. `served` and `refused` are all answers so far.
-    pub fn numbers(&mut self, now: f64, served: u64, refused: u64) -> LoadSample {
-        let ended = served.saturating_sub(self.answered.0);
-        let own = refused.saturating_sub(self.answered.1).saturating_sub(self.shed.take());
-        self.answered = (served, refused);
-        let per_s = 1.0 / (now - self.told).max(0.05);
-        let tiers = self.arrivals.iter().rposition(|n| *n > 0).map_or(0, |last| last + 1);
-        let (waiting, weight) = self.waiting;
-        let spare = self.own - self.peak - (self.own * SPARE_MARGIN).max(1.0);
-        let numbers = LoadSample {
-            arrivals: self.arrivals[..tiers].iter().map(|n| *n as f64 * per_s).collect(),
-            further: self.further as f64 * per_s,
-            refused: own as f64 * per_s,
-            // What it has just done it can do, whatever it took itself for.
-            capacity: self.capacity.max(ended as f64 * per_s),
-            calls_good: self.calls_good as f64 * per_s,
-            calls_bad: self.calls_bad as f64 * per_s,
-            call_s: self.call_time / (self.calls_good.max(1)) as f64,
-            wants: if self.own.is_finite() { waiting } else { 0.0 },
-            weight: weight / waiting.max(1.0),
-            spare: if spare.is_finite() && self.own >= 1.0 && waiting == 0.0 { spare.max(0.0) } else { 0.0 },
-        };
-        (self.told, self.arrivals, self.further) = (now, [0; MAX_TIERS], 0);
-        (self.calls_good, self.calls_bad, self.call_time) = (0, 0, 0.0);
-        numbers
-    }
-
-    /// What operators read: names and values.
-    pub fn figures(&self) -> Vec<(&'static str, String)> {
-        let Some(OverloadDirective { digest, lent, .. }) = &self.advice else { return Vec::new() };
+        let mut sum = WaitingCalls::default();
+        for (count, weight) in waiting {
+            sum.count += count as f64;
+            sum.weight += count as f64 * weight;
+        }
+        self.capacity = capacity;
+        self.waiting = sum;
+    }
+
+    /// The sample for a load report; counts begin anew. `served` and `rejected` are all answers since the start.
+    pub fn take_sample(&mut self, now: f64, served: u64, rejected: u64) -> LoadSample {
+        let counts = std::mem::take(&mut self.counts);
+        let completed = served.saturating_sub(self.sampled_answers.served);
+        let all_rejected = rejected.saturating_sub(self.sampled_answers.rejected);
+        let own_rejected = all_rejected.saturating_sub(self.shed.take());
+        self.sampled_answers = Answers { served, rejected };
+        let per_s = 1.0 / (now - self.sampled_at).max(MIN_SAMPLE_S);
+        self.sampled_at = now;
+        let tiers = counts.arrivals.iter().rposition(|count| *count > 0).map_or(0, |last| last + 1);
+        LoadSample {
+            arrivals: counts.arrivals[..tiers].iter().map(|count| *count as f64 * per_s).collect(),
+            retries: counts.retries as f64 * per_s,
+            rejected: own_rejected as f64 * per_s,
+            // What it has just completed it can do, whatever its estimate was.
+            capacity: self.capacity.max(completed as f64 * per_s),
+            calls_succeeded: counts.calls_succeeded as f64 * per_s,
+            calls_failed: counts.calls_failed as f64 * per_s,
+            call_s: counts.call_time_s / (counts.calls_succeeded.max(1)) as f64,
+            wants: if self.base_calls.is_finite() { self.waiting.count } else { 0.0 },
+            weight: self.waiting.weight / self.waiting.count.max(1.0),
+            spare: self.spare_calls(),
+        }
+    }
+
+    /// Calls in flight of the base allocation that the worker does not need.
+    fn spare_calls(&self) -> f64 {
+        let spare = self.base_calls - self.peak - (self.base_calls * SPARE_MARGIN).max(1.0);
+        let can_lend =
+            spare.is_finite() && self.base_calls >= MIN_LENDABLE_CALLS && self.waiting.count == 0.0;
+        if can_lend {
+            spare.max(0.0)
+        } else {
+            0.0
+        }
+    }
+
+    /// The directive as operators read it at the console: names and values.
+    pub fn metrics(&self) -> Vec<(&'static str, String)> {
+        let Some(OverloadDirective { digest, lent, .. }) = &self.directive else { return Vec::new() };
         let level = digest.level;
-        let depth =
+        let level =
             if level.is_open() { "open".to_owned() } else { format!("{}+{:.2}", level.tier, level.share) };
         vec![
-            ("fresh", u64::from(self.fresh().is_some()).to_string()),
-            ("level", depth),
-            ("of_workers", digest.of.to_string()),
+            ("fresh", u64::from(self.digest().is_some()).to_string()),
+            ("level", level),
+            ("of_workers", digest.workers.to_string()),
             ("view_age_ms", digest.age_ms.to_string()),
-            ("retries_pass", format!("{:.2}", digest.pass)),
-            ("calls_part", format!("{:.2}", digest.part)),
-            ("given_up", u64::from(digest.given_up).to_string()),
-            ("trial", u64::from(digest.trial).to_string()),
+            ("retries_pass", format!("{:.2}", digest.retry_share)),
+            ("calls_part", format!("{:.2}", digest.call_share)),
+            ("given_up", u64::from(digest.circuit_open).to_string()),
+            ("trial", u64::from(digest.is_prober).to_string()),
             ("calls_lent", format!("{lent:.2}")),
             ("calls_slice", format!("{:.2}", digest.slice)),
         ]
     }
 }
 
+/// Whether the fleet sheds load, has opened the downstream circuit, or limits retries.
+fn is_at_capacity(digest: &FleetDigest) -> bool {
+    !digest.level.is_open() || digest.circuit_open || digest.retry_share < 1.0
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/fleet/overload/policy/tests.rs
+++ b/src/fleet/overload/policy/tests.rs
@@ -7,63 +7,65 @@
 }
 
 fn digest() -> FleetDigest {
-    FleetDigest { of: 9, pass: 1.0, part: 1.0, spread_s: 4.0, ..FleetDigest::default() }
+    FleetDigest { workers: 9, retry_share: 1.0, call_share: 1.0, spread_s: 4.0, ..FleetDigest::default() }
 }
 
-/// A worker at 10 s with this advice, good until 12 s, and its slice until 11 s.
+/// A worker at 10 s with a directive that is valid until 12 s, and its slice until 11 s.
 fn advised(digest: FleetDigest, lent: f64) -> OverloadPolicy {
-    let mut local = OverloadPolicy::new(0.0, &settings(4.0));
-    local.bound_calls(10.0, 0, &mut 4.0, &mut 2.0);
-    local.advise(OverloadDirective { digest, until: 12.0, slice_until: 11.0, lent });
-    local
+    let mut policy = OverloadPolicy::new(0.0, &settings(4.0));
+    policy.bound_calls(10.0, 0, &mut 4.0, &mut 2.0);
+    policy.set_directive(OverloadDirective { digest, until: 12.0, slice_until: 11.0, lent });
+    policy
 }
 
 /// The share of a thousand requests that is shed.
-fn shed(local: &OverloadPolicy, tier: usize, free: bool) -> f64 {
-    (0..1000).filter(|_| local.sheds(tier, free)).count() as f64 / 1000.0
+fn shed(policy: &OverloadPolicy, tier: usize, free: bool) -> f64 {
+    (0..1000).filter(|_| policy.sheds(tier, free)).count() as f64 / 1000.0
 }
 
-/// The share of a thousand tries that is beyond the budget.
-fn over(local: &mut OverloadPolicy, further: bool) -> f64 {
-    (0..1000).filter(|_| local.arrived(0, further)).count() as f64 / 1000.0
+/// The share of a thousand attempts that is beyond the budget.
+fn over(policy: &mut OverloadPolicy, is_retry: bool) -> f64 {
+    (0..1000).filter(|_| policy.arrived(0, is_retry)).count() as f64 / 1000.0
 }
 
 #[test]
-fn the_level_sheds_by_tier_and_share_and_never_what_could_start_at_once() {
-    let local = advised(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..digest() }, 0.0);
-    assert_eq!([0, 2, 7, 99].map(|tier| shed(&local, tier, false)), [0.0, 1.0, 1.0, 1.0]);
-    assert!((shed(&local, 1, false) - 0.75).abs() < 0.05);
-    assert_eq!(shed(&local, 2, true), 0.0);
-    assert_eq!(local.fleet_full(), Some(true));
+fn the_level_sheds_by_tier_and_share_and_never_what_could_start_immediately() {
+    let policy = advised(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..digest() }, 0.0);
+    assert_eq!([0, 2, 7, 99].map(|tier| shed(&policy, tier, false)), [0.0, 1.0, 1.0, 1.0]);
+    assert!((shed(&policy, 1, false) - 0.75).abs() < 0.05);
+    assert_eq!(shed(&policy, 2, true), 0.0);
+    assert_eq!(policy.fleet_full(), Some(true));
 }
 
 #[test]
-fn further_tries_beyond_the_budget_are_shed_and_first_ones_are_not() {
-    let mut local = advised(FleetDigest { pass: 0.2, ..digest() }, 0.0);
-    assert!((over(&mut local, true) - 0.8).abs() < 0.05);
-    assert_eq!(over(&mut local, false), 0.0);
+fn retries_beyond_the_budget_are_shed_and_first_attempts_are_not() {
+    let mut policy = advised(FleetDigest { retry_share: 0.2, ..digest() }, 0.0);
+    assert!((over(&mut policy, true) - 0.8).abs() < 0.05);
+    assert_eq!(over(&mut policy, false), 0.0);
     let mut calm = advised(digest(), 0.0);
-    assert_eq!(over(&mut calm, true), 0.0, "a fleet that is short of nothing takes them all");
+    assert_eq!(over(&mut calm, true), 0.0, "a fleet that is not short admits them all");
 }
 
 #[test]
-fn advice_that_is_old_or_speaks_for_nobody_changes_nothing() {
+fn an_expired_directive_or_one_for_a_single_worker_changes_nothing() {
     let level = SheddingLevel { tier: 0, share: 0.0 };
-    let mut local =
-        advised(FleetDigest { level, pass: 0.0, part: 0.25, given_up: true, slice: 8.0, ..digest() }, 1.0);
+    let mut policy = advised(
+        FleetDigest { level, retry_share: 0.0, call_share: 0.25, circuit_open: true, slice: 8.0, ..digest() },
+        1.0,
+    );
     let (mut top, mut room) = (4.0, 2.0);
-    local.bound_calls(12.0, 0, &mut top, &mut room);
+    policy.bound_calls(12.0, 0, &mut top, &mut room);
     assert_eq!(
-        (shed(&local, 5, false) + over(&mut local, true), local.fleet_full(), local.stay_away_s(5, 0.3)),
+        (shed(&policy, 5, false) + over(&mut policy, true), policy.fleet_full(), policy.stay_away_s(5, 0.3)),
         (0.0, None, 0.3)
     );
-    assert!(local.may_call(false) && !local.gives_up_call(false));
-    assert_eq!((top, room), (3.0, 2.0), "a promise outlasts the view");
-    assert_eq!(advised(FleetDigest { of: 1, level, ..digest() }, 0.0).fleet_full(), None);
+    assert!(policy.may_call(false) && !policy.gives_up_call(false));
+    assert_eq!((top, room), (3.0, 2.0), "a loan outlasts the digest");
+    assert_eq!(advised(FleetDigest { workers: 1, level, ..digest() }, 0.0).fleet_full(), None);
 }
 
 #[test]
-fn calls_in_hand_follow_part_loan_and_slice() {
+fn the_limit_on_calls_in_flight_follows_share_loan_and_slice() {
     for (lent, slice, part, now, top) in [
         (0.0, 0.0, 1.0, 10.5, 4.0),
         (2.0, 0.0, 1.0, 10.5, 2.0),
@@ -72,25 +74,25 @@
         (0.0, 6.0, 0.25, 10.5, 2.5),
         (2.0, 0.0, 0.25, 10.5, 1.0),
     ] {
-        let mut local = advised(FleetDigest { slice, part, ..digest() }, lent);
+        let mut policy = advised(FleetDigest { slice, call_share: part, ..digest() }, lent);
         let (mut seen, mut room) = (4.0, 2.0);
-        local.bound_calls(now, 0, &mut seen, &mut room);
+        policy.bound_calls(now, 0, &mut seen, &mut room);
         assert_eq!((seen, room), (top, f64::min(top, 2.0)), "{lent} {slice} {part} {now}");
     }
 }
 
 #[test]
-fn a_service_that_is_given_up_is_called_by_whoever_tries_it_safely_and_twice_a_second() {
-    let down = FleetDigest { given_up: true, ..digest() };
+fn an_open_circuit_is_probed_by_one_worker_with_idempotent_calls_twice_a_second() {
+    let down = FleetDigest { circuit_open: true, ..digest() };
     let other = advised(down.clone(), 0.0);
     assert!(other.gives_up_call(true) && !other.may_call(true));
-    let mut tries = advised(FleetDigest { trial: true, ..down }, 0.0);
-    assert!(tries.gives_up_call(false) && !tries.gives_up_call(true));
+    let mut prober = advised(FleetDigest { is_prober: true, ..down }, 0.0);
+    assert!(prober.gives_up_call(false) && !prober.gives_up_call(true));
     let mut made = 0;
     for n in 0..100 {
-        tries.bound_calls(10.0 + f64::from(n) * 0.01, 0, &mut 4.0, &mut 2.0);
-        if tries.may_call(true) {
-            tries.called();
+        prober.bound_calls(10.0 + f64::from(n) * 0.01, 0, &mut 4.0, &mut 2.0);
+        if prober.may_call(true) {
+            prober.called();
             made += 1;
         }
     }
@@ -98,30 +100,36 @@
 }
 
 #[test]
-fn returns_are_spread_by_rank_where_the_fleet_has_no_room() {
-    let local = advised(FleetDigest { level: SheddingLevel { tier: 1, share: 0.0 }, ..digest() }, 0.0);
-    let mean = |tier| (0..1000).map(|_| local.stay_away_s(tier, 0.1)).sum::<f64>() / 1000.0;
+fn retry_after_is_spread_by_tier_where_the_fleet_is_at_capacity() {
+    let policy = advised(FleetDigest { level: SheddingLevel { tier: 1, share: 0.0 }, ..digest() }, 0.0);
+    let mean = |tier| (0..1000).map(|_| policy.stay_away_s(tier, 0.1)).sum::<f64>() / 1000.0;
     assert!((mean(1) - 4.0).abs() < 0.2 && (mean(3) - 6.0).abs() < 0.3, "{} {}", mean(1), mean(3));
-    assert_eq!(advised(digest(), 0.0).stay_away_s(1, 0.1), 0.1, "another worker has room");
+    assert_eq!(advised(digest(), 0.0).stay_away_s(1, 0.1), 0.1, "another worker has headroom");
 }
 
 #[test]
-fn what_is_reported_are_rates_since_the_last_report_and_what_was_lately_not_needed() {
-    let mut local = OverloadPolicy::new(0.0, &settings(8.0));
-    assert!((0..10).all(|_| !local.arrived(1, false)));
-    local.arrived(0, true);
-    local.call_ended(true, 0.02);
-    local.call_ended(true, 0.04);
-    local.call_ended(false, 0.0);
-    local.stands(50.0, std::iter::empty());
-    let n = local.numbers(0.5, 40, 6);
-    assert_eq!((n.arrivals.clone(), n.further, n.calls_good, n.calls_bad), (vec![0.0, 20.0], 2.0, 4.0, 2.0));
-    assert_eq!((n.capacity, n.refused), (80.0, 12.0), "it has done more than it thought");
-    assert!((n.call_s - 0.03).abs() < 1e-9 && n.spare == 0.0, "its part may have been in hand: {n:?}");
-    assert_eq!(local.numbers(1.0, 40, 6).arrivals, Vec::<f64>::new());
-    local.bound_calls(60.0, 1, &mut 8.0, &mut 4.0);
-    assert_eq!(local.numbers(60.0, 40, 6).spare, 8.0 - 1.0 - 2.0);
-    local.stands(50.0, [(2, &5.0), (1, &2.0)].into_iter());
-    let n = local.numbers(61.0, 40, 6);
+fn a_sample_holds_rates_since_the_last_one_and_what_was_lately_not_needed() {
+    let mut policy = OverloadPolicy::new(0.0, &settings(8.0));
+    assert!((0..10).all(|_| !policy.arrived(1, false)));
+    policy.arrived(0, true);
+    policy.call_ended(true, 0.02);
+    policy.call_ended(true, 0.04);
+    policy.call_ended(false, 0.0);
+    policy.stands(50.0, std::iter::empty());
+    let n = policy.take_sample(0.5, 40, 6);
+    assert_eq!(
+        (n.arrivals.clone(), n.retries, n.calls_succeeded, n.calls_failed),
+        (vec![0.0, 20.0], 2.0, 4.0, 2.0)
+    );
+    assert_eq!((n.capacity, n.rejected), (80.0, 12.0), "it has done more than it thought");
+    assert!(
+        (n.call_s - 0.03).abs() < 1e-9 && n.spare == 0.0,
+        "its base allocation may have been in use: {n:?}"
+    );
+    assert_eq!(policy.take_sample(1.0, 40, 6).arrivals, Vec::<f64>::new());
+    policy.bound_calls(60.0, 1, &mut 8.0, &mut 4.0);
+    assert_eq!(policy.take_sample(60.0, 40, 6).spare, 8.0 - 1.0 - 2.0);
+    policy.stands(50.0, [(2, &5.0), (1, &2.0)].into_iter());
+    let n = policy.take_sample(61.0, 40, 6);
     assert_eq!((n.spare, n.wants, n.weight), (0.0, 3.0, 4.0));
 }
--- a/src/fleet/overload/retries.rs
+++ b/src/fleet/overload/retries.rs
@@ -1,44 +1,49 @@
-//! How many further tries the fleet takes while it is short: a share of the first ones, and a burst that is saved up. Beyond
-//! it they are refused first and at once, so that no storm of retries keeps a fleet down after its cause has gone.
+//! The fleet's retry budget while it is short of capacity: a ratio of first attempts, and a burst that is saved up. Retries
+//! beyond it are rejected first and immediately, so that no retry storm keeps a fleet down after its cause has gone.
 
-use super::view::Sums;
+use super::view::LoadSums;
 
-/// Further tries that may be saved up, as so many seconds of the share.
-const BURST_S: f64 = 2.0;
+/// The largest balance, as so many seconds of the ratio.
+const MAX_BURST_S: f64 = 2.0;
+/// A longer time between two evaluations counts as this (seconds).
+const MAX_ELAPSED_S: f64 = 5.0;
 
+/// A token bucket of retries, filled by first attempts.
 #[derive(Clone, Debug)]
-pub struct Retries {
-    /// Further tries for each first one.
-    share: f64,
-    saved: f64,
-    looked: f64,
-    pass: f64,
+pub struct RetryBudget {
+    /// Retries per first attempt.
+    ratio: f64,
+    balance: f64,
+    evaluated_at: f64,
+    admitted_share: f64,
 }
 
-impl Retries {
-    pub fn new(now: f64, share: f64) -> Retries {
-        Retries { share: share.max(0.0), saved: 0.0, looked: now, pass: 1.0 }
+impl RetryBudget {
+    /// An empty budget that admits every retry until the fleet is short.
+    pub fn new(now: f64, ratio: f64) -> RetryBudget {
+        RetryBudget { ratio: ratio.max(0.0), balance: 0.0, evaluated_at: now, admitted_share: 1.0 }
     }
 
-    /// Looks at the sums anew. A fleet that is not short of anything takes all: there a further try harms nobody.
-    pub fn look(&mut self, now: f64, sums: &Sums, short: bool) {
-        let dt = (now - self.looked).clamp(0.0, 5.0);
-        self.looked = now;
-        let earned = self.share * sums.arrivals.iter().sum::<f64>();
-        let spent = sums.further * self.pass;
-        self.saved = (self.saved + (earned - spent) * dt).clamp(0.0, earned * BURST_S);
-        let may = earned + self.saved;
-        self.pass = if short && sums.further > may { may / sums.further } else { 1.0 };
+    /// Evaluates new sums. A fleet that is not short of anything admits all: there a retry harms nobody.
+    pub fn evaluate(&mut self, now: f64, sums: &LoadSums, is_short: bool) {
+        let elapsed_s = (now - self.evaluated_at).clamp(0.0, MAX_ELAPSED_S);
+        self.evaluated_at = now;
+        let earned = self.ratio * sums.arrivals.iter().sum::<f64>();
+        let spent = sums.retries * self.admitted_share;
+        self.balance = (self.balance + (earned - spent) * elapsed_s).clamp(0.0, earned * MAX_BURST_S);
+        let available = earned + self.balance;
+        let limits = is_short && sums.retries > available;
+        self.admitted_share = if limits { available / sums.retries } else { 1.0 };
     }
 
-    /// Which share of further tries is taken.
-    pub fn pass(&self) -> f64 {
-        self.pass
+    /// The share of retries that is admitted.
+    pub fn admitted_share(&self) -> f64 {
+        self.admitted_share
     }
 
-    /// Further tries that are saved up.
-    pub fn saved(&self) -> f64 {
-        self.saved
+    /// Retries that are saved up.
+    pub fn balance(&self) -> f64 {
+        self.balance
     }
 }
 
--- a/src/fleet/overload/retries/tests.rs
+++ b/src/fleet/overload/retries/tests.rs
@@ -1,38 +1,38 @@
 use super::*;
 use crate::fleet::overload::MAX_TIERS;
 
-fn sums(first: f64, further: f64) -> Sums {
+fn sums(first_attempts: f64, retries: f64) -> LoadSums {
     let mut arrivals = [0.0; MAX_TIERS];
-    arrivals[0] = first;
-    Sums { of: 10, arrivals, further, ..Sums::default() }
+    arrivals[0] = first_attempts;
+    LoadSums { workers: 10, arrivals, retries, ..LoadSums::default() }
 }
 
-/// Looks twice a second for ten seconds; further tries that were taken in them.
-fn taken(retries: &mut Retries, from: f64, sums: &Sums, short: bool) -> f64 {
-    let mut taken = 0.0;
+/// Evaluates twice a second for ten seconds; retries that were admitted in them.
+fn admitted(budget: &mut RetryBudget, from: f64, sums: &LoadSums, short: bool) -> f64 {
+    let mut admitted = 0.0;
     for n in 1..=20 {
-        retries.look(from + f64::from(n) * 0.5, sums, short);
-        taken += retries.pass() * sums.further * 0.5;
+        budget.evaluate(from + f64::from(n) * 0.5, sums, short);
+        admitted += budget.admitted_share() * sums.retries * 0.5;
     }
-    taken
+    admitted
 }
 
 #[test]
-fn a_storm_gets_its_share_and_what_was_saved_up_and_no_more() {
-    for (first, further) in [(100.0, 20.0), (100.0, 300.0), (10.0, 3000.0)] {
-        let mut retries = Retries::new(0.0, 0.1);
-        // Calm saves up two seconds of the share.
-        taken(&mut retries, 0.0, &sums(first, 0.0), false);
-        let got = taken(&mut retries, 10.0, &sums(first, further), true);
-        let most = 0.1 * first * (10.0 + BURST_S) + 1e-6;
-        assert!(got <= most && got >= most * 0.8, "{first}, {further}: {got} of {most}");
+fn a_retry_storm_gets_its_ratio_and_the_saved_burst_and_no_more() {
+    for (first_attempts, retries) in [(100.0, 20.0), (100.0, 300.0), (10.0, 3000.0)] {
+        let mut budget = RetryBudget::new(0.0, 0.1);
+        // Without retries, two seconds of the ratio are saved up.
+        admitted(&mut budget, 0.0, &sums(first_attempts, 0.0), false);
+        let got = admitted(&mut budget, 10.0, &sums(first_attempts, retries), true);
+        let most = 0.1 * first_attempts * (10.0 + MAX_BURST_S) + 1e-6;
+        assert!(got <= most && got >= most * 0.8, "{first_attempts}, {retries}: {got} of {most}");
     }
 }
 
 #[test]
-fn a_fleet_with_room_takes_them_all_and_no_first_tries_mean_none() {
-    let mut retries = Retries::new(0.0, 0.1);
-    assert_eq!(taken(&mut retries, 0.0, &sums(10.0, 50.0), false), 500.0);
-    assert_eq!(taken(&mut retries, 10.0, &sums(0.0, 50.0), true), 0.0);
-    assert_eq!(taken(&mut retries, 20.0, &sums(0.0, 0.0), true), 0.0);
+fn a_fleet_that_is_not_short_admits_every_retry_and_a_short_one_without_first_attempts_none() {
+    let mut budget = RetryBudget::new(0.0, 0.1);
+    assert_eq!(admitted(&mut budget, 0.0, &sums(10.0, 50.0), false), 500.0);
+    assert_eq!(admitted(&mut budget, 10.0, &sums(0.0, 50.0), true), 0.0);
+    assert_eq!(admitted(&mut budget, 20.0, &sums(0.0, 0.0), true), 0.0);
 }
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -1,181 +1,263 @@
-//! The service below as each zone sees it: crowded, given up, tried again, opened in steps.
+//! The state of the shared downstream service as each zone sees it: overloaded, circuit open, half-open probes, and a
+//! recovery ramp.
 //!
-//! Owed to callers: a zone that sees it down gives it up alone; of a zone's workers at most one tries it again, however the
-//! leader changes; what a trial's luck opens is the least part, and the rest comes in steps, each of which has to hold.
+//! Guarantees to callers: each zone opens its circuit by itself; of a zone's workers at most one makes probes, however the
+//! leader changes; successful probes restore the smallest share of calls only, and the rest returns in steps, each of which
+//! has to hold.
 
-use super::view::Sums;
+use super::view::LoadSums;
 use std::collections::BTreeMap;
 
-/// Calls have slowed when their mean is so many times the yardstick; the part falls by the second share a look then, no
-/// lower than the third, and rises by the fourth: whole again within two seconds, since each worker's own bound opens by
-/// smaller steps below it.
-const SLOW: f64 = 2.2;
-const BACK: f64 = 0.7;
-const PART_LEAST: f64 = 0.25;
-const STEP: f64 = 0.25;
-/// A yardstick follows a shorter mean by the first share a look, a longer one by the second.
-const SINK: f64 = 0.25;
-const CREEP: f64 = 0.002;
-/// A service is given up when this share of a zone's calls fail, of so many a second at least, for so long (seconds).
-const DOWN_SHARE: f64 = 0.5;
-const DOWN_LEAST: f64 = 1.0;
-const DOWN_S: f64 = 0.4;
-/// Looks in a row with good trials alone before it opens.
-const TRIALS_GOOD: u32 = 3;
-/// How long a worker may go by a digest (seconds), counted from when it asked for it.
-pub const VIEW_S: f64 = 2.0;
-/// After how long without a report another worker is named for trials, and a new leader names the first (seconds): when
-/// whoever may have been named before goes by no digest any more.
-const TRIAL_S: f64 = VIEW_S * 1.25;
-
-/// One zone's view of the service.
+/// The service is overloaded while calls take longer than so many times the baseline.
+const OVERLOADED_LATENCY_FACTOR: f64 = 2.2;
+/// Factor by which an overloaded service's share of calls shrinks at each evaluation.
+const SHRINK_FACTOR: f64 = 0.7;
+/// The smallest share of calls, however overloaded the service is.
+const MIN_CALL_SHARE: f64 = 0.25;
+/// Step by which the share grows at each evaluation: complete again within two seconds, since each worker's own limit grows
+/// by smaller steps below it.
+const RECOVERY_STEP: f64 = 0.25;
+/// The share of the distance by which the baseline follows a shorter latency at each evaluation.
+const BASELINE_FALL: f64 = 0.25;
+/// The share of the distance by which the baseline follows a longer latency at each evaluation.
+const BASELINE_RISE: f64 = 0.002;
+/// The circuit opens when so large a share of a zone's calls fails.
+const FAILING_SHARE: f64 = 0.5;
+/// Fewer calls a second say nothing.
+const MIN_CALLS_PER_S: f64 = 1.0;
+/// How long calls have to fail before the circuit opens (seconds).
+const FAILING_FOR_S: f64 = 0.4;
+/// Evaluations in a row with successful probes alone before the circuit closes.
+const PROBES_TO_CLOSE: u32 = 3;
+/// How long a worker may go by a digest (seconds), counted from when it sent the report.
+pub const DIGEST_VALID_S: f64 = 2.0;
+/// After how long without a report another worker becomes the prober, and a new leader appoints the first (seconds): when
+/// whoever may have been the prober before goes by no digest any more.
+const PROBER_TIMEOUT_S: f64 = DIGEST_VALID_S * 1.25;
+
+/// The worker that makes a zone's probes while the circuit is open.
+#[derive(Clone, Copy, Debug)]
+struct Prober {
+    worker: u64,
+    last_report_at: f64,
+}
+
+/// One zone's circuit breaker.
 #[derive(Clone, Debug)]
-struct Zone {
-    part: f64,
-    yardstick: f64,
-    bad_since: Option<f64>,
-    given_up: bool,
-    /// Who tries it, and when it was last heard.
-    tries: Option<(u64, f64)>,
-    /// Nobody else may be named before.
-    names_from: f64,
-    good_in_row: u32,
+struct ZoneCircuit {
+    call_share: f64,
+    /// The usual latency of successful calls (seconds); infinite until one has succeeded.
+    baseline_s: f64,
+    failing_since: Option<f64>,
+    is_open: bool,
+    prober: Option<Prober>,
+    /// No prober may be appointed before.
+    appoints_from: f64,
+    successes_in_row: u32,
 }
 
-/// What a zone's workers go by.
+/// What a worker goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceState {
-    pub part: f64,
-    pub given_up: bool,
-    pub trial: bool,
+    /// Share of its downstream capacity that it may use.
+    pub call_share: f64,
+    /// The circuit is open.
+    pub circuit_open: bool,
+    /// It makes the half-open probes.
+    pub is_prober: bool,
+}
+
+/// The state of one zone, for operators.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ZoneState<'a> {
+    /// Name of the zone.
+    pub zone: &'a str,
+    /// Share of their downstream capacity that its workers may use.
+    pub call_share: f64,
+    /// The circuit is open.
+    pub circuit_open: bool,
+    /// The session of the worker that makes the half-open probes.
+    pub prober: Option<u64>,
 }
 
+/// The downstream service, by zone.
 #[derive(Clone, Debug)]
-pub struct Service {
-    names_from: f64,
-    zones: BTreeMap<String, Zone>,
+pub struct DownstreamService {
+    appoints_from: f64,
+    zones: BTreeMap<String, ZoneCircuit>,
 }
 
-impl Service {
-    /// For a leader that begins to lead now.
-    pub fn lead(now: f64) -> Service {
-        Service { names_from: now + TRIAL_S, zones: BTreeMap::new() }
-    }
-
-    fn zone(&mut self, zone: &str) -> &mut Zone {
-        let names_from = self.names_from;
-        self.zones.entry(zone.to_owned()).or_insert(Zone {
-            part: 1.0,
-            yardstick: f64::INFINITY,
-            bad_since: None,
-            given_up: false,
-            tries: None,
-            names_from,
-            good_in_row: 0,
-        })
+impl DownstreamService {
+    /// For a leader whose term begins now.
+    pub fn new(now: f64) -> DownstreamService {
+        DownstreamService { appoints_from: now + PROBER_TIMEOUT_S, zones: BTreeMap::new() }
     }
 
-    /// A worker reports; `gives_up` says that it goes by a digest in which the service is given up. A leader that knows
-    /// nothing yet takes that over: else all would call at once after a change of leader.
-    pub fn heard(&mut self, now: f64, worker: u64, name: &str, gives_up: bool) {
-        let learns = now < self.names_from;
-        let zone = self.zone(name);
-        if gives_up && learns && !zone.given_up {
-            (zone.given_up, zone.part) = (true, PART_LEAST);
-        }
-        match &mut zone.tries {
-            Some((tries, at)) if *tries == worker => *at = now,
-            Some((_, at)) if now - *at < TRIAL_S => {}
-            _ if now < zone.names_from => {}
-            _ => zone.tries = Some((worker, now)),
+    fn circuit(&mut self, zone: &str) -> &mut ZoneCircuit {
+        let appoints_from = self.appoints_from;
+        self.zones.entry(zone.to_owned()).or_insert_with(|| ZoneCircuit::closed(appoints_from))
+    }
+
+    /// A worker has reported. `circuit_open` says that it goes by a digest in which the circuit is open: a new leader takes
+    /// that over, or all would call at the same moment after a change of leader.
+    pub fn receive_report(&mut self, now: f64, worker: u64, zone: &str, circuit_open: bool) {
+        let is_new_leader = now < self.appoints_from;
+        let circuit = self.circuit(zone);
+        if circuit_open && is_new_leader && !circuit.is_open {
+            circuit.is_open = true;
+            circuit.call_share = MIN_CALL_SHARE;
         }
+        circuit.update_prober(now, worker);
     }
 
-    /// Looks at a zone's sums anew; what has changed, and why, for the log.
-    pub fn look(&mut self, now: f64, name: &str, sums: &Sums) -> Option<String> {
-        let zone = self.zone(name);
-        let all = sums.calls_good + sums.calls_bad;
-        if zone.given_up {
-            return zone.tried(name, sums);
+    /// Evaluates a zone's new sums; what has changed, and why, for the log.
+    pub fn evaluate(&mut self, now: f64, zone: &str, sums: &LoadSums) -> Option<String> {
+        let circuit = self.circuit(zone);
+        if circuit.is_open {
+            return circuit.evaluate_probes(zone, sums);
         }
-        let bad = all >= DOWN_LEAST && sums.calls_bad >= DOWN_SHARE * all;
-        zone.bad_since = bad.then(|| zone.bad_since.unwrap_or(now));
-        if zone.bad_since.is_some_and(|at| now - at >= DOWN_S) {
-            (zone.given_up, zone.part, zone.good_in_row, zone.bad_since) = (true, PART_LEAST, 0, None);
+        if circuit.is_failing(now, sums) {
+            circuit.open();
+            let calls = sums.calls_succeeded + sums.calls_failed;
             return Some(format!(
-                "zone {name}: the service is given up: {:.0} of {all:.0} calls a second fail",
-                sums.calls_bad
+                "zone {zone}: the service is given up: {:.0} of {calls:.0} calls a second fail",
+                sums.calls_failed
             ));
         }
-        let before = zone.part;
-        if sums.calls_good > 0.0 && sums.call_s > 0.0 {
-            if sums.call_s > SLOW * zone.yardstick {
-                zone.part = (zone.part * BACK).max(PART_LEAST);
-            } else {
-                zone.part = (zone.part + STEP).min(1.0);
-            }
-            zone.learn(sums.call_s);
-        } else if all == 0.0 {
-            // Nobody calls: nothing says that it is crowded.
-            zone.part = (zone.part + STEP).min(1.0);
-        }
-        let falls = zone.part < before && before >= 1.0;
-        falls.then(|| {
-            let (call, usual) = (sums.call_s * 1000.0, zone.yardstick * 1000.0);
-            format!("zone {name}: calls take {call:.1} ms, {usual:.1} as a rule; fewer are made")
-        })
+        circuit.evaluate_latency(zone, sums)
     }
 
-    pub fn standing(&self, worker: u64, zone: &str) -> ServiceState {
-        let Some(zone) = self.zones.get(zone) else {
-            return ServiceState { part: 1.0, given_up: false, trial: false };
+    /// What a worker of a zone goes by.
+    pub fn state_for(&self, worker: u64, zone: &str) -> ServiceState {
+        let Some(circuit) = self.zones.get(zone) else {
+            return ServiceState { call_share: 1.0, circuit_open: false, is_prober: false };
         };
-        let trial = zone.given_up && zone.tries.is_some_and(|(tries, _)| tries == worker);
-        ServiceState { part: zone.part, given_up: zone.given_up, trial }
+        ServiceState {
+            call_share: circuit.call_share,
+            circuit_open: circuit.is_open,
+            is_prober: circuit.active_prober() == Some(worker),
+        }
     }
 
     /// Whether any zone is short of the service.
     pub fn is_short(&self) -> bool {
-        self.zones.values().any(|z| z.given_up || z.part < 1.0)
+        self.zones.values().any(|circuit| circuit.is_open || circuit.call_share < 1.0)
     }
 
-    /// Each zone's standing, and who tries the service for it.
-    pub fn zones(&self) -> impl Iterator<Item = (&str, f64, bool, Option<u64>)> {
-        self.zones.iter().map(|(name, z)| {
-            let tries = z.tries.filter(|_| z.given_up).map(|(worker, _)| worker);
-            (name.as_str(), z.part, z.given_up, tries)
+    /// The state of each zone, by name.
+    pub fn zones(&self) -> impl Iterator<Item = ZoneState<'_>> {
+        self.zones.iter().map(|(zone, circuit)| ZoneState {
+            zone,
+            call_share: circuit.call_share,
+            circuit_open: circuit.is_open,
+            prober: circuit.active_prober(),
         })
     }
 
-    /// Zones that nobody reports from are forgotten.
-    pub fn keep(&mut self, names: &[String]) {
-        self.zones.retain(|name, _| names.contains(name));
+    /// Removes zones that nobody reports from.
+    pub fn retain_zones(&mut self, zones: &[String]) {
+        self.zones.retain(|zone, _| zones.contains(zone));
     }
 }
 
-impl Zone {
-    fn learn(&mut self, call_s: f64) {
-        let share = if call_s < self.yardstick { SINK } else { CREEP };
-        self.yardstick = match self.yardstick.is_finite() {
-            true => self.yardstick + (call_s - self.yardstick) * share,
-            false => call_s,
+impl ZoneCircuit {
+    fn closed(appoints_from: f64) -> ZoneCircuit {
+        ZoneCircuit {
+            call_share: 1.0,
+            baseline_s: f64::INFINITY,
+            failing_since: None,
+            is_open: false,
+            prober: None,
+            appoints_from,
+            successes_in_row: 0,
+        }
+    }
+
+    /// The worker that makes probes now: there are none while the circuit is closed.
+    fn active_prober(&self) -> Option<u64> {
+        self.prober.filter(|_| self.is_open).map(|prober| prober.worker)
+    }
+
+    /// Notes that a worker has reported, and appoints it where the prober has fallen silent.
+    fn update_prober(&mut self, now: f64, worker: u64) {
+        match &mut self.prober {
+            Some(prober) if prober.worker == worker => prober.last_report_at = now,
+            Some(prober) if now - prober.last_report_at < PROBER_TIMEOUT_S => {}
+            _ if now < self.appoints_from => {}
+            _ => self.prober = Some(Prober { worker, last_report_at: now }),
+        }
+    }
+
+    /// Whether calls have failed for long enough to open the circuit.
+    fn is_failing(&mut self, now: f64, sums: &LoadSums) -> bool {
+        let calls = sums.calls_succeeded + sums.calls_failed;
+        let fails = calls >= MIN_CALLS_PER_S && sums.calls_failed >= FAILING_SHARE * calls;
+        self.failing_since = fails.then(|| self.failing_since.unwrap_or(now));
+        self.failing_since.is_some_and(|since| now - since >= FAILING_FOR_S)
+    }
+
+    fn open(&mut self) {
+        self.is_open = true;
+        self.call_share = MIN_CALL_SHARE;
+        self.successes_in_row = 0;
+        self.failing_since = None;
+    }
+
+    fn close(&mut self) {
+        self.is_open = false;
+        self.call_share = MIN_CALL_SHARE;
+        self.successes_in_row = 0;
+    }
+
+    /// Shrinks or grows the share of calls by their latency.
+    fn evaluate_latency(&mut self, zone: &str, sums: &LoadSums) -> Option<String> {
+        let share_before = self.call_share;
+        if sums.calls_succeeded > 0.0 && sums.call_s > 0.0 {
+            if sums.call_s > OVERLOADED_LATENCY_FACTOR * self.baseline_s {
+                self.call_share = (self.call_share * SHRINK_FACTOR).max(MIN_CALL_SHARE);
+            } else {
+                self.grow();
+            }
+            self.update_baseline(sums.call_s);
+        } else if sums.calls_succeeded + sums.calls_failed == 0.0 {
+            // Nobody calls: nothing says that it is overloaded.
+            self.grow();
+        }
+        let starts_to_shrink = self.call_share < share_before && share_before >= 1.0;
+        starts_to_shrink.then(|| {
+            let call_ms = sums.call_s * 1000.0;
+            let baseline_ms = self.baseline_s * 1000.0;
+            format!("zone {zone}: calls take {call_ms:.1} ms, {baseline_ms:.1} as a rule; fewer are made")
+        })
+    }
+
+    fn grow(&mut self) {
+        self.call_share = (self.call_share + RECOVERY_STEP).min(1.0);
+    }
+
+    fn update_baseline(&mut self, call_s: f64) {
+        let share = if call_s < self.baseline_s { BASELINE_FALL } else { BASELINE_RISE };
+        self.baseline_s = if self.baseline_s.is_finite() {
+            self.baseline_s + (call_s - self.baseline_s) * share
+        } else {
+            call_s
         };
     }
 
-    /// What the trials came to.
-    fn tried(&mut self, name: &str, sums: &Sums) -> Option<String> {
-        if sums.calls_bad > 0.0 {
-            self.good_in_row = 0;
-        } else if sums.calls_good > 0.0 {
-            self.good_in_row += 1;
+    /// Closes the circuit after enough successful probes in a row.
+    fn evaluate_probes(&mut self, zone: &str, sums: &LoadSums) -> Option<String> {
+        if sums.calls_failed > 0.0 {
+            self.successes_in_row = 0;
+        } else if sums.calls_succeeded > 0.0 {
+            self.successes_in_row += 1;
         }
-        if self.good_in_row < TRIALS_GOOD {
+        if self.successes_in_row < PROBES_TO_CLOSE {
             return None;
         }
-        (self.given_up, self.part, self.good_in_row) = (false, PART_LEAST, 0);
+        self.close();
         Some(format!(
-            "zone {name}: the service answers again; {:.0}% of its calls are let in at first",
-            PART_LEAST * 100.0
+            "zone {zone}: the service answers again; {:.0}% of its calls are let in at first",
+            MIN_CALL_SHARE * 100.0
         ))
     }
 }
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -1,137 +1,163 @@
-//! What is believed of the fleet's sums. A worker that reports nonsense shifts nothing by more than a few workers' shares; one
-//! that has fallen silent, or says the same over and over while it claims to be busy, is left out.
+//! Outlier-robust aggregation of load reports. A worker that reports nonsense shifts no sum by more than a few workers'
+//! shares; one that has fallen silent, or repeats the same measurements while it claims to be busy, is left out.
 
 use super::{LoadReport, MAX_TIERS};
 use std::collections::BTreeMap;
 
 /// A report older than this is left out (seconds): five that should have come.
-pub const STALE_S: f64 = 2.5;
-/// Figures that have not moved by a hair for so long, under load, are frozen (seconds).
-const FROZEN_S: f64 = 3.0;
-/// A figure counts for at most so many times the mean of the others: workers of 2 and of 16 cores are that far apart.
-const SPREAD_MOST: f64 = 8.0;
-/// The highest reports are left out of that mean: so large a share of all, but one at least.
-const TRIMMED: f64 = 0.05;
-/// What comes to a worker counts for at most so many times what it can do.
-const FLOOD_MOST: f64 = 3.0;
-/// A worker that has said nothing for so long is forgotten (seconds).
-const FORGET_S: f64 = 10.0;
+pub const STALE_AFTER_S: f64 = 2.5;
+/// Measurements that have not changed at all for so long, under load, are frozen (seconds).
+const FROZEN_AFTER_S: f64 = 3.0;
+/// A worker that has been silent for so long is removed (seconds).
+const FORGET_AFTER_S: f64 = 10.0;
+/// A value counts for at most so many times the mean of the others: workers of 2 and of 16 cores are that far apart.
+const MAX_OUTLIER_FACTOR: f64 = 8.0;
+/// The share of the highest values that is left out of that mean; one value at least.
+const TRIMMED_SHARE: f64 = 0.05;
+/// Arrivals at a worker count for at most so many times its capacity.
+const MAX_ARRIVALS_FACTOR: f64 = 3.0;
 
+/// The latest report of a worker.
 #[derive(Clone, Debug)]
-struct Seen {
+struct LatestReport {
     zone: String,
     load: LoadReport,
-    at: f64,
-    /// When its figures last changed.
-    moved: f64,
+    received_at: f64,
+    /// When its measurements last changed.
+    changed_at: f64,
 }
 
-/// What the fleet, or a zone of it, comes to.
+impl LatestReport {
+    fn is_live(&self, now: f64) -> bool {
+        let is_busy = self.load.retries + self.load.arrivals.iter().sum::<f32>() > 0.0;
+        let is_frozen = is_busy && now - self.changed_at > FROZEN_AFTER_S;
+        now - self.received_at <= STALE_AFTER_S && !is_frozen
+    }
+}
+
+/// The load of the fleet, or of one of its zones. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
-    /// Workers in them, and the age of the oldest report (seconds).
-    pub of: usize,
+pub struct LoadSums {
+    /// Number of workers that are included.
+    pub workers: usize,
+    /// Age of the oldest report (seconds).
     pub age_s: f64,
-    /// First tries a second by tier, further ones, and what the cores could end.
+    /// First attempts by tier.
     pub arrivals: [f64; MAX_TIERS],
-    pub further: f64,
-    /// What the workers' own modules turned away.
-    pub refused: f64,
+    /// Retries of all tiers.
+    pub retries: f64,
+    /// First attempts that the workers' own admission control rejected.
+    pub rejected: f64,
+    /// Requests that the cores could complete.
     pub capacity: f64,
-    /// Calls a second, and the usual length of good ones (seconds).
-    pub calls_good: f64,
-    pub calls_bad: f64,
+    /// Downstream calls that succeeded.
+    pub calls_succeeded: f64,
+    /// Downstream calls that failed or were rejected.
+    pub calls_failed: f64,
+    /// Median of the workers' mean durations of successful calls (seconds).
     pub call_s: f64,
 }
 
-/// The reports that the leader has.
+/// The latest report of each worker.
 #[derive(Clone, Debug, Default)]
 pub struct FleetLoadView {
-    seen: BTreeMap<u64, Seen>,
+    reports: BTreeMap<u64, LatestReport>,
 }
 
 impl FleetLoadView {
-    /// A worker's report; `false` if it says nothing that can have been measured, or comes again.
-    pub fn heard(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) -> bool {
+    /// A worker's report has arrived; `false` if it can't have been measured, or is a repeat: it is ignored then.
+    pub fn receive(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) -> bool {
         if !load.is_sound() {
             return false;
         }
-        let moved = match self.seen.get(&worker) {
-            Some(seen) if load.number <= seen.load.number => return false,
-            Some(seen) if seen.load.same_as(load) => seen.moved,
+        let changed_at = match self.reports.get(&worker) {
+            Some(known) if load.number <= known.load.number => return false,
+            Some(known) if known.load.has_same_measurements(load) => known.changed_at,
             _ => now,
         };
-        self.seen.insert(worker, Seen { zone: zone.to_owned(), load: load.clone(), at: now, moved });
+        let latest = LatestReport { zone: zone.to_owned(), load: load.clone(), received_at: now, changed_at };
+        self.reports.insert(worker, latest);
         true
     }
 
-    pub fn gone(&mut self, worker: u64) {
-        self.seen.remove(&worker);
-    }
-
-    fn counts(&self, now: f64, seen: &Seen) -> bool {
-        let busy = seen.load.further + seen.load.arrivals.iter().sum::<f32>() > 0.0;
-        now - seen.at <= STALE_S && !(busy && now - seen.moved > FROZEN_S)
+    /// A worker has left.
+    pub fn remove(&mut self, worker: u64) {
+        self.reports.remove(&worker);
     }
 
-    /// Zones from which anything is known.
+    /// Zones from which anything is known, sorted.
     pub fn zones(&self) -> Vec<String> {
-        let mut zones: Vec<String> = self.seen.values().map(|s| s.zone.clone()).collect();
+        let mut zones: Vec<String> = self.reports.values().map(|report| report.zone.clone()).collect();
         zones.sort();
         zones.dedup();
         zones
     }
 
-    /// The sums of a zone, or of all.
-    pub fn sums(&mut self, now: f64, zone: Option<&str>) -> Sums {
-        self.seen.retain(|_, s| now - s.at < FORGET_S);
-        let live: Vec<&Seen> = self.seen.values().filter(|s| self.counts(now, s)).collect();
-        // Bounds come from the whole fleet: one of a zone's two workers must not be half of the measure against itself.
-        let bound =
-            |figure: &dyn Fn(&LoadReport) -> f32| bound(live.iter().map(|s| f64::from(figure(&s.load))));
-        let here: Vec<&&Seen> = live.iter().filter(|s| zone.map_or(true, |z| s.zone == z)).collect();
-        let sum = |figure: &dyn Fn(&LoadReport) -> f32| -> f64 {
-            let most = bound(figure);
-            here.iter().map(|s| f64::from(figure(&s.load)).min(most)).sum()
-        };
-        let mut sums = Sums {
-            of: here.len(),
-            age_s: here.iter().map(|s| now - s.at).fold(0.0, f64::max),
-            further: sum(&|l| l.further),
-            refused: sum(&|l| l.refused),
-            capacity: sum(&|l| l.capacity),
-            calls_good: sum(&|l| l.calls_good),
-            calls_bad: sum(&|l| l.calls_bad),
-            ..Sums::default()
-        };
-        // What comes to a worker counts up to a few times what it can do: who claims a flood and no cores shifts nothing.
-        let capacity_most = bound(&|l| l.capacity);
-        for seen in &here {
-            let asked: f64 = seen.load.arrivals.iter().map(|a| f64::from(*a)).sum();
-            let most = f64::from(seen.load.capacity).min(capacity_most) * FLOOD_MOST;
-            let part = if asked > most { most / asked } else { 1.0 };
-            let own = sums.arrivals.iter_mut().zip(&seen.load.arrivals);
-            own.for_each(|(sum, arrivals)| *sum += f64::from(*arrivals) * part);
+    /// The sums of a zone, or of the fleet.
+    pub fn sums(&mut self, now: f64, zone: Option<&str>) -> LoadSums {
+        self.reports.retain(|_, report| now - report.received_at < FORGET_AFTER_S);
+        let live: Vec<&LatestReport> = self.reports.values().filter(|report| report.is_live(now)).collect();
+        let is_included = |report: &&&LatestReport| zone.map_or(true, |zone| report.zone == zone);
+        let included: Vec<&LatestReport> = live.iter().filter(is_included).copied().collect();
+        let sum = |value: fn(&LoadReport) -> f32| bounded_sum(&live, &included, value);
+        LoadSums {
+            workers: included.len(),
+            age_s: included.iter().map(|report| now - report.received_at).fold(0.0, f64::max),
+            arrivals: bounded_arrivals(&live, &included),
+            retries: sum(|load| load.retries),
+            rejected: sum(|load| load.rejected),
+            capacity: sum(|load| load.capacity),
+            calls_succeeded: sum(|load| load.calls_succeeded),
+            calls_failed: sum(|load| load.calls_failed),
+            call_s: median_call_s(&included),
         }
-        // The middle of the workers' means: what is slow for all is slow, what is slow for one is its own trouble.
-        let mut lengths: Vec<f32> =
-            here.iter().filter(|s| s.load.calls_good > 0.0).map(|s| s.load.call_s).collect();
-        lengths.sort_by(f32::total_cmp);
-        sums.call_s = lengths.get(lengths.len().saturating_sub(1) / 2).map_or(0.0, |l| f64::from(*l));
-        sums
     }
 }
 
-/// The most that one figure counts for.
-fn bound(figures: impl Iterator<Item = f64>) -> f64 {
-    let mut figures: Vec<f64> = figures.collect();
-    figures.sort_by(f64::total_cmp);
-    let rest = figures.len().saturating_sub(((figures.len() as f64 * TRIMMED) as usize).max(1));
-    if rest == 0 {
-        // Nobody to compare it with.
+/// The most that one worker's value counts for. It comes from the whole fleet: one of a zone's two workers must not be half
+/// of the measure against itself.
+fn outlier_bound(live: &[&LatestReport], value: fn(&LoadReport) -> f32) -> f64 {
+    let mut values: Vec<f64> = live.iter().map(|report| f64::from(value(&report.load))).collect();
+    values.sort_by(f64::total_cmp);
+    let trimmed = ((values.len() as f64 * TRIMMED_SHARE) as usize).max(1);
+    let kept = values.len().saturating_sub(trimmed);
+    if kept == 0 {
+        // There is nobody to compare it with.
         return f64::INFINITY;
     }
-    SPREAD_MOST * figures[..rest].iter().sum::<f64>() / rest as f64
+    MAX_OUTLIER_FACTOR * values[..kept].iter().sum::<f64>() / kept as f64
+}
+
+/// The sum of a value over the included workers, each bounded.
+fn bounded_sum(live: &[&LatestReport], included: &[&LatestReport], value: fn(&LoadReport) -> f32) -> f64 {
+    let bound = outlier_bound(live, value);
+    included.iter().map(|report| f64::from(value(&report.load)).min(bound)).sum()
+}
+
+/// First attempts by tier. Arrivals at a worker count up to a few times its capacity: who claims a flood and no cores shifts
+/// nothing.
+fn bounded_arrivals(live: &[&LatestReport], included: &[&LatestReport]) -> [f64; MAX_TIERS] {
+    let capacity_bound = outlier_bound(live, |load| load.capacity);
+    let mut sums = [0.0; MAX_TIERS];
+    for report in included {
+        let load = &report.load;
+        let total: f64 = load.arrivals.iter().map(|rate| f64::from(*rate)).sum();
+        let bound = f64::from(load.capacity).min(capacity_bound) * MAX_ARRIVALS_FACTOR;
+        let counted_share = if total > bound { bound / total } else { 1.0 };
+        for (sum, rate) in sums.iter_mut().zip(&load.arrivals) {
+            *sum += f64::from(*rate) * counted_share;
+        }
+    }
+    sums
+}
+
+/// The median of the workers' means: what is slow for all is slow, what is slow for one is its own fault.
+fn median_call_s(included: &[&LatestReport]) -> f64 {
+    let with_calls = included.iter().filter(|report| report.load.calls_succeeded > 0.0);
+    let mut durations: Vec<f32> = with_calls.map(|report| report.load.call_s).collect();
+    durations.sort_by(f32::total_cmp);
+    let middle = durations.len().saturating_sub(1) / 2;
+    durations.get(middle).map_or(0.0, |duration| f64::from(*duration))
 }
 
 #[cfg(test)]
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -41,7 +41,7 @@
         if let (Some(advice), Some(o)) = (advice, self.core.as_mut().and_then(Dispatcher::overload)) {
             // The module's clock is another, and stands still while the machine sleeps.
             let (until, slice_until) = (advice.until - at + now, advice.slice_until - at + now);
-            o.advise(OverloadDirective { until, slice_until, ..advice });
+            o.set_directive(OverloadDirective { until, slice_until, ..advice });
         }
     }
 
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -264,7 +264,7 @@
             most: 0.0,
             tried: 0,
         },
-        leader: Leader::lead(0.0, Overload { part: shape.slots_each, retry_share: 0.1 }),
+        leader: Leader::lead(0.0, Overload { base_calls: shape.slots_each, retry_share: 0.1 }),
         rng: ChaCha8Rng::seed_from_u64(seed ^ 0x5707),
         tries: BTreeMap::new(),
         order: 0,
@@ -419,7 +419,7 @@
         }
         let inputs = std::mem::take(&mut worker.inbox);
         if let Some(overload) = worker.core.overload() {
-            overload.advise(worker.side.directive(now));
+            overload.set_directive(worker.side.directive(now));
         }
         let mut commands = Vec::new();
         worker.core.handle(now, inputs, &mut commands);
@@ -498,9 +498,9 @@
             if self.shape.part == Part::Liar && w == LIAR {
                 load = LoadReport {
                     arrivals: vec![1e6; 3],
-                    further: 1e6,
+                    retries: 1e6,
                     capacity: 1.0,
-                    calls_bad: 1e6,
+                    calls_failed: 1e6,
                     call_s: 1e6,
                     wants: 1e6,
                     weight: 1e6,
@@ -513,7 +513,7 @@
         while self.up.front().is_some_and(|(when, ..)| *when <= now) {
             let Some((_, w, load)) = self.up.pop_front() else { break };
             let zone = format!("z{}", w % self.shape.zones);
-            self.leader.heard(now, w as u64, &zone, &load);
+            self.leader.receive(now, w as u64, &zone, &load);
             let mut digest = self.leader.digest(now, now, w as u64, &zone);
             if self.shape.part == Part::Frozen {
                 let number = digest.number;
@@ -526,7 +526,7 @@
             let Some((_, w, number, digest)) = self.down.pop_front() else { break };
             self.workers[w].side.receive(number, &digest);
         }
-        let lines = self.leader.look(now);
+        let lines = self.leader.evaluate(now);
         self.storm.lines.extend(lines.into_iter().map(|line| (now, line)));
     }
 }
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -26,17 +26,17 @@
 fn load() -> LoadReport {
     LoadReport {
         number: 9,
-        heard: 8,
+        last_digest: 8,
         arrivals: vec![12.5, 0.1, 0.0],
-        further: 1.25,
-        refused: 0.75,
+        retries: 1.25,
+        rejected: 0.75,
         capacity: 96.5,
-        calls_good: 33.0,
-        calls_bad: 0.5,
+        calls_succeeded: 33.0,
+        calls_failed: 0.5,
         call_s: 0.125,
         wants: 2.0,
         weight: 3.5,
-        gives_up: true,
+        circuit_open: true,
         lends: 1.015625,
     }
 }
@@ -44,14 +44,14 @@
 fn digest() -> FleetDigest {
     FleetDigest {
         number: 12,
-        of: 10,
+        workers: 10,
         age_ms: 740,
         level: SheddingLevel { tier: 2, share: 0.3 },
         spread_s: 4.5,
-        pass: 0.1,
-        part: 0.5,
-        given_up: true,
-        trial: true,
+        retry_share: 0.1,
+        call_share: 0.5,
+        circuit_open: true,
+        is_prober: true,
         slice: 0.234375,
     }
 }
