--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -22,8 +22,8 @@
         let linked = self.servers.is_some() || self.executor.linked();
         match call {
             Call::Ready if self.state.leaving => console::Reply::new(503, "leaving\n"),
-            Call::Ready if !self.door_open() => {
-                let given = self.given_away();
+            Call::Ready if !self.owns_listeners() => {
+                let given = self.has_handed_off();
                 console::Reply::new(
                     503,
                     if given { "handed over\n" } else { "waiting for the process before\n" },
@@ -34,8 +34,10 @@
             }
             Call::Ready => console::Reply::new(200, "ready\n"),
             Call::Metrics => {
-                let (counts, concurrent) =
-                    self.core.as_ref().map_or((&self.early, 0), |core| (core.figures(), core.owed()));
+                let (counts, concurrent) = self
+                    .core
+                    .as_ref()
+                    .map_or((&self.early, 0), |core| (core.metrics(), core.pending_responses()));
                 let figures = console::figures(&self.state.known, counts, concurrent);
                 console::Reply::new(200, figures + &self.fleet_figures())
             }
@@ -55,7 +57,7 @@
 
     /// Sends clients away, or lets them come again: health and reports change at once, decisions don't.
     pub(in crate::net) fn drain(&mut self, on: bool) {
-        if self.pass_drain(on) {
+        if self.forward_drain(on) {
             return;
         }
         if self.state.draining != on {
