--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,5 +1,6 @@
 //! Why a configuration or an operator's file can't be used.
 
+use super::fleet::FleetConfigError;
 use std::io;
 
 /// A fault in a configuration or an operator's file. Its text is one line that names the key, what was found and what
@@ -208,8 +209,8 @@
         least_slots: usize,
     },
     /// `[fleet]` can't be used.
-    #[error("{0}")]
-    Fleet(String),
+    #[error(transparent)]
+    Fleet(#[from] FleetConfigError),
 }
 
 impl ConfigError {
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,51 +1,77 @@
-//! `[fleet]` of an operator's file: the coordinators, and the tasks that this worker would carry out for all.
+//! `[fleet]` of an operator's file: the coordinators, and the tasks for which this worker is a candidate.
+
+mod error;
 
 use super::Config;
-use crate::fleet::frame::{is_valid_name, MAX_NAME_BYTES, MAX_TASKS};
+use crate::fleet::frame::{is_valid_name, MAX_TASKS};
 use crate::fleet::tasks::Schedule;
 use crate::fleet::{MembershipConfig, TOTALS};
+pub use error::FleetConfigError;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What each setting is for is in `docs/operators/fleet.md`.
+/// Most coordinators of a fleet.
+const MAX_COORDINATORS: usize = 9;
+/// Largest clock drift that may be allowed for (percent).
+const MAX_DRIFT_PERCENT: f64 = 50.0;
+/// Shortest period of a task (seconds).
+const MIN_PERIOD_S: f64 = 0.1;
+/// Longest period of a task (seconds): a week.
+const MAX_PERIOD_S: f64 = 7.0 * 86_400.0;
+/// Shortest deadline of a call (milliseconds).
+const MIN_DEADLINE_MS: f64 = 10.0;
+/// Longest deadline of a call (milliseconds).
+const MAX_DEADLINE_MS: f64 = 60_000.0;
+
+/// Membership of a fleet; `docs/operators/fleet.md` says what each setting is for.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
+    /// Name of the fleet.
     pub name: String,
+    /// Zone that this worker runs in.
     #[serde(default = "default_zone")]
     pub zone: String,
+    /// Addresses of the coordinators.
     pub coordinators: Vec<SocketAddr>,
-    /// How far the clocks of a worker and a coordinator may run apart, both together (percent).
+    /// How far the clocks of a worker and a coordinator may drift apart, both together (percent).
     #[serde(default = "default_drift_percent")]
     pub drift_percent: f64,
-    /// Whether this worker would add up the figures of all.
+    /// Whether this worker is a candidate for computing the fleet's totals.
     #[serde(default = "default_totals")]
     pub totals: bool,
+    /// Tasks for which this worker is a candidate.
     #[serde(default, rename = "task")]
     pub tasks: Vec<TaskSettings>,
-    /// Takes part in handling overload as one.
+    /// Takes part in fleet-wide overload control.
     pub overload: Option<OverloadSettings>,
 }
 
-/// What the fleet decides of it stands in the coordinators' file, the same for all workers.
+/// Fleet-wide overload control. What the fleet decides of it is in the coordinators' file, the same for all workers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadSettings {
+    /// Whether this worker takes part.
     pub on: bool,
 }
 
-/// A call that one worker makes for all, once a period.
+/// A call that one worker makes for the fleet, once a period.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct TaskSettings {
+    /// Name of the task.
     pub name: String,
+    /// Length of a period (seconds).
     pub period_s: f64,
+    /// Address that is called.
     pub address: SocketAddr,
+    /// Path of the request.
     #[serde(default = "default_path")]
     pub path: String,
+    /// How long a call may take (milliseconds).
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: f64,
-    /// Whether a call of unknown outcome may be made again in its period.
+    /// Whether a call with an indeterminate outcome may be made again in its period.
     pub safe: bool,
 }
 
@@ -69,51 +95,44 @@
     500.0
 }
 
-/// Coordinators at most.
-const COORDINATORS_MOST: usize = 9;
-
 impl FleetSettings {
-    pub(super) fn check(&self) -> Result<(), String> {
-        let name = |key: &str, name: &str| {
-            match is_valid_name(name) {
-            true => Ok(()),
-            false => Err(format!(
-                "fleet.{key} is {name:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
-            )),
-        }
-        };
-        let within = |key: String, value: f64, least: f64, most: f64| match (least..=most).contains(&value) {
-            true => Ok(()),
-            false => Err(format!("fleet.{key} is {value}; expected {least} to {most}")),
-        };
-        name("name", &self.name)?;
-        name("zone", &self.zone)?;
-        within("coordinators".to_owned(), self.coordinators.len() as f64, 1.0, COORDINATORS_MOST as f64)?;
-        within("drift_percent".to_owned(), self.drift_percent, 0.0, 50.0)?;
-        within("task".to_owned(), self.tasks.len() as f64, 0.0, (MAX_TASKS - 1) as f64)?;
+    pub(super) fn check(&self) -> Result<(), FleetConfigError> {
+        check_name("name", &self.name)?;
+        check_name("zone", &self.zone)?;
+        let coordinators = self.coordinators.len() as f64;
+        check_range("coordinators", coordinators, 1.0, MAX_COORDINATORS as f64)?;
+        check_range("drift_percent", self.drift_percent, 0.0, MAX_DRIFT_PERCENT)?;
+        // One of the fleet's tasks is its own.
+        check_range("task", self.tasks.len() as f64, 0.0, (MAX_TASKS - 1) as f64)?;
         for task in &self.tasks {
-            name("task.name", &task.name)?;
-            if task.name == TOTALS || self.tasks.iter().filter(|t| t.name == task.name).count() > 1 {
-                return Err(format!("fleet.task.name is {:?}, which is taken", task.name));
-            }
-            within(format!("task {}.period_s", task.name), task.period_s, 0.1, 7.0 * 86_400.0)?;
-            within(format!("task {}.deadline_ms", task.name), task.deadline_ms, 10.0, 60_000.0)?;
-            if !task.path.starts_with('/') || !task.path.bytes().all(|b| b.is_ascii_graphic()) {
-                return Err(format!(
-                    "fleet.task {}.path is {:?}; a path begins with /",
-                    task.name, task.path
-                ));
-            }
+            self.check_task(task)?;
         }
         Ok(())
     }
 
-    /// Whether it takes part in handling overload as one.
+    fn check_task(&self, task: &TaskSettings) -> Result<(), FleetConfigError> {
+        check_name("task.name", &task.name)?;
+        let same_name = self.tasks.iter().filter(|other| other.name == task.name).count();
+        if task.name == TOTALS || same_name > 1 {
+            return Err(FleetConfigError::DuplicateTask { name: task.name.clone() });
+        }
+        let key = |field: &str| format!("task {}.{field}", task.name);
+        check_range(&key("period_s"), task.period_s, MIN_PERIOD_S, MAX_PERIOD_S)?;
+        check_range(&key("deadline_ms"), task.deadline_ms, MIN_DEADLINE_MS, MAX_DEADLINE_MS)?;
+        if !task.path.starts_with('/') || !task.path.bytes().all(|byte| byte.is_ascii_graphic()) {
+            let (task, found) = (task.name.clone(), task.path.clone());
+            return Err(FleetConfigError::InvalidPath { task, found });
+        }
+        Ok(())
+    }
+
+    /// Whether this worker takes part in fleet-wide overload control.
     pub fn overload(&self) -> bool {
-        self.overload.as_ref().is_some_and(|o| o.on)
+        self.overload.as_ref().is_some_and(|overload| overload.on)
     }
 
-    /// What the decisions need of it; the part of the calls below comes from the platform's settings.
+    /// The membership's configuration, without overload control: the worker's part of the downstream capacity comes from the
+    /// platform's settings.
     pub fn plan(&self, config: &Config) -> MembershipConfig {
         MembershipConfig {
             fleet: self.name.clone(),
@@ -141,5 +160,19 @@
     }
 }
 
+fn check_name(key: &'static str, name: &str) -> Result<(), FleetConfigError> {
+    if is_valid_name(name) {
+        return Ok(());
+    }
+    Err(FleetConfigError::InvalidName { key, found: name.to_owned() })
+}
+
+fn check_range(key: &str, found: f64, min: f64, max: f64) -> Result<(), FleetConfigError> {
+    if (min..=max).contains(&found) {
+        return Ok(());
+    }
+    Err(FleetConfigError::OutOfRange { key: key.to_owned(), found, min, max })
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -5,7 +5,7 @@
 const TASK: &str = "[[fleet.task]]\nname = \"t\"\nperiod_s = 5.0\naddress = \"127.0.0.1:2\"\nsafe = true\n";
 
 #[test]
-fn a_fleet_s_settings_are_checked_with_one_line_that_says_what_was_expected() {
+fn a_fault_in_fleet_settings_is_one_line_that_says_what_was_found_and_expected() {
     let config = Config::decode(GOOD).unwrap();
     let good = format!("{FLEET}{TASK}");
     let plan = Operator::decode(&good, &config).unwrap().fleet.unwrap().plan(&config);
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -48,7 +48,7 @@
             http2.check()?;
         }
         if let Some(fleet) = &self.fleet {
-            fleet.check().map_err(ConfigError::Fleet)?;
+            fleet.check()?;
         }
         if let Some(pools) = &self.pools {
             pools.plan(&config.settings)?;
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -1,4 +1,5 @@
-//! What a worker's own life means to its fleet: figures, drains, leaving, and the process that takes its place.
+//! The worker's part in its fleet: what the membership is told of draining, shutdown and hot restart, its counters and load
+//! samples, and the metrics that operators read.
 
 use crate::dispatch::Dispatcher;
 use crate::fleet::frame::Counters;
@@ -7,59 +8,75 @@
 use std::fmt::Write;
 
 impl Worker {
-    /// The fleet's part of a turn.
+    /// The membership's part of a turn.
     pub(in crate::net) fn fleet_turn(&mut self, now: f64) {
+        let Some(fleet_now) = self.fleet.as_ref().map(|fleet| fleet.now()) else { return };
+        self.update_membership(now, fleet_now);
+        let Some(fleet) = &mut self.fleet else { return };
+        let (core, known) = (self.core.as_ref(), &self.state.known);
+        let counters =
+            || core.map(|core| counters_of(core, |class| known.class_name(class))).unwrap_or_default();
+        fleet.turn(now, counters, &mut self.wheel, &mut self.log);
+        self.apply_overload_directive(now, fleet_now);
+    }
+
+    /// Tells the membership whether this process serves, and what its decision module has counted.
+    fn update_membership(&mut self, now: f64, fleet_now: f64) {
         let Some(fleet) = &mut self.fleet else { return };
         let replaced = self.replacement.as_ref().is_some_and(|r| r.ownership.has_handed_off());
         if replaced || self.leaving.is_some() {
             fleet.member.leave(replaced);
         }
-        // One whose place another still has does not act for the fleet beside it.
-        let serves =
-            self.replacement.as_ref().map_or(true, |r| r.ownership.is_owner()) && self.core.is_some();
-        let at = fleet.now();
-        fleet.member.set_accepting_tasks(at, serves && !self.state.draining);
-        if fleet.member.load_report_due(at) {
-            let numbers = self.core.as_mut().and_then(|core| core.fleet_load_sample(now));
-            numbers.into_iter().for_each(|n| fleet.member.set_load_sample(n));
-        }
-        let (core, known) = (&self.core, &self.state.known);
-        let figures = || -> Counters {
-            let Some(core) = core else { return Counters::new() };
-            let mut counts = Counters::new();
-            for (class, one) in core.metrics().classes().iter().enumerate() {
-                let name = known.class_name(class);
-                for (what, n) in [("success", one.success), ("overload", one.overload), ("error", one.error)]
-                {
-                    counts.insert(format!("{name}.{what}"), n);
-                }
+        // A new process that does not own the listeners yet takes no leases beside the old one.
+        let owns_listeners = self.replacement.as_ref().map_or(true, |r| r.ownership.is_owner());
+        let serves = owns_listeners && self.core.is_some();
+        fleet.member.set_accepting_tasks(fleet_now, serves && !self.state.draining);
+        if fleet.member.load_report_due(fleet_now) {
+            let sample = self.core.as_mut().and_then(|core| core.fleet_load_sample(now));
+            if let Some(sample) = sample {
+                fleet.member.set_load_sample(sample);
             }
-            counts.insert("concurrent".to_owned(), Dispatcher::pending_responses(core) as u64);
-            counts
-        };
-        fleet.turn(now, figures, &mut self.wheel, &mut self.log);
-        let advice = fleet.member.overload_directive(at);
-        if let (Some(advice), Some(o)) = (advice, self.core.as_mut().and_then(Dispatcher::overload)) {
-            // The module's clock is another, and stands still while the machine sleeps.
-            let (until, slice_until) = (advice.until - at + now, advice.slice_until - at + now);
-            o.set_directive(OverloadDirective { until, slice_until, ..advice });
         }
     }
 
-    /// The fleet's figures for operators, a line each.
+    /// Hands the fleet's directive to the decision module, on the worker's clock: it stands still while the machine is
+    /// suspended, the membership's goes on.
+    fn apply_overload_directive(&mut self, now: f64, fleet_now: f64) {
+        let directive = self.fleet.as_ref().and_then(|fleet| fleet.member.overload_directive(fleet_now));
+        let policy = self.core.as_mut().and_then(Dispatcher::overload);
+        if let (Some(directive), Some(policy)) = (directive, policy) {
+            policy.set_directive(OverloadDirective {
+                until: directive.until - fleet_now + now,
+                slice_until: directive.slice_until - fleet_now + now,
+                ..directive
+            });
+        }
+    }
+
+    /// The fleet's metrics for operators, a line each.
     pub(in crate::net) fn fleet_figures(&self) -> String {
         let Some(fleet) = &self.fleet else { return String::new() };
-        fleet.member.metrics(fleet.now()).iter().fold(String::new(), |mut text, (name, value)| {
+        let mut text = String::new();
+        for (name, value) in fleet.member.metrics(fleet.now()) {
             let _ = writeln!(text, "{name}={value}");
-            text
-        }) + &self.overload_figures()
+        }
+        let overload = self.core.as_ref().map(Dispatcher::overload_figures).unwrap_or_default();
+        for (name, value) in overload {
+            let _ = writeln!(text, "fleet.overload.{name}={value}");
+        }
+        text
     }
+}
 
-    fn overload_figures(&self) -> String {
-        let figures = self.core.as_ref().map(Dispatcher::overload_figures).unwrap_or_default();
-        figures.iter().fold(String::new(), |mut text, (name, value)| {
-            let _ = writeln!(text, "fleet.overload.{name}={value}");
-            text
-        })
+/// How requests have ended so far, by class and outcome, and the responses that are pending now.
+fn counters_of<'a>(core: &Dispatcher, class_name: impl Fn(usize) -> &'a str) -> Counters {
+    let mut counters = Counters::new();
+    for (class, outcomes) in core.metrics().classes().iter().enumerate() {
+        let name = class_name(class);
+        counters.insert(format!("{name}.success"), outcomes.success);
+        counters.insert(format!("{name}.overload"), outcomes.overload);
+        counters.insert(format!("{name}.error"), outcomes.error);
     }
+    counters.insert("concurrent".to_owned(), Dispatcher::pending_responses(core) as u64);
+    counters
 }
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -1,7 +1,9 @@
-//! The link to the coordinators, and the calls that a lease's holder makes: sockets round [`crate::fleet`].
+//! The link to the coordinators, and the scheduled calls of a lease holder: sockets around [`crate::fleet`].
 //!
-//! Nothing of a turn waits for it. One link, bounded both ways; calls are as many as the operator's tasks at most. Its
-//! clock goes on while the machine sleeps, since a lease does not wait for that.
+//! No turn of the worker waits for it. There is one link, with bounded buffers in both directions, and at most one call for
+//! each of the operator's tasks. Its clock goes on while the machine is suspended, since leases expire meanwhile.
+
+mod scheduled_call;
 
 use crate::fleet::frame::{self, CallOutcome, Counters, ServerMessage, MAX_SERVER_FRAME_BYTES};
 use crate::fleet::tasks::ScheduledCall;
@@ -11,247 +13,226 @@
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::Log;
 use rustix::time::{clock_gettime, ClockId};
+use scheduled_call::CallInFlight;
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
+use std::net::SocketAddr;
 
-/// A reply's head at most (bytes); what follows is not read.
-const HEAD_MOST: usize = 8 * 1024;
-const HEADERS_MOST: usize = 64;
-/// What may wait to be written to a coordinator (bytes); a link that takes no more is of no use.
-const QUEUED_MOST: usize = 256 * 1024;
-/// Words of one turn at most: the rest waits for the next.
-const WORDS_MOST: usize = 64;
+/// Most bytes that may wait to be written to a coordinator; a link that accepts no more is closed.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
+/// Most messages that are read in a turn: the rest waits for the next.
+const MAX_MESSAGES_PER_TURN: usize = 64;
+/// Most times in a turn that actions are taken which follow from earlier ones: the rest waits for the next.
+const MAX_ACTION_ROUNDS: usize = 8;
+/// Room in the receive buffer for the length in front of a frame.
+const FRAME_HEAD_BYTES: usize = 4;
+/// Resolution of the worker's timers (seconds).
+const TIMER_RESOLUTION_S: f64 = 0.004;
+/// The longest time until the next turn (seconds).
+const MAX_SLEEP_S: f64 = 3600.0;
 
-/// One scheduled call.
-struct Call {
+/// The connection to one coordinator.
+struct CoordinatorConnection {
     id: u64,
     link: Link,
     connected: bool,
-    until: f64,
-    order: ScheduledCall,
-    request: Option<Vec<u8>>,
 }
 
-/// The link and the calls.
+/// A worker's membership with its sockets.
 pub struct Fleet {
     poll: Poll,
+    /// The membership itself.
     pub member: FleetMember,
-    link: Option<(u64, Link, bool)>,
-    calls: Vec<Call>,
-    /// When the wheel wakes for it next, on the wheel's clock.
-    armed: f64,
-    start: f64,
-    more: bool,
+    connection: Option<CoordinatorConnection>,
+    calls: Vec<CallInFlight>,
+    /// When the timer wheel wakes for it next, on the wheel's clock.
+    wakes_at: f64,
+    started_at: f64,
+    /// Something is left for the next turn.
+    work_left: bool,
 }
 
-/// Seconds on a clock that no setting of the time moves and that goes on during sleep.
-fn boot_s() -> f64 {
+/// Seconds on a clock that is never set, and goes on while the machine is suspended.
+fn boot_time_s() -> f64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
 impl Fleet {
-    pub fn new(poll: &Poll, plan: MembershipConfig) -> Fleet {
-        let dice = RandomState::new();
-        let start = boot_s();
+    /// A membership that is not connected yet.
+    pub fn new(poll: &Poll, config: MembershipConfig) -> Fleet {
+        let random = RandomState::new();
+        let incarnation = random.hash_one("process");
+        let backoff_seed = random.hash_one("pauses");
+        let started_at = boot_time_s();
         Fleet {
             poll: poll.clone(),
-            member: FleetMember::new(0.0, plan, dice.hash_one("process"), dice.hash_one("pauses")),
-            link: None,
+            member: FleetMember::new(0.0, config, incarnation, backoff_seed),
+            connection: None,
             calls: Vec::new(),
-            armed: f64::INFINITY,
-            start,
-            more: false,
+            wakes_at: f64::INFINITY,
+            started_at,
+            work_left: false,
         }
     }
 
-    /// The fleet's own time.
+    /// Time on the membership's own clock (seconds since it was made).
     pub fn now(&self) -> f64 {
-        boot_s() - self.start
+        boot_time_s() - self.started_at
     }
 
+    /// Notes that a socket has become ready.
     pub fn mark(&mut self, id: u64, readable: bool, writable: bool) {
-        if let Some((_, link, _)) = self.link.as_mut().filter(|(own, ..)| *own == id) {
-            link.mark(readable, writable);
-        } else if let Some(call) = self.calls.iter_mut().find(|c| c.id == id) {
+        if let Some(connection) = self.connection.as_mut().filter(|connection| connection.id == id) {
+            connection.link.mark(readable, writable);
+        } else if let Some(call) = self.calls.iter_mut().find(|call| call.id == id) {
             call.link.mark(readable, writable);
         }
     }
 
-    /// One turn: what has come, what is due, what is to go out. `figures` are asked for when they are to be told.
-    pub fn turn(&mut self, loop_now: f64, figures: impl Fn() -> Counters, wheel: &mut Wheel, log: &mut Log) {
-        self.more = false;
+    /// Handles what has arrived and what is due, and writes what is to be sent. `counters` is asked when they are due.
+    pub fn turn(&mut self, loop_now: f64, counters: impl Fn() -> Counters, wheel: &mut Wheel, log: &mut Log) {
+        self.work_left = false;
         let now = self.now();
-        self.hear(now);
-        self.follow_calls(now);
-        self.member.tick(now, &figures);
-        for round in 0..8 {
-            let acts = self.member.take_actions();
-            if acts.is_empty() {
-                break;
-            }
-            for act in acts {
-                self.carry_out(now, act, log);
-            }
-            self.more |= round == 7;
-        }
-        if let Some((_, link, connected)) = &mut self.link {
-            if *connected && (link.flush().is_err() || link.queued() > QUEUED_MOST) {
-                self.drop_link(now);
-            }
-        }
-        if self.more {
-            // The rest comes with the next turn.
-            wheel.set(loop_now, 0.0, Timer::Again);
-        }
-        let due = self.calls.iter().map(|c| c.until).fold(self.member.next_wakeup(now), f64::min);
-        let at = loop_now + (due - now).clamp(0.004, 3600.0);
-        // Timers are never taken off the wheel: one that is early does no harm, but there must not be many.
-        if at < self.armed - 0.004 || self.armed <= loop_now {
-            self.armed = at;
-            wheel.set(loop_now, at - loop_now, Timer::Fleet);
-        }
+        self.receive(now);
+        self.poll_calls(now);
+        self.member.tick(now, &counters);
+        self.carry_out_actions(now, log);
+        self.flush(now);
+        self.schedule_next_turn(now, loop_now, wheel);
     }
 
-    fn drop_link(&mut self, now: f64) {
-        self.link = None;
+    fn close_connection(&mut self, now: f64) {
+        self.connection = None;
         self.member.disconnected(now);
     }
 
-    fn hear(&mut self, now: f64) {
-        let Some((_, link, connected)) = &mut self.link else { return };
-        if !*connected {
-            match link.connected() {
+    /// Completes the connection, and handles the messages that have arrived on it.
+    fn receive(&mut self, now: f64) {
+        let Some(connection) = &mut self.connection else { return };
+        if !connection.connected {
+            match connection.link.connected() {
                 None => return,
                 Some(Ok(())) => {
-                    *connected = true;
-                    link.mark(true, true);
+                    connection.connected = true;
+                    connection.link.mark(true, true);
                     self.member.connected();
                 }
-                Some(Err(_)) => return self.drop_link(now),
+                Some(Err(_)) => return self.close_connection(now),
             }
         }
-        let Some((_, link, _)) = &mut self.link else { return };
+        let link = &mut connection.link;
         let filled = link.fill();
-        let mut words = Vec::new();
-        let mut bad = false;
-        while words.len() < WORDS_MOST {
-            match frame::decode::<ServerMessage>(link.data(), MAX_SERVER_FRAME_BYTES) {
-                Ok(Some((word, length))) => {
-                    link.consume(length);
-                    words.push(word);
-                }
-                Ok(None) => break,
-                Err(_) => {
-                    bad = true;
-                    break;
-                }
-            }
-        }
-        self.more |= words.len() == WORDS_MOST || link.unread();
-        for word in &words {
-            self.member.receive(now, word);
+        let (messages, is_malformed) = read_messages(link);
+        self.work_left |= messages.len() == MAX_MESSAGES_PER_TURN || link.unread();
+        for message in &messages {
+            self.member.receive(now, message);
         }
-        if bad || filled != Filled::Open {
-            self.drop_link(now);
+        if is_malformed || filled != Filled::Open {
+            self.close_connection(now);
         }
     }
 
-    fn carry_out(&mut self, now: f64, act: MemberAction, log: &mut Log) {
-        match act {
-            MemberAction::Connect(to) => {
-                let id = self.poll.fresh();
-                match Link::connect(&self.poll, to, Place::Fleet(id), MAX_SERVER_FRAME_BYTES + 4) {
-                    Ok(link) => self.link = Some((id, link, false)),
-                    Err(_) => self.member.disconnected(now),
-                }
+    fn carry_out_actions(&mut self, now: f64, log: &mut Log) {
+        for round in 1..=MAX_ACTION_ROUNDS {
+            let actions = self.member.take_actions();
+            if actions.is_empty() {
+                break;
+            }
+            for action in actions {
+                self.carry_out(now, action, log);
             }
-            MemberAction::Send(say) => {
-                if let Some((_, link, _)) = &mut self.link {
-                    link.push(frame::encode(&say));
+            self.work_left |= round == MAX_ACTION_ROUNDS;
+        }
+    }
+
+    fn carry_out(&mut self, now: f64, action: MemberAction, log: &mut Log) {
+        match action {
+            MemberAction::Connect(address) => self.connect(now, address),
+            MemberAction::Send(message) => {
+                if let Some(connection) = &mut self.connection {
+                    connection.link.push(frame::encode(&message));
                 }
             }
             MemberAction::Close => {
-                if let Some((_, link, _)) = &mut self.link {
-                    // The last words may still go.
-                    let _ = link.flush();
+                if let Some(connection) = &mut self.connection {
+                    // The last messages may still go out.
+                    let _ = connection.link.flush();
                 }
-                self.link = None;
+                self.connection = None;
             }
-            MemberAction::Call(order) => self.call(now, order),
-            MemberAction::Log(text) => log.line(&text),
+            MemberAction::Call(call) => self.start_call(now, call),
+            MemberAction::Log(line) => log.line(&line),
         }
     }
 
-    fn call(&mut self, now: f64, order: ScheduledCall) {
-        let plan = self.member.config();
-        let Some(task) = plan.tasks.get(order.task) else { return };
-        let request = format!(
-            "POST {} HTTP/1.1\r\nHost: {}\r\nFencing-Token: {}\r\nTask-Period: {}\r\nTask: {}\r\nTask-Holder: {}\r\n\
-             Content-Length: 0\r\nConnection: close\r\n\r\n",
-            task.path, task.address, order.held.token, order.period, task.name, plan.name
-        );
+    fn connect(&mut self, now: f64, address: SocketAddr) {
         let id = self.poll.fresh();
-        let until = now + task.deadline_s;
-        match Link::connect(&self.poll, task.address, Place::Fleet(id), HEAD_MOST) {
-            Ok(link) => {
-                let request = Some(request.into_bytes());
-                self.calls.push(Call { id, link, connected: false, until, order, request });
-            }
-            Err(_) => self.member.call_ended(now, order.task, CallOutcome::NotDone),
+        let room = MAX_SERVER_FRAME_BYTES + FRAME_HEAD_BYTES;
+        match Link::connect(&self.poll, address, Place::Fleet(id), room) {
+            Ok(link) => self.connection = Some(CoordinatorConnection { id, link, connected: false }),
+            Err(_) => self.member.disconnected(now),
+        }
+    }
+
+    fn flush(&mut self, now: f64) {
+        let Some(connection) = self.connection.as_mut().filter(|connection| connection.connected) else {
+            return;
+        };
+        if connection.link.flush().is_err() || connection.link.queued() > MAX_QUEUED_BYTES {
+            self.close_connection(now);
+        }
+    }
+
+    fn schedule_next_turn(&mut self, now: f64, loop_now: f64, wheel: &mut Wheel) {
+        if self.work_left {
+            wheel.set(loop_now, 0.0, Timer::Again);
+        }
+        let due = self.calls.iter().map(|call| call.deadline).fold(self.member.next_wakeup(now), f64::min);
+        let wakes_at = loop_now + (due - now).clamp(TIMER_RESOLUTION_S, MAX_SLEEP_S);
+        // Timers are never taken off the wheel: one that is early does no harm, but there must not be many.
+        if wakes_at < self.wakes_at - TIMER_RESOLUTION_S || self.wakes_at <= loop_now {
+            self.wakes_at = wakes_at;
+            wheel.set(loop_now, wakes_at - loop_now, Timer::Fleet);
+        }
+    }
+
+    fn start_call(&mut self, now: f64, call: ScheduledCall) {
+        let config = self.member.config();
+        let Some(task) = config.tasks.get(call.task) else { return };
+        let id = self.poll.fresh();
+        let started = CallInFlight::start(&self.poll, id, now, task, &config.name, &call);
+        match started {
+            Ok(started) => self.calls.push(started),
+            Err(_) => self.member.call_ended(now, call.task, CallOutcome::NotDone),
         }
     }
 
-    fn follow_calls(&mut self, now: f64) {
+    fn poll_calls(&mut self, now: f64) {
         let mut ended = Vec::new();
         self.calls.retain_mut(|call| {
-            let ending = follow(call, now);
-            ended.extend(ending.map(|ending| (call.order.task, ending)));
-            ending.is_none()
+            let outcome = call.poll(now);
+            ended.extend(outcome.map(|outcome| (call.task, outcome)));
+            outcome.is_none()
         });
-        for (task, ending) in ended {
-            self.member.call_ended(now, task, ending);
+        for (task, outcome) in ended {
+            self.member.call_ended(now, task, outcome);
         }
     }
 }
 
-/// How a call stands: `None` while it goes on.
-fn follow(call: &mut Call, now: f64) -> Option<CallOutcome> {
-    // Until a byte has gone, nothing can have come of it.
-    let cut_off = |call: &Call| if call.link.sent == 0 { CallOutcome::NotDone } else { CallOutcome::Unknown };
-    if !call.connected {
-        match call.link.connected() {
-            None => {}
-            Some(Ok(())) => {
-                call.connected = true;
-                call.link.mark(true, true);
-                if let Some(request) = call.request.take() {
-                    call.link.push(request);
-                }
+/// Takes the messages that have arrived completely, up to the limit of a turn, and whether a malformed one followed.
+fn read_messages(link: &mut Link) -> (Vec<ServerMessage>, bool) {
+    let mut messages = Vec::new();
+    while messages.len() < MAX_MESSAGES_PER_TURN {
+        match frame::decode::<ServerMessage>(link.data(), MAX_SERVER_FRAME_BYTES) {
+            Ok(Some((message, length))) => {
+                link.consume(length);
+                messages.push(message);
             }
-            Some(Err(_)) => return Some(CallOutcome::NotDone),
+            Ok(None) => break,
+            Err(_) => return (messages, true),
         }
     }
-    if now >= call.until {
-        return Some(cut_off(call));
-    }
-    if !call.connected {
-        return None;
-    }
-    if call.link.flush().is_err() {
-        return Some(cut_off(call));
-    }
-    let filled = call.link.fill();
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
-    let mut head = httparse::Response::new(&mut headers);
-    match head.parse(call.link.data()) {
-        Ok(httparse::Status::Complete(_)) => Some(match head.code {
-            Some(200..=299) => CallOutcome::Done,
-            // Refused before anything was done: a lower token, or no time for it now.
-            Some(409 | 412 | 429 | 503) => CallOutcome::NotDone,
-            _ => CallOutcome::Unknown,
-        }),
-        Ok(httparse::Status::Partial) if filled == Filled::Open && call.link.data().len() < HEAD_MOST => None,
-        _ => Some(cut_off(call)),
-    }
+    (messages, false)
 }
