--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -129,7 +129,7 @@
             version: self.version,
             safety_checks: SafetyChecks::default(),
             overload: self.overload.map(|overload| Settings {
-                part: overload.calls_part,
+                base_calls: overload.calls_part,
                 retry_share: overload.retry_percent / 100.0,
             }),
         }
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -185,7 +185,7 @@
         self.hand_over_leases(now, state);
         self.update_backoffs(now, state);
         if let Some(overload) = &mut self.overload {
-            self.actions.extend(overload.leader.look(now).into_iter().map(LeaderAction::Log));
+            self.actions.extend(overload.leader.evaluate(now).into_iter().map(LeaderAction::Log));
         }
         self.release_expired_leases(now, state);
         self.close_silent_sessions(now, state);
--- a/fleet-coordinator/src/leader_state/renewals.rs
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -92,7 +92,7 @@
 
     fn record_load(&mut self, now: f64, session: u64, load: &LoadReport, state: &LeaseStateMachine) {
         if let Some(overload) = &mut self.overload {
-            overload.leader.heard(now, session, zone_of(session, state), load);
+            overload.leader.receive(now, session, zone_of(session, state), load);
         }
     }
 
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -108,7 +108,7 @@
 
     pub(super) fn on_session_closed(&mut self, session: u64) {
         if let Some(overload) = &mut self.overload {
-            overload.leader.gone(session);
+            overload.leader.remove(session);
         }
         if let Some(link) = self.sessions.remove(&session).and_then(|live| live.link) {
             self.links.remove(&link);
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -115,12 +115,12 @@
         let totals = self.metrics.classes().iter();
         let (served, rejected) =
             totals.fold((0, 0), |(served, rejected), c| (served + c.success, rejected + c.overload));
-        Some(self.controller.overload.as_mut()?.numbers(now, served, rejected))
+        Some(self.controller.overload.as_mut()?.take_sample(now, served, rejected))
     }
 
     /// The metrics of the fleet's overload control: names and values.
     pub fn overload_figures(&self) -> Vec<(&'static str, String)> {
-        self.controller.overload.as_ref().map(OverloadPolicy::figures).unwrap_or_default()
+        self.controller.overload.as_ref().map(OverloadPolicy::metrics).unwrap_or_default()
     }
 
     /// How requests have ended so far, by class.
