--- a/src/admission/controller/housekeeping.rs
+++ b/src/admission/controller/housekeeping.rs
@@ -50,7 +50,7 @@
     pub(super) fn review_pools(&mut self, out: &mut Vec<Action>) {
         let survivable_runs = self.survivable_runs();
         let Some(pools) = &mut self.pools else { return };
-        pools.look(self.now, survivable_runs);
+        pools.review(self.now, survivable_runs);
         out.extend(pools.take_lines().into_iter().map(Action::Log));
     }
 
--- a/src/admission/controller/rejection.rs
+++ b/src/admission/controller/rejection.rs
@@ -176,7 +176,7 @@
         let pending_key = self.pending_key_of(id);
         let retry_after_s = self.retry_after_s(request.tier, request.class);
         if let Some(pools) = &mut self.pools {
-            pools.turned_away(request.class);
+            pools.count_rejection(request.class);
         }
         let stop_retrying = !self.health.sick && self.fleet_full();
         out.push(Action::Reject { id, retry_after_s, stop_retrying });
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -36,7 +36,7 @@
     /// Where class pools count it, if they do.
     pub(super) fn place(self) -> Option<Place> {
         match self {
-            RequestState::Queued => Some(Place::Held),
+            RequestState::Queued => Some(Place::Queued),
             RequestState::Running => Some(Place::OnCores),
             RequestState::WaitingForCall | RequestState::Calling => Some(Place::AtCall),
             RequestState::New | RequestState::QueuedBehindHolder | RequestState::SharingResponse => None,
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -1,10 +1,9 @@
 //! What operators see of the pools: lines for the log, and the state as one value for a status command.
 
-use super::estimate::{Cause, Estimate};
+use super::limit::{Cause, SlotLimit};
 use super::Pools;
-use crate::interface::PoolPlan;
+use crate::interface::{PoolItem, PoolPlan};
 use serde::Serialize;
-use std::fmt::Write;
 
 /// At most one line of a kind and pool in this time (seconds).
 const LINE_EVERY_S: f64 = 1.0;
@@ -12,117 +11,165 @@
 /// The state of all pools. Slots are run slots on the cores; times are seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PoolsState {
+    /// The limit on runs on the cores.
     pub limit_slots: usize,
+    /// What set the limit.
     pub cause: &'static str,
+    /// Slots at full speed that the executor is worth.
     pub capacity_slots: f64,
+    /// Ended runs a second, in the last review window.
     pub rate_per_s: f64,
+    /// The mean length of those runs.
     pub run_s: f64,
+    /// The length that they have without contention.
     pub usual_run_s: f64,
     /// How often a request of the reserve's pool was left waiting with a reserved slot free.
     pub reserve_kept: u64,
+    /// Pools by number.
     pub pools: Vec<PoolState>,
 }
 
 /// The state of one pool.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PoolState {
+    /// The name in the operator's file.
     pub name: String,
+    /// Queued requests.
     pub held: usize,
+    /// Runs on the cores.
     pub on_cores: usize,
+    /// Runs that wait for a downstream call or are in one.
     pub at_calls: usize,
+    /// Common slots that the pool has whenever it wants them.
     pub guarantee_slots: f64,
+    /// Common slots that it uses at most.
     pub ceiling_slots: usize,
+    /// Slots that only this pool uses.
     pub reserve_slots: usize,
     /// Common slots beyond the guarantee.
     pub borrowed_slots: f64,
     /// Slot seconds that the pool is owed; below 0 it owes them.
     pub owed_slot_s: f64,
+    /// Started runs.
     pub started: u64,
+    /// Rejected requests.
     pub refused: u64,
 }
 
-/// Lines that wait to be taken.
+/// Counts of one pool's queue.
+#[derive(Clone, Copy)]
+pub(super) struct QueueCounts {
+    pub(super) queued: usize,
+    pub(super) rejected: u64,
+}
+
+/// When a pool's rejections were last reported, and how many there were by then.
+#[derive(Clone, Copy, Debug)]
+struct ReportedRejections {
+    at: f64,
+    rejected: u64,
+}
+
+/// Lines for the log that wait to be taken.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Report {
     lines: Vec<String>,
     /// The limit before the changes that no line tells yet.
-    was: Option<usize>,
-    limit_said: Option<f64>,
-    /// By pool: when its queue was last said to turn requests away, and how many by then.
-    queues: Vec<(f64, u64)>,
+    limit_before: Option<usize>,
+    limit_reported_at: Option<f64>,
+    /// By pool.
+    rejections: Vec<ReportedRejections>,
 }
 
 impl Report {
-    pub fn limit_changed(&mut self, before: usize) {
-        self.was.get_or_insert(before);
+    /// Notes that the limit has changed from this one.
+    pub(super) fn limit_changed(&mut self, before: usize) {
+        self.limit_before.get_or_insert(before);
     }
 
-    pub fn write(&mut self, now: f64, estimate: &Estimate, plan: &PoolPlan, queues: &[(usize, u64)]) {
-        let due = |at: f64| now - at >= LINE_EVERY_S;
-        // A rest is over within a look or two: it is no change of what the executor is held to be worth.
-        if self.limit_said.map_or(true, due) && estimate.cause() != Cause::Rest {
-            if let Some(was) = self.was.take().filter(|was| *was != estimate.limit()) {
-                let m = estimate.measured();
-                self.limit_said = Some(now);
-                self.lines.push(format!(
-                    "pools: limit={} was={was} cause={} capacity={:.2} rate_per_s={:.1} run_ms={:.0} \
-                     usual_run_ms={:.0} on_cores={:.2}",
-                    estimate.limit(),
-                    estimate.cause().word(),
-                    estimate.capacity(),
-                    m.rate_per_s,
-                    m.run_s * 1000.0,
-                    m.usual_s * 1000.0,
-                    m.on_cores
-                ));
-            }
+    /// Writes the lines that are due.
+    pub(super) fn write(&mut self, now: f64, limit: &SlotLimit, plan: &PoolPlan, queues: &[QueueCounts]) {
+        self.write_limit(now, limit);
+        self.rejections.resize(queues.len(), ReportedRejections { at: f64::NEG_INFINITY, rejected: 0 });
+        for (pool, queue) in queues.iter().enumerate() {
+            self.write_rejections(now, pool, &plan.pools[pool], *queue);
         }
-        self.queues.resize(queues.len(), (f64::NEG_INFINITY, 0));
-        for ((said, before), ((held, refused), pool)) in
-            self.queues.iter_mut().zip(queues.iter().zip(&plan.pools))
-        {
-            // A new plan may have begun the count anew.
-            *before = (*before).min(*refused);
-            if *refused > *before && due(*said) {
-                let mut line = format!("pools: pool={} turned_away={}", pool.name, *refused - *before);
-                let _ = write!(line, " held={held} queue={}", pool.queue);
-                self.lines.push(line);
-                (*said, *before) = (now, *refused);
-            }
+    }
+
+    fn write_limit(&mut self, now: f64, limit: &SlotLimit) {
+        // A calibration is over within a window or two: the executor is taken to be worth what it was.
+        let due = self.limit_reported_at.map_or(true, |at| is_due(now, at));
+        if !due || limit.cause() == Cause::Calibration {
+            return;
         }
+        let Some(before) = self.limit_before.take().filter(|before| *before != limit.slots()) else { return };
+        let measured = limit.measured();
+        self.limit_reported_at = Some(now);
+        self.lines.push(format!(
+            "pools: limit={} was={before} cause={} capacity={:.2} rate_per_s={:.1} run_ms={:.0} \
+             usual_run_ms={:.0} on_cores={:.2}",
+            limit.slots(),
+            limit.cause().as_str(),
+            limit.capacity(),
+            measured.rate_per_s,
+            measured.run_s * 1000.0,
+            measured.baseline_s * 1000.0,
+            measured.on_cores
+        ));
     }
 
-    pub fn take(&mut self) -> Vec<String> {
+    fn write_rejections(&mut self, now: f64, pool: usize, item: &PoolItem, queue: QueueCounts) {
+        let reported = &mut self.rejections[pool];
+        // A new plan may have begun the count anew.
+        reported.rejected = reported.rejected.min(queue.rejected);
+        if queue.rejected > reported.rejected && is_due(now, reported.at) {
+            self.lines.push(format!(
+                "pools: pool={} turned_away={} held={} queue={}",
+                item.name,
+                queue.rejected - reported.rejected,
+                queue.queued,
+                item.queue
+            ));
+            *reported = ReportedRejections { at: now, rejected: queue.rejected };
+        }
+    }
+
+    /// Takes the lines.
+    pub(super) fn take(&mut self) -> Vec<String> {
         std::mem::take(&mut self.lines)
     }
 }
 
+fn is_due(now: f64, reported_at: f64) -> bool {
+    now - reported_at >= LINE_EVERY_S
+}
+
 impl Pools {
     /// The state of the limit and of each pool.
     pub fn state(&self) -> PoolsState {
-        let m = self.estimate.measured();
-        let pool = |p: usize| PoolState {
-            name: self.plan.pools[p].name.clone(),
-            held: self.held(p),
-            on_cores: self.on_cores(p),
-            at_calls: self.counts[p].at_call,
-            guarantee_slots: self.guarantee(p),
-            ceiling_slots: self.ceiling(p),
-            reserve_slots: self.reserve_of(p),
-            borrowed_slots: (self.used(p) as f64 - self.guarantee(p)).max(0.0),
-            owed_slot_s: self.accounts[p].credit,
-            started: self.accounts[p].started,
-            refused: self.accounts[p].refused,
+        let measured = self.limit.measured();
+        let state_of = |pool: usize| PoolState {
+            name: self.plan.pools[pool].name.clone(),
+            held: self.queued(pool),
+            on_cores: self.on_cores(pool),
+            at_calls: self.counts[pool].at_call,
+            guarantee_slots: self.guarantee(pool),
+            ceiling_slots: self.ceiling(pool),
+            reserve_slots: self.reserve_of(pool),
+            borrowed_slots: (self.used(pool) as f64 - self.guarantee(pool)).max(0.0),
+            owed_slot_s: self.accounts[pool].credit_slot_s,
+            started: self.accounts[pool].started,
+            refused: self.accounts[pool].rejected,
         };
         PoolsState {
             limit_slots: self.limit(),
-            cause: self.estimate.cause().word(),
-            capacity_slots: self.estimate.capacity(),
-            rate_per_s: m.rate_per_s,
-            run_s: m.run_s,
-            usual_run_s: m.usual_s,
+            cause: self.limit.cause().as_str(),
+            capacity_slots: self.limit.capacity(),
+            rate_per_s: measured.rate_per_s,
+            run_s: measured.run_s,
+            usual_run_s: measured.baseline_s,
             reserve_kept: self.reserve_kept,
-            pools: self.numbers().map(pool).collect(),
+            pools: self.indices().map(state_of).collect(),
         }
     }
 }
--- a/src/pools/tests.rs
+++ b/src/pools/tests.rs
@@ -1,6 +1,6 @@
 //! Properties of the pools over random courses of events, and each hard case by itself. Seeds are fixed.
 
-use super::estimate::{Bounds, Cause, Estimate};
+use super::limit::{Cause, LimitSettings, SlotLimit};
 use super::{Place, Pools};
 use crate::interface::{PoolItem, PoolPlan};
 use proptest::collection::vec;
@@ -61,7 +61,7 @@
     fn arrive(&mut self, class: usize) {
         self.next += 1;
         self.held[class].push(self.next);
-        self.pools.moved(class, None, Some(Place::Held));
+        self.pools.moved(class, None, Some(Place::Queued));
     }
 
     fn pass(&mut self, dt: f64) {
@@ -91,11 +91,11 @@
         let mut started = Vec::new();
         while let Some(class) = self.choose() {
             self.held[class].remove(0);
-            let pool = self.pools.pool(class);
+            let pool = self.pools.pool_of(class);
             let own = self.pools.on_cores(pool) < self.pools.reserve_of(pool);
             assert!(own || self.pools.free() > 0, "a start without a slot");
             assert!(own || self.pools.used(pool) < self.pools.ceiling(pool), "a start above the ceiling");
-            self.pools.moved(class, Some(Place::Held), Some(Place::OnCores));
+            self.pools.moved(class, Some(Place::Queued), Some(Place::OnCores));
             self.running.push((self.now + length, class));
             started.push(class);
         }
@@ -111,10 +111,10 @@
 
     /// A free slot that a pool may take, and a request of it that waits, never stand side by side.
     fn nothing_waits_in_vain(&self) {
-        for pool in self.pools.numbers().filter(|p| self.pools.held(*p) > 0) {
+        for pool in self.pools.indices().filter(|p| self.pools.queued(*p) > 0) {
             let own = self.pools.on_cores(pool) < self.pools.reserve_of(pool);
             let common = self.pools.free() > 0 && self.pools.used(pool) < self.pools.ceiling(pool);
-            let crowd = self.pools.crowd_has_room(pool);
+            let crowd = self.pools.has_room_for_run(pool);
             assert!(!crowd || !own && !common, "pool {pool} waits with a slot free");
         }
     }
@@ -198,7 +198,7 @@
                     }
                     Step::GoneFromHold(class) if !w.held[class].is_empty() => {
                         w.held[class].pop();
-                        w.pools.moved(class, Some(Place::Held), None);
+                        w.pools.moved(class, Some(Place::Queued), None);
                     }
                     // Fewer slots, other pools: what runs goes on and stays counted.
                     Step::Replan(plan) => w.pools.replan(fit(plan)),
@@ -207,7 +207,7 @@
                 w.settle(length);
                 let counted: usize = w.pools.all.on_cores;
                 assert_eq!(counted, w.running.len());
-                assert!(w.pools.numbers().all(|p| w.pools.slots(p).is_finite() && w.pools.slots(p) > 0.0));
+                assert!(w.pools.indices().all(|p| w.pools.slots(p).is_finite() && w.pools.slots(p) > 0.0));
             }
             // All that is held is served in the end: nobody is forgotten.
             let waits =
@@ -220,7 +220,7 @@
                 assert!(turns < 4000, "something is never served");
             }
             let counts = w.pools.classes.iter().chain(&w.pools.counts).chain([&w.pools.all]);
-            assert!(counts.into_iter().all(|c| *c == super::Count::default()));
+            assert!(counts.into_iter().all(|c| *c == super::Counts::default()));
             Ok(())
         })
         .unwrap();
@@ -243,8 +243,8 @@
             w.saturate(&all, 10.0 * length, length);
             for (pool, before) in served.iter().enumerate() {
                 let got = (w.served[pool] - before) / (10.0 * length);
-                // A pool that wants all: its guarantee and its reserve, but for one run of one slot in ten, since
-                // slots are whole and so are runs. A ceiling of less than a slot is one.
+                // A pool that wants all: its guarantee and its reserve, but for one run of one slot in ten,
+                // since slots are whole and so are runs. A ceiling of less than a slot is one.
                 let due = w.pools.guarantee(pool) + w.pools.reserve_of(pool) as f64;
                 assert!(got >= due - 0.15, "pool {pool} got {got:.3} of {due:.3} slots: {:?}", w.pools.plan);
             }
@@ -371,7 +371,7 @@
 
 /// A closed loop on shared cores: as many runs as the limit lets, and `above` more that came back from calls.
 struct Loop {
-    estimate: Estimate,
+    limit: SlotLimit,
     cores: f64,
     speed: f64,
     /// Work left, work in all, time on the cores.
@@ -384,9 +384,9 @@
 }
 
 impl Loop {
-    fn new(cores: f64, bounds: Bounds) -> Loop {
+    fn new(cores: f64, settings: LimitSettings) -> Loop {
         Loop {
-            estimate: Estimate::new(bounds, &[0.3]),
+            limit: SlotLimit::new(settings, &[0.3]),
             cores,
             speed: 1.0,
             runs: Vec::new(),
@@ -411,24 +411,24 @@
         const STEP: f64 = 0.005;
         let (until, mut work_done) = (self.now + for_s, 0.0);
         while self.now < until {
-            while self.runs.len() < wanted.min(self.estimate.limit() + self.above) {
+            while self.runs.len() < wanted.min(self.limit.slots() + self.above) {
                 let work = self.work();
                 self.runs.push((work, 0.0));
             }
             let rate = self.speed * (self.cores / self.runs.len().max(1) as f64).min(1.0);
             self.now += STEP;
-            self.estimate.advance(STEP, self.runs.len(), wanted > self.estimate.limit());
+            self.limit.advance(STEP, self.runs.len(), wanted > self.limit.slots());
             for (left, time) in &mut self.runs {
                 (*left, *time) = (*left - rate * STEP, *time + STEP);
             }
             work_done += rate * STEP * self.runs.len() as f64;
             for (_, time) in self.runs.iter().filter(|(left, _)| *left <= 0.0) {
-                self.estimate.ended(0, *time);
+                self.limit.run_ended(0, *time);
             }
             self.runs.retain(|(left, _)| *left > 0.0);
             if (self.now / 0.025).floor() > ((self.now - STEP) / 0.025).floor() {
-                self.estimate.look(self.runs.len(), self.crowd);
-                self.limits.push((self.now, self.estimate.limit(), self.estimate.cause()));
+                self.limit.review(self.runs.len(), self.crowd);
+                self.limits.push((self.now, self.limit.slots(), self.limit.cause()));
             }
         }
         work_done / for_s
@@ -440,8 +440,15 @@
     }
 }
 
-fn bounds(least: usize, most: usize) -> Bounds {
-    Bounds { least, most, window_s: 10.0, look_s: 0.5, samples: 16.0, slow_ratio: 1.6 }
+fn bounds(least: usize, most: usize) -> LimitSettings {
+    LimitSettings {
+        min_slots: least,
+        max_slots: most,
+        window_s: 10.0,
+        review_s: 0.5,
+        min_samples: 16.0,
+        slow_ratio: 1.6,
+    }
 }
 
 #[test]
@@ -484,12 +491,12 @@
 fn an_idle_pool_and_too_few_ends_change_nothing() {
     let mut l = Loop::new(30.0, bounds(6, 64));
     l.play(60.0, 1000);
-    let (limit, capacity) = (l.estimate.limit(), l.estimate.capacity());
+    let (limit, capacity) = (l.limit.slots(), l.limit.capacity());
     l.play(5.0, 0);
     l.play(60.0, 1);
     let changes: Vec<_> = l.limits.windows(2).filter(|w| w[0].1 != w[1].1).map(|w| w[1]).collect();
-    assert!(l.estimate.limit() >= limit.min(30) - 3, "{limit} -> {} {changes:?}", l.estimate.limit());
-    assert!((l.estimate.capacity() - capacity).abs() < 0.1 * capacity);
+    assert!(l.limit.slots() >= limit.min(30) - 3, "{limit} -> {} {changes:?}", l.limit.slots());
+    assert!((l.limit.capacity() - capacity).abs() < 0.1 * capacity);
 }
 
 #[test]
@@ -513,11 +520,11 @@
     let mut lines: Vec<(f64, String)> = Vec::new();
     for turn in 0..4000 {
         w.saturate(&[0, 1], 0.025, 0.1);
-        w.pools.turned_away(1);
+        w.pools.count_rejection(1);
         if turn == 2000 {
             w.pools.replan(plan(items.clone(), None, 2, 3));
         }
-        w.pools.look(w.now, 1000);
+        w.pools.review(w.now, 1000);
         lines.extend(w.pools.take_lines().into_iter().map(|l| (w.now, l)));
     }
     let limits: Vec<&(f64, String)> = lines.iter().filter(|l| l.1.starts_with("pools: limit=")).collect();
