--- a/src/admission/call_length.rs
+++ b/src/admission/call_length.rs
@@ -1,6 +1,7 @@
 //! The measured length of downstream calls. It measures and decides nothing: the downstream limit reads it.
 
 use crate::admission::run_length::{follow_baseline, MEASUREMENT_MEMORY_S};
+use crate::interface::RecentCalls;
 
 /// Time on calls (seconds) and ended calls.
 #[derive(Clone, Copy, Default)]
@@ -55,8 +56,8 @@
     }
 
     /// Takes over the recent calls and the baseline of a predecessor.
-    pub(super) fn adopt(&mut self, recent: (f64, f64), baseline_s: Option<f64>) {
-        self.recent = CallTotals { time_s: recent.0, ended: recent.1 };
+    pub(super) fn adopt(&mut self, recent: RecentCalls, baseline_s: Option<f64>) {
+        self.recent = CallTotals { time_s: recent.time_s, ended: recent.ended };
         self.baseline_s = baseline_s.unwrap_or(f64::INFINITY);
     }
 
--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -155,14 +155,14 @@
         self.baseline_run_s = learned.usual_s;
         self.run_lengths.adopt(learned.paces);
         let downstream = &mut self.downstream;
-        downstream.limit = learned.call_room.min(downstream.max_limit.max(1.0));
-        downstream.lengths.adopt(learned.calls, learned.call_s);
+        downstream.limit = learned.call_limit.min(downstream.max_limit.max(1.0));
+        downstream.lengths.adopt(learned.recent_calls, learned.call_baseline_s);
         downstream.budget_s =
             learned.call_budget_s.map_or(downstream.budget_s, |s| s.min(downstream.budget_s));
-        let (retries, failed, ended) = learned.traffic.lately;
+        let recent = learned.traffic.lately;
         self.tenants.adopt(learned.traffic.quotas);
-        self.arrivals.adopt(learned.traffic.arrivals, retries);
-        self.health.signals.adopt(failed, ended);
+        self.arrivals.adopt(learned.traffic.arrivals, recent.retries_per_s);
+        self.health.signals.adopt(recent.failed_runs, recent.ended_runs);
     }
 
     /// Runs on the cores, or back to them, that are survived for certain: fewer while the worker warms up.
--- a/src/admission/run_length.rs
+++ b/src/admission/run_length.rs
@@ -1,6 +1,6 @@
 //! Estimates of how long runs take. They measure and decide nothing: the controller reads them.
 
-use crate::interface::Class;
+use crate::interface::{Class, LearnedRunLength};
 
 /// Time constant of the fading averages, long against one run and short against a change of speed (seconds).
 pub(super) const MEASUREMENT_MEMORY_S: f64 = 5.0;
@@ -166,18 +166,21 @@
     }
 
     /// The estimates, as they are handed to a successor.
-    pub(super) fn learned(&self) -> Vec<(f64, f64, [f64; 5])> {
-        let sums =
-            |estimate: &RunLengthEstimate| (estimate.core_time, estimate.ended, estimate.hinted.to_sums());
-        self.by_class.iter().map(sums).collect()
+    pub(super) fn learned(&self) -> Vec<LearnedRunLength> {
+        let learned = |estimate: &RunLengthEstimate| LearnedRunLength {
+            core_time_s: estimate.core_time,
+            ended: estimate.ended,
+            hint_sums: estimate.hinted.to_sums(),
+        };
+        self.by_class.iter().map(learned).collect()
     }
 
     /// Takes over the estimates of a predecessor.
-    pub(super) fn adopt(&mut self, learned: Vec<(f64, f64, [f64; 5])>) {
-        for (estimate, (core_time, ended, sums)) in self.by_class.iter_mut().zip(learned) {
-            estimate.core_time = core_time;
-            estimate.ended = ended;
-            estimate.hinted = HintRegression::from_sums(sums);
+    pub(super) fn adopt(&mut self, learned: Vec<LearnedRunLength>) {
+        for (estimate, learned) in self.by_class.iter_mut().zip(learned) {
+            estimate.core_time = learned.core_time_s;
+            estimate.ended = learned.ended;
+            estimate.hinted = HintRegression::from_sums(learned.hint_sums);
         }
     }
 }
--- a/src/admission/tenant_usage.rs
+++ b/src/admission/tenant_usage.rs
@@ -2,6 +2,7 @@
 
 use crate::admission::run_length::MEASUREMENT_MEMORY_S;
 use crate::admission::token_bucket::TokenBucket;
+use crate::interface::TenantTraffic;
 
 /// This worker's even part of a tenant's quota, and the tenant's recent arrivals, fading.
 pub(super) struct TenantUsage {
@@ -68,15 +69,19 @@
     }
 
     /// By tenant: tokens left and recent arrivals.
-    pub(super) fn learned(&self) -> Vec<(f64, f64)> {
-        self.tenants.iter().map(|usage| (usage.bucket.tokens, usage.recent_arrivals)).collect()
+    pub(super) fn learned(&self) -> Vec<TenantTraffic> {
+        let learned = |usage: &TenantUsage| TenantTraffic {
+            tokens: usage.bucket.tokens,
+            arrivals: usage.recent_arrivals,
+        };
+        self.tenants.iter().map(learned).collect()
     }
 
     /// Takes over what another process counted; no bucket gets more tokens than it has.
-    pub(super) fn adopt(&mut self, learned: Vec<(f64, f64)>) {
-        for (usage, (tokens, recent_arrivals)) in self.tenants.iter_mut().zip(learned) {
-            usage.bucket.tokens = tokens.min(usage.bucket.tokens);
-            usage.recent_arrivals = recent_arrivals;
+    pub(super) fn adopt(&mut self, learned: Vec<TenantTraffic>) {
+        for (usage, learned) in self.tenants.iter_mut().zip(learned) {
+            usage.bucket.tokens = learned.tokens.min(usage.bucket.tokens);
+            usage.recent_arrivals = learned.arrivals;
         }
     }
 }
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -109,7 +109,8 @@
         // They are paid for where they are decided on, which is now the successor.
         for tenant in requests.iter().filter_map(|r: &HandedOffRequest| r.request.tenant) {
             if let Some(quota) = learned.traffic.quotas.get_mut(tenant) {
-                *quota = (quota.0 + 1.0, (quota.1 - 1.0).max(0.0));
+                quota.tokens += 1.0;
+                quota.arrivals = (quota.arrivals - 1.0).max(0.0);
             }
         }
         HandedOff {
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -265,7 +265,7 @@
     let with_quota = || Play::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
     let lent = |p: &mut Play| p.core.lend(p.now, |_| true, &mut Vec::new());
     let mut old = with_quota();
-    let whole = lent(&mut old).learned.traffic.quotas[0].0;
+    let whole = lent(&mut old).learned.traffic.quotas[0].tokens;
     old.core.end_lending();
     for number in 1..=2 {
         old.tell(Input::Arrived(of_tenant(number)));
@@ -276,16 +276,16 @@
     let given = lent(&mut old);
     assert_eq!((whole, given.requests.len()), (6.0, 2));
     let Traffic { quotas, arrivals, lately } = given.learned.traffic.clone();
-    assert_eq!(quotas, [(2.0, 4.0)]);
-    assert!(arrivals[0] > 0.0 && lately == (arrivals[0], 2.0, 2.0), "{arrivals:?} {lately:?}");
+    assert_eq!(quotas, [(2.0, 4.0).into()]);
+    assert!(arrivals[0] > 0.0 && lately == (arrivals[0], 2.0, 2.0).into(), "{arrivals:?} {lately:?}");
     let mut new = with_quota();
     new.tell(Input::LearnedState(given.learned));
     assert_eq!(lent(&mut new).learned.traffic, Traffic { quotas, arrivals, lately });
     // A successor of other bounds takes no more than it has itself.
     new.core.end_lending();
-    let more = Traffic { quotas: vec![(1e6, 0.0)], ..Traffic::default() };
+    let more = Traffic { quotas: vec![(1e6, 0.0).into()], ..Traffic::default() };
     new.tell(Input::LearnedState(LearnedState { traffic: more, ..lent(&mut with_quota()).learned }));
-    assert_eq!(lent(&mut new).learned.traffic.quotas, [(2.0, 0.0)]);
+    assert_eq!(lent(&mut new).learned.traffic.quotas, [(2.0, 0.0).into()]);
 }
 
 #[test]
@@ -297,7 +297,7 @@
         p.end(number, Outcome::Ok, b"x");
     }
     let learned = p.core.lend(p.now, |_| true, &mut Vec::new()).learned;
-    assert!((0.05..0.3).contains(&(learned.paces[0].0 / learned.paces[0].1)), "{learned:?}");
+    assert!((0.05..0.3).contains(&(learned.paces[0].core_time_s / learned.paces[0].ended)), "{learned:?}");
     let mut new = Play::new();
     new.tell(Input::LearnedState(learned.clone()));
     assert_eq!(new.core.lend(0.0, |_| true, &mut Vec::new()).learned, learned);
@@ -306,9 +306,12 @@
     let before = new.core.lend(0.0, |_| true, &mut Vec::new()).learned;
     new.core.end_lending();
     new.tell(Input::LearnedState(LearnedState { usual_s: f64::NAN, ..learned.clone() }));
-    let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0)], ..Traffic::default() };
+    let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0).into()], ..Traffic::default() };
     new.tell(Input::LearnedState(LearnedState { traffic, ..learned.clone() }));
-    new.tell(Input::LearnedState(LearnedState { paces: vec![(-1.0, 0.0, [0.0; 5])], ..learned.clone() }));
+    new.tell(Input::LearnedState(LearnedState {
+        paces: vec![(-1.0, 0.0, [0.0; 5]).into()],
+        ..learned.clone()
+    }));
     assert_eq!(new.core.lend(0.0, |_| true, &mut Vec::new()).learned, before);
     let mut new = Play::new();
     new.tell(Input::LearnedState(LearnedState { runs: 1_000_000, ..learned }));
--- /dev/null
+++ b/src/interface/learned.rs
@@ -0,0 +1,166 @@
+//! What a controller has learned of its machine: of use to its successor there.
+//!
+//! The serialized form passes between processes of different versions. The small structs are written as
+//! arrays of numbers, in the order of their fields.
+
+use serde::{Deserialize, Serialize};
+
+/// What a controller has learned.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct LearnedState {
+    /// The limit on runs (slots).
+    pub runs: usize,
+    /// The mean run length while the worker is well (seconds).
+    pub usual_s: f64,
+    /// By class: the measured run lengths.
+    pub paces: Vec<LearnedRunLength>,
+    /// The limit on downstream calls in flight.
+    #[serde(rename = "call_room")]
+    pub call_limit: f64,
+    /// The baseline of the length of downstream calls, once one has ended (seconds).
+    #[serde(rename = "call_s")]
+    pub call_baseline_s: Option<f64>,
+    /// Recent downstream calls.
+    #[serde(rename = "calls")]
+    pub recent_calls: RecentCalls,
+    /// Time on calls that may still be spent, where the share of the dependency is under one call (seconds);
+    /// it may be overdrawn.
+    pub call_budget_s: Option<f64>,
+    /// Recent requests.
+    pub traffic: Traffic,
+}
+
+/// Recent requests and how they ended, and what tenants may still use of their quotas.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct Traffic {
+    /// By tenant.
+    pub quotas: Vec<TenantTraffic>,
+    /// By tier: arrivals a second, fading.
+    pub arrivals: Vec<f64>,
+    /// Retries and outcomes.
+    pub lately: RecentOutcomes,
+}
+
+/// Measured run lengths of a class, all fading.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, [f64; 5])", into = "(f64, f64, [f64; 5])")]
+pub struct LearnedRunLength {
+    /// Time on the cores (seconds).
+    pub core_time_s: f64,
+    /// Ended runs.
+    pub ended: f64,
+    /// Sums of the regression from hints to run lengths: runs, hints, lengths, squared hints, hints times
+    /// lengths.
+    pub hint_sums: [f64; 5],
+}
+
+/// Recent downstream calls, fading.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct RecentCalls {
+    /// Time on calls (seconds).
+    pub time_s: f64,
+    /// Ended calls.
+    pub ended: f64,
+}
+
+/// One tenant's recent requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct TenantTraffic {
+    /// Requests that are left of this worker's even part of its quota.
+    pub tokens: f64,
+    /// Its arrivals, fading.
+    pub arrivals: f64,
+}
+
+/// Retries and outcomes of runs, all fading.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
+pub struct RecentOutcomes {
+    /// Marked retries among arrivals (a second).
+    pub retries_per_s: f64,
+    /// Runs that failed.
+    pub failed_runs: f64,
+    /// All runs that ended.
+    pub ended_runs: f64,
+}
+
+impl From<(f64, f64, [f64; 5])> for LearnedRunLength {
+    fn from((core_time_s, ended, hint_sums): (f64, f64, [f64; 5])) -> Self {
+        LearnedRunLength { core_time_s, ended, hint_sums }
+    }
+}
+
+impl From<LearnedRunLength> for (f64, f64, [f64; 5]) {
+    fn from(learned: LearnedRunLength) -> Self {
+        (learned.core_time_s, learned.ended, learned.hint_sums)
+    }
+}
+
+impl From<(f64, f64)> for RecentCalls {
+    fn from((time_s, ended): (f64, f64)) -> Self {
+        RecentCalls { time_s, ended }
+    }
+}
+
+impl From<RecentCalls> for (f64, f64) {
+    fn from(calls: RecentCalls) -> Self {
+        (calls.time_s, calls.ended)
+    }
+}
+
+impl From<(f64, f64)> for TenantTraffic {
+    fn from((tokens, arrivals): (f64, f64)) -> Self {
+        TenantTraffic { tokens, arrivals }
+    }
+}
+
+impl From<TenantTraffic> for (f64, f64) {
+    fn from(tenant: TenantTraffic) -> Self {
+        (tenant.tokens, tenant.arrivals)
+    }
+}
+
+impl From<(f64, f64, f64)> for RecentOutcomes {
+    fn from((retries_per_s, failed_runs, ended_runs): (f64, f64, f64)) -> Self {
+        RecentOutcomes { retries_per_s, failed_runs, ended_runs }
+    }
+}
+
+impl From<RecentOutcomes> for (f64, f64, f64) {
+    fn from(recent: RecentOutcomes) -> Self {
+        (recent.retries_per_s, recent.failed_runs, recent.ended_runs)
+    }
+}
+
+impl Traffic {
+    fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
+        let quotas = self.quotas.iter().flat_map(|tenant| [tenant.tokens, tenant.arrivals]);
+        let recent = [self.lately.retries_per_s, self.lately.failed_runs, self.lately.ended_runs];
+        quotas.chain(self.arrivals.iter().copied()).chain(recent)
+    }
+}
+
+impl LearnedState {
+    /// Whether it can have been measured: anything else would spoil every later decision.
+    pub fn is_sound(&self) -> bool {
+        self.numbers().all(|number| number.is_finite() && number >= 0.0)
+            && self.call_budget_s.map_or(true, f64::is_finite)
+            && self.paces.iter().all(|run_length| run_length.ended > 0.0)
+            && self.usual_s > 0.0
+            && self.call_limit > 0.0
+    }
+
+    /// All numbers that can't be negative.
+    fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
+        let run_lengths = self.paces.iter().flat_map(|run_length| {
+            [run_length.core_time_s, run_length.ended].into_iter().chain(run_length.hint_sums)
+        });
+        let calls = [self.call_limit, self.recent_calls.time_s, self.recent_calls.ended];
+        let lengths = [self.usual_s, self.call_baseline_s.unwrap_or(1.0)];
+        run_lengths.chain(calls).chain(lengths).chain(self.traffic.numbers())
+    }
+}
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -7,7 +7,7 @@
 use crate::executor::{Executor, Notice, Work};
 use crate::experiment::{ExecutorModel, Slow};
 use crate::measure::interval;
-use port_worker::pools::estimate::{Bounds, Estimate};
+use port_worker::pools::limit::{LimitSettings, SlotLimit};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -38,20 +38,20 @@
     }
 }
 
-struct Own(Estimate);
+struct Own(SlotLimit);
 
 impl Limit for Own {
     fn advance(&mut self, dt: f64, on_cores: usize, bound: bool) {
         self.0.advance(dt, on_cores, bound);
     }
     fn ended(&mut self, class: usize, length: f64) {
-        self.0.ended(class, length);
+        self.0.run_ended(class, length);
     }
     fn look(&mut self, _: f64, on_cores: usize) {
-        self.0.look(on_cores, MOST);
+        self.0.review(on_cores, MOST);
     }
     fn limit(&self) -> usize {
-        self.0.limit()
+        self.0.slots()
     }
 }
 
@@ -256,9 +256,15 @@
             looked: 0.0,
         }),
         "pools" => {
-            let bounds =
-                Bounds { least, most: MOST, window_s: 10.0, look_s: 0.5, samples: 16.0, slow_ratio: 1.6 };
-            Box::new(Own(Estimate::new(bounds, &[0.5, 0.5])))
+            let bounds = LimitSettings {
+                min_slots: least,
+                max_slots: MOST,
+                window_s: 10.0,
+                review_s: 0.5,
+                min_samples: 16.0,
+                slow_ratio: 1.6,
+            };
+            Box::new(Own(SlotLimit::new(bounds, &[0.5, 0.5])))
         }
         _ => Box::new(Fixed(least)),
     }
--- a/tests/stored_forms/learned.rs
+++ b/tests/stored_forms/learned.rs
@@ -8,21 +8,21 @@
     LearnedState {
         runs: 9,
         usual_s: 0.105,
-        paces: vec![(12.5, 3.0, [1.0, 2.0, 3.5, 0.25, 1e-9]), (0.1, 0.3, [0.0, 0.0, 0.0, 0.0, 0.0])],
-        call_room: 4.75,
-        call_s: Some(0.035),
-        calls: (2.5, 71.0),
+        paces: vec![(12.5, 3.0, [1.0, 2.0, 3.5, 0.25, 1e-9]).into(), (0.1, 0.3, [0.0; 5]).into()],
+        call_limit: 4.75,
+        call_baseline_s: Some(0.035),
+        recent_calls: (2.5, 71.0).into(),
         call_budget_s: Some(-0.5),
         traffic: Traffic {
-            quotas: vec![(3.5, 1.25), (0.0, 7.0)],
+            quotas: vec![(3.5, 1.25).into(), (0.0, 7.0).into()],
             arrivals: vec![40.0, 12.25, 1_234_567.875],
-            lately: (0.5, 0.25, 90.0),
+            lately: (0.5, 0.25, 90.0).into(),
         },
     }
 }
 
 fn values() -> Vec<LearnedState> {
-    let without_calls = LearnedState { call_s: None, call_budget_s: None, ..learned() };
+    let without_calls = LearnedState { call_baseline_s: None, call_budget_s: None, ..learned() };
     vec![LearnedState::default(), learned(), without_calls]
 }
 
