--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -152,9 +152,9 @@
     fn learned_without(&self, requests: &[HandedOffRequest]) -> LearnedState {
         let mut learned = self.controller.learned();
         for tenant in requests.iter().filter_map(|r| r.request.tenant) {
-            if let Some((tokens, arrivals)) = learned.traffic.quotas.get_mut(tenant) {
-                *tokens += 1.0;
-                *arrivals = (*arrivals - 1.0).max(0.0);
+            if let Some(quota) = learned.traffic.quotas.get_mut(tenant) {
+                quota.tokens += 1.0;
+                quota.arrivals = (quota.arrivals - 1.0).max(0.0);
             }
         }
         learned
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -293,7 +293,7 @@
     let with_quota = || Harness::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
     let hand_off = |h: &mut Harness| h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new());
     let mut old = with_quota();
-    let whole = hand_off(&mut old).learned.traffic.quotas[0].0;
+    let whole = hand_off(&mut old).learned.traffic.quotas[0].tokens;
     old.dispatcher.end_hand_off();
     for number in 1..=2 {
         old.input(Input::Arrived(of_tenant(number)));
@@ -304,16 +304,16 @@
     let handed_off = hand_off(&mut old);
     assert_eq!((whole, handed_off.requests.len()), (6.0, 2));
     let Traffic { quotas, arrivals, lately } = handed_off.learned.traffic.clone();
-    assert_eq!(quotas, [(2.0, 4.0)]);
-    assert!(arrivals[0] > 0.0 && lately == (arrivals[0], 2.0, 2.0), "{arrivals:?} {lately:?}");
+    assert_eq!(quotas, [(2.0, 4.0).into()]);
+    assert!(arrivals[0] > 0.0 && lately == (arrivals[0], 2.0, 2.0).into(), "{arrivals:?} {lately:?}");
     let mut new = with_quota();
     new.input(Input::LearnedState(handed_off.learned));
     assert_eq!(hand_off(&mut new).learned.traffic, Traffic { quotas, arrivals, lately });
     // A successor with other limits takes no more than its own.
     new.dispatcher.end_hand_off();
-    let more = Traffic { quotas: vec![(1e6, 0.0)], ..Traffic::default() };
+    let more = Traffic { quotas: vec![(1e6, 0.0).into()], ..Traffic::default() };
     new.input(Input::LearnedState(LearnedState { traffic: more, ..hand_off(&mut with_quota()).learned }));
-    assert_eq!(hand_off(&mut new).learned.traffic.quotas, [(2.0, 0.0)]);
+    assert_eq!(hand_off(&mut new).learned.traffic.quotas, [(2.0, 0.0).into()]);
 }
 
 #[test]
@@ -325,7 +325,7 @@
         h.end(number, Outcome::Ok, b"x");
     }
     let learned = h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new()).learned;
-    assert!((0.05..0.3).contains(&(learned.paces[0].0 / learned.paces[0].1)), "{learned:?}");
+    assert!((0.05..0.3).contains(&(learned.paces[0].core_time_s / learned.paces[0].ended)), "{learned:?}");
     let mut new = Harness::new();
     new.input(Input::LearnedState(learned.clone()));
     assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, learned);
@@ -334,9 +334,12 @@
     let before = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned;
     new.dispatcher.end_hand_off();
     new.input(Input::LearnedState(LearnedState { usual_s: f64::NAN, ..learned.clone() }));
-    let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0)], ..Traffic::default() };
+    let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0).into()], ..Traffic::default() };
     new.input(Input::LearnedState(LearnedState { traffic, ..learned.clone() }));
-    new.input(Input::LearnedState(LearnedState { paces: vec![(-1.0, 0.0, [0.0; 5])], ..learned.clone() }));
+    new.input(Input::LearnedState(LearnedState {
+        paces: vec![(-1.0, 0.0, [0.0; 5]).into()],
+        ..learned.clone()
+    }));
     assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, before);
     let mut new = Harness::new();
     new.input(Input::LearnedState(LearnedState { runs: 1_000_000, ..learned }));
