--- a/durable-log/src/disk.rs
+++ b/durable-log/src/disk.rs
@@ -1,40 +1,81 @@
-//! The file system as the store sees it, and the real one.
+//! The file system as the store uses it, and the system's.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// One folder of files. Names have no separators. What is written counts as kept only after a sync: of the file for its
-/// bytes, of the folder for names.
+/// The file whose lock keeps other processes out of a folder.
+const LOCK_FILE: &str = "lock";
+
+/// One folder of files, whose names have no separators. What is written counts as persisted only after a sync: of the
+/// file for its bytes, of the folder for names.
 pub trait Disk {
-    /// A whole file; `None` where there is none.
+    /// Reads a complete file; `None` where there is none.
+    ///
+    /// # Errors
+    /// The system's.
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>>;
+
+    /// The names of all files.
+    ///
+    /// # Errors
+    /// The system's.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// An empty file of this name, in the place of one that may be there.
+
+    /// Creates an empty file, which replaces one of this name.
+    ///
+    /// # Errors
+    /// The system's.
     fn create(&mut self, name: &str) -> io::Result<()>;
+
+    /// Appends bytes to a file.
+    ///
+    /// # Errors
+    /// The system's; a part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+
+    /// Persists a file's bytes.
+    ///
+    /// # Errors
+    /// The system's.
     fn sync(&mut self, name: &str) -> io::Result<()>;
+
+    /// Renames a file, which replaces one of the new name.
+    ///
+    /// # Errors
+    /// The system's.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+
+    /// Removes a file.
+    ///
+    /// # Errors
+    /// The system's.
     fn remove(&mut self, name: &str) -> io::Result<()>;
+
+    /// Persists which names there are.
+    ///
+    /// # Errors
+    /// The system's.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the system's. A lock keeps a second process off it.
+/// A folder of the system's, locked against other processes.
 pub struct Folder {
     path: PathBuf,
+    /// Files that are open for appending.
     open: HashMap<String, File>,
     _lock: File,
 }
 
 impl Folder {
-    /// Makes the folder if need be, and locks it.
+    /// Creates the folder if need be, and locks it.
     ///
     /// # Errors
     /// The system's, or `WouldBlock` where another process has the folder.
     pub fn lock(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
         rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive)?;
         Ok(Folder { path: path.to_owned(), open: HashMap::new(), _lock: lock })
     }
@@ -53,8 +94,8 @@
         let mut bytes = Vec::new();
         match File::open(self.path.join(name)) {
             Ok(mut file) => file.read_to_end(&mut bytes).map(|_| Some(bytes)),
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(e),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
+            Err(error) => Err(error),
         }
     }
 
--- /dev/null
+++ b/durable-log/src/record.rs
@@ -0,0 +1,63 @@
+//! Records as bytes: length, checksum, sequence number, first sequence number of the batch that was synced with it, body.
+//! All numbers are little-endian; the checksum (CRC-32) covers all but itself.
+
+use crate::MAX_RECORD_BYTES;
+
+/// Everything before the body (bytes).
+pub(crate) const HEADER_BYTES: usize = 24;
+const CHECKSUM_OFFSET: usize = 4;
+const SEQUENCE_OFFSET: usize = 8;
+const BATCH_OFFSET: usize = 16;
+
+/// A complete record.
+pub(crate) struct Record<'a> {
+    pub(crate) sequence: u64,
+    /// The first sequence number of the batch that was synced with it.
+    pub(crate) batch: u64,
+    pub(crate) body: &'a [u8],
+}
+
+impl Record<'_> {
+    /// The length with the header (bytes).
+    pub(crate) fn encoded_bytes(&self) -> usize {
+        HEADER_BYTES + self.body.len()
+    }
+}
+
+pub(crate) fn encode(out: &mut Vec<u8>, sequence: u64, batch: u64, body: &[u8]) {
+    out.extend_from_slice(&(body.len() as u32).to_le_bytes());
+    out.extend_from_slice(&checksum(sequence, batch, body).to_le_bytes());
+    out.extend_from_slice(&sequence.to_le_bytes());
+    out.extend_from_slice(&batch.to_le_bytes());
+    out.extend_from_slice(body);
+}
+
+/// The record at the front of these bytes, if it is complete and its checksum is right.
+pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
+    let length = read_u32(bytes, 0)? as usize;
+    if length > MAX_RECORD_BYTES {
+        return None;
+    }
+    let sequence = read_u64(bytes, SEQUENCE_OFFSET)?;
+    let batch = read_u64(bytes, BATCH_OFFSET)?;
+    let body = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
+    let is_sound = checksum(sequence, batch, body) == read_u32(bytes, CHECKSUM_OFFSET)?;
+    is_sound.then_some(Record { sequence, batch, body })
+}
+
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
+    Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?))
+}
+
+fn read_u64(bytes: &[u8], at: usize) -> Option<u64> {
+    Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?))
+}
+
+fn checksum(sequence: u64, batch: u64, body: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&(body.len() as u32).to_le_bytes());
+    hasher.update(&sequence.to_le_bytes());
+    hasher.update(&batch.to_le_bytes());
+    hasher.update(body);
+    hasher.finalize()
+}
--- a/durable-log/src/simulated.rs
+++ b/durable-log/src/simulated.rs
@@ -1,8 +1,8 @@
-//! A disk in memory that keeps apart what was written and what has been synced, and that can lose power.
+//! A disk in memory that distinguishes what was written from what has been synced, and that can lose power.
 //!
-//! The model: bytes of a file are kept by a sync of the file, names by a sync of the folder. Whatever was not synced may
-//! be there or not after a loss of power, each part by itself: any prefix of an unsynced tail, with a part of it
-//! never written, any of the unsynced names. A seeded source chooses, so that a run can be played again.
+//! The model: a file's bytes are persisted by a sync of the file, names by a sync of the folder. What was not synced may
+//! survive a loss of power or not, each part by itself: any prefix of an unsynced tail, with a part of it never written,
+//! and any of the unsynced names. A seeded source chooses, so that a run can be repeated.
 
 use crate::Disk;
 use std::collections::BTreeMap;
@@ -11,138 +11,166 @@
 
 /// The system's number for "no space left on the device".
 const NO_SPACE: i32 = 28;
+/// What [`SimulatedDisk::corrupt_byte`] flips.
+const CORRUPTION_MASK: u8 = 0x55;
+/// One in so many surviving tails has a part that was never written.
+const GARBLED_ONE_IN: usize = 3;
 
 #[derive(Clone, Debug, Default)]
 struct FileState {
     bytes: Vec<u8>,
+    /// How many of the bytes have been synced.
     synced: usize,
 }
 
+impl FileState {
+    /// Keeps a part of what was not synced.
+    fn lose_power(&mut self, random: &mut impl RandomSource) {
+        let tail = self.bytes.len() - self.synced;
+        if tail > 0 {
+            let surviving = random.below(tail + 1);
+            self.bytes.truncate(self.synced + surviving);
+            if surviving > 0 && random.below(GARBLED_ONE_IN) == 0 {
+                let from = self.synced + random.below(surviving);
+                let to = from + 1 + random.below(self.bytes.len() - from);
+                self.bytes[from..to].fill(0);
+            }
+        }
+        self.synced = self.bytes.len();
+    }
+}
+
 #[derive(Clone, Debug, Default)]
-struct World {
+struct DiskState {
     files: Vec<FileState>,
-    /// Names as the system has them, and as they lie on the disk.
+    /// Names as the system has them.
     names: BTreeMap<String, usize>,
-    kept: BTreeMap<String, usize>,
+    /// Names as of the folder's last sync.
+    synced_names: BTreeMap<String, usize>,
     calls: u64,
+    /// Calls from this number on fail.
     fail_at: Option<u64>,
-    /// Every call that writes fails while this is set.
+    /// Every call that writes fails.
     full: bool,
 }
 
-/// What becomes of what was not synced when power is lost.
-pub trait Fate {
-    /// A number below `n`.
-    fn below(&mut self, n: usize) -> usize;
+impl DiskState {
+    /// The names after a loss of power: each that was not synced survives or not.
+    fn surviving_names(&self, random: &mut impl RandomSource) -> BTreeMap<String, usize> {
+        let mut surviving = self.synced_names.clone();
+        for name in self.names.keys().chain(self.synced_names.keys()) {
+            let current = self.names.get(name).copied();
+            let synced = self.synced_names.get(name).copied();
+            if current != synced && random.below(2) == 1 {
+                match current {
+                    Some(file) => surviving.insert(name.clone(), file),
+                    None => surviving.remove(name),
+                };
+            }
+        }
+        surviving
+    }
 }
 
-impl<F: FnMut(usize) -> usize> Fate for F {
-    fn below(&mut self, n: usize) -> usize {
-        self(n)
+/// Chooses what survives a loss of power.
+pub trait RandomSource {
+    /// A number below `bound`.
+    fn below(&mut self, bound: usize) -> usize;
+}
+
+impl<F: FnMut(usize) -> usize> RandomSource for F {
+    fn below(&mut self, bound: usize) -> usize {
+        self(bound)
     }
 }
 
 /// A handle on the disk; clones share it, as a process and its successor do.
 #[derive(Clone, Debug, Default)]
-pub struct Simulated(Arc<Mutex<World>>);
+pub struct SimulatedDisk(Arc<Mutex<DiskState>>);
 
-impl Simulated {
-    pub fn new() -> Simulated {
-        Simulated::default()
+impl SimulatedDisk {
+    /// An empty disk.
+    #[must_use]
+    pub fn new() -> SimulatedDisk {
+        SimulatedDisk::default()
     }
 
-    fn world(&self) -> MutexGuard<'_, World> {
+    fn state(&self) -> MutexGuard<'_, DiskState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls so far.
+    /// The number of calls so far.
+    #[must_use]
     pub fn calls(&self) -> u64 {
-        self.world().calls
+        self.state().calls
     }
 
-    /// The call with this number fails, and all after it: the process is taken to be dead then. A failing append has
-    /// written a part of its bytes, as on a disk that fills up.
+    /// Lets the call with this number fail, and all after it, as if the process had ended. A failing append writes a part
+    /// of its bytes, as on a disk that fills up.
     pub fn fail_at(&self, call: Option<u64>) {
-        self.world().fail_at = call;
+        self.state().fail_at = call;
     }
 
+    /// Lets every call that writes fail while `full` is set.
     pub fn set_full(&self, full: bool) {
-        self.world().full = full;
+        self.state().full = full;
     }
 
-    /// A copy with all that the system holds, as a backup would be.
-    pub fn copy(&self) -> Simulated {
-        Simulated(Arc::new(Mutex::new(self.world().clone())))
+    /// A separate disk with everything that the system has, as a backup would have it.
+    #[must_use]
+    pub fn copy(&self) -> SimulatedDisk {
+        SimulatedDisk(Arc::new(Mutex::new(self.state().clone())))
     }
 
-    /// Flips bits of one byte of what is kept.
-    pub fn rot(&self, name: &str, at: usize) {
-        let mut world = self.world();
-        if let Some(file) = world.names.get(name).copied() {
-            if let Some(byte) = world.files[file].bytes.get_mut(at) {
-                *byte ^= 0x55;
-            }
+    /// Flips bits of one byte of a file.
+    pub fn corrupt_byte(&self, name: &str, at: usize) {
+        let mut state = self.state();
+        let Some(file) = state.names.get(name).copied() else { return };
+        if let Some(byte) = state.files[file].bytes.get_mut(at) {
+            *byte ^= CORRUPTION_MASK;
         }
     }
 
-    /// The lengths of all files by name.
+    /// The lengths of all files by name (bytes).
+    #[must_use]
     pub fn lengths(&self) -> Vec<(String, usize)> {
-        let world = self.world();
-        world.names.iter().map(|(name, file)| (name.clone(), world.files[*file].bytes.len())).collect()
-    }
-
-    /// Power is lost: each thing that was not synced is kept or not, as `fate` says. Failures set before are over.
-    pub fn lose_power(&self, fate: &mut impl Fate) {
-        let mut world = self.world();
-        let world = &mut *world;
-        let mut names = world.kept.clone();
-        let changed: Vec<String> = world.names.keys().chain(world.kept.keys()).cloned().collect();
-        for name in changed {
-            let (now, kept) = (world.names.get(&name).copied(), world.kept.get(&name).copied());
-            if now != kept && fate.below(2) == 1 {
-                match now {
-                    Some(file) => names.insert(name, file),
-                    None => names.remove(&name),
-                };
-            }
-        }
-        for file in &mut world.files {
-            let tail = file.bytes.len() - file.synced;
-            if tail > 0 {
-                let stays = fate.below(tail + 1);
-                file.bytes.truncate(file.synced + stays);
-                if stays > 0 && fate.below(3) == 0 {
-                    let garbled = file.synced + fate.below(stays);
-                    let until = garbled + 1 + fate.below(file.bytes.len() - garbled);
-                    file.bytes[garbled..until].iter_mut().for_each(|b| *b = 0);
-                }
-            }
-            file.synced = file.bytes.len();
+        let state = self.state();
+        state.names.iter().map(|(name, file)| (name.clone(), state.files[*file].bytes.len())).collect()
+    }
+
+    /// Loses power: what was not synced survives or not, as `random` chooses. Failures that were set are over.
+    pub fn lose_power(&self, random: &mut impl RandomSource) {
+        let mut state = self.state();
+        let names = state.surviving_names(random);
+        for file in &mut state.files {
+            file.lose_power(random);
         }
-        (world.names, world.kept) = (names.clone(), names);
-        (world.fail_at, world.full) = (None, false);
+        state.synced_names.clone_from(&names);
+        state.names = names;
+        state.fail_at = None;
+        state.full = false;
     }
 
     /// Counts a call; `Err` where it is to fail.
-    fn call(&self, writes: bool) -> io::Result<MutexGuard<'_, World>> {
-        let mut world = self.world();
-        world.calls += 1;
-        let dead = world.fail_at.is_some_and(|at| world.calls >= at);
-        if dead || writes && world.full {
+    fn call(&self, writes: bool) -> io::Result<MutexGuard<'_, DiskState>> {
+        let mut state = self.state();
+        state.calls += 1;
+        let fails = state.fail_at.is_some_and(|at| state.calls >= at);
+        if fails || writes && state.full {
             return Err(io::Error::from_raw_os_error(NO_SPACE));
         }
-        Ok(world)
+        Ok(state)
     }
 }
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::ErrorKind::NotFound.into()
 }
 
-impl Disk for Simulated {
+impl Disk for SimulatedDisk {
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        let world = self.call(false)?;
-        Ok(world.names.get(name).map(|file| world.files[*file].bytes.clone()))
+        let state = self.call(false)?;
+        Ok(state.names.get(name).map(|file| state.files[*file].bytes.clone()))
     }
 
     fn list(&mut self) -> io::Result<Vec<String>> {
@@ -150,51 +178,51 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let mut world = self.call(true)?;
-        let number = world.files.len();
-        world.files.push(FileState::default());
-        world.names.insert(name.to_owned(), number);
+        let mut state = self.call(true)?;
+        let number = state.files.len();
+        state.files.push(FileState::default());
+        state.names.insert(name.to_owned(), number);
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         match self.call(true) {
-            Ok(mut world) => {
-                let file = *world.names.get(name).ok_or_else(missing)?;
-                world.files[file].bytes.extend_from_slice(bytes);
+            Ok(mut state) => {
+                let file = *state.names.get(name).ok_or_else(not_found)?;
+                state.files[file].bytes.extend_from_slice(bytes);
                 Ok(())
             }
-            Err(e) => {
-                let mut world = self.world();
-                if let Some(file) = world.names.get(name).copied() {
-                    world.files[file].bytes.extend_from_slice(&bytes[..bytes.len() / 2]);
+            Err(error) => {
+                let mut state = self.state();
+                if let Some(file) = state.names.get(name).copied() {
+                    state.files[file].bytes.extend_from_slice(&bytes[..bytes.len() / 2]);
                 }
-                Err(e)
+                Err(error)
             }
         }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let mut world = self.call(true)?;
-        let file = *world.names.get(name).ok_or_else(missing)?;
-        world.files[file].synced = world.files[file].bytes.len();
+        let mut state = self.call(true)?;
+        let file = *state.names.get(name).ok_or_else(not_found)?;
+        state.files[file].synced = state.files[file].bytes.len();
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let mut world = self.call(true)?;
-        let file = world.names.remove(from).ok_or_else(missing)?;
-        world.names.insert(to.to_owned(), file);
+        let mut state = self.call(true)?;
+        let file = state.names.remove(from).ok_or_else(not_found)?;
+        state.names.insert(to.to_owned(), file);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.call(true)?.names.remove(name).map(|_| ()).ok_or_else(missing)
+        self.call(true)?.names.remove(name).map(|_| ()).ok_or_else(not_found)
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        let mut world = self.call(true)?;
-        world.kept = world.names.clone();
+        let mut state = self.call(true)?;
+        state.synced_names = state.names.clone();
         Ok(())
     }
 }
--- a/durable-log/src/tests.rs
+++ b/durable-log/src/tests.rs
@@ -1,8 +1,11 @@
-use super::simulated::Simulated;
-use super::*;
+use crate::record::HEADER_BYTES;
+use crate::simulated::SimulatedDisk;
+use crate::store::MAGIC;
+use crate::{Disk, Folder, Recovered, Store, StoreError};
+use std::io;
 
-/// A small source of numbers for fates.
-fn dice(seed: u64) -> impl FnMut(usize) -> usize {
+/// A seeded random source (xorshift).
+fn random_source(seed: u64) -> impl FnMut(usize) -> usize {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     move |n| {
         state ^= state << 13;
@@ -12,49 +15,50 @@
     }
 }
 
-/// All values written, in order, whatever form they have on the disk.
+/// All values that were recovered, in order, from the snapshot and the records.
 fn values(found: &Recovered) -> Vec<u8> {
     let mut all = found.snapshot.clone().unwrap_or_default();
     all.extend(found.records.iter().map(|(_, body)| body[0]));
     all
 }
 
-/// A history of appends and snapshots; what was acknowledged and what was tried, up to the first failure.
-fn play(disk: &Simulated, steps: usize) -> (Vec<u8>, Vec<u8>) {
-    let (mut kept, mut tried) = (Vec::new(), Vec::new());
-    let Ok((mut store, _)) = Store::open(disk.clone(), values) else { return (kept, tried) };
+/// Runs appends and snapshots up to the first failure; returns what was acknowledged, and what was attempted.
+fn run_history(disk: &SimulatedDisk, steps: usize) -> (Vec<u8>, Vec<u8>) {
+    let mut acknowledged = Vec::new();
+    let mut attempted = Vec::new();
+    let Ok((mut store, _)) = Store::open(disk.clone(), values) else { return (acknowledged, attempted) };
     for step in 0..steps {
         if step % 3 == 2 {
-            if store.replace(&kept).is_err() {
+            if store.replace(&acknowledged).is_err() {
                 break;
             }
         } else {
-            let batch: Vec<[u8; 1]> = (0..=step % 2).map(|n| [(tried.len() + n) as u8 + 1]).collect();
-            tried.extend(batch.iter().map(|b| b[0]));
+            let batch: Vec<[u8; 1]> = (0..=step % 2).map(|n| [(attempted.len() + n) as u8 + 1]).collect();
+            attempted.extend(batch.iter().map(|b| b[0]));
             if store.append(&batch).is_err() {
                 break;
             }
-            kept.clone_from(&tried);
+            acknowledged.clone_from(&attempted);
         }
     }
-    (kept, tried)
+    (acknowledged, attempted)
 }
 
 #[test]
-fn power_lost_at_every_call_leaves_the_state_before_or_after() {
-    let whole = Simulated::new();
-    play(&whole, 8);
-    for call in 1..=whole.calls() + 1 {
+fn a_power_loss_at_any_call_leaves_the_state_before_or_after() {
+    let complete = SimulatedDisk::new();
+    run_history(&complete, 8);
+    for call in 1..=complete.calls() + 1 {
         for seed in 0..60 {
-            let disk = Simulated::new();
+            let disk = SimulatedDisk::new();
             disk.fail_at(Some(call));
-            let (kept, tried) = play(&disk, 8);
-            disk.lose_power(&mut dice(seed));
+            let (acknowledged, attempted) = run_history(&disk, 8);
+            disk.lose_power(&mut random_source(seed));
             let (_, found) = Store::open(disk, values).unwrap();
-            let got = values(&found);
+            let recovered = values(&found);
             assert!(
-                got.starts_with(&kept) && tried.starts_with(&got),
-                "call {call}, seed {seed}: kept {kept:?}, tried {tried:?}, found {got:?} {:?}",
+                recovered.starts_with(&acknowledged) && attempted.starts_with(&recovered),
+                "call {call}, seed {seed}: acknowledged {acknowledged:?}, attempted {attempted:?}, found {recovered:?} {:?}",
                 found.dropped
             );
             assert!(
@@ -67,39 +71,39 @@
 }
 
 #[test]
-fn long_histories_with_many_losses_of_power_keep_what_was_acknowledged() {
+fn repeated_power_losses_keep_what_was_acknowledged() {
     for seed in 0..40 {
-        let mut fate = dice(seed + 1000);
-        let disk = Simulated::new();
-        let mut kept: Vec<u8> = Vec::new();
+        let mut random = random_source(seed + 1000);
+        let disk = SimulatedDisk::new();
+        let mut acknowledged: Vec<u8> = Vec::new();
         for _ in 0..25 {
-            disk.fail_at(Some(disk.calls() + 1 + fate(40) as u64));
-            let mut tried = kept.clone();
+            disk.fail_at(Some(disk.calls() + 1 + random(40) as u64));
+            let mut attempted = acknowledged.clone();
             if let Ok((mut store, found)) = Store::open(disk.clone(), values) {
-                assert!(values(&found).starts_with(&kept), "seed {seed}");
-                kept = values(&found);
-                tried.clone_from(&kept);
-                while tried.len() < 200 {
-                    tried.push(fate(250) as u8);
-                    if store.append(&[[tried[tried.len() - 1]]]).is_err() {
+                assert!(values(&found).starts_with(&acknowledged), "seed {seed}");
+                acknowledged = values(&found);
+                attempted.clone_from(&acknowledged);
+                while attempted.len() < 200 {
+                    attempted.push(random(250) as u8);
+                    if store.append(&[[attempted[attempted.len() - 1]]]).is_err() {
                         break;
                     }
-                    kept.clone_from(&tried);
-                    if fate(5) == 0 && store.replace(&kept).is_err() {
+                    acknowledged.clone_from(&attempted);
+                    if random(5) == 0 && store.replace(&acknowledged).is_err() {
                         break;
                     }
                 }
             }
-            disk.lose_power(&mut fate);
+            disk.lose_power(&mut random);
         }
     }
 }
 
-/// The counter-proof: a store that syncs neither the file nor the folder is found to lose what it acknowledged.
+/// Proves the check itself: a store that syncs neither the file nor the folder is found to lose what it acknowledged.
 #[test]
 fn without_syncs_the_same_check_finds_a_loss() {
     #[derive(Clone)]
-    struct Unsynced(Simulated);
+    struct Unsynced(SimulatedDisk);
     impl Disk for Unsynced {
         fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
             self.0.read(name)
@@ -127,52 +131,55 @@
         }
     }
     let lost = (0..20).any(|seed| {
-        let disk = Simulated::new();
+        let disk = SimulatedDisk::new();
         let (mut store, _) = Store::open(Unsynced(disk.clone()), values).unwrap();
         store.append(&[[7u8]]).unwrap();
-        disk.lose_power(&mut dice(seed));
+        disk.lose_power(&mut random_source(seed));
         values(&Store::open(disk, values).unwrap().1) != [7]
     });
     assert!(lost);
 }
 
 #[test]
-fn rot_before_whole_records_is_told_from_a_torn_tail() {
-    let disk = Simulated::new();
+fn corruption_before_complete_records_is_distinguished_from_a_torn_tail() {
+    let disk = SimulatedDisk::new();
     let (mut store, _) = Store::open(disk.clone(), values).unwrap();
     for n in 1..=5u8 {
         store.append(&[[n; 20]]).unwrap();
     }
-    let torn = disk.copy();
-    disk.rot("log.1", HEAD + 20 + 6);
+    let torn_tail = disk.copy();
+    disk.corrupt_byte("log.1", HEADER_BYTES + 20 + 6);
     let (_, found) = Store::open(disk, values).unwrap();
     assert!(found.damaged && values(&found) == [1], "{found:?}");
-    let length = torn.lengths().iter().find(|(name, _)| name == "log.1").unwrap().1;
-    torn.rot("log.1", length - 1);
-    let (_, found) = Store::open(torn, values).unwrap();
+    let length = torn_tail.lengths().iter().find(|(name, _)| name == "log.1").unwrap().1;
+    torn_tail.corrupt_byte("log.1", length - 1);
+    let (_, found) = Store::open(torn_tail, values).unwrap();
     assert!(!found.damaged && values(&found) == [1, 2, 3, 4] && found.dropped.len() == 1, "{found:?}");
 }
 
 #[test]
-fn a_rotten_snapshot_is_damage_and_the_store_opens_all_the_same() {
-    let disk = Simulated::new();
+fn a_corrupt_snapshot_is_reported_as_damage_and_the_store_opens() {
+    let disk = SimulatedDisk::new();
     let (mut store, _) = Store::open(disk.clone(), values).unwrap();
     store.append(&[[1u8]]).unwrap();
     store.replace(&[1]).unwrap();
-    disk.rot("snapshot", MAGIC.len() + HEAD);
+    disk.corrupt_byte("snapshot", MAGIC.len() + HEADER_BYTES);
     let (_, found) = Store::open(disk, values).unwrap();
     assert!(found.damaged && found.snapshot.is_none(), "{found:?}");
 }
 
 #[test]
-fn a_full_disk_spends_the_store_and_opening_it_anew_when_there_is_room_loses_nothing() {
-    let disk = Simulated::new();
+fn a_store_on_a_full_disk_rejects_writes_until_it_is_reopened_and_loses_nothing() {
+    let disk = SimulatedDisk::new();
     let (mut store, _) = Store::open(disk.clone(), values).unwrap();
     store.append(&[[1u8]]).unwrap();
     disk.set_full(true);
-    assert!(matches!(store.append(&[[2u8]]), Err(Failure::Disk { .. })));
+    assert!(matches!(store.append(&[[2u8]]), Err(StoreError::Disk { .. })));
     disk.set_full(false);
-    assert!(matches!(store.append(&[[3u8]]), Err(Failure::Spent)), "it went on after a failed write");
+    assert!(
+        matches!(store.append(&[[3u8]]), Err(StoreError::FailedBefore)),
+        "it went on after a failed write"
+    );
     let (mut store, found) = Store::open(disk.clone(), values).unwrap();
     assert_eq!(values(&found), [1]);
     store.append(&[[4u8]]).unwrap();
@@ -180,7 +187,7 @@
 }
 
 #[test]
-fn a_folder_of_the_system_keeps_records_and_keeps_a_second_process_off() {
+fn a_system_folder_keeps_records_and_locks_out_a_second_process() {
     let path = std::env::temp_dir().join(format!("durable-log-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let (mut store, found) = Store::open(Folder::lock(&path).unwrap(), values).unwrap();
--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -1,7 +1,5 @@
 //! Queries to coordinators from a command: one query a connection, in blocking calls with a timeout.
 
-#![warn(missing_docs)]
-
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES,
 };
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -1,7 +1,5 @@
 //! A coordinator's file (TOML). Its keys are the operators' and are fixed.
 
-#![warn(missing_docs)]
-
 mod check;
 mod error;
 
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -3,8 +3,6 @@
 //! The same code runs behind sockets ([`crate::net`]) and in the testbed's virtual time. Links are numbered by the caller
 //! and numbers are never reused; frames go in as bytes and come out as bytes.
 
-#![warn(missing_docs)]
-
 mod events;
 mod frames;
 mod operator_queries;
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -6,8 +6,6 @@
 //! leader or an earlier one. A holder counts from when it *sent* the renewal. Together that is why two holders never act
 //! at the same time.
 
-#![warn(missing_docs)]
-
 mod granting;
 mod messages;
 mod periods;
--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -6,8 +6,6 @@
 //! lease is being released. [`ReadIndexQueue`] holds renewals until a quorum has confirmed the leader after they were
 //! received. `tests/lease_world.rs` checks both, together with the worker's holder, in all reachable states.
 
-#![warn(missing_docs)]
-
 mod read_index_queue;
 
 pub use read_index_queue::{ReadIndexBatch, ReadIndexQueue};
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -3,8 +3,6 @@
 //! One event loop does everything but the disk's jobs: those have a thread of their own, since a sync may take seconds
 //! and the loop must go on answering.
 
-#![warn(missing_docs)]
-
 mod disk_thread;
 mod inbound;
 mod peers;
--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -2,7 +2,7 @@
 
 use super::recovered_log::RecoveredLog;
 use super::{Replica, ReplicaOutput, ReplicaStatus};
-use durable_log::{Disk, Failure, Recovered, Store};
+use durable_log::{Disk, Recovered, Store, StoreError};
 
 /// A job for the disk.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,7 +32,7 @@
     #[error("the folder: {0}")]
     Folder(std::io::Error),
     #[error(transparent)]
-    Store(#[from] Failure),
+    Store(#[from] StoreError),
     #[error("the store is not open")]
     NotOpen,
 }
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -6,8 +6,6 @@
 //! that fails or is overdue suspends the member: it sends nothing to its peers until the disk has been opened anew, and
 //! goes on from what the disk then holds.
 
-#![warn(missing_docs)]
-
 mod disk;
 mod election;
 mod membership;
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -6,8 +6,6 @@
 //! Invariants: a task has one holder at a time; fencing tokens only grow; a period of a task is begun once, unless its
 //! call surely had no effect or is idempotent. A command that is out of bounds or stale is rejected and changes nothing.
 
-#![warn(missing_docs)]
-
 mod command;
 mod failures;
 mod leases;
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -1,7 +1,7 @@
 //! One coordinator whose disk fails: how soon it is suspended, that it acknowledges nothing it could not write, and that
 //! it takes part again without help. The clock and the disk are the test's own.
 
-use durable_log::simulated::Simulated;
+use durable_log::simulated::SimulatedDisk;
 use durable_log::Store;
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::leader_state::SafetyChecks;
@@ -15,8 +15,8 @@
 struct Scenario {
     now: f64,
     coordinator: Coordinator,
-    disk: Simulated,
-    store: Option<Store<Simulated>>,
+    disk: SimulatedDisk,
+    store: Option<Store<SimulatedDisk>>,
     /// How long each job of the disk takes.
     job_duration_s: f64,
     answers: Vec<(f64, u64, DiskResult)>,
@@ -39,7 +39,7 @@
         let mut scenario = Scenario {
             now: 0.0,
             coordinator: Coordinator::new(0.0, config, 1),
-            disk: Simulated::new(),
+            disk: SimulatedDisk::new(),
             store: None,
             job_duration_s: 0.0,
             answers: Vec::new(),
--- a/testbed/src/fleet/virtual_fleet.rs
+++ b/testbed/src/fleet/virtual_fleet.rs
@@ -4,7 +4,7 @@
 //! The judge stands outside and sees true time: whether two workers believe at one moment that they hold a task, what
 //! the resource that is acted upon accepted, and whether tasks are held again once the faults are over.
 
-use durable_log::simulated::Simulated;
+use durable_log::simulated::SimulatedDisk;
 use durable_log::Store;
 use fleet_coordinator::coordinator::{
     Coordinator, CoordinatorAddress, CoordinatorConfig, Output, PeerAnswer,
@@ -98,8 +98,8 @@
 
 struct Quorate {
     machine: Option<Coordinator>,
-    disk: Simulated,
-    store: Option<Store<Simulated>>,
+    disk: SimulatedDisk,
+    store: Option<Store<SimulatedDisk>>,
     clock: Clock,
     life: u64,
     paused_until: f64,
@@ -278,7 +278,7 @@
         for n in 0..shape.coordinators {
             world.coordinators.push(Quorate {
                 machine: None,
-                disk: Simulated::new(),
+                disk: SimulatedDisk::new(),
                 store: None,
                 clock: Clock { rate: 1.0, started: 0.0 },
                 life: 0,
@@ -1002,7 +1002,7 @@
             14 if self.verdict.lost_disks == 0 && self.all_well() => {
                 self.verdict.lost_disks += 1;
                 self.kill_coordinator(c, false);
-                self.coordinators[c].disk = Simulated::new();
+                self.coordinators[c].disk = SimulatedDisk::new();
                 self.at(now + 0.5, Event::StartCoordinator(c));
                 self.at(now + 2.0, Event::Replace(c));
                 format!("c{} loses its disk", c + 1)
