--- a/fleet-coordinator/src/bin/fleetctl.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line of a fleet. Exit status: 0 done, 1 refused, 2 can't be used, 3 no quorum in time.
+//! The operators' command line of a fleet. Exit status: 0 done, 1 rejected, 2 unusable arguments, 3 no quorum in time.
 
 use clap::{Parser, Subcommand};
 use fleet_coordinator::client::{ask_all, ask_leader, QueryOutcome};
@@ -8,6 +8,14 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+const EXIT_REJECTED: u8 = 1;
+const EXIT_UNUSABLE: u8 = 2;
+const EXIT_NO_QUORUM: u8 = 3;
+/// The longest `--wait` (seconds).
+const MAX_WAIT_S: f64 = 3600.0;
+/// What separates a table's columns.
+const COLUMN_SEPARATOR: &str = "  ";
+
 #[derive(Parser)]
 #[command(name = "fleetctl", version, about = "Asks a fleet's coordinators")]
 struct Arguments {
@@ -24,11 +32,11 @@
     #[arg(long, default_value_t = 5.0)]
     wait: f64,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// How each coordinator stands.
     Status,
     /// Which workers are in session.
@@ -51,87 +59,102 @@
     Replace { coordinator: String },
 }
 
+impl Command {
+    /// What is asked of the leader, or of every coordinator for its status.
+    fn into_query(self) -> OperatorQuery {
+        match self {
+            Command::Status => OperatorQuery::Status,
+            Command::Members => OperatorQuery::Members,
+            Command::Leases => OperatorQuery::Leases,
+            Command::Tasks => OperatorQuery::Tasks,
+            Command::Overload => OperatorQuery::Overload,
+            Command::Pin { tier, share, for_s } => OperatorQuery::Pin { tier, share, for_s },
+            Command::Replace { coordinator } => OperatorQuery::Replace { coordinator },
+        }
+    }
+}
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    if !(0.0..=3600.0).contains(&arguments.wait) {
-        eprintln!("fleetctl: --wait is {}; expected 0 to 3600", arguments.wait);
-        return ExitCode::from(2);
+    let wait_s = arguments.wait;
+    if !(0.0..=MAX_WAIT_S).contains(&wait_s) {
+        eprintln!("fleetctl: --wait is {wait_s}; expected 0 to {MAX_WAIT_S}");
+        return ExitCode::from(EXIT_UNUSABLE);
     }
-    let wait = Duration::from_secs_f64(arguments.wait);
-    let (all, fleet) = (&arguments.coordinators, arguments.fleet.as_str());
-    let asked = match &arguments.what {
-        What::Status => ask_all(all, fleet, wait),
-        What::Members => ask_leader(all, fleet, &OperatorQuery::Members, wait),
-        What::Leases => ask_leader(all, fleet, &OperatorQuery::Leases, wait),
-        What::Tasks => ask_leader(all, fleet, &OperatorQuery::Tasks, wait),
-        What::Overload => ask_leader(all, fleet, &OperatorQuery::Overload, wait),
-        What::Pin { tier, share, for_s } => {
-            ask_leader(all, fleet, &OperatorQuery::Pin { tier: *tier, share: *share, for_s: *for_s }, wait)
-        }
-        What::Replace { coordinator } => {
-            ask_leader(all, fleet, &OperatorQuery::Replace { coordinator: coordinator.clone() }, wait)
-        }
+    let timeout = Duration::from_secs_f64(wait_s);
+    let coordinators = &arguments.coordinators;
+    let outcome = match arguments.command.into_query() {
+        OperatorQuery::Status => ask_all(coordinators, &arguments.fleet, timeout),
+        query => ask_leader(coordinators, &arguments.fleet, &query, timeout),
     };
-    match asked {
+    match outcome {
         QueryOutcome::Answer(answer) => {
-            if arguments.json {
-                println!("{answer}");
-            } else {
-                print!("{}", table(&answer));
-            }
+            print_answer(&answer, arguments.json);
             ExitCode::SUCCESS
         }
-        QueryOutcome::Refused(why) => {
-            eprintln!("fleetctl: refused: {why}");
-            ExitCode::from(1)
+        QueryOutcome::Refused(reason) => {
+            eprintln!("fleetctl: refused: {reason}");
+            ExitCode::from(EXIT_REJECTED)
         }
-        QueryOutcome::NoQuorum(why) => {
-            eprintln!("fleetctl: no quorum within {} s: {why}", arguments.wait);
-            ExitCode::from(3)
+        QueryOutcome::NoQuorum(reason) => {
+            eprintln!("fleetctl: no quorum within {wait_s} s: {reason}");
+            ExitCode::from(EXIT_NO_QUORUM)
         }
     }
 }
 
-/// Rows of objects as columns; what is no list of objects is printed as it is.
-fn table(answer: &Value) -> String {
-    let mut text = String::new();
+fn print_answer(answer: &Value, as_json: bool) {
+    if as_json {
+        println!("{answer}");
+    } else {
+        print!("{}", format_answer(answer));
+    }
+}
+
+/// Lists of objects become tables, an object's members one after the other; other values are printed as JSON.
+fn format_answer(answer: &Value) -> String {
     match answer {
-        Value::Array(rows) => {
-            let Some(Value::Object(first)) = rows.first() else { return "none\n".to_owned() };
-            let names: Vec<&String> = first.keys().collect();
-            let cell = |v: Option<&Value>| match v {
-                None | Some(Value::Null) => "-".to_owned(),
-                Some(Value::String(s)) => s.clone(),
-                Some(other) => other.to_string(),
-            };
-            let wide = |n: &&String| {
-                let cells = rows.iter().map(|r| cell(r.get(n.as_str())).len());
-                cells.max().unwrap_or(0).max(n.len())
-            };
-            let widths: Vec<usize> = names.iter().map(wide).collect();
-            let mut line = |cells: Vec<String>| {
-                let padded: Vec<String> =
-                    cells.iter().zip(&widths).map(|(c, w)| format!("{c:w$}", w = *w)).collect();
-                text.push_str(padded.join("  ").trim_end());
-                text.push('\n');
-            };
-            line(names.iter().map(|n| (*n).clone()).collect());
-            for row in rows {
-                line(names.iter().map(|n| cell(row.get(n.as_str()))).collect());
-            }
-        }
-        Value::Object(parts) => {
-            for (name, part) in parts {
-                match part {
-                    Value::Array(_) => {
-                        text.push_str(&format!("{name}:\n"));
-                        table(part).lines().for_each(|l| text.push_str(&format!("  {l}\n")));
-                    }
-                    other => text.push_str(&format!("{name}: {other}\n")),
-                }
-            }
-        }
-        other => text = format!("{other}\n"),
+        Value::Array(rows) => format_table(rows),
+        Value::Object(members) => members.iter().map(|(name, value)| format_member(name, value)).collect(),
+        other => format!("{other}\n"),
+    }
+}
+
+fn format_member(name: &str, value: &Value) -> String {
+    let Value::Array(rows) = value else { return format!("{name}: {value}\n") };
+    let table: String = format_table(rows).lines().map(|line| format!("  {line}\n")).collect();
+    format!("{name}:\n{table}")
+}
+
+/// The first row's keys are the columns.
+fn format_table(rows: &[Value]) -> String {
+    let Some(Value::Object(first)) = rows.first() else { return "none\n".to_owned() };
+    let columns: Vec<&String> = first.keys().collect();
+    let widths: Vec<usize> = columns.iter().map(|column| column_width(column, rows)).collect();
+    let header: Vec<String> = columns.iter().map(|column| (*column).clone()).collect();
+    let mut text = format_line(&header, &widths);
+    for row in rows {
+        let cells: Vec<String> = columns.iter().map(|column| format_cell(row.get(column.as_str()))).collect();
+        text.push_str(&format_line(&cells, &widths));
     }
     text
 }
+
+fn column_width(column: &str, rows: &[Value]) -> usize {
+    let widest_cell = rows.iter().map(|row| format_cell(row.get(column)).len()).max();
+    widest_cell.unwrap_or(0).max(column.len())
+}
+
+fn format_line(cells: &[String], widths: &[usize]) -> String {
+    let padded: Vec<String> =
+        cells.iter().zip(widths).map(|(cell, width)| format!("{cell:width$}", width = *width)).collect();
+    format!("{}\n", padded.join(COLUMN_SEPARATOR).trim_end())
+}
+
+fn format_cell(value: Option<&Value>) -> String {
+    match value {
+        None | Some(Value::Null) => "-".to_owned(),
+        Some(Value::String(text)) => text.clone(),
+        Some(other) => other.to_string(),
+    }
+}
