--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -39,6 +39,21 @@
 /// A link that is to be made anew.
 struct Broken;
 
+/// What was found on a peer's link.
+#[derive(Default)]
+struct Polled {
+    /// What the peer answered; also from a link that has ended with that.
+    answer: Option<PeerAnswer>,
+    /// The link is to be made anew.
+    broken: bool,
+}
+
+impl Polled {
+    fn broken() -> Polled {
+        Polled { answer: None, broken: true }
+    }
+}
+
 impl Peer {
     pub(super) fn new(entry: &CoordinatorEntry) -> Peer {
         Peer {
@@ -98,25 +113,25 @@
         }
     }
 
-    /// Reads the peer's answer, if there is one; also from a link that has ended with it.
-    fn read_answer(&mut self) -> (Option<PeerAnswer>, Result<(), Broken>) {
+    /// Reads the peer's answer, if there is one.
+    fn read_answer(&mut self) -> Polled {
         if self.stage == Stage::Connecting {
-            return (None, Ok(()));
+            return Polled::default();
         }
-        let open = if self.link.fill() == Filled::Open { Ok(()) } else { Err(Broken) };
+        let broken = self.link.fill() != Filled::Open;
         match next_frame(self.link.data(), MAX_SERVER_FRAME_BYTES) {
+            Ok(None) => Polled { answer: None, broken },
+            Err(_) => Polled::broken(),
             Ok(Some(frame)) => {
                 let length = frame.length;
                 let answer = serde_json::from_slice::<PeerAnswer>(frame.body).ok();
                 self.link.consume(length);
-                let result = if answer.is_some() { open } else { Err(Broken) };
-                if answer.is_some() {
-                    self.stage = Stage::Up;
+                if answer.is_none() {
+                    return Polled::broken();
                 }
-                (answer, result)
+                self.stage = Stage::Up;
+                Polled { answer, broken }
             }
-            Ok(None) => (None, open),
-            Err(_) => (None, Err(Broken)),
         }
     }
 }
@@ -130,10 +145,10 @@
                 self.start_connecting(now, index);
                 continue;
             }
-            let (answer, result) = self.poll_peer(now, index);
+            let polled = self.poll_peer(now, index);
             let peer = &mut self.peers[index];
-            answers.extend(answer.map(|answer| (peer.name.clone(), answer)));
-            if result.is_err() {
+            answers.extend(polled.answer.map(|answer| (peer.name.clone(), answer)));
+            if polled.broken {
                 peer.connection = None;
             }
         }
@@ -154,13 +169,13 @@
         peer.connection = link.ok().map(|link| Connection { id, link, stage: Stage::Connecting });
     }
 
-    fn poll_peer(&mut self, now: f64, index: usize) -> (Option<PeerAnswer>, Result<(), Broken>) {
+    fn poll_peer(&mut self, now: f64, index: usize) -> Polled {
         let peer = &mut self.peers[index];
         let waited_s = now - peer.connect_started_at;
-        let Some(connection) = &mut peer.connection else { return (None, Ok(())) };
+        let Some(connection) = &mut peer.connection else { return Polled::default() };
         match connection.connect(waited_s, || self.coordinator.peer_hello()) {
             Ok(()) => connection.read_answer(),
-            Err(Broken) => (None, Err(Broken)),
+            Err(Broken) => Polled::broken(),
         }
     }
 }
--- a/fleet-coordinator/src/replica/membership.rs
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -1,8 +1,10 @@
 //! What a leader does for the quorum itself: it records progress, raises the agreed version, and changes members.
 
+use super::raft_log::RaftLog;
 use super::Replica;
 use crate::state_machine::Command;
 use raft::eraftpb::{ConfChange, ConfChangeType};
+use raft::RawNode;
 
 /// How often progress is recorded in the log (seconds). A disk that is older than recorded is detected.
 const PROGRESS_INTERVAL_S: f64 = 10.0;
@@ -27,9 +29,7 @@
 
 /// What a leader finds to do for the quorum.
 struct QuorumReview {
-    /// Members with the log index up to which they are known to have persisted, where that is more than recorded.
-    unrecorded_progress: Vec<(u64, u64)>,
-    record_progress: bool,
+    progress: ProgressReview,
     /// The version that all voters can apply.
     common_version: u32,
     /// A member that is not in the configuration yet.
@@ -38,15 +38,23 @@
     caught_up_learner: Option<u64>,
 }
 
+/// Progress that the log does not record yet.
+struct ProgressReview {
+    /// Member numbers with the log index up to which they are known to have persisted.
+    unrecorded: Vec<(u64, u64)>,
+    /// It is to be recorded now.
+    due: bool,
+}
+
 impl Replica {
     pub(super) fn maintain_quorum(&mut self, now: f64) {
         if !self.leads {
             return;
         }
         let Some(review) = self.review_quorum(now) else { return };
-        if review.record_progress {
+        if review.progress.due {
             self.progress_recorded_at = now;
-            self.propose(now, Command::RecordProgress { persisted: review.unrecorded_progress });
+            self.propose(now, Command::RecordProgress { persisted: review.progress.unrecorded });
         }
         if review.common_version > self.state_machine.version {
             self.propose(now, Command::RaiseVersion { version: review.common_version });
@@ -75,19 +83,11 @@
             id => self.peer_versions.get(&id).copied().unwrap_or(0),
         });
         let common_version = versions.min().unwrap_or(0);
-        let (unrecorded_progress, record_progress) = self.review_progress(now);
-        Some(QuorumReview {
-            unrecorded_progress,
-            record_progress,
-            common_version,
-            joining,
-            caught_up_learner,
-        })
+        let progress = self.review_progress(now, node);
+        Some(QuorumReview { progress, common_version, joining, caught_up_learner })
     }
 
-    /// The progress that is not recorded, and whether it is to be recorded now.
-    fn review_progress(&self, now: f64) -> (Vec<(u64, u64)>, bool) {
-        let Some(node) = &self.node else { return (Vec::new(), false) };
+    fn review_progress(&self, now: f64, node: &RawNode<RaftLog>) -> ProgressReview {
         let recorded = |member: u64| self.state_machine.persisted.get(&member).copied().unwrap_or(0);
         let commit = node.raft.raft_log.committed;
         let mut unrecorded = Vec::new();
@@ -105,7 +105,7 @@
         let since_s = now - self.progress_recorded_at;
         let due =
             first_record && since_s > FIRST_PROGRESS_INTERVAL_S || moved && since_s > PROGRESS_INTERVAL_S;
-        (unrecorded, due)
+        ProgressReview { unrecorded, due }
     }
 
     /// Proposes a change of members; the library rejects it while another is on its way. `replacement` is the number of
