--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -1,7 +1,8 @@
-//! The operators' address: HTTP/1.1, one call on a connection, answered before anything else of a turn.
+//! The operators' console: HTTP/1.1, one call on a connection, answered before anything else of a turn.
 //!
-//! Its descriptors are its own, so that no crowd of clients can take them, and its oldest connection without a whole
-//! call is closed for the next one, so that callers who hold theirs can't either.
+//! It has a descriptor budget of its own, so that clients can't exhaust it. Where it is used up, the oldest connection
+//! without a complete call is closed for the next one, so that callers who hold connections open can't exhaust it
+//! either.
 
 use crate::config::console_calls;
 use crate::dispatch::metrics::Metrics;
@@ -13,59 +14,72 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The longest head of a call (bytes) and the most headers in one.
-const HEAD_MOST: usize = 4 * 1024;
-const HEADERS_MOST: usize = 32;
+/// The longest head of a call (bytes).
+const MAX_HEAD_BYTES: usize = 4 * 1024;
+/// Headers of a call at most.
+const MAX_HEADERS: usize = 32;
 
-/// What operators can ask.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
+    /// `GET /-/ready`: whether this process can serve.
     Ready,
+    /// `GET /-/metrics`.
     Metrics,
+    /// `POST /-/drain`: send clients away.
     Drain,
+    /// `POST /-/resume`: the end of the drain.
     Resume,
 }
 
-/// What a call is told: a status, what it allows where that was wrong, and a text.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
+    /// The status.
     pub code: u16,
+    /// The methods that the path allows, where the method was wrong; else empty.
     pub allow: &'static str,
+    /// The body.
     pub text: String,
 }
 
 impl Reply {
+    /// A reply with a status and a body.
     pub fn new(code: u16, text: impl Into<String>) -> Reply {
         Reply { code, allow: "", text: text.into() }
     }
 }
 
-/// The listener and its calls.
+/// The console's listening socket and connections.
 pub struct Console {
+    /// Its connections.
     pub connections: Connections<()>,
 }
 
 impl Console {
     /// Listens with a descriptor budget of its own, sized by the limit on the process.
+    ///
+    /// # Errors
+    /// The system can't listen there.
     pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> io::Result<Console> {
         let own = poll.apart(console_calls(sockets));
         let mut connections =
-            Connections::bind(&own, address, Place::ConsoleListener, Place::Console, HEAD_MOST)?;
+            Connections::bind(&own, address, Place::ConsoleListener, Place::Console, MAX_HEAD_BYTES)?;
         connections.prefer_newest();
         Ok(Console { connections })
     }
 
-    /// Takes the calls that are whole; `true` if accepting was broken off and wants another look. What can't be
-    /// understood is answered here.
+    /// Accepts and reads, and adds the calls that are complete. Malformed ones are answered here. Returns `true` if
+    /// accepting was paused.
     pub fn gather(&mut self, now: f64, calls: &mut Vec<(u64, Call)>) -> bool {
         let paused = self.connections.accept(now);
         for id in self.connections.take_touched() {
-            self.look(id, now, calls);
+            self.process_connection(id, now, calls);
         }
         paused
     }
 
-    fn look(&mut self, id: u64, now: f64, calls: &mut Vec<(u64, Call)>) {
+    fn process_connection(&mut self, id: u64, now: f64, calls: &mut Vec<(u64, Call)>) {
         let Some(c) = self.connections.get_mut(id) else { return };
         match c.settle(now) {
             Next::Read => {}
@@ -78,7 +92,7 @@
             c.step(now, Stage::Reading);
         }
         match parse(c.link.data()) {
-            // A call that will never be whole is none.
+            // The peer has ended: the call will never be complete.
             Ok(None) if filled != Filled::Open => self.connections.close(id),
             Ok(None) => {}
             Ok(Some(call)) => {
@@ -89,10 +103,10 @@
         }
     }
 
-    /// Answers a call and says that nothing follows.
+    /// Answers a call and closes the connection behind the reply.
     pub fn answer(&mut self, id: u64, now: f64, reply: &Reply) {
         let Some(c) = self.connections.get_mut(id) else { return };
-        // What came beyond the head was not asked for.
+        // Bytes beyond the head belong to no call.
         c.link.consume(c.link.data().len());
         c.close = true;
         c.link.push(words(reply));
@@ -103,13 +117,13 @@
     }
 }
 
-/// Reads a call where it lies; `None` while its head is not whole. A body is not waited for: no call has one.
+/// Parses a call where it lies; `None` while its head is not complete. No call has a body.
 fn parse(data: &[u8]) -> Result<Option<Call>, Reply> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(data) {
         Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) if data.len() < HEAD_MOST => return Ok(None),
+        Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(Reply::new(400, "the call can't be read\n")),
     }
     let path = head.path.unwrap_or("");
--- a/src/net/lifecycle/console/tests.rs
+++ b/src/net/lifecycle/console/tests.rs
@@ -16,7 +16,7 @@
         ("GET /-/drain HTTP/1.1\r\n\r\n", 405),
         ("POST /-/metrics HTTP/1.1\r\n\r\n", 405),
         ("nonsense\r\n\r\n", 400),
-        (&"a".repeat(HEAD_MOST), 400),
+        (&"a".repeat(MAX_HEAD_BYTES), 400),
     ] {
         assert_eq!(parse(text.as_bytes()).unwrap_err().code, code, "{text:.40}");
     }
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -13,7 +13,7 @@
         let Some(fleet_now) = self.fleet.as_ref().map(|fleet| fleet.now()) else { return };
         self.update_membership(now, fleet_now);
         let Some(fleet) = &mut self.fleet else { return };
-        let (core, known) = (self.core.as_ref(), &self.state.known);
+        let (core, known) = (self.dispatcher.as_ref(), &self.state.known);
         let counters =
             || core.map(|core| counters_of(core, |class| known.class_name(class))).unwrap_or_default();
         fleet.turn(now, counters, &mut self.wheel, &mut self.log);
@@ -23,16 +23,16 @@
     /// Tells the membership whether this process serves, and what its decision module has counted.
     fn update_membership(&mut self, now: f64, fleet_now: f64) {
         let Some(fleet) = &mut self.fleet else { return };
-        let replaced = self.replacement.as_ref().is_some_and(|r| r.ownership.has_handed_off());
-        if replaced || self.leaving.is_some() {
+        let replaced = self.hot_restart.as_ref().is_some_and(|r| r.ownership.has_handed_off());
+        if replaced || self.shutdown.is_some() {
             fleet.member.leave(replaced);
         }
         // A new process that does not own the listeners yet takes no leases beside the old one.
-        let owns_listeners = self.replacement.as_ref().map_or(true, |r| r.ownership.is_owner());
-        let serves = owns_listeners && self.core.is_some();
+        let owns_listeners = self.hot_restart.as_ref().map_or(true, |r| r.ownership.is_owner());
+        let serves = owns_listeners && self.dispatcher.is_some();
         fleet.member.set_accepting_tasks(fleet_now, serves && !self.state.draining);
         if fleet.member.load_report_due(fleet_now) {
-            let sample = self.core.as_mut().and_then(|core| core.fleet_load_sample(now));
+            let sample = self.dispatcher.as_mut().and_then(|core| core.fleet_load_sample(now));
             if let Some(sample) = sample {
                 fleet.member.set_load_sample(sample);
             }
@@ -43,7 +43,7 @@
     /// suspended, the membership's goes on.
     fn apply_overload_directive(&mut self, now: f64, fleet_now: f64) {
         let directive = self.fleet.as_ref().and_then(|fleet| fleet.member.overload_directive(fleet_now));
-        let policy = self.core.as_mut().and_then(Dispatcher::overload);
+        let policy = self.dispatcher.as_mut().and_then(Dispatcher::overload);
         if let (Some(directive), Some(policy)) = (directive, policy) {
             policy.set_directive(OverloadDirective {
                 until: directive.until - fleet_now + now,
@@ -60,7 +60,7 @@
         for (name, value) in fleet.member.metrics(fleet.now()) {
             let _ = writeln!(text, "{name}={value}");
         }
-        let overload = self.core.as_ref().map(Dispatcher::overload_figures).unwrap_or_default();
+        let overload = self.dispatcher.as_ref().map(Dispatcher::overload_figures).unwrap_or_default();
         for (name, value) in overload {
             let _ = writeln!(text, "fleet.overload.{name}={value}");
         }
--- a/src/net/lifecycle/hot_restart/effects.rs
+++ b/src/net/lifecycle/hot_restart/effects.rs
@@ -15,7 +15,7 @@
             Effect::ConfirmTakeover => self.send_to_predecessor(&Frame::TakeoverConfirmed),
             Effect::WatchPredecessor => {
                 self.discard_staged_state();
-                if let Some(hot_restart) = &mut self.replacement {
+                if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.links.watch_predecessor();
                 }
             }
@@ -31,7 +31,7 @@
     }
 
     fn send_to_predecessor(&mut self, frame: &Frame) {
-        if let Some(hot_restart) = &mut self.replacement {
+        if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.links.send_to_predecessor(frame);
         }
     }
@@ -48,7 +48,7 @@
     }
 
     fn discard_staged_state(&mut self) {
-        if let Some(hot_restart) = &mut self.replacement {
+        if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.staged = StagedState::default();
         }
     }
@@ -63,17 +63,17 @@
                 "handover: further tries of keys that are not known here fail for a window"
             }
         });
-        if let Some(hot_restart) = &mut self.replacement {
+        if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.indeterminate_keys = keys;
         }
-        if let Some(dispatcher) = &mut self.core {
+        if let Some(dispatcher) = &mut self.dispatcher {
             dispatcher.set_indeterminate_keys(keys);
         }
     }
 
     /// Accepts clients, and a successor.
     fn become_listener_owner(&mut self, now: f64) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         if let Err(e) = hot_restart.links.listen_for_successor() {
             self.log.line(&format!("handover: this process can't be replaced: {e}"));
         }
@@ -82,7 +82,7 @@
     }
 
     fn release_handed_off(&mut self) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         hot_restart.handed_off.clear();
         for id in self.http.connections.ids_where(|c| c.stage == Stage::HandedOff) {
             self.http.connections.close(id);
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -16,12 +16,12 @@
         let deadlines = self.settings.classes.iter().map(|c| c.deadline_s);
         let longest_deadline_s = deadlines.fold(MIN_LONGEST_DEADLINE_S, f64::max);
         // A shutdown that was under way when the listeners went has its own end.
-        let kill_at = match &self.leaving {
+        let kill_at = match &self.shutdown {
             Some(leaving) => leaving.at.kill_at,
             None => now + longest_deadline_s + KILL_AFTER_DEADLINE_S,
         };
         let exit_by = kill_at - EXIT_MARGIN_S;
-        if let Some(hot_restart) = &mut self.replacement {
+        if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.exit_by = Some(exit_by);
         }
         self.wheel.set(now, exit_by - now, Timer::Again);
@@ -30,23 +30,23 @@
 
     /// Exits if it is time to.
     pub(in crate::net) fn follow_exit(&mut self, now: f64) {
-        let Some(exit_by) = self.replacement.as_ref().and_then(|r| r.exit_by) else { return };
+        let Some(exit_by) = self.hot_restart.as_ref().and_then(|r| r.exit_by) else { return };
         let must_exit = now >= exit_by;
         let all_handed_off = self.has_handed_off_everything();
         if !all_handed_off && must_exit {
-            self.answer_all();
+            self.respond_all();
         }
         if all_handed_off && self.end_connections(now, false) || must_exit {
             let line = if all_handed_off { "left with all handed over" } else { "left with answers owed" };
             self.log.line(line);
-            self.end(now);
+            self.exit(now);
         }
     }
 
     /// Whether no response is pending and the successor has been sent everything.
     fn has_handed_off_everything(&self) -> bool {
-        let Some(hot_restart) = &self.replacement else { return false };
-        let idle = self.core.as_ref().map_or(true, |dispatcher| dispatcher.is_idle());
+        let Some(hot_restart) = &self.hot_restart else { return false };
+        let idle = self.dispatcher.as_ref().map_or(true, |dispatcher| dispatcher.is_idle());
         let ajp_idle = self.ajp.as_ref().map_or(true, |a| a.connections.quiet());
         let http2_idle = self.http2.as_ref().map_or(true, |h| h.connections.quiet());
         // Without a successor nobody takes idle connections.
--- a/src/net/lifecycle/hot_restart/frontends.rs
+++ b/src/net/lifecycle/hot_restart/frontends.rs
@@ -29,15 +29,15 @@
 impl Worker {
     /// Opens all frontends; nothing is handed off any more.
     pub(super) fn accept_clients(&mut self, now: f64) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         self.state.passing = false;
-        if let Some(dispatcher) = &mut self.core {
+        if let Some(dispatcher) = &mut self.dispatcher {
             dispatcher.end_hand_off();
             dispatcher.set_indeterminate_keys(hot_restart.indeterminate_keys);
             self.wheel.set(now, 0.0, Timer::Beat);
         }
         // A shutdown may have closed the listeners for good.
-        if self.leaving.as_ref().is_some_and(|l| l.closed.is_some()) {
+        if self.shutdown.as_ref().is_some_and(|l| l.closed.is_some()) {
             return;
         }
         if let Err(e) = self.http.open(&hot_restart.http_socket) {
@@ -48,7 +48,7 @@
 
     /// Accepts clients at the operator's frontends, on sockets that the predecessor has sent or else at their addresses.
     pub(super) fn open_operator_frontends(&mut self) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         let mut listeners = std::mem::take(&mut hot_restart.frontend_listeners);
         let mut opened = Vec::new();
         if let Some(ajp) = self.ajp.as_mut().filter(|a| a.connections.address().is_none()) {
@@ -72,7 +72,7 @@
             (Ok(()), None) => {}
             (Err(error), _) => {
                 self.log.line(&format!("handover: {frontend} can't be opened: {error}"));
-                if let Some(hot_restart) = &mut self.replacement {
+                if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.frontend_error = Some(error);
                 }
             }
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -85,12 +85,12 @@
 impl Worker {
     /// Whether clients are accepted.
     pub(in crate::net) fn owns_listeners(&self) -> bool {
-        self.replacement.as_ref().map_or(true, |r| r.ownership.is_owner())
+        self.hot_restart.as_ref().map_or(true, |r| r.ownership.is_owner())
     }
 
     /// Whether a successor owns the listeners, or has been sent everything for it.
     pub(in crate::net) fn has_handed_off(&self) -> bool {
-        self.replacement.as_ref().is_some_and(|r| r.ownership.has_handed_off())
+        self.hot_restart.as_ref().is_some_and(|r| r.ownership.has_handed_off())
     }
 
     /// Looks for a process that serves already, right after the start.
@@ -99,7 +99,7 @@
     ///
     /// There is none, and an address of the operator's file can't be used.
     pub(in crate::net) fn find_predecessor(&mut self, now: f64) -> Result<(), ListenError> {
-        let Some(hot_restart) = &mut self.replacement else { return Ok(()) };
+        let Some(hot_restart) = &mut self.hot_restart else { return Ok(()) };
         let event = match hot_restart.links.find_predecessor() {
             Ok(Predecessor::Connected) => Event::PredecessorConnected,
             Ok(Predecessor::Absent) => Event::NoPredecessor,
@@ -114,14 +114,14 @@
         };
         let mut inputs = Vec::new();
         self.on_hot_restart_event(now, event, &mut inputs);
-        self.left_over.append(&mut inputs);
-        let frontend_error = self.replacement.as_mut().and_then(|r| r.frontend_error.take());
+        self.deferred_inputs.append(&mut inputs);
+        let frontend_error = self.hot_restart.as_mut().and_then(|r| r.frontend_error.take());
         frontend_error.map_or(Ok(()), Err)
     }
 
     /// Tells the state machine what happened, and carries out what it decides.
     pub(in crate::net) fn on_hot_restart_event(&mut self, now: f64, event: Event, inputs: &mut Vec<Input>) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         let mut effects = Vec::new();
         hot_restart.ownership.handle(now, event, &mut effects);
         if matches!(event, Event::PredecessorConnected | Event::HelloAccepted | Event::ReadyToServe) {
@@ -134,7 +134,7 @@
 
     /// Handles what the other processes have sent, before any frontend is looked at.
     pub(in crate::net) fn receive_hot_restart_frames(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        while let Some(event) = self.replacement.as_mut().and_then(|r| r.links.next_event()) {
+        while let Some(event) = self.hot_restart.as_mut().and_then(|r| r.links.next_event()) {
             self.on_link_event(now, event, inputs);
         }
         // Only now: what it waits for may have come while this process got no time.
@@ -152,7 +152,7 @@
             LinkEvent::FromSuccessor(frame) => self.on_successor_frame(now, frame, inputs),
             LinkEvent::SuccessorDamaged(error) => {
                 self.log.line(&format!("handover: what the new process says is damaged: {error}"));
-                if let Some(hot_restart) = &mut self.replacement {
+                if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.links.disconnect_successor();
                 }
                 self.on_hot_restart_event(now, Event::SuccessorDisconnected, inputs);
@@ -167,12 +167,12 @@
     /// At the end of a round of the loop: connections that have fallen idle go to the successor, and what is queued for
     /// the other processes is sent.
     pub(in crate::net) fn send_hot_restart_frames(&mut self, now: f64) {
-        let Some(hot_restart) = &self.replacement else { return };
+        let Some(hot_restart) = &self.hot_restart else { return };
         if hot_restart.ownership.is_released() && hot_restart.links.has_successor() {
             self.hand_off_idle_connections();
             self.report_usage(0);
         }
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         if hot_restart.links.flush() {
             self.wheel.set(now, 0.0, Timer::Again);
         }
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -27,7 +27,7 @@
     ) {
         let ReceivedFrame { frame, descriptor } = received;
         let staged_too_much = self.has_staged_too_much();
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         match frame {
             Frame::Welcome => self.on_hot_restart_event(now, Event::HelloAccepted, inputs),
             Frame::Incompatible { reason } => {
@@ -49,7 +49,7 @@
             Frame::Connection(connection) => self.on_connection(now, connection, descriptor, inputs),
             Frame::Listener { frontend } => self.on_listener(frontend, descriptor),
             Frame::StateComplete => self.on_hot_restart_event(now, Event::StateReceived, inputs),
-            Frame::Drain(draining) => self.drain(draining),
+            Frame::Drain(draining) => self.set_draining(draining),
             Frame::Hello { .. } | Frame::RequestListeners | Frame::TakeoverConfirmed => {
                 self.log.often("handover: the old process said what only a new one says");
             }
@@ -68,7 +68,7 @@
     }
 
     fn has_staged_too_much(&self) -> bool {
-        let Some(hot_restart) = &self.replacement else { return false };
+        let Some(hot_restart) = &self.hot_restart else { return false };
         let limits = &self.config.limits;
         let max_key_bytes = (limits.memory_mb * 1024.0 * 1024.0 / MEMORY_PER_STAGED_KEYS) as usize;
         let staged = &hot_restart.staged;
@@ -83,7 +83,7 @@
     }
 
     fn on_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         if hot_restart.staged.adopted {
             self.set_predecessor_usage(usage, inputs);
         } else {
@@ -98,7 +98,7 @@
         descriptor: Option<OwnedFd>,
         inputs: &mut Vec<Input>,
     ) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         let Some(stream) = descriptor else { return };
         let received = ReceivedConnection { connection, stream };
         if hot_restart.staged.adopted {
@@ -109,7 +109,7 @@
     }
 
     fn on_listener(&mut self, frontend: String, descriptor: Option<OwnedFd>) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         let Some(descriptor) = descriptor else { return };
         if hot_restart.frontend_listeners.len() < MAX_FRONTENDS {
             let socket = Rc::new(TcpListener::from(descriptor));
@@ -119,7 +119,7 @@
 
     /// Acts on all that the predecessor has sent.
     pub(super) fn adopt_staged_state(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         let staged = hot_restart.staged.adopt();
         let keys = staged.keys.len();
         let connections = staged.connections.len();
@@ -142,12 +142,12 @@
 
     fn adopt_predecessor_state(&mut self, state: PredecessorState, inputs: &mut Vec<Input>) {
         let (key_0, key_1) = state.fingerprint_key;
-        if let Some(dispatcher) = &mut self.core {
+        if let Some(dispatcher) = &mut self.dispatcher {
             dispatcher.succeed(FingerprintKey(key_0, key_1), state.running);
         }
         inputs.push(Input::LearnedState(state.learned));
         // Whoever asked this process for a drain while it waited means it all the same.
-        self.drain(state.draining || self.state.draining);
+        self.set_draining(state.draining || self.state.draining);
     }
 
     fn set_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -34,7 +34,7 @@
                 let compatible = self.check_successor(version, &name, &classes, &tenants);
                 self.answer_hello(compatible);
             }
-            Frame::RequestListeners if self.replacement.as_ref().is_some_and(|r| r.successor_accepted) => {
+            Frame::RequestListeners if self.hot_restart.as_ref().is_some_and(|r| r.successor_accepted) => {
                 self.on_hot_restart_event(now, Event::ListenersRequested, inputs);
             }
             Frame::TakeoverConfirmed => self.on_hot_restart_event(now, Event::TakeoverConfirmed, inputs),
@@ -62,7 +62,7 @@
     }
 
     fn answer_hello(&mut self, compatible: Result<(), SuccessorMismatch>) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         hot_restart.successor_accepted = compatible.is_ok();
         match compatible {
             Ok(()) => hot_restart.links.send_to_successor(&Frame::Welcome, None),
@@ -86,25 +86,25 @@
         for id in self.http.connections.ids_where(is_idle) {
             self.send_connection(id);
         }
-        let held = self.replacement.as_ref().map_or(0, |r| r.handed_off.len());
+        let held = self.hot_restart.as_ref().map_or(0, |r| r.handed_off.len());
         self.log.line(&format!("handover: lent to the new process: held={held}"));
         // Connections that were handed off count there.
         let handed_off = self.http.connections.ids_where(|c| c.stage == Stage::HandedOff).len();
         self.report_usage(handed_off);
         self.send_to_successor(&Frame::StateComplete);
         for command in commands {
-            self.carry_out(now, command, inputs);
+            self.execute(now, command, inputs);
         }
     }
 
     /// What was gathered before the hand-off concerns requests that are about to be handed off.
     fn dispatch_gathered(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let mut commands = Vec::new();
-        if let Some(dispatcher) = &mut self.core {
+        if let Some(dispatcher) = &mut self.dispatcher {
             dispatcher.handle(now, inputs.drain(..), &mut commands);
         }
         for command in commands {
-            self.carry_out(now, command, inputs);
+            self.execute(now, command, inputs);
         }
     }
 
@@ -112,7 +112,7 @@
     fn close_listeners_for_hand_off(&mut self) {
         self.http.connections.stop_listening();
         self.state.passing = true;
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         hot_restart.frontend_listeners.clear();
         let mut retain = |frontend: &str, socket| {
             hot_restart.frontend_listeners.push(FrontendListener { frontend: frontend.to_owned(), socket });
@@ -130,7 +130,7 @@
     }
 
     fn send_listeners(&mut self) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         for listener in &hot_restart.frontend_listeners {
             // Without a descriptor for it the successor binds the address once this process has ended.
             if let Ok(socket) = listener.socket.try_clone() {
@@ -141,7 +141,7 @@
     }
 
     fn hand_off_dispatcher(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<HandedOff> {
-        let dispatcher = self.core.as_mut()?;
+        let dispatcher = self.dispatcher.as_mut()?;
         let connections = &self.http.connections;
         let handed_off = dispatcher.hand_off(now, |ticket| connections.owns(ticket.0), commands);
         dispatcher.set_indeterminate_keys(IndeterminateKeys::All);
@@ -172,7 +172,7 @@
         zero_unix_ms: f64,
         inputs: &mut Vec<Input>,
     ) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         let Some(detached) = self.http.connections.lend(request.request.ticket.0) else {
             inputs.push(Input::Arrived(request.at(now)));
             return;
@@ -185,7 +185,7 @@
 
     /// Sends a connection without a request.
     fn send_connection(&mut self, id: u64) {
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         if let Some(detached) = self.http.connections.lend(id) {
             let frame = Frame::Connection(to_connection(&detached, None));
             hot_restart.links.send_to_successor(&frame, Some(detached.stream));
@@ -203,7 +203,7 @@
     /// The successor has ended before it confirmed: everything is as it was before the hand-off.
     pub(super) fn reclaim(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.accept_clients(now);
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         for request in std::mem::take(&mut hot_restart.handed_off) {
             self.http.connections.take_back(now, request.request.ticket.0, true);
             inputs.push(Input::Arrived(request.at(now)));
@@ -215,7 +215,7 @@
     }
 
     fn send_to_successor(&mut self, frame: &Frame) {
-        if let Some(hot_restart) = &mut self.replacement {
+        if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.links.send_to_successor(frame, None);
         }
     }
@@ -237,11 +237,11 @@
 
     /// Tells the successor what this process uses, if that has changed. So many connections are not counted.
     pub(super) fn report_usage(&mut self, uncounted_connections: usize) {
-        let Some(dispatcher) = &self.core else { return };
+        let Some(dispatcher) = &self.dispatcher else { return };
         let ResourceUsage { on_cores, calling, kb } = dispatcher.usage();
         let sockets = self.poll.used().saturating_sub(uncounted_connections) + OVERHEAD_DESCRIPTORS;
         let usage = Usage { on_cores, calling, kb, sockets };
-        let Some(hot_restart) = &mut self.replacement else { return };
+        let Some(hot_restart) = &mut self.hot_restart else { return };
         if hot_restart.reported_usage != usage {
             hot_restart.reported_usage = usage;
             hot_restart.links.send_to_successor(&Frame::Usage(usage), None);
--- a/src/net/lifecycle/mod.rs
+++ b/src/net/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The process itself: the operators' calls, leaving, reloading, and being replaced.
+//! The life of the process: the operators' console, reload, graceful shutdown, hot restart, fleet membership.
 
 pub mod console;
 pub(in crate::net) mod fleet;
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -1,16 +1,16 @@
-//! What operators' calls do to a worker.
+//! What the calls at the console do to a worker.
 
 use crate::net::lifecycle::console::{self, Call};
 use crate::net::Worker;
 
 impl Worker {
-    /// Answers what operators ask, before any front is looked at; `true` if accepting was broken off.
+    /// Answers the calls at the console, before any frontend is processed. Returns `true` if accepting was paused.
     pub(in crate::net) fn serve_console(&mut self, now: f64) -> bool {
         let Some(console) = &mut self.console else { return false };
         let mut calls = Vec::new();
         let paused = console.gather(now, &mut calls);
         for (id, call) in calls {
-            let reply = self.operators_call(call);
+            let reply = self.handle_operator_call(call);
             if let Some(console) = &mut self.console {
                 console.answer(id, now, &reply);
             }
@@ -18,8 +18,8 @@
         paused
     }
 
-    pub(in crate::net) fn operators_call(&mut self, call: Call) -> console::Reply {
-        let linked = self.servers.is_some() || self.executor.linked();
+    pub(in crate::net) fn handle_operator_call(&mut self, call: Call) -> console::Reply {
+        let linked = self.ajp_servers.is_some() || self.executor.linked();
         match call {
             Call::Ready if self.state.leaving => console::Reply::new(503, "leaving\n"),
             Call::Ready if !self.owns_listeners() => {
@@ -29,24 +29,24 @@
                     if given { "handed over\n" } else { "waiting for the process before\n" },
                 )
             }
-            Call::Ready if self.core.is_none() || !linked => {
+            Call::Ready if self.dispatcher.is_none() || !linked => {
                 console::Reply::new(503, "no link to the executor\n")
             }
             Call::Ready => console::Reply::new(200, "ready\n"),
             Call::Metrics => {
                 let (counts, concurrent) = self
-                    .core
+                    .dispatcher
                     .as_ref()
-                    .map_or((&self.early, 0), |core| (core.metrics(), core.pending_responses()));
+                    .map_or((&self.early_metrics, 0), |core| (core.metrics(), core.pending_responses()));
                 let figures = console::figures(&self.state.known, counts, concurrent);
                 console::Reply::new(200, figures + &self.fleet_figures())
             }
             Call::Drain => {
-                self.drain(true);
+                self.set_draining(true);
                 console::Reply::new(200, "draining\n")
             }
             Call::Resume => {
-                self.drain(false);
+                self.set_draining(false);
                 console::Reply::new(
                     200,
                     if self.state.leaving { "leaving all the same\n" } else { "serving\n" },
@@ -55,15 +55,15 @@
         }
     }
 
-    /// Sends clients away, or lets them come again: health and reports change at once, decisions don't.
-    pub(in crate::net) fn drain(&mut self, on: bool) {
+    /// Sends clients away, or lets them come again: health checks and load reports change at once, decisions don't.
+    pub(in crate::net) fn set_draining(&mut self, on: bool) {
         if self.forward_drain(on) {
             return;
         }
         if self.state.draining != on {
             self.state.draining = on;
             self.log.line(if on { "console: draining" } else { "console: the drain has ended" });
-            self.beat(false);
+            self.report_load(false);
         }
     }
 }
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -1,11 +1,11 @@
-//! SIGHUP: what a running worker takes up of a changed configuration and operator's file.
+//! SIGHUP: what a running worker applies of a changed configuration and operator's file.
 
 use crate::dispatch::Input;
 use crate::net::Worker;
 
 impl Worker {
-    /// Takes up the addresses of a changed configuration. Runs, keys and what is held carry on; calls in hand
-    /// end where they were placed. Guards against a file that is half written or wrong: the old one stays.
+    /// Applies a changed configuration: addresses and the stop time. Runs, keys and queued requests go on; calls in flight
+    /// end where they were made. A file that is half written or wrong leaves the old configuration in place.
     pub(in crate::net) fn reload(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.reload_operator(inputs);
         let next = match self.files.config() {
@@ -27,11 +27,11 @@
             }
         }
         self.log.line(&format!("reload: executor {}", next.executor));
-        self.beat(true);
+        self.report_load(true);
     }
 
-    /// Takes up the operator's pools anew. They are checked against the settings that this worker serves by, which
-    /// a reload does not change.
+    /// Applies changed pools of the operator's file. They are checked against the platform's settings that this worker
+    /// serves by, which a reload does not change.
     pub(in crate::net) fn reload_operator(&mut self, inputs: &mut Vec<Input>) {
         let next = self.files.operator(&self.config).and_then(|next| {
             let plan = next.pools.as_ref().map(|p| p.plan(&self.config.settings)).transpose()?;
@@ -50,7 +50,7 @@
             self.log.line(&format!("reload: pools={pools}"));
             self.settings.pools = plan.clone();
             // Before the core is there it will start with them.
-            if self.core.is_some() {
+            if self.dispatcher.is_some() {
                 inputs.push(Input::Pools(plan));
             }
         }
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -10,11 +10,11 @@
 
 impl Worker {
     /// Carries out one command; an outcome that is known at once becomes an input.
-    pub(in crate::net) fn carry_out(&mut self, now: f64, command: Command, inputs: &mut Vec<Input>) {
+    pub(in crate::net) fn execute(&mut self, now: f64, command: Command, inputs: &mut Vec<Input>) {
         match command {
             Command::Respond(ticket, response) => self.answer(now, ticket, response),
             Command::Run { name, class, body, due } => {
-                if let Some(servers) = &mut self.servers {
+                if let Some(servers) = &mut self.ajp_servers {
                     servers.run(now, name, class, body, due, &mut self.wheel);
                 } else if !self.executor.run(&name, class, &body, &self.state.known) {
                     // Not even queued: it has not run, and will not.
@@ -46,16 +46,16 @@
 
     fn set_health(&mut self, good: bool) {
         self.healthy = good;
-        if self.core.is_some() {
+        if self.dispatcher.is_some() {
             self.state.fit = good;
-            self.beat(false);
+            self.report_load(false);
         }
     }
 
     /// Sends a load report to the registry once the executor is up: a worker that is not good reports `draining`.
-    pub(in crate::net) fn beat(&mut self, due: bool) {
+    pub(in crate::net) fn report_load(&mut self, due: bool) {
         let ready = self.state.good();
-        let listed = self.core.is_some() && self.owns_listeners();
+        let listed = self.dispatcher.is_some() && self.owns_listeners();
         if let Some(registry) = self.registry.as_mut().filter(|_| listed) {
             registry.beat(ready, due);
         }
@@ -73,12 +73,12 @@
     }
 
     /// Rejects what arrives before the executor is up: nothing has run.
-    pub(super) fn turn_away(&mut self, now: f64, inputs: &mut Vec<Input>) {
+    pub(super) fn reject_early(&mut self, now: f64, inputs: &mut Vec<Input>) {
         for input in inputs.drain(..) {
             if let Input::Arrived(request) = input {
                 let response =
                     Response::Rejected { retry_after_s: NOT_UP_RETRY_AFTER_S, stop_retrying: false };
-                self.early.answered(request.class, &response);
+                self.early_metrics.answered(request.class, &response);
                 self.answer(now, request.ticket, response);
             }
         }
--- a/src/net/worker/gather.rs
+++ b/src/net/worker/gather.rs
@@ -24,13 +24,13 @@
     }
 
     fn gather_upstreams(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        match &mut self.servers {
+        match &mut self.ajp_servers {
             Some(servers) => servers.gather(now, &self.state.known, inputs, &mut self.wheel, &mut self.log),
             None => self.executor.gather(now, inputs, &mut self.log),
         }
         self.schedule_relink(now);
-        if self.core.is_none() {
-            self.start_core(now, inputs);
+        if self.dispatcher.is_none() {
+            self.start_dispatcher(now, inputs);
         }
         if let Some(records) = &mut self.records {
             records.gather(now, inputs, &mut self.wheel, &mut self.log);
@@ -38,7 +38,7 @@
     }
 
     fn schedule_relink(&mut self, now: f64) {
-        if self.servers.is_some() || self.relink_timer {
+        if self.ajp_servers.is_some() || self.relink_timer {
             return;
         }
         if let Some(after) = self.executor.relink_in(now) {
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -29,7 +29,7 @@
 use crate::net::io::timer_wheel::Wheel;
 use crate::net::lifecycle::console::Console;
 use crate::net::lifecycle::hot_restart::HotRestart;
-use crate::net::lifecycle::shutdown::Leaving;
+use crate::net::lifecycle::shutdown::Shutdown;
 use crate::net::upstreams::ajp_backend::AjpBackend;
 use crate::net::upstreams::coordinator_link::Fleet;
 use crate::net::upstreams::directory::Directory;
@@ -55,37 +55,37 @@
     pub(in crate::net) operator: Operator,
     pub(in crate::net) settings: Settings,
     /// Absent until the executor is up.
-    pub(in crate::net) core: Option<Dispatcher>,
+    pub(in crate::net) dispatcher: Option<Dispatcher>,
     pub(in crate::net) state: State,
     /// The controller's last word on health; frontends see it once the dispatcher is there.
     pub(in crate::net) healthy: bool,
     pub(in crate::net) idle_s: f64,
     pub(in crate::net) poll: Poll,
     pub(in crate::net) console: Option<Console>,
-    pub(in crate::net) replacement: Option<HotRestart>,
+    pub(in crate::net) hot_restart: Option<HotRestart>,
     /// Requests that were rejected before there was a dispatcher.
-    pub(in crate::net) early: Metrics,
+    pub(in crate::net) early_metrics: Metrics,
     pub(in crate::net) http: HttpFront,
     pub(in crate::net) ajp: Option<AjpFront>,
     pub(in crate::net) http2: Option<Http2Front>,
     pub(in crate::net) directory: Option<Directory>,
     pub(in crate::net) executor: Executor,
     /// AJP servers that run requests instead of the executor.
-    pub(in crate::net) servers: Option<AjpBackend>,
+    pub(in crate::net) ajp_servers: Option<AjpBackend>,
     pub(in crate::net) records: Option<Records>,
     pub(in crate::net) registry: Option<Registry>,
     pub(in crate::net) fleet: Option<Fleet>,
-    pub(in crate::net) leaving: Option<Leaving>,
+    pub(in crate::net) shutdown: Option<Shutdown>,
     /// When connections were first ended for the end of the process.
-    pub(in crate::net) ended: Option<f64>,
+    pub(in crate::net) connections_ended_at: Option<f64>,
     /// When this turn began.
     pub(in crate::net) turn_began: f64,
     /// When the turn before began: what is read now may have come at any time since.
     pub(in crate::net) turn_before: f64,
     /// The inputs of this turn wait for the next one, since the process stalled in between.
-    pub(in crate::net) put_off: bool,
+    pub(in crate::net) deferred: bool,
     /// Inputs that came up too late in a turn to be handed over in it.
-    pub(in crate::net) left_over: Vec<Input>,
+    pub(in crate::net) deferred_inputs: Vec<Input>,
     /// A timer is set that resumes accepting.
     pub(in crate::net) accept_timer: bool,
     /// A timer is set that connects to the executor again.
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -49,7 +49,7 @@
         if let Some(address) = config.console_passed_over {
             log.line(&format!("console: ROUTER_CONSOLE goes before the configuration's {address}"));
         }
-        let replacement = match socket {
+        let hot_restart = match socket {
             Some(socket) => {
                 prepare_hot_restart(&files, &config, &settings, poll, &mut http, socket, &mut log)?
             }
@@ -59,7 +59,7 @@
         wheel.set(clock.now(), SWEEP_S, Timer::Sweep);
         Ok(Worker {
             executor: Executor::new(poll, config.executor, config.settings.domain.own_stats.clone()),
-            servers: operator.backend.clone().map(|settings| AjpBackend::new(poll, settings)),
+            ajp_servers: operator.backend.clone().map(|settings| AjpBackend::new(poll, settings)),
             directory: operator.directory.clone().map(|settings| Directory::new(poll, settings)),
             records: config.records.map(|address| Records::new(poll, address)),
             fleet: fleet_member(&config, &operator, &settings, poll),
@@ -67,18 +67,18 @@
             idle_s: settings.idle_s.max(1.0),
             state: State { known, level: None, fit: false, leaving: false, draining: false, passing: false },
             healthy: true,
-            core: None,
-            leaving: None,
-            ended: None,
+            dispatcher: None,
+            shutdown: None,
+            connections_ended_at: None,
             turn_began: clock.now(),
             turn_before: clock.now(),
-            put_off: false,
-            left_over: Vec::new(),
+            deferred: false,
+            deferred_inputs: Vec::new(),
             accept_timer: false,
             relink_timer: false,
             sweep_due: false,
             done: false,
-            early: Metrics::new(settings.classes.len()),
+            early_metrics: Metrics::new(settings.classes.len()),
             clock,
             log,
             wheel,
@@ -88,7 +88,7 @@
             settings,
             poll: poll.clone(),
             console,
-            replacement,
+            hot_restart,
             http,
             ajp,
             http2,
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -15,9 +15,9 @@
 
 impl Worker {
     /// Starts the dispatcher where the executor has said that it is up, as warm as it says.
-    pub(super) fn start_core(&mut self, now: f64, inputs: &mut Vec<Input>) {
+    pub(super) fn start_dispatcher(&mut self, now: f64, inputs: &mut Vec<Input>) {
         // AJP servers say nothing of their start: they are taken to be up and warm.
-        let servers = self.servers.as_ref().map(|_| Welcome { cold: false, started: now });
+        let servers = self.ajp_servers.as_ref().map(|_| Welcome { cold: false, started: now });
         let Some(welcome) = servers.or(self.executor.welcome()) else { return };
         let settings = self.settings_at_start(now, welcome);
         let result_bytes = self.config.limits.memory_mb * BYTES_PER_MB / RESULT_PART;
@@ -27,17 +27,17 @@
         // Random keys: a client can't make up bodies that have the same fingerprint.
         let random = RandomState::new();
         core.set_fingerprint_key(FingerprintKey(random.hash_one(1), random.hash_one(2)));
-        core.add_metrics(&self.early);
+        core.add_metrics(&self.early_metrics);
         core.set_indeterminate_keys(
-            self.replacement.as_ref().map_or(IndeterminateKeys::None, HotRestart::indeterminate_keys),
+            self.hot_restart.as_ref().map_or(IndeterminateKeys::None, HotRestart::indeterminate_keys),
         );
-        if let Some(leaving) = &self.leaving {
+        if let Some(leaving) = &self.shutdown {
             let shutdown = Input::Shutdown { notice: leaving.at.notice, stop: leaving.at.kill_at };
             core.handle(now, [shutdown], &mut commands);
         }
-        self.core = Some(core);
+        self.dispatcher = Some(core);
         for command in commands {
-            self.carry_out(now, command, &mut Vec::new());
+            self.execute(now, command, &mut Vec::new());
         }
         self.state.fit = self.healthy;
         self.wheel.set(now, 0.0, Timer::Beat);
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -22,13 +22,13 @@
         for (place, readable, writable) in gathered.take() {
             self.mark_ready(place, readable, writable);
         }
-        let mut inputs = std::mem::take(&mut self.left_over);
+        let mut inputs = std::mem::take(&mut self.deferred_inputs);
         // A successor's message goes before the shutdown notice: once the listener is handed over, that is no drain.
         self.receive_hot_restart_frames(now, &mut inputs);
         if std::mem::take(&mut gathered.leave) {
             // Before all that has been read, since the notice may have come before it.
             let mut first = Vec::new();
-            self.leave(now, &mut first);
+            self.begin_shutdown(now, &mut first);
             inputs.splice(0..0, first);
         }
         if std::mem::take(&mut gathered.reload) {
@@ -37,7 +37,7 @@
         self.gather(&mut inputs);
         // Only now: what has come in time goes before the end of that time, also where both are seen in one turn.
         self.run_timers(now, &mut inputs);
-        self.rounds(inputs);
+        self.process_ready(inputs);
         self.fleet_turn(now);
         if std::mem::take(&mut self.sweep_due) {
             self.sweep();
@@ -45,7 +45,7 @@
         if self.has_handed_off() {
             self.follow_exit(now);
         } else {
-            self.follow_leaving();
+            self.advance_shutdown();
         }
     }
 
@@ -56,9 +56,9 @@
             Place::Console(id) => {
                 self.console.iter_mut().for_each(|c| c.connections.mark(id, readable, writable));
             }
-            Place::HandoverListener => self.replacement.iter_mut().for_each(|r| r.links.mark_listener()),
+            Place::HandoverListener => self.hot_restart.iter_mut().for_each(|r| r.links.mark_listener()),
             Place::Handover(id) => {
-                self.replacement.iter_mut().for_each(|r| r.links.mark(id, readable, writable));
+                self.hot_restart.iter_mut().for_each(|r| r.links.mark(id, readable, writable));
             }
             Place::HttpListener => self.http.connections.mark_listener(),
             Place::Http(id) => self.http.connections.mark(id, readable, writable),
@@ -69,7 +69,7 @@
                 self.http2.iter_mut().for_each(|h| h.connections.mark(id, readable, writable));
             }
             Place::Directory(id) => self.directory.iter_mut().for_each(|d| d.mark(id, readable, writable)),
-            Place::AjpServer(id) => self.servers.iter_mut().for_each(|s| s.mark(id, readable, writable)),
+            Place::AjpServer(id) => self.ajp_servers.iter_mut().for_each(|s| s.mark(id, readable, writable)),
             Place::Fleet(id) => self.fleet.iter_mut().for_each(|f| f.mark(id, readable, writable)),
             // Coordinators have such a listener, workers none.
             Place::FleetListener => {}
@@ -80,14 +80,14 @@
 
     /// Gathers what is ready, hands it over and carries out what comes back, until nothing is left that the loop would
     /// not report.
-    pub(in crate::net) fn rounds(&mut self, mut inputs: Vec<Input>) {
-        inputs.splice(0..0, self.left_over.drain(..));
+    pub(in crate::net) fn process_ready(&mut self, mut inputs: Vec<Input>) {
+        inputs.splice(0..0, self.deferred_inputs.drain(..));
         for round in 0..MAX_ROUNDS {
             self.gather(&mut inputs);
             let now = self.clock.now();
             // Guards the grace of a shutdown notice that lies unread: nothing starts before it has been looked for.
-            self.put_off = !self.put_off && self.leaving.is_none() && now > self.turn_began + STALL_S;
-            if self.put_off {
+            self.deferred = !self.deferred && self.shutdown.is_none() && now > self.turn_began + STALL_S;
+            if self.deferred {
                 self.wheel.set(now, 0.0, Timer::Again);
                 break;
             }
@@ -102,19 +102,19 @@
             }
         }
         // Guards the last round's outcomes: a run given back there would otherwise never be answered.
-        self.left_over = inputs;
+        self.deferred_inputs = inputs;
     }
 
     /// Hands the inputs to the dispatcher and carries out its commands; outcomes of commands become inputs again.
     fn dispatch(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let mut commands = Vec::new();
-        match &mut self.core {
+        match &mut self.dispatcher {
             Some(core) if !inputs.is_empty() => core.handle(now, inputs.drain(..), &mut commands),
             Some(_) => {}
-            None => self.turn_away(now, inputs),
+            None => self.reject_early(now, inputs),
         }
         for command in commands {
-            self.carry_out(now, command, inputs);
+            self.execute(now, command, inputs);
         }
     }
 
@@ -124,7 +124,7 @@
             || self.console.as_ref().is_some_and(|c| c.connections.pending())
             || self.ajp.as_ref().is_some_and(|a| a.connections.pending())
             || self.http2.as_ref().is_some_and(|h| h.connections.pending())
-            || self.servers.as_ref().is_some_and(AjpBackend::pending)
+            || self.ajp_servers.as_ref().is_some_and(AjpBackend::pending)
             || self.records.as_ref().is_some_and(Records::pending)
     }
 
@@ -144,7 +144,7 @@
             }
             Timer::Call(number) => self.records.iter_mut().for_each(|records| records.due(number, inputs)),
             Timer::Run(number) => {
-                if let Some(servers) = &mut self.servers {
+                if let Some(servers) = &mut self.ajp_servers {
                     servers.due(now, number, inputs, &mut self.wheel, &mut self.log);
                 }
             }
@@ -152,7 +152,7 @@
                 self.directory.iter_mut().for_each(|directory| directory.due(now, number))
             }
             Timer::Beat => {
-                self.beat(true);
+                self.report_load(true);
                 self.wheel.set(now, BEAT_S, Timer::Beat);
             }
             Timer::Sweep => {
