--- a/src/admission/controller/arrival.rs
+++ b/src/admission/controller/arrival.rs
@@ -94,10 +94,9 @@
 
     /// Whether a request that reached the worker at this time may no longer start, because of a shutdown.
     fn starts_too_late(&self, arrived: f64) -> bool {
-        self.shutdown.is_some_and(|notice| {
-            arrived > notice.received + self.settings.shutdown_grace_s - SWEEP_S
-                || self.now >= notice.stop - SHUTDOWN_MARGIN_S
-        })
+        let Some(notice) = self.shutdown else { return false };
+        let grace_ends = notice.received + self.settings.shutdown_grace_s - SWEEP_S;
+        arrived > grace_ends || self.now >= notice.stop - SHUTDOWN_MARGIN_S
     }
 
     /// Counts an arrival. A retry beyond the fleet's retry budget is rejected, and no load to wait behind.
--- a/src/admission/controller/completion.rs
+++ b/src/admission/controller/completion.rs
@@ -51,10 +51,8 @@
         let unstarted = request.state.is_unstarted();
         let may_run_again = !unstarted && self.class(request.class).is_idempotent();
         let retry_after_s = self.retry_after_s(request.tier, request.class);
-        out.push(match may_run_again {
-            true => Action::Reject { id, retry_after_s, stop_retrying: true },
-            false => Action::Fail(id),
-        });
+        let rejection = Action::Reject { id, retry_after_s, stop_retrying: true };
+        out.push(if may_run_again { rejection } else { Action::Fail(id) });
         self.stop_run(id, out);
         if unstarted {
             self.remove_request(id);
--- a/src/admission/controller/rejection.rs
+++ b/src/admission/controller/rejection.rs
@@ -162,10 +162,9 @@
             let unstarted = self.requests.iter().filter(|(_, request)| request.state.is_unstarted());
             let lowest = unstarted.max_by_key(|(id, request)| (request.tier, *id));
             let Some((id, request)) = lowest else { return };
-            if request.state == RequestState::SharingResponse {
-                self.give_up(id, out);
-            } else {
-                self.reject(id, out);
+            match request.state {
+                RequestState::SharingResponse => self.give_up(id, out),
+                _ => self.reject(id, out),
             }
         }
     }
