--- a/src/admission/controller/arrival.rs
+++ b/src/admission/controller/arrival.rs
@@ -105,7 +105,8 @@
         if retry {
             self.arrivals.count_retry();
         }
-        let rejected = self.overload.as_mut().is_some_and(|overload| overload.arrived(tier, retry));
+        let rejected =
+            self.overload.as_mut().is_some_and(|overload| overload.exceeds_retry_budget(tier, retry));
         if !rejected {
             self.arrivals.count_arrival(tier);
         }
--- a/src/admission/controller/downstream_calls.rs
+++ b/src/admission/controller/downstream_calls.rs
@@ -103,7 +103,7 @@
             let Some(until_s) = self.call_deadline(request) else { return };
             if until_s > self.now && self.last_call_start(request) > self.now {
                 out.push(Action::Call { id, until_s });
-                self.overload.iter_mut().for_each(|overload| overload.called());
+                self.overload.iter_mut().for_each(|overload| overload.call_started());
                 self.transition(id, Some(RequestState::Calling));
             } else {
                 self.skip_downstream_call(id, out);
--- a/src/admission/controller/housekeeping.rs
+++ b/src/admission/controller/housekeeping.rs
@@ -22,7 +22,7 @@
         self.downstream.lengths.advance(self.requests.calling() as f64, elapsed_s);
         let in_hand = self.requests.calling() + self.abandoned_calls.len();
         if let Some(overload) = &mut self.overload {
-            overload.bound_calls(now, in_hand, &mut self.downstream.max_limit, &mut self.downstream.limit);
+            overload.limit_calls(now, in_hand, &mut self.downstream.max_limit, &mut self.downstream.limit);
         }
         if let Some(dependency) = &self.settings.dependency {
             self.downstream.accrue_budget(dependency, in_hand, elapsed_s);
@@ -73,6 +73,6 @@
     pub(super) fn report_load(&mut self, mean_run_s: f64) {
         let Some(overload) = &mut self.overload else { return };
         let waiting = self.requests.waiting_for_call_by_tier().zip(&self.tier_weights);
-        overload.stands(self.run_limit.runs as f64 / mean_run_s, waiting);
+        overload.record_state(self.run_limit.runs as f64 / mean_run_s, waiting);
     }
 }
--- a/src/admission/controller/records.rs
+++ b/src/admission/controller/records.rs
@@ -67,7 +67,7 @@
     /// Whether the fleet has given the dependency up, for runs of this class.
     pub(super) fn fleet_gives_up_call(&self, class: usize) -> bool {
         let idempotent = self.class(class).is_idempotent();
-        self.overload.as_ref().is_some_and(|overload| overload.gives_up_call(idempotent))
+        self.overload.as_ref().is_some_and(|overload| overload.skips_call(idempotent))
     }
 
     /// The idempotency key that this request holds, while no attempt of it has run.
--- a/src/admission/controller/rejection.rs
+++ b/src/admission/controller/rejection.rs
@@ -116,7 +116,7 @@
         let tells_next_attempt = self.fleet_full() && next_attempt_s < max_s * MAX_NEXT_ATTEMPT_FACTOR;
         let min_s = if tells_next_attempt { next_attempt_s } else { 0.0 };
         let alone_s = if self.well { half_wait_s.max(min_s) } else { max_s };
-        self.overload.as_ref().map_or(alone_s, |overload| overload.stay_away_s(tier, alone_s)).min(max_s)
+        self.overload.as_ref().map_or(alone_s, |overload| overload.retry_after_s(tier, alone_s)).min(max_s)
     }
 
     /// Whether other workers are taken to reject as well, so that another attempt would only cost reads.
@@ -133,7 +133,7 @@
         } else {
             arrivals * self.baseline_run_s > FLOOD_FACTOR * cores
         };
-        let fleet_view = self.overload.as_ref().and_then(|overload| overload.fleet_full());
+        let fleet_view = self.overload.as_ref().and_then(|overload| overload.fleet_at_capacity());
         self.shutdown.is_none() && fleet_view.unwrap_or(own_view)
     }
 
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -122,9 +122,9 @@
         self.digest().is_some_and(|digest| digest.circuit_open)
     }
 
-    /// Advances the clock, and the limit on calls in flight. `top` and `room` are the admission control's: its upper bound,
-    /// which is set, and its current limit, which is kept below; where there is more it grows by its own steps.
-    pub fn bound_calls(&mut self, now: f64, in_flight: usize, top: &mut f64, room: &mut f64) {
+    /// Advances the clock, and applies the fleet's limit on calls in flight to the admission control's own: `max_limit` is
+    /// set to it, and `limit` kept below; where there is more, `limit` grows by its own steps.
+    pub fn limit_calls(&mut self, now: f64, in_flight: usize, max_limit: &mut f64, limit: &mut f64) {
         let decay = (-(now - self.now).max(0.0) / PEAK_DECAY_S).exp();
         self.peak = (self.peak * decay).max(in_flight as f64);
         self.now = self.now.max(now);
@@ -134,15 +134,15 @@
         let Some(directive) = &self.directive else { return };
         let slice = if now < directive.slice_until { f64::from(directive.digest.slice) } else { 0.0 };
         let call_share = self.digest().map_or(1.0, |digest| f64::from(digest.call_share));
-        let limit = (self.base_calls - directive.lent + slice) * call_share;
-        let limit = limit.max(self.base_calls.min(MIN_LENDABLE_CALLS));
-        *room = room.min(limit);
-        *top = limit;
+        let fleet_limit = (self.base_calls - directive.lent + slice) * call_share;
+        let fleet_limit = fleet_limit.max(self.base_calls.min(MIN_LENDABLE_CALLS));
+        *limit = limit.min(fleet_limit);
+        *max_limit = fleet_limit;
     }
 
-    /// A first attempt or a retry has arrived. `true` if it is beyond the retry budget: it is rejected immediately, and is no
-    /// load that others would have to wait behind.
-    pub fn arrived(&mut self, tier: usize, is_retry: bool) -> bool {
+    /// Counts a first attempt or a retry that has arrived. `true` if it is beyond the retry budget: it is rejected immediately,
+    /// and is no load that others would have to wait behind.
+    pub fn exceeds_retry_budget(&mut self, tier: usize, is_retry: bool) -> bool {
         if !is_retry {
             self.counts.arrivals[tier.min(MAX_TIERS - 1)] += 1;
             return false;
@@ -163,13 +163,13 @@
     }
 
     /// Whether the fleet has no headroom elsewhere, if that is known.
-    pub fn fleet_full(&self) -> Option<bool> {
+    pub fn fleet_at_capacity(&self) -> Option<bool> {
         self.digest().filter(|digest| digest.workers > 1).map(is_at_capacity)
     }
 
     /// The Retry-After for a rejected request of this tier, where alone it would be `alone_s`: the same while another worker
     /// has headroom, else spread over what the fleet can take, the lower tiers later.
-    pub fn stay_away_s(&self, tier: usize, alone_s: f64) -> f64 {
+    pub fn retry_after_s(&self, tier: usize, alone_s: f64) -> f64 {
         let Some(digest) = self.digest() else { return alone_s };
         if !is_at_capacity(digest) {
             return alone_s;
@@ -180,18 +180,18 @@
     }
 
     /// Whether a call is skipped altogether, since the circuit is open: requests that need it do not wait for it.
-    pub fn gives_up_call(&self, is_idempotent: bool) -> bool {
+    pub fn skips_call(&self, is_idempotent: bool) -> bool {
         self.digest().is_some_and(|digest| digest.circuit_open && !(digest.is_prober && is_idempotent))
     }
 
     /// Whether a call may be made now.
     pub fn may_call(&self, is_idempotent: bool) -> bool {
         let probe_due = self.now - self.last_call_at >= PROBE_INTERVAL_S;
-        !self.gives_up_call(is_idempotent) && (probe_due || !self.is_circuit_open())
+        !self.skips_call(is_idempotent) && (probe_due || !self.is_circuit_open())
     }
 
     /// A call has been made.
-    pub fn called(&mut self) {
+    pub fn call_started(&mut self) {
         self.last_call_at = self.now;
     }
 
@@ -207,7 +207,7 @@
 
     /// The state of the admission control: requests a second that it holds itself capable of, and the requests that wait for
     /// a call, each entry a number of them and their priority weight.
-    pub fn stands<'a>(&mut self, capacity: f64, waiting: impl Iterator<Item = (usize, &'a f64)>) {
+    pub fn record_state<'a>(&mut self, capacity: f64, waiting: impl Iterator<Item = (usize, &'a f64)>) {
         let mut sum = WaitingCalls::default();
         for (count, weight) in waiting {
             sum.count += count as f64;
--- a/src/fleet/overload/policy/tests.rs
+++ b/src/fleet/overload/policy/tests.rs
@@ -13,7 +13,7 @@
 /// A worker at 10 s with a directive that is valid until 12 s, and its slice until 11 s.
 fn advised(digest: FleetDigest, lent: f64) -> OverloadPolicy {
     let mut policy = OverloadPolicy::new(0.0, &settings(4.0));
-    policy.bound_calls(10.0, 0, &mut 4.0, &mut 2.0);
+    policy.limit_calls(10.0, 0, &mut 4.0, &mut 2.0);
     policy.set_directive(OverloadDirective { digest, until: 12.0, slice_until: 11.0, lent });
     policy
 }
@@ -25,7 +25,7 @@
 
 /// The share of a thousand attempts that is beyond the budget.
 fn over(policy: &mut OverloadPolicy, is_retry: bool) -> f64 {
-    (0..1000).filter(|_| policy.arrived(0, is_retry)).count() as f64 / 1000.0
+    (0..1000).filter(|_| policy.exceeds_retry_budget(0, is_retry)).count() as f64 / 1000.0
 }
 
 #[test]
@@ -34,7 +34,7 @@
     assert_eq!([0, 2, 7, 99].map(|tier| shed(&policy, tier, false)), [0.0, 1.0, 1.0, 1.0]);
     assert!((shed(&policy, 1, false) - 0.75).abs() < 0.05);
     assert_eq!(shed(&policy, 2, true), 0.0);
-    assert_eq!(policy.fleet_full(), Some(true));
+    assert_eq!(policy.fleet_at_capacity(), Some(true));
 }
 
 #[test]
@@ -53,20 +53,24 @@
         FleetDigest { level, retry_share: 0.0, call_share: 0.25, circuit_open: true, slice: 8.0, ..digest() },
         1.0,
     );
-    let (mut top, mut room) = (4.0, 2.0);
-    policy.bound_calls(12.0, 0, &mut top, &mut room);
+    let (mut max_limit, mut limit) = (4.0, 2.0);
+    policy.limit_calls(12.0, 0, &mut max_limit, &mut limit);
     assert_eq!(
-        (shed(&policy, 5, false) + over(&mut policy, true), policy.fleet_full(), policy.stay_away_s(5, 0.3)),
+        (
+            shed(&policy, 5, false) + over(&mut policy, true),
+            policy.fleet_at_capacity(),
+            policy.retry_after_s(5, 0.3)
+        ),
         (0.0, None, 0.3)
     );
-    assert!(policy.may_call(false) && !policy.gives_up_call(false));
-    assert_eq!((top, room), (3.0, 2.0), "a loan outlasts the digest");
-    assert_eq!(advised(FleetDigest { workers: 1, level, ..digest() }, 0.0).fleet_full(), None);
+    assert!(policy.may_call(false) && !policy.skips_call(false));
+    assert_eq!((max_limit, limit), (3.0, 2.0), "a loan outlasts the digest");
+    assert_eq!(advised(FleetDigest { workers: 1, level, ..digest() }, 0.0).fleet_at_capacity(), None);
 }
 
 #[test]
 fn the_limit_on_calls_in_flight_follows_share_loan_and_slice() {
-    for (lent, slice, part, now, top) in [
+    for (lent, slice, call_share, now, expected) in [
         (0.0, 0.0, 1.0, 10.5, 4.0),
         (2.0, 0.0, 1.0, 10.5, 2.0),
         (0.0, 6.0, 1.0, 10.5, 10.0),
@@ -74,10 +78,14 @@
         (0.0, 6.0, 0.25, 10.5, 2.5),
         (2.0, 0.0, 0.25, 10.5, 1.0),
     ] {
-        let mut policy = advised(FleetDigest { slice, call_share: part, ..digest() }, lent);
-        let (mut seen, mut room) = (4.0, 2.0);
-        policy.bound_calls(now, 0, &mut seen, &mut room);
-        assert_eq!((seen, room), (top, f64::min(top, 2.0)), "{lent} {slice} {part} {now}");
+        let mut policy = advised(FleetDigest { slice, call_share, ..digest() }, lent);
+        let (mut max_limit, mut limit) = (4.0, 2.0);
+        policy.limit_calls(now, 0, &mut max_limit, &mut limit);
+        assert_eq!(
+            (max_limit, limit),
+            (expected, f64::min(expected, 2.0)),
+            "{lent} {slice} {call_share} {now}"
+        );
     }
 }
 
@@ -85,14 +93,14 @@
 fn an_open_circuit_is_probed_by_one_worker_with_idempotent_calls_twice_a_second() {
     let down = FleetDigest { circuit_open: true, ..digest() };
     let other = advised(down.clone(), 0.0);
-    assert!(other.gives_up_call(true) && !other.may_call(true));
+    assert!(other.skips_call(true) && !other.may_call(true));
     let mut prober = advised(FleetDigest { is_prober: true, ..down }, 0.0);
-    assert!(prober.gives_up_call(false) && !prober.gives_up_call(true));
+    assert!(prober.skips_call(false) && !prober.skips_call(true));
     let mut made = 0;
     for n in 0..100 {
-        prober.bound_calls(10.0 + f64::from(n) * 0.01, 0, &mut 4.0, &mut 2.0);
+        prober.limit_calls(10.0 + f64::from(n) * 0.01, 0, &mut 4.0, &mut 2.0);
         if prober.may_call(true) {
-            prober.called();
+            prober.call_started();
             made += 1;
         }
     }
@@ -102,20 +110,20 @@
 #[test]
 fn retry_after_is_spread_by_tier_where_the_fleet_is_at_capacity() {
     let policy = advised(FleetDigest { level: SheddingLevel { tier: 1, share: 0.0 }, ..digest() }, 0.0);
-    let mean = |tier| (0..1000).map(|_| policy.stay_away_s(tier, 0.1)).sum::<f64>() / 1000.0;
+    let mean = |tier| (0..1000).map(|_| policy.retry_after_s(tier, 0.1)).sum::<f64>() / 1000.0;
     assert!((mean(1) - 4.0).abs() < 0.2 && (mean(3) - 6.0).abs() < 0.3, "{} {}", mean(1), mean(3));
-    assert_eq!(advised(digest(), 0.0).stay_away_s(1, 0.1), 0.1, "another worker has headroom");
+    assert_eq!(advised(digest(), 0.0).retry_after_s(1, 0.1), 0.1, "another worker has headroom");
 }
 
 #[test]
 fn a_sample_holds_rates_since_the_last_one_and_what_was_lately_not_needed() {
     let mut policy = OverloadPolicy::new(0.0, &settings(8.0));
-    assert!((0..10).all(|_| !policy.arrived(1, false)));
-    policy.arrived(0, true);
+    assert!((0..10).all(|_| !policy.exceeds_retry_budget(1, false)));
+    policy.exceeds_retry_budget(0, true);
     policy.call_ended(true, 0.02);
     policy.call_ended(true, 0.04);
     policy.call_ended(false, 0.0);
-    policy.stands(50.0, std::iter::empty());
+    policy.record_state(50.0, std::iter::empty());
     let n = policy.take_sample(0.5, 40, 6);
     assert_eq!(
         (n.arrivals.clone(), n.retries, n.calls_succeeded, n.calls_failed),
@@ -127,9 +135,9 @@
         "its base allocation may have been in use: {n:?}"
     );
     assert_eq!(policy.take_sample(1.0, 40, 6).arrivals, Vec::<f64>::new());
-    policy.bound_calls(60.0, 1, &mut 8.0, &mut 4.0);
+    policy.limit_calls(60.0, 1, &mut 8.0, &mut 4.0);
     assert_eq!(policy.take_sample(60.0, 40, 6).spare, 8.0 - 1.0 - 2.0);
-    policy.stands(50.0, [(2, &5.0), (1, &2.0)].into_iter());
+    policy.record_state(50.0, [(2, &5.0), (1, &2.0)].into_iter());
     let n = policy.take_sample(61.0, 40, 6);
     assert_eq!((n.spare, n.wants, n.weight), (0.0, 3.0, 4.0));
 }
