--- a/src/fleet/overload/capacity_leases/tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -10,39 +10,44 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(f64),
-    /// A worker says what it can spare or wants.
+    /// Time passes (seconds).
+    Elapse(f64),
+    /// A worker reports calls that it can spare, or, where negative, wants.
     Report(usize, f64),
-    /// The next report on a worker's link reaches its leader; the leader answers; the answer reaches the worker.
+    /// The next report on a worker's link reaches its leader.
     Arrive(usize),
+    /// The leader answers the next report.
     Answer(usize),
+    /// The next answer reaches the worker.
     Deliver(usize),
     /// A worker's link is lost; the next one is to the newest leader.
     Reconnect(usize),
+    /// A worker's process is replaced by a new one.
     Restart(usize),
-    Lead,
+    /// Another leader takes over.
+    NewLeader,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let worker = 0..WORKERS;
     let step = prop_oneof![
-        4 => (0.0..1.2f64).prop_map(Step::Pass),
+        4 => (0.0..1.2f64).prop_map(Step::Elapse),
         5 => (worker.clone(), -6.0..6.0f64).prop_map(|(w, spare)| Step::Report(w, spare)),
         5 => worker.clone().prop_map(Step::Arrive),
         5 => worker.clone().prop_map(Step::Answer),
         5 => worker.clone().prop_map(Step::Deliver),
         1 => worker.clone().prop_map(Step::Reconnect),
         1 => worker.prop_map(Step::Restart),
-        1 => Just(Step::Lead),
+        1 => Just(Step::NewLeader),
     ];
     prop::collection::vec(step, 0..200)
 }
 
-/// The guard that is removed.
+/// The guard that a run does without.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Weak {
-    Nothing,
-    /// A new leader gives at once.
+enum RemovedGuard {
+    None,
+    /// A new leader grants immediately.
     NoWait,
     /// A loan counts from when the latest digest went out, whatever the lender had received by then.
     AnyDigest,
@@ -75,13 +80,13 @@
 }
 
 /// Plays the steps; the first total of calls that may be in flight beyond the sum of the base allocations.
-fn first_excess(steps: &[Step], weak: Weak) -> Option<f64> {
+fn first_excess(steps: &[Step], removed: RemovedGuard) -> Option<f64> {
     let (leaders_rate, workers_rate) = (1.0 + DRIFT / 2.0, 1.0 - DRIFT / 2.0);
     // Lenders' clocks are fast: their promises end early; borrowers' are slow, and so hold on for long.
     let rate = |w: usize| if w == 0 { 1.0 + DRIFT / 2.0 } else { workers_rate };
-    let drift = if weak == Weak::NoDrift { 0.0 } else { DRIFT };
-    let new = |w: usize, now: f64, whole: bool| {
-        let began = if whole { now * rate(w) - 100.0 } else { now * rate(w) };
+    let drift = if removed == RemovedGuard::NoDrift { 0.0 } else { DRIFT };
+    let new = |w: usize, now: f64, long_running: bool| {
+        let began = if long_running { now * rate(w) - 100.0 } else { now * rate(w) };
         CapacityClient::new(began, BASE_CALLS, drift)
     };
     let mut now = 1000.0;
@@ -100,7 +105,7 @@
         let leaders_now = now * leaders_rate;
         let newest = leaders.len() - 1;
         match *step {
-            Step::Pass(s) => now += s,
+            Step::Elapse(s) => now += s,
             Step::Report(w, spare) => {
                 let worker = &mut workers[w];
                 worker.number += 1;
@@ -110,7 +115,7 @@
             Step::Arrive(w) => {
                 let worker = &mut workers[w];
                 let Some((number, mut report)) = worker.up.pop_front() else { continue };
-                if weak == Weak::AnyDigest {
+                if removed == RemovedGuard::AnyDigest {
                     let holder = leaders[worker.leader].holders.get(&(w as u64));
                     let newest_digest = holder.and_then(|holder| holder.sent_digests.back());
                     report.last_digest = newest_digest.map_or(0, |digest| digest.number);
@@ -120,7 +125,7 @@
             }
             Step::Answer(w) => {
                 let worker = &mut workers[w];
-                // A leader before has no quorum.
+                // An earlier leader has no quorum.
                 if worker.leader == newest {
                     if let Some((number, received_at)) = worker.received.pop_front() {
                         let grant = leaders[newest].grant(leaders_now, received_at, w as u64);
@@ -142,19 +147,19 @@
                 // The session goes on over another link, the process does not survive a restart.
                 worker.leader = newest;
                 match step {
-                    Step::Restart(_) => worker.client = new(w, now, weak == Weak::FullAllocation),
+                    Step::Restart(_) => worker.client = new(w, now, removed == RemovedGuard::FullAllocation),
                     _ => worker.client.reconnected(),
                 }
             }
-            Step::Lead => {
-                let from = if weak == Weak::NoWait { leaders_now } else { leaders_now + SLICE_S };
+            Step::NewLeader => {
+                let from = if removed == RemovedGuard::NoWait { leaders_now } else { leaders_now + SLICE_S };
                 leaders.push(CapacityLeaseServer::granting_from(from, BASE_CALLS));
             }
         }
-        let may: f64 =
+        let in_flight: f64 =
             workers.iter().enumerate().map(|(w, worker)| worker.client.max_in_flight(now * rate(w))).sum();
-        if may > BASE_CALLS * WORKERS as f64 + 1e-9 {
-            return Some(may);
+        if in_flight > BASE_CALLS * WORKERS as f64 + 1e-9 {
+            return Some(in_flight);
         }
     }
     None
@@ -164,49 +169,64 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn calls_in_flight_never_exceed_the_sum_of_base_allocations(steps in steps()) {
-        prop_assert_eq!(first_excess(&steps, Weak::Nothing), None);
+        prop_assert_eq!(first_excess(&steps, RemovedGuard::None), None);
     }
 }
 
-/// A report with its way there and back.
-fn told(worker: usize, spare: f64) -> Vec<Step> {
+/// A report, its way to the leader, and its answer.
+fn exchange(worker: usize, spare: f64) -> Vec<Step> {
     vec![Step::Report(worker, spare), Step::Arrive(worker), Step::Answer(worker), Step::Deliver(worker)]
 }
 
 /// The first worker has lent a call, and the second has it.
-fn lent() -> Vec<Step> {
-    let wait = vec![Step::Pass(1.2)];
-    [wait, told(0, 3.0), told(0, 3.0), vec![Step::Pass(0.15)], told(1, -3.0)].concat()
+fn one_call_lent() -> Vec<Step> {
+    let wait = vec![Step::Elapse(1.2)];
+    [wait, exchange(0, 3.0), exchange(0, 3.0), vec![Step::Elapse(0.15)], exchange(1, -3.0)].concat()
 }
 
 #[test]
 fn without_any_one_guard_of_loans_and_slices_calls_exceed_the_sum() {
     let again =
-        [vec![Step::Lead, Step::Reconnect(0), Step::Reconnect(2)], told(0, 3.0), told(0, 3.0)].concat();
+        [vec![Step::NewLeader, Step::Reconnect(0), Step::Reconnect(2)], exchange(0, 3.0), exchange(0, 3.0)]
+            .concat();
     let late = vec![
         // The answer to one report is late, and a later report, in which it lends, is on its way for long.
         Step::Report(0, 0.0),
         Step::Arrive(0),
         Step::Report(0, 3.0),
-        Step::Pass(2.9),
+        Step::Elapse(2.9),
         Step::Answer(0),
         Step::Arrive(0),
     ];
-    let end = vec![Step::Pass(0.15)];
-    for (weak, steps) in [
-        (Weak::NoWait, [lent(), again, end.clone(), told(2, -3.0)].concat()),
+    let end = vec![Step::Elapse(0.15)];
+    for (removed, steps) in [
+        (RemovedGuard::NoWait, [one_call_lent(), again, end.clone(), exchange(2, -3.0)].concat()),
         (
-            Weak::AnyDigest,
-            [vec![Step::Pass(1.2)], told(0, 0.0), late, end, told(1, -3.0), vec![Step::Pass(0.4)]].concat(),
+            RemovedGuard::AnyDigest,
+            [
+                vec![Step::Elapse(1.2)],
+                exchange(0, 0.0),
+                late,
+                end,
+                exchange(1, -3.0),
+                vec![Step::Elapse(0.4)],
+            ]
+            .concat(),
         ),
-        (Weak::FullAllocation, [lent(), vec![Step::Restart(0)]].concat()),
+        (RemovedGuard::FullAllocation, [one_call_lent(), vec![Step::Restart(0)]].concat()),
         (
-            Weak::NoDrift,
-            [lent(), vec![Step::Pass(1.75)], told(1, -3.0), vec![Step::Pass(1.0), Step::Pass(0.0)]].concat(),
+            RemovedGuard::NoDrift,
+            [
+                one_call_lent(),
+                vec![Step::Elapse(1.75)],
+                exchange(1, -3.0),
+                vec![Step::Elapse(1.0), Step::Elapse(0.0)],
+            ]
+            .concat(),
         ),
     ] {
-        assert_eq!(first_excess(&steps, Weak::Nothing), None, "{weak:?}");
-        assert!(first_excess(&steps, weak).is_some(), "without {weak:?} nothing is exceeded");
+        assert_eq!(first_excess(&steps, RemovedGuard::None), None, "{removed:?}");
+        assert!(first_excess(&steps, removed).is_some(), "without {removed:?} nothing is exceeded");
     }
 }
 
--- a/src/fleet/session/tests.rs
+++ b/src/fleet/session/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn session(seed: u64) -> Session {
+fn new_session(seed: u64) -> Session {
     let all = (1..=3).map(|n| SocketAddr::from(([127, 0, 0, 1], n))).collect();
     Session::new(0.0, all, seed, ClientMessage::Goodbye)
 }
@@ -13,57 +13,57 @@
 fn reconnections_of_a_fleet_that_is_cut_off_are_spread() {
     let mut at = Vec::new();
     for seed in 1..=300u64 {
-        let mut s = session(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut session = new_session(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut actions = Vec::new();
-        s.tick(10.0, &mut actions);
-        s.receive(10.0, &welcome(1), &mut actions);
-        s.disconnected(20.0);
-        at.push(s.next_wakeup() - 20.0);
+        session.tick(10.0, &mut actions);
+        session.receive(10.0, &welcome(1), &mut actions);
+        session.disconnected(20.0);
+        at.push(session.next_wakeup() - 20.0);
     }
     at.sort_by(f64::total_cmp);
     assert!(at[0] >= 0.05 && at[299] <= 0.7, "{} to {}", at[0], at[299]);
-    let most = at.windows(60).map(|w| w[59] - w[0]).fold(f64::INFINITY, f64::min);
-    assert!(most > 0.05, "60 of 300 come within {most} s");
+    let shortest = at.windows(60).map(|w| w[59] - w[0]).fold(f64::INFINITY, f64::min);
+    assert!(shortest > 0.05, "60 of 300 reconnect within {shortest} s");
 }
 
 #[test]
 fn a_leader_that_does_not_answer_is_abandoned_for_the_next_coordinator() {
-    let mut s = session(5);
+    let mut session = new_session(5);
     let mut actions = Vec::new();
-    s.tick(1.0, &mut actions);
-    s.receive(1.0, &welcome(1), &mut actions);
-    let first = s.coordinator();
-    assert!(s.tick(1.0, &mut actions));
-    s.heartbeat_sent(1.0, 1.0);
-    assert!(s.tick(2.1, &mut actions));
-    s.heartbeat_sent(2.1, 1.0);
+    session.tick(1.0, &mut actions);
+    session.receive(1.0, &welcome(1), &mut actions);
+    let first = session.coordinator();
+    assert!(session.tick(1.0, &mut actions));
+    session.heartbeat_sent(1.0, 1.0);
+    assert!(session.tick(2.1, &mut actions));
+    session.heartbeat_sent(2.1, 1.0);
     actions.clear();
-    s.tick(3.6, &mut actions);
+    session.tick(3.6, &mut actions);
     assert_eq!(actions, vec![LinkAction::Close]);
-    assert_ne!(s.coordinator(), first);
-    assert_eq!(s.number, Some(1), "the session goes on over another coordinator");
+    assert_ne!(session.coordinator(), first);
+    assert_eq!(session.number, Some(1), "the session goes on over another coordinator");
 }
 
 #[test]
 fn a_link_stays_while_heartbeats_are_acknowledged_and_a_named_leader_is_followed() {
-    let mut s = session(5);
+    let mut session = new_session(5);
     let mut actions = Vec::new();
-    s.tick(1.0, &mut actions);
+    session.tick(1.0, &mut actions);
     let named = SocketAddr::from(([127, 0, 0, 1], 3));
-    s.receive(
+    session.receive(
         1.0,
         &ServerMessage::NotLeader { leader: Some(named.to_string()), why: String::new() },
         &mut actions,
     );
-    assert_eq!(s.coordinator(), Some(named));
-    let at = s.next_wakeup();
-    s.tick(at, &mut actions);
-    assert!(s.receive(at, &welcome(4), &mut actions));
+    assert_eq!(session.coordinator(), Some(named));
+    let at = session.next_wakeup();
+    session.tick(at, &mut actions);
+    assert!(session.receive(at, &welcome(4), &mut actions));
     for n in 0..20 {
         let now = at + f64::from(n);
-        assert!(s.tick(now, &mut actions), "{n}");
-        let seq = s.heartbeat_sent(now, 1.0);
-        s.receive(
+        assert!(session.tick(now, &mut actions), "{n}");
+        let seq = session.heartbeat_sent(now, 1.0);
+        session.receive(
             now + 0.9,
             &ServerMessage::HeartbeatAck {
                 seq,
@@ -75,9 +75,9 @@
             &mut actions,
         );
     }
-    assert!(s.is_established());
-    s.disconnected(40.0);
-    let at = s.next_wakeup();
-    s.tick(at, &mut actions);
-    assert!(!s.receive(at, &welcome(4), &mut actions), "the same session");
+    assert!(session.is_established());
+    session.disconnected(40.0);
+    let at = session.next_wakeup();
+    session.tick(at, &mut actions);
+    assert!(!session.receive(at, &welcome(4), &mut actions), "the same session");
 }
