--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, thiserror::Error)]
 enum DiskError {
     #[error("the folder: {0}")]
-    Folder(std::io::Error),
+    Folder(#[source] std::io::Error),
     #[error(transparent)]
     Store(#[from] StoreError),
     #[error("the store is not open")]
