--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -48,7 +48,7 @@
         };
         in_flight.started = true;
         in_flight.last_command = Some(SentCommand { at: effects.now, command: LastCommand::Run });
-        self.metrics.dispatched(in_flight.request.class);
+        self.metrics.record_dispatch(in_flight.request.class);
         effects.commands.push(in_flight.run_command());
     }
 
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -25,7 +25,7 @@
 pub(super) struct Effects<'a> {
     /// The loop's clock (seconds).
     pub(super) now: f64,
-    /// What the controller has not been told yet, in order.
+    /// What is still to be reported to the controller, in order.
     pub(super) events: VecDeque<Event>,
     /// What the event loop is to do, in order.
     pub(super) commands: &'a mut Vec<Command>,
@@ -37,7 +37,10 @@
     }
 }
 
-/// The dispatcher of one worker.
+/// The dispatcher of one worker: it owns the controller, the requests in flight and the idempotency keys.
+///
+/// Each request that goes in with [`Input::Arrived`] comes out with one [`Command::Respond`], unless its client
+/// disconnects first or it is handed off to a successor.
 pub struct Dispatcher {
     pub(super) controller: Controller,
     pub(super) in_flight: InFlightTable,
@@ -60,7 +63,7 @@
     /// Names of requests that run in the predecessor.
     pub(super) running_in_predecessor: HashSet<Rc<str>>,
     pub(super) predecessor_usage: ResourceUsage,
-    /// A successor has taken over and is told about the keys in `updated_keys`.
+    /// A successor has taken over and is sent updates about the keys in `updated_keys`.
     pub(super) handed_off: bool,
     pub(super) updated_keys: Vec<IdempotencyKey>,
 }
@@ -174,7 +177,7 @@
         self.last_id
     }
 
-    /// Tells the controller what has happened, and carries out what it decides, until nothing is left to tell.
+    /// Reports to the controller what has happened, and carries out what it decides, until no event is left.
     pub(super) fn run_controller(&mut self, effects: &mut Effects<'_>) {
         while let Some(event) = effects.events.pop_front() {
             self.controller.handle(effects.now, event, &mut self.actions);
@@ -263,7 +266,7 @@
 
     fn on_client_disconnected(&mut self, ticket: Ticket, effects: &mut Effects<'_>) {
         let Some((id, in_flight)) = self.in_flight.mark_disconnected(ticket) else { return };
-        self.metrics.left(in_flight.request.class);
+        self.metrics.record_disconnect(in_flight.request.class);
         // A run goes on, and its result is retained for the next attempt.
         if !in_flight.started {
             effects.events.push_back(Event::CallerGone(id));
--- a/src/dispatch/in_flight.rs
+++ b/src/dispatch/in_flight.rs
@@ -1,7 +1,7 @@
 //! The table of requests in flight, by number, by name and by the ticket of a pending response.
 
 use super::idempotency::IdempotencyKey;
-use super::{Request, Ticket};
+use super::{Command, Request, Ticket};
 use crate::interface::RequestId;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -74,6 +74,30 @@
         let waits_for_run = matches!(self.last_command, Some(SentCommand { command: LastCommand::Run, .. }));
         !self.run_repeated && waits_for_run
     }
+
+    /// The command that starts its run.
+    pub(super) fn run_command(&self) -> Command {
+        Command::Run {
+            name: self.request.name.clone(),
+            class: self.request.class,
+            body: self.request.body.clone(),
+            due: self.due,
+        }
+    }
+
+    /// The command that lets its run go on without a call; it is noted as the last one.
+    pub(super) fn skip_command(&mut self, mark: u64, now: f64) -> Command {
+        self.last_command = Some(SentCommand { at: now, command: LastCommand::SkipCall { mark } });
+        Command::SkipCall { name: self.request.name.clone(), mark }
+    }
+
+    /// The command that sends its last reply again, unless its run has gone on since.
+    pub(super) fn repeat_reply(&mut self, now: f64) -> Option<Command> {
+        let sent = self.last_command.as_mut()?;
+        let LastCommand::Resume { reply, .. } = &sent.command else { return None };
+        sent.at = now;
+        Some(Command::Resume { name: self.request.name.clone(), reply: reply.clone() })
+    }
 }
 
 /// All requests in flight.
--- a/src/dispatch/lost_commands.rs
+++ b/src/dispatch/lost_commands.rs
@@ -2,7 +2,7 @@
 
 use super::dispatcher::Effects;
 use super::in_flight::{InFlight, LastCommand, SentCommand};
-use super::{Command, Dispatcher};
+use super::Dispatcher;
 use crate::interface::RequestId;
 use std::ops::Range;
 
@@ -17,24 +17,6 @@
     id: RequestId,
 }
 
-impl InFlight {
-    /// The command that starts its run.
-    pub(super) fn run_command(&self) -> Command {
-        Command::Run {
-            name: self.request.name.clone(),
-            class: self.request.class,
-            body: self.request.body.clone(),
-            due: self.due,
-        }
-    }
-
-    /// The command that lets its run go on without a call; it is noted as the last one.
-    pub(super) fn skip_command(&mut self, mark: u64, now: f64) -> Command {
-        self.last_command = Some(SentCommand { at: now, command: LastCommand::SkipCall { mark } });
-        Command::SkipCall { name: self.request.name.clone(), mark }
-    }
-}
-
 impl Dispatcher {
     /// Finds out what still runs after a link broke: each command that may have been lost is given again. Guards the run
     /// slots, which lost runs would hold. A run that goes on takes no harm from a second command to start, one that is
@@ -85,13 +67,3 @@
         });
     }
 }
-
-impl InFlight {
-    /// The command that sends its last reply again, unless its run has gone on since.
-    fn repeat_reply(&mut self, now: f64) -> Option<Command> {
-        let sent = self.last_command.as_mut()?;
-        let LastCommand::Resume { reply, .. } = &sent.command else { return None };
-        sent.at = now;
-        Some(Command::Resume { name: self.request.name.clone(), reply: reply.clone() })
-    }
-}
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -52,14 +52,14 @@
     }
 
     /// The client of a request has disconnected before its end.
-    pub fn left(&mut self, class: usize) {
+    pub fn record_disconnect(&mut self, class: usize) {
         if let Some(counts) = self.0.get_mut(class) {
             counts.error += 1;
         }
     }
 
     /// A run has been dispatched.
-    pub fn dispatched(&mut self, class: usize) {
+    pub fn record_dispatch(&mut self, class: usize) {
         if let Some(counts) = self.0.get_mut(class) {
             counts.dispatches += 1;
         }
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -22,7 +22,7 @@
     Identity,
 }
 
-/// Whether nothing is owed on this connection.
+/// Whether no response is pending on this connection.
 fn is_idle<P>(connection: &Connection<P>) -> bool {
     matches!(connection.stage, Stage::Idle | Stage::Reading)
 }
@@ -124,7 +124,7 @@
         if let Some(http2) = &mut self.http2 {
             http2.connections.socket().into_iter().for_each(|socket| retain(HTTP2, socket));
             http2.connections.stop_listening();
-            // Each connection is told to go.
+            // So that each connection is sent a GOAWAY.
             http2.connections.touch_all();
         }
     }
