--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -23,7 +23,7 @@
 use crate::net::{Clock, ListenError, State};
 use abuse_detection::{AbuseDetector, Allowance, PressureMonitor, Verdict};
 use response_backlog::Waiting;
-use session::Session;
+use session::{IdleOutcome, PollInput, Session};
 use session_admission::SessionAdmission;
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -181,7 +181,7 @@
             }
             Verdict::End => {
                 log.often("http2: a client goes on sending what asks for nothing: it is told to go");
-                session.calm();
+                session.abort_for_abuse();
                 (0, true)
             }
         };
@@ -190,17 +190,19 @@
         if filled == Filled::Ended && c.link.data().is_empty() {
             session.pipe().end();
         }
-        let before = session.taken();
-        let seen = session.look(clock, state, STREAMS_A_LOOK, &|| poll.fresh());
-        conduct.brought(seen.brought);
-        conduct.taken_back(seen.taken_back);
+        let before = session.accepted_streams();
+        let next_ticket = || poll.fresh();
+        let input = PollInput { clock, state, max_streams: STREAMS_A_LOOK, next_ticket: &next_ticket };
+        let seen = session.poll(&input);
+        conduct.brought(seen.request_bytes);
+        conduct.taken_back(seen.reset_bytes);
         if c.link.queued() < QUEUE_MOST {
             let output = session.pipe().drain();
             if !output.is_empty() {
                 c.link.push(output);
             }
         }
-        let (busy, took) = (session.busy(), session.taken() > before);
+        let (busy, took) = (session.has_streams(), session.accepted_streams() > before);
         // More may be there than one look takes; and what could not be fed waits in the link.
         // A client that has run short waits for the sweep.
         let more = n == BYTES_A_LOOK || session.pipe().unread() > 0 && n > 0 || c.link.unread();
@@ -220,7 +222,7 @@
         if !busy && c.link.queued() == 0 && c.stage == Stage::Asked {
             c.step(now, Stage::Idle);
         }
-        for ticket in seen.gone {
+        for ticket in seen.disconnected {
             self.owners.remove(&ticket.0);
             inputs.push(Input::ClientDisconnected(ticket));
         }
@@ -231,10 +233,10 @@
         if flushed.is_err() {
             return self.close(id, inputs);
         }
-        if seen.broke {
+        if seen.protocol_error {
             self.wariness.ran_short(now);
         }
-        if seen.over {
+        if seen.ended {
             return self.finish(id, now, inputs);
         }
         if again {
@@ -260,7 +262,7 @@
 
     fn forget(&mut self, id: u64, inputs: &mut Vec<Input>) {
         let Some(c) = self.connections.get_mut(id) else { return };
-        for ticket in c.memory.session.iter().flat_map(|s| s.0.asked()) {
+        for ticket in c.memory.session.iter().flat_map(|s| s.0.awaiting_response()) {
             self.owners.remove(&ticket.0);
             inputs.push(Input::ClientDisconnected(ticket));
         }
@@ -277,7 +279,7 @@
         let Some(id) = self.owners.remove(&ticket.0) else { return };
         let Some(c) = self.connections.get_mut(id) else { return };
         if let Some((session, _)) = c.memory.session.as_deref_mut() {
-            session.answer(now, ticket, answer, state);
+            session.respond(now, ticket, answer, state);
         }
         self.connections.touch(id);
     }
@@ -294,7 +296,8 @@
         let mut waiting = Vec::new();
         for id in self.connections.ids_where(|c| c.memory.session.is_some()) {
             let Some(c) = self.connections.get_mut(id) else { continue };
-            let bytes = c.memory.session.as_ref().map_or(0, |s| s.0.waiting()) + c.link.queued();
+            let bytes =
+                c.memory.session.as_ref().map_or(0, |s| s.0.pending_response_bytes()) + c.link.queued();
             waiting.push(Waiting { id, bytes });
         }
         for id in response_backlog::too_much(waiting, self.settings.waiting_kb as usize * 1024) {
@@ -302,7 +305,7 @@
             if let Some((session, _)) =
                 self.connections.get_mut(id).and_then(|c| c.memory.session.as_deref_mut())
             {
-                session.calm();
+                session.abort_for_abuse();
             }
             self.finish(id, now, inputs);
         }
@@ -311,7 +314,11 @@
         for id in self.connections.ids_where(|c| c.stage == Stage::Idle) {
             let Some(c) = self.connections.get_mut(id) else { continue };
             let since = c.since();
-            if c.memory.session.as_mut().is_some_and(|s| s.0.rest(now, since, settings, send_away)) {
+            if c.memory
+                .session
+                .as_mut()
+                .is_some_and(|s| s.0.poll_idle(now, since, settings, send_away) == IdleOutcome::Close)
+            {
                 over.push(id);
             }
         }
--- /dev/null
+++ b/src/net/frontends/http2/session/request.rs
@@ -0,0 +1,89 @@
+//! The request of a stream: its head is checked as a whole, its body is collected up to a bound.
+
+use crate::net::frontends::request_fields::{Fault, Fields, BODY_MOST};
+use crate::net::frontends::status_mapping::{target, Fail, Target};
+use crate::net::State;
+use h2::RecvStream;
+use http::header::CONTENT_LENGTH;
+use std::task::{Context, Poll};
+
+/// What HPACK counts for a field beside its name and value (bytes; RFC 7541, section 4.1).
+const FIELD_OVERHEAD_BYTES: usize = 32;
+/// `:method`, `:scheme`, `:authority` and `:path`.
+const PSEUDO_HEADERS: usize = 4;
+
+/// A request whose head has been read and whose body is still to come.
+pub(super) struct IncomingRequest {
+    pub(super) fields: Box<Fields>,
+    pub(super) class: usize,
+    pub(super) body: Vec<u8>,
+    pub(super) receive: RecvStream,
+}
+
+/// Why a body can't be received.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum BodyError {
+    /// It is longer than `BODY_MOST`.
+    TooLong,
+    /// The client has reset the stream before its end.
+    Reset,
+}
+
+impl IncomingRequest {
+    /// Takes what has come of the body; ready once it is complete. `received_bytes` is raised by what was taken. A body
+    /// beyond the bound is not read further: its window stays closed.
+    pub(super) fn poll_body(
+        &mut self,
+        cx: &mut Context,
+        received_bytes: &mut usize,
+    ) -> Poll<Result<(), BodyError>> {
+        loop {
+            let data = match self.receive.poll_data(cx) {
+                Poll::Pending => return Poll::Pending,
+                Poll::Ready(None) => return Poll::Ready(Ok(())),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(BodyError::Reset)),
+                Poll::Ready(Some(Ok(data))) => data,
+            };
+            if self.body.len() + data.len() > BODY_MOST {
+                return Poll::Ready(Err(BodyError::TooLong));
+            }
+            self.body.extend_from_slice(&data);
+            *received_bytes += data.len();
+            // Only what was taken opens the window again.
+            let _ = self.receive.flow_control().release_capacity(data.len());
+        }
+    }
+}
+
+/// The size of a request's head unpacked (bytes; RFC 7541, section 4.1): no less than it took on the wire.
+pub(super) fn unpacked_bytes(head: &http::request::Parts) -> usize {
+    let target = head.method.as_str().len() + head.uri.path_and_query().map_or(0, |p| p.as_str().len());
+    let fields =
+        head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + FIELD_OVERHEAD_BYTES);
+    target + PSEUDO_HEADERS * FIELD_OVERHEAD_BYTES + fields.sum::<usize>()
+}
+
+/// Whether the request has more than one Content-Length. Even two that are equal may be read differently by
+/// intermediaries, which would move the end of the body: the request is malformed (RFC 9113, section 8.1.1).
+pub(super) fn repeats_content_length(head: &http::request::Parts) -> bool {
+    head.headers.get_all(CONTENT_LENGTH).iter().nth(1).is_some()
+}
+
+/// Checks the pseudo-headers and collects the platform's fields.
+pub(super) fn read_head(head: &http::request::Parts, state: &State) -> Result<(Target, Fields), Fail> {
+    let path = head.uri.path_and_query().map_or("", |p| p.as_str());
+    let target = target(head.method.as_str(), path, &state.known)?;
+    let mut fields = Fields::default();
+    for (name, value) in &head.headers {
+        if name == CONTENT_LENGTH {
+            // The codec checks it against the data; here it spares reading a body that is too long anyway.
+            let length = value.to_str().ok().and_then(|v| v.parse::<usize>().ok());
+            if length.map_or(true, |bytes| bytes > BODY_MOST) {
+                return Err(Fail::new(413, "the body is too long"));
+            }
+        } else if let Err(Fault::Field(name)) = fields.note(name.as_str(), value.as_bytes()) {
+            return Err(Fail::new(400, name));
+        }
+    }
+    Ok((target, fields))
+}
--- /dev/null
+++ b/src/net/frontends/http2/session/response.rs
@@ -0,0 +1,106 @@
+//! The response of a stream: its head, and its body as far as the client's windows allow.
+
+use crate::net::frontends::status_mapping::StatusMapping;
+use crate::net::State;
+use bytes::Buf;
+use h2::SendStream;
+use std::ops::Range;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+/// A part of a result that is shared by all responses that carry it; the bytes are never copied for a stream.
+pub(super) struct SharedBytes {
+    all: Rc<[u8]>,
+    part: Range<usize>,
+}
+
+impl SharedBytes {
+    /// The whole of `all`.
+    pub(super) fn new(all: Rc<[u8]>) -> SharedBytes {
+        let part = 0..all.len();
+        SharedBytes { all, part }
+    }
+
+    /// Splits off the first `length` bytes, or all if there are fewer.
+    fn split_to(&mut self, length: usize) -> SharedBytes {
+        let at = (self.part.start + length).min(self.part.end);
+        let first = SharedBytes { all: self.all.clone(), part: self.part.start..at };
+        self.part.start = at;
+        first
+    }
+}
+
+impl Buf for SharedBytes {
+    fn remaining(&self) -> usize {
+        self.part.len()
+    }
+
+    fn chunk(&self) -> &[u8] {
+        &self.all[self.part.clone()]
+    }
+
+    fn advance(&mut self, length: usize) {
+        self.part.start = (self.part.start + length).min(self.part.end);
+    }
+}
+
+/// The body of a response on its way to the client.
+pub(super) struct OutgoingBody {
+    pub(super) stream: SendStream<SharedBytes>,
+    pub(super) rest: SharedBytes,
+}
+
+/// How far a body has come in one poll.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SendProgress {
+    /// The window is closed, and nothing was sent.
+    Blocked,
+    /// Some was sent, and the rest waits for the window.
+    Partial,
+    /// All was handed to the codec, or the stream has been reset.
+    Complete,
+}
+
+impl OutgoingBody {
+    /// Hands the body to the codec as far as the client's windows allow.
+    pub(super) fn poll_send(&mut self, cx: &mut Context) -> SendProgress {
+        self.stream.reserve_capacity(self.rest.remaining());
+        let mut progress = SendProgress::Blocked;
+        loop {
+            let length = self.stream.capacity().min(self.rest.remaining());
+            if length > 0 {
+                let is_last = length == self.rest.remaining();
+                // A stream that has been reset meanwhile is complete as well.
+                if self.stream.send_data(self.rest.split_to(length), is_last).is_err() || is_last {
+                    return SendProgress::Complete;
+                }
+                progress = SendProgress::Partial;
+            } else if !matches!(self.stream.poll_capacity(cx), Poll::Ready(Some(Ok(_)))) {
+                return progress;
+            }
+        }
+    }
+}
+
+/// The head of a response, with the platform's fields; `allow` is empty where no method is to be named.
+pub(super) fn response_head(
+    mapping: &StatusMapping,
+    allow: &str,
+    state: &State,
+) -> Result<http::Response<()>, http::Error> {
+    let length = mapping.body.as_ref().map_or(0, |body| body.len());
+    let mut head = http::Response::builder().status(mapping.code).header("content-length", length);
+    if let Some(ms) = mapping.pushback_ms {
+        head = head.header("x-pushback-ms", ms);
+    }
+    if mapping.stop_trying {
+        head = head.header("x-stop-trying", "1");
+    }
+    if let Some(level) = state.level {
+        head = head.header("x-backend-says", level.to_string());
+    }
+    if !allow.is_empty() {
+        head = head.header("allow", allow);
+    }
+    head.body(())
+}
--- a/src/net/frontends/http2/tests.rs
+++ b/src/net/frontends/http2/tests.rs
@@ -1,7 +1,7 @@
 //! A property of sessions: whatever the interleaving of opened streams, bodies, resets, answers, windows, cuts in the
 //! bytes and a drain, each stream that was taken has one end, and nothing is left over. Seeds are fixed.
 
-use super::session::Session;
+use super::session::{PollInput, Session};
 use super::transport::Pipe;
 use crate::config::{Config, Http2Settings, Operator};
 use crate::dispatch::{Response, Ticket};
@@ -114,19 +114,25 @@
         self.towards_server.drain(..n);
         if !self.over {
             let next = self.next.clone();
-            let fresh = move || {
+            let next_ticket = move || {
                 next.set(next.get() + 1);
                 next.get()
             };
-            let seen = self.session.look(&self.clock, &self.state, 4, &fresh);
-            for request in seen.requests {
+            let input = PollInput {
+                clock: &self.clock,
+                state: &self.state,
+                max_streams: 4,
+                next_ticket: &next_ticket,
+            };
+            let output = self.session.poll(&input);
+            for request in output.requests {
                 assert!(self.requests.insert(request.ticket.0), "a ticket came twice");
             }
-            for ticket in seen.gone {
+            for ticket in output.disconnected {
                 assert!(self.requests.contains(&ticket.0) && !self.answered.contains(&ticket.0));
                 assert!(self.gone.insert(ticket.0), "a caller went twice");
             }
-            self.over = seen.over;
+            self.over = output.ended;
         }
         self.towards_client.extend(self.session.pipe().drain());
         let n = most.min(self.towards_client.len()).min(self.wire.room());
@@ -209,7 +215,7 @@
         } else {
             Response::Served(vec![7; 200].into())
         };
-        self.session.answer(self.clock.now(), Ticket(ticket), answer, &self.state);
+        self.session.respond(self.clock.now(), Ticket(ticket), answer, &self.state);
     }
 }
 
@@ -275,17 +281,17 @@
                 }
                 w.answer(0, false);
                 w.shuttle(9000);
-                if w.open.iter().all(|o| o.ended) && (w.over || !w.session.busy()) {
+                if w.open.iter().all(|o| o.ended) && (w.over || !w.session.has_streams()) {
                     break;
                 }
             }
             if w.over {
-                // The front tells the core of those whom the end of the connection has cut off.
-                let cut_off = w.session.asked();
+                // The frontend tells the dispatcher of those whom the end of the connection has cut off.
+                let cut_off = w.session.awaiting_response();
                 w.gone.extend(cut_off.iter().map(|t| t.0));
             }
             assert!(w.open.iter().all(|o| o.ended), "a stream without an end");
-            assert!(w.over || !w.session.busy(), "something is left over");
+            assert!(w.over || !w.session.has_streams(), "something is left over");
             let ends = w.answered.union(&w.gone).count();
             assert_eq!((ends, w.answered.intersection(&w.gone).count()), (w.requests.len(), 0));
             for open in w.open.iter().filter(|o| !o.was_reset) {
