--- a/src/net/frontends/http2/abuse_detection/tests.rs
+++ b/src/net/frontends/http2/abuse_detection/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 use proptest::prelude::*;
 
-const ALLOWANCE: Allowance =
-    Allowance { most_bytes: 64.0 * 1024.0, bytes_per_s: 4096.0, first_bytes: 12.0 * 1024.0 };
+const BUDGET: OverheadBudget =
+    OverheadBudget { max_bytes: 64.0 * 1024.0, bytes_per_s: 4096.0, reduced_bytes: 12.0 * 1024.0 };
 
-/// Sends so many bytes in pieces every so often, and says what was taken in all and when it was told to go.
-fn flood(mut conduct: AbuseDetector, piece: usize, every_s: f64, for_s: f64) -> (usize, Option<f64>) {
+/// Sends so many bytes in pieces every so often, and says what was taken in all and when it was terminated.
+fn flood(mut account: AbuseDetector, piece: usize, every_s: f64, for_s: f64) -> (usize, Option<f64>) {
     let (mut now, mut taken) = (0.0, 0);
     while now < for_s {
-        match conduct.judge(now, piece) {
-            Verdict::Take(n) => taken += n,
-            Verdict::Wait { .. } => {}
-            Verdict::End => return (taken, Some(now)),
+        match account.charge(now, piece) {
+            ReadDecision::Read(n) => taken += n,
+            ReadDecision::Throttle { .. } => {}
+            ReadDecision::Terminate => return (taken, Some(now)),
         }
         now += every_s;
     }
@@ -19,98 +19,98 @@
 }
 
 #[test]
-fn a_flood_is_read_at_the_pace_of_its_allowance_and_then_told_to_go() {
-    let (taken, ended) = flood(AbuseDetector::new(0.0, ALLOWANCE, false), 8192, 0.001, 60.0);
-    let ended = ended.expect("told to go");
-    assert!((PATIENCE_S..PATIENCE_S + 0.1).contains(&ended), "{ended}");
-    let most = ALLOWANCE.most_bytes + ended * ALLOWANCE.bytes_per_s;
+fn a_flood_is_throttled_to_its_budget_and_then_terminated() {
+    let (taken, ended) = flood(AbuseDetector::new(0.0, BUDGET, false), 8192, 0.001, 60.0);
+    let ended = ended.expect("terminated");
+    assert!((MAX_THROTTLED_S..MAX_THROTTLED_S + 0.1).contains(&ended), "{ended}");
+    let most = BUDGET.max_bytes + ended * BUDGET.bytes_per_s;
     assert!(taken as f64 <= most && taken as f64 > 0.9 * most, "{taken} of {most}");
 }
 
-/// A flood that connects anew whenever it has spent what it began with.
+/// It connects anew whenever it has spent the budget with which a connection begins.
 #[test]
-fn while_a_flood_lasts_new_connections_begin_with_little() {
-    let mut wariness = PressureMonitor::default();
+fn a_flood_gains_nothing_by_connecting_anew() {
+    let mut pressure = PressureMonitor::default();
     let (mut taken, mut now) = (0, 0.0);
     for _ in 0..1000 {
-        let mut conduct = AbuseDetector::new(now, ALLOWANCE, wariness.wary(now));
+        let mut account = AbuseDetector::new(now, BUDGET, pressure.is_elevated(now));
         loop {
-            match conduct.judge(now, 8192) {
-                Verdict::Take(n) => taken += n,
-                Verdict::Wait { first } => {
+            match account.charge(now, 8192) {
+                ReadDecision::Read(n) => taken += n,
+                ReadDecision::Throttle { first } => {
                     assert!(first);
-                    wariness.ran_short(now);
+                    pressure.record_abuse(now);
                     break;
                 }
-                Verdict::End => panic!("at once"),
+                ReadDecision::Terminate => panic!("at once"),
             }
         }
         now += 0.01;
     }
     assert!(taken < 64 * 1024 + 1000 * 12 * 1024, "{taken}");
-    assert!(!wariness.wary(now + WARY_S));
+    assert!(!pressure.is_elevated(now + PRESSURE_S));
 }
 
 #[test]
-fn a_client_that_ran_short_and_asks_again_is_forgiven() {
-    let mut conduct = AbuseDetector::new(0.0, ALLOWANCE, true);
-    assert_eq!(conduct.judge(0.0, 16 * 1024), Verdict::Take(12 * 1024));
-    assert_eq!(conduct.judge(0.0, 100), Verdict::Wait { first: true });
-    assert_eq!(conduct.judge(0.0, 100), Verdict::Wait { first: false });
-    conduct.brought(40 * 1024);
-    assert_eq!(conduct.judge(PATIENCE_S + 1.0, 8192), Verdict::Take(8192));
-    // What it asks for and takes back at once has brought nothing.
-    conduct.taken_back(1 << 20);
-    assert_eq!(conduct.judge(PATIENCE_S + 1.0, 8192), Verdict::Wait { first: true });
-    // Nothing waits: nothing to complain of, however long it rests.
-    assert_eq!(conduct.judge(3.0 * PATIENCE_S, 0), Verdict::Take(0));
+fn a_throttled_client_that_sends_requests_recovers() {
+    let mut account = AbuseDetector::new(0.0, BUDGET, true);
+    assert_eq!(account.charge(0.0, 16 * 1024), ReadDecision::Read(12 * 1024));
+    assert_eq!(account.charge(0.0, 100), ReadDecision::Throttle { first: true });
+    assert_eq!(account.charge(0.0, 100), ReadDecision::Throttle { first: false });
+    account.credit(40 * 1024);
+    assert_eq!(account.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Read(8192));
+    // Requests that are reset immediately earn no credit.
+    account.revoke_credit(1 << 20);
+    assert_eq!(account.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Throttle { first: true });
+    // Without bytes to read a client is not terminated, however long it is idle.
+    assert_eq!(account.charge(3.0 * MAX_THROTTLED_S, 0), ReadDecision::Read(0));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whoever asks is never made to wait, however its requests are cut and however little it began with.
+    /// However its requests are cut, and however little it began with.
     #[test]
-    fn whoever_asks_never_runs_short(
-        wary in any::<bool>(),
+    fn clients_that_send_requests_are_never_throttled(
+        under_pressure in any::<bool>(),
         requests in prop::collection::vec((20usize..8192, 0usize..2048, 1usize..600), 1..200),
     ) {
-        let mut conduct = AbuseDetector::new(0.0, ALLOWANCE, wary);
+        let mut account = AbuseDetector::new(0.0, BUDGET, under_pressure);
         for (head, body, cut) in requests {
             // On the wire: frame heads of nine bytes, a settings or window update now and then.
             let mut wire = 9 + head + body + 9 * body.div_ceil(1024) + 13;
             let unpacked = head + 32 * 8;
             while wire > 0 {
-                let verdict = conduct.judge(0.0, cut.min(wire));
-                prop_assert!(matches!(verdict, Verdict::Take(n) if n > 0), "{verdict:?}");
-                if let Verdict::Take(n) = verdict {
+                let decision = account.charge(0.0, cut.min(wire));
+                prop_assert!(matches!(decision, ReadDecision::Read(n) if n > 0), "{decision:?}");
+                if let ReadDecision::Read(n) = decision {
                     wire -= n;
                 }
             }
-            conduct.brought(unpacked);
-            conduct.brought(body);
+            account.credit(unpacked);
+            account.credit(body);
         }
     }
 
-    /// Of what asks for nothing, never more is taken than the allowance holds, whatever the order of events.
+    /// Never more is read than the budget allows, whatever the order of events.
     #[test]
-    fn what_asks_for_nothing_is_bounded(events in prop::collection::vec((0u8..4, 0usize..10_000), 1..300)) {
-        let mut conduct = AbuseDetector::new(0.0, ALLOWANCE, false);
+    fn bytes_that_belong_to_no_request_are_bounded(events in prop::collection::vec((0u8..4, 0usize..10_000), 1..300)) {
+        let mut account = AbuseDetector::new(0.0, BUDGET, false);
         let (mut now, mut taken, mut brought) = (0.0, 0usize, 0usize);
         for (kind, n) in events {
             match kind {
                 0 => now += n as f64 / 1000.0,
                 1 => {
-                    conduct.brought(n);
+                    account.credit(n);
                     brought += n;
                 }
-                2 => conduct.taken_back(n),
-                _ => if let Verdict::Take(m) = conduct.judge(now, n) {
+                2 => account.revoke_credit(n),
+                _ => if let ReadDecision::Read(m) = account.charge(now, n) {
                     prop_assert!(m <= n);
                     taken += m;
                 },
             }
-            let most = ALLOWANCE.most_bytes + now * ALLOWANCE.bytes_per_s + brought as f64;
+            let most = BUDGET.max_bytes + now * BUDGET.bytes_per_s + brought as f64;
             prop_assert!(taken as f64 <= most + 1.0, "{} of {}", taken, most);
         }
     }
--- /dev/null
+++ b/src/net/frontends/http2/connection.rs
@@ -0,0 +1,291 @@
+//! One connection in one turn: its preface is read, its session fed and polled, and what that produced is carried out.
+
+use super::abuse_detection::{AbuseDetector, PressureMonitor, ReadDecision};
+use super::session::{PollInput, PollOutput, Session};
+use super::{overhead_budget, Http2Front};
+use crate::dispatch::Input;
+use crate::net::frontends::connections::{Connection, Next, Stage};
+use crate::net::io::buffer::Filled;
+use crate::net::io::poll::Poll;
+use crate::net::{Clock, Log, State};
+use std::io;
+
+/// What a client sends first (RFC 9113, section 3.4).
+const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
+/// New streams that a session accepts in one round of polling.
+const MAX_STREAMS_PER_ROUND: usize = 16;
+/// Bytes taken from one connection in one poll; how often it is polled in a turn is bounded by the turn's rounds.
+const MAX_BYTES_PER_POLL: usize = 8 * 1024;
+/// Output that waits for a client's socket before no more is taken from the codec (bytes).
+const MAX_QUEUED_OUTPUT_BYTES: usize = 64 * 1024;
+/// What a client that doesn't speak HTTP/2 is told.
+const PREFACE_EXPECTED: &str = "this port speaks HTTP/2 by prior knowledge\n";
+
+/// What a turn of the event loop gives to the connections that it processes.
+pub(super) struct Turn<'a> {
+    /// When processing of the connection began (seconds).
+    pub(super) now: f64,
+    pub(super) clock: &'a Clock,
+    pub(super) state: &'a State,
+    pub(super) inputs: &'a mut Vec<Input>,
+    pub(super) log: &'a mut Log,
+}
+
+/// A session, and the account of what its client sends that belongs to no request.
+pub(super) struct ActiveSession {
+    pub(super) session: Session,
+    pub(super) overhead: AbuseDetector,
+}
+
+/// What the HTTP/2 frontend keeps of a connection.
+#[derive(Default)]
+pub struct SessionEntry {
+    /// Present from the admitted preface until the codec has ended.
+    pub(super) active: Option<Box<ActiveSession>>,
+    /// What the socket had taken when it last took something (bytes since the connection was accepted).
+    sent_bytes: u64,
+    /// When that was, or when nothing waited to be sent.
+    send_progress_at: f64,
+}
+
+impl SessionEntry {
+    /// How long the client has taken nothing of what waits for it (seconds).
+    pub(super) fn send_stalled_s(&self, now: f64) -> f64 {
+        now - self.send_progress_at
+    }
+}
+
+/// What has come of a connection's preface.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Preface {
+    Complete,
+    /// The first bytes of it, or none yet.
+    Partial,
+    /// Something else.
+    Mismatch,
+}
+
+impl Preface {
+    fn read(received: &[u8]) -> Preface {
+        if received.starts_with(PREFACE) {
+            Preface::Complete
+        } else if PREFACE.starts_with(received) {
+            Preface::Partial
+        } else {
+            Preface::Mismatch
+        }
+    }
+}
+
+/// What one exchange between socket and session has brought.
+struct Exchange {
+    output: PollOutput,
+    /// Whether the session accepted a new stream.
+    accepted: bool,
+    has_streams: bool,
+    /// More may be there than one poll takes.
+    poll_again: bool,
+    flushed: io::Result<()>,
+}
+
+impl Http2Front {
+    /// Reads from a connection, polls its session, writes what that produced, and hands on its requests.
+    pub(super) fn process_connection(&mut self, id: u64, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if connection.stage == Stage::Closing || connection.stage == Stage::Answering {
+            return self.process_ending(id, turn);
+        }
+        if connection.link.flush().is_err() {
+            return self.close(id, turn.inputs);
+        }
+        let filled = connection.link.fill();
+        if filled == Filled::Broken {
+            return self.close(id, turn.inputs);
+        }
+        let has_session = connection.memory.active.is_some();
+        if has_session || self.start_session(id, filled, turn) {
+            self.process_session(id, filled, turn);
+        }
+    }
+
+    /// Goes on with a connection that is being closed.
+    fn process_ending(&mut self, id: u64, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        // Ended by the sweep: whatever its codec still has to send goes out before the end.
+        if connection.memory.active.is_some() {
+            return self.finish(id, turn.now, turn.inputs);
+        }
+        match connection.settle(turn.now) {
+            Next::Close => self.close(id, turn.inputs),
+            Next::Later => self.connections.touch(id),
+            Next::Read | Next::Wait => {}
+        }
+    }
+
+    /// Gives a connection a session once its preface is complete and it is admitted; `true` if it has one.
+    fn start_session(&mut self, id: u64, filled: Filled, turn: &mut Turn) -> bool {
+        let Some(connection) = self.connections.get_mut(id) else { return false };
+        match Preface::read(connection.link.data()) {
+            Preface::Complete => {}
+            Preface::Partial => {
+                self.await_preface(id, filled, turn);
+                return false;
+            }
+            Preface::Mismatch => {
+                reject_protocol(connection, turn.now);
+                self.connections.touch(id);
+                return false;
+            }
+        }
+        if !self.admission.admit(turn.now, id) {
+            connection.link.tighten();
+            return false;
+        }
+        let session = Session::new(&self.settings);
+        let budget = overhead_budget(&self.settings);
+        let overhead = AbuseDetector::new(turn.now, budget, self.pressure.is_elevated(turn.now));
+        connection.memory.active = Some(Box::new(ActiveSession { session, overhead }));
+        true
+    }
+
+    fn await_preface(&mut self, id: u64, filled: Filled, turn: &mut Turn) {
+        if filled == Filled::Ended {
+            return self.close(id, turn.inputs);
+        }
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if connection.link.data().is_empty() {
+            connection.link.shrink();
+        } else if connection.stage == Stage::Idle {
+            connection.step(turn.now, Stage::Reading);
+        }
+    }
+
+    fn process_session(&mut self, id: u64, filled: Filled, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(exchange) = exchange(connection, filled, &self.poll, &mut self.pressure, turn) else {
+            return;
+        };
+        record_progress(connection, &exchange, turn.now);
+        if exchange.accepted {
+            self.admission.release(id);
+        }
+        let output = exchange.output;
+        for ticket in output.disconnected {
+            self.owners.remove(&ticket.0);
+            turn.inputs.push(Input::ClientDisconnected(ticket));
+        }
+        for request in output.requests {
+            self.owners.insert(request.ticket.0, id);
+            turn.inputs.push(Input::Arrived(request));
+        }
+        if exchange.flushed.is_err() {
+            return self.close(id, turn.inputs);
+        }
+        if output.protocol_error {
+            self.pressure.record_abuse(turn.now);
+        }
+        if output.ended {
+            return self.finish(id, turn.now, turn.inputs);
+        }
+        if exchange.poll_again {
+            self.connections.touch(id);
+        }
+    }
+}
+
+/// Answers a client that doesn't speak HTTP/2. Most likely it speaks HTTP/1.1, so the answer is one that it can read.
+fn reject_protocol(connection: &mut Connection<SessionEntry>, now: f64) {
+    let response = format!(
+        "HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{PREFACE_EXPECTED}",
+        PREFACE_EXPECTED.len()
+    );
+    connection.link.push(response.into_bytes());
+    connection.finish(now);
+}
+
+/// Feeds the session as much as its account allows, polls it, and writes its output.
+fn exchange(
+    connection: &mut Connection<SessionEntry>,
+    filled: Filled,
+    poll: &Poll,
+    pressure: &mut PressureMonitor,
+    turn: &mut Turn,
+) -> Option<Exchange> {
+    let link = &mut connection.link;
+    let active = connection.memory.active.as_deref_mut()?;
+    let available = link.data().len().min(active.session.pipe().room()).min(MAX_BYTES_PER_POLL);
+    let decision = decide_read(active, available, pressure, turn);
+    let read_bytes = decision.read_bytes();
+    let session = &mut active.session;
+    session.pipe().feed(&link.data()[..read_bytes]);
+    link.consume(read_bytes);
+    if filled == Filled::Ended && link.data().is_empty() {
+        session.pipe().end();
+    }
+    let accepted_before = session.accepted_streams();
+    let next_ticket = || poll.fresh();
+    let (clock, state) = (turn.clock, turn.state);
+    let output = session.poll(&PollInput {
+        clock,
+        state,
+        max_streams: MAX_STREAMS_PER_ROUND,
+        next_ticket: &next_ticket,
+    });
+    active.overhead.credit(output.request_bytes);
+    active.overhead.revoke_credit(output.reset_bytes);
+    if link.queued() < MAX_QUEUED_OUTPUT_BYTES {
+        let bytes = session.pipe().drain();
+        if !bytes.is_empty() {
+            link.push(bytes);
+        }
+    }
+    // What could not be fed waits in the link. A client over its budget waits for the sweep.
+    let has_more =
+        read_bytes == MAX_BYTES_PER_POLL || session.pipe().unread() > 0 && read_bytes > 0 || link.unread();
+    Some(Exchange {
+        output,
+        accepted: session.accepted_streams() > accepted_before,
+        has_streams: session.has_streams(),
+        poll_again: has_more && matches!(decision, ReadDecision::Read(_)),
+        flushed: link.flush(),
+    })
+}
+
+/// Charges the client for what is read from it; one that goes on beyond its budget is told to go.
+fn decide_read(
+    active: &mut ActiveSession,
+    available: usize,
+    pressure: &mut PressureMonitor,
+    turn: &mut Turn,
+) -> ReadDecision {
+    let decision = active.overhead.charge(turn.now, available);
+    match decision {
+        ReadDecision::Read(_) | ReadDecision::Throttle { first: false } => {}
+        ReadDecision::Throttle { first: true } => {
+            pressure.record_abuse(turn.now);
+            turn.log.often("http2: a client sends much that asks for nothing: it is read slowly");
+        }
+        ReadDecision::Terminate => {
+            turn.log.often("http2: a client goes on sending what asks for nothing: it is told to go");
+            active.session.abort_for_abuse();
+        }
+    }
+    decision
+}
+
+/// Notes what the socket has taken, and moves the connection to the stage that its streams call for.
+fn record_progress(connection: &mut Connection<SessionEntry>, exchange: &Exchange, now: f64) {
+    if connection.link.sent != connection.memory.sent_bytes || connection.link.queued() == 0 {
+        connection.memory.sent_bytes = connection.link.sent;
+        connection.memory.send_progress_at = now;
+    }
+    if exchange.accepted && connection.stage != Stage::Asked {
+        // By way of reading: a connection that has sent a request is not among the silent ones, which are closed first
+        // when descriptors run out.
+        connection.step(now, Stage::Reading);
+        connection.step(now, Stage::Asked);
+    }
+    if !exchange.has_streams && connection.link.queued() == 0 && connection.stage == Stage::Asked {
+        connection.step(now, Stage::Idle);
+    }
+}
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -1,85 +1,82 @@
-//! The HTTP/2 front: cleartext by prior knowledge (RFC 9113), off unless an operator's file has `[http2]`.
+//! The HTTP/2 frontend: cleartext by prior knowledge (RFC 9113), off unless an operator's file has `[http2]`.
 //!
-//! `pipe` and `session` hold one connection without a socket; this file joins them to the loop. What the codec does not
-//! bound is bounded here: bytes and streams taken from one connection in a turn, bodies, answers that wait for windows,
-//! through `lobby` the
-//! sessions of those that have not asked, through `conduct` what asks for nothing, and through `backlog` answers that
-//! wait in all.
+//! `transport` and `session` hold one connection without a socket; this module and `connection` join them to the event
+//! loop. What the codec does not bound is bounded here:
+//!
+//! - bytes and streams taken from one connection in a turn (`connection`), and the sizes of bodies (`session`);
+//! - sessions of clients that have not sent a request (`session_admission`);
+//! - what clients send that belongs to no request (`abuse_detection`);
+//! - how long responses wait for a client (`session`, `sweep`), and how much waits in all (`response_backlog`).
+
+#![warn(missing_docs)]
 
 mod abuse_detection;
+mod connection;
 mod response_backlog;
 mod session;
 mod session_admission;
+mod sweep;
 #[cfg(test)]
 mod tests;
 mod transport;
 
 use crate::config::Http2Settings;
 use crate::dispatch::{Input, Response, Ticket};
-use crate::net::frontends::connections::{Connections, Next, Stage};
-use crate::net::io::buffer::Filled;
+use crate::net::frontends::connections::Connections;
 use crate::net::io::poll::{Place, Poll};
-use crate::net::Log;
-use crate::net::{Clock, ListenError, State};
-use abuse_detection::{AbuseDetector, Allowance, PressureMonitor, Verdict};
-use response_backlog::Waiting;
-use session::{IdleOutcome, PollInput, Session};
+use crate::net::{Clock, ListenError, Log, State};
+use abuse_detection::{OverheadBudget, PressureMonitor};
+use connection::{SessionEntry, Turn};
 use session_admission::SessionAdmission;
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// What a client says first.
-const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 /// Unread bytes that a connection keeps.
-const ROOM: usize = 8 * 1024;
-/// New streams and bytes taken from one connection in one look; looks of a turn are bounded by its rounds.
-const STREAMS_A_LOOK: usize = 16;
-const BYTES_A_LOOK: usize = 8 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 /// Of a connection's first request, what comes beside its fields: preface, settings, frame heads, a body.
-const FIRST_BYTES: f64 = 4096.0;
-/// How long a client may take nothing of what waits for it (seconds).
-const SLOW_ANSWER_S: f64 = 10.0;
+const FIRST_REQUEST_OVERHEAD_BYTES: f64 = 4096.0;
 /// How much longer than its settings say an idle connection lasts at most (seconds).
 const IDLE_MARGIN_S: f64 = 5.0;
-/// Output that waits for a client's socket before the codec is stopped (bytes).
-const QUEUE_MOST: usize = 64 * 1024;
 
-fn allowance(settings: &Http2Settings) -> Allowance {
-    let kb = |n: u32| f64::from(n) * 1024.0;
-    let first_bytes = kb(settings.header_list_kb) + FIRST_BYTES;
-    let most_bytes = kb(settings.overhead_kb).max(first_bytes);
-    Allowance { most_bytes, bytes_per_s: kb(settings.overhead_kb_per_s), first_bytes }
+fn kb_to_bytes(kb: u32) -> f64 {
+    f64::from(kb) * 1024.0
 }
 
-/// A connection's session and account, once its preface is here, and when bytes last went out while some waited.
-#[derive(Default)]
-pub struct Memory {
-    session: Option<Box<(Session, AbuseDetector)>>,
-    sent: u64,
-    sent_at: f64,
+fn overhead_budget(settings: &Http2Settings) -> OverheadBudget {
+    let reduced_bytes = kb_to_bytes(settings.header_list_kb) + FIRST_REQUEST_OVERHEAD_BYTES;
+    let max_bytes = kb_to_bytes(settings.overhead_kb).max(reduced_bytes);
+    OverheadBudget { max_bytes, bytes_per_s: kb_to_bytes(settings.overhead_kb_per_s), reduced_bytes }
 }
 
+/// The HTTP/2 frontend: its listener, its connections, and the bounds that they share.
 pub struct Http2Front {
-    pub connections: Connections<Memory>,
+    /// Its listener and connections.
+    pub connections: Connections<SessionEntry>,
     settings: Http2Settings,
     poll: Poll,
-    /// By ticket: the connection on which its answer is owed.
+    /// By ticket: the connection on which its response is pending.
     owners: HashMap<u64, u64>,
-    wariness: PressureMonitor,
-    lobby: SessionAdmission,
+    pressure: PressureMonitor,
+    admission: SessionAdmission,
 }
 
 impl Http2Front {
-    /// A front that lets nobody in yet.
+    /// A frontend that doesn't listen yet.
     pub fn shut(poll: &Poll, settings: Http2Settings) -> Http2Front {
-        let mut connections = Connections::shut(poll, Place::Http2, ROOM);
+        let mut connections = Connections::shut(poll, Place::Http2, READ_BUFFER_BYTES);
         connections.at_most(settings.connections);
-        let (lobby, wariness) = (SessionAdmission::new(settings.newcomers), PressureMonitor::default());
-        Http2Front { connections, settings, poll: poll.clone(), owners: HashMap::new(), wariness, lobby }
+        Http2Front {
+            connections,
+            poll: poll.clone(),
+            owners: HashMap::new(),
+            pressure: PressureMonitor::default(),
+            admission: SessionAdmission::new(settings.newcomers),
+            settings,
+        }
     }
 
-    /// Lets clients in, at a socket that listens already or at the address of its settings.
+    /// Accepts clients from now on, at a socket that listens already or at the address of its settings.
     pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
         let address = self.settings.listen;
         let opened = match socket {
@@ -89,245 +86,84 @@
         opened.map_err(|source| ListenError { address, source })
     }
 
+    /// Whether the response to this ticket belongs on one of its connections.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.owners.contains_key(&ticket.0)
     }
 
-    /// Accepts and reads; `true` if accepting had to be broken off, or newcomers wait, and another look is wanted.
+    /// Accepts connections and processes those that something happened to; `true` if accepting had to be broken off, or
+    /// connections wait for a session, and it is to be called again soon.
     pub fn gather(&mut self, clock: &Clock, state: &State, inputs: &mut Vec<Input>, log: &mut Log) -> bool {
         let now = clock.now();
-        let paused = self.connections.accept(now);
-        if self.lobby.waits() {
-            self.lobby.keep(|id| self.connections.owns(id));
-            while let Some(moved) = self.lobby.move_up(now) {
-                if let Some(id) = moved.out {
-                    self.finish(id, now, inputs);
-                }
-                self.connections.touch(moved.seated);
-            }
-        }
+        let accept_paused = self.connections.accept(now);
+        self.admit_waiting(now, inputs);
         for id in self.connections.take_touched() {
-            self.look(id, clock, state, inputs, log);
+            let mut turn = Turn { now: clock.now(), clock, state, inputs, log };
+            self.process_connection(id, &mut turn);
         }
-        paused || self.lobby.waits()
+        accept_paused || self.admission.has_waiting()
     }
 
-    fn look(&mut self, id: u64, clock: &Clock, state: &State, inputs: &mut Vec<Input>, log: &mut Log) {
-        let now = clock.now();
-        let Some(c) = self.connections.get_mut(id) else { return };
-        if c.stage == Stage::Closing || c.stage == Stage::Answering {
-            // Swept: whatever its codec still has to say is said before the end.
-            if c.memory.session.is_some() {
-                return self.finish(id, now, inputs);
-            }
-            match c.settle(now) {
-                Next::Close => self.close(id, inputs),
-                Next::Later => self.connections.touch(id),
-                _ => {}
-            }
+    /// Admits connections that wait for a session, as far as there is room.
+    fn admit_waiting(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        if !self.admission.has_waiting() {
             return;
         }
-        if c.link.flush().is_err() {
-            return self.close(id, inputs);
-        }
-        let filled = c.link.fill();
-        if filled == Filled::Broken {
-            return self.close(id, inputs);
-        }
-        if c.memory.session.is_none() {
-            let data = c.link.data();
-            let n = data.len().min(PREFACE.len());
-            if data[..n] != PREFACE[..n] {
-                // Most likely HTTP/1.1: it gets a word that it can read.
-                let words = "this port speaks HTTP/2 by prior knowledge\n";
-                let answer = format!(
-                    "HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{words}",
-                    words.len()
-                );
-                c.link.push(answer.into_bytes());
-                c.close = true;
-                c.step(now, Stage::Answering);
-                return self.connections.touch(id);
-            }
-            if n < PREFACE.len() {
-                if filled == Filled::Ended {
-                    self.close(id, inputs);
-                } else if n > 0 && c.stage == Stage::Idle {
-                    c.step(now, Stage::Reading);
-                } else if n == 0 {
-                    c.link.shrink();
-                }
-                return;
-            }
-            if !self.lobby.enter(now, id) {
-                c.link.tighten();
-                return;
+        self.admission.retain(|id| self.connections.owns(id));
+        while let Some(admitted) = self.admission.admit_next(now) {
+            if let Some(id) = admitted.evicted {
+                self.finish(id, now, inputs);
             }
-            let conduct = AbuseDetector::new(now, allowance(&self.settings), self.wariness.wary(now));
-            c.memory.session = Some(Box::new((Session::new(&self.settings), conduct)));
-        }
-        let poll = self.poll.clone();
-        let Some(both) = &mut c.memory.session else { return };
-        let (session, conduct) = (&mut both.0, &mut both.1);
-        let room = c.link.data().len().min(session.pipe().room()).min(BYTES_A_LOOK);
-        let (n, waits) = match conduct.judge(now, room) {
-            Verdict::Take(n) => (n, false),
-            Verdict::Wait { first } => {
-                if first {
-                    self.wariness.ran_short(now);
-                    log.often("http2: a client sends much that asks for nothing: it is read slowly");
-                }
-                (0, true)
-            }
-            Verdict::End => {
-                log.often("http2: a client goes on sending what asks for nothing: it is told to go");
-                session.abort_for_abuse();
-                (0, true)
-            }
-        };
-        session.pipe().feed(&c.link.data()[..n]);
-        c.link.consume(n);
-        if filled == Filled::Ended && c.link.data().is_empty() {
-            session.pipe().end();
+            self.connections.touch(admitted.id);
         }
-        let before = session.accepted_streams();
-        let next_ticket = || poll.fresh();
-        let input = PollInput { clock, state, max_streams: STREAMS_A_LOOK, next_ticket: &next_ticket };
-        let seen = session.poll(&input);
-        conduct.brought(seen.request_bytes);
-        conduct.taken_back(seen.reset_bytes);
-        if c.link.queued() < QUEUE_MOST {
-            let output = session.pipe().drain();
-            if !output.is_empty() {
-                c.link.push(output);
-            }
-        }
-        let (busy, took) = (session.has_streams(), session.accepted_streams() > before);
-        // More may be there than one look takes; and what could not be fed waits in the link.
-        // A client that has run short waits for the sweep.
-        let more = n == BYTES_A_LOOK || session.pipe().unread() > 0 && n > 0 || c.link.unread();
-        let again = more && !waits;
-        let flushed = c.link.flush();
-        if c.link.sent != c.memory.sent || c.link.queued() == 0 {
-            (c.memory.sent, c.memory.sent_at) = (c.link.sent, now);
-        }
-        if took {
-            self.lobby.leave(id);
-        }
-        if took && c.stage != Stage::Asked {
-            // By way of reading: a connection that has asked is no silent one when some must go.
-            c.step(now, Stage::Reading);
-            c.step(now, Stage::Asked);
-        }
-        if !busy && c.link.queued() == 0 && c.stage == Stage::Asked {
-            c.step(now, Stage::Idle);
-        }
-        for ticket in seen.disconnected {
-            self.owners.remove(&ticket.0);
-            inputs.push(Input::ClientDisconnected(ticket));
-        }
-        for request in seen.requests {
-            self.owners.insert(request.ticket.0, id);
-            inputs.push(Input::Arrived(request));
-        }
-        if flushed.is_err() {
-            return self.close(id, inputs);
-        }
-        if seen.protocol_error {
-            self.wariness.ran_short(now);
-        }
-        if seen.ended {
-            return self.finish(id, now, inputs);
-        }
-        if again {
-            self.connections.touch(id);
+    }
+
+    /// Hands a response of the dispatcher to its stream.
+    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, state: &State) {
+        let Some(id) = self.owners.remove(&ticket.0) else { return };
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if let Some(active) = connection.memory.active.as_deref_mut() {
+            active.session.respond(now, ticket, answer, state);
         }
+        self.connections.touch(id);
+    }
+
+    /// How long the sweep of all frontends leaves an idle connection: longer than its session does, which sends a
+    /// GOAWAY first (seconds).
+    pub fn idle_s(&self) -> f64 {
+        self.settings.idle_s + IDLE_MARGIN_S
     }
 
-    /// The codec is done with a connection: what is queued is written, then it is closed; who is owed an answer on it
-    /// has gone.
+    /// Ends a connection whose codec has ended: what is queued is written, then it is closed. Requests that are pending
+    /// on it have lost their client.
     fn finish(&mut self, id: u64, now: f64, inputs: &mut Vec<Input>) {
-        self.forget(id, inputs);
-        self.lobby.leave(id);
-        let Some(c) = self.connections.get_mut(id) else { return };
-        if let Some((session, _)) = c.memory.session.take().map(|both| *both) {
-            let output = session.pipe().drain();
+        self.disconnect_pending(id, inputs);
+        self.admission.release(id);
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if let Some(active) = connection.memory.active.take() {
+            let output = active.session.pipe().drain();
             if !output.is_empty() {
-                c.link.push(output);
+                connection.link.push(output);
             }
         }
-        c.finish(now);
+        connection.finish(now);
         self.connections.touch(id);
     }
 
-    fn forget(&mut self, id: u64, inputs: &mut Vec<Input>) {
-        let Some(c) = self.connections.get_mut(id) else { return };
-        for ticket in c.memory.session.iter().flat_map(|s| s.0.awaiting_response()) {
-            self.owners.remove(&ticket.0);
-            inputs.push(Input::ClientDisconnected(ticket));
-        }
-    }
-
+    /// Closes a connection immediately.
     fn close(&mut self, id: u64, inputs: &mut Vec<Input>) {
-        self.forget(id, inputs);
-        self.lobby.leave(id);
+        self.disconnect_pending(id, inputs);
+        self.admission.release(id);
         self.connections.close(id);
     }
 
-    /// Hands an answer of the core to its stream.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, state: &State) {
-        let Some(id) = self.owners.remove(&ticket.0) else { return };
-        let Some(c) = self.connections.get_mut(id) else { return };
-        if let Some((session, _)) = c.memory.session.as_deref_mut() {
-            session.respond(now, ticket, answer, state);
-        }
-        self.connections.touch(id);
-    }
-
-    /// Closes clients that take nothing of what waits for them, and has all others looked at: streams that are too
-    /// slow end by time alone. `send_away` says that operators drain this worker: a health check moves no client that
-    /// keeps its connection, so those that rest are told to go, as gently as for idleness.
-    pub fn sweep(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>, log: &mut Log) {
-        let stuck = |m: &Memory, queued: usize| queued > 0 && now - m.sent_at > SLOW_ANSWER_S;
-        for id in self.connections.ids_where(|c| c.stage == Stage::Asked && stuck(&c.memory, c.link.queued()))
-        {
-            self.close(id, inputs);
-        }
-        let mut waiting = Vec::new();
-        for id in self.connections.ids_where(|c| c.memory.session.is_some()) {
-            let Some(c) = self.connections.get_mut(id) else { continue };
-            let bytes =
-                c.memory.session.as_ref().map_or(0, |s| s.0.pending_response_bytes()) + c.link.queued();
-            waiting.push(Waiting { id, bytes });
-        }
-        for id in response_backlog::too_much(waiting, self.settings.waiting_kb as usize * 1024) {
-            log.often("http2: too much waits for clients: who has most of it is told to go");
-            if let Some((session, _)) =
-                self.connections.get_mut(id).and_then(|c| c.memory.session.as_deref_mut())
-            {
-                session.abort_for_abuse();
-            }
-            self.finish(id, now, inputs);
-        }
-        let settings = &self.settings;
-        let mut over = Vec::new();
-        for id in self.connections.ids_where(|c| c.stage == Stage::Idle) {
-            let Some(c) = self.connections.get_mut(id) else { continue };
-            let since = c.since();
-            if c.memory
-                .session
-                .as_mut()
-                .is_some_and(|s| s.0.poll_idle(now, since, settings, send_away) == IdleOutcome::Close)
-            {
-                over.push(id);
-            }
+    /// Tells the dispatcher that nobody waits any more for the responses that are pending on a connection.
+    fn disconnect_pending(&mut self, id: u64, inputs: &mut Vec<Input>) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(active) = &connection.memory.active else { return };
+        for ticket in active.session.awaiting_response() {
+            self.owners.remove(&ticket.0);
+            inputs.push(Input::ClientDisconnected(ticket));
         }
-        over.into_iter().for_each(|id| self.finish(id, now, inputs));
-        self.connections.touch_all();
-    }
-
-    /// How long the common sweep leaves an idle connection: longer than its session does, which says goodbye first.
-    pub fn idle_s(&self) -> f64 {
-        self.settings.idle_s + IDLE_MARGIN_S
     }
 }
--- a/src/net/frontends/http2/response_backlog.rs
+++ b/src/net/frontends/http2/response_backlog.rs
@@ -1,32 +1,36 @@
-//! Answers that wait for clients to take them, bounded in all. No I/O.
+//! Bounds the responses that wait for clients to take them, over all connections. No I/O.
 //!
-//! Each connection's are bounded by its streams, by the size of an answer and by ten seconds; but many connections
-//! together could hold far more than the worker has, while each of them keeps within its bounds.
+//! On each connection they are bounded by its streams, by the size of a response and by time; but many connections
+//! together could hold far more than the worker has memory for, while each of them keeps within its bounds.
+
+use std::cmp::Reverse;
 
 /// What waits for one connection's client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct ResponseBacklog {
+    /// The connection.
     pub id: u64,
+    /// Size of its responses that the client has not taken.
     pub bytes: usize,
 }
 
-/// Connections that are to be ended so that no more than `most` bytes wait: those with the most first, since they are
-/// the fewest, and none that takes what it is sent as it comes loses anything. The order of equals is that of their ids.
-pub fn too_much(mut all: Vec<Waiting>, most: usize) -> Vec<u64> {
-    let mut left: usize = all.iter().map(|w| w.bytes).sum();
-    if left <= most {
+/// Connections that are to be ended so that no more than `max_bytes` wait: those with the largest backlog first, since
+/// they are the fewest, and no client that takes responses as they come loses anything. Equals are ordered by id.
+pub fn largest_beyond(mut backlogs: Vec<ResponseBacklog>, max_bytes: usize) -> Vec<u64> {
+    let mut total_bytes: usize = backlogs.iter().map(|backlog| backlog.bytes).sum();
+    if total_bytes <= max_bytes {
         return Vec::new();
     }
-    all.sort_unstable_by_key(|w| (std::cmp::Reverse(w.bytes), w.id));
-    let mut over = Vec::new();
-    for w in all {
-        if left <= most {
+    backlogs.sort_unstable_by_key(|backlog| (Reverse(backlog.bytes), backlog.id));
+    let mut ended = Vec::new();
+    for backlog in backlogs {
+        if total_bytes <= max_bytes {
             break;
         }
-        left -= w.bytes;
-        over.push(w.id);
+        total_bytes -= backlog.bytes;
+        ended.push(backlog.id);
     }
-    over
+    ended
 }
 
 #[cfg(test)]
--- a/src/net/frontends/http2/session_admission.rs
+++ b/src/net/frontends/http2/session_admission.rs
@@ -1,44 +1,55 @@
-//! Who of the newcomers gets a session. No I/O: connections are numbers, the time is passed in.
+//! Which new connections get a session. No I/O: connections are numbers, the time is passed in.
 //!
-//! A session takes many times the memory of a connection that only stands there, and anybody can have one for a
-//! preface. So connections that have not asked yet share a bounded number of seats. One leaves its seat with its first
-//! request, or when it is closed. Where all are taken, newcomers wait in the order in which they came, and whoever has
-//! sat for [`SILENT_S`] without asking makes room for the first of them. Where nobody waits, nobody is moved.
+//! A session takes many times the memory of a connection without one, and anybody can have one for a preface. So
+//! connections that have not sent a request share a bounded number of slots. One gives up its slot with its first
+//! request, or when it is closed. Where all slots are taken, connections wait in the order in which they came, and
+//! whoever has had a slot for [`MIN_SLOT_S`] without a request is evicted for the first of them. Where nobody waits,
+//! nobody is evicted.
 
 use std::collections::VecDeque;
 
-/// A client that sits for so long without a request may lose its seat to one that waits (seconds).
-pub const SILENT_S: f64 = 0.05;
+/// How long a client keeps its slot without a request, at least, while others wait (seconds).
+pub const MIN_SLOT_S: f64 = 0.05;
 
+/// A connection that has a session and has not sent a request.
+#[derive(Clone, Copy, Debug)]
+struct SlotHolder {
+    since: f64,
+    id: u64,
+}
+
+/// The slots, and the queue for them.
 #[derive(Debug)]
 pub struct SessionAdmission {
-    seats: usize,
-    /// Those that have a session and have not asked, and since when; the oldest first.
-    seated: VecDeque<(f64, u64)>,
+    max_slots: usize,
+    /// The oldest first.
+    holders: VecDeque<SlotHolder>,
+    /// The oldest first.
     waiting: VecDeque<u64>,
 }
 
-/// One has made room for another.
+/// A connection that has waited and got a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Move {
-    /// To be closed; none where a seat was free.
-    pub out: Option<u64>,
-    /// Has a seat now.
-    pub seated: u64,
+pub struct Admitted {
+    /// The connection that lost its slot and is to be closed; none where a slot was free.
+    pub evicted: Option<u64>,
+    /// The connection that has a slot now.
+    pub id: u64,
 }
 
 impl SessionAdmission {
-    pub fn new(seats: usize) -> SessionAdmission {
-        SessionAdmission { seats: seats.max(1), seated: VecDeque::new(), waiting: VecDeque::new() }
+    /// So many slots, at least one, and all of them free.
+    pub fn new(max_slots: usize) -> SessionAdmission {
+        SessionAdmission { max_slots: max_slots.max(1), holders: VecDeque::new(), waiting: VecDeque::new() }
     }
 
-    /// Whether a newcomer has a seat; if not, it waits for one.
-    pub fn enter(&mut self, now: f64, id: u64) -> bool {
-        if self.seated.iter().any(|(_, s)| *s == id) {
+    /// Whether a connection has a slot; if not, it is queued for one.
+    pub fn admit(&mut self, now: f64, id: u64) -> bool {
+        if self.holders.iter().any(|holder| holder.id == id) {
             return true;
         }
-        if self.waiting.is_empty() && self.seated.len() < self.seats {
-            self.seated.push_back((now, id));
+        if self.waiting.is_empty() && self.holders.len() < self.max_slots {
+            self.holders.push_back(SlotHolder { since: now, id });
             return true;
         }
         if !self.waiting.contains(&id) {
@@ -47,38 +58,38 @@
         false
     }
 
-    /// It has asked, or is gone.
-    pub fn leave(&mut self, id: u64) {
-        self.seated.retain(|(_, s)| *s != id);
-        self.waiting.retain(|w| *w != id);
+    /// Gives up a connection's slot or place in the queue: it has sent a request, or is closed.
+    pub fn release(&mut self, id: u64) {
+        self.holders.retain(|holder| holder.id != id);
+        self.waiting.retain(|waiting| *waiting != id);
     }
 
-    /// Forgets those that are gone, by whatever way they went.
-    pub fn keep(&mut self, is_there: impl Fn(u64) -> bool) {
-        self.seated.retain(|(_, id)| is_there(*id));
-        self.waiting.retain(|id| is_there(*id));
+    /// Releases the connections that are not open any more, however they were closed.
+    pub fn retain(&mut self, is_open: impl Fn(u64) -> bool) {
+        self.holders.retain(|holder| is_open(holder.id));
+        self.waiting.retain(|id| is_open(*id));
     }
 
-    /// The next who gets a seat, while there is one for whoever waits.
-    pub fn move_up(&mut self, now: f64) -> Option<Move> {
+    /// Gives a slot to the first in the queue, if one is free or its holder has had it for long enough.
+    pub fn admit_next(&mut self, now: f64) -> Option<Admitted> {
         self.waiting.front()?;
-        let out = if self.seated.len() < self.seats {
+        let evicted = if self.holders.len() < self.max_slots {
             None
         } else {
-            let (since, out) = *self.seated.front()?;
-            if now - since < SILENT_S {
+            let oldest = *self.holders.front()?;
+            if now - oldest.since < MIN_SLOT_S {
                 return None;
             }
-            self.seated.pop_front();
-            Some(out)
+            self.holders.pop_front();
+            Some(oldest.id)
         };
-        let seated = self.waiting.pop_front()?;
-        self.seated.push_back((now, seated));
-        Some(Move { out, seated })
+        let id = self.waiting.pop_front()?;
+        self.holders.push_back(SlotHolder { since: now, id });
+        Some(Admitted { evicted, id })
     }
 
-    /// Whether anybody waits for a seat.
-    pub fn waits(&self) -> bool {
+    /// Whether any connection waits for a slot.
+    pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 }
--- a/src/net/frontends/http2/session_admission/tests.rs
+++ b/src/net/frontends/http2/session_admission/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 use proptest::prelude::*;
 
-/// A little more than the silence after which a seat may be lost.
-const STEP_S: f64 = 1.01 * SILENT_S;
+/// A little more than the time for which a slot is kept.
+const STEP_S: f64 = 1.01 * MIN_SLOT_S;
 
 /// Silent connections by the hundred, each with a preface, made the worker build a session for each.
 #[test]
-fn silent_newcomers_share_the_seats_and_whoever_asks_is_seated_in_time() {
-    let mut lobby = SessionAdmission::new(4);
-    let seated: Vec<bool> = (0..100).map(|id| lobby.enter(0.0, id)).collect();
-    assert_eq!(seated.iter().filter(|s| **s).count(), 4);
-    // Nobody has sat for long yet.
-    assert!(lobby.move_up(0.01).is_none() && lobby.waits());
-    assert!(!lobby.enter(0.01, 1000));
+fn silent_connections_share_the_slots_and_a_waiting_client_is_admitted_in_time() {
+    let mut admission = SessionAdmission::new(4);
+    let admitted: Vec<bool> = (0..100).map(|id| admission.admit(0.0, id)).collect();
+    assert_eq!(admitted.iter().filter(|is| **is).count(), 4);
+    // Nobody has had a slot for long yet.
+    assert!(admission.admit_next(0.01).is_none() && admission.has_waiting());
+    assert!(!admission.admit(0.01, 1000));
     let (mut now, mut closed) = (0.0, 0);
-    while !lobby.enter(now, 1000) {
+    while !admission.admit(now, 1000) {
         now += STEP_S;
-        while let Some(moved) = lobby.move_up(now) {
-            closed += usize::from(moved.out.is_some());
+        while let Some(admitted) = admission.admit_next(now) {
+            closed += usize::from(admitted.evicted.is_some());
         }
     }
     // A hundred before it, four at a time.
@@ -26,45 +26,46 @@
 }
 
 #[test]
-fn where_nobody_waits_whoever_is_silent_keeps_its_seat() {
-    let mut lobby = SessionAdmission::new(2);
-    assert!(lobby.enter(0.0, 1) && lobby.enter(0.0, 2));
-    assert!(lobby.move_up(60.0).is_none() && !lobby.waits());
-    // One that has asked leaves its seat to the next, who waits for no silence.
-    assert!(!lobby.enter(60.0, 3));
-    lobby.leave(2);
-    assert_eq!(lobby.move_up(60.0), Some(Move { out: None, seated: 3 }));
-    assert!(lobby.enter(60.0, 3));
+fn a_silent_connection_is_not_evicted_while_nobody_waits() {
+    let mut admission = SessionAdmission::new(2);
+    assert!(admission.admit(0.0, 1) && admission.admit(0.0, 2));
+    assert!(admission.admit_next(60.0).is_none() && !admission.has_waiting());
+    // One that has sent a request frees its slot for the next, which need not wait.
+    assert!(!admission.admit(60.0, 3));
+    admission.release(2);
+    assert_eq!(admission.admit_next(60.0), Some(Admitted { evicted: None, id: 3 }));
+    assert!(admission.admit(60.0, 3));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Never more sessions than seats, nobody both seated and waiting, and a silent lobby empties in the end.
+    /// Never more sessions than slots, nobody both admitted and waiting, and the queue empties in the end.
     #[test]
-    fn seats_are_never_given_twice(events in prop::collection::vec((0u8..4, 0u64..30), 1..300)) {
-        let (mut lobby, mut now) = (SessionAdmission::new(3), 0.0);
+    fn slots_are_never_given_twice(events in prop::collection::vec((0u8..4, 0u64..30), 1..300)) {
+        let (mut admission, mut now) = (SessionAdmission::new(3), 0.0);
         for (kind, id) in events {
             match kind {
-                0 => drop(lobby.enter(now, id)),
-                1 => lobby.leave(id),
+                0 => drop(admission.admit(now, id)),
+                1 => admission.release(id),
                 2 => now += id as f64 / 500.0,
-                _ => while let Some(moved) = lobby.move_up(now) {
-                    prop_assert_ne!(moved.out, Some(moved.seated));
-                    prop_assert!(lobby.enter(now, moved.seated));
+                _ => while let Some(admitted) = admission.admit_next(now) {
+                    prop_assert_ne!(admitted.evicted, Some(admitted.id));
+                    prop_assert!(admission.admit(now, admitted.id));
                 },
             }
-            prop_assert!(lobby.seated.len() <= 3);
-            prop_assert!(lobby.seated.iter().all(|(_, s)| !lobby.waiting.contains(s)));
-            let mut all: Vec<u64> = lobby.seated.iter().map(|(_, s)| *s).chain(lobby.waiting.iter().copied()).collect();
+            prop_assert!(admission.holders.len() <= 3);
+            prop_assert!(admission.holders.iter().all(|holder| !admission.waiting.contains(&holder.id)));
+            let held = admission.holders.iter().map(|holder| holder.id);
+            let mut all: Vec<u64> = held.chain(admission.waiting.iter().copied()).collect();
             let len = all.len();
             all.sort_unstable();
             all.dedup();
             prop_assert_eq!(all.len(), len);
         }
-        while lobby.waits() {
+        while admission.has_waiting() {
             now += STEP_S;
-            prop_assert!(lobby.move_up(now).is_some());
+            prop_assert!(admission.admit_next(now).is_some());
         }
     }
 }
--- /dev/null
+++ b/src/net/frontends/http2/sweep.rs
@@ -0,0 +1,76 @@
+//! What ends HTTP/2 connections by time or by their size: stalled clients, large response backlogs, idleness.
+
+use super::response_backlog::{largest_beyond, ResponseBacklog};
+use super::session::IdleOutcome;
+use super::Http2Front;
+use crate::dispatch::Input;
+use crate::net::frontends::connections::Stage;
+use crate::net::Log;
+
+/// How long a client may take nothing of what waits for it (seconds).
+const MAX_SEND_STALL_S: f64 = 10.0;
+
+impl Http2Front {
+    /// Ends connections that are due, and has all others processed: streams that are too slow end by time alone.
+    /// `send_away` says that operators drain this worker: a health check moves no client that keeps its connection, so
+    /// idle ones are sent a GOAWAY as if they had been idle for long.
+    pub fn sweep(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>, log: &mut Log) {
+        self.close_stalled(now, inputs);
+        self.end_largest_backlogs(now, inputs, log);
+        self.end_idle(now, send_away, inputs);
+        self.connections.touch_all();
+    }
+
+    /// Closes clients that take nothing of what waits for them.
+    fn close_stalled(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        let stalled = self.connections.ids_where(|connection| {
+            connection.stage == Stage::Asked
+                && connection.link.queued() > 0
+                && connection.memory.send_stalled_s(now) > MAX_SEND_STALL_S
+        });
+        for id in stalled {
+            self.close(id, inputs);
+        }
+    }
+
+    /// Ends the connections with the most pending output while more waits than the settings allow.
+    fn end_largest_backlogs(&mut self, now: f64, inputs: &mut Vec<Input>, log: &mut Log) {
+        let backlogs = self.response_backlogs();
+        for id in largest_beyond(backlogs, self.settings.waiting_kb as usize * 1024) {
+            log.often("http2: too much waits for clients: who has most of it is told to go");
+            let connection = self.connections.get_mut(id);
+            if let Some(active) = connection.and_then(|c| c.memory.active.as_deref_mut()) {
+                active.session.abort_for_abuse();
+            }
+            self.finish(id, now, inputs);
+        }
+    }
+
+    fn response_backlogs(&mut self) -> Vec<ResponseBacklog> {
+        let mut backlogs = Vec::new();
+        for id in self.connections.ids_where(|c| c.memory.active.is_some()) {
+            let Some(connection) = self.connections.get_mut(id) else { continue };
+            let Some(active) = &connection.memory.active else { continue };
+            let bytes = active.session.pending_response_bytes() + connection.link.queued();
+            backlogs.push(ResponseBacklog { id, bytes });
+        }
+        backlogs
+    }
+
+    /// Checks on clients without a stream, and ends those that don't answer.
+    fn end_idle(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>) {
+        let mut overdue = Vec::new();
+        for id in self.connections.ids_where(|connection| connection.stage == Stage::Idle) {
+            let Some(connection) = self.connections.get_mut(id) else { continue };
+            let idle_since = connection.since();
+            let Some(active) = &mut connection.memory.active else { continue };
+            let outcome = active.session.poll_idle(now, idle_since, &self.settings, send_away);
+            if outcome == IdleOutcome::Close {
+                overdue.push(id);
+            }
+        }
+        for id in overdue {
+            self.finish(id, now, inputs);
+        }
+    }
+}
--- a/src/net/frontends/http2/transport.rs
+++ b/src/net/frontends/http2/transport.rs
@@ -1,5 +1,5 @@
-//! The transport that stands between the codec and the loop: bytes that the loop has read go in, bytes that it is to
-//! write come out. Both sides are bounded, so that a peer that does not read stops the codec, not the memory.
+//! The transport between the codec and the event loop: bytes that the loop has read go in, bytes that it is to write
+//! come out. Both directions are bounded, so that a peer that doesn't read stops the codec and takes no more memory.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,42 +9,44 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that wait for the codec, and for the loop, at most.
-pub const INPUT_MOST: usize = 16 * 1024;
-pub const OUTPUT_MOST: usize = 64 * 1024;
+/// Bytes that wait for the codec at most.
+pub const MAX_INPUT_BYTES: usize = 16 * 1024;
+/// Bytes that wait for the event loop at most.
+pub const MAX_OUTPUT_BYTES: usize = 64 * 1024;
 
 #[derive(Default)]
-struct Shared {
+struct Buffers {
     input: VecDeque<u8>,
     output: Vec<u8>,
-    ended: bool,
+    input_ended: bool,
 }
 
 /// One end of the pipe; the codec has a clone of it.
 #[derive(Clone, Default)]
-pub struct Pipe(Rc<RefCell<Shared>>);
+pub struct Pipe(Rc<RefCell<Buffers>>);
 
 impl Pipe {
-    /// How many more bytes the codec's side takes now.
+    /// How many more bytes may be fed to the codec now.
     pub fn room(&self) -> usize {
-        INPUT_MOST.saturating_sub(self.0.borrow().input.len())
+        MAX_INPUT_BYTES.saturating_sub(self.0.borrow().input.len())
     }
 
-    /// Bytes that the codec has not taken yet.
+    /// Bytes that the codec has not read yet.
     pub fn unread(&self) -> usize {
         self.0.borrow().input.len()
     }
 
+    /// Hands bytes to the codec; the caller keeps within [`Pipe::room`].
     pub fn feed(&self, bytes: &[u8]) {
         self.0.borrow_mut().input.extend(bytes);
     }
 
     /// The peer will send no more.
     pub fn end(&self) {
-        self.0.borrow_mut().ended = true;
+        self.0.borrow_mut().input_ended = true;
     }
 
-    /// What is to be written.
+    /// Takes what the codec has written.
     pub fn drain(&self) -> Vec<u8> {
         std::mem::take(&mut self.0.borrow_mut().output)
     }
@@ -52,27 +54,27 @@
 
 impl AsyncRead for Pipe {
     fn poll_read(self: Pin<&mut Self>, _: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut shared = self.0.borrow_mut();
-        if shared.input.is_empty() {
-            return if shared.ended { Poll::Ready(Ok(())) } else { Poll::Pending };
+        let mut buffers = self.0.borrow_mut();
+        if buffers.input.is_empty() {
+            return if buffers.input_ended { Poll::Ready(Ok(())) } else { Poll::Pending };
         }
-        let (first, _) = shared.input.as_slices();
-        let n = first.len().min(buf.remaining());
-        buf.put_slice(&first[..n]);
-        shared.input.drain(..n);
+        let (first, _) = buffers.input.as_slices();
+        let length = first.len().min(buf.remaining());
+        buf.put_slice(&first[..length]);
+        buffers.input.drain(..length);
         Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for Pipe {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let mut shared = self.0.borrow_mut();
-        let n = buf.len().min(OUTPUT_MOST.saturating_sub(shared.output.len()));
-        if n == 0 && !buf.is_empty() {
+        let mut buffers = self.0.borrow_mut();
+        let length = buf.len().min(MAX_OUTPUT_BYTES.saturating_sub(buffers.output.len()));
+        if length == 0 && !buf.is_empty() {
             return Poll::Pending;
         }
-        shared.output.extend_from_slice(&buf[..n]);
-        Poll::Ready(Ok(n))
+        buffers.output.extend_from_slice(&buf[..length]);
+        Poll::Ready(Ok(length))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
