--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -5,7 +5,7 @@
 use super::{overhead_budget, Http2Front};
 use crate::dispatch::Input;
 use crate::net::frontends::connections::{Connection, Next, Stage};
-use crate::net::io::buffer::Filled;
+use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::Poll;
 use crate::net::{Clock, Log, State};
 use std::io;
@@ -25,18 +25,39 @@
 pub(super) struct Turn<'a> {
     /// When processing of the connection began (seconds).
     pub(super) now: f64,
+    /// The worker's clock.
     pub(super) clock: &'a Clock,
+    /// The worker's state, as far as frontends know it.
     pub(super) state: &'a State,
+    /// What goes to the dispatcher at the end of the turn.
     pub(super) inputs: &'a mut Vec<Input>,
+    /// The worker's log.
     pub(super) log: &'a mut Log,
 }
 
 /// A session, and the account of what its client sends that belongs to no request.
 pub(super) struct ActiveSession {
+    /// The codec and its streams.
     pub(super) session: Session,
+    /// What the client may still send that belongs to no request.
     pub(super) overhead: AbuseDetector,
 }
 
+impl ActiveSession {
+    /// Polls the session, and settles what its requests have brought with the account.
+    fn poll(&mut self, poll: &Poll, turn: &Turn) -> PollOutput {
+        let output = self.session.poll(&PollInput {
+            clock: turn.clock,
+            state: turn.state,
+            max_streams: MAX_STREAMS_PER_ROUND,
+            next_ticket: &|| poll.fresh(),
+        });
+        self.overhead.credit(output.request_bytes);
+        self.overhead.revoke_credit(output.reset_bytes);
+        output
+    }
+}
+
 /// What the HTTP/2 frontend keeps of a connection.
 #[derive(Default)]
 pub struct SessionEntry {
@@ -82,9 +103,11 @@
     output: PollOutput,
     /// Whether the session accepted a new stream.
     accepted: bool,
+    /// Whether any stream is open.
     has_streams: bool,
     /// More may be there than one poll takes.
     poll_again: bool,
+    /// Whether the socket could be written to.
     flushed: io::Result<()>,
 }
 
@@ -216,28 +239,12 @@
     let available = link.data().len().min(active.session.pipe().room()).min(MAX_BYTES_PER_POLL);
     let decision = decide_read(active, available, pressure, turn);
     let read_bytes = decision.read_bytes();
-    let session = &mut active.session;
-    session.pipe().feed(&link.data()[..read_bytes]);
-    link.consume(read_bytes);
-    if filled == Filled::Ended && link.data().is_empty() {
-        session.pipe().end();
-    }
-    let accepted_before = session.accepted_streams();
-    let next_ticket = || poll.fresh();
-    let (clock, state) = (turn.clock, turn.state);
-    let output = session.poll(&PollInput {
-        clock,
-        state,
-        max_streams: MAX_STREAMS_PER_ROUND,
-        next_ticket: &next_ticket,
-    });
-    active.overhead.credit(output.request_bytes);
-    active.overhead.revoke_credit(output.reset_bytes);
+    feed(&active.session, link, read_bytes, filled);
+    let accepted_before = active.session.accepted_streams();
+    let output = active.poll(poll, turn);
+    let session = &active.session;
     if link.queued() < MAX_QUEUED_OUTPUT_BYTES {
-        let bytes = session.pipe().drain();
-        if !bytes.is_empty() {
-            link.push(bytes);
-        }
+        queue_output(session, link);
     }
     // What could not be fed waits in the link. A client over its budget waits for the sweep.
     let has_more =
@@ -251,6 +258,23 @@
     })
 }
 
+/// Moves so many bytes from the socket's buffer to the codec, and tells it when the client has sent its last.
+fn feed(session: &Session, link: &mut Link, length: usize, filled: Filled) {
+    session.pipe().feed(&link.data()[..length]);
+    link.consume(length);
+    if filled == Filled::Ended && link.data().is_empty() {
+        session.pipe().end();
+    }
+}
+
+/// Queues what the codec has written for the socket.
+pub(super) fn queue_output(session: &Session, link: &mut Link) {
+    let output = session.pipe().drain();
+    if !output.is_empty() {
+        link.push(output);
+    }
+}
+
 /// Charges the client for what is read from it; one that goes on beyond its budget is told to go.
 fn decide_read(
     active: &mut ActiveSession,
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -16,8 +16,6 @@
 mod session;
 mod session_admission;
 mod sweep;
-#[cfg(test)]
-mod tests;
 mod transport;
 
 use crate::config::Http2Settings;
@@ -26,7 +24,7 @@
 use crate::net::io::poll::{Place, Poll};
 use crate::net::{Clock, ListenError, Log, State};
 use abuse_detection::{OverheadBudget, PressureMonitor};
-use connection::{SessionEntry, Turn};
+use connection::{queue_output, SessionEntry, Turn};
 use session_admission::SessionAdmission;
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -141,10 +139,7 @@
         self.admission.release(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
         if let Some(active) = connection.memory.active.take() {
-            let output = active.session.pipe().drain();
-            if !output.is_empty() {
-                connection.link.push(output);
-            }
+            queue_output(&active.session, &mut connection.link);
         }
         connection.finish(now);
         self.connections.touch(id);
--- a/src/net/frontends/http2/session/mod.rs
+++ b/src/net/frontends/http2/session/mod.rs
@@ -249,3 +249,6 @@
         any_advanced
     }
 }
+
+#[cfg(test)]
+mod tests;
