--- a/src/net/frontends/ajp.rs
+++ b/src/net/frontends/ajp.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::{Input, Response, Ticket};
 use crate::interface::Idempotency;
 use crate::net::frontends::connections::{Connection, Connections, Next, Stage, STEPS_MOST};
-use crate::net::frontends::request_fields::{Fault, Fields, BODY_MOST};
+use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
 use crate::net::upstreams::ajp_codec::{
@@ -20,7 +20,7 @@
     tenant: Option<usize>,
     /// Whom the directory is to be asked for.
     identity: Option<String>,
-    fields: Fields,
+    fields: RequestFields,
     /// The length of the body, where the head told it.
     length: Option<usize>,
     body: Vec<u8>,
@@ -130,7 +130,7 @@
                     c.finish(now);
                     continue;
                 };
-                let (ended, room) = (chunk.is_empty(), BODY_MOST + BODY_CHUNK_MOST);
+                let (ended, room) = (chunk.is_empty(), MAX_BODY_BYTES + BODY_CHUNK_MOST);
                 if let Some(p) = c.memory.0.as_mut().filter(|p| p.body.len() < room) {
                     p.body.extend_from_slice(chunk);
                 }
@@ -188,7 +188,7 @@
         let Some(c) = self.connections.get_mut(id) else { return };
         let Some(p) = &c.memory.0 else { return };
         let have = p.body.len();
-        let reject = if have > p.length.unwrap_or(BODY_MOST) {
+        let reject = if have > p.length.unwrap_or(MAX_BODY_BYTES) {
             Some(Reject(413, "the body is too long"))
         } else if ended && p.length.is_some_and(|n| have < n) {
             Some(Reject(400, "the body is too short"))
@@ -297,10 +297,10 @@
     }
 }
 
-fn reject(fault: Fault) -> Reject {
+fn reject(fault: FieldError) -> Reject {
     match fault {
-        Fault::UnknownTenant => Reject(403, "unknown tenant"),
-        Fault::Field(name) => Reject(400, name),
+        FieldError::UnknownTenant => Reject(403, "unknown tenant"),
+        FieldError::Field(name) => Reject(400, name),
     }
 }
 
@@ -348,7 +348,7 @@
         return Err(Reject(403, "the secret is wrong"));
     }
     let (mut length, mut chunked) = (None, false);
-    let mut fields = Fields::default();
+    let mut fields = RequestFields::default();
     for (name, value) in &f.headers {
         if name.eq_ignore_ascii_case("content-length") {
             // Digits alone, as on the other front: a sign could be read another way elsewhere.
@@ -375,7 +375,7 @@
     if !(f.method == "POST" || safe && f.method == "GET") {
         return Err(Reject(405, "the method is not taken here"));
     }
-    if length.is_some_and(|n| n > BODY_MOST) {
+    if length.is_some_and(|n| n > MAX_BODY_BYTES) {
         return Err(Reject(413, "the body is too long"));
     }
     // Turned away before the core: without a key nothing could keep it from running twice.
@@ -396,7 +396,7 @@
         let name = settings.tenant_of(f.remote_user, f.server_name);
         tenant = Some(name.and_then(|n| state.known.tenant(n)).ok_or(Reject(403, "unknown tenant"))?);
     }
-    fields.arrived_at(unix_ms);
+    fields.set_default_arrival(unix_ms);
     let length = if chunked { None } else { Some(length.unwrap_or(0)) };
     Ok(Pending { class, tenant, identity, fields, length, body: Vec::new() })
 }
--- a/src/net/frontends/http1.rs
+++ b/src/net/frontends/http1.rs
@@ -2,8 +2,8 @@
 
 use crate::dispatch::{Input, Request, Response, Ticket};
 use crate::net::frontends::connections::{Connections, Next, Stage, STEPS_MOST};
-use crate::net::frontends::request_fields::{Catalog, Fault, Fields, BODY_MOST};
-use crate::net::frontends::status_mapping::{meaning, target, Fail, Target};
+use crate::net::frontends::request_fields::{Catalog, FieldError, RequestFields, MAX_BODY_BYTES};
+use crate::net::frontends::status_mapping::{map_response, target, HttpError, Target};
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
 use crate::net::{Clock, State};
@@ -16,7 +16,7 @@
 const HEAD_MOST: usize = 8 * 1024;
 const HEADERS_MOST: usize = 64;
 /// One whole request is all that is ever kept unread in memory.
-const INPUT_MOST: usize = HEAD_MOST + BODY_MOST;
+const INPUT_MOST: usize = HEAD_MOST + MAX_BODY_BYTES;
 
 /// The listener and its connections; each remembers whether it has said `100 Continue`.
 pub struct HttpFront {
@@ -28,11 +28,11 @@
     Partial { wants_continue: bool },
     Whole { request: Box<Request>, length: usize, keep: bool },
     Check { length: usize, keep: bool },
-    Bad(Fail),
+    Bad(HttpError),
 }
 
 fn fail(code: u16, why: &'static str) -> Parsed {
-    Parsed::Bad(Fail::new(code, why))
+    Parsed::Bad(HttpError::new(code, why))
 }
 
 impl HttpFront {
@@ -134,7 +134,7 @@
         let Some(c) = self.connections.get_mut(ticket.0).filter(|c| c.stage == Stage::Asked) else { return };
         c.close |= state.leaving;
         c.step(now, Stage::Answering);
-        let meaning = meaning(answer);
+        let meaning = map_response(answer);
         let mut extra = String::new();
         if let Some(ms) = meaning.pushback_ms {
             let _ = write!(extra, "X-Pushback-Ms: {ms}\r\n");
@@ -197,7 +197,7 @@
         Err(_) => return fail(400, "the head can't be read"),
     };
     let (mut length, mut keep, mut wants_continue) = (None, head.version == Some(1), false);
-    let mut fields = Fields::default();
+    let mut fields = RequestFields::default();
     for h in head.headers.iter() {
         let value = std::str::from_utf8(h.value).unwrap_or("").trim();
         if h.name.eq_ignore_ascii_case("Content-Length") {
@@ -220,12 +220,12 @@
             }
         } else if h.name.eq_ignore_ascii_case("Expect") {
             wants_continue = value.eq_ignore_ascii_case("100-continue");
-        } else if let Err(Fault::Field(name)) = fields.note(h.name, h.value) {
+        } else if let Err(FieldError::Field(name)) = fields.note(h.name, h.value) {
             return fail(400, name);
         }
     }
     let length = length.unwrap_or(0);
-    if length > BODY_MOST {
+    if length > MAX_BODY_BYTES {
         return fail(413, "the body is too long");
     }
     let target = match target(head.method.unwrap_or(""), head.path.unwrap_or(""), known) {
@@ -237,7 +237,7 @@
     let Target::Run(class) = target else { return Parsed::Check { length, keep } };
     match fields.request(ticket, class, None, body, known, clock) {
         Ok(request) => Parsed::Whole { request: Box::new(request), length, keep },
-        Err(Fault::UnknownTenant) => fail(403, "unknown tenant"),
-        Err(Fault::Field(name)) => fail(400, name),
+        Err(FieldError::UnknownTenant) => fail(403, "unknown tenant"),
+        Err(FieldError::Field(name)) => fail(400, name),
     }
 }
--- a/src/net/frontends/http2/session.rs
+++ b/src/net/frontends/http2/session.rs
@@ -6,8 +6,8 @@
 use super::transport::Pipe;
 use crate::config::Http2Settings;
 use crate::dispatch::{Request, Response, Ticket};
-use crate::net::frontends::request_fields::{Fault, Fields, BODY_MOST};
-use crate::net::frontends::status_mapping::{meaning, target, Fail, StatusMapping, Target};
+use crate::net::frontends::request_fields::{FieldError as Fault, RequestFields as Fields, MAX_BODY_BYTES};
+use crate::net::frontends::status_mapping::{map_response, target, HttpError as Fail, StatusMapping, Target};
 use crate::net::{Clock, State};
 use bytes::Buf;
 use h2::server::{Connection, Handshake, SendResponse};
@@ -367,7 +367,7 @@
         let Some(stream) = self.streams.get_mut(&ticket.0) else { return };
         if matches!(stream.stage, Stage::Asked) {
             stream.since = now;
-            stream.give(meaning(answer), "", state);
+            stream.give(map_response(answer), "", state);
         }
     }
 }
@@ -381,7 +381,7 @@
             match recv.poll_data(cx) {
                 Poll::Pending => return None,
                 Poll::Ready(Some(Ok(data))) => {
-                    if body.len() + data.len() > BODY_MOST {
+                    if body.len() + data.len() > MAX_BODY_BYTES {
                         self.fail(Fail::new(413, "the body is too long"), state);
                         return None;
                     }
@@ -493,7 +493,7 @@
         if name == http::header::CONTENT_LENGTH {
             // The codec holds it against the data; here it spares a body that is too long anyway.
             let length = value.to_str().ok().and_then(|v| v.parse::<usize>().ok());
-            if length.map_or(true, |n| n > BODY_MOST) {
+            if length.map_or(true, |n| n > MAX_BODY_BYTES) {
                 return Err(Fail::new(413, "the body is too long"));
             }
         } else if let Err(Fault::Field(name)) = fields.note(name.as_str(), value.as_bytes()) {
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -1,5 +1,5 @@
-//! The platform's fields of a request, the same on every front: collected from headers, checked, and made into
-//! what the core takes.
+//! The platform's request headers, the same for every frontend: collected, checked, and made into the
+//! dispatcher's [`Request`].
 
 use crate::config::Options;
 use crate::dispatch::{Request, Ticket};
@@ -8,156 +8,195 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The memory booked for a held request that states none (KB).
+/// The memory reserved for a queued request that states none (KB).
 pub const DEFAULT_NEED_KB: f64 = 32.0;
 
-/// No caller waits, and no work takes, longer than this (milliseconds).
-const WAIT_MOST_MS: f64 = 3_600_000.0;
+/// The longest deadline and run estimate that a request may state (milliseconds).
+const MAX_DURATION_MS: f64 = 3_600_000.0;
+
+/// The latest arrival time that a request may state (milliseconds on the Unix clock).
+const MAX_UNIX_MS: f64 = 1e14;
+
+/// The limit on the memory that a request may state; the value itself is out of range (KB).
+const NEED_LIMIT_KB: f64 = 2000.0;
+
+/// The length of a correlation id (hex digits).
+const CORRELATION_ID_LENGTH: usize = 16;
+
+/// The longest idempotency key (bytes).
+const MAX_KEY_LENGTH: usize = 128;
 
 /// The largest request body (bytes).
-pub const BODY_MOST: usize = 2048;
+pub const MAX_BODY_BYTES: usize = 2048;
 
-/// The classes and tenants of the settings by name, for all fronts.
+/// The classes and tenants of the settings by their names on the wire, for all frontends.
 pub struct Catalog {
-    classes: HashMap<String, usize>,
-    tenants: HashMap<String, usize>,
-    kinds: Vec<Class>,
-    names: Vec<Rc<str>>,
+    /// Class indices by name.
+    class_indices: HashMap<String, usize>,
+    /// Tenant indices by name.
+    tenant_indices: HashMap<String, usize>,
+    /// The settings of each class, by index.
+    classes: Vec<Class>,
+    /// The name of each class, by index.
+    class_names: Vec<Rc<str>>,
 }
 
 impl Catalog {
+    /// Indexes the classes and tenants in the order of the settings.
     pub fn new(options: &Options, settings: &Settings) -> Catalog {
-        let numbered =
-            |names: Vec<&String>| names.into_iter().enumerate().map(|(i, n)| (n.clone(), i)).collect();
+        let index_by_name = |names: Vec<&String>| {
+            names.into_iter().enumerate().map(|(index, name)| (name.clone(), index)).collect()
+        };
         Catalog {
-            classes: numbered(options.profiles.iter().map(|p| &p.name).collect()),
-            tenants: numbered(options.tenants.iter().map(|t| &t.name).collect()),
-            kinds: settings.classes.clone(),
-            names: options.profiles.iter().map(|p| p.name.as_str().into()).collect(),
+            class_indices: index_by_name(options.profiles.iter().map(|profile| &profile.name).collect()),
+            tenant_indices: index_by_name(options.tenants.iter().map(|tenant| &tenant.name).collect()),
+            classes: settings.classes.clone(),
+            class_names: options.profiles.iter().map(|profile| profile.name.as_str().into()).collect(),
         }
     }
 
+    /// The index of the class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
-        self.classes.get(name).copied()
+        self.class_indices.get(name).copied()
     }
 
+    /// The name of a class; empty where there is no such class.
     pub fn class_name(&self, class: usize) -> &str {
-        self.names.get(class).map_or("", |n| n)
+        self.class_names.get(class).map_or("", |name| name)
     }
 
+    /// Whether requests of a class may run more than once.
+    ///
+    /// # Panics
+    ///
+    /// Where there is no such class.
     pub fn effect(&self, class: usize) -> Idempotency {
-        self.kinds[class].effect
+        self.classes[class].effect
     }
 
+    /// The index of the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        self.tenants.get(name).copied()
+        self.tenant_indices.get(name).copied()
     }
 }
 
-/// The fields, as they stood in the head.
+/// The platform's headers of one request, as they stood in its head.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fields {
+pub struct RequestFields {
+    /// X-Correlation-Id.
     pub id: Option<Rc<str>>,
+    /// X-Org: the tenant's name.
     pub org: Option<Rc<str>>,
+    /// X-Operation-Key: the idempotency key.
     pub key: Option<Rc<str>>,
     arrived_ms: Option<f64>,
     deadline_ms: Option<f64>,
     estimate_ms: Option<f64>,
     need_kb: Option<f64>,
-    rank: Option<f64>,
+    criticality: Option<f64>,
     caller: Option<u64>,
-    resent: Option<bool>,
+    is_retry: Option<bool>,
 }
 
-/// Why a request can't be taken.
+/// Why a request is rejected for its headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// A field is malformed, missing, or stands there twice.
+pub enum FieldError {
+    /// The header of this name is malformed, missing or repeated.
     Field(&'static str),
+    /// X-Org names no tenant of the settings.
     UnknownTenant,
 }
 
-impl Fields {
-    /// Notes a header if it is one of the platform's.
-    pub fn note(&mut self, name: &str, value: &[u8]) -> Result<(), Fault> {
+impl RequestFields {
+    /// Records a header if it is one of the platform's; ignores it otherwise.
+    ///
+    /// # Errors
+    ///
+    /// [`FieldError::Field`] where the value is malformed or the header is repeated.
+    pub fn note(&mut self, name: &str, value: &[u8]) -> Result<(), FieldError> {
         let is = |known: &str| name.eq_ignore_ascii_case(known);
         let text = || std::str::from_utf8(value).map(str::trim).unwrap_or("");
         if is("X-Correlation-Id") {
-            let id = text();
-            let hex = id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit());
-            set(&mut self.id, hex.then(|| id.into()), "X-Correlation-Id")
+            set(&mut self.id, parse_correlation_id(text()), "X-Correlation-Id")
         } else if is("X-Org") {
-            set(&mut self.org, Some(text()).filter(|t| !t.is_empty()).map(Rc::from), "X-Org")
+            set(&mut self.org, Some(text()).filter(|org| !org.is_empty()).map(Rc::from), "X-Org")
         } else if is("X-Operation-Key") {
-            let plain = |t: &&str| (1..=128).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
-            set(&mut self.key, Some(text()).filter(plain).map(Rc::from), "X-Operation-Key")
+            set(&mut self.key, parse_key(text()), "X-Operation-Key")
         } else if is("X-Arrived-Ms") {
-            set(&mut self.arrived_ms, number(text(), 0.0, 1e14), "X-Arrived-Ms")
+            set(&mut self.arrived_ms, parse_number(text(), 0.0, MAX_UNIX_MS), "X-Arrived-Ms")
         } else if is("X-Deadline-Ms") {
-            set(&mut self.deadline_ms, number(text(), 0.0, WAIT_MOST_MS), "X-Deadline-Ms")
+            set(&mut self.deadline_ms, parse_number(text(), 0.0, MAX_DURATION_MS), "X-Deadline-Ms")
         } else if is("X-Estimate-Ms") {
-            set(&mut self.estimate_ms, number(text(), 0.0, WAIT_MOST_MS), "X-Estimate-Ms")
+            set(&mut self.estimate_ms, parse_number(text(), 0.0, MAX_DURATION_MS), "X-Estimate-Ms")
         } else if is("X-Criticality") {
-            // Nothing here goes by it, but a request with a rank that is none is no sound request.
-            set(&mut self.rank, number(text(), 0.0, 1.0).filter(|n| *n < 1.0), "X-Criticality")
+            // Nothing reads it, but a request with a value out of range is malformed.
+            let criticality = parse_number(text(), 0.0, 1.0).filter(|value| *value < 1.0);
+            set(&mut self.criticality, criticality, "X-Criticality")
         } else if is("X-Need-Kb") {
-            let need = number(text(), 0.0, 2000.0).filter(|n| *n > 0.0 && *n < 2000.0);
-            set(&mut self.need_kb, need, "X-Need-Kb")
+            let need_kb = parse_number(text(), 0.0, NEED_LIMIT_KB);
+            let in_range = |kb: &f64| *kb > 0.0 && *kb < NEED_LIMIT_KB;
+            set(&mut self.need_kb, need_kb.filter(in_range), "X-Need-Kb")
         } else if is("X-Upstream-Peer") {
-            let digits = text().bytes().all(|b| b.is_ascii_digit());
-            set(&mut self.caller, text().parse().ok().filter(|_| digits), "X-Upstream-Peer")
+            let only_digits = text().bytes().all(|byte| byte.is_ascii_digit());
+            set(&mut self.caller, text().parse().ok().filter(|_| only_digits), "X-Upstream-Peer")
         } else if is("X-Resent") {
-            set(&mut self.resent, matches!(text(), "0" | "1").then(|| text() == "1"), "X-Resent")
+            set(&mut self.is_retry, matches!(text(), "0" | "1").then(|| text() == "1"), "X-Resent")
         } else {
             Ok(())
         }
     }
 
-    /// Counts a request that tells no time of its own from this moment on the Unix clock (milliseconds).
-    pub fn arrived_at(&mut self, unix_ms: f64) {
+    /// Sets the arrival time on the Unix clock (milliseconds) of a request that states none.
+    pub fn set_default_arrival(&mut self, unix_ms: f64) {
         self.arrived_ms.get_or_insert(unix_ms);
     }
 
-    /// How long its caller waits from now on (seconds). The time that it lay unread is part of it.
-    pub fn time_left(&self, class: usize, known: &Catalog, clock: &Clock) -> f64 {
-        self.deadline_ms.map_or(known.kinds[class].deadline_s, |ms| ms / 1000.0) - self.read_delay_s(clock)
+    /// The time until its deadline (seconds): that of the class where it states none, less the time it lay unread.
+    pub fn time_left(&self, class: usize, catalog: &Catalog, clock: &Clock) -> f64 {
+        let deadline_s = self.deadline_ms.map_or(catalog.classes[class].deadline_s, |ms| ms / 1000.0);
+        deadline_s - self.read_delay_s(clock)
     }
 
+    /// The time between arrival and reading (seconds).
     fn read_delay_s(&self, clock: &Clock) -> f64 {
-        self.arrived_ms.map_or(0.0, |at| ((clock.unix_ms() - at) / 1000.0).max(0.0))
+        self.arrived_ms.map_or(0.0, |arrived| ((clock.unix_ms() - arrived) / 1000.0).max(0.0))
     }
 
-    /// Makes the request for the core. `tenant` is the one that the front found; else the field's counts.
+    /// Makes the dispatcher's request. `tenant` is the one that the frontend determined; where it is `None`, X-Org
+    /// tells the tenant.
+    ///
+    /// # Errors
+    ///
+    /// [`FieldError`] where a required header is missing, X-Org names no tenant or X-Arrived-Ms is off by more than
+    /// an hour.
     pub fn request(
         self,
         ticket: Ticket,
         class: usize,
         tenant: Option<usize>,
         body: &[u8],
-        known: &Catalog,
+        catalog: &Catalog,
         clock: &Clock,
-    ) -> Result<Request, Fault> {
-        let tenant = match (tenant, &self.org) {
-            (Some(t), _) => Some(t),
-            (None, Some(_)) if known.tenants.is_empty() => None,
-            (None, Some(org)) => Some(known.tenant(org).ok_or(Fault::UnknownTenant)?),
-            (None, None) if known.tenants.is_empty() => None,
-            (None, None) => return Err(Fault::Field("X-Org")),
+    ) -> Result<Request, FieldError> {
+        let tenant = match tenant {
+            Some(tenant) => Some(tenant),
+            None => self.tenant(catalog)?,
         };
-        // Without its key nothing could keep a keyed request from running twice.
-        let keyed = known.effect(class) == Idempotency::Keyed;
+        // Without its key nothing could keep the request from running twice.
+        let keyed = catalog.effect(class) == Idempotency::Keyed;
         if keyed && self.key.is_none() {
-            return Err(Fault::Field("X-Operation-Key"));
+            return Err(FieldError::Field("X-Operation-Key"));
         }
-        // A stamp of another day is none: the request would count as overdue, or as one that waits for ever.
-        if self.arrived_ms.is_some_and(|at| (clock.unix_ms() - at).abs() > WAIT_MOST_MS) {
-            return Err(Fault::Field("X-Arrived-Ms"));
+        // With an arrival time of another day the request would count as overdue, or as one that waits for ever.
+        let is_far_off = |arrived_ms: f64| (clock.unix_ms() - arrived_ms).abs() > MAX_DURATION_MS;
+        if self.arrived_ms.is_some_and(is_far_off) {
+            return Err(FieldError::Field("X-Arrived-Ms"));
         }
         let read_delay_s = self.read_delay_s(clock);
-        let time_left_s = self.time_left(class, known, clock);
+        let time_left_s = self.time_left(class, catalog, clock);
         Ok(Request {
             ticket,
-            name: self.id.ok_or(Fault::Field("X-Correlation-Id"))?,
+            name: self.id.ok_or(FieldError::Field("X-Correlation-Id"))?,
             class,
             tenant,
             caller: self.caller.unwrap_or(0),
@@ -165,24 +204,43 @@
             read_at: Some(clock.now()),
             read_delay_s,
             time_left_s,
-            estimate_s: self.estimate_ms.map(|ms| ms / 1000.0).filter(|s| *s > 0.0),
+            estimate_s: self.estimate_ms.map(|ms| ms / 1000.0).filter(|estimate_s| *estimate_s > 0.0),
             key: self.key.filter(|_| keyed),
-            retry: self.resent.unwrap_or(false),
+            retry: self.is_retry.unwrap_or(false),
             body: body.into(),
         })
     }
+    /// The tenant of X-Org; `None` where the settings know no tenants.
+    fn tenant(&self, catalog: &Catalog) -> Result<Option<usize>, FieldError> {
+        if catalog.tenant_indices.is_empty() {
+            return Ok(None);
+        }
+        let org = self.org.as_ref().ok_or(FieldError::Field("X-Org"))?;
+        catalog.tenant(org).map(Some).ok_or(FieldError::UnknownTenant)
+    }
 }
 
-/// A field that is malformed or stands there twice could be read two ways.
-fn set<T>(field: &mut Option<T>, value: Option<T>, name: &'static str) -> Result<(), Fault> {
+/// Sets a field once. `None` stands for a malformed value; a repeated header could be read two ways.
+fn set<T>(field: &mut Option<T>, value: Option<T>, name: &'static str) -> Result<(), FieldError> {
     if field.is_some() || value.is_none() {
-        return Err(Fault::Field(name));
+        return Err(FieldError::Field(name));
     }
     *field = value;
     Ok(())
 }
 
-fn number(text: &str, least: f64, most: f64) -> Option<f64> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|n: &f64| plain && n.is_finite() && *n >= least && *n <= most)
+fn parse_correlation_id(text: &str) -> Option<Rc<str>> {
+    let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    (text.len() == CORRELATION_ID_LENGTH && is_hex).then(|| text.into())
+}
+
+fn parse_key(text: &str) -> Option<Rc<str>> {
+    let is_graphic = text.bytes().all(|byte| byte.is_ascii_graphic());
+    ((1..=MAX_KEY_LENGTH).contains(&text.len()) && is_graphic).then(|| text.into())
+}
+
+/// Parses a decimal number without sign or exponent, between `min` and `max`.
+fn parse_number(text: &str, min: f64, max: f64) -> Option<f64> {
+    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    text.parse().ok().filter(|n: &f64| is_plain && n.is_finite() && *n >= min && *n <= max)
 }
