--- a/src/net/frontends/ajp.rs
+++ b/src/net/frontends/ajp.rs
@@ -3,7 +3,9 @@
 use crate::config::{AjpSettings, Identity};
 use crate::dispatch::{Input, Response, Ticket};
 use crate::interface::Idempotency;
-use crate::net::frontends::connections::{Connection, Connections, Next, Stage, STEPS_MOST};
+use crate::net::frontends::connections::{
+    Connection, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
+};
 use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
@@ -98,17 +100,17 @@
 
     fn look(&mut self, id: u64, turn: &mut Turn) {
         let now = turn.clock.now();
-        for _ in 0..STEPS_MOST {
+        for _ in 0..MAX_STEPS_PER_TURN {
             let Some(c) = self.connections.get_mut(id) else { return };
-            match c.settle(now) {
-                Next::Read => {}
-                Next::Wait => return,
-                Next::Later => break,
-                Next::Close => return self.connections.gone(id, turn.inputs),
+            match c.advance(now) {
+                NextStep::Read => {}
+                NextStep::Wait => return,
+                NextStep::Later => break,
+                NextStep::Close => return self.connections.gone(id, turn.inputs),
             }
             let filled = c.link.fill();
-            if c.stage == Stage::Idle && !c.link.data().is_empty() {
-                c.step(now, Stage::Reading);
+            if c.state == ConnectionState::Idle && !c.link.data().is_empty() {
+                c.set_state(now, ConnectionState::Reading);
             }
             let range = match ajp_codec::packet(c.link.data(), Way::ToContainer) {
                 Ok(Some(range)) => range,
@@ -146,13 +148,13 @@
                 Some(Ok(ToContainer::CPing)) => {
                     c.link.push(ajp_codec::write_cpong());
                     c.link.consume(consumed);
-                    c.step(now, Stage::Idle);
+                    c.set_state(now, ConnectionState::Idle);
                     continue;
                 }
                 // Nobody may shut a worker down this way; a ping of the old kind wants no answer.
                 Some(Ok(ToContainer::Shutdown | ToContainer::Ping)) => {
                     c.link.consume(consumed);
-                    c.step(now, Stage::Idle);
+                    c.set_state(now, ConnectionState::Idle);
                     continue;
                 }
                 _ => {
@@ -220,7 +222,7 @@
         }
         let identity = p.identity.take();
         let for_s = p.fields.time_left(p.class, &turn.state.known, turn.clock);
-        c.step(turn.clock.now(), Stage::Asked);
+        c.set_state(turn.clock.now(), ConnectionState::Asked);
         if let Some(identity) = identity {
             turn.lookups.push(Lookup { ticket: Ticket(id), identity, for_s });
             return;
@@ -244,7 +246,7 @@
 
     /// The directory's word comes too late for whoever still waits for it: they are told to come back.
     pub fn give_up_lookups(&mut self, turn: &mut Turn) {
-        for id in self.connections.ids_where(|c| c.stage == Stage::Asked && c.memory.0.is_some()) {
+        for id in self.connections.ids_where(|c| c.state == ConnectionState::Asked && c.memory.0.is_some()) {
             self.found(Ticket(id), Found::Down, turn);
         }
     }
@@ -273,7 +275,9 @@
 
     /// Writes an answer of the core.
     pub fn answer(&mut self, now: f64, ticket: Ticket, given: Response, state: &State) {
-        let Some(c) = self.connections.get_mut(ticket.0).filter(|c| c.stage == Stage::Asked) else { return };
+        let Some(c) = self.connections.get_mut(ticket.0).filter(|c| c.state == ConnectionState::Asked) else {
+            return;
+        };
         match given {
             Response::Served(result) => {
                 let kind = ("Content-Type", "application/octet-stream".to_owned());
@@ -315,7 +319,7 @@
     state: &State,
 ) {
     c.close |= state.ends_connections();
-    c.step(now, Stage::Answering);
+    c.set_state(now, ConnectionState::Answering);
     let length = body.as_ref().map_or(0, |b| b.len());
     let mut headers = vec![("Content-Length", length.to_string())];
     headers.extend_from_slice(extra);
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -1,69 +1,73 @@
+use super::eviction::Eviction;
 use super::*;
 use crate::net::io::poll::Gathered;
 use calloop::EventLoop;
+use std::net::TcpListener;
 
-/// Connections with a clock of the test's own, each of which has asked so often and rested since.
-struct Play {
+/// Connections with a clock of the test's own.
+struct Fixture {
     _events: EventLoop<'static, Gathered>,
     listener: TcpListener,
     clients: Vec<TcpStream>,
     connections: Connections<()>,
 }
 
-impl Play {
-    fn new() -> Play {
+impl Fixture {
+    fn new() -> Fixture {
         let events: EventLoop<Gathered> = EventLoop::try_new().unwrap();
         let poll = Poll::new(events.handle(), 100);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let connections = Connections::shut(&poll, Place::Http, 1024);
-        Play { _events: events, listener, clients: Vec::new(), connections }
+        Fixture { _events: events, listener, clients: Vec::new(), connections }
     }
 
-    fn open(&mut self, opened: f64, asked: u32, rests_since: f64) -> u64 {
+    /// Opens a connection that has sent so many requests and been idle since `idle_since`.
+    fn open(&mut self, opened_at: f64, requests_read: u32, idle_since: f64) -> u64 {
         self.clients.push(TcpStream::connect(self.listener.local_addr().unwrap()).unwrap());
         let stream = self.listener.accept().unwrap().0;
         stream.set_nonblocking(true).unwrap();
         let stream = stream.into();
-        let parcel = DetachedConnection { stream, unread: Vec::new(), asked, close: false, memory: () };
-        let id = self.connections.adopt(opened, parcel, false).unwrap();
-        self.connections.get_mut(id).unwrap().step(rests_since, Stage::Idle);
+        let detached =
+            DetachedConnection { stream, unread: Vec::new(), requests_read, close: false, memory: () };
+        let id = self.connections.adopt(opened_at, detached, false).unwrap();
+        self.connections.get_mut(id).unwrap().set_state(idle_since, ConnectionState::Idle);
         id
     }
 
-    /// Who is closed when so many more are wanted at this time, in order.
-    fn goes(&mut self, now: f64, more: usize) -> Vec<u64> {
-        let all = |c: &Connections<()>| c.ids_where(|_| true);
-        let mut gone = Vec::new();
-        for _ in 0..more {
-            let before = all(&self.connections);
-            if !matches!(self.connections.make_room(now), Room::Made) {
+    /// The connections that are closed, in order, where `count` descriptors are wanted at this time.
+    fn evicted(&mut self, now: f64, count: usize) -> Vec<u64> {
+        let ids = |connections: &Connections<()>| connections.ids_where(|_| true);
+        let mut evicted = Vec::new();
+        for _ in 0..count {
+            let before = ids(&self.connections);
+            if !matches!(self.connections.evict_one(now), Eviction::Evicted) {
                 break;
             }
-            gone.extend(before.into_iter().filter(|id| !self.connections.owns(*id)));
+            evicted.extend(before.into_iter().filter(|id| !self.connections.owns(*id)));
         }
-        gone
+        evicted
     }
 }
 
-/// In a crowd whose every request came on a connection of its own, those just opened were closed before their
-/// request had come, beside hundreds that had asked once and only stayed.
+/// Under a load in which every request came on a connection of its own, those just opened were closed before their
+/// request had come, beside hundreds that had sent one request and stayed idle.
 #[test]
-fn who_asked_once_and_rests_goes_before_who_has_just_come() {
-    let mut p = Play::new();
-    let used = p.open(0.0, 5, 0.1);
-    let rests = p.open(0.2, 1, 0.9);
-    let just_answered = p.open(0.2, 1, 0.98);
-    let silent = p.open(0.5, 0, 0.5);
-    let just_come = p.open(0.99, 0, 0.99);
-    assert_eq!(p.goes(1.0, 9), [silent, rests, just_come, used, just_answered]);
+fn a_connection_idle_after_one_request_is_evicted_before_one_just_accepted() {
+    let mut fixture = Fixture::new();
+    let used = fixture.open(0.0, 5, 0.1);
+    let idle_after_one = fixture.open(0.2, 1, 0.9);
+    let just_answered = fixture.open(0.2, 1, 0.98);
+    let silent = fixture.open(0.5, 0, 0.5);
+    let just_accepted = fixture.open(0.99, 0, 0.99);
+    assert_eq!(fixture.evicted(1.0, 9), [silent, idle_after_one, just_accepted, used, just_answered]);
 }
 
 #[test]
-fn a_console_keeps_who_came_last() {
-    let mut p = Play::new();
-    p.connections.prefer_newest();
-    let first = p.open(0.99, 0, 0.99);
-    let second = p.open(0.995, 0, 0.995);
-    assert_eq!(p.goes(1.0, 1), [first]);
-    assert!(p.connections.owns(second));
+fn a_console_keeps_the_newest_connection() {
+    let mut fixture = Fixture::new();
+    fixture.connections.prefer_newest();
+    let first = fixture.open(0.99, 0, 0.99);
+    let second = fixture.open(0.995, 0, 0.995);
+    assert_eq!(fixture.evicted(1.0, 1), [first]);
+    assert!(fixture.connections.owns(second));
 }
--- a/src/net/frontends/http1.rs
+++ b/src/net/frontends/http1.rs
@@ -1,7 +1,7 @@
 //! The platform's front: HTTP/1.1, one request at a time on a connection, and health checks.
 
 use crate::dispatch::{Input, Request, Response, Ticket};
-use crate::net::frontends::connections::{Connections, Next, Stage, STEPS_MOST};
+use crate::net::frontends::connections::{ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN};
 use crate::net::frontends::request_fields::{Catalog, FieldError, RequestFields, MAX_BODY_BYTES};
 use crate::net::frontends::status_mapping::{map_response, target, HttpError, Target};
 use crate::net::io::buffer::Filled;
@@ -63,14 +63,14 @@
     fn look(&mut self, id: u64, clock: &Clock, state: &State, inputs: &mut Vec<Input>) {
         let Some(c) = self.connections.get_mut(id) else { return };
         let now = clock.now();
-        for _ in 0..STEPS_MOST {
-            match c.settle(now) {
+        for _ in 0..MAX_STEPS_PER_TURN {
+            match c.advance(now) {
                 // Its next request is another process's.
-                Next::Read if state.passing => return,
-                Next::Read => {}
-                Next::Wait => return,
-                Next::Later => break,
-                Next::Close => return self.connections.gone(id, inputs),
+                NextStep::Read if state.passing => return,
+                NextStep::Read => {}
+                NextStep::Wait => return,
+                NextStep::Later => break,
+                NextStep::Close => return self.connections.gone(id, inputs),
             }
             let filled = c.link.fill();
             if c.link.data().is_empty() {
@@ -79,8 +79,8 @@
                 }
                 return;
             }
-            if c.stage == Stage::Idle {
-                c.step(now, Stage::Reading);
+            if c.state == ConnectionState::Idle {
+                c.set_state(now, ConnectionState::Reading);
             }
             match parse(c.link.data(), Ticket(id), &state.known, clock) {
                 Parsed::Partial { wants_continue } => {
@@ -104,12 +104,12 @@
                         simple(503, "Service Unavailable", "bad\n", "", state, c.close)
                     };
                     c.link.push(answer);
-                    c.step(now, Stage::Answering);
+                    c.set_state(now, ConnectionState::Answering);
                 }
                 Parsed::Whole { request, length, keep } => {
                     c.link.consume(length);
                     (c.close, c.memory) = (!keep, false);
-                    c.step(now, Stage::Asked);
+                    c.set_state(now, ConnectionState::Asked);
                     inputs.push(Input::Arrived(*request));
                     return;
                 }
@@ -122,7 +122,7 @@
                     };
                     let text = format!("{}\n", fail.why);
                     c.link.push(simple(fail.code, reason(fail.code), &text, &allow, state, true));
-                    c.step(now, Stage::Answering);
+                    c.set_state(now, ConnectionState::Answering);
                 }
             }
         }
@@ -131,9 +131,11 @@
 
     /// Writes an answer of the core.
     pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, state: &State) {
-        let Some(c) = self.connections.get_mut(ticket.0).filter(|c| c.stage == Stage::Asked) else { return };
+        let Some(c) = self.connections.get_mut(ticket.0).filter(|c| c.state == ConnectionState::Asked) else {
+            return;
+        };
         c.close |= state.leaving;
-        c.step(now, Stage::Answering);
+        c.set_state(now, ConnectionState::Answering);
         let meaning = map_response(answer);
         let mut extra = String::new();
         if let Some(ms) = meaning.pushback_ms {
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::config::Http2Settings;
 use crate::dispatch::{Input, Response, Ticket};
-use crate::net::frontends::connections::{Connections, Next, Stage};
+use crate::net::frontends::connections::{ConnectionState, Connections, NextStep};
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
 use crate::net::Log;
@@ -115,14 +115,14 @@
     fn look(&mut self, id: u64, clock: &Clock, state: &State, inputs: &mut Vec<Input>, log: &mut Log) {
         let now = clock.now();
         let Some(c) = self.connections.get_mut(id) else { return };
-        if c.stage == Stage::Closing || c.stage == Stage::Answering {
+        if c.state == ConnectionState::Closing || c.state == ConnectionState::Answering {
             // Swept: whatever its codec still has to say is said before the end.
             if c.memory.session.is_some() {
                 return self.finish(id, now, inputs);
             }
-            match c.settle(now) {
-                Next::Close => self.close(id, inputs),
-                Next::Later => self.connections.touch(id),
+            match c.advance(now) {
+                NextStep::Close => self.close(id, inputs),
+                NextStep::Later => self.connections.touch(id),
                 _ => {}
             }
             return;
@@ -146,14 +146,14 @@
                 );
                 c.link.push(answer.into_bytes());
                 c.close = true;
-                c.step(now, Stage::Answering);
+                c.set_state(now, ConnectionState::Answering);
                 return self.connections.touch(id);
             }
             if n < PREFACE.len() {
                 if filled == Filled::Ended {
                     self.close(id, inputs);
-                } else if n > 0 && c.stage == Stage::Idle {
-                    c.step(now, Stage::Reading);
+                } else if n > 0 && c.state == ConnectionState::Idle {
+                    c.set_state(now, ConnectionState::Reading);
                 } else if n == 0 {
                     c.link.shrink();
                 }
@@ -212,13 +212,13 @@
         if took {
             self.lobby.leave(id);
         }
-        if took && c.stage != Stage::Asked {
+        if took && c.state != ConnectionState::Asked {
             // By way of reading: a connection that has asked is no silent one when some must go.
-            c.step(now, Stage::Reading);
-            c.step(now, Stage::Asked);
+            c.set_state(now, ConnectionState::Reading);
+            c.set_state(now, ConnectionState::Asked);
         }
-        if !busy && c.link.queued() == 0 && c.stage == Stage::Asked {
-            c.step(now, Stage::Idle);
+        if !busy && c.link.queued() == 0 && c.state == ConnectionState::Asked {
+            c.set_state(now, ConnectionState::Idle);
         }
         for ticket in seen.gone {
             self.owners.remove(&ticket.0);
@@ -287,7 +287,9 @@
     /// keeps its connection, so those that rest are told to go, as gently as for idleness.
     pub fn sweep(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>, log: &mut Log) {
         let stuck = |m: &Memory, queued: usize| queued > 0 && now - m.sent_at > SLOW_ANSWER_S;
-        for id in self.connections.ids_where(|c| c.stage == Stage::Asked && stuck(&c.memory, c.link.queued()))
+        for id in self
+            .connections
+            .ids_where(|c| c.state == ConnectionState::Asked && stuck(&c.memory, c.link.queued()))
         {
             self.close(id, inputs);
         }
@@ -308,7 +310,7 @@
         }
         let settings = &self.settings;
         let mut over = Vec::new();
-        for id in self.connections.ids_where(|c| c.stage == Stage::Idle) {
+        for id in self.connections.ids_where(|c| c.state == ConnectionState::Idle) {
             let Some(c) = self.connections.get_mut(id) else { continue };
             let since = c.since();
             if c.memory.session.as_mut().is_some_and(|s| s.0.rest(now, since, settings, send_away)) {
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -5,7 +5,7 @@
 
 use crate::config::console_calls;
 use crate::dispatch::metrics::Metrics;
-use crate::net::frontends::connections::{Connections, Next, Stage};
+use crate::net::frontends::connections::{ConnectionState, Connections, NextStep};
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
@@ -67,22 +67,22 @@
 
     fn look(&mut self, id: u64, now: f64, calls: &mut Vec<(u64, Call)>) {
         let Some(c) = self.connections.get_mut(id) else { return };
-        match c.settle(now) {
-            Next::Read => {}
-            Next::Wait => return,
-            Next::Later => return self.connections.touch(id),
-            Next::Close => return self.connections.close(id),
+        match c.advance(now) {
+            NextStep::Read => {}
+            NextStep::Wait => return,
+            NextStep::Later => return self.connections.touch(id),
+            NextStep::Close => return self.connections.close(id),
         }
         let filled = c.link.fill();
-        if c.stage == Stage::Idle && !c.link.data().is_empty() {
-            c.step(now, Stage::Reading);
+        if c.state == ConnectionState::Idle && !c.link.data().is_empty() {
+            c.set_state(now, ConnectionState::Reading);
         }
         match parse(c.link.data()) {
             // A call that will never be whole is none.
             Ok(None) if filled != Filled::Open => self.connections.close(id),
             Ok(None) => {}
             Ok(Some(call)) => {
-                c.step(now, Stage::Asked);
+                c.set_state(now, ConnectionState::Asked);
                 calls.push((id, call));
             }
             Err(reply) => self.answer(id, now, &reply),
@@ -96,8 +96,8 @@
         c.link.consume(c.link.data().len());
         c.close = true;
         c.link.push(words(reply));
-        c.step(now, Stage::Answering);
-        if c.settle(now) == Next::Close {
+        c.set_state(now, ConnectionState::Answering);
+        if c.advance(now) == NextStep::Close {
             self.connections.close(id);
         }
     }
--- a/src/net/lifecycle/hot_restart/effects.rs
+++ b/src/net/lifecycle/hot_restart/effects.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::Input;
 use crate::hot_restart::frame::{Frame, VERSION};
 use crate::hot_restart::{Effect, IndeterminateKeys};
-use crate::net::frontends::connections::Stage;
+use crate::net::frontends::connections::ConnectionState;
 use crate::net::Worker;
 
 impl Worker {
@@ -84,7 +84,7 @@
     fn release_handed_off(&mut self) {
         let Some(hot_restart) = &mut self.replacement else { return };
         hot_restart.handed_off.clear();
-        for id in self.http.connections.ids_where(|c| c.stage == Stage::HandedOff) {
+        for id in self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
             self.http.connections.close(id);
         }
         hot_restart.links.stop_listening();
--- a/src/net/lifecycle/hot_restart/messages.rs
+++ b/src/net/lifecycle/hot_restart/messages.rs
@@ -85,7 +85,7 @@
     HandedOffConnection {
         unread: Bytes(detached.unread.as_slice().into()),
         continued: detached.memory,
-        requests_read: detached.asked,
+        requests_read: detached.requests_read,
         close_after_response: detached.close,
         queued_request,
     }
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -165,7 +165,7 @@
         let detached = DetachedConnection {
             stream,
             unread: connection.unread.0.to_vec(),
-            asked: connection.requests_read,
+            requests_read: connection.requests_read,
             close: connection.close_after_response,
             memory: connection.continued,
         };
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -7,7 +7,7 @@
 use crate::dispatch::{Command, HandedOff, HandedOffRequest, Input, ResourceUsage};
 use crate::hot_restart::frame::{Frame, Usage, VERSION};
 use crate::hot_restart::{Event, IndeterminateKeys};
-use crate::net::frontends::connections::{Connection, Stage};
+use crate::net::frontends::connections::{Connection, ConnectionState};
 use crate::net::Worker;
 
 /// Descriptors that a process holds beside its budget: standard streams, the loop's, links.
@@ -24,7 +24,7 @@
 
 /// Whether nothing is owed on this connection.
 fn is_idle<P>(connection: &Connection<P>) -> bool {
-    matches!(connection.stage, Stage::Idle | Stage::Reading)
+    matches!(connection.state, ConnectionState::Idle | ConnectionState::Reading)
 }
 
 impl Worker {
@@ -89,7 +89,7 @@
         let held = self.replacement.as_ref().map_or(0, |r| r.handed_off.len());
         self.log.line(&format!("handover: lent to the new process: held={held}"));
         // Connections that were handed off count there.
-        let handed_off = self.http.connections.ids_where(|c| c.stage == Stage::HandedOff).len();
+        let handed_off = self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff).len();
         self.report_usage(handed_off);
         self.send_to_successor(&Frame::StateComplete);
         for command in commands {
@@ -208,7 +208,7 @@
             self.http.connections.take_back(now, request.request.ticket.0, true);
             inputs.push(Input::Arrived(request.at(now)));
         }
-        for id in self.http.connections.ids_where(|c| c.stage == Stage::HandedOff) {
+        for id in self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
             self.http.connections.take_back(now, id, false);
         }
         self.log.line("handover: the door is taken back");
