--- /dev/null
+++ b/src/net/frontends/http1/responses.rs
@@ -0,0 +1,56 @@
+//! Writes the heads of HTTP/1.1 responses, and the short responses of the frontend itself.
+
+use crate::net::frontends::status_mapping::HttpError;
+use crate::net::State;
+use std::fmt::Write;
+
+/// Room for the head of a usual response (bytes).
+const USUAL_HEAD_BYTES: usize = 160;
+
+/// The status line's text.
+pub(super) fn reason(code: u16) -> &'static str {
+    match code {
+        400 => "Bad Request",
+        403 => "Forbidden",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        409 => "Conflict",
+        413 => "Content Too Large",
+        431 => "Request Header Fields Too Large",
+        500 => "Internal Server Error",
+        504 => "Gateway Timeout",
+        200 => "OK",
+        _ => "Service Unavailable",
+    }
+}
+
+/// The head of a response; `extra` holds further header lines, each with its line end.
+pub(super) fn head(code: u16, body_length: usize, extra: &str, state: &State, close: bool) -> Vec<u8> {
+    let mut text = String::with_capacity(USUAL_HEAD_BYTES);
+    let reason = reason(code);
+    let _ = write!(text, "HTTP/1.1 {code} {reason}\r\nContent-Length: {body_length}\r\n{extra}");
+    if let Some(level) = state.level {
+        let _ = write!(text, "X-Backend-Says: {level}\r\n");
+    }
+    text.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
+    text.into_bytes()
+}
+
+/// The response to a health check.
+pub(super) fn check_response(state: &State, close: bool) -> Vec<u8> {
+    let (code, body) = if state.good() { (200, "good\n") } else { (503, "bad\n") };
+    with_body(code, body, "", state, close)
+}
+
+/// The response to a request that the frontend rejects; the connection is closed after it.
+pub(super) fn error_response(error: &HttpError, state: &State) -> Vec<u8> {
+    let allow = if error.allow.is_empty() { String::new() } else { format!("Allow: {}\r\n", error.allow) };
+    let body = format!("{}\n", error.why);
+    with_body(error.code, &body, &allow, state, true)
+}
+
+fn with_body(code: u16, body: &str, extra: &str, state: &State, close: bool) -> Vec<u8> {
+    let mut text = head(code, body.len(), extra, state, close);
+    text.extend_from_slice(body.as_bytes());
+    text
+}
