--- /dev/null
+++ b/src/net/frontends/ajp/head.rs
@@ -0,0 +1,144 @@
+//! Checks of the head of a request, as far as they need no body.
+
+use crate::config::{AjpSettings, Identity};
+use crate::interface::Idempotency;
+use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
+use crate::net::upstreams::ajp_codec::Forward;
+use crate::net::State;
+
+/// A request whose head has come.
+pub(super) struct PendingRequest {
+    pub(super) class: usize,
+    pub(super) tenant: Option<usize>,
+    /// The identity that the directory is to be asked for.
+    pub(super) identity: Option<String>,
+    pub(super) fields: RequestFields,
+    /// The length of the body, where the head states it.
+    pub(super) content_length: Option<usize>,
+    /// What has come of the body.
+    pub(super) body: Vec<u8>,
+}
+
+/// The status and reason of a request that the frontend rejects by itself.
+#[derive(Clone, Copy)]
+pub(super) struct Rejection {
+    pub(super) code: u16,
+    pub(super) reason: &'static str,
+}
+
+impl Rejection {
+    pub(super) fn new(code: u16, reason: &'static str) -> Rejection {
+        Rejection { code, reason }
+    }
+}
+
+impl From<FieldError> for Rejection {
+    fn from(error: FieldError) -> Rejection {
+        match error {
+            FieldError::UnknownTenant => Rejection::new(403, "unknown tenant"),
+            FieldError::Field(name) => Rejection::new(400, name),
+        }
+    }
+}
+
+/// What the headers say of a request.
+struct Headers {
+    fields: RequestFields,
+    /// The length of the body; `None` where it is chunked.
+    content_length: Option<usize>,
+}
+
+/// Checks the head of a request, and makes the pending request of it.
+pub(super) fn check_head(
+    settings: &AjpSettings,
+    directory: Option<Identity>,
+    forward: &Forward,
+    state: &State,
+    unix_ms: f64,
+) -> Result<PendingRequest, Rejection> {
+    let given = forward.secret.unwrap_or(b"");
+    if settings.secret.as_ref().is_some_and(|secret| !secrets_equal(secret.as_bytes(), given)) {
+        return Err(Rejection::new(403, "the secret is wrong"));
+    }
+    let Headers { mut fields, content_length } = read_headers(forward)?;
+    let class = check_class(settings, forward, state)?;
+    if content_length.is_some_and(|length| length > MAX_BODY_BYTES) {
+        return Err(Rejection::new(413, "the body is too long"));
+    }
+    // Without a key nothing could keep the request from running twice.
+    if fields.key.is_none() && state.known.effect(class) == Idempotency::Keyed {
+        return Err(Rejection::new(400, "X-Operation-Key"));
+    }
+    let mut identity = None;
+    let mut tenant = None;
+    if let Some(kind) = directory {
+        identity = Some(directory_identity(kind, forward)?);
+    } else if !settings.tenants.is_empty() {
+        let name = settings.tenant_of(forward.remote_user, forward.server_name);
+        let known = name.and_then(|name| state.known.tenant(name));
+        tenant = Some(known.ok_or(Rejection::new(403, "unknown tenant"))?);
+    }
+    fields.set_default_arrival(unix_ms);
+    Ok(PendingRequest { class, tenant, identity, fields, content_length, body: Vec::new() })
+}
+
+fn read_headers(forward: &Forward) -> Result<Headers, Rejection> {
+    let mut content_length = None;
+    let mut is_chunked = false;
+    let mut fields = RequestFields::default();
+    for (name, value) in &forward.headers {
+        if name.eq_ignore_ascii_case("content-length") {
+            let length = parse_content_length(value);
+            if content_length.is_some() || length.is_none() {
+                return Err(Rejection::new(400, "Content-Length is ambiguous"));
+            }
+            content_length = length;
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
+            is_chunked = true;
+        } else {
+            fields.note(name, value)?;
+        }
+    }
+    if is_chunked && content_length.is_some() {
+        return Err(Rejection::new(400, "the length of the body is ambiguous"));
+    }
+    let content_length = if is_chunked { None } else { Some(content_length.unwrap_or(0)) };
+    Ok(Headers { fields, content_length })
+}
+
+/// Parses digits alone, as the HTTP frontend does: a sign could be read another way elsewhere.
+fn parse_content_length(value: &[u8]) -> Option<usize> {
+    let text = std::str::from_utf8(value).map_or("", str::trim);
+    let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    text.parse::<usize>().ok().filter(|_| only_digits)
+}
+
+/// The class of the path, where it takes the method.
+fn check_class(settings: &AjpSettings, forward: &Forward, state: &State) -> Result<usize, Rejection> {
+    let path = forward.uri.split(['?', ';']).next().unwrap_or("");
+    let class = settings.class_of(path).and_then(|name| state.known.class(name));
+    let class = class.ok_or(Rejection::new(404, "no such class"))?;
+    let is_idempotent = state.known.effect(class) == Idempotency::Idempotent;
+    if forward.method == "POST" || is_idempotent && forward.method == "GET" {
+        Ok(class)
+    } else {
+        Err(Rejection::new(405, "the method is not taken here"))
+    }
+}
+
+/// The identity by which the directory knows the tenant.
+fn directory_identity(kind: Identity, forward: &Forward) -> Result<String, Rejection> {
+    let identity = match kind {
+        Identity::RemoteUser => forward.remote_user.unwrap_or(""),
+        Identity::ServerName => forward.server_name,
+    };
+    if identity.is_empty() {
+        return Err(Rejection::new(403, "unknown tenant"));
+    }
+    Ok(identity.to_owned())
+}
+
+/// Compares in a time that doesn't depend on where two secrets differ.
+fn secrets_equal(a: &[u8], b: &[u8]) -> bool {
+    a.len() == b.len() && a.iter().zip(b).fold(0, |difference, (x, y)| difference | (x ^ y)) == 0
+}
--- /dev/null
+++ b/src/net/frontends/ajp/mod.rs
@@ -0,0 +1,327 @@
+//! The AJP frontend: older portals speak AJP/1.3 to it. Its requests go to the same dispatcher as those of HTTP.
+
+#![warn(missing_docs)]
+
+mod head;
+mod response;
+
+use crate::config::{AjpSettings, Identity};
+use crate::dispatch::{Input, Response, Ticket};
+use crate::net::frontends::connections::{
+    Connection, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
+};
+use crate::net::frontends::request_fields::MAX_BODY_BYTES;
+use crate::net::io::buffer::Filled;
+use crate::net::io::poll::{Place, Poll};
+use crate::net::upstreams::ajp_codec::{self, ToContainer, Way, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES};
+use crate::net::{Clock, ListenError, Log, State};
+use head::{check_head, PendingRequest, Rejection};
+use response::{write_response, AjpResponse};
+use std::net::TcpListener;
+use std::ops::Range;
+use std::rc::Rc;
+
+/// What a connection remembers: the request that is coming in, or waits for the directory.
+#[derive(Default)]
+pub struct Memory(Option<PendingRequest>);
+
+/// What the worker lends the frontend for a turn.
+pub struct Turn<'a> {
+    /// The time.
+    pub clock: &'a Clock,
+    /// The state of the worker.
+    pub state: &'a State,
+    /// Takes what goes to the dispatcher.
+    pub inputs: &'a mut Vec<Input>,
+    /// Takes what goes to the directory.
+    pub lookups: &'a mut Vec<Lookup>,
+    /// The log.
+    pub log: &'a mut Log,
+}
+
+/// A question to the directory for the tenant of a request.
+#[derive(Debug, PartialEq)]
+pub struct Lookup {
+    /// The connection that waits for it.
+    pub ticket: Ticket,
+    /// The identity of the portal or its user.
+    pub identity: String,
+    /// How long the request can wait for it (seconds).
+    pub for_s: f64,
+}
+
+/// What came of a lookup.
+#[derive(Clone, Debug, PartialEq)]
+pub enum LookupResult {
+    /// The name of the tenant.
+    Tenant(Rc<str>),
+    /// The directory knows no tenant of this identity, or several.
+    Unknown,
+    /// The directory can't be reached, or fails.
+    Unavailable,
+    /// The request's time was over before the directory had answered.
+    TimedOut,
+}
+
+/// The listener, its connections, and the operator's settings.
+pub struct AjpFront {
+    /// The connections.
+    pub connections: Connections<Memory>,
+    settings: AjpSettings,
+    /// The identity by which the directory decides on tenants, where there is a directory.
+    directory: Option<Identity>,
+    /// The seed of generated request ids.
+    seed: u64,
+    /// How many request ids have been generated.
+    generated_ids: u64,
+}
+
+impl AjpFront {
+    /// A frontend that accepts nothing yet.
+    pub fn shut(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFront {
+        let connections = Connections::shut(poll, Place::Ajp, 2 * MAX_PACKET_BYTES);
+        AjpFront { connections, settings, directory, seed, generated_ids: 0 }
+    }
+
+    /// Accepts at a socket that listens already, or at the address of its settings.
+    ///
+    /// # Errors
+    ///
+    /// Where the system doesn't let it listen there.
+    pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
+        let address = self.settings.listen;
+        let opened = match socket {
+            Some(socket) => self.connections.open(&socket, Place::AjpListener),
+            None => self.connections.listen(address, Place::AjpListener),
+        };
+        opened.map_err(|source| ListenError { address, source })
+    }
+
+    /// Accepts and reads; `true` if accepting had to stop early and wants to be called again.
+    pub fn gather(&mut self, turn: &mut Turn) -> bool {
+        let accept_again = self.connections.accept(turn.clock.now());
+        for id in self.connections.take_touched() {
+            self.process_connection(id, turn);
+        }
+        accept_again
+    }
+
+    fn process_connection(&mut self, id: u64, turn: &mut Turn) {
+        let now = turn.clock.now();
+        for _ in 0..MAX_STEPS_PER_TURN {
+            let Some(connection) = self.connections.get_mut(id) else { return };
+            match connection.advance(now) {
+                NextStep::Read => {}
+                NextStep::Wait => return,
+                NextStep::Later => break,
+                NextStep::Close => return self.connections.gone(id, turn.inputs),
+            }
+            let filled = connection.link.fill();
+            if connection.state == ConnectionState::Idle && !connection.link.data().is_empty() {
+                connection.set_state(now, ConnectionState::Reading);
+            }
+            match ajp_codec::packet(connection.link.data(), Way::ToContainer) {
+                Ok(Some(payload)) if connection.memory.0.is_some() => {
+                    self.on_body_packet(now, id, payload, turn)
+                }
+                Ok(Some(payload)) => self.on_message(now, id, payload, turn),
+                // A client that is gone before its last byte: the request never reaches the dispatcher.
+                Ok(None) if filled != Filled::Open => return self.connections.close(id),
+                Ok(None) => return,
+                // After a wrong magic or length there is no telling where a message begins.
+                Err(error) => {
+                    turn.log.line(&format!("ajp: closed for a bad packet: {error:?}"));
+                    connection.finish(now);
+                }
+            }
+        }
+        self.connections.touch(id);
+    }
+
+    /// Takes a packet that carries a part of a request's body.
+    fn on_body_packet(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let packet_end = payload.end;
+        let chunk = connection.link.data().get(payload).map(ajp_codec::body);
+        let Some(Ok(chunk)) = chunk else {
+            turn.log.line("ajp: closed for a bad body packet");
+            connection.finish(now);
+            return;
+        };
+        let body_ended = chunk.is_empty();
+        // Beyond the limit the request is rejected anyway: what is kept stays bounded.
+        let has_room =
+            |pending: &&mut PendingRequest| pending.body.len() < MAX_BODY_BYTES + MAX_BODY_CHUNK_BYTES;
+        if let Some(pending) = connection.memory.0.as_mut().filter(has_room) {
+            pending.body.extend_from_slice(chunk);
+        }
+        connection.link.consume(packet_end);
+        self.on_body_chunk(id, body_ended, turn);
+    }
+
+    /// Takes a packet that begins a request, or another message of a web server.
+    fn on_message(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let packet_end = payload.end;
+        let message = connection.link.data().get(payload).map(ajp_codec::to_container);
+        let checked = match message {
+            Some(Ok(ToContainer::Forward(forward))) => {
+                check_head(&self.settings, self.directory, &forward, turn.state, turn.clock.unix_ms())
+            }
+            Some(Ok(ToContainer::CPing)) => {
+                connection.link.push(ajp_codec::write_cpong());
+                connection.link.consume(packet_end);
+                return connection.set_state(now, ConnectionState::Idle);
+            }
+            // Nobody may shut a worker down this way; a ping of the old kind wants no response.
+            Some(Ok(ToContainer::Shutdown | ToContainer::Ping)) => {
+                connection.link.consume(packet_end);
+                return connection.set_state(now, ConnectionState::Idle);
+            }
+            Some(Err(_)) | None => {
+                turn.log.line("ajp: closed for a message that can't be read");
+                return connection.finish(now);
+            }
+        };
+        connection.link.consume(packet_end);
+        match checked {
+            Ok(pending) => self.begin_request(id, pending, turn),
+            Err(rejection) => {
+                // Its body, if it has one, may be on its way: the connection can't be used again.
+                connection.close = true;
+                write_response(connection, now, rejection.into(), turn.state);
+            }
+        }
+    }
+
+    /// Waits for the body of a request, or goes on at once where it has none.
+    fn begin_request(&mut self, id: u64, pending: PendingRequest, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let content_length = pending.content_length;
+        // A web server sends a body without a stated length only when it is asked for.
+        if content_length.is_none() {
+            connection.link.push(ajp_codec::write_get_body(MAX_BODY_CHUNK_BYTES as u16));
+        }
+        connection.memory.0 = Some(pending);
+        if content_length == Some(0) {
+            self.on_complete(id, turn);
+        }
+    }
+
+    /// Rejects a body of the wrong length, goes on with a complete one, or asks for more of it.
+    fn on_body_chunk(&mut self, id: u64, body_ended: bool, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(pending) = &connection.memory.0 else { return };
+        let received = pending.body.len();
+        let content_length = pending.content_length;
+        let rejection = if received > content_length.unwrap_or(MAX_BODY_BYTES) {
+            Some(Rejection::new(413, "the body is too long"))
+        } else if body_ended && content_length.is_some_and(|length| received < length) {
+            Some(Rejection::new(400, "the body is too short"))
+        } else {
+            None
+        };
+        if let Some(rejection) = rejection {
+            connection.memory.0 = None;
+            connection.close = true;
+            return write_response(connection, turn.clock.now(), rejection.into(), turn.state);
+        }
+        match content_length {
+            Some(length) if received == length => self.on_complete(id, turn),
+            None if body_ended => self.on_complete(id, turn),
+            _ => {
+                let missing = content_length.map_or(MAX_BODY_CHUNK_BYTES, |length| length - received);
+                let wanted = missing.min(MAX_BODY_CHUNK_BYTES);
+                connection.link.push(ajp_codec::write_get_body(wanted as u16));
+            }
+        }
+    }
+
+    /// A request has come complete: the directory is asked first where it must be, else the dispatcher.
+    fn on_complete(&mut self, id: u64, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(pending) = &mut connection.memory.0 else { return };
+        if pending.fields.id.is_none() {
+            self.generated_ids += 1;
+            pending.fields.id = Some(generated_id(self.seed, self.generated_ids).into());
+        }
+        let identity = pending.identity.take();
+        let for_s = pending.fields.time_left(pending.class, &turn.state.known, turn.clock);
+        connection.set_state(turn.clock.now(), ConnectionState::Asked);
+        match identity {
+            Some(identity) => turn.lookups.push(Lookup { ticket: Ticket(id), identity, for_s }),
+            None => self.dispatch(id, turn),
+        }
+    }
+
+    /// Hands the pending request to the dispatcher.
+    fn dispatch(&mut self, id: u64, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(pending) = connection.memory.0.take() else { return };
+        let PendingRequest { class, tenant, fields, body, .. } = pending;
+        match fields.request(Ticket(id), class, tenant, &body, &turn.state.known, turn.clock) {
+            Ok(request) => turn.inputs.push(Input::Arrived(request)),
+            Err(error) => {
+                let rejection = Rejection::from(error);
+                write_response(connection, turn.clock.now(), rejection.into(), turn.state);
+                self.connections.touch(id);
+            }
+        }
+    }
+
+    /// Ends all lookups, as the directory's answers would come too late: clients are told to retry.
+    pub fn give_up_lookups(&mut self, turn: &mut Turn) {
+        let waits_for_directory = |connection: &Connection<Memory>| {
+            connection.state == ConnectionState::Asked && connection.memory.0.is_some()
+        };
+        for id in self.connections.ids_where(waits_for_directory) {
+            self.found(Ticket(id), LookupResult::Unavailable, turn);
+        }
+    }
+
+    /// Takes the result of a lookup.
+    pub fn found(&mut self, ticket: Ticket, result: LookupResult, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(ticket.0) else { return };
+        let tenant = match &result {
+            LookupResult::Tenant(name) => turn.state.known.tenant(name),
+            _ => None,
+        };
+        if let (Some(tenant), Some(pending)) = (tenant, &mut connection.memory.0) {
+            pending.tenant = Some(tenant);
+            return self.dispatch(ticket.0, turn);
+        }
+        connection.memory.0 = None;
+        let response = failed_lookup_response(&result);
+        write_response(connection, turn.clock.now(), response, turn.state);
+        self.connections.touch(ticket.0);
+    }
+
+    /// Writes a response of the dispatcher.
+    pub fn answer(&mut self, now: f64, ticket: Ticket, response: Response, state: &State) {
+        let Some(connection) = self.connections.get_mut(ticket.0) else { return };
+        if connection.state != ConnectionState::Asked {
+            return;
+        }
+        write_response(connection, now, response.into(), state);
+        self.connections.touch(ticket.0);
+    }
+}
+
+/// The response where a lookup has told no tenant of the settings.
+fn failed_lookup_response(result: &LookupResult) -> AjpResponse {
+    match result {
+        LookupResult::Unavailable => AjpResponse::from(Rejection::new(503, "the directory is down"))
+            .with_header("Retry-After", "1".to_owned()),
+        LookupResult::TimedOut => Rejection::new(504, "the directory has not answered in time").into(),
+        LookupResult::Tenant(_) | LookupResult::Unknown => Rejection::new(403, "unknown tenant").into(),
+    }
+}
+
+/// An id for a request that came without one: 16 hex digits, unique in the life of a process. The mixing function is
+/// that of SplitMix64.
+fn generated_id(seed: u64, number: u64) -> String {
+    let mut z = seed.wrapping_add(number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+    z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+    format!("{:016x}", z ^ (z >> 31))
+}
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -12,7 +12,7 @@
 use crate::net::io::idle_pool::{full, take_idle, Pooled, MAX_IDLE};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
-use crate::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way, PACKET_MOST};
+use crate::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way, MAX_PACKET_BYTES};
 use crate::net::Log;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -144,7 +144,7 @@
         let to = *servers.get(self.next % servers.len().max(1))?;
         self.next = self.next.wrapping_add(1);
         let id = self.poll.fresh();
-        let link = Link::connect(&self.poll, to, Place::AjpServer(id), 2 * PACKET_MOST).ok()?;
+        let link = Link::connect(&self.poll, to, Place::AjpServer(id), 2 * MAX_PACKET_BYTES).ok()?;
         let (connected, used, run) = (false, false, None);
         self.connections.insert(id, Connection { link, connected, used, run, idle_since: now });
         Some(id)
--- a/src/net/upstreams/ajp_codec.rs
+++ b/src/net/upstreams/ajp_codec.rs
@@ -7,12 +7,12 @@
 use std::ops::Range;
 
 /// The largest packet, and the most that it carries beside its head.
-pub const PACKET_MOST: usize = 8 * 1024;
-pub const PAYLOAD_MOST: usize = PACKET_MOST - 4;
+pub const MAX_PACKET_BYTES: usize = 8 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = MAX_PACKET_BYTES - 4;
 /// Body bytes in one packet towards a container: after the packet's head and their own length.
-pub const BODY_CHUNK_MOST: usize = PAYLOAD_MOST - 2;
+pub const MAX_BODY_CHUNK_BYTES: usize = MAX_PAYLOAD_BYTES - 2;
 /// Body bytes in one message towards a web server: code, length, and a zero behind them.
-pub const REPLY_CHUNK_MOST: usize = PAYLOAD_MOST - 4;
+pub const MAX_RESPONSE_CHUNK_BYTES: usize = MAX_PAYLOAD_BYTES - 4;
 
 /// Which way a packet goes, told by its magic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     }
     let Some(length) = data.get(2..4) else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes([length[0], length[1]]));
-    if length > PAYLOAD_MOST {
+    if length > MAX_PAYLOAD_BYTES {
         return Err(Bad::Length);
     }
     Ok((data.len() >= 4 + length).then_some(4..4 + length))
@@ -311,7 +311,7 @@
     }
 
     fn string(self, text: &[u8]) -> Writer {
-        let text = &text[..text.len().min(PAYLOAD_MOST)];
+        let text = &text[..text.len().min(MAX_PAYLOAD_BYTES)];
         let mut w = self.int(text.len() as u16);
         w.0.extend_from_slice(text);
         w.byte(0)
@@ -326,7 +326,7 @@
 
     /// `None` where the message is larger than a packet.
     fn close(mut self) -> Option<Vec<u8>> {
-        let length = u16::try_from(self.0.len() - 4).ok().filter(|n| usize::from(*n) <= PAYLOAD_MOST)?;
+        let length = u16::try_from(self.0.len() - 4).ok().filter(|n| usize::from(*n) <= MAX_PAYLOAD_BYTES)?;
         self.0[2..4].copy_from_slice(&length.to_be_bytes());
         Some(self.0)
     }
@@ -396,7 +396,7 @@
 
 /// The head of a body chunk of an answer; the bytes follow it, and a zero follows them.
 pub fn chunk_head(length: usize) -> Vec<u8> {
-    let length = length.min(REPLY_CHUNK_MOST);
+    let length = length.min(MAX_RESPONSE_CHUNK_BYTES);
     let [a, b] = (length as u16 + 4).to_be_bytes();
     let [c, d] = (length as u16).to_be_bytes();
     vec![b'A', b'B', a, b, 3, c, d]
--- a/src/net/upstreams/directory.rs
+++ b/src/net/upstreams/directory.rs
@@ -4,7 +4,7 @@
 
 use crate::config::DirectorySettings;
 use crate::dispatch::Ticket;
-use crate::net::frontends::ajp::{Found, Lookup};
+use crate::net::frontends::ajp::{Lookup, LookupResult};
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
@@ -61,7 +61,7 @@
     waiting: Vec<Waiting>,
     /// By identity: the tenant, if there is one, and until when that counts.
     cache: HashMap<Rc<str>, (Option<Rc<str>>, f64)>,
-    found: Vec<(Ticket, Found)>,
+    found: Vec<(Ticket, LookupResult)>,
 }
 
 impl Directory {
@@ -89,7 +89,7 @@
     }
 
     /// Takes what has been found since the last look.
-    pub fn take_found(&mut self) -> Vec<(Ticket, Found)> {
+    pub fn take_found(&mut self) -> Vec<(Ticket, LookupResult)> {
         std::mem::take(&mut self.found)
     }
 
@@ -98,12 +98,12 @@
         let identity: Rc<str> = lookup.identity.into();
         if let Some((tenant, until)) = self.cache.get(&identity) {
             if now < *until {
-                let found = tenant.clone().map_or(Found::Unknown, Found::Tenant);
+                let found = tenant.clone().map_or(LookupResult::Unknown, LookupResult::Tenant);
                 return self.found.push((lookup.ticket, found));
             }
         }
         if now < self.down_until || self.waiting.len() >= WAITING_MOST {
-            return self.found.push((lookup.ticket, Found::Down));
+            return self.found.push((lookup.ticket, LookupResult::Unavailable));
         }
         let timeout = self.settings.timeout_ms / 1000.0;
         let (number, ticket) = (self.poll.fresh(), lookup.ticket);
@@ -139,14 +139,17 @@
             return self.connect(now, log);
         }
         self.down_until = now + DOWN_S;
-        self.found.extend(self.waiting.drain(..).map(|w| (w.ticket, Found::Down)));
+        self.found.extend(self.waiting.drain(..).map(|w| (w.ticket, LookupResult::Unavailable)));
     }
 
     /// A lookup has run out of time.
     pub fn due(&mut self, now: f64, number: u64) {
         let Some(at) = self.waiting.iter().position(|w| w.number == number) else { return };
         let late = self.waiting.swap_remove(at);
-        self.found.push((late.ticket, if late.own_time { Found::OutOfTime } else { Found::Down }));
+        self.found.push((
+            late.ticket,
+            if late.own_time { LookupResult::TimedOut } else { LookupResult::Unavailable },
+        ));
         if !late.own_time && self.waiting.is_empty() {
             // It takes links and says nothing: the next lookup begins afresh.
             self.link = None;
@@ -210,13 +213,13 @@
             LdapOp::SearchResultDone(result) => {
                 let Some(search) = self.searches.remove(&message.msgid) else { return };
                 let found = match (result.code, &search.tenants[..]) {
-                    (LdapResultCode::Success, [tenant]) => Found::Tenant(tenant.clone()),
+                    (LdapResultCode::Success, [tenant]) => LookupResult::Tenant(tenant.clone()),
                     // None, or more than one: it is not told whose requests these are.
-                    (LdapResultCode::Success | LdapResultCode::SizeLimitExceeded, _) => Found::Unknown,
-                    (LdapResultCode::NoSuchObject, _) => Found::Unknown,
+                    (LdapResultCode::Success | LdapResultCode::SizeLimitExceeded, _) => LookupResult::Unknown,
+                    (LdapResultCode::NoSuchObject, _) => LookupResult::Unknown,
                     (code, _) => {
                         log.line(&format!("directory: a search failed: {code:?}"));
-                        Found::Down
+                        LookupResult::Unavailable
                     }
                 };
                 self.served = true;
@@ -227,14 +230,14 @@
         }
     }
 
-    fn tell(&mut self, now: f64, identity: Rc<str>, found: Found) {
+    fn tell(&mut self, now: f64, identity: Rc<str>, found: LookupResult) {
         let (told, rest) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| w.identity == identity);
         self.waiting = rest;
         self.found.extend(Vec::into_iter(told).map(|w: Waiting| (w.ticket, found.clone())));
         let (tenant, keep_s) = match found {
-            Found::Tenant(tenant) => (Some(tenant), self.settings.cache_s),
-            Found::Unknown => (None, self.settings.cache_s.min(UNKNOWN_KEEP_S)),
+            LookupResult::Tenant(tenant) => (Some(tenant), self.settings.cache_s),
+            LookupResult::Unknown => (None, self.settings.cache_s.min(UNKNOWN_KEEP_S)),
             _ => return,
         };
         // Bounded: what is over goes first, then what would be over soonest.
