--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -4,7 +4,7 @@
 use super::session::{PollInput, PollOutput, Session};
 use super::{overhead_budget, Http2Front};
 use crate::dispatch::Input;
-use crate::net::frontends::connections::{Connection, Next, Stage};
+use crate::net::frontends::connections::{Connection, ConnectionState, NextStep};
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::Poll;
 use crate::net::{Clock, Log, State};
@@ -115,7 +115,7 @@
     /// Reads from a connection, polls its session, writes what that produced, and hands on its requests.
     pub(super) fn process_connection(&mut self, id: u64, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if connection.stage == Stage::Closing || connection.stage == Stage::Answering {
+        if connection.state == ConnectionState::Closing || connection.state == ConnectionState::Answering {
             return self.process_ending(id, turn);
         }
         if connection.link.flush().is_err() {
@@ -138,10 +138,10 @@
         if connection.memory.active.is_some() {
             return self.finish(id, turn.now, turn.inputs);
         }
-        match connection.settle(turn.now) {
-            Next::Close => self.close(id, turn.inputs),
-            Next::Later => self.connections.touch(id),
-            Next::Read | Next::Wait => {}
+        match connection.advance(turn.now) {
+            NextStep::Close => self.close(id, turn.inputs),
+            NextStep::Later => self.connections.touch(id),
+            NextStep::Read | NextStep::Wait => {}
         }
     }
 
@@ -178,8 +178,8 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.link.data().is_empty() {
             connection.link.shrink();
-        } else if connection.stage == Stage::Idle {
-            connection.step(turn.now, Stage::Reading);
+        } else if connection.state == ConnectionState::Idle {
+            connection.set_state(turn.now, ConnectionState::Reading);
         }
     }
 
@@ -303,13 +303,13 @@
         connection.memory.sent_bytes = connection.link.sent;
         connection.memory.send_progress_at = now;
     }
-    if exchange.accepted && connection.stage != Stage::Asked {
+    if exchange.accepted && connection.state != ConnectionState::Asked {
         // By way of reading: a connection that has sent a request is not among the silent ones, which are closed first
         // when descriptors run out.
-        connection.step(now, Stage::Reading);
-        connection.step(now, Stage::Asked);
+        connection.set_state(now, ConnectionState::Reading);
+        connection.set_state(now, ConnectionState::Asked);
     }
-    if !exchange.has_streams && connection.link.queued() == 0 && connection.stage == Stage::Asked {
-        connection.step(now, Stage::Idle);
+    if !exchange.has_streams && connection.link.queued() == 0 && connection.state == ConnectionState::Asked {
+        connection.set_state(now, ConnectionState::Idle);
     }
 }
--- a/src/net/frontends/http2/session/request.rs
+++ b/src/net/frontends/http2/session/request.rs
@@ -1,7 +1,7 @@
 //! The request of a stream: its head is checked as a whole, its body is collected up to a bound.
 
-use crate::net::frontends::request_fields::{Fault, Fields, BODY_MOST};
-use crate::net::frontends::status_mapping::{target, Fail, Target};
+use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
+use crate::net::frontends::status_mapping::{target, HttpError, Target};
 use crate::net::State;
 use h2::RecvStream;
 use http::header::CONTENT_LENGTH;
@@ -14,7 +14,7 @@
 
 /// A request whose head has been read and whose body is still to come.
 pub(super) struct IncomingRequest {
-    pub(super) fields: Box<Fields>,
+    pub(super) fields: Box<RequestFields>,
     pub(super) class: usize,
     pub(super) body: Vec<u8>,
     pub(super) receive: RecvStream,
@@ -23,7 +23,7 @@
 /// Why a body can't be received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyError {
-    /// It is longer than `BODY_MOST`.
+    /// It is longer than `MAX_BODY_BYTES`.
     TooLong,
     /// The client has reset the stream before its end.
     Reset,
@@ -44,7 +44,7 @@
                 Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(BodyError::Reset)),
                 Poll::Ready(Some(Ok(data))) => data,
             };
-            if self.body.len() + data.len() > BODY_MOST {
+            if self.body.len() + data.len() > MAX_BODY_BYTES {
                 return Poll::Ready(Err(BodyError::TooLong));
             }
             self.body.extend_from_slice(&data);
@@ -70,19 +70,22 @@
 }
 
 /// Checks the pseudo-headers and collects the platform's fields.
-pub(super) fn read_head(head: &http::request::Parts, state: &State) -> Result<(Target, Fields), Fail> {
+pub(super) fn read_head(
+    head: &http::request::Parts,
+    state: &State,
+) -> Result<(Target, RequestFields), HttpError> {
     let path = head.uri.path_and_query().map_or("", |p| p.as_str());
     let target = target(head.method.as_str(), path, &state.known)?;
-    let mut fields = Fields::default();
+    let mut fields = RequestFields::default();
     for (name, value) in &head.headers {
         if name == CONTENT_LENGTH {
             // The codec checks it against the data; here it spares reading a body that is too long anyway.
             let length = value.to_str().ok().and_then(|v| v.parse::<usize>().ok());
-            if length.map_or(true, |bytes| bytes > BODY_MOST) {
-                return Err(Fail::new(413, "the body is too long"));
+            if length.map_or(true, |bytes| bytes > MAX_BODY_BYTES) {
+                return Err(HttpError::new(413, "the body is too long"));
             }
-        } else if let Err(Fault::Field(name)) = fields.note(name.as_str(), value.as_bytes()) {
-            return Err(Fail::new(400, name));
+        } else if let Err(FieldError::Field(name)) = fields.note(name.as_str(), value.as_bytes()) {
+            return Err(HttpError::new(400, name));
         }
     }
     Ok((target, fields))
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -4,8 +4,8 @@
 use super::response::{response_head, OutgoingBody, SendProgress, SharedBytes};
 use super::{PollInput, PollOutput};
 use crate::dispatch::{Request, Response, Ticket};
-use crate::net::frontends::request_fields::{Fault, Fields};
-use crate::net::frontends::status_mapping::{meaning, Fail, StatusMapping, Target};
+use crate::net::frontends::request_fields::{FieldError, RequestFields};
+use crate::net::frontends::status_mapping::{map_response, HttpError, StatusMapping, Target};
 use crate::net::State;
 use bytes::Buf;
 use h2::server::SendResponse;
@@ -76,7 +76,7 @@
         stream
     }
 
-    fn begin(&mut self, target: Target, fields: Fields, receive: RecvStream, state: &State) {
+    fn begin(&mut self, target: Target, fields: RequestFields, receive: RecvStream, state: &State) {
         match target {
             Target::Check if state.good() => self.send_text(200, "good\n", state),
             Target::Check => self.send_text(503, "bad\n", state),
@@ -171,7 +171,7 @@
             Poll::Pending => None,
             Poll::Ready(Ok(())) => self.complete_request(ticket, input),
             Poll::Ready(Err(BodyError::TooLong)) => {
-                self.fail(Fail::new(413, "the body is too long"), input.state);
+                self.fail(HttpError::new(413, "the body is too long"), input.state);
                 None
             }
             Poll::Ready(Err(BodyError::Reset)) => {
@@ -191,12 +191,12 @@
                 self.stage = StreamStage::AwaitingResponse;
                 Some(request)
             }
-            Err(Fault::UnknownTenant) => {
-                self.fail(Fail::new(403, "unknown tenant"), input.state);
+            Err(FieldError::UnknownTenant) => {
+                self.fail(HttpError::new(403, "unknown tenant"), input.state);
                 None
             }
-            Err(Fault::Field(name)) => {
-                self.fail(Fail::new(400, name), input.state);
+            Err(FieldError::Field(name)) => {
+                self.fail(HttpError::new(400, name), input.state);
                 None
             }
         }
@@ -219,11 +219,11 @@
     pub(super) fn respond(&mut self, now: f64, response: Response, state: &State) {
         if self.awaits_response() {
             self.since = now;
-            self.start_response(meaning(response), "", state);
+            self.start_response(map_response(response), "", state);
         }
     }
 
-    fn fail(&mut self, fail: Fail, state: &State) {
+    fn fail(&mut self, fail: HttpError, state: &State) {
         let body = format!("{}\n", fail.why).into_bytes();
         let mapping =
             StatusMapping { code: fail.code, body: Some(body.into()), pushback_ms: None, stop_trying: false };
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -4,7 +4,7 @@
 use super::session::IdleOutcome;
 use super::Http2Front;
 use crate::dispatch::Input;
-use crate::net::frontends::connections::Stage;
+use crate::net::frontends::connections::ConnectionState;
 use crate::net::Log;
 
 /// How long a client may take nothing of what waits for it (seconds).
@@ -24,7 +24,7 @@
     /// Closes clients that take nothing of what waits for them.
     fn close_stalled(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let stalled = self.connections.ids_where(|connection| {
-            connection.stage == Stage::Asked
+            connection.state == ConnectionState::Asked
                 && connection.link.queued() > 0
                 && connection.memory.send_stalled_s(now) > MAX_SEND_STALL_S
         });
@@ -60,7 +60,7 @@
     /// Checks on clients without a stream, and ends those that don't answer.
     fn end_idle(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>) {
         let mut overdue = Vec::new();
-        for id in self.connections.ids_where(|connection| connection.stage == Stage::Idle) {
+        for id in self.connections.ids_where(|connection| connection.state == ConnectionState::Idle) {
             let Some(connection) = self.connections.get_mut(id) else { continue };
             let idle_since = connection.since();
             let Some(active) = &mut connection.memory.active else { continue };
