--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,5 +1,6 @@
 //! An experiment, as its TOML file has it: a worker's world, the load on it, variants to compare, and what must hold.
 
+use crate::error::{ExperimentError, TestbedError};
 use crate::floods::Flood;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -201,21 +202,24 @@
 
 impl Experiment {
     /// Reads and checks a file; an error is one line that names it.
-    pub fn read(path: &Path) -> Result<Experiment, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Experiment::decode(&text).map_err(|e| format!("{}: {e}", path.display()))
+    pub fn read(path: &Path) -> Result<Experiment, TestbedError> {
+        let text = std::fs::read_to_string(path).map_err(TestbedError::file(path))?;
+        Experiment::decode(&text)
+            .map_err(|source| TestbedError::ExperimentFile { path: path.to_owned(), source })
     }
 
-    pub fn decode(text: &str) -> Result<Experiment, String> {
-        let e: Experiment = toml::from_str(text).map_err(|e| {
-            let at = e.span().map_or(0, |s| s.start.min(text.len()));
-            format!("line {}: {}", text[..at].matches('\n').count() + 1, e.message().replace('\n', " "))
+    /// Reads and checks the text of a file.
+    pub fn decode(text: &str) -> Result<Experiment, ExperimentError> {
+        let e: Experiment = toml::from_str(text).map_err(|source: toml::de::Error| {
+            let at = source.span().map_or(0, |s| s.start.min(text.len()));
+            let line = text[..at].matches('\n').count() + 1;
+            ExperimentError::Syntax { line, source }
         })?;
-        let positive = |what: String, n: f64| {
-            if n.is_finite() && n > 0.0 {
+        let positive = |key: String, found: f64| {
+            if found.is_finite() && found > 0.0 {
                 Ok(())
             } else {
-                Err(format!("{what} is {n}; expected above 0"))
+                Err(ExperimentError::NotPositive { key, found })
             }
         };
         positive("length_s".into(), e.length_s)?;
@@ -245,26 +249,23 @@
             positive("slow.times".into(), s.times)?;
         }
         if e.seeds.is_empty() || e.variant.is_empty() || e.class.is_empty() {
-            return Err("seeds, variant or class is empty; expected one at least".to_owned());
+            return Err(ExperimentError::NothingToPlay);
         }
         let variant = |name: &String| e.variant.iter().any(|v| v.name == *name);
         for x in &e.expect {
             if !METRICS.contains(&x.metric.as_str()) {
-                return Err(format!(
-                    "expect: there is no metric {:?}; expected one of {METRICS:?}",
-                    x.metric
-                ));
+                return Err(ExperimentError::UnknownMetric { found: x.metric.clone(), known: &METRICS });
             }
             if let Some(v) =
                 [Some(&x.variant), x.against.as_ref()].into_iter().flatten().find(|v| !variant(v))
             {
-                return Err(format!("expect: there is no variant {v:?}"));
+                return Err(ExperimentError::UnknownVariant { found: v.clone() });
             }
             if let Some(c) = x.class.as_ref().filter(|c| !e.class.iter().any(|k| k.name == **c)) {
-                return Err(format!("expect: there is no class {c:?}"));
+                return Err(ExperimentError::UnknownClass { found: c.clone() });
             }
             if x.least.is_none() && x.most.is_none() {
-                return Err(format!("expect {:?}: expected least or most", x.metric));
+                return Err(ExperimentError::NoBound { metric: x.metric.clone() });
             }
         }
         Ok(e)
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -2,6 +2,7 @@
 
 use super::rig::{FleetFile, Programs, Rig};
 use super::session_load::SessionLoad;
+use crate::error::TestbedError;
 use fleet_coordinator::client::{ask, ask_leader, QueryOutcome};
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES, VERSION,
@@ -18,11 +19,11 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Waits until something is so; how long it took (seconds).
-fn wait(what: &str, mut look: impl FnMut() -> bool) -> Result<f64, String> {
+fn wait(what: &str, mut look: impl FnMut() -> bool) -> Result<f64, TestbedError> {
     let start = Instant::now();
     while !look() {
         if start.elapsed() > PATIENCE {
-            return Err(format!("{what}: not within {PATIENCE:?}"));
+            return Err(TestbedError::TimedOut { what: what.to_owned(), limit: PATIENCE });
         }
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -46,7 +47,7 @@
 ///
 /// # Errors
 /// What did not come about.
-pub fn takeovers(folder: &Path, programs: Programs, times: usize) -> Result<String, String> {
+pub fn takeovers(folder: &Path, programs: Programs, times: usize) -> Result<String, TestbedError> {
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs)?;
     wait("the first act", || !last_act(&rig).0.is_empty())?;
     let (mut killed, mut cut) = (Vec::new(), Vec::new());
@@ -78,7 +79,7 @@
     }
     let wrong = super::task_log::judge(&rig.acts());
     if !wrong.is_empty() {
-        return Err(wrong.join("; "));
+        return Err(TestbedError::GuaranteeBroken(wrong));
     }
     Ok(format!("TTL 3 s; holder killed: {}\n          holder cut:    {}", quantiles(killed), quantiles(cut)))
 }
@@ -99,27 +100,25 @@
 }
 
 impl Taker {
-    fn say(&mut self, say: &ClientMessage) -> Result<(), String> {
-        self.stream.write_all(&encode(say)).map_err(|e| e.to_string())
+    fn say(&mut self, say: &ClientMessage) -> Result<(), TestbedError> {
+        Ok(self.stream.write_all(&encode(say))?)
     }
 
     /// Reads until a word is one that `wanted` takes something from; `None` if none comes for a moment.
-    fn until<T>(&mut self, wanted: impl Fn(&ServerMessage) -> Option<T>) -> Result<Option<T>, String> {
+    fn until<T>(&mut self, wanted: impl Fn(&ServerMessage) -> Option<T>) -> Result<Option<T>, TestbedError> {
         let mut part = [0; 4096];
         loop {
-            while let Some((word, length)) =
-                decode::<ServerMessage>(&self.data, MAX_SERVER_FRAME_BYTES).map_err(|e| e.to_string())?
-            {
+            while let Some((word, length)) = decode::<ServerMessage>(&self.data, MAX_SERVER_FRAME_BYTES)? {
                 self.data.drain(..length);
                 if let Some(found) = wanted(&word) {
                     return Ok(Some(found));
                 }
             }
             match self.stream.read(&mut part) {
-                Ok(0) => return Err("the coordinator closed the link".to_owned()),
+                Ok(0) => return Err(TestbedError::LinkClosed),
                 Ok(n) => self.data.extend_from_slice(&part[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Ok(None),
-                Err(e) => return Err(e.to_string()),
+                Err(e) => return Err(e.into()),
             }
         }
     }
@@ -130,7 +129,7 @@
 ///
 /// # Errors
 /// What did not come about.
-pub fn grants(folder: &Path, programs: Programs, takers: usize, for_s: f64) -> Result<String, String> {
+pub fn grants(folder: &Path, programs: Programs, takers: usize, for_s: f64) -> Result<String, TestbedError> {
     let mut text = "fleet = \"cost\"\ncoordinators = 3\nworkers = 1\n".to_owned();
     for n in 0..takers {
         text += &format!("[[task]]\nname = \"t{n}\"\nperiod_s = 1000.0\nsafe = true\n");
@@ -139,13 +138,16 @@
     // The tasks are the takers'.
     rig.kill("w1")?;
     wait("a leader", || leader(&rig).is_some())?;
-    let name = leader(&rig).ok_or("no leader")?;
-    let (at, pid) = (rig.address(&name).ok_or("no address")?, rig.pid(&name).ok_or("no process")?);
+    let name = leader(&rig).ok_or(TestbedError::Missing("leader"))?;
+    let (at, pid) = (
+        rig.address(&name).ok_or(TestbedError::Missing("address"))?,
+        rig.pid(&name).ok_or(TestbedError::Missing("process"))?,
+    );
     // Until the worker that was killed holds nothing any more.
     std::thread::sleep(Duration::from_secs(5));
     let begun = Instant::now();
-    let take = |n: usize| -> Result<u64, String> {
-        let stream = TcpStream::connect(at).map_err(|e| e.to_string())?;
+    let take = |n: usize| -> Result<u64, TestbedError> {
+        let stream = TcpStream::connect(at)?;
         let _ = stream.set_nodelay(true);
         // A want that comes while the lease is still being freed does not count: it is said again.
         let _ = stream.set_read_timeout(Some(Duration::from_millis(20)));
@@ -160,7 +162,7 @@
         })?;
         while taker.until(|w| matches!(w, ServerMessage::Welcome { .. }).then_some(()))?.is_none() {
             if begun.elapsed() > PATIENCE {
-                return Err("no welcome".to_owned());
+                return Err(TestbedError::Missing("welcome"));
             }
         }
         let (mut taken, mut seq) = (0, 0);
@@ -186,14 +188,17 @@
         Ok(taken)
     };
     let mut rows = format!("takers {takers}, memory of the leader (MB) at each tenth:");
-    let taken: Result<Vec<u64>, String> = std::thread::scope(|scope| {
+    let taken: Result<Vec<u64>, TestbedError> = std::thread::scope(|scope| {
         let take = &take;
         let handles: Vec<_> = (0..takers).map(|n| scope.spawn(move || take(n))).collect();
         for _tenth in 0..10 {
             std::thread::sleep(Duration::from_secs_f64(for_s / 10.0));
             rows += &format!(" {:.1}", resident_kb(pid) as f64 / 1024.0);
         }
-        handles.into_iter().map(|h| h.join().unwrap_or_else(|_| Err("a taker panicked".to_owned()))).collect()
+        handles
+            .into_iter()
+            .map(|h| h.join().unwrap_or(Err(TestbedError::Panicked { what: "taker" })))
+            .collect()
     });
     let taken: u64 = taken?.iter().sum();
     let each_s = taken as f64 / begun.elapsed().as_secs_f64();
@@ -221,7 +226,12 @@
 ///
 /// # Errors
 /// What did not come about.
-pub fn sessions(folder: &Path, programs: Programs, counts: &[usize], for_s: f64) -> Result<String, String> {
+pub fn sessions(
+    folder: &Path,
+    programs: Programs,
+    counts: &[usize],
+    for_s: f64,
+) -> Result<String, TestbedError> {
     let mut text = "sessions  opened in  leader's cpu  resident  up B/s each  down B/s each".to_owned();
     for &count in counts {
         let file = FleetFile::decode("fleet = \"cost\"\ncoordinators = 3\nworkers = 1\n")?;
@@ -237,12 +247,12 @@
         while !crowd.all_linked() {
             crowd.turn();
             if crowd.now() > PATIENCE.as_secs_f64() {
-                return Err(format!("{count} sessions did not come up"));
+                return Err(TestbedError::SessionsNotEstablished { count });
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         let opened = crowd.now();
-        let pid = leader(&rig).and_then(|c| rig.pid(&c)).ok_or("no leader")?;
+        let pid = leader(&rig).and_then(|c| rig.pid(&c)).ok_or(TestbedError::Missing("leader"))?;
         let (cpu, begun) = (cpu_of_all_threads_s(pid), Instant::now());
         let (mut up, mut down) = (0, 0);
         while begun.elapsed().as_secs_f64() < for_s {
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -2,6 +2,7 @@
 //! seeds, while its coordinators are well, dead, stopped, or come and go.
 
 use super::rig::{FleetFile, Programs, Rig};
+use crate::error::TestbedError;
 use crate::experiment::{Experiment, Variant};
 use crate::measure::{interval, Play};
 use crate::sockets;
@@ -28,7 +29,7 @@
 
 impl State {
     /// Brings them from well to this.
-    fn begin(self, rig: &mut Rig) -> Result<(), String> {
+    fn begin(self, rig: &mut Rig) -> Result<(), TestbedError> {
         let names = rig.coordinators();
         match self {
             State::Well | State::Flapping => Ok(()),
@@ -38,7 +39,7 @@
     }
 
     /// And back.
-    fn end(self, rig: &mut Rig) -> Result<(), String> {
+    fn end(self, rig: &mut Rig) -> Result<(), TestbedError> {
         let names = rig.coordinators();
         match self {
             State::Well => Ok(()),
@@ -60,7 +61,7 @@
     seeds: u64,
     length_s: f64,
     well_alone: bool,
-) -> Result<String, String> {
+) -> Result<String, TestbedError> {
     let worker = programs.worker.clone();
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs)?;
     // Its links are lent to the worker that is measured.
@@ -69,7 +70,7 @@
     experiment.length_s = length_s;
     let links: Vec<String> = rig.links("w1").iter().map(|a| format!("\"{a}\"")).collect();
     let operator = format!("[fleet]\nname = \"harm\"\ncoordinators = [{}]\n", links.join(", "));
-    let base = experiment.variant.first().ok_or("no variant")?;
+    let base = experiment.variant.first().ok_or(TestbedError::Missing("variant"))?;
     let variant = |name: &str, operator: &str| Variant {
         name: name.to_owned(),
         operator: operator.to_owned(),
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -3,6 +3,7 @@
 //! links make it. The same seed gives the same storm with and without the fleet's part.
 
 use crate::callers::{draw, Asked};
+use crate::error::TestbedError;
 use crate::executor::{Executor, Notice, Work};
 use crate::experiment::{Experiment, Slow};
 use crate::measure::interval;
@@ -221,13 +222,12 @@
 ///
 /// # Errors
 /// The workload above can't be read.
-pub fn play(shape: &Shape, seed: u64) -> Result<Storm, String> {
+pub fn play(shape: &Shape, seed: u64) -> Result<Storm, TestbedError> {
     let mut experiment = Experiment::decode(SITE)?;
     (experiment.load, experiment.length_s) = (shape.load * shape.workers as f64, shape.length_s);
     let asked = draw(&experiment, seed);
     let nowhere = "127.0.0.1:1";
-    let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())
-        .map_err(|fault| fault.to_string())?;
+    let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
     let worker = |n: usize| {
         let mut settings = config.settings.settings(n as u64 + 1);
         settings.key_entry_kb = 0.0;
@@ -550,21 +550,21 @@
 ///
 /// # Errors
 /// The workload can't be read.
-pub fn compare(workers: usize, seeds: u64, parts: &[Part]) -> Result<String, String> {
+pub fn compare(workers: usize, seeds: u64, parts: &[Part]) -> Result<String, TestbedError> {
     let mut text = format!(
         "{workers} workers, {seeds} seeds\n{:<34}{:<8}{:>8}{:>18}{:>8}{:>8}{:>10}{:>8}",
         "trouble", "part", "worth", "against alone", "back s", "calls", "further", "trials"
     );
     for (name, shape) in troubles() {
         let shape = Shape { workers, ..shape };
-        let plays = |part: Part| -> Result<Vec<Storm>, String> {
+        let plays = |part: Part| -> Result<Vec<Storm>, TestbedError> {
             let shape = Shape { part, ..shape.clone() };
             std::thread::scope(|scope| {
                 let shape = &shape;
                 let handles: Vec<_> =
                     (1..=seeds).map(|seed| scope.spawn(move || play(shape, seed))).collect();
                 let ended = |h: std::thread::ScopedJoinHandle<'_, _>| {
-                    h.join().unwrap_or_else(|_| Err("a play panicked".to_owned()))
+                    h.join().unwrap_or(Err(TestbedError::Panicked { what: "play" }))
                 };
                 handles.into_iter().map(ended).collect()
             })
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -3,6 +3,7 @@
 
 use super::rig::{get, FleetFile, Programs, Rig};
 use super::task_log::{judge, ActLine};
+use crate::error::TestbedError;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -70,7 +71,7 @@
     }
 
     /// What can't be done now, as to a process that does not run, is not done.
-    fn begin(&self, rig: &mut Rig) -> Result<(), String> {
+    fn begin(&self, rig: &mut Rig) -> Result<(), TestbedError> {
         match self {
             What::Kill(name) => rig.kill(name),
             What::Pause(name) => rig.pause(name),
@@ -88,7 +89,7 @@
         }
     }
 
-    fn end(&self, rig: &mut Rig) -> Result<(), String> {
+    fn end(&self, rig: &mut Rig) -> Result<(), TestbedError> {
         match self {
             What::Kill(name) => rig.start_again(name),
             What::Pause(name) => rig.resume(name),
@@ -157,7 +158,7 @@
 ///
 /// # Errors
 /// It did not come up.
-pub fn live(folder: &Path, programs: &Programs, faults: &[Fault]) -> Result<CampaignReport, String> {
+pub fn live(folder: &Path, programs: &Programs, faults: &[Fault]) -> Result<CampaignReport, TestbedError> {
     let _ = std::fs::remove_dir_all(folder);
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs.clone())?;
     let mut lived = CampaignReport::default();
@@ -188,7 +189,11 @@
     }
     lived.recovery_s = healed.elapsed().as_secs_f64();
     for name in rig.workers() {
-        let reply = rig.door(&name).ok_or("no door".to_owned()).and_then(|door| get(door, "/check"));
+        // As text: the report shows the error as a quoted line.
+        let reply = match rig.door(&name) {
+            Some(address) => get(address, "/check").map_err(|fault| fault.to_string()),
+            None => Err("no door".to_owned()),
+        };
         if !reply.as_ref().is_ok_and(|r| r.starts_with("HTTP/1.1 200")) {
             lived.wrong.push(format!("{name} does not serve: {reply:?}"));
         }
@@ -249,10 +254,10 @@
     for_s: f64,
     faults_s: f64,
     beside: usize,
-) -> Result<(String, bool), String> {
+) -> Result<(String, bool), TestbedError> {
     let end = Instant::now() + Duration::from_secs_f64(for_s.clamp(0.0, 86_400.0));
     let next = std::sync::atomic::AtomicU64::new(from);
-    let lane = |lane: usize| -> Result<Vec<Life>, String> {
+    let lane = |lane: usize| -> Result<Vec<Life>, TestbedError> {
         let own = folder.join(format!("lane-{lane}"));
         let mut lives = Vec::new();
         while Instant::now() < end {
@@ -276,8 +281,9 @@
     let lanes: Vec<_> = std::thread::scope(|scope| {
         let lane = &lane;
         let handles: Vec<_> = (0..beside.max(1)).map(|n| scope.spawn(move || lane(n))).collect();
-        let ended =
-            |h: std::thread::ScopedJoinHandle<'_, _>| h.join().unwrap_or(Err("a lane panicked".to_owned()));
+        let ended = |h: std::thread::ScopedJoinHandle<'_, _>| {
+            h.join().unwrap_or(Err(TestbedError::Panicked { what: "lane" }))
+        };
         handles.into_iter().map(ended).collect()
     });
     let mut lives = Vec::new();
--- a/testbed/src/fleet/relay.rs
+++ b/testbed/src/fleet/relay.rs
@@ -1,6 +1,7 @@
 //! Relays between two processes: what one dials is led to the other, until a fault says otherwise. A cut holds bytes back
 //! in one direction or both, as a network does that loses them; what was held goes on when it is healed.
 
+use crate::error::TestbedError;
 use crate::sockets::lock;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -32,10 +33,10 @@
 }
 
 impl Relay {
-    pub fn start(from: &str, to: &str) -> Result<Relay, String> {
-        let door = TcpListener::bind("127.0.0.1:0").map_err(|e| format!("relay: {e}"))?;
-        let address = door.local_addr().map_err(|e| format!("relay: {e}"))?;
-        door.set_nonblocking(true).map_err(|e| format!("relay: {e}"))?;
+    pub fn start(from: &str, to: &str) -> Result<Relay, TestbedError> {
+        let door = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("relay"))?;
+        let address = door.local_addr().map_err(TestbedError::component("relay"))?;
+        door.set_nonblocking(true).map_err(TestbedError::component("relay"))?;
         let shared = Arc::new(Shared::default());
         let own = shared.clone();
         thread::spawn(move || {
--- a/testbed/src/fleet/rig.rs
+++ b/testbed/src/fleet/rig.rs
@@ -4,6 +4,7 @@
 use super::relay::Relay;
 use super::service::Service;
 use super::task_log;
+use crate::error::{FleetFileError, TestbedError};
 use crate::experiment::{ClassModel, Experiment};
 use crate::sockets::{lock, serve_executor, Clock};
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
@@ -81,20 +82,20 @@
 impl FleetFile {
     /// # Errors
     /// One line: the file, where, and what was expected.
-    pub fn read(path: &Path) -> Result<FleetFile, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        FleetFile::decode(&text).map_err(|e| format!("{}: {e}", path.display()))
+    pub fn read(path: &Path) -> Result<FleetFile, TestbedError> {
+        let text = std::fs::read_to_string(path).map_err(TestbedError::file(path))?;
+        FleetFile::decode(&text).map_err(|source| TestbedError::FleetFile { path: path.to_owned(), source })
     }
 
     /// # Errors
     /// Where, and what was expected.
-    pub fn decode(text: &str) -> Result<FleetFile, String> {
-        let file: FleetFile = toml::from_str(text).map_err(|e| e.to_string().replace('\n', " "))?;
+    pub fn decode(text: &str) -> Result<FleetFile, FleetFileError> {
+        let file: FleetFile = toml::from_str(text)?;
         if !(1..=9).contains(&file.coordinators) || file.coordinators % 2 == 0 {
-            return Err(format!("coordinators is {}; expected 1, 3, 5, 7 or 9", file.coordinators));
+            return Err(FleetFileError::CoordinatorCount { found: file.coordinators });
         }
         if !(1..=64).contains(&file.workers) {
-            return Err(format!("workers is {}; expected 1 to 64", file.workers));
+            return Err(FleetFileError::WorkerCount { found: file.workers });
         }
         Ok(file)
     }
@@ -112,12 +113,12 @@
     ///
     /// # Errors
     /// Which of them is not there, and how to make it.
-    pub fn beside(folder: &Path) -> Result<Programs, String> {
+    pub fn beside(folder: &Path) -> Result<Programs, TestbedError> {
         let programs =
             Programs { worker: folder.join("port-worker"), coordinator: folder.join("fleet-coordinator") };
         for program in [&programs.worker, &programs.coordinator] {
             if !program.exists() {
-                return Err(format!("{}: not built; run cargo build --workspace", program.display()));
+                return Err(TestbedError::NotBuilt { program: program.clone() });
             }
         }
         Ok(programs)
@@ -153,7 +154,7 @@
     ///
     /// # Errors
     /// What did not come up, and why.
-    pub fn start(file: FleetFile, folder: &Path, programs: Programs) -> Result<Rig, String> {
+    pub fn start(file: FleetFile, folder: &Path, programs: Programs) -> Result<Rig, TestbedError> {
         Rig::start_with(file, folder, programs, true)
     }
 
@@ -166,8 +167,8 @@
         folder: &Path,
         programs: Programs,
         fenced: bool,
-    ) -> Result<Rig, String> {
-        std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    ) -> Result<Rig, TestbedError> {
+        std::fs::create_dir_all(folder).map_err(TestbedError::file(folder))?;
         let acts = task_log::start(&folder.join("acts.jsonl"), file.work_ms, fenced)?;
         let mut rig = Rig {
             relays: Vec::new(),
@@ -205,10 +206,10 @@
         }
         for name in &workers {
             let door = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
-            let door = door.map_err(|e| e.to_string())?;
+            let door = door?;
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            door.bind(&any.into()).and_then(|()| door.listen(256)).map_err(|e| e.to_string())?;
-            door.set_nonblocking(true).and_then(|()| door.set_cloexec(false)).map_err(|e| e.to_string())?;
+            door.bind(&any.into()).and_then(|()| door.listen(256))?;
+            door.set_nonblocking(true).and_then(|()| door.set_cloexec(false))?;
             rig.doors.push(door);
             rig.start_worker(name)?;
         }
@@ -229,9 +230,11 @@
         (1..=self.file.workers).map(|n| format!("w{n}")).collect()
     }
 
-    fn relay(&self, from: &str, to: &str) -> Result<SocketAddr, String> {
+    fn relay(&self, from: &str, to: &str) -> Result<SocketAddr, TestbedError> {
         let found = self.relays.iter().find(|r| r.from == from && r.to == to);
-        found.map(|r| r.address).ok_or_else(|| format!("there is no link from {from} to {to}"))
+        found
+            .map(|r| r.address)
+            .ok_or_else(|| TestbedError::NoLink { from: from.to_owned(), to: to.to_owned() })
     }
 
     /// Where this worker dials the coordinators, all of them.
@@ -239,7 +242,7 @@
         self.coordinators().iter().filter_map(|c| self.relay(worker, c).ok()).collect()
     }
 
-    fn coordinator_file(&self, name: &str) -> Result<String, String> {
+    fn coordinator_file(&self, name: &str) -> Result<String, TestbedError> {
         let mut text = format!(
             "fleet = {:?}\nname = {name:?}\nfolder = {:?}\nlisten = \"127.0.0.1:0\"\nepoch = 1\nwrite_overdue_ms = {}\n",
             self.file.fleet,
@@ -267,10 +270,9 @@
         Ok(text)
     }
 
-    fn start_coordinator(&mut self, name: &str) -> Result<(), String> {
+    fn start_coordinator(&mut self, name: &str) -> Result<(), TestbedError> {
         let path = self.folder.join(format!("{name}.toml"));
-        std::fs::write(&path, self.coordinator_file(name)?)
-            .map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, self.coordinator_file(name)?).map_err(TestbedError::file(&path))?;
         let mut command = Command::new(&self.programs.coordinator);
         command.arg("--config").arg(&path);
         let mut process = self.spawn(name, command)?;
@@ -281,24 +283,27 @@
         Ok(())
     }
 
-    fn start_worker(&mut self, name: &str) -> Result<(), String> {
+    fn start_worker(&mut self, name: &str) -> Result<(), TestbedError> {
         let process = self.spawn_worker(name)?;
         self.put(process);
         Ok(())
     }
 
-    fn spawn_worker(&mut self, name: &str) -> Result<Process, String> {
-        let number =
-            self.workers().iter().position(|w| w == name).ok_or_else(|| format!("there is no {name}"))?;
-        let executor = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
-        let executor_at = executor.local_addr().map_err(|e| e.to_string())?;
+    fn spawn_worker(&mut self, name: &str) -> Result<Process, TestbedError> {
+        let number = self
+            .workers()
+            .iter()
+            .position(|w| w == name)
+            .ok_or_else(|| TestbedError::UnknownProcess { name: name.to_owned() })?;
+        let executor = TcpListener::bind("127.0.0.1:0")?;
+        let executor_at = executor.local_addr()?;
         // Its thread ends with the fleet.
         drop(serve_executor(executor, &self.site, self.clock, &self.over));
         let listen = self.doors[number]
             .local_addr()
             .ok()
             .and_then(|a| a.as_socket())
-            .ok_or("a door has no address")?;
+            .ok_or(TestbedError::ListenerWithoutAddress)?;
         let nobody = "127.0.0.1:9".to_owned();
         let below = self.relay(name, "service").map_or(nobody.clone(), |a| a.to_string());
         let mut config = self.site.config(&listen.to_string(), &executor_at.to_string(), &below, &nobody);
@@ -326,10 +331,10 @@
             );
         }
         let meets = self.folder.join(format!("{name}-meets"));
-        std::fs::create_dir_all(&meets).map_err(|e| format!("{}: {e}", meets.display()))?;
+        std::fs::create_dir_all(&meets).map_err(TestbedError::file(&meets))?;
         let write = |file: String, text: &str| {
             let path = self.folder.join(file);
-            std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display())).map(|()| path)
+            std::fs::write(&path, text).map_err(TestbedError::file(&path)).map(|()| path)
         };
         let config = write(format!("{name}.json"), &config.to_string())?;
         let operator = write(format!("{name}.toml"), &operator)?;
@@ -343,21 +348,17 @@
         Ok(process)
     }
 
-    fn spawn(&self, name: &str, mut command: Command) -> Result<Process, String> {
+    fn spawn(&self, name: &str, mut command: Command) -> Result<Process, TestbedError> {
         let mut child = command
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(|e| format!("{name}: {e}"))?;
+            .map_err(TestbedError::component(name))?;
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
         if let Some(stderr) = child.stderr.take() {
             let (own, path) = (lines.clone(), self.folder.join(format!("{name}.log")));
-            let mut log = std::fs::OpenOptions::new()
-                .create(true)
-                .append(true)
-                .open(path)
-                .map_err(|e| e.to_string())?;
+            let mut log = std::fs::OpenOptions::new().create(true).append(true).open(path)?;
             thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                     let _ = writeln!(log, "{line}");
@@ -376,27 +377,30 @@
         }
     }
 
-    fn process(&mut self, name: &str) -> Result<&mut Process, String> {
-        self.processes.iter_mut().find(|p| p.name == name).ok_or_else(|| format!("there is no {name}"))
+    fn process(&mut self, name: &str) -> Result<&mut Process, TestbedError> {
+        self.processes
+            .iter_mut()
+            .find(|p| p.name == name)
+            .ok_or_else(|| TestbedError::UnknownProcess { name: name.to_owned() })
     }
 
-    fn signal(&mut self, name: &str, signal: Signal) -> Result<(), String> {
+    fn signal(&mut self, name: &str, signal: Signal) -> Result<(), TestbedError> {
         let process = self.process(name)?;
         let pid = Pid::from_child(&process.child);
         if !process.alive {
-            return Err(format!("{name} does not run"));
+            return Err(TestbedError::NotRunning { name: name.to_owned() });
         }
-        kill_process(pid, signal).map_err(|e| format!("{name}: {e}"))
+        kill_process(pid, signal).map_err(|e| TestbedError::component(name)(e.into()))
     }
 
     /// SIGKILL: the machine drops.
     ///
     /// # Errors
     /// There is no such process, or it does not run.
-    pub fn kill(&mut self, name: &str) -> Result<(), String> {
+    pub fn kill(&mut self, name: &str) -> Result<(), TestbedError> {
         let process = self.process(name)?;
         if !process.alive {
-            return Err(format!("{name} does not run"));
+            return Err(TestbedError::NotRunning { name: name.to_owned() });
         }
         process.end();
         self.relays.iter().filter(|r| r.to == name).for_each(|r| r.aim(None));
@@ -407,9 +411,9 @@
     ///
     /// # Errors
     /// It runs, or does not come up.
-    pub fn start_again(&mut self, name: &str) -> Result<(), String> {
+    pub fn start_again(&mut self, name: &str) -> Result<(), TestbedError> {
         if self.process(name)?.alive {
-            return Err(format!("{name} runs"));
+            return Err(TestbedError::Running { name: name.to_owned() });
         }
         match name.starts_with('c') {
             true => self.start_coordinator(name)?,
@@ -422,31 +426,31 @@
     ///
     /// # Errors
     /// It does not run, or did not end in time.
-    pub fn terminate(&mut self, name: &str) -> Result<(), String> {
+    pub fn terminate(&mut self, name: &str) -> Result<(), TestbedError> {
         self.signal(name, Signal::TERM)?;
         let process = self.process(name)?;
         let until = Instant::now() + START;
         while Instant::now() < until {
-            if process.child.try_wait().map_err(|e| e.to_string())?.is_some() {
+            if process.child.try_wait()?.is_some() {
                 process.alive = false;
                 return self.write_json();
             }
             thread::sleep(Duration::from_millis(10));
         }
-        Err(format!("{name} did not end"))
+        Err(TestbedError::DidNotEnd { name: name.to_owned() })
     }
 
     /// A second process takes the worker's place while it serves; the first is told to leave when the second is ready.
     ///
     /// # Errors
     /// The second did not get ready.
-    pub fn replace(&mut self, name: &str) -> Result<(), String> {
+    pub fn replace(&mut self, name: &str) -> Result<(), TestbedError> {
         let new = self.spawn_worker(name)?;
-        let console = new.console.ok_or("no console")?;
+        let console = new.console.ok_or(TestbedError::Missing("console"))?;
         let until = Instant::now() + START;
         while !get(console, "/-/ready").is_ok_and(|reply| reply.starts_with("HTTP/1.1 200")) {
             if Instant::now() > until {
-                return Err(format!("{name}: its successor did not get ready"));
+                return Err(TestbedError::SuccessorNotReady { name: name.to_owned() });
             }
             thread::sleep(Duration::from_millis(20));
         }
@@ -455,38 +459,40 @@
         self.write_json()
     }
 
-    pub fn pause(&mut self, name: &str) -> Result<(), String> {
+    pub fn pause(&mut self, name: &str) -> Result<(), TestbedError> {
         self.signal(name, Signal::STOP)
     }
 
-    pub fn resume(&mut self, name: &str) -> Result<(), String> {
+    pub fn resume(&mut self, name: &str) -> Result<(), TestbedError> {
         self.signal(name, Signal::CONT)
     }
 
     /// The disk is full for this process: writes fail, as there.
-    pub fn fill(&mut self, name: &str, full: bool) -> Result<(), String> {
+    pub fn fill(&mut self, name: &str, full: bool) -> Result<(), TestbedError> {
         let pid = Pid::from_child(&self.process(name)?.child);
         let limit = Rlimit { current: full.then_some(0), maximum: None };
-        prlimit(Some(pid), Resource::Fsize, limit).map(|_| ()).map_err(|e| format!("{name}: {e}"))
+        prlimit(Some(pid), Resource::Fsize, limit)
+            .map(|_| ())
+            .map_err(|e| TestbedError::component(name)(e.into()))
     }
 
     /// The folder of a coordinator that does not run is lost.
-    pub fn wipe(&mut self, name: &str) -> Result<(), String> {
+    pub fn wipe(&mut self, name: &str) -> Result<(), TestbedError> {
         if self.process(name)?.alive {
-            return Err(format!("{name} runs"));
+            return Err(TestbedError::Running { name: name.to_owned() });
         }
         let folder = self.folder.join(name);
-        std::fs::remove_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))
+        std::fs::remove_dir_all(&folder).map_err(TestbedError::file(&folder))
     }
 
     /// Bytes from one to the other are held back, or go on; both ways unless `one_way`.
     ///
     /// # Errors
     /// The two do not speak.
-    pub fn cut(&mut self, from: &str, to: &str, one_way: bool, cut: bool) -> Result<(), String> {
+    pub fn cut(&mut self, from: &str, to: &str, one_way: bool, cut: bool) -> Result<(), TestbedError> {
         let speak = |r: &&Relay| (r.from == from && r.to == to) || (r.from == to && r.to == from);
         if !self.relays.iter().any(|r| speak(&r)) {
-            return Err(format!("{from} and {to} do not speak to each other"));
+            return Err(TestbedError::NotConnected { from: from.to_owned(), to: to.to_owned() });
         }
         for relay in self.relays.iter().filter(speak) {
             relay.set_cut(from, to, cut);
@@ -546,7 +552,7 @@
         self.processes.iter().map(line).collect()
     }
 
-    fn write_json(&self) -> Result<(), String> {
+    fn write_json(&self) -> Result<(), TestbedError> {
         let of = |kind: char| -> Vec<Value> {
             let some = |a: Option<SocketAddr>| a.map(|a| a.to_string());
             let row = |p: &Process| match kind {
@@ -566,14 +572,14 @@
         let (new, path) = (self.folder.join("fleet.json.new"), self.folder.join("fleet.json"));
         std::fs::write(&new, format!("{whole:#}\n"))
             .and_then(|()| std::fs::rename(&new, &path))
-            .map_err(|e| format!("{}: {e}", path.display()))
+            .map_err(TestbedError::file(&path))
     }
 
     /// Carries out one fault, in the words of the command line.
     ///
     /// # Errors
     /// Why it can't be done.
-    pub fn fault(&mut self, words: &[&str]) -> Result<(), String> {
+    pub fn fault(&mut self, words: &[&str]) -> Result<(), TestbedError> {
         match words {
             ["cut", a, b] => self.cut(a, b, false, true),
             ["cut", a, b, "--one-way"] => self.cut(a, b, true, true),
@@ -584,7 +590,7 @@
             ["start", name] => self.start_again(name),
             ["fill", name] => self.fill(name, true),
             ["free", name] => self.fill(name, false),
-            other => Err(format!("{}: not a fault", other.join(" "))),
+            other => Err(TestbedError::UnknownFault { words: other.join(" ") }),
         }
     }
 }
@@ -596,21 +602,23 @@
         self.alive = false;
     }
 
-    fn wait_address(&mut self, mark: &str) -> Result<SocketAddr, String> {
+    fn wait_address(&mut self, mark: &str) -> Result<SocketAddr, TestbedError> {
         let until = Instant::now() + START;
         while Instant::now() < until {
             let found = lock(&self.lines).iter().find_map(|l| Some(l.split_once(mark)?.1.to_owned()));
             if let Some(text) = found {
-                return text.trim().parse().map_err(|_| format!("{} says {text:?}", self.name));
+                let parsed = text.trim().parse();
+                return parsed.map_err(|_| TestbedError::NoAddress { name: self.name.clone(), found: text });
             }
             if let Ok(Some(status)) = self.child.try_wait() {
                 thread::sleep(Duration::from_millis(50));
-                return Err(format!("{} ended with {status}: {}", self.name, lock(&self.lines).join("; ")));
+                let log = lock(&self.lines).clone();
+                return Err(TestbedError::EndedAtStart { name: self.name.clone(), status, log });
             }
             thread::sleep(Duration::from_millis(5));
         }
         self.end();
-        Err(format!("{} did not come up", self.name))
+        Err(TestbedError::DidNotStart { name: self.name.clone() })
     }
 }
 
@@ -628,19 +636,20 @@
 ///
 /// # Errors
 /// The system's.
-pub fn get(at: SocketAddr, path: &str) -> Result<String, String> {
+pub fn get(at: SocketAddr, path: &str) -> Result<String, TestbedError> {
     call(at, "GET", path)
 }
 
 /// # Errors
 /// The system's.
-pub fn call(at: SocketAddr, method: &str, path: &str) -> Result<String, String> {
-    let text = |e: std::io::Error| format!("{at}: {e}");
-    let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(2)).map_err(text)?;
-    stream.set_read_timeout(Some(Duration::from_secs(2))).map_err(text)?;
-    write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").map_err(text)?;
+pub fn call(at: SocketAddr, method: &str, path: &str) -> Result<String, TestbedError> {
+    let mut stream =
+        TcpStream::connect_timeout(&at, Duration::from_secs(2)).map_err(TestbedError::peer(at))?;
+    stream.set_read_timeout(Some(Duration::from_secs(2))).map_err(TestbedError::peer(at))?;
+    write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        .map_err(TestbedError::peer(at))?;
     let mut reply = String::new();
-    stream.read_to_string(&mut reply).map_err(text)?;
+    stream.read_to_string(&mut reply).map_err(TestbedError::peer(at))?;
     Ok(reply)
 }
 
@@ -649,9 +658,14 @@
 ///
 /// # Errors
 /// What did not come up.
-pub fn serve(file: FleetFile, folder: &Path, programs: Programs, over: &AtomicBool) -> Result<(), String> {
-    let door = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
-    door.set_nonblocking(true).map_err(|e| e.to_string())?;
+pub fn serve(
+    file: FleetFile,
+    folder: &Path,
+    programs: Programs,
+    over: &AtomicBool,
+) -> Result<(), TestbedError> {
+    let door = TcpListener::bind("127.0.0.1:0")?;
+    door.set_nonblocking(true)?;
     let mut rig = Rig::start(file, folder, programs)?;
     rig.control = door.local_addr().ok();
     rig.write_json()?;
@@ -666,7 +680,11 @@
         let mut line = String::new();
         if BufReader::new(&stream).read_line(&mut line).is_ok() {
             let result = rig.fault(&line.split_whitespace().collect::<Vec<_>>());
-            let _ = writeln!(&stream, "{}", result.err().unwrap_or_else(|| "done".to_owned()));
+            let _ = writeln!(
+                &stream,
+                "{}",
+                result.err().map_or_else(|| "done".to_owned(), |fault| fault.to_string())
+            );
         }
     }
     Ok(())
@@ -676,18 +694,19 @@
 ///
 /// # Errors
 /// There is no fleet, or why it can't be done.
-pub fn ask_fault(folder: &Path, words: &[String]) -> Result<(), String> {
+pub fn ask_fault(folder: &Path, words: &[String]) -> Result<(), TestbedError> {
     let path = folder.join("fleet.json");
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let fleet: Value = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let text = std::fs::read_to_string(&path).map_err(TestbedError::file(&path))?;
+    let fleet: Value =
+        serde_json::from_str(&text).map_err(|source| TestbedError::Json { path: path.clone(), source })?;
     let control: SocketAddr =
-        fleet["control"].as_str().and_then(|a| a.parse().ok()).ok_or("the fleet takes no faults")?;
-    let mut stream = TcpStream::connect(control).map_err(|e| format!("{control}: {e}"))?;
-    writeln!(stream, "{}", words.join(" ")).map_err(|e| e.to_string())?;
+        fleet["control"].as_str().and_then(|a| a.parse().ok()).ok_or(TestbedError::NoFaultControl)?;
+    let mut stream = TcpStream::connect(control).map_err(TestbedError::peer(control))?;
+    writeln!(stream, "{}", words.join(" "))?;
     let mut reply = String::new();
-    stream.read_to_string(&mut reply).map_err(|e| e.to_string())?;
+    stream.read_to_string(&mut reply)?;
     match reply.trim() {
         "done" => Ok(()),
-        why => Err(why.to_owned()),
+        reply => Err(TestbedError::FaultRejected { reply: reply.to_owned() }),
     }
 }
--- a/testbed/src/fleet/service.rs
+++ b/testbed/src/fleet/service.rs
@@ -1,6 +1,7 @@
 //! The stand-in for the records service that all workers of a fleet share: it answers after a while, slows or turns all
 //! away when told, and counts what it has in hand by its own clock.
 
+use crate::error::TestbedError;
 use crate::sockets::{lock, message};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -27,9 +28,9 @@
 impl Service {
     /// # Errors
     /// The system's.
-    pub fn start(call_ms: u64) -> Result<Service, String> {
-        let door = TcpListener::bind("127.0.0.1:0").map_err(|e| format!("service: {e}"))?;
-        let address = door.local_addr().map_err(|e| format!("service: {e}"))?;
+    pub fn start(call_ms: u64) -> Result<Service, TestbedError> {
+        let door = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("service"))?;
+        let address = door.local_addr().map_err(TestbedError::component("service"))?;
         let state = Arc::new(Mutex::new(State { call_ms, ..State::default() }));
         let service = Service { address, state };
         let own = service.clone();
--- a/testbed/src/fleet/task_log.rs
+++ b/testbed/src/fleet/task_log.rs
@@ -1,6 +1,7 @@
 //! The stand-in for what fleet-wide tasks act upon. It takes an act only under a token as high as any it has seen, breaks
 //! off one that is under way under a lower token, and writes a line for each act that it was asked for, by its one clock.
 
+use crate::error::TestbedError;
 use crate::sockets::lock;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
@@ -42,10 +43,10 @@
 }
 
 /// Starts it; where it listens. Without `fenced` it takes every token: the counter-proof.
-pub fn start(path: &Path, work_ms: u64, fenced: bool) -> Result<SocketAddr, String> {
-    let door = TcpListener::bind("127.0.0.1:0").map_err(|e| format!("acts: {e}"))?;
-    let address = door.local_addr().map_err(|e| format!("acts: {e}"))?;
-    let file = std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?;
+pub fn start(path: &Path, work_ms: u64, fenced: bool) -> Result<SocketAddr, TestbedError> {
+    let door = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("acts"))?;
+    let address = door.local_addr().map_err(TestbedError::component("acts"))?;
+    let file = std::fs::File::create(path).map_err(TestbedError::file(path))?;
     let site = Arc::new(Site {
         start: Instant::now(),
         work: Duration::from_millis(work_ms),
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod callers;
 pub mod console;
+pub mod error;
 pub mod executor;
 pub mod experiment;
 pub mod fleet;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -6,6 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use testbed::error::TestbedError;
 use testbed::experiment::Experiment;
 use testbed::fleet::measure as fleet_cost;
 use testbed::fleet::overload_storm::{self, Part};
@@ -140,15 +141,15 @@
     match start() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(message) => {
-            eprintln!("testbed: {message}");
+        Err(fault) => {
+            eprintln!("testbed: {fault}");
             ExitCode::from(2)
         }
     }
 }
 
 /// `true` if all that the experiment expects holds.
-fn start() -> Result<bool, String> {
+fn start() -> Result<bool, TestbedError> {
     let (file, worker, json, seeds) = match Arguments::parse().what {
         What::Run { file, worker, json, seeds } => (file, Some(worker), json, seeds),
         What::Sim { file, json, seeds } => (file, None, json, seeds),
@@ -157,7 +158,7 @@
             let programs = Programs::beside(&programs)?;
             let over = Arc::new(AtomicBool::new(false));
             let told = over.clone();
-            ctrlc::set_handler(move || told.store(true, Ordering::Relaxed)).map_err(|e| e.to_string())?;
+            ctrlc::set_handler(move || told.store(true, Ordering::Relaxed))?;
             if let Some(for_s) = for_s {
                 let timed = over.clone();
                 std::thread::spawn(move || {
@@ -232,8 +233,8 @@
     let (verdict, good) = measure::verdict(&experiment, &plays);
     println!("{}\n{verdict}", measure::table(&experiment, &plays));
     if let Some(path) = json {
-        let text = serde_json::to_string_pretty(&plays).map_err(|e| e.to_string())?;
-        std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
+        let text = serde_json::to_string_pretty(&plays)?;
+        std::fs::write(&path, text).map_err(TestbedError::file(&path))?;
     }
     Ok(good)
 }
--- a/testbed/src/sockets.rs
+++ b/testbed/src/sockets.rs
@@ -5,6 +5,7 @@
 
 use crate::callers::{again, draw, Asked};
 use crate::console::{self, Calls};
+use crate::error::TestbedError;
 use crate::executor::{Executor, Notice, Work};
 use crate::experiment::{ClassModel, Experiment, Variant};
 use crate::floods;
@@ -58,9 +59,9 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn listener() -> Result<(TcpListener, SocketAddr), String> {
-    let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
-    let address = listener.local_addr().map_err(|e| e.to_string())?;
+fn listener() -> Result<(TcpListener, SocketAddr), TestbedError> {
+    let listener = TcpListener::bind("127.0.0.1:0")?;
+    let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
@@ -86,13 +87,18 @@
 }
 
 /// Plays one variant with one seed against a worker's program.
-pub fn play(experiment: &Experiment, variant: &Variant, seed: u64, worker: &Path) -> Result<Play, String> {
+pub fn play(
+    experiment: &Experiment,
+    variant: &Variant,
+    seed: u64,
+    worker: &Path,
+) -> Result<Play, TestbedError> {
     let asked = Arc::new(draw(experiment, seed));
     let (over, called) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let (executor_door, executor_at) = listener()?;
     let (records_door, records_at) = listener()?;
-    let registry = UdpSocket::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
-    let registry_at = registry.local_addr().map_err(|e| e.to_string())?;
+    let registry = UdpSocket::bind("127.0.0.1:0")?;
+    let registry_at = registry.local_addr()?;
     let mut config = experiment.config(
         "127.0.0.1:0",
         &executor_at.to_string(),
@@ -138,18 +144,18 @@
     let (memory_after, cpu_after) = (child.resident_kb(), child.cpu_ms());
     called.store(true, Ordering::Relaxed);
     let calls = match console {
-        Some(calls) => calls.join().map_err(|_| "the console's thread ended badly".to_owned())?,
+        Some(calls) => calls.join().map_err(|_| TestbedError::ThreadFailed { owner: "the console" })?,
         None => Calls::default(),
     };
     let lines = child.leave()?;
     over.store(true, Ordering::Relaxed);
-    let executor = executor.join().map_err(|_| "the executor's thread ended badly".to_owned())?;
+    let executor = executor.join().map_err(|_| TestbedError::ThreadFailed { owner: "the executor" })?;
     let mut play = Play::of(experiment, &variant.name, seed, &asked, &lock(&ends));
     play.console = [calls.p50_ms, calls.p99_ms, calls.most_ms];
     (play.console_made, play.console_bad) = (calls.made, calls.bad);
     play.memory_over_mb = (peak.join().unwrap_or(f64::INFINITY) - rest_kb) / 1024.0;
     for flooder in flooders {
-        let came_to = flooder.join().map_err(|_| "a flooder's thread ended badly".to_owned())?;
+        let came_to = flooder.join().map_err(|_| TestbedError::ThreadFailed { owner: "a flooder" })?;
         play.flood_connections += came_to.connections;
         play.flood_ended += came_to.ended;
         play.flood_mb += came_to.bytes as f64 / 1e6;
@@ -195,13 +201,13 @@
 }
 
 impl Worker {
-    fn start(program: &Path, config: &Value, operator: &str) -> Result<Worker, String> {
+    fn start(program: &Path, config: &Value, operator: &str) -> Result<Worker, TestbedError> {
         let number = NAMES.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("testbed-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
+        std::fs::create_dir_all(&folder)?;
         let write = |name: &str, text: &str| {
-            std::fs::write(folder.join(name), text)
-                .map_err(|e| format!("{}: {e}", folder.join(name).display()))
+            let path = folder.join(name);
+            std::fs::write(&path, text).map_err(TestbedError::file(&path))
         };
         write("config.json", &config.to_string())?;
         let mut command = Command::new(program);
@@ -210,7 +216,7 @@
             write("operator.toml", operator)?;
             command.arg("--operator").arg(folder.join("operator.toml"));
         }
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
+        let mut child = command.spawn().map_err(TestbedError::file(program))?;
         let (sender, lines) = channel();
         if let Some(stderr) = child.stderr.take() {
             let reader = BufReader::new(stderr);
@@ -219,14 +225,17 @@
         Ok(Worker { child, lines, folder })
     }
 
-    fn address(&mut self, mark: &str) -> Result<SocketAddr, String> {
+    fn address(&mut self, mark: &str) -> Result<SocketAddr, TestbedError> {
         loop {
-            let line = self.lines.recv_timeout(START).map_err(|_| "the worker did not come up".to_owned())?;
+            let line = self.lines.recv_timeout(START).map_err(|_| TestbedError::WorkerDidNotStart)?;
             if let Some((_, address)) = line.split_once(mark) {
-                return address.trim().parse().map_err(|_| format!("the worker says {line:?}"));
+                return address
+                    .trim()
+                    .parse()
+                    .map_err(|_| TestbedError::WorkerNoAddress { line: line.clone() });
             }
             if line.starts_with("port-worker: ") {
-                return Err(line);
+                return Err(TestbedError::WorkerFailed { line });
             }
         }
     }
@@ -255,14 +264,14 @@
     }
 
     /// Gives the notice to leave and waits for the end; what is left of the log.
-    fn leave(&mut self) -> Result<Vec<String>, String> {
+    fn leave(&mut self) -> Result<Vec<String>, TestbedError> {
         let id = self.child.id().to_string();
         let _ = Command::new("kill").args(["-TERM", &id]).status();
         let until = Instant::now() + START;
         loop {
-            if let Some(status) = self.child.try_wait().map_err(|e| e.to_string())? {
+            if let Some(status) = self.child.try_wait()? {
                 if !status.success() {
-                    return Err(format!("the worker ended badly: {status}"));
+                    return Err(TestbedError::WorkerExit { status });
                 }
                 let mut lines: Vec<String> = Vec::new();
                 while let Ok(line) = self.lines.recv_timeout(Duration::from_millis(200)) {
@@ -271,7 +280,7 @@
                 return Ok(lines);
             }
             if Instant::now() > until {
-                return Err("the worker does not leave".to_owned());
+                return Err(TestbedError::WorkerDidNotEnd);
             }
             thread::sleep(Duration::from_millis(10));
         }
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -2,6 +2,7 @@
 //! same play.
 
 use crate::callers::{again, draw, Asked};
+use crate::error::TestbedError;
 use crate::executor::{Executor, Notice};
 use crate::experiment::{Experiment, Variant};
 use crate::measure::{End, Play, PoolResult, CROWD_BOUND, CROWD_S};
@@ -39,19 +40,13 @@
 }
 
 /// Plays one variant with one seed.
-pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<Play, String> {
+pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<Play, TestbedError> {
     let nowhere = "127.0.0.1:1";
-    let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())
-        .map_err(|fault| fault.to_string())?;
-    let operator = Operator::decode(&variant.operator, &config).map_err(|fault| fault.to_string())?;
+    let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
+    let operator = Operator::decode(&variant.operator, &config)?;
     let mut settings = config.settings.settings(1);
     settings.key_entry_kb = 0.0;
-    settings.pools = operator
-        .pools
-        .as_ref()
-        .map(|p| p.plan(&config.settings))
-        .transpose()
-        .map_err(|fault| fault.to_string())?;
+    settings.pools = operator.pools.as_ref().map(|p| p.plan(&config.settings)).transpose()?;
     let asked = draw(experiment, seed);
     let mut out = Vec::new();
     let core = Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out);
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -130,7 +130,7 @@
         ("against = \"plain\"", "against = \"plane\"", "there is no variant \"plane\""),
         ("class = \"port-submit\"", "class = \"port\"", "there is no class \"port\""),
     ] {
-        let error = Experiment::decode(&good.replacen(from, to, 1)).expect_err(named);
+        let error = Experiment::decode(&good.replacen(from, to, 1)).expect_err(named).to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{error}");
     }
 }
