--- a/src/net/upstreams/ajp_codec/tests.rs
+++ b/src/net/upstreams/ajp_codec/tests.rs
@@ -67,10 +67,10 @@
 
 #[test]
 fn wrong_magic_and_wrong_length_are_told_apart() {
-    assert_eq!(packet(b"AB\0\x01\x09", Way::ToContainer), Err(Bad::Magic));
-    assert_eq!(packet(&[0x12, 0x34, 0xFF, 0xFF], Way::ToContainer), Err(Bad::Length));
+    assert_eq!(packet(b"AB\0\x01\x09", Way::ToContainer), Err(PacketError::Magic));
+    assert_eq!(packet(&[0x12, 0x34, 0xFF, 0xFF], Way::ToContainer), Err(PacketError::Length));
     assert_eq!(packet(&[0x12, 0x34, 0, 0], Way::ToContainer), Ok(Some(4..4)));
-    assert_eq!(body(&[0, 9, 1]), Err(Bad::Message));
+    assert_eq!(body(&[0, 9, 1]), Err(PacketError::Message));
 }
 
 #[test]
--- /dev/null
+++ b/src/net/upstreams/ajp_codec/writer.rs
@@ -0,0 +1,133 @@
+//! Writes AJP packets.
+
+use super::codes::*;
+use super::{Forward, Way, HEAD_BYTES, MAX_PAYLOAD_BYTES, MAX_RESPONSE_CHUNK_BYTES};
+
+/// Writes one packet: its length is set when it is closed.
+struct Writer(Vec<u8>);
+
+impl Writer {
+    fn new(way: Way) -> Writer {
+        let [first, second] = way.magic();
+        Writer(vec![first, second, 0, 0])
+    }
+
+    fn byte(mut self, value: u8) -> Writer {
+        self.0.push(value);
+        self
+    }
+
+    fn int(mut self, value: u16) -> Writer {
+        self.0.extend_from_slice(&value.to_be_bytes());
+        self
+    }
+
+    fn string(self, text: &[u8]) -> Writer {
+        let text = &text[..text.len().min(MAX_PAYLOAD_BYTES)];
+        let mut writer = self.int(text.len() as u16);
+        writer.0.extend_from_slice(text);
+        writer.byte(0)
+    }
+
+    /// A header's name: a code where it has one, else a string.
+    fn header_name(self, name: &str, coded: &[&str]) -> Writer {
+        match coded.iter().position(|known| known.eq_ignore_ascii_case(name)) {
+            Some(index) => self.byte(CODED_NAME).byte(index as u8 + 1),
+            None => self.string(name.as_bytes()),
+        }
+    }
+
+    /// `None` where the message is larger than a packet.
+    fn close(mut self) -> Option<Vec<u8>> {
+        let length = u16::try_from(self.0.len() - HEAD_BYTES).ok()?;
+        if usize::from(length) > MAX_PAYLOAD_BYTES {
+            return None;
+        }
+        self.0[2..4].copy_from_slice(&length.to_be_bytes());
+        Some(self.0)
+    }
+}
+
+/// Writes a Forward Request; `None` where it does not fit into a packet or its method has no code.
+pub fn write_forward(forward: &Forward) -> Option<Vec<u8>> {
+    let method = METHODS.iter().position(|known| *known == forward.method)? as u8 + 1;
+    let mut writer = Writer::new(Way::ToContainer)
+        .byte(FORWARD_REQUEST)
+        .byte(method)
+        .string(b"HTTP/1.1")
+        .string(forward.uri.as_bytes())
+        .string(b"127.0.0.1")
+        .string(b"localhost")
+        .string(forward.server_name.as_bytes())
+        .int(80)
+        .byte(0)
+        .int(u16::try_from(forward.headers.len()).ok()?);
+    for (name, value) in &forward.headers {
+        writer = writer.header_name(name, &REQUEST_HEADERS).string(value);
+    }
+    if let Some(user) = forward.remote_user {
+        writer = writer.byte(ATTRIBUTE_REMOTE_USER).string(user.as_bytes());
+    }
+    if let Some(secret) = forward.secret {
+        writer = writer.byte(ATTRIBUTE_SECRET).string(secret);
+    }
+    writer.byte(ATTRIBUTES_DONE).close()
+}
+
+/// Writes a packet of body bytes; an empty one ends the body. `None` where they don't fit into a packet.
+pub fn write_body(bytes: &[u8]) -> Option<Vec<u8>> {
+    let mut writer = Writer::new(Way::ToContainer);
+    if !bytes.is_empty() {
+        writer = writer.int(u16::try_from(bytes.len()).ok()?);
+        writer.0.extend_from_slice(bytes);
+    }
+    writer.close()
+}
+
+/// A packet that is nothing but a message type.
+fn type_only(way: Way, message_type: u8) -> Vec<u8> {
+    let [first, second] = way.magic();
+    vec![first, second, 0, 1, message_type]
+}
+
+/// Writes a CPing: the web server asks whether the connection is alive.
+pub fn write_cping() -> Vec<u8> {
+    type_only(Way::ToContainer, CPING)
+}
+
+/// Writes a CPong, the response to a CPing.
+pub fn write_cpong() -> Vec<u8> {
+    type_only(Way::ToWebServer, CPONG)
+}
+
+/// Writes a Get Body Chunk: the container asks for at most so many bytes of the body.
+pub fn write_get_body(length: u16) -> Vec<u8> {
+    let [high, low] = length.to_be_bytes();
+    vec![b'A', b'B', 0, 3, GET_BODY_CHUNK, high, low]
+}
+
+/// Writes an End Response; `reuse` tells whether the connection may carry another request.
+pub fn write_end(reuse: bool) -> Vec<u8> {
+    vec![b'A', b'B', 0, 2, END_RESPONSE, u8::from(reuse)]
+}
+
+/// Writes the head of a response; `None` where it does not fit into a packet.
+pub fn write_headers(status: u16, reason: &str, headers: &[(&str, String)]) -> Option<Vec<u8>> {
+    let mut writer = Writer::new(Way::ToWebServer)
+        .byte(SEND_HEADERS)
+        .int(status)
+        .string(reason.as_bytes())
+        .int(u16::try_from(headers.len()).ok()?);
+    for (name, value) in headers {
+        writer = writer.header_name(name, &RESPONSE_HEADERS).string(value.as_bytes());
+    }
+    writer.close()
+}
+
+/// The head of a body chunk of a response; the bytes follow it, and a zero follows them.
+pub fn chunk_head(length: usize) -> Vec<u8> {
+    let length = length.min(MAX_RESPONSE_CHUNK_BYTES) as u16;
+    let [payload_high, payload_low] = (length + 4).to_be_bytes();
+    let [high, low] = length.to_be_bytes();
+    vec![b'A', b'B', payload_high, payload_low, SEND_BODY_CHUNK, high, low]
+}
