--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -1,9 +1,11 @@
 //! AJP servers as the backend: a run is a Forward Request to one of them.
 //!
-//! A connection that has been used is asked with CPING first. As long as no byte of the request has gone out, the
-//! run can go elsewhere or be given back as never run; from the first byte on any break means that it may have run,
+//! A connection that has carried a request is asked with CPing first. As long as no byte of the request has gone out,
+//! the run can go elsewhere or be returned as never run; from the first byte on any break means that it may have run,
 //! and it is never repeated.
 
+#![warn(missing_docs)]
+
 use crate::config::ServerSettings;
 use crate::dispatch::Input;
 use crate::interface::Outcome;
@@ -12,39 +14,115 @@
 use crate::net::io::idle_pool::{full, take_idle, Pooled, MAX_IDLE};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
-use crate::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way, MAX_PACKET_BYTES};
+use crate::net::upstreams::ajp_codec::{self, Forward, PacketError, ToWebServer, Way, MAX_PACKET_BYTES};
 use crate::net::Log;
 use std::collections::HashMap;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A server has this long to take a connection or to answer a CPING (seconds).
-const PONG_S: f64 = 1.0;
-/// A run may go on for so long after its due time: its result may still be asked for (seconds).
+/// How long a server may take to accept a connection or to answer a CPing (seconds).
+const PONG_TIMEOUT_S: f64 = 1.0;
+
+/// How long a run may go on after its deadline: its result may still be asked for (seconds).
 const OVERTIME_S: f64 = 10.0;
-/// A server's answer may be this long (bytes).
-const RESULT_MOST: usize = 64 * 1024;
-const IDLE_KEEP_S: f64 = 30.0;
 
+/// The longest result of a run (bytes).
+const MAX_RESULT_BYTES: usize = 64 * 1024;
+
+/// How long an idle connection is kept (seconds).
+const IDLE_TIMEOUT_S: f64 = 30.0;
+
+/// A run that a server executes, or is to execute.
 struct Run {
-    /// Changes with each timer that is set for the run; an old timer finds nothing.
-    number: u64,
+    /// Changes with each timer that is set for the run, so that an old timer finds nothing.
+    timer_number: u64,
     name: Rc<str>,
     class: usize,
     body: Rc<[u8]>,
-    due: f64,
+    /// Its deadline (seconds).
+    due_at: f64,
     /// Connections tried so far without a byte of the request having gone out.
-    tries: usize,
-    /// What the link had sent before the request; `None` before it is queued.
-    mark: Option<u64>,
+    attempts: usize,
+    /// How many bytes the link had sent before the request; `None` before the request is queued.
+    sent_before: Option<u64>,
     status: u16,
     result: Vec<u8>,
 }
 
+/// Why a connection is given up. Log lines print it.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionError {
+    #[error("no answer in time")]
+    Timeout,
+    #[error("{0}")]
+    Connect(#[source] io::Error),
+    #[error("broken")]
+    Write,
+    #[error("closed")]
+    Closed,
+    #[error("a bad packet: {0:?}")]
+    Packet(#[source] PacketError),
+    #[error("a message without a request")]
+    MessageWithoutRequest,
+    #[error("an unfit message")]
+    UnexpectedMessage,
+}
+
+/// What a message of the server asks for.
+enum Reaction {
+    /// Nothing: more of the response comes.
+    ReadOn,
+    /// The connection is alive: the request is sent.
+    SendRequest,
+    /// All of the body has been sent unasked: its end is told.
+    EndBody,
+    /// The run has ended; `reuse` tells whether the connection may carry another.
+    Complete { reuse: bool },
+}
+
+/// What becomes of a connection after a step.
+enum Progress {
+    Continue,
+    Wait,
+}
+
+impl Run {
+    /// Takes a message of the server.
+    fn on_message(&mut self, message: &ToWebServer) -> Result<Reaction, ConnectionError> {
+        if self.sent_before.is_none() {
+            return match message {
+                ToWebServer::CPong => Ok(Reaction::SendRequest),
+                _ => Err(ConnectionError::UnexpectedMessage),
+            };
+        }
+        match message {
+            ToWebServer::Headers { status, .. } => {
+                self.status = *status;
+                Ok(Reaction::ReadOn)
+            }
+            ToWebServer::Chunk(bytes) if self.result.len() + bytes.len() <= MAX_RESULT_BYTES => {
+                self.result.extend_from_slice(bytes);
+                Ok(Reaction::ReadOn)
+            }
+            ToWebServer::GetBody(_) => Ok(Reaction::EndBody),
+            ToWebServer::End { reuse } => Ok(Reaction::Complete { reuse: *reuse }),
+            ToWebServer::Chunk(_) | ToWebServer::CPong => Err(ConnectionError::UnexpectedMessage),
+        }
+    }
+
+    /// A status of success carries the result; any other is a failed run.
+    fn into_ended(self) -> Input {
+        let served = (200..300).contains(&self.status);
+        let outcome = if served { Outcome::Ok } else { Outcome::Error };
+        Input::RunEnded { name: self.name, outcome, result: served.then(|| self.result.into()) }
+    }
+}
+
 struct Connection {
     link: Link,
     connected: bool,
-    /// Carried a request before.
+    /// Whether it has carried a request.
     used: bool,
     run: Option<Run>,
     idle_since: f64,
@@ -60,36 +138,54 @@
     }
 }
 
-/// The servers, and the runs in their hands.
+/// What the worker lends the backend for a turn.
+struct Turn<'a> {
+    now: f64,
+    inputs: &'a mut Vec<Input>,
+    wheel: &'a mut Wheel,
+    log: &'a mut Log,
+}
+
+/// The connections to the servers, and the runs on them.
 pub struct AjpBackend {
     settings: ServerSettings,
     poll: Poll,
     connections: HashMap<u64, Connection>,
+    /// Connections that are to be processed.
     touched: Vec<u64>,
-    next: usize,
-    /// Runs that could not be begun, told with the next look.
-    given_back: Vec<Rc<str>>,
+    /// Counts connections opened, to take the servers in turn.
+    next_server: usize,
+    /// Runs that could not be begun, returned with the next [`AjpBackend::gather`].
+    never_ran: Vec<Rc<str>>,
 }
 
 impl AjpBackend {
+    /// A backend without connections.
     pub fn new(poll: &Poll, settings: ServerSettings) -> AjpBackend {
-        let (connections, touched, given_back) = (HashMap::new(), Vec::new(), Vec::new());
-        AjpBackend { settings, poll: poll.clone(), connections, touched, next: 0, given_back }
+        AjpBackend {
+            settings,
+            poll: poll.clone(),
+            connections: HashMap::new(),
+            touched: Vec::new(),
+            next_server: 0,
+            never_ran: Vec::new(),
+        }
     }
 
+    /// Records a connection's readiness, and has it processed.
     pub fn mark(&mut self, id: u64, readable: bool, writable: bool) {
-        if let Some(c) = self.connections.get_mut(&id) {
-            c.link.mark(readable, writable);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.link.mark(readable, writable);
             self.touched.push(id);
         }
     }
 
-    /// Whether something happened that the loop has not told of.
+    /// Whether there is something to process without an event of the poll.
     pub fn pending(&self) -> bool {
-        !self.touched.is_empty() || !self.given_back.is_empty()
+        !self.touched.is_empty() || !self.never_ran.is_empty()
     }
 
-    /// Starts a run; `due` is when its answer is.
+    /// Starts a run; `due` is its deadline (seconds).
     pub fn run(
         &mut self,
         now: f64,
@@ -99,70 +195,80 @@
         due: f64,
         wheel: &mut Wheel,
     ) {
-        let (number, tries, mark, status) = (0, 0, None, 0);
-        self.place(
-            now,
-            Run { number, name, class, body, due, tries, mark, status, result: Vec::new() },
-            wheel,
-        );
+        let run = Run {
+            timer_number: 0,
+            name,
+            class,
+            body,
+            due_at: due,
+            attempts: 0,
+            sent_before: None,
+            status: 0,
+            result: Vec::new(),
+        };
+        self.place(now, run, wheel);
     }
 
-    /// Finds a connection for a run of which no byte has gone out, or gives it back.
+    /// Finds a connection for a run of which no byte has gone out, or returns it as never run.
     fn place(&mut self, now: f64, mut run: Run, wheel: &mut Wheel) {
-        run.tries += 1;
-        run.mark = None;
+        run.attempts += 1;
+        run.sent_before = None;
         // Idle connections may all be stale: beyond them each server is tried once.
-        let idle = take_idle(&mut self.connections, now, 0.0, IDLE_KEEP_S);
-        let id = match idle {
+        let max_attempts = self.settings.servers.len() + MAX_IDLE;
+        let id = match take_idle(&mut self.connections, now, 0.0, IDLE_TIMEOUT_S) {
             Some(id) => id,
-            None if run.tries <= self.settings.servers.len() + MAX_IDLE => match self.open(now) {
+            None if run.attempts <= max_attempts => match self.open(now) {
                 Some(id) => id,
-                None => return self.place_or_give_back(now, run, wheel),
+                None => return self.place_elsewhere(now, run, wheel),
             },
-            None => return self.given_back.push(run.name),
+            None => return self.never_ran.push(run.name),
         };
-        let Some(c) = self.connections.get_mut(&id) else { return };
-        if c.used {
-            c.link.push(ajp_codec::write_cping());
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if connection.used {
+            connection.link.push(ajp_codec::write_cping());
         }
-        run.number = self.poll.fresh();
-        wheel.set(now, PONG_S, Timer::Run(run.number));
-        c.run = Some(run);
+        run.timer_number = self.poll.fresh();
+        wheel.set(now, PONG_TIMEOUT_S, Timer::Run(run.timer_number));
+        connection.run = Some(run);
         self.touched.push(id);
     }
 
-    fn place_or_give_back(&mut self, now: f64, run: Run, wheel: &mut Wheel) {
-        if run.tries < self.settings.servers.len() {
+    /// Tries the next server after one that could not be connected to, while there are any.
+    fn place_elsewhere(&mut self, now: f64, run: Run, wheel: &mut Wheel) {
+        if run.attempts < self.settings.servers.len() {
             self.place(now, run, wheel);
         } else {
-            self.given_back.push(run.name);
+            self.never_ran.push(run.name);
         }
     }
 
+    /// Begins a connection to the next server.
     fn open(&mut self, now: f64) -> Option<u64> {
         let servers: &[SocketAddr] = &self.settings.servers;
-        let to = *servers.get(self.next % servers.len().max(1))?;
-        self.next = self.next.wrapping_add(1);
+        let address = *servers.get(self.next_server % servers.len().max(1))?;
+        self.next_server = self.next_server.wrapping_add(1);
         let id = self.poll.fresh();
-        let link = Link::connect(&self.poll, to, Place::AjpServer(id), 2 * MAX_PACKET_BYTES).ok()?;
-        let (connected, used, run) = (false, false, None);
-        self.connections.insert(id, Connection { link, connected, used, run, idle_since: now });
+        let link = Link::connect(&self.poll, address, Place::AjpServer(id), 2 * MAX_PACKET_BYTES).ok()?;
+        let connection = Connection { link, connected: false, used: false, run: None, idle_since: now };
+        self.connections.insert(id, connection);
         Some(id)
     }
 
-    /// A timer of a run has come.
+    /// Takes the expiry of a run's timer.
     pub fn due(&mut self, now: f64, number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel, log: &mut Log) {
-        let of = |c: &Connection| c.run.as_ref().is_some_and(|r| r.number == number);
-        if let Some(id) = self.connections.iter().find(|(_, c)| of(c)).map(|(id, _)| *id) {
-            self.broken(now, id, "no answer in time", inputs, wheel, log);
+        let waits =
+            |connection: &Connection| connection.run.as_ref().is_some_and(|run| run.timer_number == number);
+        let expired = self.connections.iter().find(|(_, connection)| waits(connection)).map(|(id, _)| *id);
+        if let Some(id) = expired {
+            self.on_broken(id, &ConnectionError::Timeout, &mut Turn { now, inputs, wheel, log });
         }
     }
 
-    /// Takes what has come, for all connections that something happened to.
+    /// Processes the connections that something happened to.
     pub fn gather(
         &mut self,
         now: f64,
-        known: &Catalog,
+        catalog: &Catalog,
         inputs: &mut Vec<Input>,
         wheel: &mut Wheel,
         log: &mut Log,
@@ -170,91 +276,79 @@
         let mut touched = std::mem::take(&mut self.touched);
         touched.sort_unstable();
         touched.dedup();
+        let mut turn = Turn { now, inputs, wheel, log };
         for id in touched {
-            self.look(now, id, known, inputs, wheel, log);
+            self.process_connection(id, catalog, &mut turn);
         }
-        inputs.extend(self.given_back.drain(..).map(|name| Input::NeverRan { name }));
+        turn.inputs.extend(self.never_ran.drain(..).map(|name| Input::NeverRan { name }));
     }
 
-    fn look(
-        &mut self,
-        now: f64,
-        id: u64,
-        known: &Catalog,
-        inputs: &mut Vec<Input>,
-        wheel: &mut Wheel,
-        log: &mut Log,
-    ) {
+    fn process_connection(&mut self, id: u64, catalog: &Catalog, turn: &mut Turn) {
         loop {
-            let Some(c) = self.connections.get_mut(&id) else { return };
-            if !c.connected {
-                match c.link.connected() {
-                    None => return,
-                    Some(Err(e)) => return self.broken(now, id, &e.to_string(), inputs, wheel, log),
-                    Some(Ok(())) => c.connected = true,
-                }
+            match self.step(id, catalog, turn) {
+                Ok(Progress::Continue) => {}
+                Ok(Progress::Wait) => return,
+                Err(error) => return self.on_broken(id, &error, turn),
             }
-            if !c.used && c.run.as_ref().is_some_and(|r| r.mark.is_none()) {
-                self.send(now, id, known, wheel, log);
-                continue;
-            }
-            if c.link.flush().is_err() {
-                return self.broken(now, id, "broken", inputs, wheel, log);
-            }
-            let filled = c.link.fill();
-            let range = match ajp_codec::packet(c.link.data(), Way::ToWebServer) {
-                Ok(Some(range)) => range,
-                Ok(None) if filled != Filled::Open => {
-                    return self.broken(now, id, "closed", inputs, wheel, log)
-                }
-                Ok(None) => return,
-                Err(bad) => {
-                    return self.broken(now, id, &format!("a bad packet: {bad:?}"), inputs, wheel, log)
-                }
-            };
-            let consumed = range.end;
-            let message = c.link.data().get(range).map(ajp_codec::to_web_server);
-            let Some(run) = &mut c.run else {
-                return self.broken(now, id, "a message without a request", inputs, wheel, log);
-            };
-            let (sent, mut pong, mut get_body, mut end) = (run.mark.is_some(), false, false, None);
-            match message {
-                Some(Ok(ToWebServer::CPong)) if !sent => pong = true,
-                Some(Ok(ToWebServer::Headers { status, .. })) if sent => run.status = status,
-                Some(Ok(ToWebServer::Chunk(bytes)))
-                    if sent && run.result.len() + bytes.len() <= RESULT_MOST =>
-                {
-                    run.result.extend_from_slice(bytes);
-                }
-                // All of the body has been sent unasked: there is no more.
-                Some(Ok(ToWebServer::GetBody(_))) if sent => get_body = true,
-                Some(Ok(ToWebServer::End { reuse })) if sent => end = Some(reuse),
-                _ => return self.broken(now, id, "an unfit message", inputs, wheel, log),
-            }
-            c.link.consume(consumed);
-            if pong {
-                self.send(now, id, known, wheel, log);
-            } else if get_body {
-                c.link.push(ajp_codec::write_body(&[]).unwrap_or_default());
-            } else if let Some(reuse) = end {
-                (c.used, c.idle_since) = (true, now);
-                let run = c.run.take();
-                if !reuse || full(&self.connections) {
-                    self.connections.remove(&id);
-                }
-                if let Some(run) = run {
-                    inputs.push(ended(run));
-                }
+        }
+    }
+
+    /// Connects, sends a request, or takes one message.
+    fn step(&mut self, id: u64, catalog: &Catalog, turn: &mut Turn) -> Result<Progress, ConnectionError> {
+        let Some(connection) = self.connections.get_mut(&id) else { return Ok(Progress::Wait) };
+        if !connection.connected {
+            match connection.link.connected() {
+                None => return Ok(Progress::Wait),
+                Some(Err(error)) => return Err(ConnectionError::Connect(error)),
+                Some(Ok(())) => connection.connected = true,
             }
         }
+        let request_waits = connection.run.as_ref().is_some_and(|run| run.sent_before.is_none());
+        if !connection.used && request_waits {
+            self.send_request(id, catalog, turn);
+            return Ok(Progress::Continue);
+        }
+        connection.link.flush().map_err(|_| ConnectionError::Write)?;
+        let filled = connection.link.fill();
+        let packet = ajp_codec::packet(connection.link.data(), Way::ToWebServer);
+        let payload = match packet.map_err(ConnectionError::Packet)? {
+            Some(payload) => payload,
+            None if filled != Filled::Open => return Err(ConnectionError::Closed),
+            None => return Ok(Progress::Wait),
+        };
+        let packet_end = payload.end;
+        let message = connection.link.data().get(payload).map(ajp_codec::to_web_server);
+        let run = connection.run.as_mut().ok_or(ConnectionError::MessageWithoutRequest)?;
+        let Some(Ok(message)) = message else { return Err(ConnectionError::UnexpectedMessage) };
+        let reaction = run.on_message(&message)?;
+        connection.link.consume(packet_end);
+        match reaction {
+            Reaction::ReadOn => {}
+            Reaction::SendRequest => self.send_request(id, catalog, turn),
+            Reaction::EndBody => connection.link.push(ajp_codec::write_body(&[]).unwrap_or_default()),
+            Reaction::Complete { reuse } => self.on_complete(id, reuse, turn),
+        }
+        Ok(Progress::Continue)
+    }
+
+    /// Ends a run with its response, and keeps its connection where there is room in the pool.
+    fn on_complete(&mut self, id: u64, reuse: bool, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.used = true;
+        connection.idle_since = turn.now;
+        let run = connection.run.take();
+        if !reuse || full(&self.connections) {
+            self.connections.remove(&id);
+        }
+        turn.inputs.extend(run.map(Run::into_ended));
     }
 
     /// Queues the request: from its first byte on the run may have begun.
-    fn send(&mut self, now: f64, id: u64, known: &Catalog, wheel: &mut Wheel, log: &mut Log) {
-        let Some(c) = self.connections.get_mut(&id) else { return };
-        let Some(run) = &mut c.run else { return };
-        let (length, class) = (run.body.len().to_string(), known.class_name(run.class));
-        let uri = self.settings.uri_of(class);
+    fn send_request(&mut self, id: u64, catalog: &Catalog, turn: &mut Turn) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(run) = &mut connection.run else { return };
+        let length = run.body.len().to_string();
+        let uri = self.settings.uri_of(catalog.class_name(run.class));
         let forward = Forward {
             method: "POST",
             uri: &uri,
@@ -263,48 +357,35 @@
             remote_user: None,
             secret: self.settings.secret.as_deref().map(str::as_bytes),
         };
-        run.number = self.poll.fresh();
-        run.mark = Some(c.link.sent + c.link.queued() as u64);
-        wheel.set(now, (run.due - now).max(0.0) + OVERTIME_S, Timer::Run(run.number));
+        run.timer_number = self.poll.fresh();
+        run.sent_before = Some(connection.link.sent + connection.link.queued() as u64);
+        let timeout_s = (run.due_at - turn.now).max(0.0) + OVERTIME_S;
+        turn.wheel.set(turn.now, timeout_s, Timer::Run(run.timer_number));
         match ajp_codec::write_forward(&forward) {
-            Some(head) => c.link.push(head),
-            None => log.line("ajp server: the request does not fit into a packet"),
+            Some(head) => connection.link.push(head),
+            None => turn.log.line("ajp server: the request does not fit into a packet"),
         }
         if !run.body.is_empty() {
             // A body is 2 KiB at most and goes in one packet, unasked, behind the head.
-            c.link.push(ajp_codec::write_body(&run.body).unwrap_or_default());
+            connection.link.push(ajp_codec::write_body(&run.body).unwrap_or_default());
         }
         self.touched.push(id);
     }
 
-    /// A connection is lost, or no longer of use. What it carried goes elsewhere only if no byte has gone out.
-    fn broken(
-        &mut self,
-        now: f64,
-        id: u64,
-        why: &str,
-        inputs: &mut Vec<Input>,
-        wheel: &mut Wheel,
-        log: &mut Log,
-    ) {
-        let Some(c) = self.connections.remove(&id) else { return };
-        let Some(run) = c.run else { return };
-        log.line(&format!("ajp server: {why}"));
-        if run.mark.map_or(true, |mark| c.link.sent <= mark) {
-            return self.place(now, run, wheel);
+    /// Gives a connection up. What it carried goes elsewhere only if no byte of it has gone out.
+    fn on_broken(&mut self, id: u64, error: &ConnectionError, turn: &mut Turn) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        let Some(run) = connection.run else { return };
+        turn.log.line(&format!("ajp server: {error}"));
+        if run.sent_before.map_or(true, |sent_before| connection.link.sent <= sent_before) {
+            return self.place(turn.now, run, turn.wheel);
         }
-        inputs.push(Input::RunEnded { name: run.name, outcome: Outcome::Interrupted, result: None });
+        turn.inputs.push(Input::RunEnded { name: run.name, outcome: Outcome::Interrupted, result: None });
     }
 
     /// Closes connections that have been idle for long.
     pub fn sweep(&mut self, now: f64) {
-        self.connections.retain(|_, c| c.run.is_some() || now - c.idle_since < IDLE_KEEP_S);
+        self.connections
+            .retain(|_, connection| connection.run.is_some() || now - connection.idle_since < IDLE_TIMEOUT_S);
     }
 }
-
-/// A status of success carries the result; any other is a failed run.
-fn ended(run: Run) -> Input {
-    let served = (200..300).contains(&run.status);
-    let outcome = if served { Outcome::Ok } else { Outcome::Error };
-    Input::RunEnded { name: run.name, outcome, result: served.then(|| run.result.into()) }
-}
