--- a/src/net/upstreams/directory.rs
+++ b/src/net/upstreams/directory.rs
@@ -1,6 +1,8 @@
 //! The directory of tenants: an LDAP server that maps a portal's identity to a tenant's name.
 //!
-//! One link, bound once; searches share it. What it said is kept for a while, for a bounded number of identities.
+//! One link, bound once; searches share it. Results are cached for a while, for a bounded number of identities.
+
+#![warn(missing_docs)]
 
 use crate::config::DirectorySettings;
 use crate::dispatch::Ticket;
@@ -13,243 +15,330 @@
 use ldap3_proto::proto::*;
 use ldap3_proto::LdapCodec;
 use std::collections::HashMap;
+use std::io;
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest answer that is taken (bytes).
-const MESSAGE_MOST: usize = 64 * 1024;
-/// Lookups that wait at once; more find the directory down.
-const WAITING_MOST: usize = 1024;
-/// After a failed link the directory counts as down for so long (seconds).
-const DOWN_S: f64 = 0.2;
-/// An identity that the directory does not know is asked for again this soon (seconds): it may be new.
-const UNKNOWN_KEEP_S: f64 = 5.0;
-
-struct Waiting {
-    number: u64,
+/// The longest message that is read or written (bytes).
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
+
+/// The most lookups that wait; for further ones the directory is unavailable.
+const MAX_WAITING_LOOKUPS: usize = 1024;
+
+/// How long the directory counts as unavailable after a failed link (seconds).
+const UNAVAILABLE_S: f64 = 0.2;
+
+/// The longest time that an unknown identity is cached (seconds): it may be new.
+const MAX_UNKNOWN_CACHE_S: f64 = 5.0;
+
+/// The most entries that the directory is asked for: the second one shows that an identity is ambiguous.
+const MAX_ENTRIES: i32 = 2;
+
+/// A lookup that waits for the directory.
+struct WaitingLookup {
+    timer_number: u64,
     ticket: Ticket,
     identity: Rc<str>,
-    /// The request's own time is shorter than what the directory is given.
-    own_time: bool,
+    /// Whether the request's own time is shorter than the directory's timeout.
+    limited_by_request: bool,
 }
 
-/// A search under way, with what its entries have said.
+/// A search in flight, with the tenants of the entries that have come.
 struct Search {
     identity: Rc<str>,
     tenants: Vec<Rc<str>>,
 }
 
+/// A cached result.
+struct CacheEntry {
+    /// `None` where the directory knows no tenant of the identity.
+    tenant: Option<Rc<str>>,
+    expires_at: f64,
+}
+
+/// Where the link stands.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum LinkState {
     Connecting,
     Binding,
     Bound,
 }
 
-/// The directory as this worker sees it.
+/// What becomes of the link after a step.
+enum Progress {
+    Continue,
+    Wait,
+}
+
+/// Why the link is given up. Log lines print it.
+#[derive(Debug, thiserror::Error)]
+enum LinkError {
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("closed")]
+    Closed,
+    #[error("a message has no end")]
+    MessageTooLong,
+    #[error("a message can't be read")]
+    MalformedMessage,
+    #[error("the bind was refused: {0:?}")]
+    BindRejected(LdapResultCode),
+    #[error("an unfit message")]
+    UnexpectedMessage,
+}
+
+/// The link to the directory, its waiting lookups and the cache.
 pub struct Directory {
     settings: DirectorySettings,
     poll: Poll,
     link: Option<Link>,
-    number: u64,
-    stage: Stage,
-    /// The link has served before: that it breaks may be the server's idle limit, so a new one is tried.
-    served: bool,
-    down_until: f64,
-    message: i32,
+    link_id: u64,
+    link_state: LinkState,
+    /// The link has answered a search: if it breaks, that may be the server's idle limit, so a new one is tried.
+    link_has_served: bool,
+    unavailable_until: f64,
+    last_message_id: i32,
     searches: HashMap<i32, Search>,
-    waiting: Vec<Waiting>,
-    /// By identity: the tenant, if there is one, and until when that counts.
-    cache: HashMap<Rc<str>, (Option<Rc<str>>, f64)>,
-    found: Vec<(Ticket, LookupResult)>,
+    waiting: Vec<WaitingLookup>,
+    /// Results by identity.
+    cache: HashMap<Rc<str>, CacheEntry>,
+    results: Vec<(Ticket, LookupResult)>,
 }
 
 impl Directory {
+    /// A directory that is not connected yet: the first lookup connects.
     pub fn new(poll: &Poll, settings: DirectorySettings) -> Directory {
         Directory {
             settings,
             poll: poll.clone(),
             link: None,
-            number: 0,
-            stage: Stage::Connecting,
-            served: false,
-            down_until: 0.0,
-            message: 0,
+            link_id: 0,
+            link_state: LinkState::Connecting,
+            link_has_served: false,
+            unavailable_until: 0.0,
+            last_message_id: 0,
             searches: HashMap::new(),
             waiting: Vec::new(),
             cache: HashMap::new(),
-            found: Vec::new(),
+            results: Vec::new(),
         }
     }
 
-    pub fn mark(&mut self, number: u64, readable: bool, writable: bool) {
-        if let Some(link) = self.link.as_mut().filter(|_| self.number == number) {
+    /// Records the readiness of the link with this id.
+    pub fn mark(&mut self, link_id: u64, readable: bool, writable: bool) {
+        if let Some(link) = self.link.as_mut().filter(|_| self.link_id == link_id) {
             link.mark(readable, writable);
         }
     }
 
-    /// Takes what has been found since the last look.
+    /// Takes the results that have come since the last call.
     pub fn take_found(&mut self) -> Vec<(Ticket, LookupResult)> {
-        std::mem::take(&mut self.found)
+        std::mem::take(&mut self.results)
     }
 
-    /// Asks for the tenant of a portal; the word comes with [`Directory::take_found`].
+    /// Looks the tenant of an identity up; the result comes with [`Directory::take_found`].
     pub fn look_up(&mut self, now: f64, lookup: Lookup, wheel: &mut Wheel, log: &mut Log) {
         let identity: Rc<str> = lookup.identity.into();
-        if let Some((tenant, until)) = self.cache.get(&identity) {
-            if now < *until {
-                let found = tenant.clone().map_or(LookupResult::Unknown, LookupResult::Tenant);
-                return self.found.push((lookup.ticket, found));
-            }
+        if let Some(cached) = self.cache.get(&identity).filter(|cached| now < cached.expires_at) {
+            let result = cached.tenant.clone().map_or(LookupResult::Unknown, LookupResult::Tenant);
+            return self.results.push((lookup.ticket, result));
         }
-        if now < self.down_until || self.waiting.len() >= WAITING_MOST {
-            return self.found.push((lookup.ticket, LookupResult::Unavailable));
+        if now < self.unavailable_until || self.waiting.len() >= MAX_WAITING_LOOKUPS {
+            return self.results.push((lookup.ticket, LookupResult::Unavailable));
         }
-        let timeout = self.settings.timeout_ms / 1000.0;
-        let (number, ticket) = (self.poll.fresh(), lookup.ticket);
-        wheel.set(now, timeout.min(lookup.for_s.max(0.0)), Timer::Search(number));
-        let asked = self.waiting.iter().any(|w| w.identity == identity);
-        let own_time = lookup.for_s < timeout;
-        self.waiting.push(Waiting { number, ticket, identity: identity.clone(), own_time });
+        let timeout_s = self.settings.timeout_ms / 1000.0;
+        let timer_number = self.poll.fresh();
+        wheel.set(now, timeout_s.min(lookup.for_s.max(0.0)), Timer::Search(timer_number));
+        let already_searched = self.waiting.iter().any(|waiting| waiting.identity == identity);
+        self.waiting.push(WaitingLookup {
+            timer_number,
+            ticket: lookup.ticket,
+            identity: identity.clone(),
+            limited_by_request: lookup.for_s < timeout_s,
+        });
         if self.link.is_none() {
             self.connect(now, log);
-        } else if !asked && self.stage == Stage::Bound {
+        } else if !already_searched && self.link_state == LinkState::Bound {
             self.search(identity);
         }
     }
 
     fn connect(&mut self, now: f64, log: &mut Log) {
-        self.number = self.poll.fresh();
-        (self.stage, self.served) = (Stage::Connecting, false);
-        match Link::connect(&self.poll, self.settings.address, Place::Directory(self.number), MESSAGE_MOST) {
+        self.link_id = self.poll.fresh();
+        self.link_state = LinkState::Connecting;
+        self.link_has_served = false;
+        let place = Place::Directory(self.link_id);
+        match Link::connect(&self.poll, self.settings.address, place, MAX_MESSAGE_BYTES) {
             Ok(link) => self.link = Some(link),
-            Err(e) => self.lose(now, &e.to_string(), log),
+            Err(error) => self.on_link_lost(now, &error.into(), log),
         }
     }
 
-    /// The link is gone: who waits is told, unless a link that served before was merely closed.
-    fn lose(&mut self, now: f64, why: &str, log: &mut Log) {
+    /// Ends the waiting lookups, or connects again where a link that has served was merely closed.
+    fn on_link_lost(&mut self, now: f64, error: &LinkError, log: &mut Log) {
         self.link = None;
         self.searches.clear();
         if self.waiting.is_empty() {
             return;
         }
-        log.line(&format!("directory: link lost: {why}"));
-        if self.served {
+        log.line(&format!("directory: link lost: {error}"));
+        if self.link_has_served {
             return self.connect(now, log);
         }
-        self.down_until = now + DOWN_S;
-        self.found.extend(self.waiting.drain(..).map(|w| (w.ticket, LookupResult::Unavailable)));
+        self.unavailable_until = now + UNAVAILABLE_S;
+        let ended = self.waiting.drain(..);
+        self.results.extend(ended.map(|waiting| (waiting.ticket, LookupResult::Unavailable)));
     }
 
-    /// A lookup has run out of time.
-    pub fn due(&mut self, now: f64, number: u64) {
-        let Some(at) = self.waiting.iter().position(|w| w.number == number) else { return };
-        let late = self.waiting.swap_remove(at);
-        self.found.push((
-            late.ticket,
-            if late.own_time { LookupResult::TimedOut } else { LookupResult::Unavailable },
-        ));
-        if !late.own_time && self.waiting.is_empty() {
-            // It takes links and says nothing: the next lookup begins afresh.
+    /// Takes the expiry of a lookup's timer.
+    pub fn due(&mut self, now: f64, timer_number: u64) {
+        let has_timer = |waiting: &WaitingLookup| waiting.timer_number == timer_number;
+        let Some(index) = self.waiting.iter().position(has_timer) else { return };
+        let expired = self.waiting.swap_remove(index);
+        if expired.limited_by_request {
+            return self.results.push((expired.ticket, LookupResult::TimedOut));
+        }
+        self.results.push((expired.ticket, LookupResult::Unavailable));
+        if self.waiting.is_empty() {
+            // The server accepts links and doesn't answer: the next lookup connects again.
             self.link = None;
             self.searches.clear();
-            self.down_until = now + DOWN_S;
+            self.unavailable_until = now + UNAVAILABLE_S;
         }
     }
 
     /// Takes what has come from the directory.
     pub fn gather(&mut self, now: f64, log: &mut Log) {
         loop {
-            let Some(link) = &mut self.link else { return };
-            if self.stage == Stage::Connecting {
-                match link.connected() {
-                    None => return,
-                    Some(Err(e)) => return self.lose(now, &e.to_string(), log),
-                    Some(Ok(())) => {}
-                }
-                self.stage = Stage::Binding;
-                let cred = LdapBindCred::Simple(self.settings.bind_password.clone());
-                self.send(LdapOp::BindRequest(LdapBindRequest { dn: self.settings.bind_dn.clone(), cred }));
-                continue;
+            match self.step(now, log) {
+                Ok(Progress::Continue) => {}
+                Ok(Progress::Wait) => return,
+                Err(error) => return self.on_link_lost(now, &error, log),
             }
-            if let Err(e) = link.flush() {
-                return self.lose(now, &e.to_string(), log);
+        }
+    }
+
+    /// Binds, or takes one message.
+    fn step(&mut self, now: f64, log: &mut Log) -> Result<Progress, LinkError> {
+        let Some(link) = &mut self.link else { return Ok(Progress::Wait) };
+        if self.link_state == LinkState::Connecting {
+            match link.connected() {
+                None => return Ok(Progress::Wait),
+                Some(connected) => connected?,
             }
-            let filled = link.fill();
-            let mut bytes = BytesMut::from(link.data());
-            let before = bytes.len();
-            let message = LdapCodec::new(Some(MESSAGE_MOST)).decode(&mut bytes);
-            link.consume(before - bytes.len());
-            match message {
-                Ok(Some(message)) => self.take(now, message, log),
-                Ok(None) if filled != Filled::Open => return self.lose(now, "closed", log),
-                Ok(None) if before >= MESSAGE_MOST => return self.lose(now, "a message has no end", log),
-                Ok(None) => return,
-                Err(_) => return self.lose(now, "a message can't be read", log),
+            self.bind();
+            return Ok(Progress::Continue);
+        }
+        link.flush()?;
+        let filled = link.fill();
+        let mut bytes = BytesMut::from(link.data());
+        let unread = bytes.len();
+        let message = LdapCodec::new(Some(MAX_MESSAGE_BYTES)).decode(&mut bytes);
+        link.consume(unread - bytes.len());
+        match message {
+            Ok(Some(message)) => {
+                if let Err(error) = self.on_message(now, message, log) {
+                    // The new link, where there is one, is processed in the same turn.
+                    self.on_link_lost(now, &error, log);
+                }
+                Ok(Progress::Continue)
             }
+            Ok(None) if filled != Filled::Open => Err(LinkError::Closed),
+            Ok(None) if unread >= MAX_MESSAGE_BYTES => Err(LinkError::MessageTooLong),
+            Ok(None) => Ok(Progress::Wait),
+            Err(_) => Err(LinkError::MalformedMessage),
         }
     }
 
-    fn take(&mut self, now: f64, message: LdapMsg, log: &mut Log) {
+    fn bind(&mut self) {
+        self.link_state = LinkState::Binding;
+        let dn = self.settings.bind_dn.clone();
+        let cred = LdapBindCred::Simple(self.settings.bind_password.clone());
+        self.send(LdapOp::BindRequest(LdapBindRequest { dn, cred }));
+    }
+
+    fn on_message(&mut self, now: f64, message: LdapMsg, log: &mut Log) -> Result<(), LinkError> {
         match message.op {
-            LdapOp::BindResponse(r) if self.stage == Stage::Binding => {
-                if r.res.code != LdapResultCode::Success {
-                    return self.lose(now, &format!("the bind was refused: {:?}", r.res.code), log);
+            LdapOp::BindResponse(response) if self.link_state == LinkState::Binding => {
+                if response.res.code != LdapResultCode::Success {
+                    return Err(LinkError::BindRejected(response.res.code));
                 }
-                self.stage = Stage::Bound;
-                let mut identities: Vec<Rc<str>> = self.waiting.iter().map(|w| w.identity.clone()).collect();
-                identities.sort();
-                identities.dedup();
-                identities.into_iter().for_each(|identity| self.search(identity));
-            }
-            LdapOp::SearchResultEntry(entry) => {
-                let Some(search) = self.searches.get_mut(&message.msgid) else { return };
-                let wanted =
-                    |a: &&LdapPartialAttribute| a.atype.eq_ignore_ascii_case(&self.settings.tenant_attribute);
-                let values = entry.attributes.iter().filter(wanted).flat_map(|a| &a.vals);
-                search.tenants.extend(values.filter_map(|v| std::str::from_utf8(v).ok()).map(Rc::from));
-            }
-            LdapOp::SearchResultDone(result) => {
-                let Some(search) = self.searches.remove(&message.msgid) else { return };
-                let found = match (result.code, &search.tenants[..]) {
-                    (LdapResultCode::Success, [tenant]) => LookupResult::Tenant(tenant.clone()),
-                    // None, or more than one: it is not told whose requests these are.
-                    (LdapResultCode::Success | LdapResultCode::SizeLimitExceeded, _) => LookupResult::Unknown,
-                    (LdapResultCode::NoSuchObject, _) => LookupResult::Unknown,
-                    (code, _) => {
-                        log.line(&format!("directory: a search failed: {code:?}"));
-                        LookupResult::Unavailable
-                    }
-                };
-                self.served = true;
-                self.tell(now, search.identity, found);
+                self.link_state = LinkState::Bound;
+                self.search_waiting();
             }
+            LdapOp::SearchResultEntry(entry) => self.on_entry(message.msgid, &entry),
+            LdapOp::SearchResultDone(result) => self.on_search_done(now, message.msgid, result.code, log),
             LdapOp::SearchResultReference(_) => {}
-            _ => self.lose(now, "an unfit message", log),
+            _ => return Err(LinkError::UnexpectedMessage),
         }
+        Ok(())
     }
 
-    fn tell(&mut self, now: f64, identity: Rc<str>, found: LookupResult) {
-        let (told, rest) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|w| w.identity == identity);
-        self.waiting = rest;
-        self.found.extend(Vec::into_iter(told).map(|w: Waiting| (w.ticket, found.clone())));
-        let (tenant, keep_s) = match found {
-            LookupResult::Tenant(tenant) => (Some(tenant), self.settings.cache_s),
-            LookupResult::Unknown => (None, self.settings.cache_s.min(UNKNOWN_KEEP_S)),
-            _ => return,
+    /// Searches each identity that lookups wait for.
+    fn search_waiting(&mut self) {
+        let mut identities: Vec<Rc<str>> =
+            self.waiting.iter().map(|waiting| waiting.identity.clone()).collect();
+        identities.sort();
+        identities.dedup();
+        for identity in identities {
+            self.search(identity);
+        }
+    }
+
+    /// Collects the tenants of an entry.
+    fn on_entry(&mut self, message_id: i32, entry: &LdapSearchResultEntry) {
+        let Some(search) = self.searches.get_mut(&message_id) else { return };
+        let wanted_name = &self.settings.tenant_attribute;
+        let is_wanted = |attribute: &&LdapPartialAttribute| attribute.atype.eq_ignore_ascii_case(wanted_name);
+        let values = entry.attributes.iter().filter(is_wanted).flat_map(|attribute| &attribute.vals);
+        let tenants = values.filter_map(|value| std::str::from_utf8(value).ok());
+        search.tenants.extend(tenants.map(Rc::from));
+    }
+
+    fn on_search_done(&mut self, now: f64, message_id: i32, code: LdapResultCode, log: &mut Log) {
+        let Some(search) = self.searches.remove(&message_id) else { return };
+        let result = match (code, &search.tenants[..]) {
+            (LdapResultCode::Success, [tenant]) => LookupResult::Tenant(tenant.clone()),
+            // None, or more than one: it is not told whose requests these are.
+            (LdapResultCode::Success | LdapResultCode::SizeLimitExceeded, _) => LookupResult::Unknown,
+            (LdapResultCode::NoSuchObject, _) => LookupResult::Unknown,
+            (code, _) => {
+                log.line(&format!("directory: a search failed: {code:?}"));
+                LookupResult::Unavailable
+            }
         };
-        // Bounded: what is over goes first, then what would be over soonest.
-        if self.cache.len() >= self.settings.cache_entries {
-            self.cache.retain(|_, (_, until)| now < *until);
+        self.link_has_served = true;
+        self.complete_lookups(now, search.identity, &result);
+    }
+
+    /// Ends all lookups of an identity, and caches what the directory knows of it.
+    fn complete_lookups(&mut self, now: f64, identity: Rc<str>, result: &LookupResult) {
+        let waiting = std::mem::take(&mut self.waiting);
+        let (completed, rest): (Vec<_>, Vec<_>) =
+            waiting.into_iter().partition(|waiting| waiting.identity == identity);
+        self.waiting = rest;
+        self.results.extend(completed.into_iter().map(|lookup| (lookup.ticket, result.clone())));
+        let cache_s = self.settings.cache_s;
+        match result {
+            LookupResult::Tenant(tenant) => self.cache(now, identity, Some(tenant.clone()), cache_s),
+            LookupResult::Unknown => self.cache(now, identity, None, cache_s.min(MAX_UNKNOWN_CACHE_S)),
+            LookupResult::Unavailable | LookupResult::TimedOut => {}
         }
-        if self.cache.len() >= self.settings.cache_entries {
-            let soonest = self.cache.iter().min_by(|a, b| a.1 .1.total_cmp(&b.1 .1)).map(|(i, _)| i.clone());
+    }
+
+    /// Caches a result. In a full cache expired entries go first, then the one that would expire soonest.
+    fn cache(&mut self, now: f64, identity: Rc<str>, tenant: Option<Rc<str>>, cache_s: f64) {
+        let max_entries = self.settings.cache_entries;
+        if self.cache.len() >= max_entries {
+            self.cache.retain(|_, cached| now < cached.expires_at);
+        }
+        if self.cache.len() >= max_entries {
+            let soonest = self.cache.iter().min_by(|a, b| a.1.expires_at.total_cmp(&b.1.expires_at));
+            let soonest = soonest.map(|(identity, _)| identity.clone());
             soonest.and_then(|identity| self.cache.remove(&identity));
         }
-        if self.settings.cache_entries > 0 {
-            self.cache.insert(identity, (tenant, now + keep_s));
+        if max_entries > 0 {
+            self.cache.insert(identity, CacheEntry { tenant, expires_at: now + cache_s });
         }
     }
 
@@ -258,35 +347,38 @@
             base: self.settings.base.clone(),
             scope: LdapSearchScope::Subtree,
             aliases: LdapDerefAliases::Never,
-            sizelimit: 2,
+            sizelimit: MAX_ENTRIES,
             timelimit: (self.settings.timeout_ms / 1000.0).ceil() as i32,
             typesonly: false,
             // The value goes as bytes of its own, so that nothing in it is read as a filter.
             filter: LdapFilter::Equality(self.settings.identity_attribute.clone(), identity.to_string()),
             attrs: vec![self.settings.tenant_attribute.clone()],
         };
-        let id = self.send(LdapOp::SearchRequest(request));
-        self.searches.insert(id, Search { identity, tenants: Vec::new() });
+        let message_id = self.send(LdapOp::SearchRequest(request));
+        self.searches.insert(message_id, Search { identity, tenants: Vec::new() });
     }
 
+    /// Queues a message; gives its id back.
     fn send(&mut self, op: LdapOp) -> i32 {
-        self.message = self.message % i32::MAX + 1;
-        let message = LdapMsg { msgid: self.message, op, ctrl: Vec::new() };
+        self.last_message_id = self.last_message_id % i32::MAX + 1;
+        let message = LdapMsg { msgid: self.last_message_id, op, ctrl: Vec::new() };
         let mut bytes = BytesMut::new();
-        // What can't be encoded is not sent, and its lookup runs out of time.
-        if LdapCodec::new(Some(MESSAGE_MOST)).encode(message, &mut bytes).is_ok() {
+        // What can't be encoded is not sent, and its lookup times out.
+        if LdapCodec::new(Some(MAX_MESSAGE_BYTES)).encode(message, &mut bytes).is_ok() {
             if let Some(link) = &mut self.link {
                 link.push(bytes.to_vec());
             }
         }
-        self.message
+        self.last_message_id
     }
 
-    /// Writes what a lookup of this turn has queued.
+    /// Writes what lookups of this turn have queued.
     pub fn flush(&mut self, now: f64, log: &mut Log) {
-        if let Some(Err(e)) = self.link.as_mut().filter(|_| self.stage != Stage::Connecting).map(Link::flush)
-        {
-            self.lose(now, &e.to_string(), log);
+        if self.link_state == LinkState::Connecting {
+            return;
+        }
+        if let Some(Err(error)) = self.link.as_mut().map(Link::flush) {
+            self.on_link_lost(now, &error.into(), log);
         }
     }
 }
