--- a/src/net/frontends/mod.rs
+++ b/src/net/frontends/mod.rs
@@ -1,4 +1,4 @@
-//! What lets clients in: the fronts, and what their fields, targets and answers mean.
+//! What accepts clients: the HTTP/1.1, HTTP/2 and AJP frontends, and what their headers, targets and statuses mean.
 
 pub mod ajp;
 pub mod connections;
