--- /dev/null
+++ b/testbed/src/fleet/rig/configuration.rs
@@ -0,0 +1,77 @@
+//! The configuration files that the rig writes for its processes.
+
+use super::Rig;
+use crate::error::TestbedError;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+
+/// An address at which nobody listens.
+const NOBODY: &str = "127.0.0.1:9";
+/// An address of the system's choice.
+const ANY: &str = "127.0.0.1:0";
+
+impl Rig {
+    /// A coordinator's file.
+    pub(super) fn coordinator_file(&self, name: &str) -> Result<String, TestbedError> {
+        let mut text = format!(
+            "fleet = {:?}\nname = {name:?}\nfolder = {:?}\nlisten = \"127.0.0.1:0\"\nepoch = 1\nwrite_overdue_ms = {}\n",
+            self.file.fleet,
+            self.folder.join(name),
+            self.file.write_overdue_ms
+        );
+        if let Some(part) = self.file.calls_part {
+            text += &format!("overload = {{ calls_part = {part:?} }}\n");
+        }
+        if self.file.older.iter().any(|older| older == name) {
+            text += "version = 1\n";
+        }
+        for (n, peer) in self.coordinators().iter().enumerate() {
+            let address = match peer == name {
+                // Never dialled: this one's own place in the list.
+                true => SocketAddr::from(([127, 0, 0, 1], 1 + n as u16)),
+                false => self.relay(name, peer)?,
+            };
+            text += &format!("[[coordinator]]\nname = {peer:?}\naddress = \"{address}\"\n");
+        }
+        text += "[[task]]\nname = \"totals\"\nttl_ms = 3000\n";
+        for task in &self.file.tasks {
+            text += &format!("[[task]]\nname = {:?}\nttl_ms = {}\npause_ms = 500\n", task.name, task.ttl_ms);
+        }
+        Ok(text)
+    }
+
+    /// A worker's platform configuration.
+    pub(super) fn worker_config(&self, name: &str, listen: SocketAddr, executor: SocketAddr) -> Value {
+        let downstream = self.relay(name, "service").map_or(NOBODY.to_owned(), |a| a.to_string());
+        let mut config = self.site.config(&listen.to_string(), &executor.to_string(), &downstream, NOBODY);
+        if let Some(part) = self.file.calls_part {
+            config["settings"]["domain"]["fairCalls"] = json!(part);
+        }
+        config["name"] = json!(name);
+        config["console"] = json!(ANY);
+        config
+    }
+
+    /// A worker's operator file; `number` is the worker's place among all, from 0.
+    pub(super) fn operator_file(&self, name: &str, number: usize) -> Result<String, TestbedError> {
+        let mut text = format!("[fleet]\nname = {:?}\ncoordinators = [", self.file.fleet);
+        for to in self.coordinators() {
+            text += &format!("\"{}\", ", self.relay(name, &to)?);
+        }
+        text += "]\n";
+        if !self.file.zones.is_empty() {
+            text += &format!("zone = {:?}\n", self.file.zones[number % self.file.zones.len()]);
+        }
+        if self.file.calls_part.is_some() {
+            text += "overload = { on = true }\n";
+        }
+        let acts = self.relay(name, "acts")?;
+        for task in &self.file.tasks {
+            text += &format!(
+                "[[fleet.task]]\nname = {:?}\nperiod_s = {:?}\naddress = \"{}\"\npath = \"/{}\"\ndeadline_ms = {}\nsafe = {}\n",
+                task.name, task.period_s, acts, task.name, task.deadline_ms, task.safe
+            );
+        }
+        Ok(text)
+    }
+}
--- /dev/null
+++ b/testbed/src/fleet/rig/processes.rs
@@ -0,0 +1,280 @@
+//! The processes of a fleet: how they start, and what can be done to each.
+
+use super::{get, Rig};
+use crate::error::TestbedError;
+use crate::sockets::{lock, serve_executor};
+use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::AsRawFd;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How long a process may take to come up, or to end.
+const START: Duration = Duration::from_secs(20);
+/// Connections that may wait at a worker's listening socket.
+const BACKLOG: i32 = 256;
+
+/// A process that was started, and what it has logged.
+pub(super) struct Process {
+    pub name: String,
+    pub child: Child,
+    lines: Arc<Mutex<Vec<String>>>,
+    /// Neither killed nor seen to end.
+    pub alive: bool,
+    pub listen: Option<SocketAddr>,
+    pub console: Option<SocketAddr>,
+}
+
+impl Process {
+    /// SIGKILL; one that is stopped dies all the same.
+    pub fn end(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        self.alive = false;
+    }
+
+    /// Waits for the line that says where it listens, and takes what follows the mark.
+    fn wait_address(&mut self, mark: &str) -> Result<SocketAddr, TestbedError> {
+        let until = Instant::now() + START;
+        while Instant::now() < until {
+            let found = lock(&self.lines).iter().find_map(|l| Some(l.split_once(mark)?.1.to_owned()));
+            if let Some(text) = found {
+                let parsed = text.trim().parse();
+                return parsed.map_err(|_| TestbedError::NoAddress { name: self.name.clone(), found: text });
+            }
+            if let Ok(Some(status)) = self.child.try_wait() {
+                thread::sleep(Duration::from_millis(50));
+                let log = lock(&self.lines).clone();
+                return Err(TestbedError::EndedAtStart { name: self.name.clone(), status, log });
+            }
+            thread::sleep(Duration::from_millis(5));
+        }
+        self.end();
+        Err(TestbedError::DidNotStart { name: self.name.clone() })
+    }
+}
+
+/// A listening socket that outlives the processes of a worker, which inherit it.
+pub(super) fn bind_listener() -> Result<socket2::Socket, TestbedError> {
+    let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
+    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    listener.bind(&any.into())?;
+    listener.listen(BACKLOG)?;
+    listener.set_nonblocking(true)?;
+    listener.set_cloexec(false)?;
+    Ok(listener)
+}
+
+impl Rig {
+    pub(super) fn start_coordinator(&mut self, name: &str) -> Result<(), TestbedError> {
+        let path = self.folder.join(format!("{name}.toml"));
+        std::fs::write(&path, self.coordinator_file(name)?).map_err(TestbedError::file(&path))?;
+        let mut command = Command::new(&self.programs.coordinator);
+        command.arg("--config").arg(&path);
+        let mut process = self.spawn(name, command)?;
+        let listen = process.wait_address(" at=")?;
+        process.listen = Some(listen);
+        self.relays.iter().filter(|r| r.to == name).for_each(|r| r.aim(Some(listen)));
+        self.put(process);
+        Ok(())
+    }
+
+    pub(super) fn start_worker(&mut self, name: &str) -> Result<(), TestbedError> {
+        let process = self.spawn_worker(name)?;
+        self.put(process);
+        Ok(())
+    }
+
+    fn spawn_worker(&mut self, name: &str) -> Result<Process, TestbedError> {
+        let number = self
+            .workers()
+            .iter()
+            .position(|w| w == name)
+            .ok_or_else(|| TestbedError::UnknownProcess { name: name.to_owned() })?;
+        let executor = TcpListener::bind("127.0.0.1:0")?;
+        let executor_at = executor.local_addr()?;
+        // Its thread ends with the fleet.
+        drop(serve_executor(executor, &self.site, self.clock, &self.over));
+        let listen = self.listeners[number]
+            .local_addr()
+            .ok()
+            .and_then(|a| a.as_socket())
+            .ok_or(TestbedError::ListenerWithoutAddress)?;
+        let config = self.worker_config(name, listen, executor_at);
+        let operator = self.operator_file(name, number)?;
+        let meets = self.folder.join(format!("{name}-meets"));
+        std::fs::create_dir_all(&meets).map_err(TestbedError::file(&meets))?;
+        let config = self.write_file(format!("{name}.json"), &config.to_string())?;
+        let operator = self.write_file(format!("{name}.toml"), &operator)?;
+        let mut command = Command::new(&self.programs.worker);
+        command.env("ROUTER_CONFIG", config).env("TMPDIR", meets);
+        command.env("ROUTER_SOCKET_FD", self.listeners[number].as_raw_fd().to_string());
+        command.arg("--operator").arg(operator);
+        let mut process = self.spawn(name, command)?;
+        process.console = Some(process.wait_address("console on ")?);
+        process.listen = Some(listen);
+        Ok(process)
+    }
+
+    fn write_file(&self, name: String, text: &str) -> Result<PathBuf, TestbedError> {
+        let path = self.folder.join(name);
+        std::fs::write(&path, text).map_err(TestbedError::file(&path))?;
+        Ok(path)
+    }
+
+    /// Starts a program; each line that it logs goes to its file too.
+    fn spawn(&self, name: &str, mut command: Command) -> Result<Process, TestbedError> {
+        let mut child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .map_err(TestbedError::component(name))?;
+        let lines: Arc<Mutex<Vec<String>>> = Arc::default();
+        if let Some(stderr) = child.stderr.take() {
+            let (own, path) = (lines.clone(), self.folder.join(format!("{name}.log")));
+            let mut log = std::fs::OpenOptions::new().create(true).append(true).open(path)?;
+            thread::spawn(move || {
+                for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                    let _ = writeln!(log, "{line}");
+                    lock(&own).push(line);
+                }
+            });
+        }
+        Ok(Process { name: name.to_owned(), child, lines, alive: true, listen: None, console: None })
+    }
+
+    /// Takes the place of the process of this name, if there was one.
+    fn put(&mut self, process: Process) {
+        match self.processes.iter_mut().find(|p| p.name == process.name) {
+            Some(old) => *old = process,
+            None => self.processes.push(process),
+        }
+    }
+
+    fn process(&mut self, name: &str) -> Result<&mut Process, TestbedError> {
+        self.processes
+            .iter_mut()
+            .find(|p| p.name == name)
+            .ok_or_else(|| TestbedError::UnknownProcess { name: name.to_owned() })
+    }
+
+    fn signal(&mut self, name: &str, signal: Signal) -> Result<(), TestbedError> {
+        let process = self.process(name)?;
+        let pid = Pid::from_child(&process.child);
+        if !process.alive {
+            return Err(TestbedError::NotRunning { name: name.to_owned() });
+        }
+        kill_process(pid, signal).map_err(|e| TestbedError::component(name)(e.into()))
+    }
+
+    /// SIGKILL: the machine drops.
+    ///
+    /// # Errors
+    /// There is no such process, or it does not run.
+    pub fn kill(&mut self, name: &str) -> Result<(), TestbedError> {
+        let process = self.process(name)?;
+        if !process.alive {
+            return Err(TestbedError::NotRunning { name: name.to_owned() });
+        }
+        process.end();
+        self.relays.iter().filter(|r| r.to == name).for_each(|r| r.aim(None));
+        self.write_json()
+    }
+
+    /// Starts a process that was killed, with the disk that it left.
+    ///
+    /// # Errors
+    /// It runs, or does not come up.
+    pub fn start_again(&mut self, name: &str) -> Result<(), TestbedError> {
+        if self.process(name)?.alive {
+            return Err(TestbedError::Running { name: name.to_owned() });
+        }
+        match name.starts_with('c') {
+            true => self.start_coordinator(name)?,
+            false => self.start_worker(name)?,
+        }
+        self.write_json()
+    }
+
+    /// The notice to leave, and the end.
+    ///
+    /// # Errors
+    /// It does not run, or did not end in time.
+    pub fn terminate(&mut self, name: &str) -> Result<(), TestbedError> {
+        self.signal(name, Signal::TERM)?;
+        let process = self.process(name)?;
+        let until = Instant::now() + START;
+        while Instant::now() < until {
+            if process.child.try_wait()?.is_some() {
+                process.alive = false;
+                return self.write_json();
+            }
+            thread::sleep(Duration::from_millis(10));
+        }
+        Err(TestbedError::DidNotEnd { name: name.to_owned() })
+    }
+
+    /// A second process takes the worker's place while it serves; the first is told to leave when the second is ready.
+    ///
+    /// # Errors
+    /// The second did not get ready.
+    pub fn replace(&mut self, name: &str) -> Result<(), TestbedError> {
+        let new = self.spawn_worker(name)?;
+        let console = new.console.ok_or(TestbedError::Missing("console"))?;
+        let until = Instant::now() + START;
+        while !get(console, "/-/ready").is_ok_and(|reply| reply.starts_with("HTTP/1.1 200")) {
+            if Instant::now() > until {
+                return Err(TestbedError::SuccessorNotReady { name: name.to_owned() });
+            }
+            thread::sleep(Duration::from_millis(20));
+        }
+        self.terminate(name)?;
+        self.put(new);
+        self.write_json()
+    }
+
+    /// SIGSTOP.
+    ///
+    /// # Errors
+    /// There is no such process, or it does not run.
+    pub fn pause(&mut self, name: &str) -> Result<(), TestbedError> {
+        self.signal(name, Signal::STOP)
+    }
+
+    /// SIGCONT.
+    ///
+    /// # Errors
+    /// There is no such process, or it does not run.
+    pub fn resume(&mut self, name: &str) -> Result<(), TestbedError> {
+        self.signal(name, Signal::CONT)
+    }
+
+    /// The disk is full for this process: writes fail, as there.
+    ///
+    /// # Errors
+    /// There is no such process, or the system's.
+    pub fn fill(&mut self, name: &str, full: bool) -> Result<(), TestbedError> {
+        let pid = Pid::from_child(&self.process(name)?.child);
+        let limit = Rlimit { current: full.then_some(0), maximum: None };
+        prlimit(Some(pid), Resource::Fsize, limit)
+            .map(|_| ())
+            .map_err(|e| TestbedError::component(name)(e.into()))
+    }
+
+    /// The folder of a coordinator that does not run is lost.
+    ///
+    /// # Errors
+    /// There is no such process, it runs, or the system's.
+    pub fn wipe(&mut self, name: &str) -> Result<(), TestbedError> {
+        if self.process(name)?.alive {
+            return Err(TestbedError::Running { name: name.to_owned() });
+        }
+        let folder = self.folder.join(name);
+        std::fs::remove_dir_all(&folder).map_err(TestbedError::file(&folder))
+    }
+}
--- /dev/null
+++ b/testbed/src/fleet/rig/relays.rs
@@ -0,0 +1,83 @@
+//! The relays between the processes of a fleet, and the faults of a network.
+
+use super::Rig;
+use crate::error::TestbedError;
+use crate::fleet::relay::Relay;
+use std::net::SocketAddr;
+
+impl Rig {
+    /// Starts a relay for each two processes that speak; `acts` is the stand-in that tasks call.
+    pub(super) fn start_relays(&mut self, acts: SocketAddr) -> Result<(), TestbedError> {
+        let coordinators = self.coordinators();
+        let workers = self.workers();
+        for to in &coordinators {
+            for from in coordinators.iter().chain(&workers).filter(|from| *from != to) {
+                self.relays.push(Relay::start(from, to)?);
+            }
+        }
+        for from in &workers {
+            self.start_relay(from, "acts", acts)?;
+        }
+        if let Some(service) = self.service.as_ref().map(|service| service.address) {
+            for from in &workers {
+                self.start_relay(from, "service", service)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn start_relay(&mut self, from: &str, to: &str, target: SocketAddr) -> Result<(), TestbedError> {
+        let relay = Relay::start(from, to)?;
+        relay.aim(Some(target));
+        self.relays.push(relay);
+        Ok(())
+    }
+
+    /// Where `from` dials `to`.
+    pub(super) fn relay(&self, from: &str, to: &str) -> Result<SocketAddr, TestbedError> {
+        let found = self.relays.iter().find(|r| r.from == from && r.to == to);
+        found
+            .map(|r| r.address)
+            .ok_or_else(|| TestbedError::NoLink { from: from.to_owned(), to: to.to_owned() })
+    }
+
+    /// Where this worker dials the coordinators, all of them.
+    pub fn links(&self, worker: &str) -> Vec<SocketAddr> {
+        self.coordinators().iter().filter_map(|c| self.relay(worker, c).ok()).collect()
+    }
+
+    /// The relays between the two, either way.
+    fn relays_between<'a>(&'a self, one: &'a str, other: &'a str) -> impl Iterator<Item = &'a Relay> {
+        let joins = move |relay: &&Relay| {
+            (relay.from == one && relay.to == other) || (relay.from == other && relay.to == one)
+        };
+        self.relays.iter().filter(joins)
+    }
+
+    /// Bytes from one to the other are held back, or go on; both ways unless `one_way`.
+    ///
+    /// # Errors
+    /// The two do not speak.
+    pub fn cut(&mut self, from: &str, to: &str, one_way: bool, cut: bool) -> Result<(), TestbedError> {
+        if self.relays_between(from, to).next().is_none() {
+            return Err(TestbedError::NotConnected { from: from.to_owned(), to: to.to_owned() });
+        }
+        for relay in self.relays_between(from, to) {
+            relay.set_cut(from, to, cut);
+            if !one_way {
+                relay.set_cut(to, from, cut);
+            }
+        }
+        Ok(())
+    }
+
+    /// All connections between the two are reset.
+    pub fn reset(&mut self, from: &str, to: &str) {
+        self.relays_between(from, to).for_each(Relay::reset);
+    }
+
+    /// What is between the two takes so much longer, each way.
+    pub fn delay(&mut self, from: &str, to: &str, delay_ms: u64) {
+        self.relays_between(from, to).for_each(|relay| relay.set_delay_ms(delay_ms));
+    }
+}
