--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -137,7 +137,7 @@
         |standing: &str, why: String| json!({"name": address.to_string(), "standing": standing, "why": why});
     match ask(address, fleet, &OperatorQuery::Status, ATTEMPT_TIMEOUT.min(timeout)) {
         Ok(ServerMessage::QueryResult { answer }) => answer,
-        Ok(ServerMessage::Rejected { why }) => row("refuses", why),
+        Ok(ServerMessage::Rejected { reason }) => row("refuses", reason),
         Ok(other) => row("unclear", format!("{other:?}")),
         Err(error) => row("silent", error.to_string()),
     }
@@ -158,8 +158,8 @@
         for address in addresses {
             last_failure = match ask(*address, fleet, query, attempt_timeout) {
                 Ok(ServerMessage::QueryResult { answer }) => return QueryOutcome::Answer(answer),
-                Ok(ServerMessage::Rejected { why }) => return QueryOutcome::Refused(why),
-                Ok(ServerMessage::NotLeader { why, .. }) => format!("{address}: {why}"),
+                Ok(ServerMessage::Rejected { reason }) => return QueryOutcome::Refused(reason),
+                Ok(ServerMessage::NotLeader { reason, .. }) => format!("{address}: {reason}"),
                 Ok(other) => format!("{address}: {other:?}"),
                 Err(error) => error.to_string(),
             };
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -227,7 +227,7 @@
     }
 
     fn reject(&mut self, link: LinkId, reason: impl Into<String>) {
-        self.send(link, &ServerMessage::Rejected { why: reason.into() });
+        self.send(link, &ServerMessage::Rejected { reason: reason.into() });
     }
 
     fn log(&mut self, severity: Severity, message: impl Into<String>) {
@@ -236,11 +236,11 @@
 
     fn not_leader(&self) -> ServerMessage {
         let status = &self.replica.status;
-        let why = match status {
+        let reason = match status {
             ReplicaStatus::Member => "another coordinator leads, or none does yet".to_owned(),
             _ => format!("{}: {}", status.label(), status.reason()),
         };
-        ServerMessage::NotLeader { leader: self.leader_address(), why }
+        ServerMessage::NotLeader { leader: self.leader_address(), reason }
     }
 
     fn leader_address(&self) -> Option<String> {
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -51,8 +51,8 @@
         self.pending_queries = waiting;
         let expired: Vec<PendingQuery> = expired;
         for query in expired {
-            let why = "no quorum has confirmed this leader".to_owned();
-            self.send(query.link, &ServerMessage::NotLeader { leader: None, why });
+            let reason = "no quorum has confirmed this leader".to_owned();
+            self.send(query.link, &ServerMessage::NotLeader { leader: None, reason });
         }
     }
 
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -70,27 +70,21 @@
     fn on_session_message(&mut self, now: f64, link: LinkId, message: ClientMessage) {
         let state = &self.replica.state_machine;
         match message {
-            ClientMessage::Heartbeat { seq, wants, held, figures, totals, load } => {
-                let heartbeat = Heartbeat {
-                    sequence: seq,
-                    wanted_tasks: wants,
-                    leases: held,
-                    counters: figures,
-                    totals,
-                    load,
-                };
+            ClientMessage::Heartbeat { seq, wants, leases, counters, totals, load } => {
+                let heartbeat =
+                    Heartbeat { sequence: seq, wanted_tasks: wants, leases, counters, totals, load };
                 self.leader_state.on_heartbeat(now, link, heartbeat, state);
             }
-            ClientMessage::ReleaseLease { held, failed, pass_on } => {
-                let request = ReleaseRequest { lease: held, failed, hand_over: pass_on };
+            ClientMessage::ReleaseLease { lease, failed, pass_on } => {
+                let request = ReleaseRequest { lease, failed, hand_over: pass_on };
                 self.leader_state.on_release(now, link, request, state);
             }
-            ClientMessage::BeginPeriod { held, every_ms, safe, attempt } => {
-                let request = BeginRequest { lease: held, every_ms, idempotent: safe, attempt };
+            ClientMessage::BeginPeriod { lease, every_ms, idempotent, attempt } => {
+                let request = BeginRequest { lease, every_ms, idempotent, attempt };
                 self.leader_state.on_begin_request(link, request, state);
             }
-            ClientMessage::EndPeriod { held, period, ending } => {
-                self.leader_state.on_period_ended(held, period, ending);
+            ClientMessage::EndPeriod { lease, period, outcome } => {
+                self.leader_state.on_period_ended(lease, period, outcome);
             }
             ClientMessage::Goodbye => self.leader_state.on_goodbye(now, link, state),
             // Hello and queries need no session and are answered before; a later version's messages are ignored.
--- a/fleet-coordinator/src/leader_state/granting.rs
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -112,7 +112,7 @@
         let ttl_ms = state.lease(held).map_or(0, |lease| lease.ttl_ms);
         self.lease_clock.record_grant(now, held.token, ttl_ms);
         if let Some(link) = self.link_of_holder(held, state) {
-            self.send(link, ServerMessage::LeaseGranted { held: held.clone() });
+            self.send(link, ServerMessage::LeaseGranted { lease: held.clone() });
         }
     }
 }
--- a/fleet-coordinator/src/leader_state/periods.rs
+++ b/fleet-coordinator/src/leader_state/periods.rs
@@ -14,8 +14,8 @@
             let every_ms = every_ms.max(1);
             self.propose(Command::BeginPeriod { lease, every_ms, idempotent, attempt });
         } else {
-            let why = Rejection::NotHeld.to_string();
-            self.send(link, ServerMessage::PeriodNotBegun { held: lease, in_ms: 0, why });
+            let reason = Rejection::NotHeld.to_string();
+            self.send(link, ServerMessage::PeriodNotBegun { lease, in_ms: 0, reason });
         }
     }
 
@@ -32,17 +32,17 @@
         state: &LeaseStateMachine,
     ) {
         let Some(link) = self.link_of_holder(lease, state) else { return };
-        let held = lease.clone();
+        let lease = lease.clone();
         let answer = match result {
-            Ok(Outcome::Begun(period)) => ServerMessage::PeriodBegun { held, period: *period, attempt },
+            Ok(Outcome::Begun(period)) => ServerMessage::PeriodBegun { lease, period: *period, attempt },
             Ok(_) => return,
             Err(Rejection::NotDue(in_ms)) => {
-                ServerMessage::PeriodNotBegun { held, in_ms: *in_ms, why: String::new() }
+                ServerMessage::PeriodNotBegun { lease, in_ms: *in_ms, reason: String::new() }
             }
             Err(rejection) => ServerMessage::PeriodNotBegun {
-                held,
+                lease,
                 in_ms: HEARTBEAT_INTERVAL_MS,
-                why: rejection.to_string(),
+                reason: rejection.to_string(),
             },
         };
         self.send(link, answer);
--- a/fleet-coordinator/src/leader_state/renewals.rs
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -2,7 +2,9 @@
 
 use super::{Heartbeat, LeaderAction, LeaderState, LinkId, ReceivedTotals, SESSION_TTL_S, TOTALS_TASK};
 use crate::state_machine::LeaseStateMachine;
-use port_worker::fleet::frame::{Counters, FleetTotals, LeaseRef, RenewedLease, ServerMessage, MAX_TASKS};
+use port_worker::fleet::frame::{
+    AgedCounters, FleetTotals, LeaseRef, RenewedLease, ServerMessage, MAX_TASKS,
+};
 use port_worker::fleet::overload::{FleetDigest, LoadReport};
 use std::collections::btree_map::Entry;
 use std::collections::BTreeSet;
@@ -85,7 +87,7 @@
         for held in leases.into_iter().take(MAX_TASKS) {
             let own = state.lease(&held).filter(|lease| lease.session == session);
             let ttl_ms = own.map_or(0, |lease| self.lease_clock.record_renewal(now, lease));
-            counted.push(RenewedLease { held, ttl_ms });
+            counted.push(RenewedLease { lease: held, ttl_ms });
         }
         counted
     }
@@ -116,14 +118,15 @@
 
     fn answer_heartbeat(&mut self, now: f64, renewal: &Renewal, state: &LeaseStateMachine) {
         let leases = self.renewed_leases(renewal, state);
-        let adds_up_totals = leases.iter().any(|renewed| renewed.held.task == TOTALS_TASK);
-        let figures = if adds_up_totals { self.counters_with_age(now) } else { Vec::new() };
+        let adds_up_totals = leases.iter().any(|renewed| renewed.lease.task == TOTALS_TASK);
+        let counters = if adds_up_totals { self.counters_with_age(now) } else { Vec::new() };
         let totals = self.totals.clone().map(|received| FleetTotals {
             age_ms: received.totals.age_ms + age_ms(now, received.received_at),
             ..received.totals
         });
         let overload = self.overload_digest(now, renewal, state);
-        let answer = ServerMessage::HeartbeatAck { seq: renewal.sequence, leases, totals, figures, overload };
+        let answer =
+            ServerMessage::HeartbeatAck { seq: renewal.sequence, leases, totals, counters, overload };
         self.send(renewal.link, answer);
     }
 
@@ -135,17 +138,20 @@
         renewal
             .leases
             .iter()
-            .filter(|renewed| renewed.ttl_ms > 0 && is_valid(&renewed.held))
+            .filter(|renewed| renewed.ttl_ms > 0 && is_valid(&renewed.lease))
             .cloned()
             .collect()
     }
 
     /// Each worker's counters with their age (milliseconds).
-    fn counters_with_age(&self, now: f64) -> Vec<(u64, Counters)> {
+    fn counters_with_age(&self, now: f64) -> Vec<AgedCounters> {
         self.sessions
             .values()
             .filter(|live| !live.counters.is_empty())
-            .map(|live| (age_ms(now, live.counters_at), live.counters.clone()))
+            .map(|live| AgedCounters {
+                age_ms: age_ms(now, live.counters_at),
+                counters: live.counters.clone(),
+            })
             .collect()
     }
 
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -90,7 +90,7 @@
                     }
                 }
                 Ok(_) => continue,
-                Err(rejection) => ServerMessage::Rejected { why: rejection.to_string() },
+                Err(rejection) => ServerMessage::Rejected { reason: rejection.to_string() },
             };
             self.send(link, answer);
         }
--- a/fleet-coordinator/src/leader_state/tests.rs
+++ b/fleet-coordinator/src/leader_state/tests.rs
@@ -41,9 +41,9 @@
     // The TTL grows between the renewal and the quorum's confirmation.
     apply(&mut state, 0, set_tasks(2, 9000, 0));
     leader.on_confirmed(1.1, 1, &state);
-    let leases = vec![RenewedLease { held: leases[0].clone(), ttl_ms: 1000 }];
+    let leases = vec![RenewedLease { lease: leases[0].clone(), ttl_ms: 1000 }];
     let answer =
-        ServerMessage::HeartbeatAck { seq: 1, leases, totals: None, figures: Vec::new(), overload: None };
+        ServerMessage::HeartbeatAck { seq: 1, leases, totals: None, counters: Vec::new(), overload: None };
     assert_eq!(leader.take_actions().pop(), Some(LeaderAction::Send(LINK, answer)));
     assert!(leader.remaining_s(1.1, 1) <= 1.0);
 }
--- a/fleet-coordinator/tests/lease_world.rs
+++ b/fleet-coordinator/tests/lease_world.rs
@@ -201,7 +201,7 @@
                 let own = self.state.lease(held).is_some_and(|l| l.session == session(worker));
                 own && !self.clock.is_releasing(held.token)
             };
-            let leases = leases.into_iter().filter(|l| l.ttl_ms > 0 && valid(&l.held)).collect();
+            let leases = leases.into_iter().filter(|l| l.ttl_ms > 0 && valid(&l.lease)).collect();
             (worker, ToWorker::HeartbeatAck { seq, leases })
         };
         received.into_iter().map(answer).collect()
@@ -325,7 +325,7 @@
                             let own = leader.state.lease(&held).filter(|l| l.session == session(worker));
                             let ttl_ms =
                                 own.map_or(0, |lease| leader.clock.record_renewal(leaders_now, lease));
-                            RenewedLease { held, ttl_ms }
+                            RenewedLease { lease: held, ttl_ms }
                         };
                         let leases = held.into_iter().map(count).collect();
                         leader.queue.push(ReceivedHeartbeat { worker, seq, leases });
@@ -503,7 +503,7 @@
             // A heartbeat counts only for the current lease: no other is granted under its token.
             let one = |heartbeat: &ReceivedHeartbeat| {
                 let ReceivedHeartbeat { worker, seq, leases } = heartbeat;
-                let counts = leases.iter().filter(|l| self.lease(at) == Some(l.held.token));
+                let counts = leases.iter().filter(|l| self.lease(at) == Some(l.lease.token));
                 let counts = counts.map(|l| (l.ttl_ms / 1000) as u8);
                 [place(*worker), seq_of(*worker, *seq)].into_iter().chain(counts).collect::<Vec<u8>>()
             };
@@ -549,7 +549,7 @@
             let down = |message: &ToWorker| match message {
                 ToWorker::Granted(held) => vec![3, rank(held.token)],
                 ToWorker::HeartbeatAck { seq, leases } => {
-                    let own = leases.iter().filter(|l| known == Some(l.held.token));
+                    let own = leases.iter().filter(|l| known == Some(l.lease.token));
                     let own = own.map(|l| (l.ttl_ms / 1000) as u8);
                     [4, seq_of(at, *seq)].into_iter().chain(own).collect()
                 }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -127,6 +127,7 @@
     }
 
     /// Whether this worker takes part in fleet-wide overload control.
+    #[must_use]
     pub fn overload(&self) -> bool {
         self.overload.as_ref().is_some_and(|overload| overload.on)
     }
@@ -155,7 +156,7 @@
             address: self.address,
             path: self.path.clone(),
             deadline_s: self.deadline_ms / 1000.0,
-            safe: self.safe,
+            idempotent: self.safe,
         }
     }
 }
--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -82,15 +82,15 @@
         effects.commands.push(Command::Call {
             name: in_flight.request.name.clone(),
             body: call.body,
-            for_s: (until - effects.now).max(0.0),
-            again: self.classes[in_flight.request.class].is_idempotent(),
+            timeout_s: (until - effects.now).max(0.0),
+            is_retryable: self.classes[in_flight.request.class].is_idempotent(),
         });
     }
 
     fn skip_call(&mut self, id: RequestId, effects: &mut Effects<'_>) {
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
         if let Some(call) = in_flight.pending_call.take() {
-            effects.commands.push(in_flight.skip_command(call.mark, effects.now));
+            effects.commands.push(in_flight.skip_command(call.sequence, effects.now));
         }
     }
 }
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -189,7 +189,9 @@
         match input {
             Input::Arrived(request) => self.accept_arrival(request, effects),
             Input::RunEnded { name, outcome, result } => self.on_run_ended(&name, outcome, result, effects),
-            Input::AtCall { name, body, mark } => self.on_at_call(&name, PendingCall { body, mark }, effects),
+            Input::AtCall { name, body, sequence } => {
+                self.on_at_call(&name, PendingCall { body, sequence }, effects)
+            }
             Input::CallEnded { name, outcome, reply } => self.on_call_ended(name, outcome, reply, effects),
             Input::NeverRan { name } => self.on_never_ran(&name, Response::not_started(), effects),
             // To the controller it is a start that came too late: what a peer makes up is no sign of bad health.
@@ -256,8 +258,8 @@
             return;
         }
         if let (Outcome::Ok, Some(reply)) = (outcome, reply) {
-            let mark = in_flight.pending_call.take().map_or(0, |call| call.mark);
-            let command = LastCommand::Resume { reply: reply.clone(), mark };
+            let sequence = in_flight.pending_call.take().map_or(0, |call| call.sequence);
+            let command = LastCommand::Resume { reply: reply.clone(), sequence };
             in_flight.last_command = Some(SentCommand { at: effects.now, command });
             effects.commands.push(Command::Resume { name, reply });
         }
--- a/src/dispatch/idempotency.rs
+++ b/src/dispatch/idempotency.rs
@@ -48,6 +48,7 @@
     }
 
     /// What an attempt gets whose key has ended so.
+    #[must_use]
     pub fn shared_response(&self) -> (Response, Outcome) {
         match self {
             KeyProgress::Served(Some(result)) => (Response::Served(result.clone()), Outcome::Ok),
@@ -77,6 +78,7 @@
 
 impl Entry {
     /// Whether another process has begun its run and not reported the end.
+    #[must_use]
     pub fn is_open_in_other_process(&self) -> bool {
         self.in_other_process && self.progress == KeyProgress::Open
     }
@@ -160,6 +162,7 @@
 
 impl IdempotencyTable {
     /// An empty table with these bounds. Callers wait for `longest_deadline_s` at most.
+    #[must_use]
     pub fn new(max_result_bytes: usize, max_keys: usize, longest_deadline_s: f64) -> Self {
         IdempotencyTable {
             entries: HashMap::new(),
@@ -172,27 +175,32 @@
     }
 
     /// Whether one more key is too many. None is dropped for it: what it guards could run twice.
+    #[must_use]
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.max_keys
     }
 
     /// How long a key is retained after its window, for attempts that are read late (seconds).
+    #[must_use]
     pub fn late_reading_s(&self) -> f64 {
         self.late_reading_s
     }
 
     /// The number of keys.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
     /// Whether there is no key.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
     /// The run that an attempt with this key repeats, by when the attempt reached the machine. A key whose run is still
     /// open matches however late the attempt is: guards against a second run beside a hung one.
+    #[must_use]
     pub fn matching_attempt(&self, key: &IdempotencyKey, arrived: f64) -> Option<MatchedAttempt> {
         let entry = self.entries.get(key)?;
         if let Some(previous) = entry.previous_for(arrived) {
@@ -204,6 +212,7 @@
     }
 
     /// How the previous run ended, where it is the one that stands for an attempt which arrived at that time.
+    #[must_use]
     pub fn previous_progress(&self, key: &IdempotencyKey, arrived: f64) -> Option<KeyProgress> {
         Some(self.entries.get(key)?.previous_for(arrived)?.progress.clone())
     }
@@ -240,6 +249,7 @@
     }
 
     /// All that is known of a key, for another process.
+    #[must_use]
     pub fn update_for(&self, key: &IdempotencyKey) -> IdempotencyUpdate {
         let entry = self.entries.get(key);
         IdempotencyUpdate {
@@ -261,6 +271,7 @@
     }
 
     /// Keys whose run another process has begun and not reported the end of, with their holders, by holder.
+    #[must_use]
     pub fn open_in_other_process(&self) -> Vec<(IdempotencyKey, RequestId)> {
         let open = self.entries.iter().filter(|(_, entry)| entry.is_open_in_other_process());
         let mut open: Vec<_> = open.map(|(key, entry)| (key.clone(), entry.holder)).collect();
--- a/src/dispatch/in_flight.rs
+++ b/src/dispatch/in_flight.rs
@@ -9,8 +9,8 @@
 /// The last command for a run about which nothing has been heard since.
 pub(super) enum LastCommand {
     Run,
-    Resume { reply: Rc<[u8]>, mark: u64 },
-    SkipCall { mark: u64 },
+    Resume { reply: Rc<[u8]>, sequence: u64 },
+    SkipCall { sequence: u64 },
 }
 
 /// When a command was given (loop's clock, seconds), and which.
@@ -23,7 +23,7 @@
 #[derive(Clone)]
 pub(super) struct PendingCall {
     pub(super) body: Rc<[u8]>,
-    pub(super) mark: u64,
+    pub(super) sequence: u64,
 }
 
 /// A request that has been read and has not ended everywhere.
@@ -86,9 +86,9 @@
     }
 
     /// The command that lets its run go on without a call; it is noted as the last one.
-    pub(super) fn skip_command(&mut self, mark: u64, now: f64) -> Command {
-        self.last_command = Some(SentCommand { at: now, command: LastCommand::SkipCall { mark } });
-        Command::SkipCall { name: self.request.name.clone(), mark }
+    pub(super) fn skip_command(&mut self, sequence: u64, now: f64) -> Command {
+        self.last_command = Some(SentCommand { at: now, command: LastCommand::SkipCall { sequence } });
+        Command::SkipCall { name: self.request.name.clone(), sequence }
     }
 
     /// The command that sends its last reply again, unless its run has gone on since.
--- a/src/dispatch/lost_commands.rs
+++ b/src/dispatch/lost_commands.rs
@@ -39,11 +39,11 @@
                 in_flight.last_command = Some(SentCommand { at: effects.now, command: LastCommand::Run });
                 effects.commands.push(in_flight.run_command());
             }
-            LastCommand::Resume { mark, .. } if class.skipped_call_weight > 0.0 => {
-                effects.commands.push(in_flight.skip_command(mark, effects.now));
+            LastCommand::Resume { sequence, .. } if class.skipped_call_weight > 0.0 => {
+                effects.commands.push(in_flight.skip_command(sequence, effects.now));
             }
-            LastCommand::SkipCall { mark } => {
-                effects.commands.push(in_flight.skip_command(mark, effects.now));
+            LastCommand::SkipCall { sequence } => {
+                effects.commands.push(in_flight.skip_command(sequence, effects.now));
             }
             LastCommand::Resume { .. } => {
                 let resend_at = effects.now + class.objective_s * RESEND_REPLY_OBJECTIVE_SHARE;
--- a/src/dispatch/messages.rs
+++ b/src/dispatch/messages.rs
@@ -79,8 +79,8 @@
         name: Rc<str>,
         /// The body of the call.
         body: Rc<[u8]>,
-        /// Identifies the call; it goes back with [`Command::SkipCall`].
-        mark: u64,
+        /// Sequence number of the call within its run; it goes back with [`Command::SkipCall`].
+        sequence: u64,
     },
     /// A downstream call has ended.
     CallEnded {
@@ -166,10 +166,10 @@
         name: Rc<str>,
         /// Its body.
         body: Rc<[u8]>,
-        /// How long it may take (seconds).
-        for_s: f64,
-        /// It may be repeated when its outcome is unknown.
-        again: bool,
+        /// How long the call may take (seconds).
+        timeout_s: f64,
+        /// The call may be repeated when its outcome is indeterminate.
+        is_retryable: bool,
     },
     /// Abandon a downstream call, since its run has ended.
     GiveUpCall(Rc<str>),
@@ -184,8 +184,8 @@
     SkipCall {
         /// Whose run.
         name: Rc<str>,
-        /// The mark that came with [`Input::AtCall`].
-        mark: u64,
+        /// The sequence number that came with [`Input::AtCall`].
+        sequence: u64,
     },
     /// Answer health checks from this state.
     Health(bool),
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -21,6 +21,7 @@
 
 impl ClassCounters {
     /// Requests that have ended.
+    #[must_use]
     pub fn ended(&self) -> u64 {
         self.success + self.overload + self.error
     }
@@ -32,11 +33,13 @@
 
 impl Metrics {
     /// Counters of so many classes, all zero.
+    #[must_use]
     pub fn new(classes: usize) -> Metrics {
         Metrics(vec![ClassCounters::default(); classes])
     }
 
     /// The counters, by the number of the class.
+    #[must_use]
     pub fn classes(&self) -> &[ClassCounters] {
         &self.0
     }
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -40,6 +40,7 @@
 
 impl HandedOffRequest {
     /// The request as one that is read now.
+    #[must_use]
     pub fn at(&self, now: f64) -> Request {
         Request {
             read_at: Some(now),
--- a/src/dispatch/tests/crossings.rs
+++ b/src/dispatch/tests/crossings.rs
@@ -272,7 +272,7 @@
                     return Ok(());
                 };
                 self.sent[i].run = Run::AtCall;
-                self.input(Input::AtCall { name: World::name(i), body: Rc::from([]), mark: 1 })?;
+                self.input(Input::AtCall { name: World::name(i), body: Rc::from([]), sequence: 1 })?;
             }
             8 => {
                 let Some(i) = self.find(which, |s| s.run == Run::Calling) else { return Ok(()) };
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -157,13 +157,13 @@
 fn a_call_is_abandoned_with_its_run_and_late_inputs_for_either_are_ignored() {
     let mut h = Harness::new();
     h.arrive(1, "");
-    let out = h.input(Input::AtCall { name: "r1".into(), body: Rc::from(*b"?"), mark: 7 });
+    let out = h.input(Input::AtCall { name: "r1".into(), body: Rc::from(*b"?"), sequence: 7 });
     assert!(matches!(&out[..], [Command::Call { body, .. }] if **body == *b"?"), "{out:?}");
     let out = h.end(1, Outcome::Cancelled, b"");
     assert_eq!(out, vec![Command::GiveUpCall("r1".into()), Command::Respond(Ticket(1), Response::Failed)]);
     let reply = Some(Rc::from(*b"!"));
     assert_eq!(h.input(Input::CallEnded { name: "r1".into(), outcome: Outcome::Ok, reply }), vec![]);
-    assert_eq!(h.input(Input::AtCall { name: "r1".into(), body: Rc::from([]), mark: 8 }), vec![]);
+    assert_eq!(h.input(Input::AtCall { name: "r1".into(), body: Rc::from([]), sequence: 8 }), vec![]);
     assert_eq!(h.end(1, Outcome::Ok, b"again"), vec![]);
 }
 
@@ -196,8 +196,11 @@
     let mut h = Harness::new();
     h.arrive(1, "");
     h.arrive(2, "k");
-    let at_call =
-        |number: u64, mark| Input::AtCall { name: format!("r{number}").into(), body: Rc::from(*b"?"), mark };
+    let at_call = |number: u64, sequence| Input::AtCall {
+        name: format!("r{number}").into(),
+        body: Rc::from(*b"?"),
+        sequence,
+    };
     let reply = |number: u64| Input::CallEnded {
         name: format!("r{number}").into(),
         outcome: Outcome::Ok,
@@ -211,7 +214,9 @@
     assert_eq!(h.input(commands_lost(0.1, 0.2)), vec![]);
     // Where a call may be skipped, that is done instead of sending its reply again.
     h.input(reply(1));
-    assert!(h.input(commands_lost(-0.1, 0.1)).contains(&Command::SkipCall { name: "r1".into(), mark: 7 }));
+    assert!(h
+        .input(commands_lost(-0.1, 0.1))
+        .contains(&Command::SkipCall { name: "r1".into(), sequence: 7 }));
     // Else the reply is sent again when its run has been silent for long, and not once the run has gone on.
     h.input(at_call(2, 8));
     h.input(reply(2));
@@ -300,7 +305,7 @@
                     count += 1;
                     h.arrive(count - 1, key)
                 }
-                3 => h.input(Input::AtCall { name: some, body: Rc::from([]), mark: 1 }),
+                3 => h.input(Input::AtCall { name: some, body: Rc::from([]), sequence: 1 }),
                 4 => h.input(Input::CallEnded { name: some, outcome, reply: reply() }),
                 5 => h.input(Input::RunEnded { name: some, outcome, result: reply() }),
                 _ => h.input(Input::Woken(Gauges::default())),
--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -18,6 +18,7 @@
 
 /// Whether this may be the name of a worker, a zone or a task: one to [`MAX_NAME_BYTES`] ASCII letters, digits, `-`, `_`
 /// and `.`.
+#[must_use]
 pub fn is_valid_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_allowed)
@@ -88,11 +89,11 @@
         #[serde(default)]
         wants: Vec<String>,
         /// Leases to renew.
-        #[serde(default)]
-        held: Vec<LeaseRef>,
+        #[serde(rename = "held", default)]
+        leases: Vec<LeaseRef>,
         /// The worker's counters, where they are due.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        figures: Option<Counters>,
+        #[serde(rename = "figures", default, skip_serializing_if = "Option::is_none")]
+        counters: Option<Counters>,
         /// Sums that this worker computed for the fleet.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         totals: Option<FleetTotals>,
@@ -104,7 +105,8 @@
     #[serde(rename = "give-back")]
     ReleaseLease {
         /// The lease that is released.
-        held: LeaseRef,
+        #[serde(rename = "held")]
+        lease: LeaseRef,
         /// The worker failed at the task: another should take it.
         #[serde(default)]
         failed: bool,
@@ -116,11 +118,13 @@
     #[serde(rename = "begin")]
     BeginPeriod {
         /// The lease under which the call would be made.
-        held: LeaseRef,
+        #[serde(rename = "held")]
+        lease: LeaseRef,
         /// Length of a period (milliseconds).
         every_ms: u64,
         /// The call is idempotent: it may be made again in the same period.
-        safe: bool,
+        #[serde(rename = "safe")]
+        idempotent: bool,
         /// Number of the request.
         attempt: u64,
     },
@@ -128,11 +132,13 @@
     #[serde(rename = "end")]
     EndPeriod {
         /// The lease under which the call was made.
-        held: LeaseRef,
+        #[serde(rename = "held")]
+        lease: LeaseRef,
         /// Number of the period.
         period: u64,
         /// How the call ended.
-        ending: CallOutcome,
+        #[serde(rename = "ending")]
+        outcome: CallOutcome,
     },
     /// Closes the session: the worker has stopped acting under every lease.
     #[serde(rename = "bye")]
@@ -200,7 +206,8 @@
         /// Address of the leader where it is known.
         leader: Option<String>,
         /// Why it is not, for logs.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Answers a heartbeat.
     #[serde(rename = "kept")]
@@ -212,9 +219,9 @@
         /// The fleet's totals.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         totals: Option<FleetTotals>,
-        /// For the worker that computes the totals: each worker's counters, and their age (milliseconds).
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        figures: Vec<(u64, Counters)>,
+        /// For the worker that computes the totals: each worker's counters.
+        #[serde(rename = "figures", default, skip_serializing_if = "Vec::is_empty")]
+        counters: Vec<AgedCounters>,
         /// The fleet's state in overload, in answer to a load report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         overload: Option<FleetDigest>,
@@ -223,13 +230,15 @@
     #[serde(rename = "granted")]
     LeaseGranted {
         /// The lease.
-        held: LeaseRef,
+        #[serde(rename = "held")]
+        lease: LeaseRef,
     },
     /// The call of this period may be made.
     #[serde(rename = "begun")]
     PeriodBegun {
         /// The lease under which it may be made.
-        held: LeaseRef,
+        #[serde(rename = "held")]
+        lease: LeaseRef,
         /// Number of the period.
         period: u64,
         /// Number of the request that this answers.
@@ -239,11 +248,13 @@
     #[serde(rename = "not-begun")]
     PeriodNotBegun {
         /// The lease under which it was requested.
-        held: LeaseRef,
+        #[serde(rename = "held")]
+        lease: LeaseRef,
         /// When to request it again (milliseconds).
         in_ms: u64,
         /// Why it may not, for logs.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The session has expired: the worker has to say hello again.
     #[serde(rename = "gone")]
@@ -252,7 +263,8 @@
     #[serde(rename = "refused")]
     Rejected {
         /// Why, for logs and operators.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Result of an operator's query.
     #[serde(rename = "answer")]
@@ -269,7 +281,30 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct RenewedLease {
     /// The lease.
-    pub held: LeaseRef,
+    #[serde(rename = "held")]
+    pub lease: LeaseRef,
     /// Time to live from when the heartbeat that requested the renewal was sent (milliseconds).
     pub ttl_ms: u64,
 }
+
+/// One worker's counters as the coordinators hold them: a pair on the wire.
+#[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
+#[serde(from = "(u64, Counters)", into = "(u64, Counters)")]
+pub struct AgedCounters {
+    /// Age of the counters when they were sent (milliseconds).
+    pub age_ms: u64,
+    /// The counters.
+    pub counters: Counters,
+}
+
+impl From<(u64, Counters)> for AgedCounters {
+    fn from((age_ms, counters): (u64, Counters)) -> AgedCounters {
+        AgedCounters { age_ms, counters }
+    }
+}
+
+impl From<AgedCounters> for (u64, Counters) {
+    fn from(aged: AgedCounters) -> (u64, Counters) {
+        (aged.age_ms, aged.counters)
+    }
+}
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -8,8 +8,9 @@
 
 pub use codec::{decode, encode, FrameError};
 pub use messages::{
-    is_valid_name, CallOutcome, ClientMessage, Counters, FleetTotals, LeaseRef, OperatorQuery, RenewedLease,
-    ServerMessage, MAX_CLIENT_FRAME_BYTES, MAX_NAME_BYTES, MAX_SERVER_FRAME_BYTES, MAX_TASKS, VERSION,
+    is_valid_name, AgedCounters, CallOutcome, ClientMessage, Counters, FleetTotals, LeaseRef, OperatorQuery,
+    RenewedLease, ServerMessage, MAX_CLIENT_FRAME_BYTES, MAX_NAME_BYTES, MAX_SERVER_FRAME_BYTES, MAX_TASKS,
+    VERSION,
 };
 
 #[cfg(test)]
--- a/src/fleet/frame/tests.rs
+++ b/src/fleet/frame/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn partial_frames_are_incomplete_and_oversized_or_malformed_ones_are_errors() {
     let message = ClientMessage::BeginPeriod {
-        held: LeaseRef { task: "trial".into(), token: 7 },
+        lease: LeaseRef { task: "trial".into(), token: 7 },
         every_ms: 1000,
-        safe: false,
+        idempotent: false,
         attempt: 1,
     };
     let bytes = encode(&message);
--- a/src/fleet/lease_holder.rs
+++ b/src/fleet/lease_holder.rs
@@ -46,6 +46,7 @@
 
 impl LeaseHolder {
     /// A holder without leases; `drift` is the share of a time to live that is left unused.
+    #[must_use]
     pub fn new(drift: f64) -> LeaseHolder {
         LeaseHolder { drift, leases: BTreeMap::new(), outstanding: VecDeque::new() }
     }
@@ -82,7 +83,7 @@
             if self.token(&lease.task) != Some(lease.token) {
                 continue;
             }
-            match renewed.iter().find(|renewal| renewal.held == lease) {
+            match renewed.iter().find(|renewal| renewal.lease == lease) {
                 Some(renewal) => self.extend(&lease.task, heartbeat.sent_at, renewal.ttl_ms),
                 None => {
                     self.leases.remove(&lease.task);
@@ -101,17 +102,20 @@
     }
 
     /// The fencing token under which an action that takes up to `duration_s` may begin now.
+    #[must_use]
     pub fn may_act(&self, now: f64, task: &str, duration_s: f64) -> Option<u64> {
         let held = self.leases.get(task)?;
         (now + duration_s < held.valid_until?).then_some(held.token)
     }
 
     /// The token of a lease that is held, valid now or not.
+    #[must_use]
     pub fn token(&self, task: &str) -> Option<u64> {
         self.leases.get(task).map(|held| held.token)
     }
 
     /// Until when a lease is valid on this worker's clock.
+    #[must_use]
     pub fn valid_until(&self, task: &str) -> Option<f64> {
         self.leases.get(task)?.valid_until
     }
--- a/src/fleet/lease_holder/tests.rs
+++ b/src/fleet/lease_holder/tests.rs
@@ -5,7 +5,7 @@
 }
 
 fn renewed(token: u64) -> Vec<RenewedLease> {
-    vec![RenewedLease { held: held(token), ttl_ms: 3000 }]
+    vec![RenewedLease { lease: held(token), ttl_ms: 3000 }]
 }
 
 #[test]
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -59,6 +59,7 @@
 impl FleetMember {
     /// A member that is not connected yet. `incarnation` tells this process from others of its name; `seed` varies the
     /// backoffs.
+    #[must_use]
     pub fn new(now: f64, config: MembershipConfig, incarnation: u64, seed: u64) -> FleetMember {
         let hello = ClientMessage::Hello {
             fleet: config.fleet.clone(),
@@ -89,6 +90,7 @@
     }
 
     /// The configuration that it was made with.
+    #[must_use]
     pub fn config(&self) -> &MembershipConfig {
         &self.config
     }
@@ -156,8 +158,8 @@
         let heartbeat = ClientMessage::Heartbeat {
             seq,
             wants,
-            held: leases,
-            figures: counters_due.then(counters).filter(|counters| !counters.is_empty()),
+            leases,
+            counters: counters_due.then(counters).filter(|counters| !counters.is_empty()),
             totals: self.computed_totals.take(),
             load,
         };
@@ -172,6 +174,7 @@
     }
 
     /// Whether a heartbeat with a load report is due: [`FleetMember::set_load_sample`] is called before the tick then.
+    #[must_use]
     pub fn load_report_due(&self, now: f64) -> bool {
         self.overload.is_some() && self.session.heartbeat_due(now)
     }
@@ -182,6 +185,7 @@
     }
 
     /// What the decision module may go by now, on the same clock.
+    #[must_use]
     pub fn overload_directive(&self, now: f64) -> Option<OverloadDirective> {
         self.overload.as_ref().map(|client| client.directive(now))
     }
@@ -233,7 +237,7 @@
         let lease = LeaseRef { task: task.to_owned(), token };
         self.log(format!("fleet: {task} is given back, token {token}"));
         self.leases.release(task);
-        self.send(ClientMessage::ReleaseLease { held: lease, failed, pass_on });
+        self.send(ClientMessage::ReleaseLease { lease, failed, pass_on });
     }
 
     /// Releases the leases under which no call is being made.
@@ -292,16 +296,19 @@
     }
 
     /// Whether its session is established now.
+    #[must_use]
     pub fn is_connected(&self) -> bool {
         self.session.is_established()
     }
 
     /// Until when, on its clock, this worker believes that nobody else can hold the task's lease.
+    #[must_use]
     pub fn lease_valid_until(&self, task: &str) -> Option<f64> {
         self.leases.valid_until(task)
     }
 
     /// The fencing token under which this worker may begin an action of up to `duration_s` for a task now.
+    #[must_use]
     pub fn may_act(&self, now: f64, task: &str, duration_s: f64) -> Option<u64> {
         self.leases.may_act(now, task, duration_s)
     }
--- a/src/fleet/member/metrics.rs
+++ b/src/fleet/member/metrics.rs
@@ -4,6 +4,7 @@
 
 impl FleetMember {
     /// Names and values, in the order in which they are printed.
+    #[must_use]
     pub fn metrics(&self, now: f64) -> Vec<(String, String)> {
         let is_connected = u64::from(self.is_connected());
         let since_change_s = now - self.session.state_since;
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -1,7 +1,7 @@
 //! Handling of the coordinators' messages.
 
 use super::{FleetMember, MemberAction};
-use crate::fleet::frame::{ClientMessage, Counters, FleetTotals, LeaseRef, RenewedLease, ServerMessage};
+use crate::fleet::frame::{AgedCounters, ClientMessage, FleetTotals, LeaseRef, RenewedLease, ServerMessage};
 use crate::fleet::overload::client::FleetOverloadClient;
 use crate::fleet::overload::FleetDigest;
 use crate::fleet::tasks::PeriodDecision;
@@ -23,21 +23,21 @@
         self.push_link_actions(link_actions);
         match message {
             ServerMessage::Welcome { session, .. } => self.welcomed(now, *session),
-            ServerMessage::NotLeader { why, .. } if was_established => {
-                self.log(format!("fleet: the coordinator does not lead any more: {why}"));
+            ServerMessage::NotLeader { reason, .. } if was_established => {
+                self.log(format!("fleet: the coordinator does not lead any more: {reason}"));
             }
-            ServerMessage::Rejected { why } => self.log(format!("fleet: refused: {why}")),
-            ServerMessage::HeartbeatAck { seq, leases, totals, figures, overload } => {
+            ServerMessage::Rejected { reason } => self.log(format!("fleet: refused: {reason}")),
+            ServerMessage::HeartbeatAck { seq, leases, totals, counters, overload } => {
                 self.update_overload(*seq, overload.as_ref());
                 self.renew_leases(*seq, leases);
                 self.update_totals(now, totals.as_ref());
-                self.compute_totals(now, figures);
+                self.compute_totals(now, counters);
             }
-            ServerMessage::LeaseGranted { held } => self.lease_granted(now, held),
-            ServerMessage::PeriodBegun { held, period, attempt } => {
-                self.period_begun(now, held, *period, *attempt);
+            ServerMessage::LeaseGranted { lease } => self.lease_granted(now, lease),
+            ServerMessage::PeriodBegun { lease, period, attempt } => {
+                self.period_begun(now, lease, *period, *attempt);
             }
-            ServerMessage::PeriodNotBegun { held, in_ms, .. } => self.period_not_begun(now, held, *in_ms),
+            ServerMessage::PeriodNotBegun { lease, in_ms, .. } => self.period_not_begun(now, lease, *in_ms),
             _ => {}
         }
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    fn compute_totals(&mut self, now: f64, workers: &[(u64, Counters)]) {
+    fn compute_totals(&mut self, now: f64, workers: &[AgedCounters]) {
         if self.leases.may_act(now, TOTALS, 0.0).is_some() && !workers.is_empty() {
             self.computed_totals = Some(sum_counters(&self.config.name, workers));
         }
@@ -84,7 +84,7 @@
         } else {
             // It was requested before the worker began to drain: nobody here will act under it.
             self.send(ClientMessage::ReleaseLease {
-                held: lease.clone(),
+                lease: lease.clone(),
                 failed: false,
                 pass_on: self.replaced,
             });
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -17,7 +17,7 @@
         address: address(9),
         path: "/".into(),
         deadline_s: 0.5,
-        safe: true,
+        idempotent: true,
     };
     MembershipConfig {
         fleet: "f".into(),
@@ -39,7 +39,7 @@
     let welcome =
         ServerMessage::Welcome { session: 5, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION };
     member.receive(1.0, &welcome);
-    member.receive(1.0, &ServerMessage::LeaseGranted { held: lease(3) });
+    member.receive(1.0, &ServerMessage::LeaseGranted { lease: lease(3) });
     member.take_actions();
     member
 }
@@ -53,7 +53,7 @@
 }
 
 fn released(token: u64, pass_on: bool) -> ClientMessage {
-    ClientMessage::ReleaseLease { held: lease(token), failed: false, pass_on }
+    ClientMessage::ReleaseLease { lease: lease(token), failed: false, pass_on }
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let mut member = holding();
     member.set_accepting_tasks(2.0, false);
     assert_eq!(sent(&mut member), [released(3, false)]);
-    member.receive(2.1, &ServerMessage::LeaseGranted { held: lease(4) });
+    member.receive(2.1, &ServerMessage::LeaseGranted { lease: lease(4) });
     assert_eq!(sent(&mut member), [released(4, false)]);
     assert_eq!(member.may_act(2.1, "t", 0.0), None);
 }
--- a/src/fleet/overload/capacity_leases/client.rs
+++ b/src/fleet/overload/capacity_leases/client.rs
@@ -45,6 +45,7 @@
 impl CapacityClient {
     /// A process that starts now; `base_calls` is its base allocation (mean calls in flight), `drift` the share by which
     /// clocks may differ.
+    #[must_use]
     pub fn new(now: f64, base_calls: f64, drift: f64) -> CapacityClient {
         // The process before it may have lent so much.
         let earlier_loan =
@@ -110,6 +111,7 @@
     }
 
     /// The most calls that it may have in flight now.
+    #[must_use]
     pub fn max_in_flight(&self, now: f64) -> f64 {
         let current = self.current(now);
         self.base_calls - current.lent + current.slice
--- a/src/fleet/overload/capacity_leases/server.rs
+++ b/src/fleet/overload/capacity_leases/server.rs
@@ -100,11 +100,13 @@
 
 impl CapacityLeaseServer {
     /// For a leader whose term begins now. `base_calls` is each worker's base allocation.
+    #[must_use]
     pub fn new(now: f64, base_calls: f64) -> CapacityLeaseServer {
         CapacityLeaseServer::granting_from(now + SLICE_S, base_calls)
     }
 
     /// One that grants from a given time on: tests show that [`CapacityLeaseServer::new`] has to wait.
+    #[must_use]
     pub fn granting_from(grants_from: f64, base_calls: f64) -> CapacityLeaseServer {
         CapacityLeaseServer {
             max_loan: base_calls.max(0.0) * (1.0 - UNLENDABLE_SHARE),
@@ -177,6 +179,7 @@
     }
 
     /// What is lent and granted now.
+    #[must_use]
     pub fn totals(&self, now: f64) -> CapacityTotals {
         CapacityTotals {
             lent: self.lent(now),
--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -75,6 +75,7 @@
 
 impl FleetOverloadClient {
     /// `base_calls` is what this worker may have in flight by itself, `drift` the share by which clocks may differ.
+    #[must_use]
     pub fn new(now: f64, base_calls: f64, drift: f64) -> FleetOverloadClient {
         FleetOverloadClient {
             capacity: CapacityClient::new(now, base_calls, drift),
@@ -132,6 +133,7 @@
     }
 
     /// What the worker may go by now, on the same clock.
+    #[must_use]
     pub fn directive(&self, now: f64) -> OverloadDirective {
         let current = self.capacity.current(now);
         let (mut digest, until) = match &self.latest {
--- a/src/fleet/overload/digest.rs
+++ b/src/fleet/overload/digest.rs
@@ -41,6 +41,7 @@
 
 impl FleetDigest {
     /// Whether all values are in range; other digests are ignored.
+    #[must_use]
     pub fn is_sound(&self) -> bool {
         let shares = [self.retry_share, self.call_share, self.level.share];
         shares.iter().all(|share| (0.0..=1.0).contains(share))
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -44,6 +44,7 @@
 
 impl Leader {
     /// For a coordinator whose term begins now.
+    #[must_use]
     pub fn lead(now: f64, settings: Settings) -> Leader {
         Leader {
             view: FleetLoadView::default(),
@@ -140,26 +141,31 @@
     }
 
     /// The shedding level that is in force now.
+    #[must_use]
     pub fn level(&self, now: f64) -> SheddingLevel {
         self.levels.level(now)
     }
 
     /// The fleet's sums when they were last evaluated.
+    #[must_use]
     pub fn sums(&self) -> &LoadSums {
         &self.sums
     }
 
     /// State of the downstream service.
+    #[must_use]
     pub fn service(&self) -> &DownstreamService {
         &self.service
     }
 
     /// State of the retry budget.
+    #[must_use]
     pub fn retry_budget(&self) -> &RetryBudget {
         &self.retry_budget
     }
 
     /// Downstream calls that are lent and granted in slices.
+    #[must_use]
     pub fn capacity_totals(&self, now: f64) -> CapacityTotals {
         self.capacity.totals(now)
     }
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -50,11 +50,13 @@
 
 impl SheddingLevel {
     /// Whether all tiers are admitted.
+    #[must_use]
     pub fn is_open(&self) -> bool {
         self.tier >= MAX_TIERS
     }
 
     /// Whether a request of this tier with this rank in it (0 the highest, below 1) is admitted.
+    #[must_use]
     pub fn admits(&self, tier: usize, rank: f64) -> bool {
         let tier = tier.min(MAX_TIERS - 1);
         tier < self.tier || tier == self.tier && rank < f64::from(self.share)
@@ -125,6 +127,7 @@
 
 impl SheddingController {
     /// An open level.
+    #[must_use]
     pub fn new(now: f64) -> SheddingController {
         SheddingController {
             level: SheddingLevel::default(),
@@ -136,6 +139,7 @@
     }
 
     /// The level that is in force now.
+    #[must_use]
     pub fn level(&self, now: f64) -> SheddingLevel {
         self.pinned.filter(|pinned| now < pinned.until).map_or(self.level, |pinned| pinned.level)
     }
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -79,6 +79,7 @@
 
 impl OverloadPolicy {
     /// For a worker that starts now.
+    #[must_use]
     pub fn new(now: f64, settings: &Settings) -> OverloadPolicy {
         let base_calls = settings.dependency.as_ref().map_or(f64::INFINITY, |dependency| dependency.share);
         OverloadPolicy {
--- a/src/fleet/overload/report.rs
+++ b/src/fleet/overload/report.rs
@@ -66,6 +66,7 @@
     }
 
     /// Whether it can have been measured; other reports are ignored.
+    #[must_use]
     pub fn is_sound(&self) -> bool {
         let is_measurement = |value: f32| (0.0..=MAX_MEASUREMENT).contains(&value);
         self.arrivals.len() <= MAX_TIERS && self.measurements().all(is_measurement)
--- a/src/fleet/overload/retries.rs
+++ b/src/fleet/overload/retries.rs
@@ -20,6 +20,7 @@
 
 impl RetryBudget {
     /// An empty budget that admits every retry until the fleet is short.
+    #[must_use]
     pub fn new(now: f64, ratio: f64) -> RetryBudget {
         RetryBudget { ratio: ratio.max(0.0), balance: 0.0, evaluated_at: now, admitted_share: 1.0 }
     }
@@ -37,11 +38,13 @@
     }
 
     /// The share of retries that is admitted.
+    #[must_use]
     pub fn admitted_share(&self) -> f64 {
         self.admitted_share
     }
 
     /// Retries that are saved up.
+    #[must_use]
     pub fn balance(&self) -> f64 {
         self.balance
     }
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -89,6 +89,7 @@
 
 impl DownstreamService {
     /// For a leader whose term begins now.
+    #[must_use]
     pub fn new(now: f64) -> DownstreamService {
         DownstreamService { appoints_from: now + PROBER_TIMEOUT_S, zones: BTreeMap::new() }
     }
@@ -128,6 +129,7 @@
     }
 
     /// What a worker of a zone goes by.
+    #[must_use]
     pub fn state_for(&self, worker: u64, zone: &str) -> ServiceState {
         let Some(circuit) = self.zones.get(zone) else {
             return ServiceState { call_share: 1.0, circuit_open: false, is_prober: false };
@@ -140,6 +142,7 @@
     }
 
     /// Whether any zone is short of the service.
+    #[must_use]
     pub fn is_short(&self) -> bool {
         self.zones.values().any(|circuit| circuit.is_open || circuit.call_share < 1.0)
     }
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -86,6 +86,7 @@
     }
 
     /// Zones from which anything is known, sorted.
+    #[must_use]
     pub fn zones(&self) -> Vec<String> {
         let mut zones: Vec<String> = self.reports.values().map(|report| report.zone.clone()).collect();
         zones.sort();
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -70,6 +70,7 @@
 
 impl Session {
     /// A session that is not connected yet; `hello` is sent on each new link, `seed` varies the backoffs.
+    #[must_use]
     pub fn new(now: f64, coordinators: Vec<SocketAddr>, seed: u64, hello: ClientMessage) -> Session {
         let mut session = Session {
             current: 0,
@@ -99,11 +100,13 @@
     }
 
     /// Whether the session is established now.
+    #[must_use]
     pub fn is_established(&self) -> bool {
         matches!(self.state, LinkState::Established { .. })
     }
 
     /// The coordinator that is connected to, or tried next.
+    #[must_use]
     pub fn coordinator(&self) -> Option<SocketAddr> {
         self.coordinators.get(self.current).copied()
     }
@@ -153,6 +156,7 @@
     }
 
     /// Whether a heartbeat is due.
+    #[must_use]
     pub fn heartbeat_due(&self, now: f64) -> bool {
         self.is_established() && now >= self.next_heartbeat
     }
@@ -258,6 +262,7 @@
     }
 
     /// When something is due next.
+    #[must_use]
     pub fn next_wakeup(&self) -> f64 {
         match self.state {
             LinkState::BackingOff { until } => until,
--- a/src/fleet/session/tests.rs
+++ b/src/fleet/session/tests.rs
@@ -52,7 +52,7 @@
     let named = SocketAddr::from(([127, 0, 0, 1], 3));
     session.receive(
         1.0,
-        &ServerMessage::NotLeader { leader: Some(named.to_string()), why: String::new() },
+        &ServerMessage::NotLeader { leader: Some(named.to_string()), reason: String::new() },
         &mut actions,
     );
     assert_eq!(session.coordinator(), Some(named));
@@ -69,7 +69,7 @@
                 seq,
                 leases: vec![],
                 totals: None,
-                figures: vec![],
+                counters: vec![],
                 overload: None,
             },
             &mut actions,
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -30,7 +30,7 @@
     /// How long a call may take (seconds).
     pub deadline_s: f64,
     /// Whether the call may be made twice in a period.
-    pub safe: bool,
+    pub idempotent: bool,
 }
 
 /// A call to be made now.
@@ -39,7 +39,7 @@
     /// Index of the task in the configuration.
     pub task: usize,
     /// The lease under which the call is made.
-    pub held: LeaseRef,
+    pub lease: LeaseRef,
     /// Number of the period.
     pub period: u64,
 }
@@ -84,6 +84,7 @@
 
 impl ScheduledTask {
     /// A task at rest; `index` identifies it in [`ScheduledCall::task`].
+    #[must_use]
     pub fn new(index: usize, schedule: Schedule) -> ScheduledTask {
         ScheduledTask {
             schedule,
@@ -98,6 +99,7 @@
     }
 
     /// Whether a call is being made.
+    #[must_use]
     pub fn is_calling(&self) -> bool {
         matches!(self.state, TaskState::Calling(_))
     }
@@ -132,14 +134,15 @@
         }
         self.state = TaskState::Requested { at: now };
         Some(ClientMessage::BeginPeriod {
-            held: LeaseRef { task: self.schedule.name.clone(), token },
+            lease: LeaseRef { task: self.schedule.name.clone(), token },
             every_ms: (self.schedule.period_s * 1000.0) as u64,
-            safe: self.schedule.safe,
+            idempotent: self.schedule.idempotent,
             attempt: self.attempt,
         })
     }
 
     /// When something is due next.
+    #[must_use]
     pub fn next_wakeup(&self) -> f64 {
         match self.state {
             TaskState::Idle { until } => until,
@@ -163,7 +166,7 @@
         }
         if self.token(now, leases) == Some(lease.token) {
             self.calls += 1;
-            let call = ScheduledCall { task: self.index, held: lease.clone(), period };
+            let call = ScheduledCall { task: self.index, lease: lease.clone(), period };
             self.state = TaskState::Calling(call.clone());
             return PeriodDecision::Call(call);
         }
@@ -188,11 +191,11 @@
             CallOutcome::NotDone | CallOutcome::Unknown => self.consecutive_failures += 1,
         }
         self.unknown += u64::from(outcome == CallOutcome::Unknown);
-        Some(self.report_outcome(call.held, call.period, outcome))
+        Some(self.report_outcome(call.lease, call.period, outcome))
     }
 
     fn report_outcome(&mut self, lease: LeaseRef, period: u64, outcome: CallOutcome) -> ClientMessage {
-        let report = ClientMessage::EndPeriod { held: lease, period, ending: outcome };
+        let report = ClientMessage::EndPeriod { lease, period, outcome };
         self.unconfirmed_outcome = Some(report.clone());
         report
     }
--- a/src/fleet/tasks/tests.rs
+++ b/src/fleet/tasks/tests.rs
@@ -1,9 +1,9 @@
 use super::super::frame::RenewedLease;
 use super::*;
 
-fn schedule(safe: bool) -> Schedule {
+fn schedule(idempotent: bool) -> Schedule {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    Schedule { name: "t".into(), period_s: 10.0, address, path: "/".into(), deadline_s: 0.5, safe }
+    Schedule { name: "t".into(), period_s: 10.0, address, path: "/".into(), deadline_s: 0.5, idempotent }
 }
 
 fn held(token: u64) -> LeaseRef {
@@ -15,7 +15,7 @@
     let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(1));
     holder.heartbeat_sent(at, 1);
-    holder.heartbeat_acked(1, &[RenewedLease { held: held(1), ttl_ms: 3000 }]);
+    holder.heartbeat_acked(1, &[RenewedLease { lease: held(1), ttl_ms: 3000 }]);
     holder
 }
 
@@ -30,9 +30,9 @@
     assert_eq!(
         decision,
         PeriodDecision::Report(ClientMessage::EndPeriod {
-            held: held(1),
+            lease: held(1),
             period: 4,
-            ending: CallOutcome::NotDone
+            outcome: CallOutcome::NotDone
         })
     );
 }
--- a/src/fleet/totals.rs
+++ b/src/fleet/totals.rs
@@ -1,6 +1,6 @@
 //! The counters of the whole fleet, summed up by whoever holds the lease on [`TOTALS`].
 
-use super::frame::{Counters, FleetTotals};
+use super::frame::{AgedCounters, Counters, FleetTotals};
 
 /// The task whose lease holder computes the fleet's totals.
 pub const TOTALS: &str = "totals";
@@ -14,15 +14,15 @@
 
 /// Sums up all workers' counters; each comes with its age (milliseconds). The sum is as old as the oldest of them, and
 /// saturates: no value that one worker sends can make it overflow.
-pub(super) fn sum_counters(computed_by: &str, workers: &[(u64, Counters)]) -> FleetTotals {
+pub(super) fn sum_counters(computed_by: &str, workers: &[AgedCounters]) -> FleetTotals {
     let mut counts = Counters::new();
-    for (_, counters) in workers {
-        for (name, value) in counters {
+    for worker in workers {
+        for (name, value) in &worker.counters {
             let sum = counts.entry(name.clone()).or_default();
             *sum = sum.saturating_add(*value);
         }
     }
-    let age_ms = workers.iter().map(|(age_ms, _)| *age_ms).max().unwrap_or(0);
+    let age_ms = workers.iter().map(|worker| worker.age_ms).max().unwrap_or(0);
     FleetTotals { counts, workers: workers.len(), by: computed_by.to_owned(), age_ms }
 }
 
--- a/src/fleet/totals/tests.rs
+++ b/src/fleet/totals/tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn sums_saturate_and_are_as_old_as_the_oldest_counters() {
     let workers = [
-        (40, counters(&[("a.success", 3), ("huge", u64::MAX)])),
-        (900, counters(&[("a.success", 4), ("huge", 1)])),
+        AgedCounters { age_ms: 40, counters: counters(&[("a.success", 3), ("huge", u64::MAX)]) },
+        AgedCounters { age_ms: 900, counters: counters(&[("a.success", 4), ("huge", 1)]) },
     ];
     let totals = sum_counters("w1", &workers);
     assert_eq!(totals.counts, counters(&[("a.success", 7), ("huge", u64::MAX)]));
--- a/src/hot_restart/frame.rs
+++ b/src/hot_restart/frame.rs
@@ -222,11 +222,13 @@
 
 impl Frame {
     /// Whether a descriptor comes with it.
+    #[must_use]
     pub fn carries_descriptor(&self) -> bool {
         matches!(self, Frame::Connection(_) | Frame::Listener { .. })
     }
 
     /// The frame as it is sent.
+    #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEADER_BYTES];
         // These types hold nothing that JSON can't but numbers that are not finite, which are written as null.
--- a/src/hot_restart/indeterminate_keys.rs
+++ b/src/hot_restart/indeterminate_keys.rs
@@ -14,6 +14,7 @@
 impl IndeterminateKeys {
     /// Whether a key that is not known here may have run elsewhere. `may_be_retry` says that the request is marked as a
     /// retry, or that retries are not marked.
+    #[must_use]
     pub fn covers(self, arrived: f64, may_be_retry: bool) -> bool {
         match self {
             IndeterminateKeys::None => false,
--- a/src/hot_restart/ownership.rs
+++ b/src/hot_restart/ownership.rs
@@ -47,6 +47,7 @@
 
 impl ListenerOwnership {
     /// A process that has not looked for a predecessor yet. A key matches retries for `longest_window_s` at most.
+    #[must_use]
     pub fn new(longest_window_s: f64) -> ListenerOwnership {
         ListenerOwnership {
             state: State::Waiting(Handshake::default()),
@@ -60,21 +61,25 @@
     }
 
     /// Whether this process accepts clients.
+    #[must_use]
     pub fn is_owner(&self) -> bool {
         self.state == State::Owner
     }
 
     /// Whether a successor owns the listeners or has been sent everything for it.
+    #[must_use]
     pub fn has_handed_off(&self) -> bool {
         matches!(self.state, State::HandedOff | State::Released)
     }
 
     /// Whether a successor has confirmed that it owns the listeners.
+    #[must_use]
     pub fn is_released(&self) -> bool {
         self.state == State::Released
     }
 
     /// Whether a link to the predecessor is established.
+    #[must_use]
     pub fn has_predecessor(&self) -> bool {
         self.has_predecessor
     }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -35,6 +35,7 @@
 
 impl Class {
     /// Whether its runs and calls may be repeated.
+    #[must_use]
     pub fn is_idempotent(&self) -> bool {
         self.effect == Idempotency::Idempotent
     }
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -52,6 +52,7 @@
     }
 
     /// The address that it listens at, as the system states it.
+    #[must_use]
     pub fn address(&self) -> Option<SocketAddr> {
         self.acceptor.as_ref().and_then(|acceptor| acceptor.address().ok())
     }
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -69,27 +69,32 @@
     }
 
     /// Whether there are no connections.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
     /// Whether all requests have been answered and the responses written out, and nothing is on its way in.
+    #[must_use]
     pub fn quiet(&self) -> bool {
         use ConnectionState::{Closing, HandedOff, Idle};
         self.by_id.values().all(|connection| matches!(connection.state, Idle | Closing | HandedOff))
     }
 
     /// Whether no connection is left but those that another process holds.
+    #[must_use]
     pub fn all_ended(&self) -> bool {
         self.by_id.values().all(|connection| connection.state == ConnectionState::HandedOff)
     }
 
     /// Whether a connection is to be processed without an event of the poll.
+    #[must_use]
     pub fn pending(&self) -> bool {
         !self.touched.is_empty()
     }
 
     /// Whether there is a connection with this id.
+    #[must_use]
     pub fn owns(&self, id: u64) -> bool {
         self.by_id.contains_key(&id)
     }
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -85,6 +85,7 @@
     }
 
     /// Whether the response to this ticket belongs on one of its connections.
+    #[must_use]
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.owners.contains_key(&ticket.0)
     }
@@ -128,6 +129,7 @@
 
     /// How long the sweep of all frontends leaves an idle connection: longer than its session does, which sends a
     /// GOAWAY first (seconds).
+    #[must_use]
     pub fn idle_s(&self) -> f64 {
         self.settings.idle_s + IDLE_MARGIN_S
     }
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -43,6 +43,7 @@
 
 impl Catalog {
     /// Indexes the classes and tenants in the order of the settings.
+    #[must_use]
     pub fn new(options: &Options, settings: &Settings) -> Catalog {
         let index_by_name = |names: Vec<&String>| {
             names.into_iter().enumerate().map(|(index, name)| (name.clone(), index)).collect()
@@ -56,11 +57,13 @@
     }
 
     /// The index of the class with this name.
+    #[must_use]
     pub fn class(&self, name: &str) -> Option<usize> {
         self.class_indices.get(name).copied()
     }
 
     /// The name of a class; empty where there is no such class.
+    #[must_use]
     pub fn class_name(&self, class: usize) -> &str {
         self.class_names.get(class).map_or("", |name| name)
     }
@@ -70,11 +73,13 @@
     /// # Panics
     ///
     /// Where there is no such class.
+    #[must_use]
     pub fn effect(&self, class: usize) -> Idempotency {
         self.classes[class].effect
     }
 
     /// The index of the tenant with this name.
+    #[must_use]
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenant_indices.get(name).copied()
     }
@@ -152,6 +157,7 @@
     }
 
     /// The time until its deadline (seconds): that of the class where it states none, less the time it lay unread.
+    #[must_use]
     pub fn time_left(&self, class: usize, catalog: &Catalog, clock: &Clock) -> f64 {
         let deadline_s = self.deadline_ms.map_or(catalog.classes[class].deadline_s, |ms| ms / 1000.0);
         deadline_s - self.read_delay_s(clock)
--- a/src/net/frontends/status_mapping.rs
+++ b/src/net/frontends/status_mapping.rs
@@ -32,6 +32,7 @@
 
 impl HttpError {
     /// An error without an Allow header.
+    #[must_use]
     pub fn new(code: u16, why: &'static str) -> HttpError {
         HttpError { code, why, allow: "" }
     }
@@ -72,6 +73,7 @@
 }
 
 /// Maps a response of the dispatcher to HTTP.
+#[must_use]
 pub fn map_response(response: Response) -> StatusMapping {
     let plain = |code| StatusMapping { code, body: None, pushback_ms: None, stop_trying: false };
     match response {
--- a/src/net/io/idle_pool.rs
+++ b/src/net/io/idle_pool.rs
@@ -33,6 +33,7 @@
 }
 
 /// Whether there are more idle connections than are kept.
+#[must_use]
 pub fn full<C: Pooled>(all: &HashMap<u64, C>) -> bool {
     all.values().filter(|c| c.idle_since().is_some()).count() > MAX_IDLE
 }
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -114,6 +114,7 @@
     }
 
     /// Whether the budget allows one more socket.
+    #[must_use]
     pub fn room(&self) -> bool {
         self.available.get() > self.other_process.get()
     }
@@ -124,16 +125,19 @@
     }
 
     /// Descriptors of the budget that are taken, those of the other process included.
+    #[must_use]
     pub fn used(&self) -> usize {
         self.budget - self.available.get() + self.other_process.get()
     }
 
     /// Whether the budget allows one more client.
+    #[must_use]
     pub fn room_for_caller(&self) -> bool {
         self.available.get() > RESERVED_FOR_UPSTREAMS + self.other_process.get()
     }
 
     /// A number that no other connection, call or search has had.
+    #[must_use]
     pub fn fresh(&self) -> u64 {
         self.last_number.set(self.last_number.get() + 1);
         self.last_number.get()
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -165,6 +165,7 @@
 }
 
 /// The figures, a line each: all classes from the start on, zeros included.
+#[must_use]
 pub fn figures(known: &Catalog, figures: &Metrics, concurrent: usize) -> String {
     let mut text = String::new();
     for (class, counts) in figures.classes().iter().enumerate() {
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -161,6 +161,7 @@
 
 impl AjpBackend {
     /// A backend without connections.
+    #[must_use]
     pub fn new(poll: &Poll, settings: ServerSettings) -> AjpBackend {
         AjpBackend {
             settings,
@@ -181,6 +182,7 @@
     }
 
     /// Whether there is something to process without an event of the poll.
+    #[must_use]
     pub fn pending(&self) -> bool {
         !self.touched.is_empty() || !self.never_ran.is_empty()
     }
--- a/src/net/upstreams/ajp_codec/writer.rs
+++ b/src/net/upstreams/ajp_codec/writer.rs
@@ -49,6 +49,7 @@
 }
 
 /// Writes a Forward Request; `None` where it does not fit into a packet or its method has no code.
+#[must_use]
 pub fn write_forward(forward: &Forward) -> Option<Vec<u8>> {
     let method = METHODS.iter().position(|known| *known == forward.method)? as u8 + 1;
     let mut writer = Writer::new(Way::ToContainer)
@@ -75,6 +76,7 @@
 }
 
 /// Writes a packet of body bytes; an empty one ends the body. `None` where they don't fit into a packet.
+#[must_use]
 pub fn write_body(bytes: &[u8]) -> Option<Vec<u8>> {
     let mut writer = Writer::new(Way::ToContainer);
     if !bytes.is_empty() {
@@ -91,27 +93,32 @@
 }
 
 /// Writes a CPing: the web server asks whether the connection is alive.
+#[must_use]
 pub fn write_cping() -> Vec<u8> {
     type_only(Way::ToContainer, CPING)
 }
 
 /// Writes a CPong, the response to a CPing.
+#[must_use]
 pub fn write_cpong() -> Vec<u8> {
     type_only(Way::ToWebServer, CPONG)
 }
 
 /// Writes a Get Body Chunk: the container asks for at most so many bytes of the body.
+#[must_use]
 pub fn write_get_body(length: u16) -> Vec<u8> {
     let [high, low] = length.to_be_bytes();
     vec![b'A', b'B', 0, 3, GET_BODY_CHUNK, high, low]
 }
 
 /// Writes an End Response; `reuse` tells whether the connection may carry another request.
+#[must_use]
 pub fn write_end(reuse: bool) -> Vec<u8> {
     vec![b'A', b'B', 0, 2, END_RESPONSE, u8::from(reuse)]
 }
 
 /// Writes the head of a response; `None` where it does not fit into a packet.
+#[must_use]
 pub fn write_headers(status: u16, reason: &str, headers: &[(&str, String)]) -> Option<Vec<u8>> {
     let mut writer = Writer::new(Way::ToWebServer)
         .byte(SEND_HEADERS)
@@ -125,6 +132,7 @@
 }
 
 /// The head of a body chunk of a response; the bytes follow it, and a zero follows them.
+#[must_use]
 pub fn chunk_head(length: usize) -> Vec<u8> {
     let length = length.min(MAX_RESPONSE_CHUNK_BYTES) as u16;
     let [payload_high, payload_low] = (length + 4).to_be_bytes();
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -60,6 +60,7 @@
 
 impl Fleet {
     /// A membership that is not connected yet.
+    #[must_use]
     pub fn new(poll: &Poll, config: MembershipConfig) -> Fleet {
         let random = RandomState::new();
         let incarnation = random.hash_one("process");
@@ -77,6 +78,7 @@
     }
 
     /// Time on the membership's own clock (seconds since it was made).
+    #[must_use]
     pub fn now(&self) -> f64 {
         boot_time_s() - self.started_at
     }
--- a/src/net/upstreams/coordinator_link/scheduled_call.rs
+++ b/src/net/upstreams/coordinator_link/scheduled_call.rs
@@ -105,7 +105,7 @@
     format!(
         "POST {} HTTP/1.1\r\nHost: {}\r\nFencing-Token: {}\r\nTask-Period: {}\r\nTask: {}\r\nTask-Holder: {}\r\n\
          Content-Length: 0\r\nConnection: close\r\n\r\n",
-        task.path, task.address, call.held.token, call.period, task.name, holder
+        task.path, task.address, call.lease.token, call.period, task.name, holder
     )
     .into_bytes()
 }
--- a/src/net/upstreams/directory.rs
+++ b/src/net/upstreams/directory.rs
@@ -107,6 +107,7 @@
 
 impl Directory {
     /// A directory that is not connected yet: the first lookup connects.
+    #[must_use]
     pub fn new(poll: &Poll, settings: DirectorySettings) -> Directory {
         Directory {
             settings,
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -283,8 +283,8 @@
     }
 
     /// Lets a run go on without its downstream call; `false` where the command could not be queued.
-    pub fn skip(&mut self, name: &str, mark: u64) -> bool {
-        self.send(&Command::Bypass { job: name, n: mark })
+    pub fn skip(&mut self, name: &str, sequence: u64) -> bool {
+        self.send(&Command::Bypass { job: name, n: sequence })
     }
 
     /// Asks for the gauges, unless commands wait to be written: then the executor is not reading.
--- a/src/net/upstreams/executor/notices.rs
+++ b/src/net/upstreams/executor/notices.rs
@@ -86,7 +86,9 @@
 
 fn call_requested(name: Rc<str>, notice: &Notice, inputs: &mut Vec<Input>, log: &mut Log) {
     match notice.data.as_deref().map_or(Ok(Vec::new()), |data| STANDARD.decode(data)) {
-        Ok(body) => inputs.push(Input::AtCall { name, body: body.into(), mark: notice.number.unwrap_or(0) }),
+        Ok(body) => {
+            inputs.push(Input::AtCall { name, body: body.into(), sequence: notice.number.unwrap_or(0) })
+        }
         Err(_) => log.often("executor: a CALLOUT can't be read"),
     }
 }
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -21,8 +21,8 @@
                     inputs.push(Input::NeverRan { name });
                 }
             }
-            Command::Call { name, body, for_s, again } => match &mut self.records {
-                Some(records) => records.call(now, name, body, for_s, again, &mut self.wheel),
+            Command::Call { name, body, timeout_s, is_retryable } => match &mut self.records {
+                Some(records) => records.call(now, name, body, timeout_s, is_retryable, &mut self.wheel),
                 None => inputs.push(Input::CallEnded { name, outcome: Outcome::Unreachable, reply: None }),
             },
             Command::GiveUpCall(name) => self.records.iter_mut().for_each(|records| records.give_up(&name)),
@@ -31,8 +31,8 @@
                     self.log.line("executor: the queue is full; a reply is lost");
                 }
             }
-            Command::SkipCall { name, mark } => {
-                if !self.executor.skip(&name, mark) {
+            Command::SkipCall { name, sequence } => {
+                if !self.executor.skip(&name, sequence) {
                     self.log.line("executor: the queue is full; a skip is lost");
                 }
             }
--- a/src/pools/limit/cause.rs
+++ b/src/pools/limit/cause.rs
@@ -25,6 +25,7 @@
 
 impl Cause {
     /// The word in the log and in the status.
+    #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::Start => "start",
--- a/src/pools/limit/mod.rs
+++ b/src/pools/limit/mod.rs
@@ -115,6 +115,7 @@
 
 impl SlotLimit {
     /// Starts at the lower bound; `lengths_s` are first guesses of the classes' run lengths (seconds).
+    #[must_use]
     pub fn new(settings: LimitSettings, lengths_s: &[f64]) -> SlotLimit {
         SlotLimit {
             settings,
@@ -136,26 +137,31 @@
     }
 
     /// The limit.
+    #[must_use]
     pub fn slots(&self) -> usize {
         self.slots
     }
 
     /// What set the limit.
+    #[must_use]
     pub fn cause(&self) -> Cause {
         self.cause
     }
 
     /// Slots at full speed that the executor is worth.
+    #[must_use]
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
 
     /// The figures of the last window.
+    #[must_use]
     pub fn measured(&self) -> Measured {
         self.measured
     }
 
     /// The baseline length of a run of this class (seconds).
+    #[must_use]
     pub fn baseline_s(&self, class: usize) -> f64 {
         self.baselines.get(class).map_or(1.0, |baseline| baseline.length_s)
     }
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -57,6 +57,7 @@
 
 impl Pools {
     /// Pools without requests; `lengths_s` are first guesses of the classes' run lengths (seconds).
+    #[must_use]
     pub fn new(plan: PoolPlan, lengths_s: &[f64], survivable_runs: usize) -> Pools {
         Pools {
             classes: vec![Counts::default(); lengths_s.len()],
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -146,6 +146,7 @@
 
 impl Pools {
     /// The state of the limit and of each pool.
+    #[must_use]
     pub fn state(&self) -> PoolsState {
         let measured = self.limit.measured();
         let state_of = |pool: usize| PoolState {
--- a/src/pools/slots.rs
+++ b/src/pools/slots.rs
@@ -12,6 +12,7 @@
     }
 
     /// Whether two classes share a pool.
+    #[must_use]
     pub fn together(&self, a: usize, b: usize) -> bool {
         self.pool_of(a) == self.pool_of(b)
     }
@@ -30,6 +31,7 @@
     }
 
     /// The limit on runs on the cores, the reserve included (slots).
+    #[must_use]
     pub fn limit(&self) -> usize {
         self.limit.slots()
     }
@@ -72,12 +74,14 @@
     }
 
     /// Whether the queue of this class's pool is at capacity.
+    #[must_use]
     pub fn full(&self, class: usize) -> bool {
         let pool = self.pool_of(class);
         self.queued(pool) >= self.plan.pools[pool].queue
     }
 
     /// Whether a request of this class that comes now would start at once.
+    #[must_use]
     pub fn open(&self, class: usize) -> bool {
         let pool = self.pool_of(class);
         // Others that wait and may have more would be asked first, but for what is guaranteed to this pool.
@@ -91,6 +95,7 @@
 
     /// The slots on which the pool of a class can count while it wants them: its own, and its part of what
     /// others leave.
+    #[must_use]
     pub fn slots(&self, class: usize) -> f64 {
         let pool = self.pool_of(class);
         let part = self.part(pool, |other| self.queued(other) > 0 || other == pool);
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -172,17 +172,17 @@
             taker.say(&ClientMessage::Heartbeat {
                 seq,
                 wants,
-                held: Vec::new(),
-                figures: None,
+                leases: Vec::new(),
+                counters: None,
                 totals: None,
                 load: None,
             })?;
             let granted = taker.until(|w| match w {
-                ServerMessage::LeaseGranted { held } => Some(held.clone()),
+                ServerMessage::LeaseGranted { lease } => Some(lease.clone()),
                 _ => None,
             })?;
             let Some(held) = granted else { continue };
-            taker.say(&ClientMessage::ReleaseLease { held, failed: false, pass_on: false })?;
+            taker.say(&ClientMessage::ReleaseLease { lease: held, failed: false, pass_on: false })?;
             taken += 1;
         }
         Ok(taken)
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -396,7 +396,7 @@
                     Input::RunEnded { name: id.as_str().into(), outcome: Outcome::Ok, result }
                 }
                 Notice::Callout(id) => {
-                    Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), mark: 0 }
+                    Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), sequence: 0 }
                 }
             });
         }
@@ -432,8 +432,8 @@
                     worker.executor.start(&name, Work::read(&body));
                     worker.due.insert(((due.max(0.0) * 1e6) as u64, name), ());
                 }
-                Command::Call { name, for_s, .. } => {
-                    self.until.insert((w, name.clone()), now + for_s);
+                Command::Call { name, timeout_s, .. } => {
+                    self.until.insert((w, name.clone()), now + timeout_s);
                     self.service.call(now, w, name);
                 }
                 Command::GiveUpCall(name) => {
--- a/testbed/src/fleet/session_load.rs
+++ b/testbed/src/fleet/session_load.rs
@@ -31,7 +31,7 @@
             address: SocketAddr::from(([127, 0, 0, 1], 9)),
             path: "/".to_owned(),
             deadline_s: 0.1,
-            safe: true,
+            idempotent: true,
         };
         let plan = |n: usize| MembershipConfig {
             fleet: fleet.to_owned(),
--- a/testbed/src/fleet/virtual_fleet/judge.rs
+++ b/testbed/src/fleet/virtual_fleet/judge.rs
@@ -108,7 +108,7 @@
     /// The resource begins a call, or rejects it for its token or its period.
     pub fn call_arrives(&mut self, worker: usize, incarnation: u64, call: ScheduledCall, lasts_s: f64) {
         let task = call.task;
-        let token = call.held.token;
+        let token = call.lease.token;
         let fenced = self.shape.weak != Weakness::NoFencing;
         let answered_at = self.now + self.latency();
         let record = &mut self.tasks[task];
@@ -139,7 +139,7 @@
 
     /// The resource has carried a call out, unless it was broken off; tokens and periods must not go back.
     pub fn call_completes(&mut self, worker: usize, incarnation: u64, call: &ScheduledCall) {
-        let token = call.held.token;
+        let token = call.lease.token;
         let record = &mut self.tasks[call.task];
         if record.running != Some(RunningCall { token, worker }) {
             self.verdict.refused += 1;
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -222,7 +222,7 @@
             address: address(RESOURCE_ADDRESS),
             path: "/".to_owned(),
             deadline_s: CALL_DEADLINE_S,
-            safe: task % 2 == 0,
+            idempotent: task % 2 == 0,
         };
         MembershipConfig {
             fleet: FLEET.to_owned(),
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -106,7 +106,7 @@
                         Input::RunEnded { name: id.as_str().into(), outcome: Outcome::Ok, result }
                     }
                     Notice::Callout(id) => {
-                        Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), mark: 0 }
+                        Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), sequence: 0 }
                     }
                 });
             }
@@ -205,9 +205,9 @@
                 Command::Run { name, body, .. } => {
                     self.executor.start(&name, crate::executor::Work::read(&body));
                 }
-                Command::Call { name, for_s, .. } => {
+                Command::Call { name, timeout_s, .. } => {
                     self.records.call(now, &name);
-                    self.until.insert(name.to_string(), now + for_s);
+                    self.until.insert(name.to_string(), now + timeout_s);
                 }
                 Command::GiveUpCall(name) => {
                     self.until.remove(&*name);
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -84,7 +84,7 @@
         assert!(plan.computes_totals);
         let [task] = &plan.tasks[..] else { panic!("one task, not {:?}", plan.tasks) };
         assert_eq!((task.name.as_str(), task.path.as_str()), ("nightly-report", "/report"));
-        assert_eq!((task.period_s, task.deadline_s, task.safe), (60.0, 0.5, false));
+        assert_eq!((task.period_s, task.deadline_s, task.idempotent), (60.0, 0.5, false));
         assert_eq!(task.address.port(), 7300);
     }
 }
@@ -158,7 +158,7 @@
     assert_eq!((plan.fleet.as_str(), plan.zone.as_str()), ("polderlijn", "west"));
     assert_eq!((plan.drift, plan.computes_totals), (0.125, false));
     let task = &plan.tasks[0];
-    assert_eq!((task.period_s, task.deadline_s, task.safe), (30.5, 0.25, true));
+    assert_eq!((task.period_s, task.deadline_s, task.idempotent), (30.5, 0.25, true));
     assert_eq!((task.name.as_str(), task.path.as_str()), ("nightly-report", "/report"));
 }
 
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -61,13 +61,17 @@
     let keep = ClientMessage::Heartbeat {
         seq: 1,
         wants: vec![],
-        held: vec![],
-        figures: None,
+        leases: vec![],
+        counters: None,
         totals: None,
         load: None,
     };
     let ask = |what| ClientMessage::Query { fleet: "polderlijn".to_owned(), what };
-    let end = |ending, period| ClientMessage::EndPeriod { held: lease("nightly-report", 7), period, ending };
+    let end = |ending, period| ClientMessage::EndPeriod {
+        lease: lease("nightly-report", 7),
+        period,
+        outcome: ending,
+    };
     vec![
         ClientMessage::Hello {
             fleet: "polderlijn".to_owned(),
@@ -87,31 +91,31 @@
         ClientMessage::Heartbeat {
             seq: 2,
             wants: vec!["totals".to_owned(), "nightly-report".to_owned()],
-            held: vec![lease("totals", 7), lease("nightly-report", u64::MAX)],
-            figures: Some(counts()),
+            leases: vec![lease("totals", 7), lease("nightly-report", u64::MAX)],
+            counters: Some(counts()),
             totals: Some(totals()),
             load: Some(load()),
         },
         ClientMessage::Heartbeat {
             seq: 3,
             wants: vec![],
-            held: vec![],
-            figures: Some(Counters::new()),
+            leases: vec![],
+            counters: Some(Counters::new()),
             totals: Some(FleetTotals::default()),
             load: Some(LoadReport::default()),
         },
-        ClientMessage::ReleaseLease { held: lease("totals", 7), failed: false, pass_on: false },
-        ClientMessage::ReleaseLease { held: lease("totals", 7), failed: true, pass_on: true },
+        ClientMessage::ReleaseLease { lease: lease("totals", 7), failed: false, pass_on: false },
+        ClientMessage::ReleaseLease { lease: lease("totals", 7), failed: true, pass_on: true },
         ClientMessage::BeginPeriod {
-            held: lease("nightly-report", 7),
+            lease: lease("nightly-report", 7),
             every_ms: 60_000,
-            safe: false,
+            idempotent: false,
             attempt: 1,
         },
         ClientMessage::BeginPeriod {
-            held: lease("nightly-report", 7),
+            lease: lease("nightly-report", 7),
             every_ms: 100,
-            safe: true,
+            idempotent: true,
             attempt: 2,
         },
         end(CallOutcome::Done, 29_000_000),
@@ -131,39 +135,44 @@
 
 /// Every kind that a coordinator sends, with its optional fields absent and present.
 fn responses() -> Vec<ServerMessage> {
-    let kept =
-        ServerMessage::HeartbeatAck { seq: 1, leases: vec![], totals: None, figures: vec![], overload: None };
+    let kept = ServerMessage::HeartbeatAck {
+        seq: 1,
+        leases: vec![],
+        totals: None,
+        counters: vec![],
+        overload: None,
+    };
     vec![
         ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION },
-        ServerMessage::NotLeader { leader: None, why: "no leader is known".to_owned() },
-        ServerMessage::NotLeader { leader: Some("127.0.0.1:7102".to_owned()), why: "c2 leads".to_owned() },
+        ServerMessage::NotLeader { leader: None, reason: "no leader is known".to_owned() },
+        ServerMessage::NotLeader { leader: Some("127.0.0.1:7102".to_owned()), reason: "c2 leads".to_owned() },
         kept,
         ServerMessage::HeartbeatAck {
             seq: 2,
             leases: vec![
-                RenewedLease { held: lease("totals", 7), ttl_ms: 3000 },
-                RenewedLease { held: lease("nightly-report", 8), ttl_ms: 2500 },
+                RenewedLease { lease: lease("totals", 7), ttl_ms: 3000 },
+                RenewedLease { lease: lease("nightly-report", 8), ttl_ms: 2500 },
             ],
             totals: Some(totals()),
-            figures: vec![(120, counts()), (0, Counters::new())],
+            counters: vec![(120, counts()).into(), (0, Counters::new()).into()],
             overload: Some(digest()),
         },
         ServerMessage::HeartbeatAck {
             seq: 3,
             leases: vec![],
             totals: Some(FleetTotals::default()),
-            figures: vec![],
+            counters: vec![],
             overload: Some(FleetDigest::default()),
         },
-        ServerMessage::LeaseGranted { held: lease("totals", 7) },
-        ServerMessage::PeriodBegun { held: lease("nightly-report", 7), period: 29_000_000, attempt: 1 },
+        ServerMessage::LeaseGranted { lease: lease("totals", 7) },
+        ServerMessage::PeriodBegun { lease: lease("nightly-report", 7), period: 29_000_000, attempt: 1 },
         ServerMessage::PeriodNotBegun {
-            held: lease("nightly-report", 7),
+            lease: lease("nightly-report", 7),
             in_ms: 400,
-            why: "it is made".to_owned(),
+            reason: "it is made".to_owned(),
         },
         ServerMessage::SessionExpired,
-        ServerMessage::Rejected { why: "a \"quoted\" reason, é".to_owned() },
+        ServerMessage::Rejected { reason: "a \"quoted\" reason, é".to_owned() },
         ServerMessage::QueryResult {
             answer: serde_json::json!({"leases": [{"task": "totals", "token": 7}], "term": null}),
         },
@@ -176,8 +185,8 @@
     let keep = |load| ClientMessage::Heartbeat {
         seq: 4,
         wants: vec![],
-        held: vec![],
-        figures: None,
+        leases: vec![],
+        counters: None,
         totals: None,
         load,
     };
@@ -196,12 +205,12 @@
         ClientMessage::Heartbeat {
             seq: 4,
             wants: vec![],
-            held: vec![lease("totals", 7)],
-            figures: None,
+            leases: vec![lease("totals", 7)],
+            counters: None,
             totals: Some(FleetTotals { workers: 2, ..FleetTotals::default() }),
             load: None,
         },
-        ClientMessage::ReleaseLease { held: lease("totals", 7), failed: false, pass_on: false },
+        ClientMessage::ReleaseLease { lease: lease("totals", 7), failed: false, pass_on: false },
         ClientMessage::Goodbye,
         ClientMessage::Unknown,
         ClientMessage::Unknown,
@@ -214,16 +223,16 @@
         seq: 4,
         leases: vec![],
         totals: None,
-        figures: vec![],
+        counters: vec![],
         overload,
     };
     vec![
         ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: 3 },
-        ServerMessage::NotLeader { leader: None, why: String::new() },
+        ServerMessage::NotLeader { leader: None, reason: String::new() },
         kept(None),
         kept(Some(FleetDigest::default())),
         kept(Some(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..FleetDigest::default() })),
-        ServerMessage::LeaseGranted { held: lease("totals", 7) },
+        ServerMessage::LeaseGranted { lease: lease("totals", 7) },
         ServerMessage::SessionExpired,
         ServerMessage::Unknown,
         ServerMessage::Unknown,
