--- a/fleet-coordinator/src/coordinator/events.rs
+++ b/fleet-coordinator/src/coordinator/events.rs
@@ -67,7 +67,7 @@
             // What can't be proposed now is proposed again by whoever still wants it.
             LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
             LeaderAction::Confirm(number) => self.replica.request_read_index(now, number),
-            LeaderAction::Log(message) => self.log(Severity::Info, message),
+            LeaderAction::Log(event) => self.log(Severity::Info, format!("{event:?}")),
         }
     }
 
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -22,6 +22,7 @@
 use crate::state_machine::{Command, LeaseStateMachine, LogEntry, Outcome, Rejection};
 use granting::{Backoff, HolderOfTask, PendingGrant};
 use port_worker::fleet::frame::{Counters, FleetTotals, ServerMessage};
+use port_worker::fleet::overload::events::OverloadEvent;
 use port_worker::fleet::overload::leader::{Leader, Settings};
 use releasing::HandOver;
 use renewals::Renewal;
@@ -49,8 +50,8 @@
     Propose(Command),
     /// Ask a quorum to confirm this leader, under this number.
     Confirm(u64),
-    /// Write a line to the log file.
-    Log(String),
+    /// Report an event to operators.
+    Log(OverloadEvent),
 }
 
 /// A session as the leader sees it.
--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -22,7 +22,9 @@
 use crate::admission::run_length::RunLengths;
 use crate::admission::tenant_usage::TenantUsages;
 use crate::fleet::overload::policy::OverloadPolicy;
-use crate::interface::{Action, Event, LearnedState, RequestId, Settings, Signal};
+use crate::interface::{
+    Action, AdmissionEvent, Event, HealthState, LearnedState, RequestId, Settings, Signal, UnhealthyCause,
+};
 use crate::pools::Pools;
 use arrival::{tenant_usages, MIN_OVER_QUOTA_WEIGHT};
 use downstream_limit::DownstreamLimit;
@@ -132,12 +134,12 @@
         if self.well == (sick || read_lagging) {
             self.well = !self.well;
             self.publish_weight(out);
-            let line = match (self.well, sick) {
-                (true, _) => "well again",
-                (false, true) => "sick: runs fail or do not end",
-                (false, false) => "swamped: requests are read too late to be served",
+            let state = match (self.well, sick) {
+                (true, _) => HealthState::Healthy,
+                (false, true) => HealthState::Unhealthy(self.health.sick_cause),
+                (false, false) => HealthState::Unhealthy(UnhealthyCause::ReadLag),
             };
-            out.push(Action::Log(line.to_owned()));
+            out.push(Action::Log(AdmissionEvent::HealthChanged(state)));
         }
         // A delisted worker gets no requests: after a rest a sick one is listed again, to be probed.
         let rested = self.running() == 0 && self.health.is_rested(self.now);
--- a/src/admission/controller/health.rs
+++ b/src/admission/controller/health.rs
@@ -2,6 +2,7 @@
 
 use super::SWEEP_S;
 use crate::admission::health_signals::{HealthSignals, HEALTH_MEMORY_S};
+use crate::interface::UnhealthyCause;
 
 /// A worker is sick when this share of its recent runs failed, and so many at least.
 const SICK_SHARE: f64 = 0.3;
@@ -23,6 +24,8 @@
 #[derive(Default)]
 pub(super) struct HealthMonitor {
     pub(super) sick: bool,
+    /// What made it sick last.
+    pub(super) sick_cause: UnhealthyCause,
     /// Requests are read too late to be served: a slow host, a flood or a cold start.
     pub(super) read_lagging: bool,
     pub(super) signals: HealthSignals,
@@ -61,6 +64,7 @@
             self.sick = false;
         } else if failed >= MIN_SICK_FAILURES && failed > SICK_SHARE * ended {
             self.sick = true;
+            self.sick_cause = UnhealthyCause::FailingRuns;
         }
     }
 
@@ -69,6 +73,7 @@
         let stalled = now - self.signals.last_progress > MIN_STUCK_S;
         if stalled && self.signals.core_time_since_progress_s > STUCK_RUNS * mean_run_s {
             self.sick = true;
+            self.sick_cause = UnhealthyCause::StalledRuns;
             self.signals.successes_in_row = 0;
         }
     }
--- a/src/admission/controller/housekeeping.rs
+++ b/src/admission/controller/housekeeping.rs
@@ -51,7 +51,7 @@
         let survivable_runs = self.survivable_runs();
         let Some(pools) = &mut self.pools else { return };
         pools.review(self.now, survivable_runs);
-        out.extend(pools.take_lines().into_iter().map(Action::Log));
+        out.extend(pools.take_events().into_iter().map(Action::Log));
     }
 
     /// A call without an outcome goes on in the dependency for a while.
--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -2,7 +2,7 @@
 
 use super::dispatcher::Effects;
 use super::in_flight::{LastCommand, SentCommand};
-use super::{Command, Dispatcher, Response};
+use super::{Command, DispatchEvent, Dispatcher, Response};
 use crate::interface::{Action, Event, Outcome, RequestId};
 
 /// A failure this close to the deadline is one for lack of time (seconds).
@@ -36,7 +36,7 @@
             Action::Health(healthy) => effects.commands.push(Command::Health(healthy)),
             Action::Publish(level) => effects.commands.push(Command::Publish(level)),
             Action::WakeIn(after_s) => effects.commands.push(Command::WakeIn(after_s)),
-            Action::Log(text) => effects.commands.push(Command::Log(text)),
+            Action::Log(event) => effects.commands.push(Command::Log(DispatchEvent::Admission(event))),
         }
     }
 
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -4,7 +4,7 @@
 use super::in_flight::{InFlightTable, LastCommand, PendingCall, SentCommand};
 use super::lost_commands::UnconfirmedReply;
 use super::metrics::Metrics;
-use super::{Command, FingerprintKey, Input, ResourceUsage, Response, Ticket};
+use super::{Command, DispatchEvent, FingerprintKey, Input, ResourceUsage, Response, Ticket};
 use crate::admission::Controller;
 use crate::fleet::overload::client::LoadSample;
 use crate::fleet::overload::policy::OverloadPolicy;
@@ -287,6 +287,6 @@
     if learned.is_sound() {
         effects.events.push_back(Event::LearnedState(learned));
     } else {
-        effects.commands.push(Command::Log("what the old process learned makes no sense".to_owned()));
+        effects.commands.push(Command::Log(DispatchEvent::LearnedStateRejected));
     }
 }
--- a/src/dispatch/messages.rs
+++ b/src/dispatch/messages.rs
@@ -1,7 +1,7 @@
 //! What the frontends, the backends and the event loop exchange with the [`Dispatcher`](super::Dispatcher).
 
 use super::idempotency::IdempotencyUpdate;
-use crate::interface::{Gauges, LearnedState, Outcome, PoolPlan};
+use crate::interface::{AdmissionEvent, Gauges, LearnedState, Outcome, PoolPlan};
 use std::rc::Rc;
 
 /// Where a response is to be delivered. The frontend that made it gets it back unread.
@@ -144,6 +144,15 @@
     LearnedState(LearnedState),
 }
 
+/// What the dispatcher reports to operators.
+#[derive(Clone, Debug, PartialEq)]
+pub enum DispatchEvent {
+    /// The controller reports.
+    Admission(AdmissionEvent),
+    /// What the predecessor's controller has learned is out of range, and was not taken over.
+    LearnedStateRejected,
+}
+
 /// What the event loop is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
@@ -193,8 +202,8 @@
     Publish(f64),
     /// Send [`Input::Woken`] after this time (seconds).
     WakeIn(f64),
-    /// Write a line to the log.
-    Log(String),
+    /// Report an event to operators.
+    Log(DispatchEvent),
     /// Tell the successor about a key.
     IdempotencyUpdate(IdempotencyUpdate),
 }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -20,5 +20,5 @@
 mod tests;
 
 pub use dispatcher::Dispatcher;
-pub use messages::{Command, Input, Request, Response, Ticket};
+pub use messages::{Command, DispatchEvent, Input, Request, Response, Ticket};
 pub use request_handoff::{FingerprintKey, HandedOff, HandedOffRequest, ResourceUsage};
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -1,8 +1,11 @@
 //! One worker's membership: it ties together session, leases, tasks and overload control.
 
+mod events;
 mod metrics;
 mod receive;
 
+pub use events::{LeaseLossCause, MembershipEvent};
+
 use super::config::MembershipConfig;
 use super::frame::{CallOutcome, ClientMessage, Counters, FleetTotals, LeaseRef, VERSION};
 use super::lease_holder::LeaseHolder;
@@ -29,8 +32,8 @@
     Close,
     /// Make a scheduled call.
     Call(ScheduledCall),
-    /// Write a line to the log.
-    Log(String),
+    /// Report an event to operators.
+    Log(MembershipEvent),
 }
 
 /// State machine of one worker's membership.
@@ -104,8 +107,8 @@
         self.actions.push(MemberAction::Send(message));
     }
 
-    fn log(&mut self, line: String) {
-        self.actions.push(MemberAction::Log(line));
+    fn log(&mut self, event: MembershipEvent) {
+        self.actions.push(MemberAction::Log(event));
     }
 
     fn push_link_actions(&mut self, actions: Vec<LinkAction>) {
@@ -211,7 +214,7 @@
     /// The link is lost, or was closed by either side.
     pub fn disconnected(&mut self, now: f64) {
         if self.session.is_established() {
-            self.log("fleet: the link to the coordinators is gone; serving goes on".to_owned());
+            self.log(MembershipEvent::SessionLinkLost);
         }
         self.session.disconnected(now);
     }
@@ -222,7 +225,7 @@
         if let Some(report) = scheduled.call_ended(now, outcome) {
             let name = scheduled.schedule.name.clone();
             if outcome != CallOutcome::Done {
-                self.log(format!("fleet: a call of {name} ended as {outcome:?}"));
+                self.log(MembershipEvent::ScheduledCallFailed { task: name.clone(), outcome });
             }
             self.send(report);
             if !self.may_take_tasks() {
@@ -235,7 +238,7 @@
     fn release(&mut self, task: &str, failed: bool, pass_on: bool) {
         let Some(token) = self.leases.token(task) else { return };
         let lease = LeaseRef { task: task.to_owned(), token };
-        self.log(format!("fleet: {task} is given back, token {token}"));
+        self.log(MembershipEvent::LeaseReleased(lease.clone()));
         self.leases.release(task);
         self.send(ClientMessage::ReleaseLease { lease, failed, pass_on });
     }
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -1,6 +1,6 @@
 //! Handling of the coordinators' messages.
 
-use super::{FleetMember, MemberAction};
+use super::{FleetMember, LeaseLossCause, MemberAction, MembershipEvent};
 use crate::fleet::frame::{AgedCounters, ClientMessage, FleetTotals, LeaseRef, RenewedLease, ServerMessage};
 use crate::fleet::overload::client::FleetOverloadClient;
 use crate::fleet::overload::FleetDigest;
@@ -18,15 +18,17 @@
         let mut link_actions = Vec::new();
         let session_over = self.session.receive(now, message, &mut link_actions);
         if session_over {
-            self.drop_all_leases("the session before is over");
+            self.drop_all_leases();
         }
         self.push_link_actions(link_actions);
         match message {
             ServerMessage::Welcome { session, .. } => self.welcomed(now, *session),
             ServerMessage::NotLeader { reason, .. } if was_established => {
-                self.log(format!("fleet: the coordinator does not lead any more: {reason}"));
+                self.log(MembershipEvent::CoordinatorNotLeader { reason: reason.clone() });
+            }
+            ServerMessage::Rejected { reason } => {
+                self.log(MembershipEvent::MessageRejected { reason: reason.clone() });
             }
-            ServerMessage::Rejected { reason } => self.log(format!("fleet: refused: {reason}")),
             ServerMessage::HeartbeatAck { seq, leases, totals, counters, overload } => {
                 self.update_overload(*seq, overload.as_ref());
                 self.renew_leases(*seq, leases);
@@ -43,8 +45,8 @@
     }
 
     fn welcomed(&mut self, now: f64, session: u64) {
-        let address = self.session.coordinator().map_or_else(String::new, |address| address.to_string());
-        self.log(format!("fleet: session {session} over {address}"));
+        let coordinator = self.session.coordinator();
+        self.log(MembershipEvent::SessionEstablished { session, coordinator });
         self.leases.reconnected();
         self.overload.iter_mut().for_each(FleetOverloadClient::reconnected);
         for task in &mut self.tasks {
@@ -60,7 +62,7 @@
 
     fn renew_leases(&mut self, seq: u64, renewed: &[RenewedLease]) {
         for lost in self.leases.heartbeat_acked(seq, renewed) {
-            self.log(format!("fleet: {} is lost, token {}", lost.task, lost.token));
+            self.log(MembershipEvent::LeaseLost { lease: lost, cause: LeaseLossCause::NotRenewed });
         }
     }
 
@@ -79,7 +81,7 @@
     fn lease_granted(&mut self, now: f64, lease: &LeaseRef) {
         let is_wanted = self.may_take_tasks() && self.wanted_tasks().contains(&lease.task);
         if is_wanted {
-            self.log(format!("fleet: {} is held, token {}", lease.task, lease.token));
+            self.log(MembershipEvent::LeaseAcquired(lease.clone()));
             self.leases.granted(lease);
         } else {
             // It was requested before the worker began to drain: nobody here will act under it.
@@ -110,10 +112,10 @@
         }
     }
 
-    fn drop_all_leases(&mut self, cause: &str) {
+    fn drop_all_leases(&mut self) {
         let leases: Vec<LeaseRef> = self.leases.all().collect();
         for lease in leases {
-            self.log(format!("fleet: {} is lost, token {}: {cause}", lease.task, lease.token));
+            self.log(MembershipEvent::LeaseLost { lease, cause: LeaseLossCause::SessionExpired });
         }
         self.leases.clear();
     }
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -80,6 +80,9 @@
     member.receive(2.0, &ServerMessage::SessionExpired);
     assert!(!member.is_connected());
     assert_eq!(member.leases.token("t"), None);
-    let line = MemberAction::Log("fleet: t is lost, token 3: the session before is over".to_owned());
+    let line = MemberAction::Log(MembershipEvent::LeaseLost {
+        lease: lease(3),
+        cause: LeaseLossCause::SessionExpired,
+    });
     assert_eq!(member.take_actions(), [line, MemberAction::Close]);
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -27,5 +27,5 @@
 mod totals;
 
 pub use config::MembershipConfig;
-pub use member::{FleetMember, MemberAction};
+pub use member::{FleetMember, LeaseLossCause, MemberAction, MembershipEvent};
 pub use totals::TOTALS;
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -1,7 +1,8 @@
 //! What a leading coordinator makes of the workers' load reports. Each leader begins anew, from what the workers report.
 
 use super::capacity_leases::{CapacityLeaseServer, CapacityReport, CapacityTotals};
-use super::level::{LevelChange, SheddingController, SheddingLevel};
+use super::events::OverloadEvent;
+use super::level::{SheddingController, SheddingLevel};
 use super::retries::RetryBudget;
 use super::service::DownstreamService;
 use super::view::{FleetLoadView, LoadSums};
@@ -78,27 +79,27 @@
         self.view.remove(worker);
     }
 
-    /// Evaluates the sums where that is due; what has changed, for the log.
-    pub fn evaluate(&mut self, now: f64) -> Vec<String> {
+    /// Evaluates the sums where that is due; returns what has changed.
+    pub fn evaluate(&mut self, now: f64) -> Vec<OverloadEvent> {
         if now - self.evaluated_at < EVALUATION_INTERVAL_S {
             return Vec::new();
         }
         self.evaluated_at = now;
         self.sums = self.view.sums(now, None);
-        let mut lines = Vec::new();
-        lines.extend(self.levels.evaluate(now, &self.sums).map(|change| level_line(&change)));
-        self.evaluate_zones(now, &mut lines);
+        let mut events = Vec::new();
+        events.extend(self.levels.evaluate(now, &self.sums).map(OverloadEvent::LevelChanged));
+        self.evaluate_zones(now, &mut events);
         self.update_shortage(now);
         self.retry_budget.evaluate(now, &self.sums, now < self.short_until);
-        lines
+        events
     }
 
-    fn evaluate_zones(&mut self, now: f64, lines: &mut Vec<String>) {
+    fn evaluate_zones(&mut self, now: f64, events: &mut Vec<OverloadEvent>) {
         let zones = self.view.zones();
         self.service.retain_zones(&zones);
         for zone in &zones {
             let sums = self.view.sums(now, Some(zone));
-            lines.extend(self.service.evaluate(now, zone, &sums).map(|line| format!("overload: {line}")));
+            events.extend(self.service.evaluate(now, zone, &sums).map(OverloadEvent::Service));
         }
     }
 
@@ -170,12 +171,3 @@
         self.capacity.totals(now)
     }
 }
-
-fn level_line(change: &LevelChange) -> String {
-    let level = if change.level.is_open() {
-        "open".to_owned()
-    } else {
-        format!("tier {} and {:.0}% of it", change.level.tier, change.level.share * 100.0)
-    };
-    format!("overload: level {level}: {}", change.cause)
-}
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -102,8 +102,29 @@
 pub struct LevelChange {
     /// The new level.
     pub level: SheddingLevel,
-    /// Why it changed, for the log.
-    pub cause: String,
+    /// Why it changed.
+    pub cause: LevelChangeCause,
+}
+
+/// Why the level changed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LevelChangeCause {
+    /// More is asked than the cores can do.
+    Shortage {
+        /// First attempts and retries that arrive (requests a second).
+        demand_per_s: f64,
+        /// What the cores can do (requests a second).
+        capacity_per_s: f64,
+    },
+    /// The cores could have done more for a while.
+    Headroom {
+        /// First attempts and retries that arrive (requests a second).
+        demand_per_s: f64,
+        /// What the cores can do (requests a second).
+        capacity_per_s: f64,
+    },
+    /// Too few workers report for a level other than open.
+    TooFewReports,
 }
 
 /// A level that an operator has set.
@@ -181,8 +202,7 @@
     fn deepen(&mut self, now: f64, sums: &LoadSums) -> Option<LevelChange> {
         // The first step may be far; before the next one the sums have to show its effect.
         self.short_since = None;
-        let demand = demand(sums);
-        let cause = format!("{demand:.0} a second are asked of {:.0} that the cores can do", sums.capacity);
+        let cause = LevelChangeCause::Shortage { demand_per_s: demand(sums), capacity_per_s: sums.capacity };
         self.change(now, SheddingLevel::for_load(sums), cause)
     }
 
@@ -194,15 +214,14 @@
             next = SheddingLevel::from_depth((next.tier + 1) as f64);
         }
         let cause = if sums.workers < MIN_WORKERS {
-            "too few workers report".to_owned()
+            LevelChangeCause::TooFewReports
         } else {
-            let demand = demand(sums);
-            format!("{demand:.0} a second are asked of {:.0}, for {HEADROOM_FOR_S:.0} s", sums.capacity)
+            LevelChangeCause::Headroom { demand_per_s: demand(sums), capacity_per_s: sums.capacity }
         };
         self.change(now, next, cause)
     }
 
-    fn change(&mut self, now: f64, level: SheddingLevel, cause: String) -> Option<LevelChange> {
+    fn change(&mut self, now: f64, level: SheddingLevel, cause: LevelChangeCause) -> Option<LevelChange> {
         if level == self.level {
             return None;
         }
--- a/src/fleet/overload/level/tests.rs
+++ b/src/fleet/overload/level/tests.rs
@@ -72,7 +72,8 @@
     assert!(evaluate(&mut levels, 0.5, 2.0, |_| sums(&[10.0, 10.0], 30.0)).is_empty());
     let changes = evaluate(&mut levels, 2.5, 2.0, |_| sums(&[10.0, 10.0], 12.0));
     assert_eq!(changes.len(), 1, "{changes:?}");
-    assert!(changes[0].0 <= 3.5 && changes[0].1.cause.contains("20 a second are asked of 12"), "{changes:?}");
+    let cause = LevelChangeCause::Shortage { demand_per_s: 20.0, capacity_per_s: 12.0 };
+    assert!(changes[0].0 <= 3.5 && changes[0].1.cause == cause, "{changes:?}");
 }
 
 #[test]
@@ -104,7 +105,8 @@
     assert!(!levels.level(2.0).is_open());
     let changes = evaluate(&mut levels, 2.0, 30.0, |_| LoadSums { workers: 1, ..sums(&[10.0], 1.0) });
     assert!(
-        levels.level(32.0).is_open() && changes.iter().all(|(_, c)| c.cause.contains("too few")),
+        levels.level(32.0).is_open()
+            && changes.iter().all(|(_, c)| c.cause == LevelChangeCause::TooFewReports),
         "{changes:?}"
     );
     let pin = SheddingLevel { tier: 1, share: 0.5 };
--- a/src/fleet/overload/mod.rs
+++ b/src/fleet/overload/mod.rs
@@ -19,6 +19,7 @@
 
 pub mod capacity_leases;
 pub mod client;
+pub mod events;
 pub mod leader;
 pub mod level;
 pub mod policy;
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -5,6 +5,7 @@
 //! leader changes; successful probes restore the smallest share of calls only, and the rest returns in steps, each of which
 //! has to hold.
 
+use super::events::ServiceEvent;
 use super::view::LoadSums;
 use std::collections::BTreeMap;
 
@@ -111,8 +112,8 @@
         circuit.update_prober(now, worker);
     }
 
-    /// Evaluates a zone's new sums; what has changed, and why, for the log.
-    pub fn evaluate(&mut self, now: f64, zone: &str, sums: &LoadSums) -> Option<String> {
+    /// Evaluates a zone's new sums; returns what has changed.
+    pub fn evaluate(&mut self, now: f64, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         let circuit = self.circuit(zone);
         if circuit.is_open {
             return circuit.evaluate_probes(zone, sums);
@@ -120,10 +121,11 @@
         if circuit.is_failing(now, sums) {
             circuit.open();
             let calls = sums.calls_succeeded + sums.calls_failed;
-            return Some(format!(
-                "zone {zone}: the service is given up: {:.0} of {calls:.0} calls a second fail",
-                sums.calls_failed
-            ));
+            return Some(ServiceEvent::CircuitOpened {
+                zone: zone.to_owned(),
+                calls_per_s: calls,
+                failed_per_s: sums.calls_failed,
+            });
         }
         circuit.evaluate_latency(zone, sums)
     }
@@ -213,7 +215,7 @@
     }
 
     /// Shrinks or grows the share of calls by their latency.
-    fn evaluate_latency(&mut self, zone: &str, sums: &LoadSums) -> Option<String> {
+    fn evaluate_latency(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         let share_before = self.call_share;
         if sums.calls_succeeded > 0.0 && sums.call_s > 0.0 {
             if sums.call_s > OVERLOADED_LATENCY_FACTOR * self.baseline_s {
@@ -227,10 +229,10 @@
             self.grow();
         }
         let starts_to_shrink = self.call_share < share_before && share_before >= 1.0;
-        starts_to_shrink.then(|| {
-            let call_ms = sums.call_s * 1000.0;
-            let baseline_ms = self.baseline_s * 1000.0;
-            format!("zone {zone}: calls take {call_ms:.1} ms, {baseline_ms:.1} as a rule; fewer are made")
+        starts_to_shrink.then(|| ServiceEvent::CallsReduced {
+            zone: zone.to_owned(),
+            call_s: sums.call_s,
+            baseline_s: self.baseline_s,
         })
     }
 
@@ -248,7 +250,7 @@
     }
 
     /// Closes the circuit after enough successful probes in a row.
-    fn evaluate_probes(&mut self, zone: &str, sums: &LoadSums) -> Option<String> {
+    fn evaluate_probes(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         if sums.calls_failed > 0.0 {
             self.successes_in_row = 0;
         } else if sums.calls_succeeded > 0.0 {
@@ -258,10 +260,7 @@
             return None;
         }
         self.close();
-        Some(format!(
-            "zone {zone}: the service answers again; {:.0}% of its calls are let in at first",
-            MIN_CALL_SHARE * 100.0
-        ))
+        Some(ServiceEvent::CircuitClosed { zone: zone.to_owned(), call_share: MIN_CALL_SHARE })
     }
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -7,11 +7,13 @@
 mod actions;
 mod events;
 mod learned;
+mod reports;
 mod settings;
 
 pub use actions::Action;
 pub use events::{Arrival, Event, Gauges, Outcome};
 pub use learned::{LearnedRunLength, LearnedState, RecentCalls, RecentOutcomes, TenantTraffic, Traffic};
+pub use reports::{AdmissionEvent, HealthState, PoolLimitCause, PoolLimitChange, UnhealthyCause};
 pub use settings::{
     Class, Dependency, Idempotency, PoolItem, PoolPlan, Preemption, Settings, Signal, Tenant,
 };
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,6 +1,6 @@
 //! What a worker is to do.
 
-use super::RequestId;
+use super::{AdmissionEvent, RequestId};
 
 /// What the worker is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,6 +46,6 @@
     Publish(f64),
     /// Wake the controller after this time (seconds).
     WakeIn(f64),
-    /// Write a line to the log for operators.
-    Log(String),
+    /// Report an event to operators.
+    Log(AdmissionEvent),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -47,6 +47,7 @@
 pub mod fleet;
 pub mod hot_restart;
 pub mod interface;
+pub mod log;
 pub mod net;
 pub mod pools;
 pub mod simulator_adapter;
--- /dev/null
+++ b/src/log/layer.rs
@@ -0,0 +1,92 @@
+//! The `tracing` layer that writes the log.
+
+use super::limiter::{LineLimiter, Verdict};
+use super::line::Line;
+use super::FOLDED;
+use std::io::Write;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Instant;
+use tracing::callsite::Identifier;
+use tracing::{Event, Level, Subscriber};
+use tracing_subscriber::filter::{LevelFilter, Targets};
+use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
+use tracing_subscriber::util::SubscriberInitExt;
+
+/// The log that [`install`] has set up.
+#[derive(Clone)]
+pub struct LogHandle {
+    output: Arc<Output>,
+}
+
+struct Output {
+    started: Instant,
+    limiter: Mutex<LineLimiter<Identifier>>,
+}
+
+impl LogHandle {
+    fn new() -> LogHandle {
+        let output = Output { started: Instant::now(), limiter: Mutex::new(LineLimiter::new()) };
+        LogHandle { output: Arc::new(output) }
+    }
+
+    /// Reports how many lines were left out in a second that is over. To be called from time to time.
+    pub fn report_suppressed(&self) {
+        let suppressed = self.output.limiter().take_suppressed(self.output.now_s());
+        if let Some(lines) = suppressed {
+            let mut line = Line::new(Level::WARN, "log_lines_suppressed");
+            line.push("lines", format_args!("{lines}"));
+            write(line);
+        }
+    }
+}
+
+impl Output {
+    fn now_s(&self) -> f64 {
+        self.started.elapsed().as_secs_f64()
+    }
+
+    /// A panic in between leaves counts that are good enough to go on with.
+    fn limiter(&self) -> MutexGuard<'_, LineLimiter<Identifier>> {
+        self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// A line that can't be written, as to a full disk, must not end the process.
+fn write(line: Line) {
+    let _ = std::io::stderr().lock().write_all(line.finish().as_bytes());
+}
+
+impl<S: Subscriber> Layer<S> for LogHandle {
+    fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
+        let metadata = event.metadata();
+        let now_s = self.output.now_s();
+        let verdict = if metadata.target() == FOLDED {
+            self.output.limiter().admit_folded(now_s, metadata.callsite())
+        } else {
+            self.output.limiter().admit(now_s)
+        };
+        let Verdict::Write { occurrences } = verdict else { return };
+        let mut line = Line::new(*metadata.level(), metadata.name());
+        event.record(&mut line);
+        if occurrences > 1 {
+            line.push("occurrences", format_args!("{occurrences}"));
+        }
+        write(line);
+    }
+}
+
+/// Sets up the log of this process: events of this program's own crates, down to `INFO`, or as `filter` says. What
+/// libraries report is left out, since peers can cause it with every request.
+///
+/// Does nothing but return a handle where a log has been set up already.
+#[must_use]
+pub fn install(filter: Option<Targets>) -> LogHandle {
+    let own_crates = || {
+        let crates = ["port_worker", "fleet_coordinator"];
+        Targets::new().with_targets(crates.map(|name| (name, LevelFilter::INFO)))
+    };
+    let log = LogHandle::new();
+    let subscriber = tracing_subscriber::registry().with(filter.unwrap_or_else(own_crates)).with(log.clone());
+    let _ = subscriber.try_init();
+    log
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,7 @@
 //! Starts one port worker from the configuration that the platform names.
 
 use port_worker::config::Files;
+use port_worker::log;
 use port_worker::net::{self, WorkerError};
 use std::process::ExitCode;
 
@@ -34,6 +35,7 @@
     let console = set_variable("ROUTER_CONSOLE");
     let socket = set_variable("ROUTER_SOCKET_FD");
     let folder = set_variable("TMPDIR");
+    let _log = log::install(None);
     net::run(Files { config, operator, console, socket, folder })?;
     Ok(())
 }
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -16,7 +16,7 @@
         let (core, known) = (self.dispatcher.as_ref(), &self.state.known);
         let counters =
             || core.map(|core| counters_of(core, |class| known.class_name(class))).unwrap_or_default();
-        fleet.turn(now, counters, &mut self.wheel, &mut self.log);
+        fleet.turn(now, counters, &mut self.wheel);
         self.apply_overload_directive(now, fleet_now);
     }
 
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -8,10 +8,10 @@
 use crate::fleet::frame::{self, CallOutcome, Counters, ServerMessage, MAX_SERVER_FRAME_BYTES};
 use crate::fleet::tasks::ScheduledCall;
 use crate::fleet::{FleetMember, MemberAction, MembershipConfig};
+use crate::log::LogEvent;
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
-use crate::net::Log;
 use rustix::time::{clock_gettime, ClockId};
 use scheduled_call::CallInFlight;
 use std::collections::hash_map::RandomState;
@@ -93,13 +93,13 @@
     }
 
     /// Handles what has arrived and what is due, and writes what is to be sent. `counters` is asked when they are due.
-    pub fn turn(&mut self, loop_now: f64, counters: impl Fn() -> Counters, wheel: &mut Wheel, log: &mut Log) {
+    pub fn turn(&mut self, loop_now: f64, counters: impl Fn() -> Counters, wheel: &mut Wheel) {
         self.work_left = false;
         let now = self.now();
         self.receive(now);
         self.poll_calls(now);
         self.member.tick(now, &counters);
-        self.carry_out_actions(now, log);
+        self.carry_out_actions(now);
         self.flush(now);
         self.schedule_next_turn(now, loop_now, wheel);
     }
@@ -135,20 +135,20 @@
         }
     }
 
-    fn carry_out_actions(&mut self, now: f64, log: &mut Log) {
+    fn carry_out_actions(&mut self, now: f64) {
         for round in 1..=MAX_ACTION_ROUNDS {
             let actions = self.member.take_actions();
             if actions.is_empty() {
                 break;
             }
             for action in actions {
-                self.carry_out(now, action, log);
+                self.carry_out(now, action);
             }
             self.work_left |= round == MAX_ACTION_ROUNDS;
         }
     }
 
-    fn carry_out(&mut self, now: f64, action: MemberAction, log: &mut Log) {
+    fn carry_out(&mut self, now: f64, action: MemberAction) {
         match action {
             MemberAction::Connect(address) => self.connect(now, address),
             MemberAction::Send(message) => {
@@ -164,7 +164,7 @@
                 self.connection = None;
             }
             MemberAction::Call(call) => self.start_call(now, call),
-            MemberAction::Log(line) => log.line(&line),
+            MemberAction::Log(event) => event.emit(),
         }
     }
 
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -3,6 +3,7 @@
 use super::Worker;
 use crate::dispatch::{Command, Input, Response, Ticket};
 use crate::interface::Outcome;
+use crate::log::LogEvent;
 use crate::net::io::timer_wheel::Timer;
 
 /// What callers are told when the executor is not up yet (seconds).
@@ -39,7 +40,7 @@
             Command::Health(good) => self.set_health(good),
             Command::Publish(level) => self.state.level = Some(level),
             Command::WakeIn(after) => self.wheel.set(now, after, Timer::Wake),
-            Command::Log(text) => self.log.line(&text),
+            Command::Log(event) => event.emit(),
             Command::IdempotencyUpdate(update) => self.send_key_update(&update),
         }
     }
--- a/src/pools/limit/calibration.rs
+++ b/src/pools/limit/calibration.rs
@@ -1,7 +1,7 @@
 //! Calibration: a phase of few runs, in which the baseline of run lengths is measured (BBR's PROBE_RTT;
 //! Cardwell et al. 2016).
 
-use super::Cause;
+use crate::interface::PoolLimitCause;
 
 /// Each phase before the measurement lasts so many reviews at most.
 const MAX_PHASE_REVIEWS: f64 = 4.0;
@@ -25,14 +25,14 @@
 pub(super) struct Calibration {
     /// The limit to come back to, and its cause.
     pub(super) resume_limit: usize,
-    pub(super) resume_cause: Cause,
+    pub(super) resume_cause: PoolLimitCause,
     pub(super) phase: Phase,
     /// How long the phase has lasted (seconds).
     phase_s: f64,
 }
 
 impl Calibration {
-    pub(super) fn new(resume_limit: usize, resume_cause: Cause) -> Self {
+    pub(super) fn new(resume_limit: usize, resume_cause: PoolLimitCause) -> Self {
         Calibration { resume_limit, resume_cause, phase: Phase::Draining, phase_s: 0.0 }
     }
 
--- a/src/pools/limit/mod.rs
+++ b/src/pools/limit/mod.rs
@@ -16,12 +16,11 @@
 
 mod baseline;
 mod calibration;
-mod cause;
 mod window;
 
-pub use cause::Cause;
 pub use window::Measured;
 
+use crate::interface::PoolLimitCause;
 use baseline::{Baselines, BASELINE_RUNS};
 use calibration::{Calibration, Phase};
 use window::ReviewWindow;
@@ -91,7 +90,7 @@
 pub struct SlotLimit {
     settings: LimitSettings,
     slots: usize,
-    cause: Cause,
+    cause: PoolLimitCause,
     /// Slots at full speed that the executor is worth.
     capacity: f64,
     baselines: Baselines,
@@ -120,7 +119,7 @@
         SlotLimit {
             settings,
             slots: settings.min_slots,
-            cause: Cause::Start,
+            cause: PoolLimitCause::Start,
             capacity: settings.min_slots as f64,
             baselines: Baselines::new(lengths_s),
             window: ReviewWindow::new(lengths_s.len()),
@@ -144,7 +143,7 @@
 
     /// What set the limit.
     #[must_use]
-    pub fn cause(&self) -> Cause {
+    pub fn cause(&self) -> PoolLimitCause {
         self.cause
     }
 
@@ -170,7 +169,7 @@
     pub fn set_settings(&mut self, settings: LimitSettings, survivable_runs: usize) {
         self.settings = settings;
         let slots = self.calibration.take().map_or(self.slots, |calibration| calibration.resume_limit);
-        self.set(slots, Cause::Reload, survivable_runs);
+        self.set(slots, PoolLimitCause::Reload, survivable_runs);
     }
 
     /// Time passes with so many runs on the cores; `limit_reached` says that more would run if the limit let
@@ -246,7 +245,7 @@
         self.calibration = None;
         self.publish_measured();
         self.next_window();
-        self.set(self.settings.min_slots, Cause::Slow, survivable_runs);
+        self.set(self.settings.min_slots, PoolLimitCause::Slow, survivable_runs);
     }
 
     /// Shows the figures of the window in the log and the status.
@@ -289,7 +288,7 @@
         let on_cores = self.window.mean_on_cores();
         let slowdown = self.window.slowdown();
         // Of runs that all began at the start, only the short ones have ended in the first window.
-        let first = self.cause == Cause::Start
+        let first = self.cause == PoolLimitCause::Start
             && self.uncontended_samples == 0.0
             && !self.baselines.iter().any(|baseline| baseline.runs > 0.0);
         Verdict {
@@ -346,9 +345,9 @@
         let doubled = self.slots * 2;
         self.recovering &= target > doubled;
         if was_slow || self.recovering {
-            self.set(target.min(doubled), Cause::Recovery, survivable_runs);
+            self.set(target.min(doubled), PoolLimitCause::Recovery, survivable_runs);
         } else {
-            self.set(target, Cause::Rate, survivable_runs);
+            self.set(target, PoolLimitCause::Rate, survivable_runs);
         }
     }
 
@@ -367,11 +366,11 @@
         let lowest = (min_slots * MIN_CALIBRATION_SHARE).ceil();
         self.calibration = Some(Calibration::new(self.slots, self.cause));
         self.slots = (min_slots - self.above_limit.ceil()).max(lowest).max(1.0) as usize;
-        self.cause = Cause::Calibration;
+        self.cause = PoolLimitCause::Calibration;
     }
 
     /// Sets the limit within its bounds; a bound that holds is the cause.
-    fn set(&mut self, target: usize, cause: Cause, survivable_runs: usize) {
+    fn set(&mut self, target: usize, cause: PoolLimitCause, survivable_runs: usize) {
         // A calibration goes under the lower bound, and only its own end ends it.
         if self.calibration.is_some() {
             return;
@@ -380,13 +379,13 @@
         let upper = max_slots.min(survivable_runs).max(min_slots);
         self.slots = target.clamp(min_slots, upper);
         self.cause = match cause {
-            Cause::Rate | Cause::Recovery | Cause::Start if target > upper => {
+            PoolLimitCause::Rate | PoolLimitCause::Recovery | PoolLimitCause::Start if target > upper => {
                 match survivable_runs < max_slots {
-                    true => Cause::SurvivableRuns,
-                    false => Cause::MaxSlots,
+                    true => PoolLimitCause::SurvivableRuns,
+                    false => PoolLimitCause::MaxSlots,
                 }
             }
-            Cause::Rate if target < min_slots => Cause::MinSlots,
+            PoolLimitCause::Rate if target < min_slots => PoolLimitCause::MinSlots,
             cause => cause,
         };
     }
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -25,7 +25,7 @@
 pub use counts::Place;
 pub use report::{PoolState, PoolsState};
 
-use crate::interface::PoolPlan;
+use crate::interface::{AdmissionEvent, PoolPlan};
 use counts::Counts;
 use credit::Account;
 use limit::{LimitSettings, SlotLimit};
@@ -127,11 +127,11 @@
         let queue =
             |pool| report::QueueCounts { queued: self.queued(pool), rejected: self.accounts[pool].rejected };
         let queues: Vec<report::QueueCounts> = self.indices().map(queue).collect();
-        self.report.write(now, &self.limit, &self.plan, &queues);
+        self.report.update(now, &self.limit, &self.plan, &queues);
     }
 
-    /// Lines for the log since the last call.
-    pub fn take_lines(&mut self) -> Vec<String> {
+    /// Events since the last call.
+    pub fn take_events(&mut self) -> Vec<AdmissionEvent> {
         self.report.take()
     }
 }
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -1,12 +1,12 @@
-//! What operators see of the pools: lines for the log, and the state as one value for a status command.
+//! What operators see of the pools: events for the log, and the state as one value for a status command.
 
-use super::limit::{Cause, SlotLimit};
+use super::limit::SlotLimit;
 use super::Pools;
-use crate::interface::{PoolItem, PoolPlan};
+use crate::interface::{AdmissionEvent, PoolItem, PoolLimitCause, PoolLimitChange, PoolPlan};
 use serde::Serialize;
 
-/// At most one line of a kind and pool in this time (seconds).
-const LINE_EVERY_S: f64 = 1.0;
+/// Shortest time between two events of a kind about one pool (seconds).
+const EVENT_INTERVAL_S: f64 = 1.0;
 
 /// The state of all pools. Slots are run slots on the cores; times are seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -70,11 +70,11 @@
     rejected: u64,
 }
 
-/// Lines for the log that wait to be taken.
+/// Events that wait to be taken.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Report {
-    lines: Vec<String>,
-    /// The limit before the changes that no line tells yet.
+    events: Vec<AdmissionEvent>,
+    /// The limit before the changes that no event reports yet.
     limit_before: Option<usize>,
     limit_reported_at: Option<f64>,
     /// By pool.
@@ -87,61 +87,59 @@
         self.limit_before.get_or_insert(before);
     }
 
-    /// Writes the lines that are due.
-    pub(super) fn write(&mut self, now: f64, limit: &SlotLimit, plan: &PoolPlan, queues: &[QueueCounts]) {
-        self.write_limit(now, limit);
+    /// Adds the events that are due.
+    pub(super) fn update(&mut self, now: f64, limit: &SlotLimit, plan: &PoolPlan, queues: &[QueueCounts]) {
+        self.report_limit(now, limit);
         self.rejections.resize(queues.len(), ReportedRejections { at: f64::NEG_INFINITY, rejected: 0 });
         for (pool, queue) in queues.iter().enumerate() {
-            self.write_rejections(now, pool, &plan.pools[pool], *queue);
+            self.report_rejections(now, pool, &plan.pools[pool], *queue);
         }
     }
 
-    fn write_limit(&mut self, now: f64, limit: &SlotLimit) {
+    fn report_limit(&mut self, now: f64, limit: &SlotLimit) {
         // A calibration is over within a window or two: the executor is taken to be worth what it was.
         let due = self.limit_reported_at.map_or(true, |at| is_due(now, at));
-        if !due || limit.cause() == Cause::Calibration {
+        if !due || limit.cause() == PoolLimitCause::Calibration {
             return;
         }
         let Some(before) = self.limit_before.take().filter(|before| *before != limit.slots()) else { return };
         let measured = limit.measured();
         self.limit_reported_at = Some(now);
-        self.lines.push(format!(
-            "pools: limit={} was={before} cause={} capacity={:.2} rate_per_s={:.1} run_ms={:.0} \
-             usual_run_ms={:.0} on_cores={:.2}",
-            limit.slots(),
-            limit.cause().as_str(),
-            limit.capacity(),
-            measured.rate_per_s,
-            measured.run_s * 1000.0,
-            measured.baseline_s * 1000.0,
-            measured.on_cores
-        ));
+        self.events.push(AdmissionEvent::PoolLimitChanged(PoolLimitChange {
+            limit: limit.slots(),
+            previous: before,
+            cause: limit.cause(),
+            capacity: limit.capacity(),
+            rate_per_s: measured.rate_per_s,
+            run_s: measured.run_s,
+            baseline_run_s: measured.baseline_s,
+            on_cores: measured.on_cores,
+        }));
     }
 
-    fn write_rejections(&mut self, now: f64, pool: usize, item: &PoolItem, queue: QueueCounts) {
+    fn report_rejections(&mut self, now: f64, pool: usize, item: &PoolItem, queue: QueueCounts) {
         let reported = &mut self.rejections[pool];
         // A new plan may have begun the count anew.
         reported.rejected = reported.rejected.min(queue.rejected);
         if queue.rejected > reported.rejected && is_due(now, reported.at) {
-            self.lines.push(format!(
-                "pools: pool={} turned_away={} held={} queue={}",
-                item.name,
-                queue.rejected - reported.rejected,
-                queue.queued,
-                item.queue
-            ));
+            self.events.push(AdmissionEvent::PoolRequestsRejected {
+                pool: item.name.clone(),
+                rejected: queue.rejected - reported.rejected,
+                queued: queue.queued,
+                queue_capacity: item.queue,
+            });
             *reported = ReportedRejections { at: now, rejected: queue.rejected };
         }
     }
 
-    /// Takes the lines.
-    pub(super) fn take(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.lines)
+    /// Takes the events.
+    pub(super) fn take(&mut self) -> Vec<AdmissionEvent> {
+        std::mem::take(&mut self.events)
     }
 }
 
 fn is_due(now: f64, reported_at: f64) -> bool {
-    now - reported_at >= LINE_EVERY_S
+    now - reported_at >= EVENT_INTERVAL_S
 }
 
 impl Pools {
--- a/src/pools/tests.rs
+++ b/src/pools/tests.rs
@@ -1,7 +1,8 @@
 //! Properties of the pools over random courses of events, and each hard case by itself. Seeds are fixed.
 
-use super::limit::{Cause, LimitSettings, SlotLimit};
+use super::limit::{LimitSettings, SlotLimit};
 use super::{Place, Pools};
+use crate::interface::{AdmissionEvent, PoolLimitCause, PoolLimitChange};
 use crate::interface::{PoolItem, PoolPlan};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -379,7 +380,7 @@
     random: u64,
     above: usize,
     crowd: usize,
-    limits: Vec<(f64, usize, Cause)>,
+    limits: Vec<(f64, usize, PoolLimitCause)>,
     now: f64,
 }
 
@@ -478,7 +479,11 @@
         assert!(l.mean_limit(50.0) >= 27.0);
         l.speed = 1.0 / times;
         l.play(10.0, 1000);
-        let fell = l.limits.iter().find(|x| x.0 > 60.0 && x.2 == Cause::Slow && x.1 == 6).map(|x| x.0 - 60.0);
+        let fell = l
+            .limits
+            .iter()
+            .find(|x| x.0 > 60.0 && x.2 == PoolLimitCause::Slow && x.1 == 6)
+            .map(|x| x.0 - 60.0);
         assert!(fell.is_some_and(|s| s < 3.0), "{times}: it fell after {fell:?}");
         l.speed = 1.0;
         l.play(6.0, 1000);
@@ -517,7 +522,7 @@
 fn a_change_of_limit_is_one_line_with_its_cause_and_no_more_than_one_a_second() {
     let items = vec![item("a", 0.5, 1.0, 1.0), item("b", 0.5, 1.0, 1.0)];
     let mut w = World::new(plan(items.clone(), None, 4, 40), 2);
-    let mut lines: Vec<(f64, String)> = Vec::new();
+    let mut events: Vec<(f64, AdmissionEvent)> = Vec::new();
     for turn in 0..4000 {
         w.saturate(&[0, 1], 0.025, 0.1);
         w.pools.count_rejection(1);
@@ -525,18 +530,31 @@
             w.pools.replan(plan(items.clone(), None, 2, 3));
         }
         w.pools.review(w.now, 1000);
-        lines.extend(w.pools.take_lines().into_iter().map(|l| (w.now, l)));
+        events.extend(w.pools.take_events().into_iter().map(|event| (w.now, event)));
     }
-    let limits: Vec<&(f64, String)> = lines.iter().filter(|l| l.1.starts_with("pools: limit=")).collect();
+    let limit_change = |(at, event): &(f64, AdmissionEvent)| match event {
+        AdmissionEvent::PoolLimitChanged(change) => Some((*at, *change)),
+        _ => None,
+    };
+    let limits: Vec<(f64, PoolLimitChange)> = events.iter().filter_map(limit_change).collect();
     assert!(limits.windows(2).all(|w| w[1].0 - w[0].0 >= 0.99), "{limits:?}");
+    let first = limits[0].1;
     assert!(
-        limits[0].1.contains("was=4 cause=rate") && limits[0].1.contains(" usual_run_ms="),
-        "{:?}",
-        limits[0]
+        first.previous == 4 && first.cause == PoolLimitCause::Rate && first.baseline_run_s > 0.0,
+        "{first:?}"
     );
-    assert!(limits.iter().any(|l| l.1.contains("limit=3 ") && l.1.contains("cause=reload")), "{limits:?}");
-    let away: Vec<&(f64, String)> =
-        lines.iter().filter(|l| l.1.starts_with("pools: pool=b turned_away=")).collect();
-    assert!(away.len() > 50 && away.windows(2).all(|w| w[1].0 - w[0].0 >= 0.99));
-    assert!(!lines.iter().any(|l| l.1.contains("pool=a")));
+    let is_reload = |change: &PoolLimitChange| change.limit == 3 && change.cause == PoolLimitCause::Reload;
+    assert!(limits.iter().any(|(_, change)| is_reload(change)), "{limits:?}");
+    let rejections_of = |name: &'static str| {
+        events.iter().filter_map(move |(at, event)| match event {
+            AdmissionEvent::PoolRequestsRejected { pool, rejected, .. } if pool == name => {
+                assert!(*rejected > 0, "an event reports no rejection");
+                Some(*at)
+            }
+            _ => None,
+        })
+    };
+    let rejections: Vec<f64> = rejections_of("b").collect();
+    assert!(rejections.len() > 50 && rejections.windows(2).all(|w| w[1] - w[0] >= 0.99));
+    assert_eq!(rejections_of("a").count(), 0);
 }
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -122,7 +122,7 @@
     Fitness { want: bool, from_state: bool },
     Publish { level: f64 },
     Schedule { in_s: f64, nonce: &'static str },
-    Debug { body_text: &'a str },
+    Debug { body_text: String },
 }
 
 /// The only timer token: the controller keeps its own plan of what is due.
@@ -160,6 +160,6 @@
         Action::Health(good) => Order::Fitness { want: *good, from_state: true },
         Action::Publish(level) => Order::Publish { level: *level },
         Action::WakeIn(after) => Order::Schedule { in_s: *after, nonce: WAKE },
-        Action::Log(text) => Order::Debug { body_text: text },
+        Action::Log(event) => Order::Debug { body_text: format!("{event:?}") },
     })
 }
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -10,6 +10,7 @@
 use port_worker::config::Config;
 use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
 use port_worker::fleet::overload::client::FleetOverloadClient;
+use port_worker::fleet::overload::events::OverloadEvent;
 use port_worker::fleet::overload::leader::{Leader, Settings as Overload};
 use port_worker::fleet::overload::{FleetDigest, LoadReport, REPORT_INTERVAL_S};
 use port_worker::{Gauges, Outcome};
@@ -102,7 +103,7 @@
     pub further: f64,
     pub owed: usize,
     /// What the leader logged, with its time.
-    pub lines: Vec<(f64, String)>,
+    pub events: Vec<(f64, OverloadEvent)>,
     /// A digest of all answers: the same seed gives the same.
     pub trace: u64,
 }
@@ -527,8 +528,8 @@
             let Some((_, w, number, digest)) = self.down.pop_front() else { break };
             self.workers[w].side.receive(number, &digest);
         }
-        let lines = self.leader.evaluate(now);
-        self.storm.lines.extend(lines.into_iter().map(|line| (now, line)));
+        let events = self.leader.evaluate(now);
+        self.storm.events.extend(events.into_iter().map(|event| (now, event)));
     }
 }
 
--- a/testbed/src/fleet/overload_storm/tests.rs
+++ b/testbed/src/fleet/overload_storm/tests.rs
@@ -13,7 +13,7 @@
             storm.earned(),
             alone.earned()
         );
-        assert!(storm.owed == 0 && storm.lines.is_empty(), "{part:?}: {:?}", storm.lines);
+        assert!(storm.owed == 0 && storm.events.is_empty(), "{part:?}: {:?}", storm.events);
     }
     assert_eq!(play(&shape(Part::Fleet), 3).unwrap().trace, play(&shape(Part::Fleet), 3).unwrap().trace);
 }
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -309,9 +309,10 @@
                     }
                 }
                 MemberAction::Call(call) => self.send_call(worker, call),
-                MemberAction::Log(text) => {
-                    self.verdict.grants += u64::from(text.contains(" is held, token"));
-                    self.trace(&format!("w{worker}"), &text);
+                MemberAction::Log(event) => {
+                    self.verdict.grants +=
+                        u64::from(matches!(event, port_worker::fleet::MembershipEvent::LeaseAcquired(_)));
+                    self.trace(&format!("w{worker}"), &format!("{event:?}"));
                 }
             }
         }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -4,6 +4,7 @@
 //! `HONEYPOST_RECORD_TRACES=1 cargo test --test traces` writes them anew; only a change that is meant to change
 //! decisions on the platform may do that.
 
+use port_worker::interface::{AdmissionEvent, HealthState, UnhealthyCause};
 use port_worker::{
     Action, Arrival, Class, Controller, Dependency, Event, Gauges, Idempotency, Outcome, Preemption,
     RequestId, Settings, Signal, Tenant,
@@ -197,10 +198,20 @@
         Action::ReleaseKey(id) => format!("Forget({id:?})"),
         Action::ShareResponse(id) => format!("ShareAnswer({id:?})"),
         Action::Preempt(id) => format!("Halt({id:?})"),
+        Action::Log(AdmissionEvent::HealthChanged(state)) => format!("Log({:?})", recorded_line(*state)),
         unchanged => format!("{unchanged:.9?}"),
     }
 }
 
+/// The log line that was recorded for a change of health.
+fn recorded_line(state: HealthState) -> &'static str {
+    match state {
+        HealthState::Healthy => "well again",
+        HealthState::Unhealthy(UnhealthyCause::ReadLag) => "swamped: requests are read too late to be served",
+        HealthState::Unhealthy(_) => "sick: runs fail or do not end",
+    }
+}
+
 fn hold_against(name: &str, seed: u64, set: Settings) {
     let path = format!("{}/tests/traces/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let played = play(seed, set);
