--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -72,6 +72,15 @@
         fleet
     }
 
+    /// With two workers, of which one carries out the only task.
+    pub fn of_two_workers() -> Fleet {
+        let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 2\n\
+            [[task]]\nname = \"report\"\nperiod_s = 0.4\nttl_ms = 3000\ndeadline_ms = 300\nsafe = true\n";
+        let fleet = Fleet::of(file, true);
+        fleet.wait_acts("report", 1);
+        fleet
+    }
+
     /// Four workers in two zones that handle overload as one, with four calls in hand each at the service below.
     pub fn overloaded() -> Fleet {
         let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 4\nzones = [\"east\", \"west\"]\ncalls_part = 4.0\n";
@@ -102,6 +111,11 @@
         Fleet { rig, folder }
     }
 
+    /// What a process has logged so far.
+    pub fn log(&self, name: &str) -> String {
+        std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default()
+    }
+
     /// Waits until something is so.
     pub fn wait<T>(&self, what: &str, mut look: impl FnMut(&Rig) -> Option<T>) -> T {
         let until = Instant::now() + PATIENCE;
@@ -118,7 +132,7 @@
     fn told(&self) -> String {
         let names = self.rig.coordinators().into_iter().chain(self.rig.workers());
         names.fold(String::new(), |all, name| {
-            let log = std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default();
+            let log = self.log(&name);
             let lines: Vec<&str> = log.lines().collect();
             let last = lines[lines.len().saturating_sub(8)..].join("\n  ");
             format!("{all}{name}:\n  {last}\n")
--- /dev/null
+++ b/testbed/tests/fleet/log_lines.rs
@@ -0,0 +1,89 @@
+//! The log lines of a lease that is lost and acquired again, and of leaders that change, compared with the fixture
+//! `tests/fixtures/log/fleet.txt`. What differs from run to run (times, addresses, numbers, names of coordinators) is
+//! masked.
+//!
+//! Which coordinator logs what, and in which order, differs between runs. So each line of the fixture must have been
+//! logged by some process of its kind; other lines may be there too. To record the fixture anew, run with
+//! `UPDATE_OUTPUT_FIXTURES=1` and read the difference: a line that not every run has is taken out again. Such a run fails:
+//! nothing is compared in it.
+
+use super::common::Fleet;
+use std::collections::BTreeSet;
+use std::path::Path;
+
+const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
+const FIXTURE: &str = "tests/fixtures/log/fleet.txt";
+
+/// Replaces numbers, but not those in names like `c1`, and the names of coordinators.
+fn mask_line(line: &str) -> String {
+    let (_time, text) = line.split_once(' ').expect("a time and a text");
+    let mut masked = String::from("<time> ");
+    let mut rest = text;
+    while let Some(start) = rest.find(|c: char| c.is_ascii_alphanumeric()) {
+        let word = &rest[start..];
+        let word = &word[..word.find(|c: char| !c.is_ascii_alphanumeric()).unwrap_or(word.len())];
+        masked.push_str(&rest[..start]);
+        let is_number = word.chars().all(|c| c.is_ascii_digit());
+        let is_coordinator = matches!(word, "c1" | "c2" | "c3");
+        masked.push_str(match word {
+            _ if is_number => "<n>",
+            _ if is_coordinator => "<coordinator>",
+            word => word,
+        });
+        rest = &rest[start + word.len()..];
+    }
+    masked + rest
+}
+
+fn masked_lines(fleet: &Fleet, names: &[String]) -> BTreeSet<String> {
+    let logs: Vec<String> = names.iter().map(|name| fleet.log(name)).collect();
+    logs.iter().flat_map(|log| log.lines()).map(mask_line).collect()
+}
+
+/// Cuts every link between this process and these coordinators, or joins them again.
+fn cut(fleet: &mut Fleet, name: &str, coordinators: &[String], cut: bool) {
+    for coordinator in coordinators {
+        fleet.rig.cut(name, coordinator, false, cut).unwrap();
+    }
+}
+
+#[test]
+fn lease_and_leader_changes_log_the_recorded_lines() {
+    let mut fleet = Fleet::of_two_workers();
+    let (coordinators, workers) = (fleet.rig.coordinators(), fleet.rig.workers());
+    // The holder is cut off until the other worker holds its lease.
+    let holder = fleet.holder("report");
+    cut(&mut fleet, &holder, &coordinators, true);
+    fleet.wait_other_holder("report", &holder);
+    cut(&mut fleet, &holder, &coordinators, false);
+    fleet.wait("the lease is lost", |_| fleet.log(&holder).contains("report is lost").then_some(()));
+    // A leader in a minority is followed by another, and learns it.
+    let leader = fleet.leader();
+    let others: Vec<String> = coordinators.iter().filter(|c| **c != leader).cloned().collect();
+    cut(&mut fleet, &leader, &others, true);
+    fleet.wait("another leader", |_| {
+        others.iter().find(|c| fleet.status(c).is_some_and(|s| s["leads"] == true)).cloned()
+    });
+    cut(&mut fleet, &leader, &others, false);
+    fleet.wait("one leader", |_| fleet.status(&leader).filter(|s| s["leads"] == false));
+    fleet.wait_acts("report", 2);
+    // Workers that shut down give their leases back.
+    workers.iter().for_each(|worker| fleet.rig.terminate(worker).unwrap());
+
+    let worker = masked_lines(&fleet, &workers);
+    let coordinator = masked_lines(&fleet, &coordinators);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(FIXTURE);
+    if std::env::var_os(UPDATE_VARIABLE).is_some() {
+        let list = |kind: &str, lines: &BTreeSet<String>| {
+            lines.iter().map(|line| format!("{kind} {line}\n")).collect::<String>()
+        };
+        let text = list("coordinator", &coordinator) + &list("worker", &worker);
+        std::fs::write(path, text).unwrap();
+        panic!("{FIXTURE} is written; run again without {UPDATE_VARIABLE}");
+    }
+    for expected in std::fs::read_to_string(path).unwrap().lines() {
+        let (kind, line) = expected.split_once(' ').unwrap();
+        let logged = if kind == "worker" { &worker } else { &coordinator };
+        assert!(logged.contains(line), "no {kind} logged {line:?}; there is {logged:#?}");
+    }
+}
--- a/testbed/tests/fleet/main.rs
+++ b/testbed/tests/fleet/main.rs
@@ -2,5 +2,6 @@
 //! stand-in that tasks act upon, by its one clock.
 
 mod common;
+mod log_lines;
 mod overload;
 mod stories;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -246,6 +246,12 @@
         None
     }
 
+    /// All lines of the log of a worker that has ended.
+    pub fn complete_log(&mut self) -> &[String] {
+        self.log.extend(self.lines.iter());
+        &self.log
+    }
+
     /// Links up as an executor that is warm.
     pub fn link(&self) -> Executor {
         let executor = self.link_silently();
@@ -404,6 +410,11 @@
         }
     }
 
+    /// Says no more, and lets the worker end the link. To drop the link could reset it, if a command is unread.
+    pub fn end_link(&self) {
+        self.reader.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
+    }
+
     pub fn say(&mut self, notice: Value) {
         self.reader.get_ref().write_all(format!("{notice}\n").as_bytes()).unwrap();
     }
--- /dev/null
+++ b/tests/log_lines.rs
@@ -0,0 +1,155 @@
+//! The log lines of whole worker lives, compared with the fixtures under `tests/fixtures/log`. What differs from run to
+//! run (times, ports, durations, paths) is masked.
+//!
+//! To record the fixtures anew from the present worker, run with `UPDATE_OUTPUT_FIXTURES=1` and read the difference. Such
+//! a run fails: nothing is compared in it.
+
+mod common;
+
+use common::*;
+use serde_json::json;
+use std::path::PathBuf;
+use std::time::Instant;
+
+const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
+
+/// Replaces each run of characters that `continues` after `mark`.
+fn mask_after(line: &str, mark: &str, mask: &str, continues: fn(char) -> bool) -> String {
+    let mut parts = line.split(mark);
+    let mut masked = parts.next().unwrap_or_default().to_owned();
+    for part in parts {
+        masked.push_str(mark);
+        masked.push_str(mask);
+        masked.push_str(part.trim_start_matches(continues));
+    }
+    masked
+}
+
+/// Replaces each number with a fraction of three digits: a measured duration.
+fn mask_durations(line: &str) -> String {
+    let is_number = |c: char| c.is_ascii_digit() || c == '.';
+    let mut masked = String::new();
+    let mut rest = line;
+    while let Some(start) = rest.find(|c: char| c.is_ascii_digit()) {
+        let number = &rest[start..];
+        let number = &number[..number.find(|c| !is_number(c)).unwrap_or(number.len())];
+        let measured = number
+            .split_once('.')
+            .is_some_and(|(_, fraction)| fraction.len() == 3 && !fraction.contains('.'));
+        masked.push_str(&rest[..start]);
+        masked.push_str(if measured { "<seconds>" } else { number });
+        rest = &rest[start + number.len()..];
+    }
+    masked + rest
+}
+
+/// The line without its time, and with a mask for what differs from run to run.
+fn mask_line(line: &str) -> String {
+    let (time, text) = line.split_once(' ').expect("a time and a text");
+    assert!(time.parse::<f64>().is_ok(), "{line:?} begins with no time");
+    let text = mask_after(text, "127.0.0.1:", "<port>", |c| c.is_ascii_digit());
+    let folder = std::env::temp_dir();
+    let text = mask_after(&text, folder.to_str().unwrap(), "<path>", |c| !" \",;:".contains(c));
+    format!("<time> {}", mask_durations(&text))
+}
+
+fn log_of(worker: &mut Site) -> String {
+    worker.complete_log().iter().map(|line| mask_line(line) + "\n").collect()
+}
+
+/// Compares a log with its fixture.
+fn check(fixture: &str, found: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/log").join(fixture);
+    if std::env::var_os(UPDATE_VARIABLE).is_some() {
+        std::fs::write(&path, found).unwrap();
+        panic!("{fixture} is written; run again without {UPDATE_VARIABLE}");
+    }
+    let expected = std::fs::read_to_string(&path).unwrap();
+    assert_eq!(found, expected, "{fixture}");
+}
+
+fn terminate(worker: &mut Site) {
+    worker.terminate();
+    assert!(worker.ended_well());
+}
+
+fn wait_ready(worker: &Site) {
+    let until = Instant::now() + PATIENCE;
+    while worker.call("GET", "/-/ready").0 != 200 {
+        assert!(Instant::now() < until, "the worker never gets ready");
+    }
+}
+
+#[test]
+fn start_and_graceful_shutdown_log_the_recorded_lines() {
+    let mut worker = Site::with(|config| config["console"] = json!("127.0.0.1:0"), None);
+    let mut executor = worker.link();
+    let mut client = Client::connect(worker.http);
+    client.send(&Ask::new("look"));
+    executor.serve(&mut client, "done");
+    terminate(&mut worker);
+    check("shutdown.txt", &log_of(&mut worker));
+}
+
+#[test]
+fn good_and_rejected_reloads_log_the_recorded_lines() {
+    let pools = "[pools]\n[[pools.pool]]\nname = \"all\"\nclasses = [\"look\", \"order\"]\n";
+    let mut worker = Site::with(|_| {}, Some(""));
+    let _executor = worker.link();
+    worker.reload(|config| config["stop_ms"] = json!(7000));
+    worker.wait_log("127.0.0.1:");
+    worker.reload(|config| config["name"] = json!("n2"));
+    worker.wait_log("127.0.0.1:");
+    worker.reload_text("{\"name\": ");
+    worker.wait_log("EOF");
+    worker.reload_text(&json!({"name": "n1"}).to_string());
+    worker.wait_log("missing field");
+    worker.reload(|config| config["name"] = json!("n1"));
+    worker.wait_log("127.0.0.1:");
+    for operator in ["misspelt = 1\n", pools] {
+        worker.reload_operator(operator);
+        worker.wait_log("127.0.0.1:");
+    }
+    terminate(&mut worker);
+    check("reload.txt", &log_of(&mut worker));
+}
+
+#[test]
+fn executor_link_lost_and_restored_logs_the_recorded_lines() {
+    let mut worker = Site::start();
+    let first = worker.link();
+    first.end_link();
+    worker.wait_log("link lost");
+    let mut executor = worker.link_silently();
+    let mut client = Client::connect(worker.http);
+    client.send(&Ask::new("look"));
+    executor.serve(&mut client, "served over the second link");
+    terminate(&mut worker);
+    check("executor_link.txt", &log_of(&mut worker));
+}
+
+#[test]
+fn console_drain_and_resume_log_the_recorded_lines() {
+    let mut worker = Site::with(|config| config["console"] = json!("127.0.0.1:0"), None);
+    let _executor = worker.link();
+    for path in ["/-/drain", "/-/drain", "/-/resume", "/-/resume"] {
+        assert_eq!(worker.call("POST", path).0, 200);
+    }
+    terminate(&mut worker);
+    check("console_drain.txt", &log_of(&mut worker));
+}
+
+#[test]
+fn hot_restart_logs_the_recorded_lines_in_both_processes() {
+    let shared = SharedListener::new();
+    let mut predecessor = Site::at(&shared, |_| {});
+    let _predecessor_executor = predecessor.link();
+    wait_ready(&predecessor);
+    let mut successor = Site::at(&shared, |_| {});
+    let _successor_executor = successor.link();
+    wait_ready(&successor);
+    terminate(&mut predecessor);
+    terminate(&mut successor);
+    let (predecessor, successor) = (log_of(&mut predecessor), log_of(&mut successor));
+    check("hot_restart.txt", &format!("== predecessor\n{predecessor}== successor\n{successor}"));
+}
