--- a/src/main.rs
+++ b/src/main.rs
@@ -35,8 +35,8 @@
     let console = set_variable("ROUTER_CONSOLE");
     let socket = set_variable("ROUTER_SOCKET_FD");
     let folder = set_variable("TMPDIR");
-    let _log = log::install(None);
-    net::run(Files { config, operator, console, socket, folder })?;
+    let log = log::install(None);
+    net::run(Files { config, operator, console, socket, folder }, log)?;
     Ok(())
 }
 
--- /dev/null
+++ b/src/net/events/hot_restart.rs
@@ -0,0 +1,159 @@
+//! Events of a hot restart.
+
+use crate::hot_restart::IndeterminateKeys;
+use crate::log::{excerpt, LogEvent, FOLDED};
+use std::error::Error;
+use std::io;
+use tracing::{error, info, warn};
+
+/// What a process reports of its predecessor and its successor.
+#[derive(Debug)]
+pub enum HotRestartEvent<'a> {
+    /// This process can neither replace another nor be replaced.
+    Unavailable(UnavailableCause<'a>),
+    /// No link to a predecessor could be established: this process serves as if there were none.
+    PredecessorUnreachable(&'a dyn Error),
+    /// A predecessor has left its socket and is gone: what it ran is not known.
+    PredecessorDead,
+    /// The predecessor does not hand off to this process.
+    PredecessorIncompatible {
+        /// Why, as it says.
+        reason: &'a str,
+    },
+    /// The predecessor has sent more than a process can have.
+    StateTooLarge,
+    /// All of the predecessor's state is in use here.
+    StateAdopted {
+        /// Idempotency keys.
+        keys: usize,
+        /// Connections.
+        connections: usize,
+        /// Queued requests.
+        queued: usize,
+        /// Runs that the predecessor still has on the cores.
+        predecessor_runs: usize,
+    },
+    /// What is assumed of idempotency keys that are not known here.
+    IndeterminateKeysSet(IndeterminateKeys),
+    /// This process accepts clients.
+    ListenersAcquired,
+    /// The successor accepts clients, and has confirmed it.
+    ListenersHandedOff,
+    /// The successor has ended before it confirmed: this process accepts clients again.
+    ListenersReclaimed,
+    /// Queued requests were sent to the successor.
+    RequestsHandedOff {
+        /// Number of requests.
+        queued: usize,
+    },
+    /// A process that wants to be the successor is not accepted.
+    SuccessorIncompatible {
+        /// Why.
+        reason: &'a dyn Error,
+    },
+    /// A frame of the other process can't be read.
+    FrameDamaged {
+        /// The other process.
+        peer: Peer,
+        /// What is wrong with it.
+        error: &'a dyn Error,
+    },
+    /// The other process has sent a frame that is not its to send.
+    FrameUnexpected(Peer),
+    /// The other process has ended.
+    PeerExited(Peer),
+    /// A handed-off request names a class or tenant that does not exist here.
+    RequestRejected,
+    /// A handed-off connection could not be adopted.
+    ConnectionRejected,
+    /// The process has had the shutdown notice after its hand-off, and exits once no response is pending.
+    ExitPending,
+}
+
+/// Why a hot restart is not possible.
+#[derive(Debug)]
+pub enum UnavailableCause<'a> {
+    /// `TMPDIR` names no folder in which two processes could meet.
+    NoSharedFolder,
+    /// This process can't listen for a successor.
+    NoSocket(&'a io::Error),
+}
+
+/// The other process of a hot restart.
+#[derive(Clone, Copy, Debug)]
+pub enum Peer {
+    /// The process before this one.
+    Predecessor,
+    /// The process after this one.
+    Successor,
+}
+
+impl Peer {
+    fn as_str(self) -> &'static str {
+        match self {
+            Peer::Predecessor => "predecessor",
+            Peer::Successor => "successor",
+        }
+    }
+}
+
+impl LogEvent for HotRestartEvent<'_> {
+    fn emit(&self) {
+        match self {
+            HotRestartEvent::Unavailable(UnavailableCause::NoSharedFolder) => {
+                warn!(name: "hot_restart_unavailable", cause = "TMPDIR names no folder");
+            }
+            HotRestartEvent::Unavailable(UnavailableCause::NoSocket(error)) => {
+                error!(name: "hot_restart_unavailable", cause = %error);
+            }
+            HotRestartEvent::PredecessorUnreachable(error) => {
+                warn!(name: "predecessor_unreachable", cause = %error);
+            }
+            HotRestartEvent::PredecessorDead => warn!(name: "predecessor_dead", runs = "unknown"),
+            HotRestartEvent::PredecessorIncompatible { reason } => {
+                warn!(name: "hot_restart_rejected", by = "predecessor", cause = excerpt(reason));
+            }
+            HotRestartEvent::SuccessorIncompatible { reason } => {
+                warn!(name: "hot_restart_rejected", by = "this_process", cause = %reason);
+            }
+            HotRestartEvent::StateTooLarge => {
+                warn!(name: "hot_restart_state_too_large", peer = "predecessor")
+            }
+            HotRestartEvent::StateAdopted { keys, connections, queued, predecessor_runs } => {
+                info!(name: "hot_restart_state_adopted", keys, connections, queued, predecessor_runs);
+            }
+            HotRestartEvent::IndeterminateKeysSet(keys) => emit_indeterminate_keys(*keys),
+            HotRestartEvent::ListenersAcquired => info!(name: "listeners_acquired", accepting = true),
+            HotRestartEvent::ListenersHandedOff => info!(name: "listeners_handed_off", accepting = false),
+            HotRestartEvent::ListenersReclaimed => warn!(name: "listeners_reclaimed", accepting = true),
+            HotRestartEvent::RequestsHandedOff { queued } => info!(name: "requests_handed_off", queued),
+            HotRestartEvent::FrameDamaged { peer, error } => {
+                let cause = error.to_string();
+                warn!(name: "hot_restart_frame_damaged", peer = peer.as_str(), cause = excerpt(&cause));
+            }
+            HotRestartEvent::FrameUnexpected(peer) => {
+                warn!(name: "hot_restart_frame_unexpected", target: FOLDED, peer = peer.as_str());
+            }
+            HotRestartEvent::PeerExited(peer) => {
+                info!(name: "hot_restart_peer_exited", peer = peer.as_str());
+            }
+            HotRestartEvent::RequestRejected => {
+                warn!(name: "handed_off_request_rejected", target: FOLDED, cause = "unknown_class_or_tenant");
+            }
+            HotRestartEvent::ConnectionRejected => {
+                warn!(name: "handed_off_connection_rejected", target: FOLDED, cause = "not_adoptable");
+            }
+            HotRestartEvent::ExitPending => info!(name: "exit_pending", until = "responses_sent"),
+        }
+    }
+}
+
+fn emit_indeterminate_keys(keys: IndeterminateKeys) {
+    match keys {
+        IndeterminateKeys::None => info!(name: "indeterminate_keys_changed", unknown_keys = "run"),
+        IndeterminateKeys::All => warn!(name: "indeterminate_keys_changed", unknown_keys = "fail"),
+        IndeterminateKeys::RetriesUntil(_) => {
+            warn!(name: "indeterminate_keys_changed", unknown_keys = "retries_fail_for_a_window");
+        }
+    }
+}
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -7,6 +7,8 @@
 
 use crate::config::{AjpSettings, Identity};
 use crate::dispatch::{Input, Response, Ticket};
+use crate::log::LogEvent;
+use crate::net::events::FrontendEvent;
 use crate::net::frontends::connections::{
     Connection, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
 };
@@ -14,7 +16,7 @@
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
 use crate::net::upstreams::ajp_codec::{self, ToContainer, Way, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES};
-use crate::net::{Clock, ListenError, Log, State};
+use crate::net::{Clock, ListenError, State};
 use head::{check_head, PendingRequest, Rejection};
 use response::{write_response, AjpResponse};
 use std::net::TcpListener;
@@ -35,8 +37,6 @@
     pub inputs: &'a mut Vec<Input>,
     /// Takes what goes to the directory.
     pub lookups: &'a mut Vec<Lookup>,
-    /// The log.
-    pub log: &'a mut Log,
 }
 
 /// A question to the directory for the tenant of a request.
@@ -130,7 +130,7 @@
                 Ok(None) => return,
                 // After a wrong magic or length there is no telling where a message begins.
                 Err(error) => {
-                    turn.log.line(&format!("ajp: closed for a bad packet: {error:?}"));
+                    FrontendEvent::AjpPacketMalformed(&error).emit();
                     connection.finish(now);
                 }
             }
@@ -144,7 +144,7 @@
         let packet_end = payload.end;
         let chunk = connection.link.data().get(payload).map(ajp_codec::body);
         let Some(Ok(chunk)) = chunk else {
-            turn.log.line("ajp: closed for a bad body packet");
+            FrontendEvent::AjpBodyMalformed.emit();
             connection.finish(now);
             return;
         };
@@ -179,7 +179,7 @@
                 return connection.set_state(now, ConnectionState::Idle);
             }
             Some(Err(_)) | None => {
-                turn.log.line("ajp: closed for a message that can't be read");
+                FrontendEvent::AjpMessageMalformed.emit();
                 return connection.finish(now);
             }
         };
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -4,10 +4,12 @@
 use super::session::{PollInput, PollOutput, Session};
 use super::{overhead_budget, Http2Front};
 use crate::dispatch::Input;
+use crate::log::LogEvent;
+use crate::net::events::{FrontendEvent, SessionEndCause};
 use crate::net::frontends::connections::{Connection, ConnectionState, NextStep};
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::Poll;
-use crate::net::{Clock, Log, State};
+use crate::net::{Clock, State};
 use std::io;
 
 /// What a client sends first (RFC 9113, section 3.4).
@@ -31,8 +33,6 @@
     pub(super) state: &'a State,
     /// What goes to the dispatcher at the end of the turn.
     pub(super) inputs: &'a mut Vec<Input>,
-    /// The worker's log.
-    pub(super) log: &'a mut Log,
 }
 
 /// A session, and the account of what its client sends that belongs to no request.
@@ -287,10 +287,10 @@
         ReadDecision::Read(_) | ReadDecision::Throttle { first: false } => {}
         ReadDecision::Throttle { first: true } => {
             pressure.record_abuse(turn.now);
-            turn.log.often("http2: a client sends much that asks for nothing: it is read slowly");
+            FrontendEvent::Http2SessionThrottled.emit();
         }
         ReadDecision::Terminate => {
-            turn.log.often("http2: a client goes on sending what asks for nothing: it is told to go");
+            FrontendEvent::Http2SessionTerminated(SessionEndCause::IdleFrames).emit();
             active.session.abort_for_abuse();
         }
     }
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -22,7 +22,7 @@
 use crate::dispatch::{Input, Response, Ticket};
 use crate::net::frontends::connections::Connections;
 use crate::net::io::poll::{Place, Poll};
-use crate::net::{Clock, ListenError, Log, State};
+use crate::net::{Clock, ListenError, State};
 use abuse_detection::{OverheadBudget, PressureMonitor};
 use connection::{queue_output, SessionEntry, Turn};
 use session_admission::SessionAdmission;
@@ -92,12 +92,12 @@
 
     /// Accepts connections and processes those that something happened to; `true` if accepting had to be broken off, or
     /// connections wait for a session, and it is to be called again soon.
-    pub fn gather(&mut self, clock: &Clock, state: &State, inputs: &mut Vec<Input>, log: &mut Log) -> bool {
+    pub fn gather(&mut self, clock: &Clock, state: &State, inputs: &mut Vec<Input>) -> bool {
         let now = clock.now();
         let accept_paused = self.connections.accept(now);
         self.admit_waiting(now, inputs);
         for id in self.connections.take_touched() {
-            let mut turn = Turn { now: clock.now(), clock, state, inputs, log };
+            let mut turn = Turn { now: clock.now(), clock, state, inputs };
             self.process_connection(id, &mut turn);
         }
         accept_paused || self.admission.has_waiting()
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -4,8 +4,9 @@
 use super::session::IdleOutcome;
 use super::Http2Front;
 use crate::dispatch::Input;
+use crate::log::LogEvent;
+use crate::net::events::{FrontendEvent, SessionEndCause};
 use crate::net::frontends::connections::ConnectionState;
-use crate::net::Log;
 
 /// How long a client may take nothing of what waits for it (seconds).
 const MAX_SEND_STALL_S: f64 = 10.0;
@@ -14,9 +15,9 @@
     /// Ends connections that are due, and has all others processed: streams that are too slow end by time alone.
     /// `send_away` says that operators drain this worker: a health check moves no client that keeps its connection, so
     /// idle ones are sent a GOAWAY as if they had been idle for long.
-    pub fn sweep(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>, log: &mut Log) {
+    pub fn sweep(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>) {
         self.close_stalled(now, inputs);
-        self.end_largest_backlogs(now, inputs, log);
+        self.end_largest_backlogs(now, inputs);
         self.end_idle(now, send_away, inputs);
         self.connections.touch_all();
     }
@@ -34,10 +35,10 @@
     }
 
     /// Ends the connections with the most pending output while more waits than the settings allow.
-    fn end_largest_backlogs(&mut self, now: f64, inputs: &mut Vec<Input>, log: &mut Log) {
+    fn end_largest_backlogs(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let backlogs = self.response_backlogs();
         for id in largest_beyond(backlogs, self.settings.waiting_kb as usize * 1024) {
-            log.often("http2: too much waits for clients: who has most of it is told to go");
+            FrontendEvent::Http2SessionTerminated(SessionEndCause::ResponseBacklog).emit();
             let connection = self.connections.get_mut(id);
             if let Some(active) = connection.and_then(|c| c.memory.active.as_deref_mut()) {
                 active.session.abort_for_abuse();
--- a/src/net/lifecycle/hot_restart/effects.rs
+++ b/src/net/lifecycle/hot_restart/effects.rs
@@ -4,6 +4,8 @@
 use crate::dispatch::Input;
 use crate::hot_restart::frame::{Frame, VERSION};
 use crate::hot_restart::{Effect, IndeterminateKeys};
+use crate::log::LogEvent;
+use crate::net::events::{HotRestartEvent, UnavailableCause};
 use crate::net::frontends::connections::ConnectionState;
 use crate::net::Worker;
 
@@ -54,15 +56,7 @@
     }
 
     fn set_indeterminate_keys(&mut self, keys: IndeterminateKeys) {
-        self.log.line(match keys {
-            IndeterminateKeys::None => "handover: all keys are known again",
-            IndeterminateKeys::All => {
-                "handover: the old process says nothing: keys that are not known here fail"
-            }
-            IndeterminateKeys::RetriesUntil(_) => {
-                "handover: further tries of keys that are not known here fail for a window"
-            }
-        });
+        HotRestartEvent::IndeterminateKeysSet(keys).emit();
         if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.indeterminate_keys = keys;
         }
@@ -74,11 +68,11 @@
     /// Accepts clients, and a successor.
     fn become_listener_owner(&mut self, now: f64) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        if let Err(e) = hot_restart.links.listen_for_successor() {
-            self.log.line(&format!("handover: this process can't be replaced: {e}"));
+        if let Err(error) = hot_restart.links.listen_for_successor() {
+            HotRestartEvent::Unavailable(UnavailableCause::NoSocket(&error)).emit();
         }
         self.accept_clients(now);
-        self.log.line("handover: the door is open here");
+        HotRestartEvent::ListenersAcquired.emit();
     }
 
     fn release_handed_off(&mut self) {
@@ -89,6 +83,6 @@
         }
         hot_restart.links.stop_listening();
         hot_restart.frontend_listeners.clear();
-        self.log.line("handover: the new process has the door");
+        HotRestartEvent::ListenersHandedOff.emit();
     }
 }
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -1,5 +1,7 @@
 //! The exit of a process that has handed off and has had the shutdown notice.
 
+use crate::log::LogEvent;
+use crate::net::events::{HotRestartEvent, LifecycleEvent, ResponseState};
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Worker;
 
@@ -25,7 +27,7 @@
             hot_restart.exit_by = Some(exit_by);
         }
         self.wheel.set(now, exit_by - now, Timer::Again);
-        self.log.line("handover: told to leave; ends when nothing is owed");
+        HotRestartEvent::ExitPending.emit();
     }
 
     /// Exits if it is time to.
@@ -37,8 +39,8 @@
             self.respond_all();
         }
         if all_handed_off && self.end_connections(now, false) || must_exit {
-            let line = if all_handed_off { "left with all handed over" } else { "left with answers owed" };
-            self.log.line(line);
+            let responses = if all_handed_off { ResponseState::AllHandedOff } else { ResponseState::Pending };
+            LifecycleEvent::ShutdownComplete(responses).emit();
             self.exit(now);
         }
     }
--- a/src/net/lifecycle/hot_restart/frontends.rs
+++ b/src/net/lifecycle/hot_restart/frontends.rs
@@ -1,6 +1,8 @@
 //! Opens the frontends of a process that owns the listeners.
 
 use super::FrontendListener;
+use crate::log::LogEvent;
+use crate::net::events::FrontendEvent;
 use crate::net::io::timer_wheel::Timer;
 use crate::net::{ListenError, Worker};
 use std::net::{SocketAddr, TcpListener};
@@ -40,8 +42,8 @@
         if self.shutdown.as_ref().is_some_and(|l| l.closed.is_some()) {
             return;
         }
-        if let Err(e) = self.http.open(&hot_restart.http_socket) {
-            self.log.line(&format!("handover: the door can't be opened: {e}"));
+        if let Err(error) = self.http.open(&hot_restart.http_socket) {
+            FrontendEvent::ListenerFailed { frontend: "http", error: &error }.emit();
         }
         self.open_operator_frontends();
     }
@@ -67,11 +69,12 @@
     fn note_opened(&mut self, OpenedFrontend { frontend, result, address }: OpenedFrontend) {
         match (result, address) {
             (Ok(()), Some(address)) => {
-                self.log.line(&format!("{}: {frontend} on {address}", self.config.name));
+                let worker = &self.config.name;
+                FrontendEvent::ListenerOpened { worker, frontend, address, inherited: false }.emit();
             }
             (Ok(()), None) => {}
             (Err(error), _) => {
-                self.log.line(&format!("handover: {frontend} can't be opened: {error}"));
+                FrontendEvent::ListenerFailed { frontend, error: &error }.emit();
                 if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.frontend_error = Some(error);
                 }
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -20,6 +20,8 @@
 use crate::dispatch::{HandedOffRequest, Input};
 use crate::hot_restart::frame::Usage;
 use crate::hot_restart::{Event, IndeterminateKeys, ListenerOwnership, PREDECESSOR_TIMEOUT_S};
+use crate::log::LogEvent;
+use crate::net::events::{HotRestartEvent, Peer};
 use crate::net::io::timer_wheel::Timer;
 use crate::net::{ListenError, Worker};
 use links::{LinkEvent, Predecessor};
@@ -104,11 +106,11 @@
             Ok(Predecessor::Connected) => Event::PredecessorConnected,
             Ok(Predecessor::Absent) => Event::NoPredecessor,
             Ok(Predecessor::Dead) => {
-                self.log.line("handover: the process before this one has died; what it ran is not known");
+                HotRestartEvent::PredecessorDead.emit();
                 Event::PredecessorDead
             }
-            Err(e) => {
-                self.log.line(&format!("handover: no link to a process before this one: {e}"));
+            Err(error) => {
+                HotRestartEvent::PredecessorUnreachable(&error).emit();
                 Event::NoPredecessor
             }
         };
@@ -145,20 +147,20 @@
         match event {
             LinkEvent::FromPredecessor(received) => self.on_predecessor_frame(now, received, inputs),
             LinkEvent::PredecessorDamaged(error) => {
-                self.log.line(&format!("handover: what the old process says is damaged: {error}"));
+                HotRestartEvent::FrameDamaged { peer: Peer::Predecessor, error: &error }.emit();
                 self.on_hot_restart_event(now, Event::Incompatible, inputs);
             }
             LinkEvent::PredecessorDisconnected => self.on_predecessor_disconnected(now, inputs),
             LinkEvent::FromSuccessor(frame) => self.on_successor_frame(now, frame, inputs),
             LinkEvent::SuccessorDamaged(error) => {
-                self.log.line(&format!("handover: what the new process says is damaged: {error}"));
+                HotRestartEvent::FrameDamaged { peer: Peer::Successor, error: &error }.emit();
                 if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.links.disconnect_successor();
                 }
                 self.on_hot_restart_event(now, Event::SuccessorDisconnected, inputs);
             }
             LinkEvent::SuccessorDisconnected => {
-                self.log.line("handover: the new process has ended");
+                HotRestartEvent::PeerExited(Peer::Successor).emit();
                 self.on_hot_restart_event(now, Event::SuccessorDisconnected, inputs);
             }
         }
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -8,6 +8,8 @@
 use crate::dispatch::{FingerprintKey, Input, Ticket};
 use crate::hot_restart::frame::{Frame, HandedOffConnection, KeyState, QueuedRequest, Usage};
 use crate::hot_restart::Event;
+use crate::log::LogEvent;
+use crate::net::events::{HotRestartEvent, Peer};
 use crate::net::frontends::connections::DetachedConnection;
 use crate::net::Worker;
 use std::net::TcpListener;
@@ -31,7 +33,7 @@
         match frame {
             Frame::Welcome => self.on_hot_restart_event(now, Event::HelloAccepted, inputs),
             Frame::Incompatible { reason } => {
-                self.log.line(&format!("handover: the old process gives nothing: {reason}"));
+                HotRestartEvent::PredecessorIncompatible { reason: &reason }.emit();
                 self.on_hot_restart_event(now, Event::Incompatible, inputs);
             }
             Frame::State { fingerprint_key, draining, learned, running } => {
@@ -41,7 +43,7 @@
             Frame::Key(state) if hot_restart.staged.adopted => self.update_keys(now, vec![state], inputs),
             // More than a process can have: no port worker is sending.
             _ if staged_too_much => {
-                self.log.line("handover: the old process says too much");
+                HotRestartEvent::StateTooLarge.emit();
                 self.on_hot_restart_event(now, Event::Incompatible, inputs);
             }
             Frame::Key(state) => hot_restart.staged.add_key(state),
@@ -51,13 +53,13 @@
             Frame::StateComplete => self.on_hot_restart_event(now, Event::StateReceived, inputs),
             Frame::Drain(draining) => self.set_draining(draining),
             Frame::Hello { .. } | Frame::RequestListeners | Frame::TakeoverConfirmed => {
-                self.log.often("handover: the old process said what only a new one says");
+                HotRestartEvent::FrameUnexpected(Peer::Predecessor).emit();
             }
         }
     }
 
     pub(super) fn on_predecessor_disconnected(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        self.log.line("handover: the old process has ended");
+        HotRestartEvent::PeerExited(Peer::Predecessor).emit();
         self.poll.set_beside(0);
         self.on_hot_restart_event(now, Event::PredecessorDisconnected, inputs);
         inputs.push(Input::PredecessorGone);
@@ -124,8 +126,8 @@
         let keys = staged.keys.len();
         let connections = staged.connections.len();
         let has_request = |c: &&ReceivedConnection| c.connection.queued_request.is_some();
-        let held = staged.connections.iter().filter(has_request).count();
-        let on_cores = staged.usage.on_cores;
+        let queued = staged.connections.iter().filter(has_request).count();
+        let predecessor_runs = staged.usage.on_cores;
         if let Some(state) = staged.state {
             self.adopt_predecessor_state(state, inputs);
         }
@@ -135,9 +137,7 @@
             self.adopt_connection(now, received, inputs);
         }
         self.open_operator_frontends();
-        self.log.line(&format!(
-            "handover: taken over: keys={keys} connections={connections} held={held} runs_beside={on_cores}"
-        ));
+        HotRestartEvent::StateAdopted { keys, connections, queued, predecessor_runs }.emit();
     }
 
     fn adopt_predecessor_state(&mut self, state: PredecessorState, inputs: &mut Vec<Input>) {
@@ -160,7 +160,7 @@
         let ReceivedConnection { connection, stream } = received;
         // The controller ignores what it can't place, and nobody would respond to it.
         if connection.queued_request.as_ref().is_some_and(|request| !self.is_valid_request(request)) {
-            return self.log.often("handover: a request that was handed over fits no class or tenant");
+            return HotRestartEvent::RequestRejected.emit();
         }
         let detached = DetachedConnection {
             stream,
@@ -171,7 +171,7 @@
         };
         let has_request = connection.queued_request.is_some();
         let Some(id) = self.http.connections.adopt(now, detached, has_request) else {
-            return self.log.often("handover: a connection could not be taken over");
+            return HotRestartEvent::ConnectionRejected.emit();
         };
         if let Some(request) = connection.queued_request {
             inputs.push(Input::Arrived(to_request(request, Ticket(id), self.clock.unix_ms())));
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -7,6 +7,8 @@
 use crate::dispatch::{Command, HandedOff, HandedOffRequest, Input, ResourceUsage};
 use crate::hot_restart::frame::{Frame, Usage, VERSION};
 use crate::hot_restart::{Event, IndeterminateKeys};
+use crate::log::LogEvent;
+use crate::net::events::{HotRestartEvent, Peer};
 use crate::net::frontends::connections::{Connection, ConnectionState};
 use crate::net::Worker;
 
@@ -38,7 +40,7 @@
                 self.on_hot_restart_event(now, Event::ListenersRequested, inputs);
             }
             Frame::TakeoverConfirmed => self.on_hot_restart_event(now, Event::TakeoverConfirmed, inputs),
-            _ => self.log.often("handover: the new process said what only an old one says"),
+            _ => HotRestartEvent::FrameUnexpected(Peer::Successor).emit(),
         }
     }
 
@@ -67,7 +69,7 @@
         match compatible {
             Ok(()) => hot_restart.links.send_to_successor(&Frame::Welcome, None),
             Err(mismatch) => {
-                self.log.line(&format!("handover: the new process gets nothing: {mismatch}"));
+                HotRestartEvent::SuccessorIncompatible { reason: &mismatch }.emit();
                 let reason = mismatch.to_string();
                 hot_restart.links.send_to_successor(&Frame::Incompatible { reason }, None);
             }
@@ -86,8 +88,8 @@
         for id in self.http.connections.ids_where(is_idle) {
             self.send_connection(id);
         }
-        let held = self.hot_restart.as_ref().map_or(0, |r| r.handed_off.len());
-        self.log.line(&format!("handover: lent to the new process: held={held}"));
+        let queued = self.hot_restart.as_ref().map_or(0, |r| r.handed_off.len());
+        HotRestartEvent::RequestsHandedOff { queued }.emit();
         // Connections that were handed off count there.
         let handed_off = self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff).len();
         self.report_usage(handed_off);
@@ -211,7 +213,7 @@
         for id in self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
             self.http.connections.take_back(now, id, false);
         }
-        self.log.line("handover: the door is taken back");
+        HotRestartEvent::ListenersReclaimed.emit();
     }
 
     fn send_to_successor(&mut self, frame: &Frame) {
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -1,5 +1,7 @@
 //! What the calls at the console do to a worker.
 
+use crate::log::LogEvent;
+use crate::net::events::LifecycleEvent;
 use crate::net::lifecycle::console::{self, Call};
 use crate::net::Worker;
 
@@ -62,7 +64,7 @@
         }
         if self.state.draining != on {
             self.state.draining = on;
-            self.log.line(if on { "console: draining" } else { "console: the drain has ended" });
+            LifecycleEvent::DrainChanged { draining: on }.emit();
             self.report_load(false);
         }
     }
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -1,6 +1,8 @@
 //! SIGHUP: what a running worker applies of a changed configuration and operator's file.
 
 use crate::dispatch::Input;
+use crate::log::LogEvent;
+use crate::net::events::{ConfigFile, LifecycleEvent, UpstreamEvent};
 use crate::net::Worker;
 
 impl Worker {
@@ -10,11 +12,15 @@
         self.reload_operator(inputs);
         let next = match self.files.config() {
             Ok(next) => next,
-            Err(e) => return self.log.line(&format!("reload: the old configuration stays: {e}")),
+            Err(error) => {
+                let file = ConfigFile::Configuration;
+                return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
+            }
         };
         let fixed = next.fixed_changes(&self.config);
         if !fixed.is_empty() {
-            self.log.line(&format!("reload: not taken up before a restart: {}", fixed.join(", ")));
+            let file = ConfigFile::Configuration;
+            LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
         }
         self.config.stop_ms = next.stop_ms;
         self.executor.move_to(now, next.executor);
@@ -22,11 +28,11 @@
             records.move_to(to);
         }
         if let (Some(registry), Some(to)) = (&mut self.registry, next.registry) {
-            if let Err(e) = registry.move_to(to) {
-                self.log.line(&format!("reload: registry {to}: {e}"));
+            if let Err(error) = registry.move_to(to) {
+                UpstreamEvent::RegistryUnusable { address: to, error: &error }.emit();
             }
         }
-        self.log.line(&format!("reload: executor {}", next.executor));
+        LifecycleEvent::ConfigReloaded { executor: next.executor }.emit();
         self.report_load(true);
     }
 
@@ -39,15 +45,19 @@
         });
         let (next, plan) = match next {
             Ok(next) => next,
-            Err(e) => return self.log.line(&format!("reload: the old operator's file stays: {e}")),
+            Err(error) => {
+                let file = ConfigFile::Operator;
+                return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
+            }
         };
         let fixed = next.fixed_changes(&self.operator);
         if !fixed.is_empty() {
-            self.log.line(&format!("reload: not taken up before a restart: {}", fixed.join(", ")));
+            let file = ConfigFile::Operator;
+            LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
         }
         if plan != self.settings.pools {
             let pools = plan.as_ref().map_or(0, |p| p.pools.len());
-            self.log.line(&format!("reload: pools={pools}"));
+            LifecycleEvent::PoolsReloaded { pools }.emit();
             self.settings.pools = plan.clone();
             // Before the core is there it will start with them.
             if self.dispatcher.is_some() {
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -4,6 +4,8 @@
 
 use crate::dispatch::{Dispatcher, Input};
 use crate::hot_restart::Event;
+use crate::log::LogEvent;
+use crate::net::events::{LifecycleEvent, ResponseState};
 use crate::net::frontends::ajp::Turn;
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Worker;
@@ -37,7 +39,7 @@
         }
         self.on_hot_restart_event(now, Event::ShutdownNotice, inputs);
         let in_s = self.config.stop_ms / 1000.0;
-        self.log.line(&format!("notice to leave; {in_s} s to the stop"));
+        LifecycleEvent::ShutdownStarted { stop_in_s: in_s }.emit();
         // The notice may have come at any time since the turn before began: a process that was stopped meanwhile reads it
         // late, and its grace counts from when it was sent.
         let at = Timeline::new(self.turn_before, in_s, self.settings.shutdown_grace_s);
@@ -62,7 +64,7 @@
         let closing = self.shutdown.as_ref().is_some_and(|l| l.closed.is_some());
         self.sweep_frontends(now, closing || self.state.passing);
         if let Some(http2) = &mut self.http2 {
-            http2.sweep(now, self.state.draining, &mut self.deferred_inputs, &mut self.log);
+            http2.sweep(now, self.state.draining, &mut self.deferred_inputs);
         }
         if let Some(s) = &mut self.ajp_servers {
             s.sweep(now);
@@ -115,7 +117,8 @@
             if let Some(hot_restart) = &mut self.hot_restart {
                 hot_restart.links.remove_socket();
             }
-            self.log.line(if answered { "left with all answered" } else { "left with answers owed" });
+            let responses = if answered { ResponseState::AllSent } else { ResponseState::Pending };
+            LifecycleEvent::ShutdownComplete(responses).emit();
             self.exit(now);
         }
     }
@@ -130,9 +133,8 @@
     }
 
     fn log_pools(&mut self) {
-        let pools = self.dispatcher.as_ref().and_then(Dispatcher::pools);
-        if let Some(Ok(state)) = pools.map(|pools| serde_json::to_string(&pools)) {
-            self.log.line(&format!("pools: state {state}"));
+        if let Some(state) = self.dispatcher.as_ref().and_then(Dispatcher::pools) {
+            LifecycleEvent::PoolsState(&state).emit();
         }
     }
 
@@ -173,13 +175,11 @@
     pub(in crate::net) fn respond_all(&mut self) {
         let mut inputs = vec![Input::RespondAll];
         if let Some(ajp) = &mut self.ajp {
-            let (clock, state, log) = (&self.clock, &self.state, &mut self.log);
             ajp.give_up_lookups(&mut Turn {
-                clock,
-                state,
+                clock: &self.clock,
+                state: &self.state,
                 inputs: &mut inputs,
                 lookups: &mut Vec::new(),
-                log,
             });
         }
         // Nothing of this may wait for another turn: there may be none.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,17 +11,16 @@
 
 mod clock;
 mod error;
+pub mod events;
 pub mod frontends;
 pub mod io;
 pub mod lifecycle;
-mod log;
 mod state;
 pub mod upstreams;
 pub mod worker;
 
 pub use clock::Clock;
 pub use error::{ListenError, WorkerError};
-pub use log::Log;
 pub use state::State;
 pub use worker::{run, Worker};
 
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -9,13 +9,14 @@
 use crate::config::ServerSettings;
 use crate::dispatch::Input;
 use crate::interface::Outcome;
+use crate::log::LogEvent;
+use crate::net::events::UpstreamEvent;
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::idle_pool::{full, take_idle, Pooled, MAX_IDLE};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::upstreams::ajp_codec::{self, Forward, PacketError, ToWebServer, Way, MAX_PACKET_BYTES};
-use crate::net::Log;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -50,21 +51,28 @@
     result: Vec<u8>,
 }
 
-/// Why a connection is given up. Log lines print it.
+/// Why a connection to an AJP server is closed.
 #[derive(Debug, thiserror::Error)]
-enum ConnectionError {
+pub enum ConnectionError {
+    /// The server did not answer in time.
     #[error("no answer in time")]
     Timeout,
+    /// The connection could not be established.
     #[error("{0}")]
     Connect(#[source] io::Error),
+    /// Writing failed.
     #[error("broken")]
     Write,
+    /// The server has closed it.
     #[error("closed")]
     Closed,
+    /// A packet can't be read.
     #[error("a bad packet: {0:?}")]
     Packet(#[source] PacketError),
+    /// A message came while no request was open.
     #[error("a message without a request")]
     MessageWithoutRequest,
+    /// A message came that does not fit the request's state.
     #[error("an unfit message")]
     UnexpectedMessage,
 }
@@ -143,7 +151,6 @@
     now: f64,
     inputs: &'a mut Vec<Input>,
     wheel: &'a mut Wheel,
-    log: &'a mut Log,
 }
 
 /// The connections to the servers, and the runs on them.
@@ -257,28 +264,21 @@
     }
 
     /// Takes the expiry of a run's timer.
-    pub fn due(&mut self, now: f64, number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel, log: &mut Log) {
+    pub fn due(&mut self, now: f64, number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
         let waits =
             |connection: &Connection| connection.run.as_ref().is_some_and(|run| run.timer_number == number);
         let expired = self.connections.iter().find(|(_, connection)| waits(connection)).map(|(id, _)| *id);
         if let Some(id) = expired {
-            self.on_broken(id, &ConnectionError::Timeout, &mut Turn { now, inputs, wheel, log });
+            self.on_broken(id, &ConnectionError::Timeout, &mut Turn { now, inputs, wheel });
         }
     }
 
     /// Processes the connections that something happened to.
-    pub fn gather(
-        &mut self,
-        now: f64,
-        catalog: &Catalog,
-        inputs: &mut Vec<Input>,
-        wheel: &mut Wheel,
-        log: &mut Log,
-    ) {
+    pub fn gather(&mut self, now: f64, catalog: &Catalog, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
         let mut touched = std::mem::take(&mut self.touched);
         touched.sort_unstable();
         touched.dedup();
-        let mut turn = Turn { now, inputs, wheel, log };
+        let mut turn = Turn { now, inputs, wheel };
         for id in touched {
             self.process_connection(id, catalog, &mut turn);
         }
@@ -365,7 +365,7 @@
         turn.wheel.set(turn.now, timeout_s, Timer::Run(run.timer_number));
         match ajp_codec::write_forward(&forward) {
             Some(head) => connection.link.push(head),
-            None => turn.log.line("ajp server: the request does not fit into a packet"),
+            None => UpstreamEvent::AjpBackendRequestTooLarge.emit(),
         }
         if !run.body.is_empty() {
             // A body is 2 KiB at most and goes in one packet, unasked, behind the head.
@@ -378,7 +378,7 @@
     fn on_broken(&mut self, id: u64, error: &ConnectionError, turn: &mut Turn) {
         let Some(connection) = self.connections.remove(&id) else { return };
         let Some(run) = connection.run else { return };
-        turn.log.line(&format!("ajp server: {error}"));
+        UpstreamEvent::AjpBackendFailed(error).emit();
         if run.sent_before.map_or(true, |sent_before| connection.link.sent <= sent_before) {
             return self.place(turn.now, run, turn.wheel);
         }
--- a/src/net/upstreams/directory.rs
+++ b/src/net/upstreams/directory.rs
@@ -6,11 +6,12 @@
 
 use crate::config::DirectorySettings;
 use crate::dispatch::Ticket;
+use crate::log::LogEvent;
+use crate::net::events::UpstreamEvent;
 use crate::net::frontends::ajp::{Lookup, LookupResult};
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
-use crate::net::Log;
 use bytes::BytesMut;
 use ldap3_proto::proto::*;
 use ldap3_proto::LdapCodec;
@@ -70,19 +71,25 @@
     Wait,
 }
 
-/// Why the link is given up. Log lines print it.
+/// Why the link to the directory is closed.
 #[derive(Debug, thiserror::Error)]
-enum LinkError {
+pub enum LinkError {
+    /// Connecting, reading or writing failed.
     #[error("{0}")]
     Io(#[from] io::Error),
+    /// The server has closed it.
     #[error("closed")]
     Closed,
+    /// A message is longer than it may be.
     #[error("a message has no end")]
     MessageTooLong,
+    /// A message can't be read.
     #[error("a message can't be read")]
     MalformedMessage,
+    /// The server has rejected the bind.
     #[error("the bind was refused: {0:?}")]
     BindRejected(LdapResultCode),
+    /// A message came that nothing asked for.
     #[error("an unfit message")]
     UnexpectedMessage,
 }
@@ -138,7 +145,7 @@
     }
 
     /// Looks the tenant of an identity up; the result comes with [`Directory::take_found`].
-    pub fn look_up(&mut self, now: f64, lookup: Lookup, wheel: &mut Wheel, log: &mut Log) {
+    pub fn look_up(&mut self, now: f64, lookup: Lookup, wheel: &mut Wheel) {
         let identity: Rc<str> = lookup.identity.into();
         if let Some(cached) = self.cache.get(&identity).filter(|cached| now < cached.expires_at) {
             let result = cached.tenant.clone().map_or(LookupResult::Unknown, LookupResult::Tenant);
@@ -158,33 +165,33 @@
             limited_by_request: lookup.for_s < timeout_s,
         });
         if self.link.is_none() {
-            self.connect(now, log);
+            self.connect(now);
         } else if !already_searched && self.link_state == LinkState::Bound {
             self.search(identity);
         }
     }
 
-    fn connect(&mut self, now: f64, log: &mut Log) {
+    fn connect(&mut self, now: f64) {
         self.link_id = self.poll.fresh();
         self.link_state = LinkState::Connecting;
         self.link_has_served = false;
         let place = Place::Directory(self.link_id);
         match Link::connect(&self.poll, self.settings.address, place, MAX_MESSAGE_BYTES) {
             Ok(link) => self.link = Some(link),
-            Err(error) => self.on_link_lost(now, &error.into(), log),
+            Err(error) => self.on_link_lost(now, &error.into()),
         }
     }
 
     /// Ends the waiting lookups, or connects again where a link that has served was merely closed.
-    fn on_link_lost(&mut self, now: f64, error: &LinkError, log: &mut Log) {
+    fn on_link_lost(&mut self, now: f64, error: &LinkError) {
         self.link = None;
         self.searches.clear();
         if self.waiting.is_empty() {
             return;
         }
-        log.line(&format!("directory: link lost: {error}"));
+        UpstreamEvent::DirectoryLinkLost(error).emit();
         if self.link_has_served {
-            return self.connect(now, log);
+            return self.connect(now);
         }
         self.unavailable_until = now + UNAVAILABLE_S;
         let ended = self.waiting.drain(..);
@@ -209,18 +216,18 @@
     }
 
     /// Takes what has come from the directory.
-    pub fn gather(&mut self, now: f64, log: &mut Log) {
+    pub fn gather(&mut self, now: f64) {
         loop {
-            match self.step(now, log) {
+            match self.step(now) {
                 Ok(Progress::Continue) => {}
                 Ok(Progress::Wait) => return,
-                Err(error) => return self.on_link_lost(now, &error, log),
+                Err(error) => return self.on_link_lost(now, &error),
             }
         }
     }
 
     /// Binds, or takes one message.
-    fn step(&mut self, now: f64, log: &mut Log) -> Result<Progress, LinkError> {
+    fn step(&mut self, now: f64) -> Result<Progress, LinkError> {
         let Some(link) = &mut self.link else { return Ok(Progress::Wait) };
         if self.link_state == LinkState::Connecting {
             match link.connected() {
@@ -238,9 +245,9 @@
         link.consume(unread - bytes.len());
         match message {
             Ok(Some(message)) => {
-                if let Err(error) = self.on_message(now, message, log) {
+                if let Err(error) = self.on_message(now, message) {
                     // The new link, where there is one, is processed in the same turn.
-                    self.on_link_lost(now, &error, log);
+                    self.on_link_lost(now, &error);
                 }
                 Ok(Progress::Continue)
             }
@@ -258,7 +265,7 @@
         self.send(LdapOp::BindRequest(LdapBindRequest { dn, cred }));
     }
 
-    fn on_message(&mut self, now: f64, message: LdapMsg, log: &mut Log) -> Result<(), LinkError> {
+    fn on_message(&mut self, now: f64, message: LdapMsg) -> Result<(), LinkError> {
         match message.op {
             LdapOp::BindResponse(response) if self.link_state == LinkState::Binding => {
                 if response.res.code != LdapResultCode::Success {
@@ -268,7 +275,7 @@
                 self.search_waiting();
             }
             LdapOp::SearchResultEntry(entry) => self.on_entry(message.msgid, &entry),
-            LdapOp::SearchResultDone(result) => self.on_search_done(now, message.msgid, result.code, log),
+            LdapOp::SearchResultDone(result) => self.on_search_done(now, message.msgid, result.code),
             LdapOp::SearchResultReference(_) => {}
             _ => return Err(LinkError::UnexpectedMessage),
         }
@@ -296,7 +303,7 @@
         search.tenants.extend(tenants.map(Rc::from));
     }
 
-    fn on_search_done(&mut self, now: f64, message_id: i32, code: LdapResultCode, log: &mut Log) {
+    fn on_search_done(&mut self, now: f64, message_id: i32, code: LdapResultCode) {
         let Some(search) = self.searches.remove(&message_id) else { return };
         let result = match (code, &search.tenants[..]) {
             (LdapResultCode::Success, [tenant]) => LookupResult::Tenant(tenant.clone()),
@@ -304,7 +311,7 @@
             (LdapResultCode::Success | LdapResultCode::SizeLimitExceeded, _) => LookupResult::Unknown,
             (LdapResultCode::NoSuchObject, _) => LookupResult::Unknown,
             (code, _) => {
-                log.line(&format!("directory: a search failed: {code:?}"));
+                UpstreamEvent::DirectorySearchFailed(&code).emit();
                 LookupResult::Unavailable
             }
         };
@@ -374,12 +381,12 @@
     }
 
     /// Writes what lookups of this turn have queued.
-    pub fn flush(&mut self, now: f64, log: &mut Log) {
+    pub fn flush(&mut self, now: f64) {
         if self.link_state == LinkState::Connecting {
             return;
         }
         if let Some(Err(error)) = self.link.as_mut().map(Link::flush) {
-            self.on_link_lost(now, &error.into(), log);
+            self.on_link_lost(now, &error.into());
         }
     }
 }
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -9,10 +9,11 @@
 
 use crate::dispatch::Input;
 use crate::interface::Gauges;
+use crate::log::LogEvent;
+use crate::net::events::{ExecutorEvent, LinkLossCause, MalformedNotice};
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::{Place, Poll};
-use crate::net::Log;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use messages::{Command, Lines};
@@ -154,18 +155,18 @@
     }
 
     /// Connects when it is time, and handles what the executor has sent.
-    pub fn gather(&mut self, now: f64, inputs: &mut Vec<Input>, log: &mut Log) {
-        let established = self.establish(now, log);
-        self.read(now, inputs, log);
+    pub fn gather(&mut self, now: f64, inputs: &mut Vec<Input>) {
+        let established = self.establish(now);
+        self.read(now, inputs);
         if established {
-            self.switch_links(now, log);
-            self.read(now, inputs, log);
+            self.switch_links(now);
+            self.read(now, inputs);
         }
     }
 
     /// Makes the link that has been established the one in use.
-    fn switch_links(&mut self, now: f64, log: &mut Log) {
-        self.link_lost(now, "another takes its place", log);
+    fn switch_links(&mut self, now: f64) {
+        self.link_lost(now, LinkLossCause::Replaced);
         if let Some(next) = &mut self.next_link {
             next.link.push(Command::Join { n: self.last_notice }.to_line());
             if self.lost_commands.is_some() {
@@ -181,9 +182,9 @@
     }
 
     /// The link is broken, or given up for another.
-    fn link_lost(&mut self, now: f64, why: &str, log: &mut Log) {
+    fn link_lost(&mut self, now: f64, cause: LinkLossCause<'_>) {
         if let Some(lost) = self.link.take() {
-            log.line(&format!("executor: link lost: {why}"));
+            ExecutorEvent::LinkLost(cause).emit();
             let unflushed_since = if lost.link.queued() > 0 { self.flushed_at } else { now };
             // A break before the fence of an earlier one is answered leaves both spans in doubt.
             let earlier = self.lost_commands.map_or(f64::INFINITY, |lost| lost.from);
@@ -201,15 +202,15 @@
     }
 
     /// Connects when it is time; `true` once a new link is established.
-    fn establish(&mut self, now: f64, log: &mut Log) -> bool {
+    fn establish(&mut self, now: f64) -> bool {
         if self.next_link.is_none() && self.reconnect_at.is_some_and(|at| now >= at) {
-            self.connect(now, log);
+            self.connect(now);
         }
         match self.next_link.as_ref().and_then(|next| next.link.connected()) {
             None => false,
             Some(Ok(())) => true,
             Some(Err(fault)) => {
-                log.line(&format!("executor: no link: {fault}"));
+                ExecutorEvent::ConnectFailed(&fault).emit();
                 self.next_link = None;
                 self.back_off(now);
                 false
@@ -217,7 +218,7 @@
         }
     }
 
-    fn connect(&mut self, now: f64, log: &mut Log) {
+    fn connect(&mut self, now: f64) {
         let number = self.poll.fresh();
         match Link::connect(&self.poll, self.address, Place::Executor(number), MAX_LINE_BYTES) {
             Ok(link) => {
@@ -225,13 +226,13 @@
                 self.reconnect_at = None;
             }
             Err(fault) => {
-                log.line(&format!("executor: no link: {fault}"));
+                ExecutorEvent::ConnectFailed(&fault).emit();
                 self.back_off(now);
             }
         }
     }
 
-    fn read(&mut self, now: f64, inputs: &mut Vec<Input>, log: &mut Log) {
+    fn read(&mut self, now: f64, inputs: &mut Vec<Input>) {
         loop {
             let Some(NumberedLink { link, .. }) = &mut self.link else { return };
             let filled = link.fill();
@@ -239,20 +240,20 @@
             let endless = lines.length == 0 && link.data().len() >= MAX_LINE_BYTES;
             link.consume(lines.length);
             if lines.malformed {
-                log.often("executor: a line is no notice");
+                ExecutorEvent::NoticeMalformed(MalformedNotice::Line).emit();
             }
             for notice in lines.notices {
-                self.handle_notice(now, notice, inputs, log);
+                self.handle_notice(now, notice, inputs);
                 self.last_heard = now;
             }
             if endless {
-                return self.link_lost(now, "a line has no end", log);
+                return self.link_lost(now, LinkLossCause::LineTooLong);
             }
             match filled {
                 Filled::Open if lines.length == 0 => return,
                 Filled::Open => {}
-                Filled::Ended => return self.link_lost(now, "closed", log),
-                Filled::Broken => return self.link_lost(now, "broken", log),
+                Filled::Ended => return self.link_lost(now, LinkLossCause::Closed),
+                Filled::Broken => return self.link_lost(now, LinkLossCause::Reset),
             }
         }
     }
@@ -296,14 +297,14 @@
     }
 
     /// Writes what the executor takes.
-    pub fn flush(&mut self, now: f64, log: &mut Log) {
+    pub fn flush(&mut self, now: f64) {
         let Some(NumberedLink { link, .. }) = &mut self.link else { return };
         let flushed = link.flush();
         if link.queued() == 0 {
             self.flushed_at = now;
         }
         if let Err(fault) = flushed {
-            self.link_lost(now, &fault.to_string(), log);
+            self.link_lost(now, LinkLossCause::WriteFailed(&fault));
         }
     }
 }
--- a/src/net/upstreams/executor/notices.rs
+++ b/src/net/upstreams/executor/notices.rs
@@ -5,14 +5,15 @@
 use crate::config::read_gauges;
 use crate::dispatch::Input;
 use crate::interface::Outcome;
-use crate::net::Log;
+use crate::log::LogEvent;
+use crate::net::events::{ExecutorEvent, MalformedNotice};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use std::rc::Rc;
 
 impl Executor {
     /// Handles one notice. One that has been handled before is ignored: a new link may repeat the last ones.
-    pub(super) fn handle_notice(&mut self, now: f64, notice: Notice, inputs: &mut Vec<Input>, log: &mut Log) {
+    pub(super) fn handle_notice(&mut self, now: f64, notice: Notice, inputs: &mut Vec<Input>) {
         if let Some(number) = notice.number {
             if number <= self.last_notice {
                 return;
@@ -20,23 +21,23 @@
             self.last_notice = number;
         }
         match (notice.kind.as_str(), notice.job.clone()) {
-            ("WELCOME", _) => self.welcomed(now, &notice, inputs, log),
-            ("EXIT", Some(name)) => run_ended(name, &notice, inputs, log),
-            ("CALLOUT", Some(name)) => call_requested(name, &notice, inputs, log),
+            ("WELCOME", _) => self.welcomed(now, &notice, inputs),
+            ("EXIT", Some(name)) => run_ended(name, &notice, inputs),
+            ("CALLOUT", Some(name)) => call_requested(name, &notice, inputs),
             ("METERS", _) => self.gauges_reported(now, notice, inputs),
             // A request that the executor does not know is not run. Other commands that it does not carry out change
             // nothing: a skip or a reply that was sent again may find that its run has gone on.
             ("BAD", Some(name)) if notice.state.as_deref() == Some("EXEC") => {
-                log.often("executor: a request is unknown there");
+                ExecutorEvent::RequestUnknown.emit();
                 inputs.push(Input::UnknownRequest { name });
             }
-            ("BAD", _) => log.often("executor: a command was not carried out"),
+            ("BAD", _) => ExecutorEvent::CommandRejected.emit(),
             ("LOG" | "DIAGNOSED", _) => {}
-            _ => log.often("executor: a notice of an unknown kind"),
+            _ => ExecutorEvent::NoticeUnknown.emit(),
         }
     }
 
-    fn welcomed(&mut self, now: f64, notice: &Notice, inputs: &mut Vec<Input>, log: &mut Log) {
+    fn welcomed(&mut self, now: f64, notice: &Notice, inputs: &mut Vec<Input>) {
         self.reconnect_pause_s = MIN_RECONNECT_S;
         let started_ms_ago = notice.started_ms_ago.filter(|ms| ms.is_finite()).unwrap_or(0.0);
         let started = now - started_ms_ago / 1000.0;
@@ -44,7 +45,7 @@
         // read late makes it look later than it was.
         let restarted = self.welcome.is_some() && started > self.last_heard;
         if restarted {
-            log.line("executor: it has been started anew; its runs are lost");
+            ExecutorEvent::Restarted.emit();
             inputs.push(Input::RunsLost);
             self.last_notice = 0;
         }
@@ -68,7 +69,7 @@
     }
 }
 
-fn run_ended(name: Rc<str>, notice: &Notice, inputs: &mut Vec<Input>, log: &mut Log) {
+fn run_ended(name: Rc<str>, notice: &Notice, inputs: &mut Vec<Input>) {
     let result = notice.data.as_deref().map(|data| STANDARD.decode(data));
     let (outcome, result) = match (notice.state.as_deref(), result) {
         (Some("PASS"), Some(Ok(result))) => (Outcome::Ok, Some(Rc::from(result))),
@@ -77,18 +78,18 @@
         (Some("NOOP"), _) => (Outcome::NotStarted, None),
         (Some("FAIL"), _) => (Outcome::Error, None),
         _ => {
-            log.often("executor: an EXIT can't be read");
+            ExecutorEvent::NoticeMalformed(MalformedNotice::Exit).emit();
             (Outcome::Error, None)
         }
     };
     inputs.push(Input::RunEnded { name, outcome, result });
 }
 
-fn call_requested(name: Rc<str>, notice: &Notice, inputs: &mut Vec<Input>, log: &mut Log) {
+fn call_requested(name: Rc<str>, notice: &Notice, inputs: &mut Vec<Input>) {
     match notice.data.as_deref().map_or(Ok(Vec::new()), |data| STANDARD.decode(data)) {
         Ok(body) => {
             inputs.push(Input::AtCall { name, body: body.into(), sequence: notice.number.unwrap_or(0) })
         }
-        Err(_) => log.often("executor: a CALLOUT can't be read"),
+        Err(_) => ExecutorEvent::NoticeMalformed(MalformedNotice::Callout).emit(),
     }
 }
--- a/src/net/upstreams/records.rs
+++ b/src/net/upstreams/records.rs
@@ -3,11 +3,12 @@
 
 use crate::dispatch::Input;
 use crate::interface::Outcome;
+use crate::log::LogEvent;
+use crate::net::events::UpstreamEvent;
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::idle_pool::{full, take_idle, Pooled};
 use crate::net::io::poll::{Place, Poll};
 use crate::net::io::timer_wheel::{Timer, Wheel};
-use crate::net::Log;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -171,23 +172,16 @@
     }
 
     /// Reads and writes on all connections that something happened to.
-    pub fn gather(&mut self, now: f64, inputs: &mut Vec<Input>, wheel: &mut Wheel, log: &mut Log) {
+    pub fn gather(&mut self, now: f64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
         let mut touched = std::mem::take(&mut self.touched);
         touched.sort_unstable();
         touched.dedup();
         for id in touched {
-            self.process_connection(now, id, inputs, wheel, log);
+            self.process_connection(now, id, inputs, wheel);
         }
     }
 
-    fn process_connection(
-        &mut self,
-        now: f64,
-        id: u64,
-        inputs: &mut Vec<Input>,
-        wheel: &mut Wheel,
-        log: &mut Log,
-    ) {
+    fn process_connection(&mut self, now: f64, id: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
         if !self.establish(now, id, wheel) {
             return;
         }
@@ -212,7 +206,7 @@
             }
             // Neither a reply that can't be read nor a break proves that the call did not run.
             Err(error) => {
-                log.often(error.line());
+                UpstreamEvent::RecordsReplyMalformed(error).emit();
                 (Outcome::Interrupted, None, false)
             }
             Ok(None) if filled != Filled::Open || flushed.is_err() => (Outcome::Interrupted, None, false),
@@ -269,25 +263,17 @@
 
 /// Why a reply can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ReplyError {
+pub enum ReplyError {
+    /// The head is malformed or too large.
     Head,
+    /// The reply changes the protocol, which was not requested.
     ProtocolChange,
+    /// The Content-Length is missing, ambiguous or out of range.
     Length,
+    /// The body comes in a transfer encoding.
     Encoding,
 }
 
-impl ReplyError {
-    /// The line for the log.
-    fn line(self) -> &'static str {
-        match self {
-            ReplyError::Head => "records service: the head of a reply can't be read",
-            ReplyError::ProtocolChange => "records service: a reply changes the protocol",
-            ReplyError::Length => "records service: a reply has no fit Content-Length",
-            ReplyError::Encoding => "records service: a reply comes in an encoding that was not asked for",
-        }
-    }
-}
-
 /// Parses a reply where it lies, behind interim ones if there are any; `None` while it is not complete.
 fn parse(data: &[u8]) -> Result<Option<Reply>, ReplyError> {
     let mut start = 0;
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -42,7 +42,7 @@
             records.mark(id, readable, writable);
         }
     }
-    records.gather(0.0, &mut inputs, wheel, &mut Log::default());
+    records.gather(0.0, &mut inputs, wheel);
     inputs
 }
 
@@ -68,7 +68,7 @@
     // Now without another wait of the loop.
     records.call(1.0, "r2".into(), Rc::from(*b"second"), 5.0, true, &mut wheel);
     assert!(records.pending());
-    records.gather(1.0, &mut Vec::new(), &mut wheel, &mut Log::default());
+    records.gather(1.0, &mut Vec::new(), &mut wheel);
     let n = service.read(&mut bytes).unwrap();
     assert!(bytes[..n].ends_with(b"second"));
 }
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -4,6 +4,7 @@
 use crate::dispatch::{Command, Input, Response, Ticket};
 use crate::interface::Outcome;
 use crate::log::LogEvent;
+use crate::net::events::{DroppedCommand, ExecutorEvent};
 use crate::net::io::timer_wheel::Timer;
 
 /// What callers are told when the executor is not up yet (seconds).
@@ -29,12 +30,12 @@
             Command::GiveUpCall(name) => self.records.iter_mut().for_each(|records| records.give_up(&name)),
             Command::Resume { name, reply } => {
                 if !self.executor.resume(&name, &reply) {
-                    self.log.line("executor: the queue is full; a reply is lost");
+                    ExecutorEvent::QueueFull { dropped: DroppedCommand::Reply }.emit();
                 }
             }
             Command::SkipCall { name, sequence } => {
                 if !self.executor.skip(&name, sequence) {
-                    self.log.line("executor: the queue is full; a skip is lost");
+                    ExecutorEvent::QueueFull { dropped: DroppedCommand::Skip }.emit();
                 }
             }
             Command::Health(good) => self.set_health(good),
@@ -87,9 +88,9 @@
 
     /// Writes what waits for upstreams.
     pub(super) fn flush(&mut self, now: f64) {
-        self.executor.flush(now, &mut self.log);
+        self.executor.flush(now);
         if let Some(directory) = &mut self.directory {
-            directory.flush(now, &mut self.log);
+            directory.flush(now);
         }
     }
 }
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -2,6 +2,7 @@
 
 use super::{Worker, STALL_S};
 use crate::config::Files;
+use crate::log::LogHandle;
 use crate::net::error::WorkerError;
 use crate::net::io::poll::{Gathered, Poll};
 use calloop::signals::{Signal, Signals};
@@ -9,18 +10,18 @@
 use calloop::{EventLoop, LoopHandle, RegistrationToken};
 use std::time::Duration;
 
-/// Runs a port worker until it has shut down.
+/// Runs a port worker until it has shut down; `log` is the log of this process.
 ///
 /// # Errors
 /// A configuration that can't be used, an address that can't be listened on, or a failing event loop.
-pub fn run(files: Files) -> Result<(), WorkerError> {
+pub fn run(files: Files, log: LogHandle) -> Result<(), WorkerError> {
     let mut events: EventLoop<Gathered> = EventLoop::try_new().map_err(WorkerError::EventLoop)?;
     let handle = events.handle();
     // Before anything else: from here on a shutdown notice is read in turn and does not kill the process.
     watch_signals(&handle)?;
     let config = files.config()?;
     let poll = Poll::new(handle.clone(), config.socket_budget());
-    let mut worker = Worker::new(files, config, &poll)?;
+    let mut worker = Worker::new(files, config, &poll, log)?;
     worker.find_predecessor(worker.clock.now())?;
     let mut timer = WheelTimer::new(handle);
     let mut gathered = Gathered::default();
--- a/src/net/worker/gather.rs
+++ b/src/net/worker/gather.rs
@@ -14,7 +14,7 @@
         self.gather_upstreams(now, inputs);
         paused |= self.http.gather(&self.clock, &self.state, inputs);
         if let Some(http2) = &mut self.http2 {
-            paused |= http2.gather(&self.clock, &self.state, inputs, &mut self.log);
+            paused |= http2.gather(&self.clock, &self.state, inputs);
         }
         paused |= self.gather_ajp(now, inputs);
         if paused && !self.accept_timer {
@@ -25,15 +25,15 @@
 
     fn gather_upstreams(&mut self, now: f64, inputs: &mut Vec<Input>) {
         match &mut self.ajp_servers {
-            Some(servers) => servers.gather(now, &self.state.known, inputs, &mut self.wheel, &mut self.log),
-            None => self.executor.gather(now, inputs, &mut self.log),
+            Some(servers) => servers.gather(now, &self.state.known, inputs, &mut self.wheel),
+            None => self.executor.gather(now, inputs),
         }
         self.schedule_relink(now);
         if self.dispatcher.is_none() {
             self.start_dispatcher(now, inputs);
         }
         if let Some(records) = &mut self.records {
-            records.gather(now, inputs, &mut self.wheel, &mut self.log);
+            records.gather(now, inputs, &mut self.wheel);
         }
     }
 
@@ -51,19 +51,13 @@
     fn gather_ajp(&mut self, now: f64, inputs: &mut Vec<Input>) -> bool {
         let Some(ajp) = &mut self.ajp else { return false };
         let mut lookups = Vec::new();
-        let mut turn = Turn {
-            clock: &self.clock,
-            state: &self.state,
-            inputs,
-            lookups: &mut lookups,
-            log: &mut self.log,
-        };
+        let mut turn = Turn { clock: &self.clock, state: &self.state, inputs, lookups: &mut lookups };
         let paused = ajp.gather(&mut turn);
         if let Some(directory) = &mut self.directory {
             for lookup in std::mem::take(turn.lookups) {
-                directory.look_up(now, lookup, &mut self.wheel, turn.log);
+                directory.look_up(now, lookup, &mut self.wheel);
             }
-            directory.gather(now, turn.log);
+            directory.gather(now);
             for (ticket, found) in directory.take_found() {
                 ajp.found(ticket, found, &mut turn);
             }
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -22,6 +22,7 @@
 use crate::dispatch::metrics::Metrics;
 use crate::dispatch::{Dispatcher, Input};
 use crate::interface::Settings;
+use crate::log::LogHandle;
 use crate::net::frontends::ajp::AjpFront;
 use crate::net::frontends::http1::HttpFront;
 use crate::net::frontends::http2::Http2Front;
@@ -36,7 +37,7 @@
 use crate::net::upstreams::executor::Executor;
 use crate::net::upstreams::records::Records;
 use crate::net::upstreams::registry::Registry;
-use crate::net::{Clock, Log, State};
+use crate::net::{Clock, State};
 pub use event_loop::run;
 
 /// How often idle and slow connections are looked for (seconds).
@@ -48,7 +49,7 @@
 /// One port worker.
 pub struct Worker {
     pub(in crate::net) clock: Clock,
-    pub(in crate::net) log: Log,
+    pub(in crate::net) log: LogHandle,
     pub(in crate::net) wheel: Wheel,
     pub(in crate::net) files: Files,
     pub(in crate::net) config: Config,
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -5,6 +5,7 @@
 use crate::dispatch::metrics::Metrics;
 use crate::fleet::MembershipConfig;
 use crate::interface::Settings;
+use crate::log::{LogEvent, LogHandle};
 use crate::net::error::{ListenError, WorkerError};
 use crate::net::frontends::ajp::AjpFront;
 use crate::net::frontends::http1::HttpFront;
@@ -15,20 +16,26 @@
 use crate::net::lifecycle::console::Console;
 use crate::net::lifecycle::hot_restart::{inherited_listener, HotRestart, Links};
 
+use crate::net::events::{FrontendEvent, HotRestartEvent, UnavailableCause};
 use crate::net::upstreams::ajp_backend::AjpBackend;
 use crate::net::upstreams::coordinator_link::Fleet;
 use crate::net::upstreams::directory::Directory;
 use crate::net::upstreams::executor::Executor;
 use crate::net::upstreams::records::Records;
 use crate::net::upstreams::registry::Registry;
-use crate::net::{Clock, Log, State};
-use std::net::TcpListener;
+use crate::net::{Clock, State};
+use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::rc::Rc;
 
 impl Worker {
     /// A worker whose sockets listen, unless another process has them.
-    pub(super) fn new(files: Files, config: Config, poll: &Poll) -> Result<Worker, WorkerError> {
+    pub(super) fn new(
+        files: Files,
+        config: Config,
+        poll: &Poll,
+        log: LogHandle,
+    ) -> Result<Worker, WorkerError> {
         let clock = Clock::new();
         let operator = files.operator(&config)?;
         let settings = controller_settings(&config, &operator)?;
@@ -41,18 +48,15 @@
         let ajp = ajp_frontend(&config, &operator, poll, may_have_predecessor)?;
         let http2 = http2_frontend(&operator, poll, may_have_predecessor)?;
         let registry = connect_registry(&config)?;
-        let mut log = Log::default();
-        log_address(&mut log, &config, "console", console.as_ref().and_then(|c| c.connections.address()));
-        log_address(&mut log, &config, "http", http.connections.address());
-        log_address(&mut log, &config, "ajp", ajp.as_ref().and_then(|a| a.connections.address()));
-        log_address(&mut log, &config, "http2", http2.as_ref().and_then(|h| h.connections.address()));
-        if let Some(address) = config.console_passed_over {
-            log.line(&format!("console: ROUTER_CONSOLE goes before the configuration's {address}"));
+        report_listener(&config, "console", console.as_ref().and_then(|c| c.connections.address()));
+        report_listener(&config, "http", http.connections.address());
+        report_listener(&config, "ajp", ajp.as_ref().and_then(|a| a.connections.address()));
+        report_listener(&config, "http2", http2.as_ref().and_then(|h| h.connections.address()));
+        if let Some(configured) = config.console_passed_over {
+            FrontendEvent::ConsoleAddressOverridden { configured }.emit();
         }
         let hot_restart = match socket {
-            Some(socket) => {
-                prepare_hot_restart(&files, &config, &settings, poll, &mut http, socket, &mut log)?
-            }
+            Some(socket) => prepare_hot_restart(&files, &config, &settings, poll, &mut http, socket)?,
             None => None,
         };
         let mut wheel = Wheel::new(clock.now());
@@ -165,9 +169,10 @@
     Ok(Some(registry))
 }
 
-fn log_address(log: &mut Log, config: &Config, frontend: &str, address: Option<std::net::SocketAddr>) {
+fn report_listener(config: &Config, frontend: &'static str, address: Option<SocketAddr>) {
     if let Some(address) = address {
-        log.line(&format!("{}: {frontend} on {address}", config.name));
+        let worker = &config.name;
+        FrontendEvent::ListenerOpened { worker, frontend, address, inherited: false }.emit();
     }
 }
 
@@ -180,11 +185,11 @@
     poll: &Poll,
     http: &mut HttpFront,
     socket: Rc<TcpListener>,
-    log: &mut Log,
 ) -> Result<Option<HotRestart>, WorkerError> {
-    log.line(&format!("{}: http on {}, inherited", config.name, config.listen));
+    let (worker, address) = (config.name.as_str(), config.listen);
+    FrontendEvent::ListenerOpened { worker, frontend: "http", address, inherited: true }.emit();
     let Some(folder) = &files.folder else {
-        log.line("handover: TMPDIR names no folder: this process can't replace or be replaced");
+        HotRestartEvent::Unavailable(UnavailableCause::NoSharedFolder).emit();
         http.open(&socket).map_err(WorkerError::InheritedSocket)?;
         return Ok(None);
     };
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -4,6 +4,8 @@
 use crate::dispatch::{Dispatcher, FingerprintKey, Input};
 use crate::hot_restart::{Event, IndeterminateKeys};
 use crate::interface::Settings;
+use crate::log::LogEvent;
+use crate::net::events::ExecutorEvent;
 use crate::net::io::timer_wheel::Timer;
 use crate::net::lifecycle::hot_restart::HotRestart;
 use crate::net::upstreams::executor::Welcome;
@@ -49,8 +51,7 @@
         let mut settings = self.settings.clone();
         let started_s = now - welcome.started;
         settings.cold = welcome.cold && started_s < settings.warm_up_s;
-        let warmth = if settings.cold { "cold" } else { "warm" };
-        self.log.line(&format!("executor is up, {warmth}, started {started_s:.3} s ago"));
+        ExecutorEvent::Ready { cold: settings.cold, started_ago_s: started_s }.emit();
         settings
     }
 }
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -18,7 +18,7 @@
         let now = self.clock.now();
         self.turn_before = self.turn_began;
         self.turn_began = now;
-        self.log.set_time(now);
+        self.log.report_suppressed();
         for (place, readable, writable) in gathered.take() {
             self.mark_ready(place, readable, writable);
         }
@@ -145,7 +145,7 @@
             Timer::Call(number) => self.records.iter_mut().for_each(|records| records.due(number, inputs)),
             Timer::Run(number) => {
                 if let Some(servers) = &mut self.ajp_servers {
-                    servers.due(now, number, inputs, &mut self.wheel, &mut self.log);
+                    servers.due(now, number, inputs, &mut self.wheel);
                 }
             }
             Timer::Search(number) => {
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -43,7 +43,7 @@
         while Instant::now() < until {
             let found = lock(&self.lines).iter().find_map(|l| Some(l.split_once(mark)?.1.to_owned()));
             if let Some(text) = found {
-                let parsed = text.trim().parse();
+                let parsed = text.split(' ').next().unwrap_or_default().parse();
                 return parsed.map_err(|_| TestbedError::NoAddress { name: self.name.clone(), found: text });
             }
             if let Ok(Some(status)) = self.child.try_wait() {
@@ -115,7 +115,7 @@
         command.env("ROUTER_SOCKET_FD", self.listeners[number].as_raw_fd().to_string());
         command.arg("--operator").arg(operator);
         let mut process = self.spawn(name, command)?;
-        process.console = Some(process.wait_address("console on ")?);
+        process.console = Some(process.wait_address("frontend=console address=")?);
         process.listen = Some(listen);
         Ok(process)
     }
--- a/testbed/src/sockets.rs
+++ b/testbed/src/sockets.rs
@@ -114,23 +114,28 @@
     serve_records(records_door, experiment, clock, &over);
     let mut child = Worker::start(variant.worker.as_deref().unwrap_or(worker), &config, &variant.operator)?;
     let console = match variant.console_every_ms {
-        Some(every_ms) => Some((child.address("console on ")?, every_ms)),
+        Some(every_ms) => Some((child.address("frontend=console address=")?, every_ms)),
         None => None,
     };
-    let address = child.address("http on ")?;
+    let address = child.address("frontend=http address=")?;
     let console =
         console.map(|(at, every_ms)| console::watch(at, every_ms, variant.console_holders, &called));
     let rest_kb = child.resident_kb();
     let peak = floods::watch_memory(child.resident(), &called);
     let mut flooders = Vec::new();
     if let Some(flood) = variant.flood {
-        flooders = floods::start(flood, variant.flood_connections, child.address("http2 on ")?, &called);
+        flooders = floods::start(
+            flood,
+            variant.flood_connections,
+            child.address("frontend=http2 address=")?,
+            &called,
+        );
     }
     clock.sleep_until(0.0);
     let ends = Arc::new(Mutex::new(vec![None; asked.len()]));
     let doors = match variant.http2_streams {
         Some(streams) => {
-            let address = child.address("http2 on ")?;
+            let address = child.address("frontend=http2 address=")?;
             vec![http2::call(experiment, &asked, clock, address, streams, &ends)]
         }
         None => call(experiment, &asked, clock, address, &ends),
@@ -164,18 +169,16 @@
     play.most_on_cores = executor.most_on_cores;
     play.memory_growth = memory_after / memory.max(1.0);
     play.cpu_ms = (cpu_after - cpu_before) / asked.len().max(1) as f64;
+    let started_at = lines.first().and_then(|line| seconds_of_day(line)).unwrap_or(0.0);
     for line in &lines {
-        read_line(line, &mut play);
+        read_line(line, started_at, &mut play);
     }
     Ok(play)
 }
 
 /// Takes what the worker's log says of its pools.
-fn read_line(line: &str, play: &mut Play) {
-    let time = line.split(' ').next().and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
-    if let Some(state) =
-        line.split_once("pools: state ").and_then(|(_, s)| serde_json::from_str::<Value>(s).ok())
-    {
+fn read_line(line: &str, started_at: f64, play: &mut Play) {
+    if let Some(state) = line.split_once("pools_state state=").and_then(|(_, text)| parse_quoted(text)) {
         play.reserve_kept = state["reserve_kept"].as_u64().unwrap_or(u64::MAX);
         let pools = state["pools"].as_array().map_or(&[][..], Vec::as_slice);
         let number = |v: &Value| v.as_u64().unwrap_or(0);
@@ -185,14 +188,30 @@
             refused: number(&p["refused"]),
         };
         play.pools = pools.iter().map(result).collect();
-    } else if let Some((_, rest)) = line.split_once("pools: limit=") {
+    } else if let Some((_, rest)) = line.split_once("pool_limit_changed limit=") {
         let mut words = rest.split(' ');
         let limit = words.next().and_then(|w| w.parse().ok()).unwrap_or(0);
         let cause = words.find_map(|w| w.strip_prefix("cause=")).unwrap_or("");
-        play.limits.push((time, limit, cause.to_owned()));
+        let since_start = seconds_of_day(line).unwrap_or(0.0) - started_at;
+        // The day may end in between.
+        play.limits.push((since_start.rem_euclid(SECONDS_PER_DAY), limit, cause.to_owned()));
     }
 }
 
+const SECONDS_PER_DAY: f64 = 86_400.0;
+
+/// The JSON value in a quoted field of the log.
+fn parse_quoted(text: &str) -> Option<Value> {
+    let json: String = serde_json::from_str(text).ok()?;
+    serde_json::from_str(&json).ok()
+}
+
+/// When a line of the log was written: seconds since midnight, from a time like `2026-12-02T13:55:12.123456Z`.
+fn seconds_of_day(line: &str) -> Option<f64> {
+    let (_, time) = line.split(' ').next()?.strip_suffix('Z')?.split_once('T')?;
+    time.split(':').try_fold(0.0, |seconds, part| Some(seconds * 60.0 + part.parse::<f64>().ok()?))
+}
+
 /// A worker's process. Dropping it ends it.
 struct Worker {
     child: Child,
@@ -228,11 +247,9 @@
     fn address(&mut self, mark: &str) -> Result<SocketAddr, TestbedError> {
         loop {
             let line = self.lines.recv_timeout(START).map_err(|_| TestbedError::WorkerDidNotStart)?;
-            if let Some((_, address)) = line.split_once(mark) {
-                return address
-                    .trim()
-                    .parse()
-                    .map_err(|_| TestbedError::WorkerNoAddress { line: line.clone() });
+            if let Some((_, rest)) = line.split_once(mark) {
+                let address = rest.split(' ').next().unwrap_or_default();
+                return address.parse().map_err(|_| TestbedError::WorkerNoAddress { line: line.clone() });
             }
             if line.starts_with("port-worker: ") {
                 return Err(TestbedError::WorkerFailed { line });
--- a/testbed/tests/fleet/log_lines.rs
+++ b/testbed/tests/fleet/log_lines.rs
@@ -56,7 +56,7 @@
     cut(&mut fleet, &holder, &coordinators, true);
     fleet.wait_other_holder("report", &holder);
     cut(&mut fleet, &holder, &coordinators, false);
-    fleet.wait("the lease is lost", |_| fleet.log(&holder).contains("report is lost").then_some(()));
+    fleet.wait("the lease is lost", |_| fleet.log(&holder).contains("lease_lost task=report").then_some(()));
     // A leader in a minority is followed by another, and learns it.
     let leader = fleet.leader();
     let others: Vec<String> = coordinators.iter().filter(|c| **c != leader).cloned().collect();
--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -222,7 +222,7 @@
         let mut portal = Ajp::connect(at);
         portal.write(bytes);
         assert!(portal.closed());
-        site.wait_log("ajp: closed for");
+        site.wait_log("ajp_connection_rejected");
     }
     // A request to shut down is not for anybody who can connect.
     Ajp::connect(at).write(&[0x12, 0x34, 0, 1, 7]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -209,18 +209,19 @@
             folder,
         };
         if site.config.get("console").is_some() {
-            site.console = Some(site.address("console on "));
+            site.console = Some(site.address("frontend=console address="));
         }
-        site.http = site.address("http on ");
-        site.ajp = operator.filter(|o| o.contains("[ajp]")).map(|_| site.address("ajp on "));
-        site.http2 = operator.filter(|o| o.contains("[http2]")).map(|_| site.address("http2 on "));
+        site.http = site.address("frontend=http address=");
+        site.ajp = operator.filter(|o| o.contains("[ajp]")).map(|_| site.address("frontend=ajp address="));
+        site.http2 =
+            operator.filter(|o| o.contains("[http2]")).map(|_| site.address("frontend=http2 address="));
         site
     }
 
     fn address(&mut self, mark: &str) -> SocketAddr {
         let line = self.wait_log(mark);
         let address = line.split(mark).nth(1).unwrap();
-        address.split(',').next().unwrap().trim().parse().unwrap()
+        address.split(' ').next().unwrap().parse().unwrap()
     }
 
     /// Waits for a line of the worker's log.
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -23,7 +23,7 @@
     client.send(&Ask::new("look"));
     let exec = executor.next("EXEC");
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     assert_eq!(site.call("GET", "/-/ready").0, 503);
     executor.exit(&exec["job"], "PASS", "");
     assert_eq!(client.answer().status, 200);
@@ -130,7 +130,7 @@
     let exec = executor.next("EXEC");
     assert_eq!(site.call("POST", "/-/drain").0, 200);
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     assert_eq!(site.call("POST", "/-/resume").0, 200);
     assert_eq!(site.health(), 503);
     executor.exit(&exec["job"], "PASS", "");
@@ -201,7 +201,7 @@
 fn the_environments_address_goes_before_the_files_and_the_log_says_so() {
     let mut site =
         Site::with_env(&[("ROUTER_CONSOLE", "127.0.0.1:0")], |c| c["console"] = json!("127.0.0.1:9"));
-    site.wait_log("ROUTER_CONSOLE goes before the configuration's 127.0.0.1:9");
+    site.wait_log("console_address_overridden configured=127.0.0.1:9");
     assert_eq!(site.call("GET", "/-/metrics").0, 200);
 }
 
@@ -223,6 +223,6 @@
     site.wait_beat("ready");
     assert_eq!(site.call("GET", "/-/ready").0, 200);
     drop((link, executor));
-    site.wait_log("executor: no link");
+    site.wait_log("executor_connect_failed");
     assert_eq!(site.call("GET", "/-/ready"), (503, "no link to the executor\n".to_owned()));
 }
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -14,7 +14,7 @@
     let mut executor = site.link();
     let (mut busy, job) = start_run(&site, &mut executor, &Ask::new("look"));
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     site.hang(true);
     let_pass(Duration::from_millis(1100));
     let mut queue: Vec<Client> = (0..600).map(|_| Client::connect(site.http)).collect();
@@ -116,7 +116,7 @@
     let mut resting = Client::connect(site.http);
     assert_eq!(resting.ask_check(), 200);
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     site.hang(true);
     let_pass(Duration::from_millis(1100));
     resting.send(&Ask::new("look"));
@@ -183,7 +183,7 @@
     client.send(&Ask::new("look"));
     assert_eq!(client.answer().status, 503);
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     let mut client = Client::connect(site.http);
     client.send(&Ask::new("look"));
     assert_eq!(client.answer().status, 503);
@@ -197,7 +197,7 @@
     let mut executor = site.link();
     let (mut busy, job) = start_run(&site, &mut executor, &Ask::new("look"));
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     site.hang(true);
     site.terminate();
     site.reload(|c| c["stop_ms"] = json!(1));
@@ -207,7 +207,7 @@
     finish_run(&mut executor, &job, &mut busy);
     drop(busy);
     assert!(site.ended_well());
-    assert!(site.find_log("notice to leave").is_none());
+    assert!(site.find_log("shutdown_started").is_none());
 }
 
 /// The registry is down at the notice, and hears `draining` once it is back.
@@ -220,7 +220,7 @@
     // Another socket takes its place, so that the old one closes.
     site.registry = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     // Another process may have been given the address meanwhile; it ends soon.
     let until = Instant::now() + PATIENCE;
     site.registry = loop {
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -645,9 +645,9 @@
     let mut site = Site::start();
     let mut executor = site.link();
     site.reload_text("{\"name\":");
-    site.wait_log("the old configuration stays");
+    site.wait_log("config_reload_rejected file=configuration");
     site.reload(|c| c["limits"]["sockets"] = json!(128));
-    assert!(site.wait_log("not taken up before a restart").ends_with("limits"));
+    assert!(site.wait_log("config_reload_deferred").ends_with("keys=limits"));
     let mut client = Client::connect(site.http);
     client.send(&Ask::new("look"));
     let job = executor.next("EXEC")["job"].clone();
--- a/tests/http2/stories.rs
+++ b/tests/http2/stories.rs
@@ -167,7 +167,7 @@
     executor.exit(&crossed, "PASS", "seen");
     assert_eq!((peer.answer(1).body, peer.answer(3).body), (b"placed".to_vec(), b"seen".to_vec()));
     assert!(peer.closed() && idle.closed());
-    site.wait_log("left with all answered");
+    site.wait_log("shutdown_complete responses=all_sent");
     assert!(site.ended_well());
 }
 
@@ -328,7 +328,7 @@
     // What is not taken piles up on its own side: far less than this fits into the system's buffers.
     let held_back = (0..4000).any(|_| flood.stream.write_all(&pings).is_err());
     assert!(held_back, "the worker took in 68 MB that ask for nothing");
-    site.wait_log("it is read slowly");
+    site.wait_log("http2_session_throttled");
     // Far more than the allowance, all of it asked for; and a newcomer, which begins with little.
     let mut newcomer = Peer::connect(&site, &[]);
     for n in 0..100 {
@@ -341,7 +341,7 @@
     }
     let ended = std::iter::from_fn(|| flood.read()).find(|f| f.kind == GOAWAY).map(|f| f.code(4));
     assert_eq!(ended, Some(ENHANCE_YOUR_CALM));
-    site.wait_log("it is told to go");
+    site.wait_log("http2_session_terminated cause=idle_frames");
 }
 
 #[test]
@@ -481,9 +481,9 @@
     executor.exit(&job, "PASS", "placed");
     assert_eq!(peer.answer(1).body, b"placed");
     assert!(peer.closed());
-    site.wait_log("left with all answered");
+    site.wait_log("shutdown_complete responses=all_sent");
     assert!(site.ended_well());
-    assert_eq!(site.log.iter().filter(|l| l.contains("notice to leave")).count(), 1);
+    assert_eq!(site.log.iter().filter(|l| l.contains("shutdown_started")).count(), 1);
 }
 
 #[test]
@@ -523,7 +523,7 @@
     let block = Peer::block(&Peer::head("look", None));
     half.frame(HEADERS, 0, 1, &block[..20]);
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     half.frame(CONTINUATION, END_HEADERS, 1, &block[20..]);
     half.frame(DATA, END_STREAM, 1, b"hello");
     let job = starts(&mut executor, "look");
@@ -532,7 +532,7 @@
     shut.window(1, 12);
     assert_eq!(shut.next("the body", |f| f.kind == DATA).payload, b"twelve bytes");
     assert!(half.closed() && shut.closed());
-    site.wait_log("left with all answered");
+    site.wait_log("shutdown_complete responses=all_sent");
     assert!(site.ended_well());
 }
 
@@ -554,7 +554,7 @@
     }
     assert_eq!(hoards.goaway().1, ENHANCE_YOUR_CALM);
     assert!(hoards.closed());
-    site.wait_log("too much waits for clients");
+    site.wait_log("http2_session_terminated cause=response_backlog");
     patient.window(1, 4000);
     assert_eq!(patient.answer(1).body.len(), 4000);
 }
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -46,7 +46,7 @@
 /// The line without its time, and with a mask for what differs from run to run.
 fn mask_line(line: &str) -> String {
     let (time, text) = line.split_once(' ').expect("a time and a text");
-    assert!(time.parse::<f64>().is_ok(), "{line:?} begins with no time");
+    assert!(time.starts_with("20") && time.ends_with('Z'), "{line:?} begins with no time");
     let text = mask_after(text, "127.0.0.1:", "<port>", |c| c.is_ascii_digit());
     let folder = std::env::temp_dir();
     let text = mask_after(&text, folder.to_str().unwrap(), "<path>", |c| !" \",;:".contains(c));
@@ -97,18 +97,18 @@
     let mut worker = Site::with(|_| {}, Some(""));
     let _executor = worker.link();
     worker.reload(|config| config["stop_ms"] = json!(7000));
-    worker.wait_log("127.0.0.1:");
+    worker.wait_log("config_reloaded");
     worker.reload(|config| config["name"] = json!("n2"));
-    worker.wait_log("127.0.0.1:");
+    worker.wait_log("config_reloaded");
     worker.reload_text("{\"name\": ");
-    worker.wait_log("EOF");
+    worker.wait_log("config_reload_rejected");
     worker.reload_text(&json!({"name": "n1"}).to_string());
-    worker.wait_log("missing field");
+    worker.wait_log("config_reload_rejected");
     worker.reload(|config| config["name"] = json!("n1"));
-    worker.wait_log("127.0.0.1:");
+    worker.wait_log("config_reloaded");
     for operator in ["misspelt = 1\n", pools] {
         worker.reload_operator(operator);
-        worker.wait_log("127.0.0.1:");
+        worker.wait_log("config_reloaded");
     }
     terminate(&mut worker);
     check("reload.txt", &log_of(&mut worker));
@@ -119,7 +119,7 @@
     let mut worker = Site::start();
     let first = worker.link();
     first.end_link();
-    worker.wait_log("link lost");
+    worker.wait_log("executor_link_lost");
     let mut executor = worker.link_silently();
     let mut client = Client::connect(worker.http);
     client.send(&Ask::new("look"));
--- a/tests/output_pins.rs
+++ b/tests/output_pins.rs
@@ -108,11 +108,21 @@
     text.split_inclusive('\n').map(mask).collect()
 }
 
+/// Whether this is a time as the log has it, like `2026-12-02T13:55:12.123456Z`.
+fn is_utc_time(text: &str) -> bool {
+    let form = "dddd-dd-ddTdd:dd:dd.ddddddZ";
+    let fits = |(found, expected): (char, char)| match expected {
+        'd' => found.is_ascii_digit(),
+        other => found == other,
+    };
+    text.len() == form.len() && text.chars().zip(form.chars()).all(fits)
+}
+
 /// Replaces the time that begins each line of a log.
 fn mask_times(log: &str) -> String {
     let mask = |line: &str| {
         let (time, rest) = line.split_once(' ').expect("a time and a text");
-        assert!(time.parse::<f64>().is_ok(), "{line:?} begins with no time");
+        assert!(is_utc_time(time), "{line:?} begins with no time");
         format!("<time> {rest}")
     };
     log.split_inclusive('\n').map(mask).collect()
@@ -188,7 +198,7 @@
     let exec = executor.next("EXEC");
     transcript.wire("metrics with counts and a run", &console_call(&site, "GET", "/-/metrics"));
     site.terminate();
-    site.wait_log("notice to leave");
+    site.wait_log("shutdown_started");
     transcript.wire("ready after SIGTERM", &console_call(&site, "GET", "/-/ready"));
     transcript.wire("resume after SIGTERM", &console_call(&site, "POST", "/-/resume"));
     executor.exit(&exec["job"], "PASS", "");
@@ -507,7 +517,7 @@
     let mut child = command.spawn().unwrap();
     let mut stderr = BufReader::new(child.stderr.take().unwrap());
     let mut log = String::new();
-    while !log.contains(" http on ") {
+    while !log.contains(" frontend=http address=") {
         assert!(stderr.read_line(&mut log).unwrap() > 0, "it ended early: {log}");
     }
     let id = child.id();
@@ -515,7 +525,7 @@
     stderr.read_to_string(&mut log).unwrap();
     let ended = child.wait_with_output().unwrap();
     let stdout = String::from_utf8(ended.stdout).unwrap();
-    let log = mask_after(&mask_times(&log), "http on 127.0.0.1:");
+    let log = mask_after(&mask_times(&log), "address=127.0.0.1:");
     let mut transcript = Transcript::default();
     transcript.ended("SIGTERM", ended.status.code(), &stdout, &log);
     transcript.check("worker_sigterm.txt");
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -59,8 +59,9 @@
     executor.exit(&third, "PASS", "three");
     assert!(heavy.drain(1..).map(|mut c| c.answer().status).all(|s| s == 200));
     site.terminate();
-    let state = site.wait_log("pools: state ");
-    let state: Value = serde_json::from_str(state.split_once("state ").unwrap().1).unwrap();
+    let state = site.wait_log("pools_state state=");
+    let quoted = state.split_once("state=").unwrap().1;
+    let state: Value = serde_json::from_str(&serde_json::from_str::<String>(quoted).unwrap()).unwrap();
     assert_eq!((&state["reserve_kept"], &state["pools"][0]["started"]), (&json!(0), &json!(2)));
     assert!(state["pools"].as_array().unwrap().iter().all(|p| p["on_cores"] == 0 && p["held"] == 0));
     assert!(site.ended_well());
@@ -237,7 +238,7 @@
     let slow = busy.until_line(20, 300, "cause=slow");
     assert!(slow.contains("limit=2 "), "{slow}");
     // By way of the recovery, whichever change the line of that second tells.
-    busy.until_line(20, 20, "was=2 cause=r");
+    busy.until_line(20, 20, "previous=2 cause=r");
 }
 
 #[test]
@@ -251,7 +252,7 @@
     // Down to two slots, one of them the reserve: six runs go on, and nothing of the five starts.
     let small = POOLS.replace("[pools]\n", "[pools]\nleast_slots = 2\nmost_slots = 2\n");
     site.reload_operator(&small);
-    site.wait_log("pools: limit=2 was=6 cause=reload");
+    site.wait_log("pool_limit_changed limit=2 previous=6 cause=reload");
     for _ in 0..4 {
         let job = jobs.remove(0);
         executor.exit(&job, "PASS", "done");
@@ -272,7 +273,7 @@
     executor.exit(&job, "PASS", "done");
     assert!(clients.iter_mut().all(|c| c.answer().status == 200));
     assert_eq!((third.answer().status, cheap.answer().status), (200, 200));
-    site.wait_log("left with all answered");
+    site.wait_log("shutdown_complete responses=all_sent");
     assert!(site.ended_well());
 }
 
@@ -281,22 +282,22 @@
     let mut site = Site::with(|_| {}, Some(POOLS));
     let mut executor = site.link();
     site.reload_operator(&POOLS.replace("slots = 1", "slots = 9"));
-    let line = site.wait_log("reload: the old operator's file stays");
+    let line = site.wait_log("config_reload_rejected file=operator");
     assert!(line.contains("pools.reserve.slots is 9"), "{line}");
     site.reload_operator(&format!("{POOLS}[backend]\nservers = [\"127.0.0.1:9\"]\n"));
-    site.wait_log("reload: not taken up before a restart: [backend]");
+    site.wait_log("config_reload_deferred file=operator keys=[backend]");
     let mut clients = orders(&site, 0..2);
     let first = starts(&mut executor, "order");
     // Without pools the second slot is nobody's own.
     site.reload_operator("");
-    site.wait_log("reload: pools=0");
+    site.wait_log("pools_reloaded pools=0");
     let second = starts(&mut executor, "order");
     executor.exit(&first, "PASS", "done");
     executor.exit(&second, "PASS", "done");
     assert!(clients.iter_mut().all(|c| c.answer().status == 200));
     // And back again.
     site.reload_operator(POOLS);
-    site.wait_log("reload: pools=2");
+    site.wait_log("pools_reloaded pools=2");
     let mut clients = orders(&site, 2..4);
     let first = starts(&mut executor, "order");
     let mut cheap = look(&site);
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -110,7 +110,7 @@
     let (successor, mut successor_executor) = start_successor(&shared);
     assert_eq!(predecessor.call("GET", "/-/ready").0, 503);
     predecessor.terminate();
-    predecessor.wait_log("told to leave");
+    predecessor.wait_log("exit_pending");
     // The queued request runs in the successor, once a slot is free there: both count the predecessor's runs.
     for (exec, client) in execs.iter().zip(&mut runs) {
         predecessor_executor.exit(job(exec), "PASS", "of the predecessor");
@@ -129,7 +129,7 @@
         successor_executor.serve(client, "of the successor");
     }
     assert!(predecessor.ended_well());
-    predecessor.wait_log("left with all handed over");
+    predecessor.wait_log("shutdown_complete responses=all_handed_off");
     // SIGTERM began no drain: the predecessor never reported one.
     predecessor.registry.set_nonblocking(true).unwrap();
     let mut bytes = [0; 64];
@@ -194,7 +194,7 @@
     let mut successor = Site::at(&shared, |_| {});
     assert_eq!(successor.call("GET", "/-/ready").0, 503);
     successor.kill();
-    predecessor.wait_log("the new process has ended");
+    predecessor.wait_log("hot_restart_peer_exited peer=successor");
     let mut client = Client::connect(predecessor.http);
     client.send(&Ask::new("look"));
     predecessor_executor.serve(&mut client, "as before");
@@ -233,7 +233,7 @@
     assert_eq!(received, 11, "one queued request and one idle connection");
     assert_eq!(predecessor.call("GET", "/-/ready").0, 503);
     drop(peer);
-    predecessor.wait_log("the door is taken back");
+    predecessor.wait_log("listeners_reclaimed");
     assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
     assert_eq!(idle.ask_check(), 200);
     for (exec, client) in execs.iter().zip(&mut clients) {
@@ -250,9 +250,9 @@
     let shared = SharedListener::new();
     let (mut predecessor, mut predecessor_executor) = start_first(&shared);
     let (mut successor, _successor_executor) = start_successor(&shared);
-    predecessor.wait_log("the new process has the door");
+    predecessor.wait_log("listeners_handed_off");
     successor.kill();
-    predecessor.wait_log("the door is open here");
+    predecessor.wait_log("listeners_acquired");
     assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
     predecessor.wait_beat("ready");
     let mut client = Client::connect(predecessor.http);
@@ -285,8 +285,8 @@
     // What the predecessor runs is not known: a key fails, even one that comes for the first time.
     assert_eq!(fresh.ask(&order("k2")).status, 500);
     predecessor.hang(false);
-    successor.wait_log("all keys are known again");
-    predecessor.wait_log("the new process has the door");
+    successor.wait_log("indeterminate_keys_changed unknown_keys=run");
+    predecessor.wait_log("listeners_handed_off");
     let mut fresh = Client::connect(successor.http);
     assert_eq!(fresh.ask(&retry("k1")).body, b"placed 1");
     client.send(&Ask::new("look"));
@@ -314,7 +314,7 @@
         } else {
             peer.send(&Frame::Incompatible { reason: "too predecessor".into() });
         }
-        successor.wait_log("keys that are not known here fail");
+        successor.wait_log("indeterminate_keys_changed unknown_keys=fail");
         wait_ready(&successor);
         let mut client = Client::connect(successor.http);
         assert_eq!(client.ask(&order("k1")).status, 500);
@@ -325,7 +325,7 @@
         let (link, watched) = (peer, watched);
         drop((link, watched));
         if damage {
-            successor.wait_log("the old process has ended");
+            successor.wait_log("hot_restart_peer_exited peer=predecessor");
         }
     }
 }
@@ -344,7 +344,7 @@
     // Bytes that are no frame do no more.
     let mut peer = ScriptedProcess::connect(&shared);
     peer.stream.write_all(&[0xff; 64]).unwrap();
-    predecessor.wait_log("is damaged");
+    predecessor.wait_log("hot_restart_frame_damaged");
     assert_eq!(predecessor.health(), 200);
 }
 
@@ -353,7 +353,7 @@
     let shared = SharedListener::new();
     drop(UnixListener::bind(shared.hot_restart_socket()).unwrap());
     let (mut site, mut executor) = start_first(&shared);
-    site.wait_log("has died");
+    site.wait_log("predecessor_dead");
     let mut client = Client::connect(site.http);
     assert_eq!(client.ask(&retry("k1")).status, 500);
     client.send(&order("k2"));
@@ -373,10 +373,10 @@
     let exec = a_executor.next("EXEC");
     let (mut b, _b_executor) = start_successor(&shared);
     a.terminate();
-    a.wait_log("told to leave");
+    a.wait_log("exit_pending");
     let (c, mut c_executor) = start_successor(&shared);
     b.terminate();
-    b.wait_log("told to leave");
+    b.wait_log("exit_pending");
     let mut late = Client::connect(c.http);
     late.send(&retry("k1"));
     c_executor.quiet_but_for(&c, "");
@@ -430,8 +430,8 @@
 #[test]
 fn without_a_shared_folder_a_process_serves_alone() {
     for (folder, expected) in [
-        ("", "this process can't replace or be replaced"),
-        ("/nowhere/at/all", "this process can't be replaced"),
+        ("", "hot_restart_unavailable cause=\"TMPDIR names no folder\""),
+        ("/nowhere/at/all", "hot_restart_unavailable cause=\"No such file"),
     ] {
         let mut shared = SharedListener::new();
         let kept = std::mem::replace(&mut shared.folder, folder.into());
@@ -439,7 +439,7 @@
         assert_eq!(site.health(), 200);
         // The line may come after the answer: it goes through a pipe of its own.
         let seen = site.log.iter().any(|line| line.contains(expected));
-        let waited = seen || site.wait_log("replaced").contains(expected);
+        let waited = seen || site.wait_log("hot_restart_unavailable").contains(expected);
         assert!(waited, "{expected:?} is not in {:?}", site.log);
         shared.folder = kept;
     }
@@ -530,15 +530,15 @@
         "[ajp]\nlisten = \"{ajp}\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n[http2]\nlisten = \"{http2}\"\n"
     );
     let mut predecessor = Site::at_with(&shared, |_| {}, Some(&operator));
-    predecessor.wait_log("the door is open here");
+    predecessor.wait_log("listeners_acquired");
     let _predecessor_executor = predecessor.link();
     let mut resting = std::net::TcpStream::connect(ajp).unwrap();
     assert!(cping(&mut resting));
     let mut successor = Site::at_with(&shared, |_| {}, Some(&operator));
     let _successor_executor = successor.link();
     wait_ready(&successor);
-    successor.wait_log(&format!("ajp on {ajp}"));
-    successor.wait_log(&format!("http2 on {http2}"));
+    successor.wait_log(&format!("frontend=ajp address={ajp}"));
+    successor.wait_log(&format!("frontend=http2 address={http2}"));
     // Idle connections of the predecessor are closed, as in a shutdown; successor ones are the successor's.
     assert_eq!(resting.read(&mut [0; 8]).unwrap_or(0), 0);
     predecessor.terminate();
@@ -571,7 +571,7 @@
             .encode();
     peer.stream.write_all(&state[..state.len() / 2]).unwrap();
     drop(peer);
-    successor.wait_log("the old process has ended");
+    successor.wait_log("hot_restart_peer_exited peer=predecessor");
     wait_ready(&successor);
     // Neither the drain nor the key was received completely.
     assert_eq!(successor.health(), 200);
@@ -621,7 +621,7 @@
     assert_eq!(successor.call("GET", "/-/ready").0, 503);
     successor.terminate();
     assert!(successor.ended_well());
-    predecessor.wait_log("the new process has ended");
+    predecessor.wait_log("hot_restart_peer_exited peer=successor");
     assert_eq!(predecessor.call("GET", "/-/ready").0, 200);
     assert_eq!(predecessor.health(), 200);
 }
@@ -646,7 +646,7 @@
             break;
         }
     }
-    successor.wait_log("the old process says too much");
+    successor.wait_log("hot_restart_state_too_large");
     wait_ready(&successor);
     assert!(successor.resident_kb() < 24.0 * 1024.0, "{} KB", successor.resident_kb());
 }
