--- a/src/net/frontends/ajp/head.rs
+++ b/src/net/frontends/ajp/head.rs
@@ -4,7 +4,7 @@
 use crate::interface::Idempotency;
 use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
 use crate::net::upstreams::ajp_codec::Forward;
-use crate::net::State;
+use crate::net::FrontendContext;
 
 /// A request whose head has come.
 pub(super) struct PendingRequest {
@@ -53,7 +53,7 @@
     settings: &AjpSettings,
     directory: Option<Identity>,
     forward: &Forward,
-    state: &State,
+    context: &FrontendContext,
     unix_ms: f64,
 ) -> Result<PendingRequest, Rejection> {
     let given = forward.secret.unwrap_or(b"");
@@ -61,12 +61,12 @@
         return Err(Rejection::new(403, "the secret is wrong"));
     }
     let Headers { mut fields, content_length } = read_headers(forward)?;
-    let class = check_class(settings, forward, state)?;
+    let class = check_class(settings, forward, context)?;
     if content_length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(Rejection::new(413, "the body is too long"));
     }
     // Without a key nothing could keep the request from running twice.
-    if fields.key.is_none() && state.known.effect(class) == Idempotency::Keyed {
+    if fields.key.is_none() && context.catalog.effect(class) == Idempotency::Keyed {
         return Err(Rejection::new(400, "X-Operation-Key"));
     }
     let mut identity = None;
@@ -75,7 +75,7 @@
         identity = Some(directory_identity(kind, forward)?);
     } else if !settings.tenants.is_empty() {
         let name = settings.tenant_of(forward.remote_user, forward.server_name);
-        let known = name.and_then(|name| state.known.tenant(name));
+        let known = name.and_then(|name| context.catalog.tenant(name));
         tenant = Some(known.ok_or(Rejection::new(403, "unknown tenant"))?);
     }
     fields.set_default_arrival(unix_ms);
@@ -114,11 +114,15 @@
 }
 
 /// The class of the path, where it takes the method.
-fn check_class(settings: &AjpSettings, forward: &Forward, state: &State) -> Result<usize, Rejection> {
+fn check_class(
+    settings: &AjpSettings,
+    forward: &Forward,
+    context: &FrontendContext,
+) -> Result<usize, Rejection> {
     let path = forward.uri.split(['?', ';']).next().unwrap_or("");
-    let class = settings.class_of(path).and_then(|name| state.known.class(name));
+    let class = settings.class_of(path).and_then(|name| context.catalog.class(name));
     let class = class.ok_or(Rejection::new(404, "no such class"))?;
-    let is_idempotent = state.known.effect(class) == Idempotency::Idempotent;
+    let is_idempotent = context.catalog.effect(class) == Idempotency::Idempotent;
     if forward.method == "POST" || is_idempotent && forward.method == "GET" {
         Ok(class)
     } else {
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -16,7 +16,7 @@
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
 use crate::net::upstreams::ajp_codec::{self, ToContainer, Way, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES};
-use crate::net::{Clock, ListenError, State};
+use crate::net::{Clock, FrontendContext, ListenError};
 use head::{check_head, PendingRequest, Rejection};
 use response::{write_response, AjpResponse};
 use std::net::TcpListener;
@@ -32,7 +32,7 @@
     /// The time.
     pub clock: &'a Clock,
     /// The state of the worker.
-    pub state: &'a State,
+    pub context: &'a FrontendContext,
     /// Takes what goes to the dispatcher.
     pub inputs: &'a mut Vec<Input>,
     /// Takes what goes to the directory.
@@ -166,7 +166,7 @@
         let message = connection.link.data().get(payload).map(ajp_codec::to_container);
         let checked = match message {
             Some(Ok(ToContainer::Forward(forward))) => {
-                check_head(&self.settings, self.directory, &forward, turn.state, turn.clock.unix_ms())
+                check_head(&self.settings, self.directory, &forward, turn.context, turn.clock.unix_ms())
             }
             Some(Ok(ToContainer::CPing)) => {
                 connection.link.push(ajp_codec::write_cpong());
@@ -189,7 +189,7 @@
             Err(rejection) => {
                 // Its body, if it has one, may be on its way: the connection can't be used again.
                 connection.close = true;
-                write_response(connection, now, rejection.into(), turn.state);
+                write_response(connection, now, rejection.into(), turn.context);
             }
         }
     }
@@ -224,7 +224,7 @@
         if let Some(rejection) = rejection {
             connection.memory.0 = None;
             connection.close = true;
-            return write_response(connection, turn.clock.now(), rejection.into(), turn.state);
+            return write_response(connection, turn.clock.now(), rejection.into(), turn.context);
         }
         match content_length {
             Some(length) if received == length => self.on_complete(id, turn),
@@ -246,7 +246,7 @@
             pending.fields.id = Some(generated_id(self.seed, self.generated_ids).into());
         }
         let identity = pending.identity.take();
-        let for_s = pending.fields.time_left(pending.class, &turn.state.known, turn.clock);
+        let for_s = pending.fields.time_left(pending.class, &turn.context.catalog, turn.clock);
         connection.set_state(turn.clock.now(), ConnectionState::Asked);
         match identity {
             Some(identity) => turn.lookups.push(Lookup { ticket: Ticket(id), identity, for_s }),
@@ -259,11 +259,11 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = connection.memory.0.take() else { return };
         let PendingRequest { class, tenant, fields, body, .. } = pending;
-        match fields.request(Ticket(id), class, tenant, &body, &turn.state.known, turn.clock) {
+        match fields.request(Ticket(id), class, tenant, &body, &turn.context.catalog, turn.clock) {
             Ok(request) => turn.inputs.push(Input::Arrived(request)),
             Err(error) => {
                 let rejection = Rejection::from(error);
-                write_response(connection, turn.clock.now(), rejection.into(), turn.state);
+                write_response(connection, turn.clock.now(), rejection.into(), turn.context);
                 self.connections.touch(id);
             }
         }
@@ -283,7 +283,7 @@
     pub fn found(&mut self, ticket: Ticket, result: LookupResult, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
         let tenant = match &result {
-            LookupResult::Tenant(name) => turn.state.known.tenant(name),
+            LookupResult::Tenant(name) => turn.context.catalog.tenant(name),
             _ => None,
         };
         if let (Some(tenant), Some(pending)) = (tenant, &mut connection.memory.0) {
@@ -292,17 +292,17 @@
         }
         connection.memory.0 = None;
         let response = failed_lookup_response(&result);
-        write_response(connection, turn.clock.now(), response, turn.state);
+        write_response(connection, turn.clock.now(), response, turn.context);
         self.connections.touch(ticket.0);
     }
 
     /// Writes a response of the dispatcher.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, response: Response, state: &State) {
+    pub fn answer(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
         if connection.state != ConnectionState::Asked {
             return;
         }
-        write_response(connection, now, response.into(), state);
+        write_response(connection, now, response.into(), context);
         self.connections.touch(ticket.0);
     }
 }
--- a/src/net/frontends/ajp/response.rs
+++ b/src/net/frontends/ajp/response.rs
@@ -5,7 +5,7 @@
 use crate::dispatch::Response;
 use crate::net::frontends::connections::{Connection, ConnectionState};
 use crate::net::upstreams::ajp_codec::{self, MAX_RESPONSE_CHUNK_BYTES};
-use crate::net::State;
+use crate::net::FrontendContext;
 use std::rc::Rc;
 
 /// A response with the headers that depend on its cause.
@@ -66,14 +66,14 @@
     connection: &mut Connection<Memory>,
     now: f64,
     response: AjpResponse,
-    state: &State,
+    context: &FrontendContext,
 ) {
-    connection.close |= state.ends_connections();
+    connection.close |= context.availability.closes_connections();
     connection.set_state(now, ConnectionState::Answering);
     let body_length = response.body.as_ref().map_or(0, |body| body.len());
     let mut headers = vec![("Content-Length", body_length.to_string())];
     headers.extend(response.headers);
-    if let Some(level) = state.level {
+    if let Some(level) = context.availability.published_weight {
         headers.push(("X-Backend-Says", level.to_string()));
     }
     // These few short headers fit into a packet.
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -13,7 +13,7 @@
 use crate::net::frontends::status_mapping::map_response;
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::{Place, Poll};
-use crate::net::{Clock, State};
+use crate::net::{Clock, FrontendContext};
 use parsing::{parse, Parsed};
 use std::fmt::Write;
 use std::io;
@@ -72,21 +72,27 @@
     }
 
     /// Accepts and reads; `true` if accepting had to stop early and wants to be called again.
-    pub fn gather(&mut self, clock: &Clock, state: &State, inputs: &mut Vec<Input>) -> bool {
+    pub fn gather(&mut self, clock: &Clock, context: &FrontendContext, inputs: &mut Vec<Input>) -> bool {
         let accept_again = self.connections.accept(clock.now());
         for id in self.connections.take_touched() {
-            self.process_connection(id, clock, state, inputs);
+            self.process_connection(id, clock, context, inputs);
         }
         accept_again
     }
 
-    fn process_connection(&mut self, id: u64, clock: &Clock, state: &State, inputs: &mut Vec<Input>) {
+    fn process_connection(
+        &mut self,
+        id: u64,
+        clock: &Clock,
+        context: &FrontendContext,
+        inputs: &mut Vec<Input>,
+    ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let now = clock.now();
         for _ in 0..MAX_STEPS_PER_TURN {
             match connection.advance(now) {
                 // Its next request is for the successor.
-                NextStep::Read if state.passing => return,
+                NextStep::Read if context.availability.handing_off => return,
                 NextStep::Read => {}
                 NextStep::Wait => return,
                 NextStep::Later => break,
@@ -102,8 +108,8 @@
             if connection.state == ConnectionState::Idle {
                 connection.set_state(now, ConnectionState::Reading);
             }
-            let parsed = parse(connection.link.data(), Ticket(id), &state.known, clock);
-            match on_parsed(connection, parsed, filled, now, state, inputs) {
+            let parsed = parse(connection.link.data(), Ticket(id), &context.catalog, clock);
+            match on_parsed(connection, parsed, filled, now, context, inputs) {
                 Progress::Continue => {}
                 Progress::Wait => return,
                 Progress::Close => return self.connections.close(id),
@@ -113,12 +119,12 @@
     }
 
     /// Writes a response of the dispatcher.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, response: Response, state: &State) {
+    pub fn answer(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
         if connection.state != ConnectionState::Asked {
             return;
         }
-        connection.close |= state.leaving;
+        connection.close |= context.availability.shutting_down;
         connection.set_state(now, ConnectionState::Answering);
         let mapped = map_response(response);
         let mut extra = String::new();
@@ -129,7 +135,7 @@
             extra.push_str("X-Stop-Trying: 1\r\n");
         }
         let body_length = mapped.body.as_ref().map_or(0, |body| body.len());
-        let head = responses::head(mapped.code, body_length, &extra, state, connection.close);
+        let head = responses::head(mapped.code, body_length, &extra, context, connection.close);
         connection.link.push(head);
         if let Some(body) = mapped.body {
             connection.link.push_shared(body);
@@ -144,7 +150,7 @@
     parsed: Parsed,
     filled: Filled,
     now: f64,
-    state: &State,
+    context: &FrontendContext,
     inputs: &mut Vec<Input>,
 ) -> Progress {
     match parsed {
@@ -161,8 +167,8 @@
         }
         Parsed::Check { length, keep_alive } => {
             connection.link.consume(length);
-            connection.close = !keep_alive || state.leaving;
-            connection.link.push(responses::check_response(state, connection.close));
+            connection.close = !keep_alive || context.availability.shutting_down;
+            connection.link.push(responses::check_response(context, connection.close));
             connection.set_state(now, ConnectionState::Answering);
             Progress::Continue
         }
@@ -176,7 +182,7 @@
         }
         Parsed::Invalid(error) => {
             connection.close = true;
-            connection.link.push(responses::error_response(&error, state));
+            connection.link.push(responses::error_response(&error, context));
             connection.set_state(now, ConnectionState::Answering);
             Progress::Continue
         }
--- a/src/net/frontends/http1/responses.rs
+++ b/src/net/frontends/http1/responses.rs
@@ -1,7 +1,7 @@
 //! Writes the heads of HTTP/1.1 responses, and the short responses of the frontend itself.
 
 use crate::net::frontends::status_mapping::HttpError;
-use crate::net::State;
+use crate::net::FrontendContext;
 use std::fmt::Write;
 
 /// Room for the head of a usual response (bytes).
@@ -25,11 +25,17 @@
 }
 
 /// The head of a response; `extra` holds further header lines, each with its line end.
-pub(super) fn head(code: u16, body_length: usize, extra: &str, state: &State, close: bool) -> Vec<u8> {
+pub(super) fn head(
+    code: u16,
+    body_length: usize,
+    extra: &str,
+    context: &FrontendContext,
+    close: bool,
+) -> Vec<u8> {
     let mut text = String::with_capacity(USUAL_HEAD_BYTES);
     let reason = reason(code);
     let _ = write!(text, "HTTP/1.1 {code} {reason}\r\nContent-Length: {body_length}\r\n{extra}");
-    if let Some(level) = state.level {
+    if let Some(level) = context.availability.published_weight {
         let _ = write!(text, "X-Backend-Says: {level}\r\n");
     }
     text.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
@@ -37,20 +43,20 @@
 }
 
 /// The response to a health check.
-pub(super) fn check_response(state: &State, close: bool) -> Vec<u8> {
-    let (code, body) = if state.good() { (200, "good\n") } else { (503, "bad\n") };
-    with_body(code, body, "", state, close)
+pub(super) fn check_response(context: &FrontendContext, close: bool) -> Vec<u8> {
+    let (code, body) = if context.availability.is_ready() { (200, "good\n") } else { (503, "bad\n") };
+    with_body(code, body, "", context, close)
 }
 
 /// The response to a request that the frontend rejects; the connection is closed after it.
-pub(super) fn error_response(error: &HttpError, state: &State) -> Vec<u8> {
+pub(super) fn error_response(error: &HttpError, context: &FrontendContext) -> Vec<u8> {
     let allow = if error.allow.is_empty() { String::new() } else { format!("Allow: {}\r\n", error.allow) };
     let body = format!("{}\n", error.why);
-    with_body(error.code, &body, &allow, state, true)
+    with_body(error.code, &body, &allow, context, true)
 }
 
-fn with_body(code: u16, body: &str, extra: &str, state: &State, close: bool) -> Vec<u8> {
-    let mut text = head(code, body.len(), extra, state, close);
+fn with_body(code: u16, body: &str, extra: &str, context: &FrontendContext, close: bool) -> Vec<u8> {
+    let mut text = head(code, body.len(), extra, context, close);
     text.extend_from_slice(body.as_bytes());
     text
 }
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -9,7 +9,7 @@
 use crate::net::frontends::connections::{Connection, ConnectionState, NextStep};
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::Poll;
-use crate::net::{Clock, State};
+use crate::net::{Clock, FrontendContext};
 use std::io;
 
 /// What a client sends first (RFC 9113, section 3.4).
@@ -29,8 +29,8 @@
     pub(super) now: f64,
     /// The worker's clock.
     pub(super) clock: &'a Clock,
-    /// The worker's state, as far as frontends know it.
-    pub(super) state: &'a State,
+    /// The worker's context, as far as frontends know it.
+    pub(super) context: &'a FrontendContext,
     /// What goes to the dispatcher at the end of the turn.
     pub(super) inputs: &'a mut Vec<Input>,
 }
@@ -48,7 +48,7 @@
     fn poll(&mut self, poll: &Poll, turn: &Turn) -> PollOutput {
         let output = self.session.poll(&PollInput {
             clock: turn.clock,
-            state: turn.state,
+            context: turn.context,
             max_streams: MAX_STREAMS_PER_ROUND,
             next_ticket: &|| poll.fresh(),
         });
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -22,7 +22,7 @@
 use crate::dispatch::{Input, Response, Ticket};
 use crate::net::frontends::connections::Connections;
 use crate::net::io::poll::{Place, Poll};
-use crate::net::{Clock, ListenError, State};
+use crate::net::{Clock, FrontendContext, ListenError};
 use abuse_detection::{OverheadBudget, PressureMonitor};
 use connection::{queue_output, SessionEntry, Turn};
 use session_admission::SessionAdmission;
@@ -92,12 +92,12 @@
 
     /// Accepts connections and processes those that something happened to; `true` if accepting had to be broken off, or
     /// connections wait for a session, and it is to be called again soon.
-    pub fn gather(&mut self, clock: &Clock, state: &State, inputs: &mut Vec<Input>) -> bool {
+    pub fn gather(&mut self, clock: &Clock, context: &FrontendContext, inputs: &mut Vec<Input>) -> bool {
         let now = clock.now();
         let accept_paused = self.connections.accept(now);
         self.admit_waiting(now, inputs);
         for id in self.connections.take_touched() {
-            let mut turn = Turn { now: clock.now(), clock, state, inputs };
+            let mut turn = Turn { now: clock.now(), clock, context, inputs };
             self.process_connection(id, &mut turn);
         }
         accept_paused || self.admission.has_waiting()
@@ -118,11 +118,11 @@
     }
 
     /// Hands a response of the dispatcher to its stream.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, state: &State) {
+    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, context: &FrontendContext) {
         let Some(id) = self.owners.remove(&ticket.0) else { return };
         let Some(connection) = self.connections.get_mut(id) else { return };
         if let Some(active) = connection.memory.active.as_deref_mut() {
-            active.session.respond(now, ticket, answer, state);
+            active.session.respond(now, ticket, answer, context);
         }
         self.connections.touch(id);
     }
--- a/src/net/frontends/http2/session/mod.rs
+++ b/src/net/frontends/http2/session/mod.rs
@@ -15,7 +15,7 @@
 use super::transport::Pipe;
 use crate::config::Http2Settings;
 use crate::dispatch::{Request, Response, Ticket};
-use crate::net::{Clock, State};
+use crate::net::{Clock, FrontendContext};
 use h2::server::{Connection, Handshake};
 use h2::Reason;
 use idle::KeepAlive;
@@ -47,8 +47,8 @@
 pub struct PollInput<'a> {
     /// The worker's clock.
     pub clock: &'a Clock,
-    /// The worker's state, as far as frontends know it.
-    pub state: &'a State,
+    /// The worker's context, as far as frontends know it.
+    pub context: &'a FrontendContext,
     /// New streams that a round of polling accepts at most, so that one connection leaves time for the others.
     pub max_streams: usize,
     /// Gives the next unused ticket.
@@ -150,7 +150,7 @@
             }
             Poll::Ready(Ok(())) => {}
         }
-        if input.state.ends_connections() {
+        if input.context.availability.closes_connections() {
             self.shut_down_gracefully();
         }
         for _ in 0..MAX_POLL_ROUNDS {
@@ -164,9 +164,9 @@
     }
 
     /// Hands a response of the dispatcher to its stream.
-    pub fn respond(&mut self, now: f64, ticket: Ticket, response: Response, state: &State) {
+    pub fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         if let Some(stream) = self.streams.get_mut(&ticket.0) {
-            stream.respond(now, response, state);
+            stream.respond(now, response, context);
         }
     }
 
@@ -223,7 +223,7 @@
             };
             any_accepted = true;
             self.accepted_streams += 1;
-            let stream = Stream::open(request, respond, input.clock.now(), input.state);
+            let stream = Stream::open(request, respond, input.clock.now(), input.context);
             output.request_bytes += stream.request_bytes();
             self.streams.insert((input.next_ticket)(), stream);
         }
--- a/src/net/frontends/http2/session/request.rs
+++ b/src/net/frontends/http2/session/request.rs
@@ -2,7 +2,7 @@
 
 use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
 use crate::net::frontends::status_mapping::{target, HttpError, Target};
-use crate::net::State;
+use crate::net::FrontendContext;
 use h2::RecvStream;
 use http::header::CONTENT_LENGTH;
 use std::task::{Context, Poll};
@@ -72,10 +72,10 @@
 /// Checks the pseudo-headers and collects the platform's fields.
 pub(super) fn read_head(
     head: &http::request::Parts,
-    state: &State,
+    context: &FrontendContext,
 ) -> Result<(Target, RequestFields), HttpError> {
     let path = head.uri.path_and_query().map_or("", |p| p.as_str());
-    let target = target(head.method.as_str(), path, &state.known)?;
+    let target = target(head.method.as_str(), path, &context.catalog)?;
     let mut fields = RequestFields::default();
     for (name, value) in &head.headers {
         if name == CONTENT_LENGTH {
--- a/src/net/frontends/http2/session/response.rs
+++ b/src/net/frontends/http2/session/response.rs
@@ -1,7 +1,7 @@
 //! The response of a stream: its head, and its body as far as the client's windows allow.
 
 use crate::net::frontends::status_mapping::StatusMapping;
-use crate::net::State;
+use crate::net::FrontendContext;
 use bytes::Buf;
 use h2::SendStream;
 use std::ops::Range;
@@ -86,7 +86,7 @@
 pub(super) fn response_head(
     mapping: &StatusMapping,
     allow: &str,
-    state: &State,
+    context: &FrontendContext,
 ) -> Result<http::Response<()>, http::Error> {
     let length = mapping.body.as_ref().map_or(0, |body| body.len());
     let mut head = http::Response::builder().status(mapping.code).header("content-length", length);
@@ -96,7 +96,7 @@
     if mapping.stop_trying {
         head = head.header("x-stop-trying", "1");
     }
-    if let Some(level) = state.level {
+    if let Some(level) = context.availability.published_weight {
         head = head.header("x-backend-says", level.to_string());
     }
     if !allow.is_empty() {
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::{Request, Response, Ticket};
 use crate::net::frontends::request_fields::{FieldError, RequestFields};
 use crate::net::frontends::status_mapping::{map_response, HttpError, StatusMapping, Target};
-use crate::net::State;
+use crate::net::FrontendContext;
 use bytes::Buf;
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream};
@@ -56,7 +56,7 @@
         request: http::Request<RecvStream>,
         responder: SendResponse<SharedBytes>,
         now: f64,
-        state: &State,
+        context: &FrontendContext,
     ) -> Stream {
         let (head, receive) = request.into_parts();
         let mut stream =
@@ -66,20 +66,26 @@
             stream.stage = StreamStage::Complete;
             return stream;
         }
-        match read_head(&head, state) {
+        match read_head(&head, context) {
             Ok((target, fields)) => {
                 stream.request_bytes = unpacked_bytes(&head);
-                stream.begin(target, fields, receive, state);
+                stream.begin(target, fields, receive, context);
             }
-            Err(fail) => stream.fail(fail, state),
+            Err(fail) => stream.fail(fail, context),
         }
         stream
     }
 
-    fn begin(&mut self, target: Target, fields: RequestFields, receive: RecvStream, state: &State) {
+    fn begin(
+        &mut self,
+        target: Target,
+        fields: RequestFields,
+        receive: RecvStream,
+        context: &FrontendContext,
+    ) {
         match target {
-            Target::Check if state.good() => self.send_text(200, "good\n", state),
-            Target::Check => self.send_text(503, "bad\n", state),
+            Target::Check if context.availability.is_ready() => self.send_text(200, "good\n", context),
+            Target::Check => self.send_text(503, "bad\n", context),
             Target::Run(class) => {
                 let fields = Box::new(fields);
                 let body = Vec::new();
@@ -171,7 +177,7 @@
             Poll::Pending => None,
             Poll::Ready(Ok(())) => self.complete_request(ticket, input),
             Poll::Ready(Err(BodyError::TooLong)) => {
-                self.fail(HttpError::new(413, "the body is too long"), input.state);
+                self.fail(HttpError::new(413, "the body is too long"), input.context);
                 None
             }
             Poll::Ready(Err(BodyError::Reset)) => {
@@ -186,17 +192,17 @@
         let StreamStage::ReceivingBody(incoming) = &mut self.stage else { return None };
         let fields = std::mem::take(&mut incoming.fields);
         let body = std::mem::take(&mut incoming.body);
-        match fields.request(ticket, incoming.class, None, &body, &input.state.known, input.clock) {
+        match fields.request(ticket, incoming.class, None, &body, &input.context.catalog, input.clock) {
             Ok(request) => {
                 self.stage = StreamStage::AwaitingResponse;
                 Some(request)
             }
             Err(FieldError::UnknownTenant) => {
-                self.fail(HttpError::new(403, "unknown tenant"), input.state);
+                self.fail(HttpError::new(403, "unknown tenant"), input.context);
                 None
             }
             Err(FieldError::Field(name)) => {
-                self.fail(HttpError::new(400, name), input.state);
+                self.fail(HttpError::new(400, name), input.context);
                 None
             }
         }
@@ -216,27 +222,27 @@
     }
 
     /// Begins to send a response of the dispatcher, if one is still awaited.
-    pub(super) fn respond(&mut self, now: f64, response: Response, state: &State) {
+    pub(super) fn respond(&mut self, now: f64, response: Response, context: &FrontendContext) {
         if self.awaits_response() {
             self.since = now;
-            self.start_response(map_response(response), "", state);
+            self.start_response(map_response(response), "", context);
         }
     }
 
-    fn fail(&mut self, fail: HttpError, state: &State) {
+    fn fail(&mut self, fail: HttpError, context: &FrontendContext) {
         let body = format!("{}\n", fail.why).into_bytes();
         let mapping =
             StatusMapping { code: fail.code, body: Some(body.into()), pushback_ms: None, stop_trying: false };
-        self.start_response(mapping, fail.allow, state);
+        self.start_response(mapping, fail.allow, context);
     }
 
-    fn send_text(&mut self, code: u16, text: &str, state: &State) {
+    fn send_text(&mut self, code: u16, text: &str, context: &FrontendContext) {
         let body = Some(Rc::from(text.as_bytes()));
-        self.start_response(StatusMapping { code, body, pushback_ms: None, stop_trying: false }, "", state);
+        self.start_response(StatusMapping { code, body, pushback_ms: None, stop_trying: false }, "", context);
     }
 
-    fn start_response(&mut self, mapping: StatusMapping, allow: &str, state: &State) {
-        let Ok(head) = response_head(&mapping, allow, state) else { return };
+    fn start_response(&mut self, mapping: StatusMapping, allow: &str, context: &FrontendContext) {
+        let Ok(head) = response_head(&mapping, allow, context) else { return };
         let body = mapping.body.filter(|body| !body.is_empty());
         self.stage = match (self.responder.send_response(head, body.is_none()), body) {
             (Ok(stream), Some(body)) => {
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::{Response, Ticket};
 use crate::net::frontends::http2::transport::Pipe;
 use crate::net::frontends::request_fields::Catalog;
-use crate::net::{Clock, State};
+use crate::net::{Availability, Clock, FrontendContext, Health};
 use bytes::Bytes;
 use h2::client::{Connection, ResponseFuture, SendRequest};
 use h2::{Reason, RecvStream, SendStream};
@@ -36,7 +36,7 @@
 struct Harness {
     waker: Waker,
     clock: Clock,
-    state: State,
+    context: FrontendContext,
     session: Session,
     wire: Pipe,
     client: SendRequest<Bytes>,
@@ -64,7 +64,7 @@
 impl Harness {
     fn new(window: u32) -> Harness {
         let (http2, config) = settings();
-        let known = Rc::new(Catalog::new(&config.settings, &config.settings.settings(1)));
+        let catalog = Rc::new(Catalog::new(&config.settings, &config.settings.settings(1)));
         let wire = Pipe::default();
         let mut builder = h2::client::Builder::new();
         builder.initial_window_size(window);
@@ -77,13 +77,13 @@
         Harness {
             waker,
             clock: Clock::new(),
-            state: State {
-                known,
-                level: Some(1.0),
-                fit: true,
-                leaving: false,
-                draining: false,
-                passing: false,
+            context: FrontendContext {
+                catalog,
+                availability: Availability {
+                    published_weight: Some(1.0),
+                    health: Health::Healthy,
+                    ..Availability::default()
+                },
             },
             session: Session::new(&http2),
             wire,
@@ -117,7 +117,7 @@
             };
             let input = PollInput {
                 clock: &self.clock,
-                state: &self.state,
+                context: &self.context,
                 max_streams: 4,
                 next_ticket: &next_ticket,
             };
@@ -224,7 +224,7 @@
         } else {
             Response::Served(vec![7; 200].into())
         };
-        self.session.respond(self.clock.now(), Ticket(ticket), response, &self.state);
+        self.session.respond(self.clock.now(), Ticket(ticket), response, &self.context);
     }
 }
 
@@ -278,7 +278,7 @@
                     Step::Respond(n, reject) => harness.respond(n, reject),
                     Step::Read(n) => harness.read(n),
                     Step::Transfer(max_bytes) => harness.transfer(max_bytes),
-                    Step::ShutDown => harness.state.leaving = true,
+                    Step::ShutDown => harness.context.availability.shutting_down = true,
                 }
             }
             // Ends all that is open.
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -13,7 +13,7 @@
         let Some(fleet_now) = self.fleet.as_ref().map(|fleet| fleet.now()) else { return };
         self.update_membership(now, fleet_now);
         let Some(fleet) = &mut self.fleet else { return };
-        let (core, known) = (self.dispatcher.as_ref(), &self.state.known);
+        let (core, known) = (self.dispatcher.as_ref(), &self.context.catalog);
         let counters =
             || core.map(|core| counters_of(core, |class| known.class_name(class))).unwrap_or_default();
         fleet.turn(now, counters, &mut self.wheel);
@@ -30,7 +30,7 @@
         // A new process that does not own the listeners yet takes no leases beside the old one.
         let owns_listeners = self.hot_restart.as_ref().map_or(true, |r| r.ownership.is_owner());
         let serves = owns_listeners && self.dispatcher.is_some();
-        fleet.member.set_accepting_tasks(fleet_now, serves && !self.state.draining);
+        fleet.member.set_accepting_tasks(fleet_now, serves && !self.context.availability.draining);
         if fleet.member.load_report_due(fleet_now) {
             let sample = self.dispatcher.as_mut().and_then(|core| core.fleet_load_sample(now));
             if let Some(sample) = sample {
--- a/src/net/lifecycle/hot_restart/frontends.rs
+++ b/src/net/lifecycle/hot_restart/frontends.rs
@@ -32,7 +32,7 @@
     /// Opens all frontends; nothing is handed off any more.
     pub(super) fn accept_clients(&mut self, now: f64) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        self.state.passing = false;
+        self.context.availability.handing_off = false;
         if let Some(dispatcher) = &mut self.dispatcher {
             dispatcher.end_hand_off();
             dispatcher.set_indeterminate_keys(hot_restart.indeterminate_keys);
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -147,7 +147,7 @@
         }
         inputs.push(Input::LearnedState(state.learned));
         // Whoever asked this process for a drain while it waited means it all the same.
-        self.set_draining(state.draining || self.state.draining);
+        self.set_draining(state.draining || self.context.availability.draining);
     }
 
     fn set_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -113,7 +113,7 @@
     /// Closes the listeners of all frontends. Those of the operator's frontends are retained for the successor.
     fn close_listeners_for_hand_off(&mut self) {
         self.http.connections.stop_listening();
-        self.state.passing = true;
+        self.context.availability.handing_off = true;
         let Some(hot_restart) = &mut self.hot_restart else { return };
         hot_restart.frontend_listeners.clear();
         let mut retain = |frontend: &str, socket| {
@@ -154,7 +154,7 @@
         let zero_unix_ms = loop_zero_unix_ms(&self.clock);
         self.send_to_successor(&Frame::State {
             fingerprint_key: (handed_off.fingerprint_key.0, handed_off.fingerprint_key.1),
-            draining: self.state.draining,
+            draining: self.context.availability.draining,
             learned: handed_off.learned,
             running: handed_off.running,
         });
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -23,7 +23,7 @@
     pub(in crate::net) fn handle_operator_call(&mut self, call: Call) -> console::Reply {
         let linked = self.ajp_servers.is_some() || self.executor.linked();
         match call {
-            Call::Ready if self.state.leaving => console::Reply::new(503, "leaving\n"),
+            Call::Ready if self.context.availability.shutting_down => console::Reply::new(503, "leaving\n"),
             Call::Ready if !self.owns_listeners() => {
                 let given = self.has_handed_off();
                 console::Reply::new(
@@ -40,7 +40,7 @@
                     .dispatcher
                     .as_ref()
                     .map_or((&self.early_metrics, 0), |core| (core.metrics(), core.pending_responses()));
-                let figures = console::figures(&self.state.known, counts, concurrent);
+                let figures = console::figures(&self.context.catalog, counts, concurrent);
                 console::Reply::new(200, figures + &self.fleet_figures())
             }
             Call::Drain => {
@@ -51,7 +51,11 @@
                 self.set_draining(false);
                 console::Reply::new(
                     200,
-                    if self.state.leaving { "leaving all the same\n" } else { "serving\n" },
+                    if self.context.availability.shutting_down {
+                        "leaving all the same\n"
+                    } else {
+                        "serving\n"
+                    },
                 )
             }
         }
@@ -62,8 +66,8 @@
         if self.forward_drain(on) {
             return;
         }
-        if self.state.draining != on {
-            self.state.draining = on;
+        if self.context.availability.draining != on {
+            self.context.availability.draining = on;
             LifecycleEvent::DrainChanged { draining: on }.emit();
             self.report_load(false);
         }
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -48,7 +48,7 @@
         for at in [at.accept_until, at.answer_by, at.exit_by] {
             self.wheel.set(now, at - now, Timer::Again);
         }
-        self.state.leaving = true;
+        self.context.availability.shutting_down = true;
         inputs.push(Input::Shutdown { notice: at.notice, stop: at.kill_at });
         if let Some(http2) = &mut self.http2 {
             // Each connection is sent GOAWAY.
@@ -62,9 +62,9 @@
     pub(in crate::net) fn sweep(&mut self) {
         let now = self.clock.now();
         let closing = self.shutdown.as_ref().is_some_and(|l| l.closed.is_some());
-        self.sweep_frontends(now, closing || self.state.passing);
+        self.sweep_frontends(now, closing || self.context.availability.handing_off);
         if let Some(http2) = &mut self.http2 {
-            http2.sweep(now, self.state.draining, &mut self.deferred_inputs);
+            http2.sweep(now, self.context.availability.draining, &mut self.deferred_inputs);
         }
         if let Some(s) = &mut self.ajp_servers {
             s.sweep(now);
@@ -84,7 +84,7 @@
         if let Some(console) = &mut self.console {
             console.connections.sweep(now, self.idle_s, false);
         }
-        self.http.connections.sweep(now, self.idle_s, leaving && !self.state.passing);
+        self.http.connections.sweep(now, self.idle_s, leaving && !self.context.availability.handing_off);
         if let Some(ajp) = &mut self.ajp {
             ajp.connections.sweep(now, self.idle_s, leaving);
         }
@@ -177,7 +177,7 @@
         if let Some(ajp) = &mut self.ajp {
             ajp.give_up_lookups(&mut Turn {
                 clock: &self.clock,
-                state: &self.state,
+                context: &self.context,
                 inputs: &mut inputs,
                 lookups: &mut Vec::new(),
             });
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,19 +9,20 @@
 //! | [`upstreams`] | the executor, AJP servers, records service, registry, directory, coordinators |
 //! | [`lifecycle`] | console, reload, graceful shutdown, hot restart, fleet membership |
 
+mod availability;
 mod clock;
 mod error;
 pub mod events;
 pub mod frontends;
 pub mod io;
 pub mod lifecycle;
-mod state;
+
 pub mod upstreams;
 pub mod worker;
 
+pub use availability::{Availability, FrontendContext, Health};
 pub use clock::Clock;
 pub use error::{ListenError, WorkerError};
-pub use state::State;
 pub use worker::{run, Worker};
 
 /// Retained results may take one part in this many of the memory limit.
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -6,6 +6,7 @@
 use crate::log::LogEvent;
 use crate::net::events::{DroppedCommand, ExecutorEvent};
 use crate::net::io::timer_wheel::Timer;
+use crate::net::Health;
 
 /// What callers are told when the executor is not up yet (seconds).
 const NOT_UP_RETRY_AFTER_S: f64 = 1.0;
@@ -18,7 +19,7 @@
             Command::Run { name, class, body, due } => {
                 if let Some(servers) = &mut self.ajp_servers {
                     servers.run(now, name, class, body, due, &mut self.wheel);
-                } else if !self.executor.run(&name, class, &body, &self.state.known) {
+                } else if !self.executor.run(&name, class, &body, &self.context.catalog) {
                     // Not even queued: it has not run, and will not.
                     inputs.push(Input::NeverRan { name });
                 }
@@ -39,24 +40,21 @@
                 }
             }
             Command::Health(good) => self.set_health(good),
-            Command::Publish(level) => self.state.level = Some(level),
+            Command::Publish(level) => self.context.availability.published_weight = Some(level),
             Command::WakeIn(after) => self.wheel.set(now, after, Timer::Wake),
             Command::Log(event) => event.emit(),
             Command::IdempotencyUpdate(update) => self.send_key_update(&update),
         }
     }
 
-    fn set_health(&mut self, good: bool) {
-        self.healthy = good;
-        if self.dispatcher.is_some() {
-            self.state.fit = good;
-            self.report_load(false);
-        }
+    fn set_health(&mut self, healthy: bool) {
+        self.context.availability.health = if healthy { Health::Healthy } else { Health::Unhealthy };
+        self.report_load(false);
     }
 
     /// Sends a load report to the registry once the executor is up: a worker that is not good reports `draining`.
     pub(in crate::net) fn report_load(&mut self, due: bool) {
-        let ready = self.state.good();
+        let ready = self.context.availability.is_ready();
         let listed = self.dispatcher.is_some() && self.owns_listeners();
         if let Some(registry) = self.registry.as_mut().filter(|_| listed) {
             registry.beat(ready, due);
@@ -66,10 +64,10 @@
     /// Hands a response to the frontend whose ticket it is.
     pub(super) fn answer(&mut self, now: f64, ticket: Ticket, response: Response) {
         match &mut self.ajp {
-            Some(ajp) if ajp.connections.owns(ticket.0) => ajp.answer(now, ticket, response, &self.state),
+            Some(ajp) if ajp.connections.owns(ticket.0) => ajp.answer(now, ticket, response, &self.context),
             _ => match &mut self.http2 {
-                Some(http2) if http2.owns(ticket) => http2.answer(now, ticket, response, &self.state),
-                _ => self.http.answer(now, ticket, response, &self.state),
+                Some(http2) if http2.owns(ticket) => http2.answer(now, ticket, response, &self.context),
+                _ => self.http.answer(now, ticket, response, &self.context),
             },
         }
     }
--- a/src/net/worker/gather.rs
+++ b/src/net/worker/gather.rs
@@ -12,9 +12,9 @@
         let now = self.clock.now();
         let mut paused = self.serve_console(now);
         self.gather_upstreams(now, inputs);
-        paused |= self.http.gather(&self.clock, &self.state, inputs);
+        paused |= self.http.gather(&self.clock, &self.context, inputs);
         if let Some(http2) = &mut self.http2 {
-            paused |= http2.gather(&self.clock, &self.state, inputs);
+            paused |= http2.gather(&self.clock, &self.context, inputs);
         }
         paused |= self.gather_ajp(now, inputs);
         if paused && !self.accept_timer {
@@ -25,7 +25,7 @@
 
     fn gather_upstreams(&mut self, now: f64, inputs: &mut Vec<Input>) {
         match &mut self.ajp_servers {
-            Some(servers) => servers.gather(now, &self.state.known, inputs, &mut self.wheel),
+            Some(servers) => servers.gather(now, &self.context.catalog, inputs, &mut self.wheel),
             None => self.executor.gather(now, inputs),
         }
         self.schedule_relink(now);
@@ -51,7 +51,7 @@
     fn gather_ajp(&mut self, now: f64, inputs: &mut Vec<Input>) -> bool {
         let Some(ajp) = &mut self.ajp else { return false };
         let mut lookups = Vec::new();
-        let mut turn = Turn { clock: &self.clock, state: &self.state, inputs, lookups: &mut lookups };
+        let mut turn = Turn { clock: &self.clock, context: &self.context, inputs, lookups: &mut lookups };
         let paused = ajp.gather(&mut turn);
         if let Some(directory) = &mut self.directory {
             for lookup in std::mem::take(turn.lookups) {
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -37,7 +37,7 @@
 use crate::net::upstreams::executor::Executor;
 use crate::net::upstreams::records::Records;
 use crate::net::upstreams::registry::Registry;
-use crate::net::{Clock, State};
+use crate::net::{Clock, FrontendContext};
 pub use event_loop::run;
 
 /// How often idle and slow connections are looked for (seconds).
@@ -57,9 +57,7 @@
     pub(in crate::net) settings: Settings,
     /// Absent until the executor is up.
     pub(in crate::net) dispatcher: Option<Dispatcher>,
-    pub(in crate::net) state: State,
-    /// The controller's last word on health; frontends see it once the dispatcher is there.
-    pub(in crate::net) healthy: bool,
+    pub(in crate::net) context: FrontendContext,
     pub(in crate::net) idle_s: f64,
     pub(in crate::net) poll: Poll,
     pub(in crate::net) console: Option<Console>,
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -23,7 +23,7 @@
 use crate::net::upstreams::executor::Executor;
 use crate::net::upstreams::records::Records;
 use crate::net::upstreams::registry::Registry;
-use crate::net::{Clock, State};
+use crate::net::{Availability, Clock, FrontendContext};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
         let clock = Clock::new();
         let operator = files.operator(&config)?;
         let settings = controller_settings(&config, &operator)?;
-        let known = Rc::new(Catalog::new(&config.settings, &settings));
+        let catalog = Rc::new(Catalog::new(&config.settings, &settings));
         let console = bind_console(&config, poll)?;
         let socket = inherited_socket(&files)?;
         // A predecessor may have the operator's addresses, and hand them over.
@@ -69,8 +69,7 @@
             fleet: fleet_member(&config, &operator, &settings, poll),
             registry,
             idle_s: settings.idle_s.max(1.0),
-            state: State { known, level: None, fit: false, leaving: false, draining: false, passing: false },
-            healthy: true,
+            context: FrontendContext { catalog, availability: Availability::default() },
             dispatcher: None,
             shutdown: None,
             connections_ended_at: None,
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -41,7 +41,6 @@
         for command in commands {
             self.execute(now, command, &mut Vec::new());
         }
-        self.state.fit = self.healthy;
         self.wheel.set(now, 0.0, Timer::Beat);
         self.executor.ask_gauges();
         self.on_hot_restart_event(now, Event::ReadyToServe, inputs);
