--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -4,7 +4,8 @@
 use crate::coordinator::{next_frame, FRAME_HEADER_BYTES};
 use port_worker::fleet::frame::MAX_CLIENT_FRAME_BYTES;
 use port_worker::net::io::buffer::{Filled, Link};
-use port_worker::net::io::poll::{Accepted, Place};
+use port_worker::net::io::poll::Accepted;
+use port_worker::net::io::source::Source;
 
 /// A link without a complete frame for so long is closed (seconds): workers send a heartbeat every second.
 const LINK_TIMEOUT_S: f64 = 30.0;
@@ -46,7 +47,7 @@
             let buffer_bytes = MAX_CLIENT_FRAME_BYTES + FRAME_HEADER_BYTES;
             let link = stream
                 .set_nonblocking(true)
-                .and_then(|()| Link::new(&self.poll, stream, Place::Fleet(id), buffer_bytes));
+                .and_then(|()| Link::new(&self.poll, stream, Source::Coordinator(id), buffer_bytes));
             if let Ok(link) = link {
                 self.coordinator.opened(id);
                 self.touched.insert(id);
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -14,7 +14,8 @@
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle};
-use port_worker::net::io::poll::{Acceptor, Gathered, Place, Poll};
+use port_worker::net::io::poll::{Acceptor, Gathered, Poll};
+use port_worker::net::io::source::Source;
 use rustix::time::{clock_gettime, ClockId};
 use server::Server;
 use std::cell::RefCell;
@@ -98,7 +99,7 @@
     tracing::info!(coordinator = %config.name, fleet = %config.fleet, at = %local_address, "listens");
     let mut gathered = Gathered::default();
     server.carry_out();
-    while !gathered.leave {
+    while !gathered.shutdown {
         event_loop.dispatch(None, &mut gathered).map_err(NetError::event_loop("event loop"))?;
         let results = std::mem::take(&mut *inbox.borrow_mut());
         server.poll_once(&mut gathered, results, path);
@@ -115,7 +116,7 @@
             Signal::SIGHUP => gathered.reload = true,
             // A write beyond the limit on file sizes has failed: the disk's thread reports it.
             Signal::SIGXFSZ => {}
-            _ => gathered.leave = true,
+            _ => gathered.shutdown = true,
         })
         .map_err(NetError::event_loop("signals"))?;
     Ok(())
@@ -123,7 +124,8 @@
 
 fn listen(poll: &Poll, file: &File) -> Result<Acceptor, NetError> {
     let address = file.listen_address().ok_or(NetError::NoListenAddress)?;
-    Acceptor::bind(poll, address, Place::FleetListener).map_err(|source| NetError::Listen { address, source })
+    Acceptor::bind(poll, address, Source::CoordinatorListener)
+        .map_err(|source| NetError::Listen { address, source })
 }
 
 fn watch_disk(
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -5,7 +5,7 @@
 use crate::coordinator::{next_frame, PeerAnswer, MAX_PEER_FRAME_BYTES};
 use port_worker::fleet::frame::MAX_SERVER_FRAME_BYTES;
 use port_worker::net::io::buffer::{Filled, Link};
-use port_worker::net::io::poll::Place;
+use port_worker::net::io::source::{Readiness, Source};
 use std::net::SocketAddr;
 
 /// How often a peer that is not connected is tried (seconds).
@@ -105,7 +105,7 @@
             None if waited_s < CONNECT_TIMEOUT_S => Ok(()),
             None | Some(Err(_)) => Err(Broken),
             Some(Ok(())) => {
-                self.link.mark(true, true);
+                self.link.mark(Readiness { readable: true, writable: true });
                 self.link.push(hello());
                 self.stage = Stage::Greeted;
                 Ok(())
@@ -165,7 +165,7 @@
         }
         peer.connect_started_at = now;
         let id = self.poll.fresh();
-        let link = Link::connect(&self.poll, peer.address, Place::Fleet(id), MAX_PEER_FRAME_BYTES);
+        let link = Link::connect(&self.poll, peer.address, Source::Coordinator(id), MAX_PEER_FRAME_BYTES);
         peer.connection = link.ok().map(|link| Connection { id, link, stage: Stage::Connecting });
     }
 
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -8,7 +8,8 @@
 use crate::replica::DiskJob;
 use calloop::channel::Sender;
 use port_worker::net::io::buffer::Link;
-use port_worker::net::io::poll::{Acceptor, Gathered, Place, Poll};
+use port_worker::net::io::poll::{Acceptor, Gathered, Poll};
+use port_worker::net::io::source::{ReadySource, Source};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::sync::mpsc;
@@ -59,8 +60,8 @@
     /// Processes what the event loop has gathered, and all that is due.
     pub(super) fn poll_once(&mut self, gathered: &mut Gathered, results: Vec<JobResult>, path: &Path) {
         let now = boot_time_s() - self.started_at;
-        for (place, readable, writable) in gathered.take() {
-            self.mark_ready(place, readable, writable);
+        for ready in gathered.take() {
+            self.mark_ready(ready);
         }
         if std::mem::take(&mut gathered.reload) {
             self.reload(now, path);
@@ -76,12 +77,12 @@
         self.flush();
     }
 
-    fn mark_ready(&mut self, place: Place, readable: bool, writable: bool) {
-        match place {
-            Place::FleetListener => self.acceptor.mark(),
-            Place::Fleet(id) => {
+    fn mark_ready(&mut self, ready: ReadySource) {
+        match ready.source {
+            Source::CoordinatorListener => self.acceptor.mark(),
+            Source::Coordinator(id) => {
                 if let Some(link) = self.link(id) {
-                    link.mark(readable, writable);
+                    link.mark(ready.readiness);
                 }
                 self.touched.insert(id);
             }
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -10,13 +10,16 @@
 use crate::log::LogEvent;
 use crate::net::events::FrontendEvent;
 use crate::net::frontends::connections::{
-    Connection, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
+    Connection, ConnectionSet, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
 };
+use crate::net::frontends::frontend::{Frontend, FrontendTurn};
 use crate::net::frontends::request_fields::MAX_BODY_BYTES;
 use crate::net::io::buffer::Filled;
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::FrontendKind;
 use crate::net::upstreams::ajp_codec::{self, ToContainer, Way, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES};
-use crate::net::{Clock, FrontendContext, ListenError};
+use crate::net::upstreams::directory::{Lookup, LookupResult};
+use crate::net::{FrontendContext, ListenError};
 use head::{check_head, PendingRequest, Rejection};
 use response::{write_response, AjpResponse};
 use std::net::TcpListener;
@@ -27,44 +30,8 @@
 #[derive(Default)]
 pub struct Memory(Option<PendingRequest>);
 
-/// What the worker lends the frontend for a turn.
-pub struct Turn<'a> {
-    /// The time.
-    pub clock: &'a Clock,
-    /// The state of the worker.
-    pub context: &'a FrontendContext,
-    /// Takes what goes to the dispatcher.
-    pub inputs: &'a mut Vec<Input>,
-    /// Takes what goes to the directory.
-    pub lookups: &'a mut Vec<Lookup>,
-}
-
-/// A question to the directory for the tenant of a request.
-#[derive(Debug, PartialEq)]
-pub struct Lookup {
-    /// The connection that waits for it.
-    pub ticket: Ticket,
-    /// The identity of the portal or its user.
-    pub identity: String,
-    /// How long the request can wait for it (seconds).
-    pub for_s: f64,
-}
-
-/// What came of a lookup.
-#[derive(Clone, Debug, PartialEq)]
-pub enum LookupResult {
-    /// The name of the tenant.
-    Tenant(Rc<str>),
-    /// The directory knows no tenant of this identity, or several.
-    Unknown,
-    /// The directory can't be reached, or fails.
-    Unavailable,
-    /// The request's time was over before the directory had answered.
-    TimedOut,
-}
-
 /// The listener, its connections, and the operator's settings.
-pub struct AjpFront {
+pub struct AjpFrontend {
     /// The connections.
     pub connections: Connections<Memory>,
     settings: AjpSettings,
@@ -76,37 +43,14 @@
     generated_ids: u64,
 }
 
-impl AjpFront {
-    /// A frontend that accepts nothing yet.
-    pub fn shut(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFront {
-        let connections = Connections::shut(poll, Place::Ajp, 2 * MAX_PACKET_BYTES);
-        AjpFront { connections, settings, directory, seed, generated_ids: 0 }
-    }
-
-    /// Accepts at a socket that listens already, or at the address of its settings.
-    ///
-    /// # Errors
-    ///
-    /// Where the system doesn't let it listen there.
-    pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
-        let address = self.settings.listen;
-        let opened = match socket {
-            Some(socket) => self.connections.open(&socket, Place::AjpListener),
-            None => self.connections.listen(address, Place::AjpListener),
-        };
-        opened.map_err(|source| ListenError { address, source })
+impl AjpFrontend {
+    /// A frontend that doesn't listen yet.
+    pub fn closed(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFrontend {
+        let connections = Connections::closed(poll, FrontendKind::Ajp, 2 * MAX_PACKET_BYTES);
+        AjpFrontend { connections, settings, directory, seed, generated_ids: 0 }
     }
 
-    /// Accepts and reads; `true` if accepting had to stop early and wants to be called again.
-    pub fn gather(&mut self, turn: &mut Turn) -> bool {
-        let accept_again = self.connections.accept(turn.clock.now());
-        for id in self.connections.take_touched() {
-            self.process_connection(id, turn);
-        }
-        accept_again
-    }
-
-    fn process_connection(&mut self, id: u64, turn: &mut Turn) {
+    fn process_connection(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let now = turn.clock.now();
         for _ in 0..MAX_STEPS_PER_TURN {
             let Some(connection) = self.connections.get_mut(id) else { return };
@@ -114,7 +58,7 @@
                 NextStep::Read => {}
                 NextStep::Wait => return,
                 NextStep::Later => break,
-                NextStep::Close => return self.connections.gone(id, turn.inputs),
+                NextStep::Close => return self.connections.disconnected(id, turn.inputs),
             }
             let filled = connection.link.fill();
             if connection.state == ConnectionState::Idle && !connection.link.data().is_empty() {
@@ -139,7 +83,7 @@
     }
 
     /// Takes a packet that carries a part of a request's body.
-    fn on_body_packet(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut Turn) {
+    fn on_body_packet(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
         let chunk = connection.link.data().get(payload).map(ajp_codec::body);
@@ -160,7 +104,7 @@
     }
 
     /// Takes a packet that begins a request, or another message of a web server.
-    fn on_message(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut Turn) {
+    fn on_message(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
         let message = connection.link.data().get(payload).map(ajp_codec::to_container);
@@ -195,7 +139,7 @@
     }
 
     /// Waits for the body of a request, or goes on at once where it has none.
-    fn begin_request(&mut self, id: u64, pending: PendingRequest, turn: &mut Turn) {
+    fn begin_request(&mut self, id: u64, pending: PendingRequest, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let content_length = pending.content_length;
         // A web server sends a body without a stated length only when it is asked for.
@@ -209,7 +153,7 @@
     }
 
     /// Rejects a body of the wrong length, goes on with a complete one, or asks for more of it.
-    fn on_body_chunk(&mut self, id: u64, body_ended: bool, turn: &mut Turn) {
+    fn on_body_chunk(&mut self, id: u64, body_ended: bool, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = &connection.memory.0 else { return };
         let received = pending.body.len();
@@ -238,7 +182,7 @@
     }
 
     /// A request has come complete: the directory is asked first where it must be, else the dispatcher.
-    fn on_complete(&mut self, id: u64, turn: &mut Turn) {
+    fn on_complete(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = &mut connection.memory.0 else { return };
         if pending.fields.id.is_none() {
@@ -246,16 +190,16 @@
             pending.fields.id = Some(generated_id(self.seed, self.generated_ids).into());
         }
         let identity = pending.identity.take();
-        let for_s = pending.fields.time_left(pending.class, &turn.context.catalog, turn.clock);
+        let timeout_s = pending.fields.time_left(pending.class, &turn.context.catalog, turn.clock);
         connection.set_state(turn.clock.now(), ConnectionState::Asked);
         match identity {
-            Some(identity) => turn.lookups.push(Lookup { ticket: Ticket(id), identity, for_s }),
+            Some(identity) => turn.lookups.push(Lookup { ticket: Ticket(id), identity, timeout_s }),
             None => self.dispatch(id, turn),
         }
     }
 
     /// Hands the pending request to the dispatcher.
-    fn dispatch(&mut self, id: u64, turn: &mut Turn) {
+    fn dispatch(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = connection.memory.0.take() else { return };
         let PendingRequest { class, tenant, fields, body, .. } = pending;
@@ -268,19 +212,48 @@
             }
         }
     }
+}
+
+impl Frontend for AjpFrontend {
+    fn kind(&self) -> FrontendKind {
+        FrontendKind::Ajp
+    }
+
+    fn connections(&self) -> &dyn ConnectionSet {
+        &self.connections
+    }
+
+    fn connections_mut(&mut self) -> &mut dyn ConnectionSet {
+        &mut self.connections
+    }
+
+    fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
+        self.connections.open(socket, self.settings.listen)
+    }
+
+    fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
+        let accept_again = self.connections.accept(turn.clock.now());
+        for id in self.connections.take_touched() {
+            self.process_connection(id, turn);
+        }
+        accept_again
+    }
+
+    fn owns(&self, ticket: Ticket) -> bool {
+        self.connections.owns(ticket.0)
+    }
 
-    /// Ends all lookups, as the directory's answers would come too late: clients are told to retry.
-    pub fn give_up_lookups(&mut self, turn: &mut Turn) {
+    /// The directory's answers would come too late: clients are told to retry.
+    fn respond_all(&mut self, turn: &mut FrontendTurn<'_>) {
         let waits_for_directory = |connection: &Connection<Memory>| {
             connection.state == ConnectionState::Asked && connection.memory.0.is_some()
         };
         for id in self.connections.ids_where(waits_for_directory) {
-            self.found(Ticket(id), LookupResult::Unavailable, turn);
+            self.complete_lookup(Ticket(id), LookupResult::Unavailable, turn);
         }
     }
 
-    /// Takes the result of a lookup.
-    pub fn found(&mut self, ticket: Ticket, result: LookupResult, turn: &mut Turn) {
+    fn complete_lookup(&mut self, ticket: Ticket, result: LookupResult, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
         let tenant = match &result {
             LookupResult::Tenant(name) => turn.context.catalog.tenant(name),
@@ -296,8 +269,7 @@
         self.connections.touch(ticket.0);
     }
 
-    /// Writes a response of the dispatcher.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
+    fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
         if connection.state != ConnectionState::Asked {
             return;
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -3,7 +3,9 @@
 use super::eviction::Eviction;
 use super::{Connection, Connections};
 use crate::net::io::buffer::Link;
-use crate::net::io::poll::{Accepted, Acceptor, Place, Poll};
+use crate::net::io::poll::{Accepted, Acceptor, Poll};
+use crate::net::io::source::{FrontendKind, Source};
+use crate::net::ListenError;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -17,32 +19,26 @@
     pub fn bind(
         poll: &Poll,
         address: SocketAddr,
-        listener: Place,
-        place: fn(u64) -> Place,
+        kind: FrontendKind,
         max_unread_bytes: usize,
     ) -> io::Result<Connections<P>> {
-        let mut connections = Connections::shut(poll, place, max_unread_bytes);
-        connections.acceptor = Some(Acceptor::bind(poll, address, listener)?);
+        let mut connections = Connections::closed(poll, kind, max_unread_bytes);
+        connections.acceptor = Some(Acceptor::bind(poll, address, Source::Listener(kind))?);
         Ok(connections)
     }
 
-    /// Accepts at a socket that listens already.
+    /// Accepts from now on: at a socket that listens already, or else at `address`, which the error names too.
     ///
     /// # Errors
     ///
-    /// Where the socket can't be polled.
-    pub fn open(&mut self, socket: &Rc<TcpListener>, listener: Place) -> io::Result<()> {
-        self.acceptor = Some(Acceptor::on(&self.poll, socket.clone(), listener)?);
-        Ok(())
-    }
-
-    /// Listens and accepts at an address.
-    ///
-    /// # Errors
-    ///
-    /// Where the system doesn't let it listen there.
-    pub fn listen(&mut self, address: SocketAddr, listener: Place) -> io::Result<()> {
-        self.acceptor = Some(Acceptor::bind(&self.poll, address, listener)?);
+    /// Where the system doesn't let it listen there, or the socket can't be polled.
+    pub fn open(&mut self, socket: Option<Rc<TcpListener>>, address: SocketAddr) -> Result<(), ListenError> {
+        let source = Source::Listener(self.kind);
+        let opened = match socket {
+            Some(socket) => Acceptor::on(&self.poll, socket, source),
+            None => Acceptor::bind(&self.poll, address, source),
+        };
+        self.acceptor = Some(opened.map_err(|source| ListenError { address, source })?);
         Ok(())
     }
 
@@ -132,7 +128,8 @@
         if stream.set_nonblocking(true).is_err() {
             return;
         }
-        if let Ok(link) = Link::new(&self.poll, stream, (self.place)(id), self.max_unread_bytes) {
+        if let Ok(link) = Link::new(&self.poll, stream, Source::Client(self.kind, id), self.max_unread_bytes)
+        {
             self.by_id.insert(id, Connection::new(link, now, P::default()));
             self.touched.push(id);
         }
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -1,6 +1,7 @@
 //! One connection: its state, what it does next and how it is closed.
 
 use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::source::Readiness;
 
 /// The most steps that one connection takes in a turn: a peer that sends without end must not occupy the event loop.
 pub const MAX_STEPS_PER_TURN: usize = 32;
@@ -150,7 +151,7 @@
     /// Guards against a decision to close that rests on readiness the event loop saw a moment ago.
     pub(super) fn check_for_input(&mut self) -> bool {
         let length_before = self.link.data().len();
-        self.link.mark(true, false);
+        self.link.mark(Readiness { readable: true, writable: false });
         let filled = self.link.fill();
         self.has_unseen_bytes |= self.link.data().len() > length_before;
         self.has_unseen_bytes || filled != Filled::Open
@@ -168,7 +169,7 @@
 
     /// Discards what has come, so that the close that follows is no reset.
     pub(super) fn drop_unread(&mut self) {
-        self.link.mark(true, false);
+        self.link.mark(Readiness { readable: true, writable: false });
         self.link.discard(MAX_DISCARD_BYTES);
     }
 }
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -2,6 +2,7 @@
 
 use super::{Connection, ConnectionState, Connections};
 use crate::net::io::buffer::Link;
+use crate::net::io::source::Source;
 use std::net::TcpStream;
 use std::os::fd::OwnedFd;
 
@@ -20,10 +21,10 @@
 }
 
 impl<P: Default> Connections<P> {
-    /// Goes on with a connection that was lent; `asked` says that its request is in flight.
-    pub fn take_back(&mut self, now: f64, id: u64, asked: bool) {
-        let lent = self.by_id.get_mut(&id).filter(|lent| lent.state == ConnectionState::HandedOff);
-        let Some(connection) = lent else { return };
+    /// Goes on with a connection that was detached; `asked` says that its request is in flight.
+    pub fn reattach(&mut self, now: f64, id: u64, asked: bool) {
+        let detached = self.by_id.get_mut(&id).filter(|c| c.state == ConnectionState::HandedOff);
+        let Some(connection) = detached else { return };
         // Not a new request: `set_state` is for those alone.
         connection.state = resumed_state(&connection.link, asked);
         connection.state_since = now;
@@ -35,7 +36,8 @@
     pub fn adopt(&mut self, now: f64, detached: DetachedConnection<P>, asked: bool) -> Option<u64> {
         let id = self.poll.fresh();
         let stream = TcpStream::from(detached.stream);
-        let mut link = Link::new(&self.poll, stream, (self.place)(id), self.max_unread_bytes).ok()?;
+        let mut link =
+            Link::new(&self.poll, stream, Source::Client(self.kind, id), self.max_unread_bytes).ok()?;
         link.put_back(&detached.unread);
         let mut connection = Connection::new(link, now, detached.memory);
         connection.state = resumed_state(&connection.link, asked);
@@ -49,9 +51,9 @@
 }
 
 impl<P: Default + Copy> Connections<P> {
-    /// Lends a connection to another process: nothing is read or written here until it is taken back. `None` where
+    /// Detaches a connection for another process: nothing is read or written here until it is reattached. `None` where
     /// there is no such connection, or the system gives no descriptor for it; then it stays as it is.
-    pub fn lend(&mut self, id: u64) -> Option<DetachedConnection<P>> {
+    pub fn detach(&mut self, id: u64) -> Option<DetachedConnection<P>> {
         let connection = self.by_id.get_mut(&id)?;
         let unread = connection.link.data().to_vec();
         let stream = connection.link.duplicate().ok()?;
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -13,13 +13,16 @@
 mod connection;
 mod eviction;
 mod handoff;
+mod set;
 mod sweeping;
 
 pub use connection::{Connection, ConnectionState, NextStep, MAX_STEPS_PER_TURN};
 pub use handoff::DetachedConnection;
+pub use set::ConnectionSet;
 
 use crate::dispatch::{Input, Ticket};
-use crate::net::io::poll::{Acceptor, Place, Poll};
+use crate::net::io::poll::{Acceptor, Poll};
+use crate::net::io::source::{FrontendKind, Readiness};
 use std::collections::HashMap;
 use std::net::TcpStream;
 
@@ -28,8 +31,8 @@
     /// `None` while nothing is accepted.
     acceptor: Option<Acceptor>,
     poll: Poll,
-    /// The place of a connection with this id among those polled.
-    place: fn(u64) -> Place,
+    /// The frontend that they belong to.
+    kind: FrontendKind,
     /// The most that a connection keeps unread.
     max_unread_bytes: usize,
     by_id: HashMap<u64, Connection<P>>,
@@ -44,11 +47,11 @@
 
 impl<P: Default> Connections<P> {
     /// No connections, and nothing is accepted yet.
-    pub fn shut(poll: &Poll, place: fn(u64) -> Place, max_unread_bytes: usize) -> Connections<P> {
+    pub fn closed(poll: &Poll, kind: FrontendKind, max_unread_bytes: usize) -> Connections<P> {
         Connections {
             acceptor: None,
             poll: poll.clone(),
-            place,
+            kind,
             max_unread_bytes,
             by_id: HashMap::new(),
             touched: Vec::new(),
@@ -76,7 +79,7 @@
 
     /// Whether all requests have been answered and the responses written out, and nothing is on its way in.
     #[must_use]
-    pub fn quiet(&self) -> bool {
+    pub fn is_quiet(&self) -> bool {
         use ConnectionState::{Closing, HandedOff, Idle};
         self.by_id.values().all(|connection| matches!(connection.state, Idle | Closing | HandedOff))
     }
@@ -89,7 +92,7 @@
 
     /// Whether a connection is to be processed without an event of the poll.
     #[must_use]
-    pub fn pending(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.touched.is_empty()
     }
 
@@ -113,9 +116,9 @@
     }
 
     /// Records a connection's readiness, and has it processed.
-    pub fn mark(&mut self, id: u64, readable: bool, writable: bool) {
+    pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.by_id.get_mut(&id) {
-            connection.link.mark(readable, writable);
+            connection.link.mark(readiness);
             self.touched.push(id);
         }
     }
@@ -149,7 +152,7 @@
     }
 
     /// Closes a connection that is broken, and tells the dispatcher where its request is in flight.
-    pub fn gone(&mut self, id: u64, inputs: &mut Vec<Input>) {
+    pub fn disconnected(&mut self, id: u64, inputs: &mut Vec<Input>) {
         if self.by_id.remove(&id).is_some_and(|connection| connection.state == ConnectionState::Asked) {
             inputs.push(Input::ClientDisconnected(Ticket(id)));
         }
--- a/src/net/frontends/connections/sweeping.rs
+++ b/src/net/frontends/connections/sweeping.rs
@@ -21,8 +21,8 @@
 
 impl<P: Default> Connections<P> {
     /// Ends connections that have been idle for `idle_s`, and peers that are too slow to send or to read. With
-    /// `leaving`, all idle ones. One with new input is processed instead: see [`Connections::pending`].
-    pub fn sweep(&mut self, now: f64, idle_s: f64, leaving: bool) {
+    /// `closing`, all idle ones. One with new input is processed instead: see [`Connections::has_pending`].
+    pub fn sweep(&mut self, now: f64, idle_s: f64, closing: bool) {
         let touched = &mut self.touched;
         self.by_id.retain(|id, connection| {
             let in_state_s = now - connection.state_since;
@@ -30,12 +30,12 @@
             // The first request of a connection is due from its accept, each other one from its first byte.
             let request_age_s = if first_request { now - connection.opened_at } else { in_state_s };
             let expired = match connection.state {
-                ConnectionState::Idle if first_request => leaving || request_age_s >= REQUEST_TIMEOUT_S,
+                ConnectionState::Idle if first_request => closing || request_age_s >= REQUEST_TIMEOUT_S,
                 ConnectionState::Idle => {
                     if in_state_s > SHRINK_AFTER_S {
                         connection.link.shrink();
                     }
-                    leaving || in_state_s >= idle_s
+                    closing || in_state_s >= idle_s
                 }
                 ConnectionState::Reading => request_age_s >= REQUEST_TIMEOUT_S,
                 ConnectionState::Asked | ConnectionState::HandedOff => false,
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -1,6 +1,7 @@
 use super::eviction::Eviction;
 use super::*;
 use crate::net::io::poll::Gathered;
+use crate::net::io::source::FrontendKind;
 use calloop::EventLoop;
 use std::net::TcpListener;
 
@@ -17,7 +18,7 @@
         let events: EventLoop<Gathered> = EventLoop::try_new().unwrap();
         let poll = Poll::new(events.handle(), 100);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let connections = Connections::shut(&poll, Place::Http, 1024);
+        let connections = Connections::closed(&poll, FrontendKind::Http1, 1024);
         Fixture { _events: events, listener, clients: Vec::new(), connections }
     }
 
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -7,16 +7,17 @@
 
 use crate::dispatch::{Input, Response, Ticket};
 use crate::net::frontends::connections::{
-    Connection, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
+    Connection, ConnectionSet, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
 };
+use crate::net::frontends::frontend::{Frontend, FrontendTurn};
 use crate::net::frontends::request_fields::MAX_BODY_BYTES;
 use crate::net::frontends::status_mapping::map_response;
 use crate::net::io::buffer::Filled;
-use crate::net::io::poll::{Place, Poll};
-use crate::net::{Clock, FrontendContext};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::FrontendKind;
+use crate::net::{FrontendContext, ListenError};
 use parsing::{parse, Parsed};
 use std::fmt::Write;
-use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
@@ -30,9 +31,11 @@
 const MAX_UNREAD_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
 /// The listener and its connections; each remembers whether it has sent `100 Continue`.
-pub struct HttpFront {
+pub struct Http1Frontend {
     /// The connections.
     pub connections: Connections<bool>,
+    /// The configured address.
+    address: SocketAddr,
 }
 
 /// What becomes of a connection after a parsed request.
@@ -45,48 +48,15 @@
     Close,
 }
 
-impl HttpFront {
-    /// Listens at an address.
-    ///
-    /// # Errors
-    ///
-    /// Where the system doesn't let it listen there.
-    pub fn bind(poll: &Poll, address: SocketAddr) -> io::Result<HttpFront> {
-        let connections =
-            Connections::bind(poll, address, Place::HttpListener, Place::Http, MAX_UNREAD_BYTES)?;
-        Ok(HttpFront { connections })
+impl Http1Frontend {
+    /// A frontend that doesn't listen yet; `address` is the configured one.
+    pub fn closed(poll: &Poll, address: SocketAddr) -> Http1Frontend {
+        let connections = Connections::closed(poll, FrontendKind::Http1, MAX_UNREAD_BYTES);
+        Http1Frontend { connections, address }
     }
 
-    /// A frontend that accepts nothing yet.
-    pub fn shut(poll: &Poll) -> HttpFront {
-        HttpFront { connections: Connections::shut(poll, Place::Http, MAX_UNREAD_BYTES) }
-    }
-
-    /// Accepts at a socket that listens already.
-    ///
-    /// # Errors
-    ///
-    /// Where the socket can't be polled.
-    pub fn open(&mut self, socket: &Rc<TcpListener>) -> io::Result<()> {
-        self.connections.open(socket, Place::HttpListener)
-    }
-
-    /// Accepts and reads; `true` if accepting had to stop early and wants to be called again.
-    pub fn gather(&mut self, clock: &Clock, context: &FrontendContext, inputs: &mut Vec<Input>) -> bool {
-        let accept_again = self.connections.accept(clock.now());
-        for id in self.connections.take_touched() {
-            self.process_connection(id, clock, context, inputs);
-        }
-        accept_again
-    }
-
-    fn process_connection(
-        &mut self,
-        id: u64,
-        clock: &Clock,
-        context: &FrontendContext,
-        inputs: &mut Vec<Input>,
-    ) {
+    fn process_connection(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
+        let FrontendTurn { clock, context, inputs, .. } = turn;
         let Some(connection) = self.connections.get_mut(id) else { return };
         let now = clock.now();
         for _ in 0..MAX_STEPS_PER_TURN {
@@ -96,7 +66,7 @@
                 NextStep::Read => {}
                 NextStep::Wait => return,
                 NextStep::Later => break,
-                NextStep::Close => return self.connections.gone(id, inputs),
+                NextStep::Close => return self.connections.disconnected(id, inputs),
             }
             let filled = connection.link.fill();
             if connection.link.data().is_empty() {
@@ -117,9 +87,38 @@
         }
         self.connections.touch(id);
     }
+}
+
+impl Frontend for Http1Frontend {
+    fn kind(&self) -> FrontendKind {
+        FrontendKind::Http1
+    }
 
-    /// Writes a response of the dispatcher.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
+    fn connections(&self) -> &dyn ConnectionSet {
+        &self.connections
+    }
+
+    fn connections_mut(&mut self) -> &mut dyn ConnectionSet {
+        &mut self.connections
+    }
+
+    fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
+        self.connections.open(socket, self.address)
+    }
+
+    fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
+        let accept_again = self.connections.accept(turn.clock.now());
+        for id in self.connections.take_touched() {
+            self.process_connection(id, turn);
+        }
+        accept_again
+    }
+
+    fn owns(&self, ticket: Ticket) -> bool {
+        self.connections.owns(ticket.0)
+    }
+
+    fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
         if connection.state != ConnectionState::Asked {
             return;
@@ -142,6 +141,15 @@
         }
         self.connections.touch(ticket.0);
     }
+
+    /// The platform gives every process of this worker the same socket.
+    fn listener_to_hand_off(&self) -> Option<Rc<TcpListener>> {
+        None
+    }
+
+    fn hands_off_connections(&self) -> bool {
+        true
+    }
 }
 
 /// Acts on what the buffer of a connection begins with.
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -2,7 +2,7 @@
 
 use super::abuse_detection::{AbuseDetector, PressureMonitor, ReadDecision};
 use super::session::{PollInput, PollOutput, Session};
-use super::{overhead_budget, Http2Front};
+use super::{overhead_budget, Http2Frontend};
 use crate::dispatch::Input;
 use crate::log::LogEvent;
 use crate::net::events::{FrontendEvent, SessionEndCause};
@@ -111,7 +111,7 @@
     flushed: io::Result<()>,
 }
 
-impl Http2Front {
+impl Http2Frontend {
     /// Reads from a connection, polls its session, writes what that produced, and hands on its requests.
     pub(super) fn process_connection(&mut self, id: u64, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -20,9 +20,11 @@
 
 use crate::config::Http2Settings;
 use crate::dispatch::{Input, Response, Ticket};
-use crate::net::frontends::connections::Connections;
-use crate::net::io::poll::{Place, Poll};
-use crate::net::{Clock, FrontendContext, ListenError};
+use crate::net::frontends::connections::{ConnectionSet, Connections};
+use crate::net::frontends::frontend::{Frontend, FrontendTurn};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::FrontendKind;
+use crate::net::{Availability, FrontendContext, ListenError};
 use abuse_detection::{OverheadBudget, PressureMonitor};
 use connection::{queue_output, SessionEntry, Turn};
 use session_admission::SessionAdmission;
@@ -48,7 +50,7 @@
 }
 
 /// The HTTP/2 frontend: its listener, its connections, and the bounds that they share.
-pub struct Http2Front {
+pub struct Http2Frontend {
     /// Its listener and connections.
     pub connections: Connections<SessionEntry>,
     settings: Http2Settings,
@@ -59,12 +61,12 @@
     admission: SessionAdmission,
 }
 
-impl Http2Front {
+impl Http2Frontend {
     /// A frontend that doesn't listen yet.
-    pub fn shut(poll: &Poll, settings: Http2Settings) -> Http2Front {
-        let mut connections = Connections::shut(poll, Place::Http2, READ_BUFFER_BYTES);
+    pub fn closed(poll: &Poll, settings: Http2Settings) -> Http2Frontend {
+        let mut connections = Connections::closed(poll, FrontendKind::Http2, READ_BUFFER_BYTES);
         connections.at_most(settings.connections);
-        Http2Front {
+        Http2Frontend {
             connections,
             poll: poll.clone(),
             owners: HashMap::new(),
@@ -74,35 +76,6 @@
         }
     }
 
-    /// Accepts clients from now on, at a socket that listens already or at the address of its settings.
-    pub fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
-        let address = self.settings.listen;
-        let opened = match socket {
-            Some(socket) => self.connections.open(&socket, Place::Http2Listener),
-            None => self.connections.listen(address, Place::Http2Listener),
-        };
-        opened.map_err(|source| ListenError { address, source })
-    }
-
-    /// Whether the response to this ticket belongs on one of its connections.
-    #[must_use]
-    pub fn owns(&self, ticket: Ticket) -> bool {
-        self.owners.contains_key(&ticket.0)
-    }
-
-    /// Accepts connections and processes those that something happened to; `true` if accepting had to be broken off, or
-    /// connections wait for a session, and it is to be called again soon.
-    pub fn gather(&mut self, clock: &Clock, context: &FrontendContext, inputs: &mut Vec<Input>) -> bool {
-        let now = clock.now();
-        let accept_paused = self.connections.accept(now);
-        self.admit_waiting(now, inputs);
-        for id in self.connections.take_touched() {
-            let mut turn = Turn { now: clock.now(), clock, context, inputs };
-            self.process_connection(id, &mut turn);
-        }
-        accept_paused || self.admission.has_waiting()
-    }
-
     /// Admits connections that wait for a session, as far as there is room.
     fn admit_waiting(&mut self, now: f64, inputs: &mut Vec<Input>) {
         if !self.admission.has_waiting() {
@@ -117,23 +90,6 @@
         }
     }
 
-    /// Hands a response of the dispatcher to its stream.
-    pub fn answer(&mut self, now: f64, ticket: Ticket, answer: Response, context: &FrontendContext) {
-        let Some(id) = self.owners.remove(&ticket.0) else { return };
-        let Some(connection) = self.connections.get_mut(id) else { return };
-        if let Some(active) = connection.memory.active.as_deref_mut() {
-            active.session.respond(now, ticket, answer, context);
-        }
-        self.connections.touch(id);
-    }
-
-    /// How long the sweep of all frontends leaves an idle connection: longer than its session does, which sends a
-    /// GOAWAY first (seconds).
-    #[must_use]
-    pub fn idle_s(&self) -> f64 {
-        self.settings.idle_s + IDLE_MARGIN_S
-    }
-
     /// Ends a connection whose codec has ended: what is queued is written, then it is closed. Requests that are pending
     /// on it have lost their client.
     fn finish(&mut self, id: u64, now: f64, inputs: &mut Vec<Input>) {
@@ -164,3 +120,61 @@
         }
     }
 }
+
+impl Frontend for Http2Frontend {
+    fn kind(&self) -> FrontendKind {
+        FrontendKind::Http2
+    }
+
+    fn connections(&self) -> &dyn ConnectionSet {
+        &self.connections
+    }
+
+    fn connections_mut(&mut self) -> &mut dyn ConnectionSet {
+        &mut self.connections
+    }
+
+    fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError> {
+        self.connections.open(socket, self.settings.listen)
+    }
+
+    /// Connections that wait for a session count as paused accepting: they are to be looked at again soon.
+    fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
+        let now = turn.clock.now();
+        let accept_paused = self.connections.accept(now);
+        self.admit_waiting(now, turn.inputs);
+        for id in self.connections.take_touched() {
+            let now = turn.clock.now();
+            let mut turn = Turn { now, clock: turn.clock, context: turn.context, inputs: turn.inputs };
+            self.process_connection(id, &mut turn);
+        }
+        accept_paused || self.admission.has_waiting()
+    }
+
+    fn owns(&self, ticket: Ticket) -> bool {
+        self.owners.contains_key(&ticket.0)
+    }
+
+    fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
+        let Some(id) = self.owners.remove(&ticket.0) else { return };
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if let Some(active) = connection.memory.active.as_deref_mut() {
+            active.session.respond(now, ticket, response, context);
+        }
+        self.connections.touch(id);
+    }
+
+    /// Longer than its sessions are idle, since these send a GOAWAY first.
+    fn idle_timeout_s(&self, _platform_s: f64) -> f64 {
+        self.settings.idle_s + IDLE_MARGIN_S
+    }
+
+    fn sweep(&mut self, now: f64, availability: &Availability, inputs: &mut Vec<Input>) {
+        self.sweep_sessions(now, availability.draining, inputs);
+    }
+
+    /// Each connection is sent a GOAWAY when it is processed.
+    fn announce_close(&mut self) {
+        self.connections.touch_all();
+    }
+}
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -2,7 +2,7 @@
 
 use super::response_backlog::{largest_beyond, ResponseBacklog};
 use super::session::IdleOutcome;
-use super::Http2Front;
+use super::Http2Frontend;
 use crate::dispatch::Input;
 use crate::log::LogEvent;
 use crate::net::events::{FrontendEvent, SessionEndCause};
@@ -11,14 +11,14 @@
 /// How long a client may take nothing of what waits for it (seconds).
 const MAX_SEND_STALL_S: f64 = 10.0;
 
-impl Http2Front {
+impl Http2Frontend {
     /// Ends connections that are due, and has all others processed: streams that are too slow end by time alone.
-    /// `send_away` says that operators drain this worker: a health check moves no client that keeps its connection, so
-    /// idle ones are sent a GOAWAY as if they had been idle for long.
-    pub fn sweep(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>) {
+    /// While operators drain this worker, idle clients are sent a GOAWAY as if they had been idle for long: a health check
+    /// moves no client that keeps its connection.
+    pub(super) fn sweep_sessions(&mut self, now: f64, draining: bool, inputs: &mut Vec<Input>) {
         self.close_stalled(now, inputs);
         self.end_largest_backlogs(now, inputs);
-        self.end_idle(now, send_away, inputs);
+        self.end_idle(now, draining, inputs);
         self.connections.touch_all();
     }
 
@@ -59,13 +59,13 @@
     }
 
     /// Checks on clients without a stream, and ends those that don't answer.
-    fn end_idle(&mut self, now: f64, send_away: bool, inputs: &mut Vec<Input>) {
+    fn end_idle(&mut self, now: f64, draining: bool, inputs: &mut Vec<Input>) {
         let mut overdue = Vec::new();
         for id in self.connections.ids_where(|connection| connection.state == ConnectionState::Idle) {
             let Some(connection) = self.connections.get_mut(id) else { continue };
             let idle_since = connection.since();
             let Some(active) = &mut connection.memory.active else { continue };
-            let outcome = active.session.poll_idle(now, idle_since, &self.settings, send_away);
+            let outcome = active.session.poll_idle(now, idle_since, &self.settings, draining);
             if outcome == IdleOutcome::Close {
                 overdue.push(id);
             }
--- a/src/net/frontends/mod.rs
+++ b/src/net/frontends/mod.rs
@@ -2,7 +2,12 @@
 
 pub mod ajp;
 pub mod connections;
+pub mod frontend;
 pub mod http1;
 pub mod http2;
 pub mod request_fields;
 pub mod status_mapping;
+
+mod set;
+
+pub use set::{FrontendListener, Frontends, OpenedFrontend};
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -1,7 +1,8 @@
 //! A watched TCP connection with a bounded input buffer, in which heads are parsed where they lie, and an output
 //! queue that is written with gathered writes.
 
-use crate::net::io::poll::{self, Place, Poll, Watch};
+use crate::net::io::poll::{self, Poll, Watch};
+use crate::net::io::source::{Readiness, Source};
 use socket2::SockRef;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read, Write};
@@ -67,10 +68,10 @@
     ///
     /// # Errors
     /// No descriptor is left in the budget.
-    pub fn new(poll: &Poll, stream: TcpStream, place: Place, room: usize) -> io::Result<Link> {
+    pub fn new(poll: &Poll, stream: TcpStream, source: Source, room: usize) -> io::Result<Link> {
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        let watch = poll.watch(stream.clone(), place)?;
+        let watch = poll.watch(stream.clone(), source)?;
         Ok(Link {
             stream,
             _watch: watch,
@@ -92,7 +93,7 @@
     ///
     /// # Errors
     /// No descriptor is left, or the system refuses at once.
-    pub fn connect(poll: &Poll, to: std::net::SocketAddr, place: Place, room: usize) -> io::Result<Link> {
+    pub fn connect(poll: &Poll, to: std::net::SocketAddr, source: Source, room: usize) -> io::Result<Link> {
         if !poll.room() {
             return Err(io::Error::from_raw_os_error(poll::EMFILE));
         }
@@ -105,7 +106,7 @@
                 if e.kind() == io::ErrorKind::WouldBlock || e.raw_os_error() == Some(poll::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
-        let mut link = Link::new(poll, socket.into(), place, room)?;
+        let mut link = Link::new(poll, socket.into(), source, room)?;
         link.readable = false;
         link.writable = false;
         Ok(link)
@@ -126,9 +127,9 @@
     }
 
     /// Notes the readiness that the loop reports.
-    pub fn mark(&mut self, readable: bool, writable: bool) {
-        self.readable |= readable;
-        self.writable |= writable;
+    pub fn mark(&mut self, readiness: Readiness) {
+        self.readable |= readiness.readable;
+        self.writable |= readiness.writable;
     }
 
     /// Reads what is there, up to the limit of the buffer; the rest waits, and so does the peer.
--- a/src/net/io/mod.rs
+++ b/src/net/io/mod.rs
@@ -6,4 +6,5 @@
 pub mod buffer;
 pub mod idle_pool;
 pub mod poll;
+pub mod source;
 pub mod timer_wheel;
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -2,6 +2,7 @@
 //!
 //! Callbacks of the loop only gather what is ready; all work is done between two waits.
 
+use super::source::{Readiness, ReadySource, Source};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use std::cell::Cell;
@@ -26,59 +27,27 @@
 /// How long accepting pauses when there is no descriptor left, or enough have come for one turn (seconds).
 pub const ACCEPT_PAUSE_S: f64 = 0.02;
 
-/// The owner of a watched socket; numbers come from [`Poll::fresh`].
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Place {
-    /// The console's listening socket.
-    ConsoleListener,
-    /// An operator's connection.
-    Console(u64),
-    /// The socket on which a successor connects.
-    HandoverListener,
-    /// The link to a predecessor or successor.
-    Handover(u64),
-    /// The HTTP/1.1 frontend's listening socket.
-    HttpListener,
-    /// The AJP frontend's listening socket.
-    AjpListener,
-    /// The HTTP/2 frontend's listening socket.
-    Http2Listener,
-    /// An HTTP/1.1 client's connection.
-    Http(u64),
-    /// An AJP client's connection.
-    Ajp(u64),
-    /// An HTTP/2 client's connection.
-    Http2(u64),
-    /// The link to the executor.
-    Executor(u64),
-    /// A connection to the records service.
-    Records(u64),
-    /// A connection to an AJP server.
-    AjpServer(u64),
-    /// The connection to the LDAP directory.
-    Directory(u64),
-    /// A coordinator's listening socket.
-    FleetListener,
-    /// A worker's link to the coordinators or a scheduled call; at a coordinator, one of its links.
-    Fleet(u64),
-}
-
 /// What was ready after one wait.
 #[derive(Default)]
 pub struct Gathered {
-    ready: Vec<Place>,
-    states: HashMap<Place, (bool, bool)>,
+    /// In the order in which they were first seen.
+    sources: Vec<Source>,
+    readiness: HashMap<Source, Readiness>,
     /// The shutdown notice has come.
-    pub leave: bool,
+    pub shutdown: bool,
     /// The configuration is to be read again.
     pub reload: bool,
 }
 
 impl Gathered {
-    /// Takes each owner once, with whether its socket can be read and written, in the order seen.
-    pub fn take(&mut self) -> Vec<(Place, bool, bool)> {
-        let states = &mut self.states;
-        self.ready.drain(..).filter_map(|p| states.remove(&p).map(|(r, w)| (p, r, w))).collect()
+    /// Takes each source once, in the order in which they were first seen.
+    pub fn take(&mut self) -> Vec<ReadySource> {
+        let readiness = &mut self.readiness;
+        let with_readiness = |source: Source| {
+            let readiness = readiness.remove(&source)?;
+            Some(ReadySource { source, readiness })
+        };
+        self.sources.drain(..).filter_map(with_readiness).collect()
     }
 }
 
@@ -148,20 +117,20 @@
     ///
     /// # Errors
     /// No descriptor is left in the budget, or the system can't watch the socket.
-    pub fn watch<F: AsFd + 'static>(&self, fd: F, place: Place) -> io::Result<Watch> {
+    pub fn watch<F: AsFd + 'static>(&self, fd: F, source: Source) -> io::Result<Watch> {
         let Some(available) = self.available.get().checked_sub(1) else {
             return Err(io::Error::from_raw_os_error(EMFILE));
         };
-        let source = Generic::new(fd, Interest::BOTH, Mode::Edge);
+        let watched = Generic::new(fd, Interest::BOTH, Mode::Edge);
         let token = self
             .handle
-            .insert_source(source, move |readiness, _, gathered: &mut Gathered| {
-                let seen = gathered.states.entry(place).or_insert_with(|| {
-                    gathered.ready.push(place);
-                    (false, false)
+            .insert_source(watched, move |readiness, _, gathered: &mut Gathered| {
+                let seen = gathered.readiness.entry(source).or_insert_with(|| {
+                    gathered.sources.push(source);
+                    Readiness::default()
                 });
-                seen.0 |= readiness.readable || readiness.error;
-                seen.1 |= readiness.writable || readiness.error;
+                seen.readable |= readiness.readable || readiness.error;
+                seen.writable |= readiness.writable || readiness.error;
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -208,14 +177,14 @@
     ///
     /// # Errors
     /// The system can't listen there, or no descriptor is left.
-    pub fn bind(poll: &Poll, address: SocketAddr, place: Place) -> io::Result<Acceptor> {
+    pub fn bind(poll: &Poll, address: SocketAddr, source: Source) -> io::Result<Acceptor> {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
         socket.listen(ACCEPT_QUEUE)?;
-        Acceptor::on(poll, Rc::new(TcpListener::from(socket)), place)
+        Acceptor::on(poll, Rc::new(TcpListener::from(socket)), source)
     }
 
     /// Accepts on a socket that listens already and does not block. Dropping this leaves it listening for whoever
@@ -223,8 +192,8 @@
     ///
     /// # Errors
     /// No descriptor is left.
-    pub fn on(poll: &Poll, listener: Rc<TcpListener>, place: Place) -> io::Result<Acceptor> {
-        let watch = poll.watch(listener.clone(), place)?;
+    pub fn on(poll: &Poll, listener: Rc<TcpListener>, source: Source) -> io::Result<Acceptor> {
+        let watch = poll.watch(listener.clone(), source)?;
         Ok(Acceptor { listener, poll: poll.clone(), _watch: watch, waiting: true })
     }
 
--- a/src/net/io/timer_wheel.rs
+++ b/src/net/io/timer_wheel.rs
@@ -17,13 +17,13 @@
     /// A search in the directory has run out of time, by its number.
     Search(u64),
     /// A load report to the registry is due.
-    Beat,
+    Heartbeat,
     /// Something is due in the worker's membership of its fleet.
     Fleet,
     /// Idle and slow connections are to be looked for.
     Sweep,
     /// The executor is to be connected to again.
-    Relink,
+    Reconnect,
     /// Accepting is to be resumed.
     Accept,
     /// Something put off to the next tick.
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -9,9 +9,10 @@
 use crate::net::frontends::connections::{ConnectionState, Connections, NextStep};
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::Filled;
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::FrontendKind;
+use crate::net::ListenError;
 use std::fmt::Write;
-use std::io;
 use std::net::SocketAddr;
 
 /// The longest head of a call (bytes).
@@ -61,10 +62,10 @@
     ///
     /// # Errors
     /// The system can't listen there.
-    pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> io::Result<Console> {
+    pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> Result<Console, ListenError> {
         let own = poll.apart(console_calls(sockets));
-        let mut connections =
-            Connections::bind(&own, address, Place::ConsoleListener, Place::Console, MAX_HEAD_BYTES)?;
+        let mut connections = Connections::closed(&own, FrontendKind::Console, MAX_HEAD_BYTES);
+        connections.open(None, address)?;
         connections.prefer_newest();
         Ok(Console { connections })
     }
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -9,10 +9,10 @@
 
 impl Worker {
     /// The membership's part of a turn.
-    pub(in crate::net) fn fleet_turn(&mut self, now: f64) {
-        let Some(fleet_now) = self.fleet.as_ref().map(|fleet| fleet.now()) else { return };
+    pub(in crate::net) fn poll_coordinators(&mut self, now: f64) {
+        let Some(fleet_now) = self.upstreams.coordinators.as_ref().map(|fleet| fleet.now()) else { return };
         self.update_membership(now, fleet_now);
-        let Some(fleet) = &mut self.fleet else { return };
+        let Some(fleet) = &mut self.upstreams.coordinators else { return };
         let (core, known) = (self.dispatcher.as_ref(), &self.context.catalog);
         let counters =
             || core.map(|core| counters_of(core, |class| known.class_name(class))).unwrap_or_default();
@@ -22,7 +22,7 @@
 
     /// Tells the membership whether this process serves, and what its decision module has counted.
     fn update_membership(&mut self, now: f64, fleet_now: f64) {
-        let Some(fleet) = &mut self.fleet else { return };
+        let Some(fleet) = &mut self.upstreams.coordinators else { return };
         let replaced = self.hot_restart.as_ref().is_some_and(|r| r.ownership.has_handed_off());
         if replaced || self.shutdown.is_some() {
             fleet.member.leave(replaced);
@@ -42,7 +42,8 @@
     /// Hands the fleet's directive to the decision module, on the worker's clock: it stands still while the machine is
     /// suspended, the membership's goes on.
     fn apply_overload_directive(&mut self, now: f64, fleet_now: f64) {
-        let directive = self.fleet.as_ref().and_then(|fleet| fleet.member.overload_directive(fleet_now));
+        let directive =
+            self.upstreams.coordinators.as_ref().and_then(|fleet| fleet.member.overload_directive(fleet_now));
         let policy = self.dispatcher.as_mut().and_then(Dispatcher::overload);
         if let (Some(directive), Some(policy)) = (directive, policy) {
             policy.set_directive(OverloadDirective {
@@ -55,7 +56,7 @@
 
     /// The fleet's metrics for operators, a line each.
     pub(in crate::net) fn fleet_figures(&self) -> String {
-        let Some(fleet) = &self.fleet else { return String::new() };
+        let Some(fleet) = &self.upstreams.coordinators else { return String::new() };
         let mut text = String::new();
         for (name, value) in fleet.member.metrics(fleet.now()) {
             let _ = writeln!(text, "{name}={value}");
--- a/src/net/lifecycle/hot_restart/effects.rs
+++ b/src/net/lifecycle/hot_restart/effects.rs
@@ -39,10 +39,10 @@
     }
 
     fn send_hello(&mut self) {
-        let settings = &self.config.settings;
+        let settings = &self.configuration.platform.settings;
         let hello = Frame::Hello {
             version: VERSION,
-            name: self.config.name.clone(),
+            name: self.configuration.platform.name.clone(),
             classes: settings.profiles.iter().map(|p| p.name.clone()).collect(),
             tenants: settings.tenants.iter().map(|t| t.name.clone()).collect(),
         };
@@ -78,8 +78,8 @@
     fn release_handed_off(&mut self) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         hot_restart.handed_off.clear();
-        for id in self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
-            self.http.connections.close(id);
+        for id in self.frontends.http1.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
+            self.frontends.http1.connections.close(id);
         }
         hot_restart.links.stop_listening();
         hot_restart.frontend_listeners.clear();
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -15,7 +15,7 @@
 impl Worker {
     /// From here on the process exits once no response is pending, and before it is killed in any case.
     pub(super) fn exit_when_idle(&mut self, now: f64) {
-        let deadlines = self.settings.classes.iter().map(|c| c.deadline_s);
+        let deadlines = self.configuration.settings.classes.iter().map(|c| c.deadline_s);
         let longest_deadline_s = deadlines.fold(MIN_LONGEST_DEADLINE_S, f64::max);
         // A shutdown that was under way when the listeners went has its own end.
         let kill_at = match &self.shutdown {
@@ -49,12 +49,13 @@
     fn has_handed_off_everything(&self) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
         let idle = self.dispatcher.as_ref().map_or(true, |dispatcher| dispatcher.is_idle());
-        let ajp_idle = self.ajp.as_ref().map_or(true, |a| a.connections.quiet());
-        let http2_idle = self.http2.as_ref().map_or(true, |h| h.connections.quiet());
         // Without a successor nobody takes idle connections.
-        let http = &self.http.connections;
-        let http_idle = if hot_restart.links.has_successor() { http.is_empty() } else { http.quiet() };
+        let frontends_done = if hot_restart.links.has_successor() {
+            self.frontends.all_handed_off()
+        } else {
+            self.frontends.is_quiet()
+        };
         let all_sent = hot_restart.links.all_sent();
-        idle && ajp_idle && http2_idle && http_idle && all_sent && !hot_restart.ownership.has_predecessor()
+        idle && frontends_done && all_sent && !hot_restart.ownership.has_predecessor()
     }
 }
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -3,7 +3,8 @@
 
 use super::peer_link::{LinkError, LinkFailure, PeerLink, ReceivedFrame};
 use crate::hot_restart::frame::Frame;
-use crate::net::io::poll::{Place, Poll, Watch};
+use crate::net::io::poll::{Poll, Watch};
+use crate::net::io::source::{Readiness, Source};
 use std::io::{self, ErrorKind};
 use std::os::fd::OwnedFd;
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -87,7 +88,7 @@
         let _ = std::fs::remove_file(&new_path);
         let socket = Rc::new(UnixListener::bind(&new_path)?);
         socket.set_nonblocking(true)?;
-        let watch = self.poll.watch(socket.clone(), Place::HandoverListener)?;
+        let watch = self.poll.watch(socket.clone(), Source::SuccessorListener)?;
         std::fs::rename(&new_path, &self.path)?;
         self.listener = Some(SuccessorListener { socket, _watch: watch });
         self.accept_pending = true;
@@ -112,9 +113,9 @@
     }
 
     /// Notes that the loop has found a link ready.
-    pub(in crate::net) fn mark(&mut self, number: u64, readable: bool, writable: bool) {
+    pub(in crate::net) fn mark(&mut self, number: u64, readiness: Readiness) {
         for link in self.links_mut() {
-            link.mark(number, readable, writable);
+            link.mark(number, readiness);
         }
     }
 
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -22,6 +22,7 @@
 use crate::hot_restart::{Event, IndeterminateKeys, ListenerOwnership, PREDECESSOR_TIMEOUT_S};
 use crate::log::LogEvent;
 use crate::net::events::{HotRestartEvent, Peer};
+use crate::net::frontends::FrontendListener;
 use crate::net::io::timer_wheel::Timer;
 use crate::net::{ListenError, Worker};
 use links::{LinkEvent, Predecessor};
@@ -29,13 +30,6 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// The listening socket of a frontend of the operator's file.
-struct FrontendListener {
-    /// The block of the file that sets the frontend up.
-    frontend: String,
-    socket: Rc<TcpListener>,
-}
-
 /// The part of a worker that exists where the listening socket is inherited and there is a folder to meet in.
 pub(in crate::net) struct HotRestart {
     pub(in crate::net) links: Links,
@@ -116,7 +110,7 @@
         };
         let mut inputs = Vec::new();
         self.on_hot_restart_event(now, event, &mut inputs);
-        self.deferred_inputs.append(&mut inputs);
+        self.loop_state.deferred_inputs.append(&mut inputs);
         let frontend_error = self.hot_restart.as_mut().and_then(|r| r.frontend_error.take());
         frontend_error.map_or(Ok(()), Err)
     }
@@ -182,6 +176,6 @@
 
     /// How long a key matches retries at most: its window, and what the controller adds to be safe (seconds).
     fn longest_window_s(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.window_s).fold(0.0, f64::max) + 1.0
+        self.configuration.settings.classes.iter().map(|c| c.window_s).fold(0.0, f64::max) + 1.0
     }
 }
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -1,7 +1,8 @@
 //! One link to another process: a Unix socket that carries frames, and file descriptors with some of them.
 
 use crate::hot_restart::frame::{Frame, FrameError, HEADER_BYTES, MAX_FRAME_BYTES};
-use crate::net::io::poll::{Place, Poll, Watch};
+use crate::net::io::poll::{Poll, Watch};
+use crate::net::io::source::{Readiness, Source};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -78,7 +79,7 @@
         stream.set_nonblocking(true)?;
         let number = poll.fresh();
         let stream = Rc::new(stream);
-        let watch = poll.watch(stream.clone(), Place::Handover(number))?;
+        let watch = poll.watch(stream.clone(), Source::HotRestartPeer(number))?;
         Ok(PeerLink {
             number,
             stream,
@@ -96,10 +97,10 @@
     }
 
     /// Notes that the loop has found the socket ready.
-    pub(super) fn mark(&mut self, number: u64, readable: bool, writable: bool) {
+    pub(super) fn mark(&mut self, number: u64, readiness: Readiness) {
         if self.number == number {
-            self.readable |= readable;
-            self.writable |= writable;
+            self.readable |= readiness.readable;
+            self.writable |= readiness.writable;
         }
     }
 
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -1,16 +1,16 @@
 //! The successor's side: frames of the predecessor, and taking over what it hands off.
 
-use super::frontends::MAX_FRONTENDS;
+use super::frontends::{operator_frontend, MAX_LISTENERS};
 use super::messages::{loop_zero_unix_ms, to_key_update, to_request};
 use super::peer_link::ReceivedFrame;
 use super::staged_state::{PredecessorState, ReceivedConnection};
-use super::FrontendListener;
 use crate::dispatch::{FingerprintKey, Input, Ticket};
 use crate::hot_restart::frame::{Frame, HandedOffConnection, KeyState, QueuedRequest, Usage};
 use crate::hot_restart::Event;
 use crate::log::LogEvent;
 use crate::net::events::{HotRestartEvent, Peer};
 use crate::net::frontends::connections::DetachedConnection;
+use crate::net::frontends::FrontendListener;
 use crate::net::Worker;
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
@@ -49,7 +49,7 @@
             Frame::Key(state) => hot_restart.staged.add_key(state),
             Frame::Usage(usage) => self.on_predecessor_usage(usage, inputs),
             Frame::Connection(connection) => self.on_connection(now, connection, descriptor, inputs),
-            Frame::Listener { frontend } => self.on_listener(frontend, descriptor),
+            Frame::Listener { frontend } => self.on_listener(&frontend, descriptor),
             Frame::StateComplete => self.on_hot_restart_event(now, Event::StateReceived, inputs),
             Frame::Drain(draining) => self.set_draining(draining),
             Frame::Hello { .. } | Frame::RequestListeners | Frame::TakeoverConfirmed => {
@@ -71,7 +71,7 @@
 
     fn has_staged_too_much(&self) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
-        let limits = &self.config.limits;
+        let limits = &self.configuration.platform.limits;
         let max_key_bytes = (limits.memory_mb * 1024.0 * 1024.0 / MEMORY_PER_STAGED_KEYS) as usize;
         let staged = &hot_restart.staged;
         staged.key_bytes > max_key_bytes || staged.connections.len() > limits.sockets
@@ -110,12 +110,12 @@
         }
     }
 
-    fn on_listener(&mut self, frontend: String, descriptor: Option<OwnedFd>) {
+    fn on_listener(&mut self, frontend: &str, descriptor: Option<OwnedFd>) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        let Some(descriptor) = descriptor else { return };
-        if hot_restart.frontend_listeners.len() < MAX_FRONTENDS {
+        let (Some(kind), Some(descriptor)) = (operator_frontend(frontend), descriptor) else { return };
+        if hot_restart.frontend_listeners.len() < MAX_LISTENERS {
             let socket = Rc::new(TcpListener::from(descriptor));
-            hot_restart.frontend_listeners.push(FrontendListener { frontend, socket });
+            hot_restart.frontend_listeners.push(FrontendListener { kind, socket });
         }
     }
 
@@ -170,7 +170,7 @@
             memory: connection.continued,
         };
         let has_request = connection.queued_request.is_some();
-        let Some(id) = self.http.connections.adopt(now, detached, has_request) else {
+        let Some(id) = self.frontends.http1.connections.adopt(now, detached, has_request) else {
             return HotRestartEvent::ConnectionRejected.emit();
         };
         if let Some(request) = connection.queued_request {
@@ -179,7 +179,7 @@
     }
 
     fn is_valid_request(&self, request: &QueuedRequest) -> bool {
-        let settings = &self.config.settings;
+        let settings = &self.configuration.platform.settings;
         let known_class = request.class < settings.profiles.len();
         let known_tenant = request.tenant.map_or(true, |tenant| tenant < settings.tenants.len());
         let numbers = [request.kb, request.arrived_ms, request.due_ms];
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -1,8 +1,6 @@
 //! The predecessor's side: frames of the successor, and handing off to it.
 
-use super::frontends::{AJP, HTTP2};
 use super::messages::{loop_zero_unix_ms, to_connection, to_key_state, to_queued_request};
-use super::FrontendListener;
 use crate::dispatch::idempotency::IdempotencyUpdate;
 use crate::dispatch::{Command, HandedOff, HandedOffRequest, Input, ResourceUsage};
 use crate::hot_restart::frame::{Frame, Usage, VERSION};
@@ -51,13 +49,13 @@
         classes: &[String],
         tenants: &[String],
     ) -> Result<(), SuccessorMismatch> {
-        let settings = &self.config.settings;
+        let settings = &self.configuration.platform.settings;
         let same_classes = classes.iter().eq(settings.profiles.iter().map(|p| &p.name));
         let same_tenants = tenants.iter().eq(settings.tenants.iter().map(|t| &t.name));
         if version != VERSION {
             return Err(SuccessorMismatch::Version { found: version, expected: VERSION });
         }
-        if name != self.config.name || !same_classes || !same_tenants {
+        if name != self.configuration.platform.name || !same_classes || !same_tenants {
             return Err(SuccessorMismatch::Identity);
         }
         Ok(())
@@ -78,20 +76,22 @@
 
     /// Sends everything that the successor needs, in one go; what it gets is retained until it confirms.
     pub(super) fn hand_off(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        self.dispatch_gathered(now, inputs);
+        // What was gathered concerns requests that are about to be handed off.
+        self.dispatch(now, inputs);
         let mut commands = Vec::new();
         self.close_listeners_for_hand_off();
         self.send_listeners();
         if let Some(handed_off) = self.hand_off_dispatcher(now, &mut commands) {
             self.send_handed_off(now, handed_off, inputs);
         }
-        for id in self.http.connections.ids_where(is_idle) {
+        for id in self.frontends.http1.connections.ids_where(is_idle) {
             self.send_connection(id);
         }
         let queued = self.hot_restart.as_ref().map_or(0, |r| r.handed_off.len());
         HotRestartEvent::RequestsHandedOff { queued }.emit();
         // Connections that were handed off count there.
-        let handed_off = self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff).len();
+        let handed_off =
+            self.frontends.http1.connections.ids_where(|c| c.state == ConnectionState::HandedOff).len();
         self.report_usage(handed_off);
         self.send_to_successor(&Frame::StateComplete);
         for command in commands {
@@ -99,36 +99,13 @@
         }
     }
 
-    /// What was gathered before the hand-off concerns requests that are about to be handed off.
-    fn dispatch_gathered(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        let mut commands = Vec::new();
-        if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.handle(now, inputs.drain(..), &mut commands);
-        }
-        for command in commands {
-            self.execute(now, command, inputs);
-        }
-    }
-
-    /// Closes the listeners of all frontends. Those of the operator's frontends are retained for the successor.
+    /// Closes the listeners of all frontends. Those that the successor does not inherit are retained for it.
     fn close_listeners_for_hand_off(&mut self) {
-        self.http.connections.stop_listening();
         self.context.availability.handing_off = true;
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        hot_restart.frontend_listeners.clear();
-        let mut retain = |frontend: &str, socket| {
-            hot_restart.frontend_listeners.push(FrontendListener { frontend: frontend.to_owned(), socket });
-        };
-        if let Some(ajp) = &mut self.ajp {
-            ajp.connections.socket().into_iter().for_each(|socket| retain(AJP, socket));
-            ajp.connections.stop_listening();
-        }
-        if let Some(http2) = &mut self.http2 {
-            http2.connections.socket().into_iter().for_each(|socket| retain(HTTP2, socket));
-            http2.connections.stop_listening();
-            // So that each connection is sent a GOAWAY.
-            http2.connections.touch_all();
-        }
+        hot_restart.frontend_listeners = self.frontends.listeners_to_hand_off();
+        self.frontends.stop_listening();
+        self.frontends.announce_close();
     }
 
     fn send_listeners(&mut self) {
@@ -136,7 +113,7 @@
         for listener in &hot_restart.frontend_listeners {
             // Without a descriptor for it the successor binds the address once this process has ended.
             if let Ok(socket) = listener.socket.try_clone() {
-                let frame = Frame::Listener { frontend: listener.frontend.clone() };
+                let frame = Frame::Listener { frontend: listener.kind.as_str().to_owned() };
                 hot_restart.links.send_to_successor(&frame, Some(socket.into()));
             }
         }
@@ -144,7 +121,7 @@
 
     fn hand_off_dispatcher(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<HandedOff> {
         let dispatcher = self.dispatcher.as_mut()?;
-        let connections = &self.http.connections;
+        let connections = &self.frontends.http1.connections;
         let handed_off = dispatcher.hand_off(now, |ticket| connections.owns(ticket.0), commands);
         dispatcher.set_indeterminate_keys(IndeterminateKeys::All);
         Some(handed_off)
@@ -175,7 +152,7 @@
         inputs: &mut Vec<Input>,
     ) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        let Some(detached) = self.http.connections.lend(request.request.ticket.0) else {
+        let Some(detached) = self.frontends.http1.connections.detach(request.request.ticket.0) else {
             inputs.push(Input::Arrived(request.at(now)));
             return;
         };
@@ -188,7 +165,7 @@
     /// Sends a connection without a request.
     fn send_connection(&mut self, id: u64) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        if let Some(detached) = self.http.connections.lend(id) {
+        if let Some(detached) = self.frontends.http1.connections.detach(id) {
             let frame = Frame::Connection(to_connection(&detached, None));
             hot_restart.links.send_to_successor(&frame, Some(detached.stream));
         }
@@ -196,9 +173,9 @@
 
     /// Sends connections that have fallen idle since the hand-off, and closes them here.
     pub(super) fn hand_off_idle_connections(&mut self) {
-        for id in self.http.connections.ids_where(is_idle) {
+        for id in self.frontends.http1.connections.ids_where(is_idle) {
             self.send_connection(id);
-            self.http.connections.close(id);
+            self.frontends.http1.connections.close(id);
         }
     }
 
@@ -207,11 +184,11 @@
         self.accept_clients(now);
         let Some(hot_restart) = &mut self.hot_restart else { return };
         for request in std::mem::take(&mut hot_restart.handed_off) {
-            self.http.connections.take_back(now, request.request.ticket.0, true);
+            self.frontends.http1.connections.reattach(now, request.request.ticket.0, true);
             inputs.push(Input::Arrived(request.at(now)));
         }
-        for id in self.http.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
-            self.http.connections.take_back(now, id, false);
+        for id in self.frontends.http1.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
+            self.frontends.http1.connections.reattach(now, id, false);
         }
         HotRestartEvent::ListenersReclaimed.emit();
     }
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -8,12 +8,12 @@
 impl Worker {
     /// Answers the calls at the console, before any frontend is processed. Returns `true` if accepting was paused.
     pub(in crate::net) fn serve_console(&mut self, now: f64) -> bool {
-        let Some(console) = &mut self.console else { return false };
+        let Some(console) = &mut self.frontends.console else { return false };
         let mut calls = Vec::new();
         let paused = console.gather(now, &mut calls);
         for (id, call) in calls {
             let reply = self.handle_operator_call(call);
-            if let Some(console) = &mut self.console {
+            if let Some(console) = &mut self.frontends.console {
                 console.answer(id, now, &reply);
             }
         }
@@ -21,7 +21,7 @@
     }
 
     pub(in crate::net) fn handle_operator_call(&mut self, call: Call) -> console::Reply {
-        let linked = self.ajp_servers.is_some() || self.executor.linked();
+        let linked = self.upstreams.can_run();
         match call {
             Call::Ready if self.context.availability.shutting_down => console::Reply::new(503, "leaving\n"),
             Call::Ready if !self.owns_listeners() => {
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -10,24 +10,24 @@
     /// end where they were made. A file that is half written or wrong leaves the old configuration in place.
     pub(in crate::net) fn reload(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.reload_operator(inputs);
-        let next = match self.files.config() {
+        let next = match self.configuration.files.config() {
             Ok(next) => next,
             Err(error) => {
                 let file = ConfigFile::Configuration;
                 return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
             }
         };
-        let fixed = next.fixed_changes(&self.config);
+        let fixed = next.fixed_changes(&self.configuration.platform);
         if !fixed.is_empty() {
             let file = ConfigFile::Configuration;
             LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
         }
-        self.config.stop_ms = next.stop_ms;
-        self.executor.move_to(now, next.executor);
-        if let (Some(records), Some(to)) = (&mut self.records, next.records) {
+        self.configuration.platform.stop_ms = next.stop_ms;
+        self.upstreams.executor.move_to(now, next.executor);
+        if let (Some(records), Some(to)) = (&mut self.upstreams.records, next.records) {
             records.move_to(to);
         }
-        if let (Some(registry), Some(to)) = (&mut self.registry, next.registry) {
+        if let (Some(registry), Some(to)) = (&mut self.upstreams.registry, next.registry) {
             if let Err(error) = registry.move_to(to) {
                 UpstreamEvent::RegistryUnusable { address: to, error: &error }.emit();
             }
@@ -39,8 +39,9 @@
     /// Applies changed pools of the operator's file. They are checked against the platform's settings that this worker
     /// serves by, which a reload does not change.
     pub(in crate::net) fn reload_operator(&mut self, inputs: &mut Vec<Input>) {
-        let next = self.files.operator(&self.config).and_then(|next| {
-            let plan = next.pools.as_ref().map(|p| p.plan(&self.config.settings)).transpose()?;
+        let next = self.configuration.files.operator(&self.configuration.platform).and_then(|next| {
+            let plan =
+                next.pools.as_ref().map(|p| p.plan(&self.configuration.platform.settings)).transpose()?;
             Ok((next, plan))
         });
         let (next, plan) = match next {
@@ -50,15 +51,15 @@
                 return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
             }
         };
-        let fixed = next.fixed_changes(&self.operator);
+        let fixed = next.fixed_changes(&self.configuration.operator);
         if !fixed.is_empty() {
             let file = ConfigFile::Operator;
             LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
         }
-        if plan != self.settings.pools {
+        if plan != self.configuration.settings.pools {
             let pools = plan.as_ref().map_or(0, |p| p.pools.len());
             LifecycleEvent::PoolsReloaded { pools }.emit();
-            self.settings.pools = plan.clone();
+            self.configuration.settings.pools = plan.clone();
             // Before the core is there it will start with them.
             if self.dispatcher.is_some() {
                 inputs.push(Input::Pools(plan));
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -6,8 +6,9 @@
 use crate::hot_restart::Event;
 use crate::log::LogEvent;
 use crate::net::events::{LifecycleEvent, ResponseState};
-use crate::net::frontends::ajp::Turn;
+use crate::net::frontends::frontend::FrontendTurn;
 use crate::net::io::timer_wheel::Timer;
+use crate::net::worker::Deferral;
 use crate::net::Worker;
 use timeline::Timeline;
 
@@ -38,11 +39,15 @@
             return;
         }
         self.on_hot_restart_event(now, Event::ShutdownNotice, inputs);
-        let in_s = self.config.stop_ms / 1000.0;
+        let in_s = self.configuration.platform.stop_ms / 1000.0;
         LifecycleEvent::ShutdownStarted { stop_in_s: in_s }.emit();
         // The notice may have come at any time since the turn before began: a process that was stopped meanwhile reads it
         // late, and its grace counts from when it was sent.
-        let at = Timeline::new(self.turn_before, in_s, self.settings.shutdown_grace_s);
+        let at = Timeline::new(
+            self.loop_state.previous_turn_began,
+            in_s,
+            self.configuration.settings.shutdown_grace_s,
+        );
         self.shutdown = Some(Shutdown { at, closed: None, responded: false });
         // The loop must wake at each of these even if nothing else is ready.
         for at in [at.accept_until, at.answer_by, at.exit_by] {
@@ -50,10 +55,7 @@
         }
         self.context.availability.shutting_down = true;
         inputs.push(Input::Shutdown { notice: at.notice, stop: at.kill_at });
-        if let Some(http2) = &mut self.http2 {
-            // Each connection is sent GOAWAY.
-            http2.connections.touch_all();
-        }
+        self.frontends.announce_close();
         self.report_load(false);
     }
 
@@ -61,39 +63,20 @@
     /// unread while this process was stopped.
     pub(in crate::net) fn sweep(&mut self) {
         let now = self.clock.now();
-        let closing = self.shutdown.as_ref().is_some_and(|l| l.closed.is_some());
-        self.sweep_frontends(now, closing || self.context.availability.handing_off);
-        if let Some(http2) = &mut self.http2 {
-            http2.sweep(now, self.context.availability.draining, &mut self.deferred_inputs);
-        }
-        if let Some(s) = &mut self.ajp_servers {
-            s.sweep(now);
-        }
-        if let Some(r) = &mut self.records {
-            r.sweep(now);
-        }
+        let availability = &self.context.availability;
+        let closing = self.shutdown.as_ref().is_some_and(|shutdown| shutdown.closed.is_some());
+        let closing = closing || availability.handing_off;
+        let idle_s = self.configuration.idle_timeout_s();
+        self.frontends.sweep_connections(now, idle_s, closing, availability);
+        self.frontends.sweep_protocols(now, availability, &mut self.loop_state.deferred_inputs);
+        self.upstreams.sweep(now);
         // Connections are ended in this turn, and those on which something was found are processed: the longer that takes,
         // the more requests can cross it.
-        if self.pending() {
+        if self.has_pending() {
             self.process_ready(Vec::new());
         }
     }
 
-    /// Sweeps the connections of all frontends; while shutting down those that are idle are ended at once.
-    pub(in crate::net) fn sweep_frontends(&mut self, now: f64, leaving: bool) {
-        if let Some(console) = &mut self.console {
-            console.connections.sweep(now, self.idle_s, false);
-        }
-        self.http.connections.sweep(now, self.idle_s, leaving && !self.context.availability.handing_off);
-        if let Some(ajp) = &mut self.ajp {
-            ajp.connections.sweep(now, self.idle_s, leaving);
-        }
-        if let Some(http2) = &mut self.http2 {
-            let idle_s = http2.idle_s();
-            http2.connections.sweep(now, idle_s, leaving);
-        }
-    }
-
     /// Takes the steps of the shutdown that are due: closes the listeners when nothing more may run, and exits when all is
     /// answered, written and read.
     pub(in crate::net) fn advance_shutdown(&mut self) {
@@ -126,7 +109,8 @@
     /// Closes the listeners; what was still accepted, and what came just now, is answered.
     fn stop_accepting(&mut self, now: f64) {
         self.close_listeners(now);
-        self.sweep_frontends(now, true);
+        let idle_s = self.configuration.idle_timeout_s();
+        self.frontends.sweep_connections(now, idle_s, true, &self.context.availability);
         self.update_shutdown(|shutdown| shutdown.closed = Some(now));
         self.process_ready(Vec::new());
         self.wheel.set(now, CROSSING_S, Timer::Again);
@@ -148,83 +132,56 @@
 
     /// Whether no response is pending, everything is written, and no request is half read.
     fn all_answered(&self) -> bool {
-        self.dispatcher.as_ref().map_or(0, Dispatcher::pending_responses) == 0
-            && self.http.connections.quiet()
-            && self.ajp.as_ref().map_or(true, |a| a.connections.quiet())
-            && self.http2.as_ref().map_or(true, |h| h.connections.quiet())
+        let pending_responses = self.dispatcher.as_ref().map_or(0, Dispatcher::pending_responses);
+        pending_responses == 0 && self.frontends.is_quiet()
     }
 
     /// Closes the listeners of all frontends, after all connections that the system has accepted by now were taken.
     fn close_listeners(&mut self, now: f64) {
         for _ in 0..MAX_ACCEPT_ROUNDS {
-            let mut closed = self.http.connections.close_listener(now);
-            closed &= self.ajp.as_mut().map_or(true, |a| a.connections.close_listener(now));
-            closed &= self.http2.as_mut().map_or(true, |h| h.connections.close_listener(now));
-            if closed {
+            if self.frontends.close_listeners(now) {
                 return;
             }
             self.process_ready(Vec::new());
         }
-        self.http.connections.stop_listening();
-        self.ajp.iter_mut().for_each(|a| a.connections.stop_listening());
-        self.http2.iter_mut().for_each(|h| h.connections.stop_listening());
+        self.frontends.stop_listening();
     }
 
-    /// Gives all responses that are still pending: the stop may be too near for the controller to give requests up in time,
+    /// Gives all responses that are still pending: the stop may be too near for the controller to cancel requests in time,
     /// and a directory may be silent.
     pub(in crate::net) fn respond_all(&mut self) {
         let mut inputs = vec![Input::RespondAll];
-        if let Some(ajp) = &mut self.ajp {
-            ajp.give_up_lookups(&mut Turn {
-                clock: &self.clock,
-                context: &self.context,
-                inputs: &mut inputs,
-                lookups: &mut Vec::new(),
-            });
-        }
+        self.frontends.respond_all(&mut FrontendTurn {
+            clock: &self.clock,
+            context: &self.context,
+            inputs: &mut inputs,
+            lookups: &mut Vec::new(),
+        });
         // Nothing of this may wait for another turn: there may be none.
-        self.deferred = true;
+        self.loop_state.deferral = Deferral::Used;
         self.process_ready(inputs);
     }
 
     /// Ends all idle connections, and with `at_once` those too that have sent half a request. Returns `true` when their
     /// peers have closed too, or were waited for long enough.
     pub(in crate::net) fn end_connections(&mut self, now: f64, at_once: bool) -> bool {
-        self.http.connections.end_all(now, at_once);
-        if let Some(ajp) = &mut self.ajp {
-            ajp.connections.end_all(now, at_once);
-        }
-        if let Some(http2) = &mut self.http2 {
-            http2.connections.end_all(now, at_once);
-        }
+        let is_first = self.frontends.end_connections(now, at_once);
         // Written and read as far as that goes in this turn.
-        if self.pending() {
+        if self.has_pending() {
             self.process_ready(Vec::new());
         }
-        if self.connections_ended_at.is_none() {
-            self.connections_ended_at = Some(now);
+        if is_first {
             self.wheel.set(now, LINGER_S, Timer::Again);
         }
-        let all_ended = self.http.connections.all_ended()
-            && self.ajp.as_ref().map_or(true, |a| a.connections.all_ended())
-            && self.http2.as_ref().map_or(true, |h| h.connections.all_ended());
-        all_ended || self.all_answered() && self.connections_ended_at.is_some_and(|at| now >= at + LINGER_S)
+        let has_lingered = self.frontends.ended_for(now, LINGER_S);
+        self.frontends.all_ended() || self.all_answered() && has_lingered
     }
 
     /// Ends the process: operators' calls that have come are answered, and no socket is closed over unread bytes, since
     /// that would reset the connection and lose written responses.
     pub(in crate::net) fn exit(&mut self, now: f64) {
         self.serve_console(now);
-        self.http.connections.drop_unread();
-        if let Some(console) = &mut self.console {
-            console.connections.drop_unread();
-        }
-        if let Some(ajp) = &mut self.ajp {
-            ajp.connections.drop_unread();
-        }
-        if let Some(http2) = &mut self.http2 {
-            http2.connections.drop_unread();
-        }
-        self.done = true;
+        self.frontends.drop_unread();
+        self.loop_state.finished = true;
     }
 }
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -14,7 +14,8 @@
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::idle_pool::{full, take_idle, Pooled, MAX_IDLE};
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::upstreams::ajp_codec::{self, Forward, PacketError, ToWebServer, Way, MAX_PACKET_BYTES};
 use std::collections::HashMap;
@@ -181,9 +182,9 @@
     }
 
     /// Records a connection's readiness, and has it processed.
-    pub fn mark(&mut self, id: u64, readable: bool, writable: bool) {
+    pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.link.mark(readable, writable);
+            connection.link.mark(readiness);
             self.touched.push(id);
         }
     }
@@ -257,7 +258,7 @@
         let address = *servers.get(self.next_server % servers.len().max(1))?;
         self.next_server = self.next_server.wrapping_add(1);
         let id = self.poll.fresh();
-        let link = Link::connect(&self.poll, address, Place::AjpServer(id), 2 * MAX_PACKET_BYTES).ok()?;
+        let link = Link::connect(&self.poll, address, Source::AjpServer(id), 2 * MAX_PACKET_BYTES).ok()?;
         let connection = Connection { link, connected: false, used: false, run: None, idle_since: now };
         self.connections.insert(id, connection);
         Some(id)
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -10,7 +10,8 @@
 use crate::fleet::{FleetMember, MemberAction, MembershipConfig};
 use crate::log::LogEvent;
 use crate::net::io::buffer::{Filled, Link};
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use rustix::time::{clock_gettime, ClockId};
 use scheduled_call::CallInFlight;
@@ -39,7 +40,7 @@
 }
 
 /// A worker's membership with its sockets.
-pub struct Fleet {
+pub struct CoordinatorLink {
     poll: Poll,
     /// The membership itself.
     pub member: FleetMember,
@@ -58,15 +59,15 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-impl Fleet {
+impl CoordinatorLink {
     /// A membership that is not connected yet.
     #[must_use]
-    pub fn new(poll: &Poll, config: MembershipConfig) -> Fleet {
+    pub fn new(poll: &Poll, config: MembershipConfig) -> CoordinatorLink {
         let random = RandomState::new();
         let incarnation = random.hash_one("process");
         let backoff_seed = random.hash_one("pauses");
         let started_at = boot_time_s();
-        Fleet {
+        CoordinatorLink {
             poll: poll.clone(),
             member: FleetMember::new(0.0, config, incarnation, backoff_seed),
             connection: None,
@@ -84,11 +85,11 @@
     }
 
     /// Notes that a socket has become ready.
-    pub fn mark(&mut self, id: u64, readable: bool, writable: bool) {
+    pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.connection.as_mut().filter(|connection| connection.id == id) {
-            connection.link.mark(readable, writable);
+            connection.link.mark(readiness);
         } else if let Some(call) = self.calls.iter_mut().find(|call| call.id == id) {
-            call.link.mark(readable, writable);
+            call.link.mark(readiness);
         }
     }
 
@@ -117,7 +118,7 @@
                 None => return,
                 Some(Ok(())) => {
                     connection.connected = true;
-                    connection.link.mark(true, true);
+                    connection.link.mark(Readiness { readable: true, writable: true });
                     self.member.connected();
                 }
                 Some(Err(_)) => return self.close_connection(now),
@@ -171,7 +172,7 @@
     fn connect(&mut self, now: f64, address: SocketAddr) {
         let id = self.poll.fresh();
         let room = MAX_SERVER_FRAME_BYTES + FRAME_HEAD_BYTES;
-        match Link::connect(&self.poll, address, Place::Fleet(id), room) {
+        match Link::connect(&self.poll, address, Source::Coordinator(id), room) {
             Ok(link) => self.connection = Some(CoordinatorConnection { id, link, connected: false }),
             Err(_) => self.member.disconnected(now),
         }
--- a/src/net/upstreams/coordinator_link/scheduled_call.rs
+++ b/src/net/upstreams/coordinator_link/scheduled_call.rs
@@ -3,7 +3,8 @@
 use crate::fleet::frame::CallOutcome;
 use crate::fleet::tasks::{Schedule, ScheduledCall};
 use crate::net::io::buffer::{Filled, Link};
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::{Readiness, Source};
 use std::io;
 
 /// Largest head of a response (bytes); what follows it is not read.
@@ -37,7 +38,7 @@
         holder: &str,
         call: &ScheduledCall,
     ) -> io::Result<CallInFlight> {
-        let link = Link::connect(poll, task.address, Place::Fleet(id), MAX_HEAD_BYTES)?;
+        let link = Link::connect(poll, task.address, Source::Coordinator(id), MAX_HEAD_BYTES)?;
         Ok(CallInFlight {
             id,
             link,
@@ -71,7 +72,7 @@
         let Some(result) = self.link.connected() else { return Ok(()) };
         result?;
         self.connected = true;
-        self.link.mark(true, true);
+        self.link.mark(Readiness { readable: true, writable: true });
         if let Some(request) = self.request.take() {
             self.link.push(request);
         }
--- a/src/net/upstreams/directory.rs
+++ b/src/net/upstreams/directory.rs
@@ -8,9 +8,9 @@
 use crate::dispatch::Ticket;
 use crate::log::LogEvent;
 use crate::net::events::UpstreamEvent;
-use crate::net::frontends::ajp::{Lookup, LookupResult};
 use crate::net::io::buffer::{Filled, Link};
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use bytes::BytesMut;
 use ldap3_proto::proto::*;
@@ -71,6 +71,30 @@
     Wait,
 }
 
+/// A search for the tenant of a request.
+#[derive(Debug, PartialEq)]
+pub struct Lookup {
+    /// The request that waits for it.
+    pub ticket: Ticket,
+    /// The identity of the portal or its user.
+    pub identity: String,
+    /// How long the request can wait for it (seconds).
+    pub timeout_s: f64,
+}
+
+/// What came of a lookup.
+#[derive(Clone, Debug, PartialEq)]
+pub enum LookupResult {
+    /// The name of the tenant.
+    Tenant(Rc<str>),
+    /// The directory knows no tenant of this identity, or several.
+    Unknown,
+    /// The directory can't be reached, or fails.
+    Unavailable,
+    /// The request's time was over before the directory had answered.
+    TimedOut,
+}
+
 /// Why the link to the directory is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
@@ -133,18 +157,18 @@
     }
 
     /// Records the readiness of the link with this id.
-    pub fn mark(&mut self, link_id: u64, readable: bool, writable: bool) {
+    pub fn mark(&mut self, link_id: u64, readiness: Readiness) {
         if let Some(link) = self.link.as_mut().filter(|_| self.link_id == link_id) {
-            link.mark(readable, writable);
+            link.mark(readiness);
         }
     }
 
     /// Takes the results that have come since the last call.
-    pub fn take_found(&mut self) -> Vec<(Ticket, LookupResult)> {
+    pub fn take_results(&mut self) -> Vec<(Ticket, LookupResult)> {
         std::mem::take(&mut self.results)
     }
 
-    /// Looks the tenant of an identity up; the result comes with [`Directory::take_found`].
+    /// Looks the tenant of an identity up; the result comes with [`Directory::take_results`].
     pub fn look_up(&mut self, now: f64, lookup: Lookup, wheel: &mut Wheel) {
         let identity: Rc<str> = lookup.identity.into();
         if let Some(cached) = self.cache.get(&identity).filter(|cached| now < cached.expires_at) {
@@ -156,13 +180,13 @@
         }
         let timeout_s = self.settings.timeout_ms / 1000.0;
         let timer_number = self.poll.fresh();
-        wheel.set(now, timeout_s.min(lookup.for_s.max(0.0)), Timer::Search(timer_number));
+        wheel.set(now, timeout_s.min(lookup.timeout_s.max(0.0)), Timer::Search(timer_number));
         let already_searched = self.waiting.iter().any(|waiting| waiting.identity == identity);
         self.waiting.push(WaitingLookup {
             timer_number,
             ticket: lookup.ticket,
             identity: identity.clone(),
-            limited_by_request: lookup.for_s < timeout_s,
+            limited_by_request: lookup.timeout_s < timeout_s,
         });
         if self.link.is_none() {
             self.connect(now);
@@ -175,8 +199,8 @@
         self.link_id = self.poll.fresh();
         self.link_state = LinkState::Connecting;
         self.link_has_served = false;
-        let place = Place::Directory(self.link_id);
-        match Link::connect(&self.poll, self.settings.address, place, MAX_MESSAGE_BYTES) {
+        let source = Source::Directory(self.link_id);
+        match Link::connect(&self.poll, self.settings.address, source, MAX_MESSAGE_BYTES) {
             Ok(link) => self.link = Some(link),
             Err(error) => self.on_link_lost(now, &error.into()),
         }
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -13,7 +13,8 @@
 use crate::net::events::{ExecutorEvent, LinkLossCause, MalformedNotice};
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::{Filled, Link};
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::{Readiness, Source};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use messages::{Command, Lines};
@@ -135,10 +136,10 @@
     }
 
     /// Notes the readiness that the loop reports.
-    pub fn mark(&mut self, number: u64, readable: bool, writable: bool) {
+    pub fn mark(&mut self, number: u64, readiness: Readiness) {
         for connection in [&mut self.link, &mut self.next_link].into_iter().flatten() {
             if connection.number == number {
-                connection.link.mark(readable, writable);
+                connection.link.mark(readiness);
             }
         }
     }
@@ -220,7 +221,7 @@
 
     fn connect(&mut self, now: f64) {
         let number = self.poll.fresh();
-        match Link::connect(&self.poll, self.address, Place::Executor(number), MAX_LINE_BYTES) {
+        match Link::connect(&self.poll, self.address, Source::Executor(number), MAX_LINE_BYTES) {
             Ok(link) => {
                 self.next_link = Some(NumberedLink { number, link });
                 self.reconnect_at = None;
--- a/src/net/upstreams/mod.rs
+++ b/src/net/upstreams/mod.rs
@@ -7,3 +7,7 @@
 pub mod executor;
 pub mod records;
 pub mod registry;
+
+mod set;
+
+pub use set::Upstreams;
--- a/src/net/upstreams/records.rs
+++ b/src/net/upstreams/records.rs
@@ -7,7 +7,8 @@
 use crate::net::events::UpstreamEvent;
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::idle_pool::{full, take_idle, Pooled};
-use crate::net::io::poll::{Place, Poll};
+use crate::net::io::poll::Poll;
+use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -81,9 +82,9 @@
     }
 
     /// Notes the readiness that the loop reports.
-    pub fn mark(&mut self, id: u64, readable: bool, writable: bool) {
+    pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(c) = self.connections.get_mut(&id) {
-            c.link.mark(readable, writable);
+            c.link.mark(readiness);
             self.touched.push(id);
         }
     }
@@ -112,7 +113,7 @@
         again: bool,
         wheel: &mut Wheel,
     ) {
-        self.give_up(&name);
+        self.abandon(&name);
         let number = self.poll.fresh();
         let idle = if again { take_idle(&mut self.connections, now, QUIET_S, MAX_IDLE_S) } else { None };
         let Some(id) = idle.or_else(|| self.open(now)) else {
@@ -142,7 +143,7 @@
 
     fn open(&mut self, now: f64) -> Option<u64> {
         let id = self.poll.fresh();
-        let link = Link::connect(&self.poll, self.address, Place::Records(id), MAX_REPLY_BYTES).ok()?;
+        let link = Link::connect(&self.poll, self.address, Source::Records(id), MAX_REPLY_BYTES).ok()?;
         let connection =
             Connection { link, address: self.address, connected: false, call: None, idle_since: now };
         self.connections.insert(id, connection);
@@ -150,7 +151,7 @@
     }
 
     /// Abandons the call of a run, if there is one.
-    pub fn give_up(&mut self, name: &str) {
+    pub fn abandon(&mut self, name: &str) {
         if let Some(id) = self.by_name.remove(name) {
             self.connections.remove(&id);
         }
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::net::io::poll::Gathered;
+use crate::net::io::source::Source;
 use calloop::EventLoop;
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -37,9 +38,9 @@
 fn turn(events: &mut EventLoop<Gathered>, records: &mut Records, wheel: &mut Wheel) -> Vec<Input> {
     let (mut gathered, mut inputs) = (Gathered::default(), Vec::new());
     events.dispatch(Some(Duration::from_millis(5)), &mut gathered).unwrap();
-    for (place, readable, writable) in gathered.take() {
-        if let Place::Records(id) = place {
-            records.mark(id, readable, writable);
+    for ready in gathered.take() {
+        if let Source::Records(id) = ready.source {
+            records.mark(id, ready.readiness);
         }
     }
     records.gather(0.0, &mut inputs, wheel);
--- a/src/net/upstreams/registry.rs
+++ b/src/net/upstreams/registry.rs
@@ -39,7 +39,7 @@
     }
 
     /// Reports if the readiness has changed, or if a report is due. A lost datagram is made up for by the next.
-    pub fn beat(&mut self, ready: bool, due: bool) {
+    pub fn report(&mut self, ready: bool, due: bool) {
         if due || self.reported != Some(ready) {
             let state = if ready { "ready" } else { "draining" };
             // The registry may be down; the next report tells it the same.
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -1,7 +1,7 @@
 //! Carries out the dispatcher's commands.
 
 use super::Worker;
-use crate::dispatch::{Command, Input, Response, Ticket};
+use crate::dispatch::{Command, Input, Response};
 use crate::interface::Outcome;
 use crate::log::LogEvent;
 use crate::net::events::{DroppedCommand, ExecutorEvent};
@@ -15,27 +15,33 @@
     /// Carries out one command; an outcome that is known at once becomes an input.
     pub(in crate::net) fn execute(&mut self, now: f64, command: Command, inputs: &mut Vec<Input>) {
         match command {
-            Command::Respond(ticket, response) => self.answer(now, ticket, response),
+            Command::Respond(ticket, response) => {
+                self.frontends.respond(now, ticket, response, &self.context)
+            }
             Command::Run { name, class, body, due } => {
-                if let Some(servers) = &mut self.ajp_servers {
+                if let Some(servers) = &mut self.upstreams.ajp_backend {
                     servers.run(now, name, class, body, due, &mut self.wheel);
-                } else if !self.executor.run(&name, class, &body, &self.context.catalog) {
+                } else if !self.upstreams.executor.run(&name, class, &body, &self.context.catalog) {
                     // Not even queued: it has not run, and will not.
                     inputs.push(Input::NeverRan { name });
                 }
             }
-            Command::Call { name, body, timeout_s, is_retryable } => match &mut self.records {
+            Command::Call { name, body, timeout_s, is_retryable } => match &mut self.upstreams.records {
                 Some(records) => records.call(now, name, body, timeout_s, is_retryable, &mut self.wheel),
                 None => inputs.push(Input::CallEnded { name, outcome: Outcome::Unreachable, reply: None }),
             },
-            Command::GiveUpCall(name) => self.records.iter_mut().for_each(|records| records.give_up(&name)),
+            Command::GiveUpCall(name) => {
+                if let Some(records) = &mut self.upstreams.records {
+                    records.abandon(&name);
+                }
+            }
             Command::Resume { name, reply } => {
-                if !self.executor.resume(&name, &reply) {
+                if !self.upstreams.executor.resume(&name, &reply) {
                     ExecutorEvent::QueueFull { dropped: DroppedCommand::Reply }.emit();
                 }
             }
             Command::SkipCall { name, sequence } => {
-                if !self.executor.skip(&name, sequence) {
+                if !self.upstreams.executor.skip(&name, sequence) {
                     ExecutorEvent::QueueFull { dropped: DroppedCommand::Skip }.emit();
                 }
             }
@@ -56,19 +62,8 @@
     pub(in crate::net) fn report_load(&mut self, due: bool) {
         let ready = self.context.availability.is_ready();
         let listed = self.dispatcher.is_some() && self.owns_listeners();
-        if let Some(registry) = self.registry.as_mut().filter(|_| listed) {
-            registry.beat(ready, due);
-        }
-    }
-
-    /// Hands a response to the frontend whose ticket it is.
-    pub(super) fn answer(&mut self, now: f64, ticket: Ticket, response: Response) {
-        match &mut self.ajp {
-            Some(ajp) if ajp.connections.owns(ticket.0) => ajp.answer(now, ticket, response, &self.context),
-            _ => match &mut self.http2 {
-                Some(http2) if http2.owns(ticket) => http2.answer(now, ticket, response, &self.context),
-                _ => self.http.answer(now, ticket, response, &self.context),
-            },
+        if let Some(registry) = self.upstreams.registry.as_mut().filter(|_| listed) {
+            registry.report(ready, due);
         }
     }
 
@@ -79,16 +74,8 @@
                 let response =
                     Response::Rejected { retry_after_s: NOT_UP_RETRY_AFTER_S, stop_retrying: false };
                 self.early_metrics.answered(request.class, &response);
-                self.answer(now, request.ticket, response);
+                self.frontends.respond(now, request.ticket, response, &self.context);
             }
         }
     }
-
-    /// Writes what waits for upstreams.
-    pub(super) fn flush(&mut self, now: f64) {
-        self.executor.flush(now);
-        if let Some(directory) = &mut self.directory {
-            directory.flush(now);
-        }
-    }
 }
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -26,7 +26,7 @@
     let mut timer = WheelTimer::new(handle);
     let mut gathered = Gathered::default();
     worker.poll_once(&mut gathered);
-    while !worker.done {
+    while !worker.loop_state.finished {
         let next = worker.wheel.next();
         timer.set(&worker, next)?;
         events.dispatch(None, &mut gathered).map_err(WorkerError::EventLoop)?;
@@ -45,7 +45,7 @@
     handle
         .insert_source(signals, |event, _, gathered: &mut Gathered| match event.signal() {
             Signal::SIGHUP => gathered.reload = true,
-            _ => gathered.leave = true,
+            _ => gathered.shutdown = true,
         })
         .map_err(|fault| WorkerError::WatchSignals(fault.error))?;
     Ok(())
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -1,28 +1,31 @@
 //! Builds a worker from its configuration and the operator's file.
 
-use super::{Worker, SWEEP_S};
+use super::{Configuration, LoopState, Worker, SWEEP_S};
 use crate::config::{Config, Files, Operator};
 use crate::dispatch::metrics::Metrics;
 use crate::fleet::MembershipConfig;
 use crate::interface::Settings;
 use crate::log::{LogEvent, LogHandle};
-use crate::net::error::{ListenError, WorkerError};
-use crate::net::frontends::ajp::AjpFront;
-use crate::net::frontends::http1::HttpFront;
-use crate::net::frontends::http2::Http2Front;
+use crate::net::error::WorkerError;
+use crate::net::events::{FrontendEvent, HotRestartEvent, UnavailableCause};
+use crate::net::frontends::ajp::AjpFrontend;
+use crate::net::frontends::frontend::Frontend;
+use crate::net::frontends::http1::Http1Frontend;
+use crate::net::frontends::http2::Http2Frontend;
 use crate::net::frontends::request_fields::Catalog;
+use crate::net::frontends::Frontends;
 use crate::net::io::poll::Poll;
+use crate::net::io::source::FrontendKind;
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use crate::net::lifecycle::console::Console;
 use crate::net::lifecycle::hot_restart::{inherited_listener, HotRestart, Links};
-
-use crate::net::events::{FrontendEvent, HotRestartEvent, UnavailableCause};
 use crate::net::upstreams::ajp_backend::AjpBackend;
-use crate::net::upstreams::coordinator_link::Fleet;
+use crate::net::upstreams::coordinator_link::CoordinatorLink;
 use crate::net::upstreams::directory::Directory;
 use crate::net::upstreams::executor::Executor;
 use crate::net::upstreams::records::Records;
 use crate::net::upstreams::registry::Registry;
+use crate::net::upstreams::Upstreams;
 use crate::net::{Availability, Clock, FrontendContext};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -32,69 +35,39 @@
     /// A worker whose sockets listen, unless another process has them.
     pub(super) fn new(
         files: Files,
-        config: Config,
+        platform: Config,
         poll: &Poll,
         log: LogHandle,
     ) -> Result<Worker, WorkerError> {
         let clock = Clock::new();
-        let operator = files.operator(&config)?;
-        let settings = controller_settings(&config, &operator)?;
-        let catalog = Rc::new(Catalog::new(&config.settings, &settings));
-        let console = bind_console(&config, poll)?;
-        let socket = inherited_socket(&files)?;
-        // A predecessor may have the operator's addresses, and hand them over.
-        let may_have_predecessor = socket.is_some() && files.folder.is_some();
-        let mut http = http_frontend(&config, poll, socket.is_some())?;
-        let ajp = ajp_frontend(&config, &operator, poll, may_have_predecessor)?;
-        let http2 = http2_frontend(&operator, poll, may_have_predecessor)?;
-        let registry = connect_registry(&config)?;
-        report_listener(&config, "console", console.as_ref().and_then(|c| c.connections.address()));
-        report_listener(&config, "http", http.connections.address());
-        report_listener(&config, "ajp", ajp.as_ref().and_then(|a| a.connections.address()));
-        report_listener(&config, "http2", http2.as_ref().and_then(|h| h.connections.address()));
-        if let Some(configured) = config.console_passed_over {
-            FrontendEvent::ConsoleAddressOverridden { configured }.emit();
-        }
+        let operator = files.operator(&platform)?;
+        let settings = controller_settings(&platform, &operator)?;
+        let configuration = Configuration { files, platform, operator, settings };
+        let catalog = Rc::new(Catalog::new(&configuration.platform.settings, &configuration.settings));
+        let socket = inherited_socket(&configuration.files)?;
+        let mut frontends = frontends(&configuration, poll, socket.is_some())?;
+        let upstreams = upstreams(&configuration, poll)?;
+        report_start(&configuration, &frontends, socket.is_some());
         let hot_restart = match socket {
-            Some(socket) => prepare_hot_restart(&files, &config, &settings, poll, &mut http, socket)?,
+            Some(socket) => prepare_hot_restart(&configuration, poll, &mut frontends, socket)?,
             None => None,
         };
         let mut wheel = Wheel::new(clock.now());
         wheel.set(clock.now(), SWEEP_S, Timer::Sweep);
         Ok(Worker {
-            executor: Executor::new(poll, config.executor, config.settings.domain.own_stats.clone()),
-            ajp_servers: operator.backend.clone().map(|settings| AjpBackend::new(poll, settings)),
-            directory: operator.directory.clone().map(|settings| Directory::new(poll, settings)),
-            records: config.records.map(|address| Records::new(poll, address)),
-            fleet: fleet_member(&config, &operator, &settings, poll),
-            registry,
-            idle_s: settings.idle_s.max(1.0),
             context: FrontendContext { catalog, availability: Availability::default() },
+            early_metrics: Metrics::new(configuration.settings.classes.len()),
+            loop_state: LoopState::new(clock.now()),
             dispatcher: None,
             shutdown: None,
-            connections_ended_at: None,
-            turn_began: clock.now(),
-            turn_before: clock.now(),
-            deferred: false,
-            deferred_inputs: Vec::new(),
-            accept_timer: false,
-            relink_timer: false,
-            sweep_due: false,
-            done: false,
-            early_metrics: Metrics::new(settings.classes.len()),
+            poll: poll.clone(),
             clock,
-            log,
             wheel,
-            files,
-            config,
-            operator,
-            settings,
-            poll: poll.clone(),
-            console,
+            log,
+            configuration,
+            frontends,
+            upstreams,
             hot_restart,
-            http,
-            ajp,
-            http2,
         })
     }
 }
@@ -109,90 +82,113 @@
     Ok(settings)
 }
 
-fn bind_console(config: &Config, poll: &Poll) -> Result<Option<Console>, WorkerError> {
-    let Some(address) = config.console else { return Ok(None) };
-    let console = Console::bind(poll, address, config.limits.sockets)
-        .map_err(|source| WorkerError::Console { address, source })?;
-    Ok(Some(console))
+/// All frontends; they listen, unless a predecessor may have their addresses and hand them over.
+fn frontends(
+    configuration: &Configuration,
+    poll: &Poll,
+    socket_inherited: bool,
+) -> Result<Frontends, WorkerError> {
+    let Configuration { files, platform, operator, .. } = configuration;
+    let may_have_predecessor = socket_inherited && files.folder.is_some();
+    let console = bind_console(platform, poll)?;
+    let mut http1 = Http1Frontend::closed(poll, platform.listen);
+    if !socket_inherited {
+        http1.open(None)?;
+    }
+    let mut ajp = ajp_frontend(platform, operator, poll);
+    let mut http2 = operator.http2.clone().map(|settings| Http2Frontend::closed(poll, settings));
+    if !may_have_predecessor {
+        if let Some(ajp) = &mut ajp {
+            ajp.open(None)?;
+        }
+        if let Some(http2) = &mut http2 {
+            http2.open(None)?;
+        }
+    }
+    Ok(Frontends::new(console, http1, http2, ajp))
 }
 
-fn inherited_socket(files: &Files) -> Result<Option<Rc<TcpListener>>, WorkerError> {
-    let Some(number) = files.socket.as_deref() else { return Ok(None) };
-    Ok(Some(inherited_listener(number)?))
+fn bind_console(platform: &Config, poll: &Poll) -> Result<Option<Console>, WorkerError> {
+    let Some(address) = platform.console else { return Ok(None) };
+    let console = Console::bind(poll, address, platform.limits.sockets)
+        .map_err(|error| WorkerError::Console { address, source: error.source })?;
+    Ok(Some(console))
 }
 
-fn http_frontend(config: &Config, poll: &Poll, inherited: bool) -> Result<HttpFront, WorkerError> {
-    if inherited {
-        return Ok(HttpFront::shut(poll));
-    }
-    let address = config.listen;
-    let frontend = HttpFront::bind(poll, address).map_err(|source| ListenError { address, source })?;
-    Ok(frontend)
+fn ajp_frontend(platform: &Config, operator: &Operator, poll: &Poll) -> Option<AjpFrontend> {
+    let settings = operator.ajp.clone()?;
+    let identity = operator.directory.as_ref().map(|directory| directory.identity);
+    Some(AjpFrontend::closed(poll, settings, identity, platform.seed_number()))
 }
 
-fn ajp_frontend(
-    config: &Config,
-    operator: &Operator,
-    poll: &Poll,
-    shut: bool,
-) -> Result<Option<AjpFront>, WorkerError> {
-    let Some(settings) = operator.ajp.clone() else { return Ok(None) };
-    let identity = operator.directory.as_ref().map(|directory| directory.identity);
-    let mut frontend = AjpFront::shut(poll, settings, identity, config.seed_number());
-    if !shut {
-        frontend.open(None)?;
-    }
-    Ok(Some(frontend))
+fn inherited_socket(files: &Files) -> Result<Option<Rc<TcpListener>>, WorkerError> {
+    let Some(number) = files.socket.as_deref() else { return Ok(None) };
+    Ok(Some(inherited_listener(number)?))
 }
 
-fn http2_frontend(operator: &Operator, poll: &Poll, shut: bool) -> Result<Option<Http2Front>, WorkerError> {
-    let Some(settings) = operator.http2.clone() else { return Ok(None) };
-    let mut frontend = Http2Front::shut(poll, settings);
-    if !shut {
-        frontend.open(None)?;
-    }
-    Ok(Some(frontend))
+fn upstreams(configuration: &Configuration, poll: &Poll) -> Result<Upstreams, WorkerError> {
+    let Configuration { platform, operator, .. } = configuration;
+    Ok(Upstreams {
+        executor: Executor::new(poll, platform.executor, platform.settings.domain.own_stats.clone()),
+        ajp_backend: operator.backend.clone().map(|settings| AjpBackend::new(poll, settings)),
+        records: platform.records.map(|address| Records::new(poll, address)),
+        registry: connect_registry(platform)?,
+        directory: operator.directory.clone().map(|settings| Directory::new(poll, settings)),
+        coordinators: coordinator_link(configuration, poll),
+    })
 }
 
-fn fleet_member(config: &Config, operator: &Operator, settings: &Settings, poll: &Poll) -> Option<Fleet> {
+fn coordinator_link(configuration: &Configuration, poll: &Poll) -> Option<CoordinatorLink> {
+    let Configuration { platform, operator, settings, .. } = configuration;
     let fleet = operator.fleet.as_ref()?;
     let share = settings.dependency.as_ref().map_or(0.0, |dependency| dependency.share);
     let overload = fleet.overload().then_some(share);
-    Some(Fleet::new(poll, MembershipConfig { overload, ..fleet.plan(config) }))
+    Some(CoordinatorLink::new(poll, MembershipConfig { overload, ..fleet.plan(platform) }))
 }
 
-fn connect_registry(config: &Config) -> Result<Option<Registry>, WorkerError> {
-    let Some(address) = config.registry else { return Ok(None) };
+fn connect_registry(platform: &Config) -> Result<Option<Registry>, WorkerError> {
+    let Some(address) = platform.registry else { return Ok(None) };
     let registry =
-        Registry::new(address, &config.name).map_err(|source| WorkerError::Registry { address, source })?;
+        Registry::new(address, &platform.name).map_err(|source| WorkerError::Registry { address, source })?;
     Ok(Some(registry))
 }
 
-fn report_listener(config: &Config, frontend: &'static str, address: Option<SocketAddr>) {
-    if let Some(address) = address {
-        let worker = &config.name;
+/// Reports the listeners by the order of their kinds, and what of the configuration is not used.
+fn report_start(configuration: &Configuration, frontends: &Frontends, socket_inherited: bool) {
+    let platform = &configuration.platform;
+    let worker = &platform.name;
+    let mut addresses: Vec<(FrontendKind, SocketAddr)> = frontends.addresses().collect();
+    addresses.sort_unstable_by_key(|(kind, _)| *kind);
+    for (kind, address) in addresses {
+        let frontend = kind.as_str();
         FrontendEvent::ListenerOpened { worker, frontend, address, inherited: false }.emit();
     }
+    if let Some(configured) = platform.console_passed_over {
+        FrontendEvent::ConsoleAddressOverridden { configured }.emit();
+    }
+    if socket_inherited {
+        let frontend = FrontendKind::Http1.as_str();
+        let address = platform.listen;
+        FrontendEvent::ListenerOpened { worker, frontend, address, inherited: true }.emit();
+    }
 }
 
 /// With an inherited listening socket this process may succeed another, and be succeeded. Without a shared folder it
 /// can't meet the other, and listens at once.
 fn prepare_hot_restart(
-    files: &Files,
-    config: &Config,
-    settings: &Settings,
+    configuration: &Configuration,
     poll: &Poll,
-    http: &mut HttpFront,
+    frontends: &mut Frontends,
     socket: Rc<TcpListener>,
 ) -> Result<Option<HotRestart>, WorkerError> {
-    let (worker, address) = (config.name.as_str(), config.listen);
-    FrontendEvent::ListenerOpened { worker, frontend: "http", address, inherited: true }.emit();
-    let Some(folder) = &files.folder else {
+    let Some(folder) = &configuration.files.folder else {
         HotRestartEvent::Unavailable(UnavailableCause::NoSharedFolder).emit();
-        http.open(&socket).map_err(WorkerError::InheritedSocket)?;
+        let opened = frontends.http1.open(Some(socket));
+        opened.map_err(|error| WorkerError::InheritedSocket(error.source))?;
         return Ok(None);
     };
-    let longest_window_s = settings.classes.iter().map(|class| class.window_s).fold(0.0, f64::max);
+    let windows = configuration.settings.classes.iter().map(|class| class.window_s);
+    let longest_window_s = windows.fold(0.0, f64::max);
     let links = Links::new(poll, Path::new(folder));
     Ok(Some(HotRestart::new(links, socket, longest_window_s)))
 }
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -1,100 +1,92 @@
 //! One turn of the loop: what is ready is gathered, handed to the dispatcher in one go, and its commands are carried
 //! out.
 
+use super::loop_state::Deferral;
 use super::{Worker, STALL_S, SWEEP_S};
 use crate::dispatch::Input;
-use crate::net::io::poll::{Gathered, Place};
+use crate::net::io::poll::Gathered;
+use crate::net::io::source::{ReadySource, Source};
 use crate::net::io::timer_wheel::Timer;
-use crate::net::upstreams::ajp_backend::AjpBackend;
-use crate::net::upstreams::records::Records;
 use crate::net::upstreams::registry::BEAT_S;
 
 /// Rounds of one turn at most: requests that lie behind answered ones, and outcomes of what was just asked for.
 const MAX_ROUNDS: usize = 8;
 
 impl Worker {
-    /// Takes one turn.
+    /// Takes one turn. The order of its steps:
+    ///
+    /// 1. Readiness is recorded, so that every later step sees it.
+    /// 2. Frames of another process: once a successor owns the listeners, a shutdown notice is no graceful shutdown.
+    /// 3. Signals: a shutdown notice counts before all that was read in this turn, since it may have come before it.
+    /// 4. Sockets are read before timers run: what came in time goes before the end of that time.
+    /// 5. Inputs are handed over, and commands carried out.
+    /// 6. The fleet: its heartbeat carries what the steps before have counted.
+    /// 7. The sweep, after all that is ready was read: a request may have lain unread while the process was stopped.
+    /// 8. The steps of a shutdown, which see whether anything is still pending.
     pub(super) fn poll_once(&mut self, gathered: &mut Gathered) {
         let now = self.clock.now();
-        self.turn_before = self.turn_began;
-        self.turn_began = now;
+        self.loop_state.begin_turn(now);
         self.log.report_suppressed();
-        for (place, readable, writable) in gathered.take() {
-            self.mark_ready(place, readable, writable);
+        for ready in gathered.take() {
+            self.mark_ready(ready);
         }
-        let mut inputs = std::mem::take(&mut self.deferred_inputs);
-        // A successor's message goes before the shutdown notice: once the listener is handed over, that is no drain.
+        let mut inputs = std::mem::take(&mut self.loop_state.deferred_inputs);
         self.receive_hot_restart_frames(now, &mut inputs);
-        if std::mem::take(&mut gathered.leave) {
-            // Before all that has been read, since the notice may have come before it.
-            let mut first = Vec::new();
-            self.begin_shutdown(now, &mut first);
-            inputs.splice(0..0, first);
-        }
-        if std::mem::take(&mut gathered.reload) {
-            self.reload(now, &mut inputs);
-        }
+        self.handle_signals(now, gathered, &mut inputs);
         self.gather(&mut inputs);
-        // Only now: what has come in time goes before the end of that time, also where both are seen in one turn.
         self.run_timers(now, &mut inputs);
         self.process_ready(inputs);
-        self.fleet_turn(now);
-        if std::mem::take(&mut self.sweep_due) {
-            self.sweep();
-        }
-        if self.has_handed_off() {
-            self.follow_exit(now);
-        } else {
-            self.advance_shutdown();
-        }
+        self.poll_coordinators(now);
+        self.sweep_if_due();
+        self.advance_exit(now);
     }
 
-    /// Tells the owner of a descriptor that it is ready.
-    fn mark_ready(&mut self, place: Place, readable: bool, writable: bool) {
-        match place {
-            Place::ConsoleListener => self.console.iter_mut().for_each(|c| c.connections.mark_listener()),
-            Place::Console(id) => {
-                self.console.iter_mut().for_each(|c| c.connections.mark(id, readable, writable));
-            }
-            Place::HandoverListener => self.hot_restart.iter_mut().for_each(|r| r.links.mark_listener()),
-            Place::Handover(id) => {
-                self.hot_restart.iter_mut().for_each(|r| r.links.mark(id, readable, writable));
+    /// Tells the owner of a socket that it is ready.
+    fn mark_ready(&mut self, ready: ReadySource) {
+        let ReadySource { source, readiness } = ready;
+        match source {
+            Source::Listener(frontend) => self.frontends.mark_listener(frontend),
+            Source::Client(frontend, id) => self.frontends.mark(frontend, id, readiness),
+            Source::SuccessorListener => {
+                if let Some(hot_restart) = &mut self.hot_restart {
+                    hot_restart.links.mark_listener();
+                }
             }
-            Place::HttpListener => self.http.connections.mark_listener(),
-            Place::Http(id) => self.http.connections.mark(id, readable, writable),
-            Place::AjpListener => self.ajp.iter_mut().for_each(|a| a.connections.mark_listener()),
-            Place::Ajp(id) => self.ajp.iter_mut().for_each(|a| a.connections.mark(id, readable, writable)),
-            Place::Http2Listener => self.http2.iter_mut().for_each(|h| h.connections.mark_listener()),
-            Place::Http2(id) => {
-                self.http2.iter_mut().for_each(|h| h.connections.mark(id, readable, writable));
+            Source::HotRestartPeer(id) => {
+                if let Some(hot_restart) = &mut self.hot_restart {
+                    hot_restart.links.mark(id, readiness);
+                }
             }
-            Place::Directory(id) => self.directory.iter_mut().for_each(|d| d.mark(id, readable, writable)),
-            Place::AjpServer(id) => self.ajp_servers.iter_mut().for_each(|s| s.mark(id, readable, writable)),
-            Place::Fleet(id) => self.fleet.iter_mut().for_each(|f| f.mark(id, readable, writable)),
-            // Coordinators have such a listener, workers none.
-            Place::FleetListener => {}
-            Place::Executor(id) => self.executor.mark(id, readable, writable),
-            Place::Records(id) => self.records.iter_mut().for_each(|r| r.mark(id, readable, writable)),
+            upstream => self.upstreams.mark(upstream, readiness),
+        }
+    }
+
+    fn handle_signals(&mut self, now: f64, gathered: &mut Gathered, inputs: &mut Vec<Input>) {
+        if std::mem::take(&mut gathered.shutdown) {
+            let mut first = Vec::new();
+            self.begin_shutdown(now, &mut first);
+            inputs.splice(0..0, first);
+        }
+        if std::mem::take(&mut gathered.reload) {
+            self.reload(now, inputs);
         }
     }
 
     /// Gathers what is ready, hands it over and carries out what comes back, until nothing is left that the loop would
     /// not report.
     pub(in crate::net) fn process_ready(&mut self, mut inputs: Vec<Input>) {
-        inputs.splice(0..0, self.deferred_inputs.drain(..));
+        inputs.splice(0..0, self.loop_state.deferred_inputs.drain(..));
         for round in 0..MAX_ROUNDS {
             self.gather(&mut inputs);
             let now = self.clock.now();
-            // Guards the grace of a shutdown notice that lies unread: nothing starts before it has been looked for.
-            self.deferred = !self.deferred && self.shutdown.is_none() && now > self.turn_began + STALL_S;
-            if self.deferred {
+            if self.defers_inputs(now) {
                 self.wheel.set(now, 0.0, Timer::Again);
                 break;
             }
             self.dispatch(now, &mut inputs);
-            self.flush(now);
+            self.upstreams.flush(now);
             self.send_hot_restart_frames(now);
-            if !self.pending() && inputs.is_empty() {
+            if !self.has_pending() && inputs.is_empty() {
                 break;
             }
             if round + 1 == MAX_ROUNDS {
@@ -102,14 +94,26 @@
             }
         }
         // Guards the last round's outcomes: a run given back there would otherwise never be answered.
-        self.deferred_inputs = inputs;
+        self.loop_state.deferred_inputs = inputs;
+    }
+
+    /// Whether the inputs of this round wait for the next turn, since the process stalled in this one. Guards the grace of
+    /// a shutdown notice that lies unread: nothing starts before it has been looked for.
+    fn defers_inputs(&mut self, now: f64) -> bool {
+        let stalled = now > self.loop_state.turn_began + STALL_S;
+        let may_defer = self.loop_state.deferral == Deferral::Allowed && self.shutdown.is_none();
+        let defers = may_defer && stalled;
+        self.loop_state.deferral = if defers { Deferral::Used } else { Deferral::Allowed };
+        defers
     }
 
     /// Hands the inputs to the dispatcher and carries out its commands; outcomes of commands become inputs again.
-    fn dispatch(&mut self, now: f64, inputs: &mut Vec<Input>) {
+    pub(in crate::net) fn dispatch(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let mut commands = Vec::new();
         match &mut self.dispatcher {
-            Some(core) if !inputs.is_empty() => core.handle(now, inputs.drain(..), &mut commands),
+            Some(dispatcher) if !inputs.is_empty() => {
+                dispatcher.handle(now, inputs.drain(..), &mut commands);
+            }
             Some(_) => {}
             None => self.reject_early(now, inputs),
         }
@@ -119,13 +123,8 @@
     }
 
     /// Whether something waits that the loop will not report.
-    pub(in crate::net) fn pending(&self) -> bool {
-        self.http.connections.pending()
-            || self.console.as_ref().is_some_and(|c| c.connections.pending())
-            || self.ajp.as_ref().is_some_and(|a| a.connections.pending())
-            || self.http2.as_ref().is_some_and(|h| h.connections.pending())
-            || self.ajp_servers.as_ref().is_some_and(AjpBackend::pending)
-            || self.records.as_ref().is_some_and(Records::pending)
+    pub(in crate::net) fn has_pending(&self) -> bool {
+        self.frontends.has_pending() || self.upstreams.has_pending()
     }
 
     fn run_timers(&mut self, now: f64, inputs: &mut Vec<Input>) {
@@ -139,29 +138,52 @@
     fn run_timer(&mut self, now: f64, timer: Timer, inputs: &mut Vec<Input>) {
         match timer {
             Timer::Wake => {
-                inputs.push(Input::Woken(self.executor.gauges(now)));
-                self.executor.ask_gauges();
+                inputs.push(Input::Woken(self.upstreams.executor.gauges(now)));
+                self.upstreams.executor.ask_gauges();
+            }
+            Timer::Call(number) => {
+                if let Some(records) = &mut self.upstreams.records {
+                    records.due(number, inputs);
+                }
             }
-            Timer::Call(number) => self.records.iter_mut().for_each(|records| records.due(number, inputs)),
             Timer::Run(number) => {
-                if let Some(servers) = &mut self.ajp_servers {
+                if let Some(servers) = &mut self.upstreams.ajp_backend {
                     servers.due(now, number, inputs, &mut self.wheel);
                 }
             }
             Timer::Search(number) => {
-                self.directory.iter_mut().for_each(|directory| directory.due(now, number))
+                if let Some(directory) = &mut self.upstreams.directory {
+                    directory.due(now, number);
+                }
             }
-            Timer::Beat => {
+            Timer::Heartbeat => {
                 self.report_load(true);
-                self.wheel.set(now, BEAT_S, Timer::Beat);
+                self.wheel.set(now, BEAT_S, Timer::Heartbeat);
             }
             Timer::Sweep => {
-                self.sweep_due = true;
+                self.loop_state.sweep_due = true;
                 self.wheel.set(now, SWEEP_S, Timer::Sweep);
             }
-            Timer::Relink => self.relink_timer = false,
-            Timer::Accept => self.accept_timer = false,
-            _ => {}
+            Timer::Reconnect => self.loop_state.timers.reconnect = false,
+            Timer::Accept => self.loop_state.timers.accept = false,
+            // Waking up was all that these were for.
+            Timer::Fleet | Timer::Again => {}
+        }
+    }
+
+    /// Ends connections that are idle or too slow, where that is due.
+    fn sweep_if_due(&mut self) {
+        if std::mem::take(&mut self.loop_state.sweep_due) {
+            self.sweep();
+        }
+    }
+
+    /// Takes the steps that are due of the end of the process.
+    fn advance_exit(&mut self, now: f64) {
+        if self.has_handed_off() {
+            self.follow_exit(now);
+        } else {
+            self.advance_shutdown();
         }
     }
 }
