--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -1,15 +1,15 @@
-//! Carries out what the controller decides: on the table of requests, or as a command to the event loop.
+//! Carries out the controller's actions: on the table of requests, or as commands to the event loop.
 
-use super::dispatcher::Effects;
-use super::in_flight::{LastCommand, SentCommand};
+use super::effects::Effects;
+use super::in_flight::{LastCommand, RunState, SentCommand};
 use super::{Command, DispatchEvent, Dispatcher, Response};
 use crate::interface::{Action, Event, Outcome, RequestId};
 
-/// A failure this close to the deadline is one for lack of time (seconds).
+/// A failure within this time before the deadline is reported as [`Response::DeadlineExceeded`] (seconds).
 const NEAR_DEADLINE_S: f64 = 0.2;
 
 impl Dispatcher {
-    /// Carries out all actions that the controller has asked for, in order.
+    /// Carries out all actions that the controller has returned, in order.
     pub(super) fn carry_out_actions(&mut self, effects: &mut Effects<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -34,7 +34,7 @@
             // No backend of this program can stop a run, and the settings say so to the controller.
             Action::Preempt(_) => {}
             Action::Health(healthy) => effects.commands.push(Command::Health(healthy)),
-            Action::Publish(level) => effects.commands.push(Command::Publish(level)),
+            Action::Publish(weight) => effects.commands.push(Command::Publish(weight)),
             Action::WakeIn(after_s) => effects.commands.push(Command::WakeIn(after_s)),
             Action::Log(event) => effects.commands.push(Command::Log(DispatchEvent::Admission(event))),
         }
@@ -42,11 +42,11 @@
 
     fn start(&mut self, id: RequestId, effects: &mut Effects<'_>) {
         let Some(in_flight) = self.in_flight.get_mut(id).filter(|r| !r.responded) else {
-            // It was handed off to another process a moment ago, or responded to because the process ends.
+            // It was handed off to another process in this turn, or responded to because the process ends.
             effects.events.push_back(Event::RunEnded { id, outcome: Outcome::NotStarted });
             return;
         };
-        in_flight.started = true;
+        in_flight.run = RunState::Started;
         in_flight.last_command = Some(SentCommand { at: effects.now, command: LastCommand::Run });
         self.metrics.record_dispatch(in_flight.request.class);
         effects.commands.push(in_flight.run_command());
@@ -54,7 +54,7 @@
 
     fn fail(&mut self, id: RequestId, effects: &mut Effects<'_>) {
         let now = effects.now;
-        let near_deadline = self.in_flight.get(id).is_some_and(|r| now + NEAR_DEADLINE_S >= r.due);
+        let near_deadline = self.in_flight.get(id).is_some_and(|r| now + NEAR_DEADLINE_S >= r.deadline);
         let response = if near_deadline { Response::DeadlineExceeded } else { Response::Failed };
         self.respond(id, response, effects);
         self.release(id);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Does nothing if the request got its response and was released just before.
+    /// Does nothing if the request has been released together with its response.
     fn release_key(&mut self, id: RequestId) {
         if let Some(key) = self.in_flight.get(id).and_then(|r| r.key.clone()) {
             self.keys.release(&key, id);
@@ -75,14 +75,14 @@
         }
     }
 
-    fn call(&mut self, id: RequestId, until: f64, effects: &mut Effects<'_>) {
+    fn call(&mut self, id: RequestId, until_s: f64, effects: &mut Effects<'_>) {
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
         let Some(call) = in_flight.pending_call.clone() else { return };
         in_flight.calling = true;
         effects.commands.push(Command::Call {
             name: in_flight.request.name.clone(),
             body: call.body,
-            timeout_s: (until - effects.now).max(0.0),
+            timeout_s: (until_s - effects.now).max(0.0),
             is_retryable: self.classes[in_flight.request.class].is_idempotent(),
         });
     }
--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -1,6 +1,6 @@
-//! A request arrives: it is put in flight and reported to the controller, or answered without it.
+//! Arrival of a request: it is put in flight and reported to the controller, or responded to without it.
 
-use super::dispatcher::Effects;
+use super::effects::Effects;
 use super::idempotency::{IdempotencyKey, MatchedAttempt};
 use super::in_flight::InFlight;
 use super::{Command, Dispatcher, Request, Response};
@@ -17,7 +17,8 @@
 }
 
 impl ArrivalTimes {
-    /// Guards window and grace: the process may have stalled between reading the request and this.
+    /// The times of a request that is handled at `now`. The process may have stalled since it read the request; without
+    /// that time a late retry would fall within its window, and a late arrival within the grace of a shutdown.
     fn of(request: &Request, now: f64) -> ArrivalTimes {
         let since_read_s = request.read_at.map_or(0.0, |at| (now - at).max(0.0));
         let read_delay_s = request.read_delay_s + since_read_s;
@@ -35,7 +36,7 @@
 
 impl Dispatcher {
     pub(super) fn accept_arrival(&mut self, request: Request, effects: &mut Effects<'_>) {
-        // Guards the executor's names: two requests of one name could not be distinguished.
+        // The executor's messages name requests: two of one name could not be told apart.
         if self.is_in_flight(&request.name) || self.running_in_predecessor.contains(&request.name) {
             return self.respond_without_controller(&request, Response::Conflict, effects);
         }
@@ -65,20 +66,20 @@
         times: &ArrivalTimes,
     ) -> Option<Response> {
         let is_new = attempt.matched.is_none();
-        // Guards the one run of a key: not rejected either, since it may have had its run.
+        // Guards the one run of a key. Not a rejection either, since the key may have had its run.
         let may_be_retry = request.retry || !self.marks_retries;
         if is_new && self.indeterminate_keys.covers(times.arrived, may_be_retry) {
             return Some(Response::Failed);
         }
-        // It lay unread for longer than keys are retained: another attempt may have run and be forgotten.
+        // It lay unread for longer than keys are retained: another attempt may have run and left the table.
         if times.read_delay_s >= self.keys.late_reading_s() {
             return Some(Response::DeadlineExceeded);
         }
         if is_new && self.keys.is_full() {
             return Some(Response::not_started());
         }
-        // Guards the retained result: all attempts of one request carry the same body, so this is another request, and
-        // whoever sent it must not be served with what a run made for the first.
+        // All attempts of one request carry the same body, so this is another request under the same key. Its caller must
+        // not be served with the first one's result.
         let other_body = |matched: &MatchedAttempt| matched.body_fingerprint != attempt.body_fingerprint;
         attempt.matched.as_ref().is_some_and(other_body).then_some(Response::Conflict)
     }
@@ -97,27 +98,27 @@
             class: request.class,
             tenant: request.tenant,
             caller: request.caller,
-            kb: request.kb,
+            kb: request.memory_kb,
             read_delay_s: times.read_delay_s,
             time_left_s: Some(times.time_left_s),
             estimate_s: request.estimate_s,
             retry_of: matched.map(|m| m.holder),
             retry: request.retry,
         }));
-        let due = effects.now + times.time_left_s;
+        let deadline = effects.now + times.time_left_s;
         let (key, body_fingerprint) =
             keyed.map_or((None, 0), |attempt| (Some(attempt.key), attempt.body_fingerprint));
-        self.in_flight.insert(id, InFlight::new(request, times.arrived, due, key, body_fingerprint));
+        self.in_flight.insert(id, InFlight::new(request, times.arrived, deadline, key, body_fingerprint));
     }
 
-    /// Responds to a request that the controller never hears of.
+    /// Responds to a request that is not reported to the controller.
     fn respond_without_controller(
         &mut self,
         request: &Request,
         response: Response,
         effects: &mut Effects<'_>,
     ) {
-        self.metrics.answered(request.class, &response);
+        self.metrics.record_response(request.class, &response);
         effects.commands.push(Command::Respond(request.ticket, response));
     }
 }
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -1,6 +1,6 @@
 //! How requests end: responses are given, idempotency keys completed, and requests leave the table.
 
-use super::dispatcher::Effects;
+use super::effects::Effects;
 use super::idempotency::{IdempotencyKey, KeyProgress};
 use super::in_flight::InFlight;
 use super::{Command, Dispatcher, Response};
@@ -8,23 +8,42 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// A run about which its backend is silent holds its slot for this long after its deadline (seconds).
+/// How long after its deadline a run keeps its slot without a message from its backend (seconds).
 pub(super) const SILENT_RUN_S: f64 = 10.0;
-/// When to come back after a run that could not be started (seconds).
+/// Retry-After of a request whose run could not be started (seconds).
 pub(super) const NOT_STARTED_RETRY_AFTER_S: f64 = 1.0;
 
 impl Response {
-    /// The response to a request that has provably not run: it may be sent again.
+    /// The response to a request that provably has not run. Its caller may retry.
     pub(super) fn not_started() -> Response {
         Response::Rejected { retry_after_s: NOT_STARTED_RETRY_AFTER_S, stop_retrying: false }
     }
 }
 
+/// What an attempt gets that shares the run of another one.
+struct SharedOutcome {
+    response: Response,
+    /// The outcome that the controller records for it.
+    outcome: Outcome,
+}
+
+impl KeyProgress {
+    /// What an attempt gets whose key has ended so.
+    fn shared_outcome(&self) -> SharedOutcome {
+        match self {
+            KeyProgress::Served(Some(result)) => {
+                SharedOutcome { response: Response::Served(result.clone()), outcome: Outcome::Ok }
+            }
+            _ => SharedOutcome { response: Response::Failed, outcome: Outcome::Error },
+        }
+    }
+}
+
 impl Dispatcher {
     /// Gives the response, unless one was given.
     pub(super) fn respond(&mut self, id: RequestId, response: Response, effects: &mut Effects<'_>) {
         let Some(in_flight) = self.in_flight.mark_responded(id) else { return };
-        self.metrics.answered(in_flight.request.class, &response);
+        self.metrics.record_response(in_flight.request.class, &response);
         effects.commands.push(Command::Respond(in_flight.request.ticket, response));
     }
 
@@ -39,7 +58,7 @@
         let Some(in_flight) = self.in_flight.get(id) else { return };
         let key = in_flight.key.clone();
         if in_flight.calling {
-            effects.commands.push(Command::GiveUpCall(in_flight.request.name.clone()));
+            effects.commands.push(Command::CancelCall(in_flight.request.name.clone()));
         }
         let result = result.filter(|_| outcome == Outcome::Ok);
         let response = result.clone().map_or(Response::Failed, Response::Served);
@@ -60,13 +79,13 @@
         progress: KeyProgress,
         effects: &mut Effects<'_>,
     ) {
-        let (response, outcome) = progress.shared_response();
+        let SharedOutcome { response, outcome } = progress.shared_outcome();
         let attempts = self.keys.complete(key, holder, progress);
         self.updated_keys.push(key.clone());
         self.complete_all(attempts, &response, outcome, effects);
     }
 
-    /// Responds to requests, removes them, and tells the controller that they have ended so.
+    /// Responds to these requests, removes them, and reports to the controller that they have ended with this outcome.
     pub(super) fn complete_all(
         &mut self,
         ids: Vec<RequestId>,
@@ -113,10 +132,10 @@
         self.complete_all(completed, response, Outcome::NotStarted, effects);
     }
 
-    /// Responds with the outcome of the request that this one repeats, now or when that one ends.
+    /// Responds to an attempt with the outcome of the run that it shares, now or when that run ends.
     pub(super) fn share_response(&mut self, id: RequestId, effects: &mut Effects<'_>) {
         let Some(progress) = self.shared_progress(id) else { return };
-        let (response, outcome) = progress.shared_response();
+        let SharedOutcome { response, outcome } = progress.shared_outcome();
         self.complete_shared(id, response, outcome, effects);
     }
 
@@ -136,12 +155,12 @@
         Some(entry.progress.clone())
     }
 
-    /// Gives all pending responses: what may have run has failed, and the rest is rejected. Guards against a stop that
-    /// leaves the controller no time to give up by itself.
+    /// Gives all pending responses: what may have run has failed, and the rest is rejected. For a process that is
+    /// stopped before the controller could decide on each request.
     pub(super) fn respond_to_all(&mut self, effects: &mut Effects<'_>) {
         let sharing: HashSet<RequestId> = self.keys.waiting_attempts().collect();
         for id in self.in_flight.ids_where(|_, r| !r.responded) {
-            let started = self.in_flight.get(id).is_some_and(|r| r.started);
+            let started = self.in_flight.get(id).is_some_and(InFlight::has_started);
             if started || sharing.contains(&id) {
                 self.respond(id, Response::Failed, effects);
             } else {
@@ -152,17 +171,18 @@
         }
     }
 
-    /// The backend has lost all runs.
+    /// Ends all runs as failed, since the backend has lost them.
     pub(super) fn fail_all_runs(&mut self, effects: &mut Effects<'_>) {
-        for id in self.in_flight.ids_where(|_, r| r.started) {
+        for id in self.in_flight.ids_where(|_, r| r.has_started()) {
             self.complete_run(id, Outcome::Error, None, effects);
         }
     }
 
-    /// Guards the run slots: a run whose end never comes, for whatever reason, would hold one for ever.
+    /// Ends runs whose backend has been silent for [`SILENT_RUN_S`] after their deadline. Guards the run slots, which
+    /// they would hold for ever.
     pub(super) fn end_silent_runs(&mut self, effects: &mut Effects<'_>) {
         let now = effects.now;
-        let is_silent = |r: &InFlight| r.started && now > r.due + SILENT_RUN_S;
+        let is_silent = |r: &InFlight| r.has_started() && now > r.deadline + SILENT_RUN_S;
         for id in self.in_flight.ids_where(|_, r| is_silent(r)) {
             self.complete_run(id, Outcome::Cancelled, None, effects);
         }
@@ -171,7 +191,7 @@
 
     /// A request that has its response and never ran leaves the table, and its key with it; a run goes on to its end.
     pub(super) fn release(&mut self, id: RequestId) {
-        let Some(in_flight) = self.in_flight.get(id).filter(|r| !r.started) else { return };
+        let Some(in_flight) = self.in_flight.get(id).filter(|r| !r.has_started()) else { return };
         if let Some(key) = in_flight.key.clone() {
             self.keys.release(&key, id);
             if let Some(entry) = self.keys.get_mut(&key) {
@@ -182,6 +202,7 @@
         self.in_flight.remove(id);
     }
 
+    /// Releases the requests that nobody waits for. After the controller knows of them.
     pub(super) fn release_abandoned(&mut self) {
         while let Some(id) = self.abandoned.pop() {
             self.release(id);
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -1,9 +1,10 @@
 //! The dispatcher of one worker: its state, and one short function for each input.
 
+use super::effects::Effects;
 use super::idempotency::{IdempotencyKey, IdempotencyTable};
-use super::in_flight::{InFlightTable, LastCommand, PendingCall, SentCommand};
-use super::lost_commands::UnconfirmedReply;
+use super::in_flight::{InFlight, InFlightTable, LastCommand, PendingCall, SentCommand};
 use super::metrics::Metrics;
+use super::unconfirmed_replies::UnconfirmedReplies;
 use super::{Command, DispatchEvent, FingerprintKey, Input, ResourceUsage, Response, Ticket};
 use crate::admission::Controller;
 use crate::fleet::overload::client::LoadSample;
@@ -11,32 +12,16 @@
 use crate::hot_restart::IndeterminateKeys;
 use crate::interface::{Action, Class, Event, LearnedState, Outcome, RequestId, Settings};
 use crate::pools::{Pools, PoolsState};
-use std::collections::{HashSet, VecDeque};
+use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Expired keys and silent runs are looked for this often (seconds).
+/// How often expired keys and silent runs are searched for (seconds).
 const SWEEP_INTERVAL_S: f64 = 1.0;
-/// The table holds one key for so many bytes of capacity for results, so that what peers choose can't fill the memory.
+/// Result capacity that entitles the table to one more key (bytes). Bounds the memory that callers can fill with keys.
 const RESULT_BYTES_PER_KEY: usize = 1024;
-/// The table holds so many keys at least.
+/// Number of keys that the table accepts however small its result capacity is.
 const MIN_KEYS: usize = 256;
 
-/// What the inputs so far have caused.
-pub(super) struct Effects<'a> {
-    /// The loop's clock (seconds).
-    pub(super) now: f64,
-    /// What is still to be reported to the controller, in order.
-    pub(super) events: VecDeque<Event>,
-    /// What the event loop is to do, in order.
-    pub(super) commands: &'a mut Vec<Command>,
-}
-
-impl<'a> Effects<'a> {
-    pub(super) fn new(now: f64, commands: &'a mut Vec<Command>) -> Self {
-        Effects { now, events: VecDeque::new(), commands }
-    }
-}
-
 /// The dispatcher of one worker: it owns the controller, the requests in flight and the idempotency keys.
 ///
 /// Each request that goes in with [`Input::Arrived`] comes out with one [`Command::Respond`], unless its client
@@ -45,32 +30,40 @@
     pub(super) controller: Controller,
     pub(super) in_flight: InFlightTable,
     pub(super) keys: IdempotencyTable,
-    /// What bodies are hashed with; the same in a process and its successor.
+    /// The key of body fingerprints; the same in a process and its successor.
     pub(super) fingerprint_key: FingerprintKey,
     last_id: RequestId,
-    /// What the controller asked for last; empty between events, kept for its capacity.
+    /// The controller's actions for the event at hand; empty between events, kept for its capacity.
     pub(super) actions: Vec<Action>,
+    /// When expired keys and silent runs were last searched for (loop's clock, seconds).
     swept_at: f64,
+    /// The settings of the classes, by number.
     pub(super) classes: Vec<Class>,
-    pub(super) unconfirmed_replies: Vec<UnconfirmedReply>,
-    /// Requests that were given up before they started, to be released once the controller knows.
+    /// Replies to runs that may have been lost with a link.
+    pub(super) unconfirmed_replies: UnconfirmedReplies,
+    /// Requests that nobody waits for any more and that have not started; released once the controller knows.
     pub(super) abandoned: Vec<RequestId>,
+    /// How requests have ended so far.
     pub(super) metrics: Metrics,
+    /// How much more memory a request takes while it runs than while it is queued.
     pub(super) run_factor: f64,
+    /// Whether callers mark retries as such.
     pub(super) marks_retries: bool,
-    /// What is to be assumed of keys that are not known here.
+    /// Which of the keys that are not in the table may have run elsewhere.
     pub(super) indeterminate_keys: IndeterminateKeys,
     /// Names of requests that run in the predecessor.
     pub(super) running_in_predecessor: HashSet<Rc<str>>,
+    /// What the predecessor uses of the shared resources.
     pub(super) predecessor_usage: ResourceUsage,
-    /// A successor has taken over and is sent updates about the keys in `updated_keys`.
+    /// Whether a successor has taken over and is to be sent updates about keys.
     pub(super) handed_off: bool,
+    /// Keys that have changed since the last update was sent.
     pub(super) updated_keys: Vec<IdempotencyKey>,
 }
 
 impl Dispatcher {
-    /// A dispatcher for a worker that started at `born` (loop's clock, seconds), with so many bytes for retained results.
-    /// What the controller wants first is appended to `out`.
+    /// A dispatcher for a worker that started at `born` (loop's clock, seconds) and retains results of up to
+    /// `result_bytes` bytes together. The controller's first commands are appended to `out`.
     pub fn new(settings: Settings, born: f64, result_bytes: usize, out: &mut Vec<Command>) -> Self {
         let mut actions = Vec::new();
         let classes = settings.classes.clone();
@@ -89,7 +82,7 @@
             swept_at: born,
             metrics: Metrics::new(classes.len()),
             classes,
-            unconfirmed_replies: Vec::new(),
+            unconfirmed_replies: UnconfirmedReplies::default(),
             abandoned: Vec::new(),
             run_factor,
             marks_retries,
@@ -103,17 +96,18 @@
         dispatcher
     }
 
-    /// The state of the class pools, where there are any.
+    /// The state of the class pools; `None` without pools.
+    #[must_use]
     pub fn pools(&self) -> Option<PoolsState> {
         self.controller.pools.as_ref().map(Pools::state)
     }
 
-    /// This worker's part in the fleet's overload control, where there is one.
+    /// This worker's part in the fleet's overload control; `None` outside a fleet.
     pub fn overload(&mut self) -> Option<&mut OverloadPolicy> {
         self.controller.overload.as_mut()
     }
 
-    /// The load to report to the fleet. Taking the sample begins the next one.
+    /// The load since the last sample, to be reported to the fleet; `None` outside a fleet.
     pub fn fleet_load_sample(&mut self, now: f64) -> Option<LoadSample> {
         let totals = self.metrics.classes().iter();
         let (served, rejected) =
@@ -121,12 +115,14 @@
         Some(self.controller.overload.as_mut()?.take_sample(now, served, rejected))
     }
 
-    /// The metrics of the fleet's overload control: names and values.
-    pub fn overload_figures(&self) -> Vec<(&'static str, String)> {
+    /// The metrics of the fleet's overload control, by name; empty outside a fleet.
+    #[must_use]
+    pub fn overload_metrics(&self) -> Vec<(&'static str, String)> {
         self.controller.overload.as_ref().map(OverloadPolicy::metrics).unwrap_or_default()
     }
 
     /// How requests have ended so far, by class.
+    #[must_use]
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
@@ -136,23 +132,26 @@
         self.metrics.add(earlier);
     }
 
-    /// Requests whose response has not been given.
+    /// The number of requests whose response has not been given.
+    #[must_use]
     pub fn pending_responses(&self) -> usize {
         self.in_flight.pending_responses()
     }
 
-    /// Whether a request of this name is in flight: a second one would be rejected as a conflict.
+    /// Whether a request of this name is in flight. A second one would get [`Response::Conflict`].
+    #[must_use]
     pub fn is_in_flight(&self, name: &str) -> bool {
         self.in_flight.id_of(name).is_some()
     }
 
     /// When a request in flight reached the machine (loop's clock, seconds); for tests and logs.
+    #[must_use]
     pub fn arrival_of(&self, name: &str) -> Option<f64> {
         let id = self.in_flight.id_of(name)?;
         self.in_flight.get(id).map(|r| r.arrived)
     }
 
-    /// Takes all inputs of one turn of the event loop, in order, and appends what is to be done.
+    /// Handles all inputs of one turn of the event loop, in order, and appends the commands that result.
     pub fn handle(&mut self, now: f64, inputs: impl IntoIterator<Item = Input>, out: &mut Vec<Command>) {
         let mut effects = Effects::new(now, out);
         for input in inputs {
@@ -190,17 +189,19 @@
             Input::Arrived(request) => self.accept_arrival(request, effects),
             Input::RunEnded { name, outcome, result } => self.on_run_ended(&name, outcome, result, effects),
             Input::AtCall { name, body, sequence } => {
-                self.on_at_call(&name, PendingCall { body, sequence }, effects)
+                self.on_at_call(&name, PendingCall { body, sequence }, effects);
             }
             Input::CallEnded { name, outcome, reply } => self.on_call_ended(name, outcome, reply, effects),
-            Input::NeverRan { name } => self.on_never_ran(&name, Response::not_started(), effects),
-            // To the controller it is a start that came too late: what a peer makes up is no sign of bad health.
-            Input::UnknownRequest { name } => self.on_never_ran(&name, Response::Failed, effects),
+            Input::NeverRan { name } => self.on_never_ran(&name, &Response::not_started(), effects),
+            // To the controller it is a start that came too late: a request that a peer invented must not count as a
+            // failed run, which would make this worker unhealthy.
+            Input::UnknownRequest { name } => self.on_never_ran(&name, &Response::Failed, effects),
             Input::CommandsLost { from, to } => self.resend_lost_commands(from..to, effects),
             Input::ClientDisconnected(ticket) => self.on_client_disconnected(ticket, effects),
             Input::RunsLost => self.fail_all_runs(effects),
-            Input::Shutdown { notice, stop } => {
-                let (ago_s, in_s) = (effects.now - notice, stop - effects.now);
+            Input::Shutdown { noticed_at, stop_at } => {
+                let ago_s = effects.now - noticed_at;
+                let in_s = stop_at - effects.now;
                 effects.events.push_back(Event::Shutdown { ago_s, in_s });
             }
             Input::RespondAll => self.respond_to_all(effects),
@@ -208,9 +209,7 @@
             Input::Pools(plan) => effects.events.push_back(Event::Pools(plan)),
             Input::IdempotencyUpdate(update) => self.apply_key_update(&update, effects),
             Input::PredecessorGone => self.on_predecessor_gone(effects),
-            Input::OtherProcess { on_cores, calling, kb } => {
-                self.set_predecessor_usage(ResourceUsage { on_cores, calling, kb }, effects);
-            }
+            Input::PredecessorUsage(usage) => self.set_predecessor_usage(usage, effects),
             Input::LearnedState(learned) => on_learned_state(learned, effects),
         }
     }
@@ -223,9 +222,9 @@
         effects: &mut Effects<'_>,
     ) {
         let Some(id) = self.in_flight.id_of(name) else { return };
-        // Nothing was started, as the request is over. Where its run was commanded twice, that proves less: then its
-        // key stays as it is.
-        let commanded_once = self.in_flight.get(id).is_some_and(|r| r.run_commanded_once());
+        // The backend started nothing, since the request was over. Where its run was commanded twice, the first command
+        // may have had its run all the same, and the key must stay retained.
+        let commanded_once = self.in_flight.get(id).is_some_and(InFlight::run_commanded_once);
         if outcome == Outcome::NotStarted && commanded_once {
             self.complete_never_ran(id, &Response::not_started(), effects);
         } else {
@@ -233,9 +232,9 @@
         }
     }
 
-    fn on_never_ran(&mut self, name: &str, response: Response, effects: &mut Effects<'_>) {
+    fn on_never_ran(&mut self, name: &str, response: &Response, effects: &mut Effects<'_>) {
         if let Some(id) = self.in_flight.id_of(name) {
-            self.complete_never_ran(id, &response, effects);
+            self.complete_never_ran(id, response, effects);
         }
     }
 
@@ -254,9 +253,10 @@
         effects: &mut Effects<'_>,
     ) {
         let Some((id, in_flight)) = self.in_flight.by_name_mut(&name) else { return };
-        if !std::mem::take(&mut in_flight.calling) {
+        if !in_flight.calling {
             return;
         }
+        in_flight.calling = false;
         if let (Outcome::Ok, Some(reply)) = (outcome, reply) {
             let sequence = in_flight.pending_call.take().map_or(0, |call| call.sequence);
             let command = LastCommand::Resume { reply: reply.clone(), sequence };
@@ -270,7 +270,7 @@
         let Some((id, in_flight)) = self.in_flight.mark_disconnected(ticket) else { return };
         self.metrics.record_disconnect(in_flight.request.class);
         // A run goes on, and its result is retained for the next attempt.
-        if !in_flight.started {
+        if !in_flight.has_started() {
             effects.events.push_back(Event::CallerGone(id));
             self.abandoned.push(id);
         }
@@ -278,7 +278,7 @@
 
     pub(super) fn set_predecessor_usage(&mut self, usage: ResourceUsage, effects: &mut Effects<'_>) {
         self.predecessor_usage = usage;
-        let ResourceUsage { on_cores, calling, kb } = usage;
+        let ResourceUsage { on_cores, downstream_calls: calling, memory_kb: kb } = usage;
         effects.events.push_back(Event::OtherProcess { on_cores, calling, kb });
     }
 }
--- a/src/dispatch/idempotency.rs
+++ b/src/dispatch/idempotency/table.rs
@@ -1,167 +1,48 @@
-//! The table of idempotency keys: which attempt holds a key, until when, and the result that its run left.
-//!
-//! An entry is retained for a while beyond its window: what counts is when an attempt reached the machine, and it may lie
-//! unread. So attempts may be read in another order than they came in: a key whose window is over may have a new holder,
-//! whose run has not begun and may never, when an attempt of the old window is read. The old run stands for that one,
-//! whatever becomes of the new.
+//! The table of idempotency keys.
 
-use super::Response;
-use crate::interface::{Outcome, RequestId};
+use super::entry::{Entry, PreviousRun};
+use super::key::{IdempotencyKey, IdempotencyUpdate, KeyProgress};
+use crate::interface::RequestId;
 use std::collections::{HashMap, VecDeque};
-use std::rc::Rc;
 
-/// How long after its window an entry still serves attempts that arrived within it (seconds). Where callers wait for
-/// longer than that, so long.
+/// The least time for which an entry is retained after its window, for attempts that arrived within the window and are
+/// read late (seconds). Callers that wait for longer extend it.
 const MIN_LATE_READING_S: f64 = 6.0;
-/// A collection that has lost most of its elements keeps capacity for this many times those that are left.
+/// The capacity of a collection is shrunk to this many times the number of its elements.
 const SHRINK_FACTOR: usize = 4;
 
-/// What a key is unique within: a class and a tenant.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct IdempotencyKey {
-    /// The number of the class.
-    pub class: usize,
-    /// The number of the tenant.
-    pub tenant: Option<usize>,
-    /// The key as the caller sent it.
-    pub key: Rc<str>,
-}
-
-/// Where the run of a key stands.
-#[derive(Clone, Debug, PartialEq)]
-pub enum KeyProgress {
-    /// Its holder has not ended.
-    Open,
-    /// It succeeded; the result is absent where it could not be retained.
-    Served(Option<Rc<[u8]>>),
-    /// It failed, or its outcome is unknown.
-    Failed,
-}
-
-impl KeyProgress {
-    /// Bytes of a retained result.
-    fn result_bytes(&self) -> usize {
-        match self {
-            KeyProgress::Served(Some(result)) => result.len(),
-            _ => 0,
-        }
-    }
-
-    /// What an attempt gets whose key has ended so.
-    #[must_use]
-    pub fn shared_response(&self) -> (Response, Outcome) {
-        match self {
-            KeyProgress::Served(Some(result)) => (Response::Served(result.clone()), Outcome::Ok),
-            _ => (Response::Failed, Outcome::Error),
-        }
-    }
-}
-
-/// A key in the table.
-#[derive(Debug)]
-pub struct Entry {
-    /// The request that runs, or ran, for this key.
-    pub holder: RequestId,
-    /// Identifies the body of the holder and of its retries.
-    body_fingerprint: u64,
-    /// Where its run stands.
-    pub progress: KeyProgress,
-    expires_at: f64,
-    /// Its run was begun by another process, which reports how it ends.
-    in_other_process: bool,
-    /// Attempts that get what the holder gets.
-    pub waiting_attempts: Vec<RequestId>,
-    /// The run that had the key before this holder. It covers all attempts that arrived before its window ended, so one
-    /// is enough.
-    previous: Option<PreviousRun>,
-}
-
-impl Entry {
-    /// Whether another process has begun its run and not reported the end.
-    #[must_use]
-    pub fn is_open_in_other_process(&self) -> bool {
-        self.in_other_process && self.progress == KeyProgress::Open
-    }
-
-    /// The previous run, where it is the one that stands for an attempt which arrived at that time.
-    fn previous_for(&self, arrived: f64) -> Option<&PreviousRun> {
-        self.previous.as_ref().filter(|previous| arrived <= previous.expires_at)
-    }
-
-    /// Puts the run that has ended aside and returns the one that was there before.
-    fn set_run_aside(&mut self) -> Option<PreviousRun> {
-        let previous = PreviousRun {
-            holder: self.holder,
-            body_fingerprint: self.body_fingerprint,
-            progress: std::mem::replace(&mut self.progress, KeyProgress::Open),
-            expires_at: self.expires_at,
-            in_other_process: self.in_other_process,
-        };
-        self.in_other_process = false;
-        self.previous.replace(previous)
-    }
-}
-
-/// A run whose window is over.
-#[derive(Clone, Debug)]
-struct PreviousRun {
-    holder: RequestId,
-    body_fingerprint: u64,
-    progress: KeyProgress,
-    expires_at: f64,
-    in_other_process: bool,
-}
-
-impl PreviousRun {
-    /// The entry of this run when the run after it is no longer there.
-    fn into_entry(self) -> Entry {
-        Entry {
-            holder: self.holder,
-            body_fingerprint: self.body_fingerprint,
-            progress: self.progress,
-            expires_at: self.expires_at,
-            in_other_process: self.in_other_process,
-            waiting_attempts: Vec::new(),
-            previous: None,
-        }
-    }
-}
-
-/// The run that stands for an attempt.
+/// The run that an attempt shares.
 #[derive(Debug, PartialEq)]
 pub struct MatchedAttempt {
     /// The request that runs, or ran.
     pub holder: RequestId,
-    /// Identifies the body that came with the key.
+    /// Fingerprint of the body that came with the key.
     pub body_fingerprint: u64,
 }
 
-/// What one process reports to another about a key that may have run.
-#[derive(Clone, Debug, PartialEq)]
-pub struct IdempotencyUpdate {
+/// A key whose run has not ended, and the request that stands for that run.
+#[derive(Debug, PartialEq)]
+pub struct OpenKey {
     /// Which key.
     pub key: IdempotencyKey,
-    /// Identifies the body that came with it.
-    pub body_fingerprint: u64,
-    /// When the key stops matching retries (loop's clock, seconds).
-    pub expires_at: f64,
-    /// Absent where it turned out that its run never began.
-    pub progress: Option<KeyProgress>,
+    /// The holder of the key.
+    pub holder: RequestId,
 }
 
 /// All keys, with bounds on their number and on the bytes of retained results.
 pub struct IdempotencyTable {
     entries: HashMap<IdempotencyKey, Entry>,
-    /// Keys with a result, oldest first; some may have left the table since.
+    /// Keys with a retained result, oldest first; some may have left the table since.
     served: VecDeque<IdempotencyKey>,
-    result_bytes: usize,
+    pub(super) result_bytes: usize,
     max_result_bytes: usize,
     max_keys: usize,
     late_reading_s: f64,
 }
 
 impl IdempotencyTable {
-    /// An empty table with these bounds. Callers wait for `longest_deadline_s` at most.
+    /// An empty table that holds up to `max_keys` keys, and results of up to `max_result_bytes` bytes together. Callers
+    /// wait for `longest_deadline_s` at most.
     #[must_use]
     pub fn new(max_result_bytes: usize, max_keys: usize, longest_deadline_s: f64) -> Self {
         IdempotencyTable {
@@ -174,7 +55,7 @@
         }
     }
 
-    /// Whether one more key is too many. None is dropped for it: what it guards could run twice.
+    /// Whether the table accepts no further key. No key is evicted for a new one, since its request could then run twice.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.max_keys
@@ -198,8 +79,8 @@
         self.entries.is_empty()
     }
 
-    /// The run that an attempt with this key repeats, by when the attempt reached the machine. A key whose run is still
-    /// open matches however late the attempt is: guards against a second run beside a hung one.
+    /// The run that an attempt with this key shares, by when the attempt reached the machine. A key whose run is still
+    /// open matches however late the attempt is. Guards against a second run beside one that hangs.
     #[must_use]
     pub fn matching_attempt(&self, key: &IdempotencyKey, arrived: f64) -> Option<MatchedAttempt> {
         let entry = self.entries.get(key)?;
@@ -211,7 +92,7 @@
         matches.then_some(MatchedAttempt { holder: entry.holder, body_fingerprint: entry.body_fingerprint })
     }
 
-    /// How the previous run ended, where it is the one that stands for an attempt which arrived at that time.
+    /// How the previous run ended, if it is the one that an attempt which arrived at `arrived` shares.
     #[must_use]
     pub fn previous_progress(&self, key: &IdempotencyKey, arrived: f64) -> Option<KeyProgress> {
         Some(self.entries.get(key)?.previous_for(arrived)?.progress.clone())
@@ -222,7 +103,7 @@
         self.entries.get_mut(key)
     }
 
-    /// Records a request as the holder of its key, or renews its entry.
+    /// Records a request as the holder of its key until `expires_at`, or extends its window.
     pub fn retain(
         &mut self,
         key: &IdempotencyKey,
@@ -248,7 +129,7 @@
         entry.expires_at = expires_at;
     }
 
-    /// All that is known of a key, for another process.
+    /// The state of a key, to be reported to another process.
     #[must_use]
     pub fn update_for(&self, key: &IdempotencyKey) -> IdempotencyUpdate {
         let entry = self.entries.get(key);
@@ -270,12 +151,13 @@
         self.entries.values().flat_map(|e| e.waiting_attempts.iter().copied())
     }
 
-    /// Keys whose run another process has begun and not reported the end of, with their holders, by holder.
+    /// Keys whose run another process has begun and not reported the end of, by holder.
     #[must_use]
-    pub fn open_in_other_process(&self) -> Vec<(IdempotencyKey, RequestId)> {
+    pub fn open_in_other_process(&self) -> Vec<OpenKey> {
         let open = self.entries.iter().filter(|(_, entry)| entry.is_open_in_other_process());
-        let mut open: Vec<_> = open.map(|(key, entry)| (key.clone(), entry.holder)).collect();
-        open.sort_unstable_by_key(|(_, holder)| *holder);
+        let mut open: Vec<OpenKey> =
+            open.map(|(key, entry)| OpenKey { key: key.clone(), holder: entry.holder }).collect();
+        open.sort_unstable_by_key(|open| open.holder);
         open
     }
 
@@ -290,8 +172,8 @@
         self.complete(&update.key, holder, progress);
     }
 
-    /// Takes the key of a request that never ran from the table; the run before it stands again for what it stood for.
-    /// An entry whose run has ended stays: a result that is gone while its window lasts would let a second run in.
+    /// Removes the key of a request that never ran; the previous run, if there is one, becomes the key's run again. An
+    /// entry whose run has ended stays, since without its result a second run would be admitted within the window.
     pub fn release(&mut self, key: &IdempotencyKey, holder: RequestId) {
         let is_open = |entry: &&mut Entry| entry.holder == holder && entry.progress == KeyProgress::Open;
         let Some(entry) = self.entries.get_mut(key).filter(is_open) else { return };
@@ -301,7 +183,7 @@
         }
     }
 
-    /// The run of a key has ended; returns the attempts that wait for it.
+    /// Records that the run of a key has ended, and returns the attempts that wait for it.
     pub fn complete(
         &mut self,
         key: &IdempotencyKey,
@@ -321,7 +203,7 @@
         waiting_attempts
     }
 
-    /// Guards the memory limit: the oldest results go, their keys stay, so that nothing runs twice.
+    /// Drops the oldest results while they exceed the memory limit. Their keys stay, so that nothing runs twice.
     fn drop_oldest_results(&mut self) {
         while self.result_bytes > self.max_result_bytes {
             let Some(oldest) = self.served.pop_front() else { break };
@@ -349,7 +231,7 @@
     pub fn remove_expired(&mut self, now: f64) {
         self.remove_expired_keys(now);
         self.remove_expired_previous_runs(now);
-        // A key may stand here more often than it has results: then one that is newer goes a little early.
+        // A key may be listed here more often than it has results; then its newer result is dropped a little early.
         let entries = &self.entries;
         self.served.retain(|key| entries.contains_key(key));
         self.served.shrink_to(SHRINK_FACTOR * self.served.len());
@@ -376,6 +258,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/dispatch/idempotency/tests.rs
+++ b/src/dispatch/idempotency/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::interface::RequestId;
 
 fn served(result: &[u8]) -> KeyProgress {
     KeyProgress::Served(Some(result.into()))
--- a/src/dispatch/in_flight.rs
+++ b/src/dispatch/in_flight.rs
@@ -1,4 +1,6 @@
 //! The table of requests in flight, by number, by name and by the ticket of a pending response.
+//!
+//! All times are on the loop's clock (seconds).
 
 use super::idempotency::IdempotencyKey;
 use super::{Command, Request, Ticket};
@@ -6,14 +8,25 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The last command for a run about which nothing has been heard since.
+/// A command for a run that its backend has not confirmed by any message.
 pub(super) enum LastCommand {
+    /// To start it.
     Run,
-    Resume { reply: Rc<[u8]>, sequence: u64 },
-    SkipCall { sequence: u64 },
+    /// To go on with the reply to its downstream call.
+    Resume {
+        /// The reply.
+        reply: Rc<[u8]>,
+        /// Sequence number of the call within the run.
+        sequence: u64,
+    },
+    /// To go on without the reply to its downstream call.
+    SkipCall {
+        /// Sequence number of the call within the run.
+        sequence: u64,
+    },
 }
 
-/// When a command was given (loop's clock, seconds), and which.
+/// A command, and when it was given.
 pub(super) struct SentCommand {
     pub(super) at: f64,
     pub(super) command: LastCommand,
@@ -23,56 +36,73 @@
 #[derive(Clone)]
 pub(super) struct PendingCall {
     pub(super) body: Rc<[u8]>,
+    /// Sequence number of the call within its run.
     pub(super) sequence: u64,
 }
 
+/// Whether the run of a request has been commanded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RunState {
+    /// Not yet.
+    NotStarted,
+    /// Once.
+    Started,
+    /// A second time, since the first command may have been lost.
+    StartedAgain,
+}
+
 /// A request that has been read and has not ended everywhere.
 pub(super) struct InFlight {
     pub(super) request: Request,
-    pub(super) due: f64,
+    /// When it reached the machine.
     pub(super) arrived: f64,
+    /// When its caller stops waiting.
+    pub(super) deadline: f64,
     /// Identifies the body of a request with an idempotency key; 0 for others.
     pub(super) body_fingerprint: u64,
     /// Its response was given, or nobody waits for it.
     pub(super) responded: bool,
-    pub(super) started: bool,
+    pub(super) run: RunState,
     pub(super) key: Option<IdempotencyKey>,
     pub(super) pending_call: Option<PendingCall>,
     /// Its downstream call is in flight.
     pub(super) calling: bool,
+    /// The last command for its run; `None` once its backend has sent a message about the run.
     pub(super) last_command: Option<SentCommand>,
-    /// Its run was commanded a second time, since the first command may have been lost.
-    pub(super) run_repeated: bool,
 }
 
 impl InFlight {
-    /// A request that has just been read.
+    /// A request that has just been read and that the controller has not decided on.
     pub(super) fn new(
         request: Request,
         arrived: f64,
-        due: f64,
+        deadline: f64,
         key: Option<IdempotencyKey>,
         body_fingerprint: u64,
     ) -> InFlight {
         InFlight {
             request,
-            due,
             arrived,
+            deadline,
             body_fingerprint,
             responded: false,
-            started: false,
+            run: RunState::NotStarted,
             key,
             pending_call: None,
             calling: false,
             last_command: None,
-            run_repeated: false,
         }
     }
 
-    /// Whether its run was commanded exactly once and has not been heard of since.
+    /// Whether its run has been commanded.
+    pub(super) fn has_started(&self) -> bool {
+        self.run != RunState::NotStarted
+    }
+
+    /// Whether its run was commanded exactly once, and its backend has not confirmed that.
     pub(super) fn run_commanded_once(&self) -> bool {
-        let waits_for_run = matches!(self.last_command, Some(SentCommand { command: LastCommand::Run, .. }));
-        !self.run_repeated && waits_for_run
+        let is_unconfirmed = matches!(self.last_command, Some(SentCommand { command: LastCommand::Run, .. }));
+        self.run == RunState::Started && is_unconfirmed
     }
 
     /// The command that starts its run.
@@ -81,11 +111,11 @@
             name: self.request.name.clone(),
             class: self.request.class,
             body: self.request.body.clone(),
-            due: self.due,
+            deadline: self.deadline,
         }
     }
 
-    /// The command that lets its run go on without a call; it is noted as the last one.
+    /// The command that lets its run go on without a call; it becomes the last command.
     pub(super) fn skip_command(&mut self, sequence: u64, now: f64) -> Command {
         self.last_command = Some(SentCommand { at: now, command: LastCommand::SkipCall { sequence } });
         Command::SkipCall { name: self.request.name.clone(), sequence }
@@ -161,12 +191,12 @@
         ids
     }
 
-    /// Requests whose response has not been given.
+    /// The number of requests whose response has not been given.
     pub(super) fn pending_responses(&self) -> usize {
         self.pending_responses
     }
 
-    /// Marks a request as responded to; `None` if it was so before.
+    /// Marks a request as responded to and returns it; `None` if it had its response or is not in the table.
     pub(super) fn mark_responded(&mut self, id: RequestId) -> Option<&InFlight> {
         let in_flight = self.requests.get_mut(&id).filter(|r| !r.responded)?;
         in_flight.responded = true;
@@ -175,8 +205,8 @@
         Some(in_flight)
     }
 
-    /// Marks the request that waits on this ticket as abandoned by its client. By ticket and not by a search: floods
-    /// of resets come this way.
+    /// Marks the request whose response this ticket stands for as abandoned by its client. Looks it up by ticket
+    /// without a search, since floods of connection resets come this way.
     pub(super) fn mark_disconnected(&mut self, ticket: Ticket) -> Option<(RequestId, &InFlight)> {
         let id = self.by_ticket.remove(&ticket)?;
         let in_flight = self.requests.get_mut(&id)?;
--- a/src/dispatch/lost_commands.rs
+++ b/src/dispatch/lost_commands.rs
@@ -1,7 +1,7 @@
-//! What is sent again after a link to a backend broke, since it may have been lost with it.
+//! Recovery of commands that may have been lost when a link to a backend broke.
 
-use super::dispatcher::Effects;
-use super::in_flight::{InFlight, LastCommand, SentCommand};
+use super::effects::Effects;
+use super::in_flight::{InFlight, LastCommand, RunState, SentCommand};
 use super::Dispatcher;
 use crate::interface::RequestId;
 use std::ops::Range;
@@ -10,18 +10,12 @@
 /// its run: a run that got it would by then have ended or reached its next call, which the reply must not answer.
 const RESEND_REPLY_OBJECTIVE_SHARE: f64 = 0.4;
 
-/// A reply that may have been lost.
-pub(super) struct UnconfirmedReply {
-    /// When it is to be sent again (loop's clock, seconds).
-    resend_at: f64,
-    id: RequestId,
-}
-
 impl Dispatcher {
-    /// Finds out what still runs after a link broke: each command that may have been lost is given again. Guards the run
-    /// slots, which lost runs would hold. A run that goes on takes no harm from a second command to start, one that is
-    /// over does not start anew, and a second skip names the call that it is for. A reply names none: the call is
-    /// skipped where that is allowed, and else the reply is sent again when its run must be waiting at that call.
+    /// Repeats each command that was given within `lost` (loop's clock, seconds) and not confirmed since.
+    ///
+    /// Guards the run slots, which lost runs would hold. Repeating is safe: a backend ignores a second start of a run
+    /// that goes on or is over, and a skip names its call by sequence number. A reply names no call: where the class
+    /// allows it the call is skipped instead, and else the reply is sent again once its run must be waiting for it.
     pub(super) fn resend_lost_commands(&mut self, lost: Range<f64>, effects: &mut Effects<'_>) {
         let may_be_lost = |r: &InFlight| r.last_command.as_ref().is_some_and(|sent| lost.contains(&sent.at));
         for id in self.in_flight.ids_where(|_, r| may_be_lost(r)) {
@@ -35,7 +29,7 @@
         let class = &self.classes[in_flight.request.class];
         match sent.command {
             LastCommand::Run => {
-                in_flight.run_repeated = true;
+                in_flight.run = RunState::StartedAgain;
                 in_flight.last_command = Some(SentCommand { at: effects.now, command: LastCommand::Run });
                 effects.commands.push(in_flight.run_command());
             }
@@ -47,23 +41,17 @@
             }
             LastCommand::Resume { .. } => {
                 let resend_at = effects.now + class.objective_s * RESEND_REPLY_OBJECTIVE_SHARE;
-                self.unconfirmed_replies.push(UnconfirmedReply { resend_at, id });
+                self.unconfirmed_replies.push(id, resend_at);
             }
         }
     }
 
-    /// Sends the replies again whose runs have been silent for long enough.
+    /// Sends the unconfirmed replies again whose runs have been silent for long enough.
     pub(super) fn resend_unconfirmed_replies(&mut self, effects: &mut Effects<'_>) {
-        let now = effects.now;
-        let in_flight = &mut self.in_flight;
-        self.unconfirmed_replies.retain(|unconfirmed| {
-            if now < unconfirmed.resend_at {
-                return true;
+        for id in self.unconfirmed_replies.take_due(effects.now) {
+            if let Some(waiting) = self.in_flight.get_mut(id) {
+                effects.commands.extend(waiting.repeat_reply(effects.now));
             }
-            if let Some(waiting) = in_flight.get_mut(unconfirmed.id) {
-                effects.commands.extend(waiting.repeat_reply(now));
-            }
-            false
-        });
+        }
     }
 }
--- a/src/dispatch/messages.rs
+++ b/src/dispatch/messages.rs
@@ -1,6 +1,7 @@
 //! What the frontends, the backends and the event loop exchange with the [`Dispatcher`](super::Dispatcher).
 
 use super::idempotency::IdempotencyUpdate;
+use super::ResourceUsage;
 use crate::interface::{AdmissionEvent, Gauges, LearnedState, Outcome, PoolPlan};
 use std::rc::Rc;
 
@@ -22,12 +23,12 @@
     /// Which caller sent it.
     pub caller: u64,
     /// Its memory while queued (KB).
-    pub kb: f64,
+    pub memory_kb: f64,
     /// When it was read (loop's clock, seconds), from which the next two fields count; absent if that is now.
     pub read_at: Option<f64>,
     /// How long it had lain unread then (seconds).
     pub read_delay_s: f64,
-    /// How long its caller waited from then on (seconds).
+    /// How long its caller waits from then on (seconds).
     pub time_left_s: f64,
     /// What it is expected to take, where it carries a hint (seconds).
     pub estimate_s: Option<f64>,
@@ -46,9 +47,9 @@
     Served(Rc<[u8]>),
     /// It was shed and did not run.
     Rejected {
-        /// When to come back (seconds).
+        /// Retry-After (seconds).
         retry_after_s: f64,
-        /// Other workers will not help either.
+        /// Other workers would reject it too: the caller should not retry at all.
         stop_retrying: bool,
     },
     /// It failed, or its outcome is unknown.
@@ -59,7 +60,7 @@
     Conflict,
 }
 
-/// What happens around the dispatcher. An input that names a request which is no longer in flight is ignored.
+/// What the frontends, the backends and the other process report to the dispatcher. An input that names a request which is no longer in flight is ignored.
 #[derive(Debug)]
 pub enum Input {
     /// A frontend has read a request.
@@ -91,7 +92,7 @@
         /// Comes with [`Outcome::Ok`].
         reply: Option<Rc<[u8]>>,
     },
-    /// A backend proves that a run which it was given never began, and will not.
+    /// A backend proves that a run which it was given never began and never will.
     NeverRan {
         /// Whose run.
         name: Rc<str>,
@@ -111,49 +112,42 @@
     },
     /// The backend has lost all runs: none of them will end by itself.
     RunsLost,
-    /// The connection that waits for this response has been torn down.
+    /// The connection that this response was to go to has closed.
     ClientDisconnected(Ticket),
     /// The shutdown notice. Its fields are points in time and not durations, because the process may stall before it
     /// handles them (loop's clock, seconds).
     Shutdown {
         /// When the notice came.
-        notice: f64,
+        noticed_at: f64,
         /// When the process is stopped.
-        stop: f64,
+        stop_at: f64,
     },
     /// The process is about to end: every pending response is given now.
     RespondAll,
     /// A wake-up that the controller asked for.
     Woken(Gauges),
-    /// The operator's pools from now on, or none.
+    /// The operator's class pools have changed; `None` turns them off.
     Pools(Option<PoolPlan>),
-    /// What the predecessor reports about a key that may have run.
+    /// The predecessor's state of a key that may have run.
     IdempotencyUpdate(IdempotencyUpdate),
     /// The predecessor has ended: what it reported about open keys is final, and it uses nothing any more.
     PredecessorGone,
     /// What the predecessor uses now of the resources that both processes count as their own.
-    OtherProcess {
-        /// Runs on the cores.
-        on_cores: usize,
-        /// Downstream calls in flight.
-        calling: usize,
-        /// Memory of queued and running requests (KB).
-        kb: f64,
-    },
-    /// What the predecessor's controller has learned.
+    PredecessorUsage(ResourceUsage),
+    /// The learned state of the predecessor's controller, to be adopted.
     LearnedState(LearnedState),
 }
 
 /// What the dispatcher reports to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchEvent {
-    /// The controller reports.
+    /// An event of the admission controller.
     Admission(AdmissionEvent),
-    /// What the predecessor's controller has learned is out of range, and was not taken over.
+    /// The learned state of the predecessor's controller is out of range and was not adopted.
     LearnedStateRejected,
 }
 
-/// What the event loop is to do, in this order.
+/// What the event loop is to do. Commands are carried out in the order in which they are given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Deliver a response.
@@ -166,8 +160,8 @@
         class: usize,
         /// Its body.
         body: Rc<[u8]>,
-        /// Its deadline (loop's clock, seconds).
-        due: f64,
+        /// When its caller stops waiting (loop's clock, seconds).
+        deadline: f64,
     },
     /// Make the downstream call that a run has reached.
     Call {
@@ -180,8 +174,8 @@
         /// The call may be repeated when its outcome is indeterminate.
         is_retryable: bool,
     },
-    /// Abandon a downstream call, since its run has ended.
-    GiveUpCall(Rc<str>),
+    /// Cancel a downstream call, since its run has ended.
+    CancelCall(Rc<str>),
     /// Let a run go on with the reply to its call.
     Resume {
         /// Whose run.
@@ -196,14 +190,14 @@
         /// The sequence number that came with [`Input::AtCall`].
         sequence: u64,
     },
-    /// Answer health checks from this state.
+    /// Answer health checks as healthy (`true`) or unhealthy from now on.
     Health(bool),
-    /// Set the value that goes out with responses.
+    /// Set the weight that is published with responses and load reports.
     Publish(f64),
     /// Send [`Input::Woken`] after this time (seconds).
     WakeIn(f64),
     /// Report an event to operators.
     Log(DispatchEvent),
-    /// Tell the successor about a key.
+    /// Send the successor an update about a key.
     IdempotencyUpdate(IdempotencyUpdate),
 }
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters that operators read: how requests ended and how many runs were dispatched, by class.
 //!
-//! The dispatcher counts at the one place where it responds and the one where it starts a run, so that every frontend is
-//! counted alike and each request once. Counts begin with the process. Requests in flight are not counted here:
-//! [`Dispatcher::pending_responses`](super::Dispatcher::pending_responses) tells their number.
+//! The dispatcher counts where it responds and where it starts a run, so that every frontend is counted alike and each
+//! request once. Counts begin with the process. Requests in flight are not counted here:
+//! [`Dispatcher::pending_responses`](super::Dispatcher::pending_responses) returns their number.
 
 use super::Response;
 
@@ -32,7 +32,7 @@
 pub struct Metrics(Vec<ClassCounters>);
 
 impl Metrics {
-    /// Counters of so many classes, all zero.
+    /// The counters of `classes` classes, all zero.
     #[must_use]
     pub fn new(classes: usize) -> Metrics {
         Metrics(vec![ClassCounters::default(); classes])
@@ -44,8 +44,8 @@
         &self.0
     }
 
-    /// A request has ended with this response.
-    pub fn answered(&mut self, class: usize, response: &Response) {
+    /// Counts a request that has ended with this response.
+    pub fn record_response(&mut self, class: usize, response: &Response) {
         let Some(counts) = self.0.get_mut(class) else { return };
         match response {
             Response::Served(_) => counts.success += 1,
@@ -54,14 +54,14 @@
         }
     }
 
-    /// The client of a request has disconnected before its end.
+    /// Counts a request whose client has disconnected before its end.
     pub fn record_disconnect(&mut self, class: usize) {
         if let Some(counts) = self.0.get_mut(class) {
             counts.error += 1;
         }
     }
 
-    /// A run has been dispatched.
+    /// Counts a dispatched run.
     pub fn record_dispatch(&mut self, class: usize) {
         if let Some(counts) = self.0.get_mut(class) {
             counts.dispatches += 1;
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -1,32 +1,16 @@
-//! What a dispatcher does for a hot restart: requests that have not started are handed off to the successor, runs stay
-//! where they are, and the successor learns what becomes of idempotency keys.
+//! The dispatcher's part in a hot restart: requests that have not started are handed off to the successor, runs stay
+//! where they are, and the successor is sent updates about idempotency keys.
 //!
-//! All times are on the loop's clock; whoever sends them to another process converts them to Unix time.
+//! All times are on the loop's clock (seconds). The caller converts them to Unix time for another process.
 
-use super::dispatcher::Effects;
+use super::effects::Effects;
 use super::idempotency::{Entry, IdempotencyKey, IdempotencyUpdate, KeyProgress};
-use super::{Command, Dispatcher, Request, Response, Ticket};
+use super::{Command, Dispatcher, FingerprintKey, Request, ResourceUsage, Response, Ticket};
 use crate::hot_restart::IndeterminateKeys;
 use crate::interface::{Event, LearnedState, Outcome, RequestId};
-use siphasher::sip::SipHasher13;
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The secret with which the bodies of keyed requests are hashed (SipHash-1-3).
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FingerprintKey(pub u64, pub u64);
-
-/// What a process uses of the resources that it shares with its successor.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ResourceUsage {
-    /// Runs on the cores.
-    pub on_cores: usize,
-    /// Downstream calls in flight.
-    pub calling: usize,
-    /// Memory of queued and running requests, by the executor's accounting (KB).
-    pub kb: f64,
-}
-
 /// A request that has not been started, with its times (loop's clock, seconds).
 #[derive(Clone, Debug)]
 pub struct HandedOffRequest {
@@ -34,27 +18,27 @@
     pub request: Request,
     /// When it reached the machine.
     pub arrived: f64,
-    /// Its deadline.
-    pub due: f64,
+    /// When its caller stops waiting.
+    pub deadline: f64,
 }
 
 impl HandedOffRequest {
-    /// The request as one that is read now.
+    /// The request as a frontend would hand it over at `now`.
     #[must_use]
     pub fn at(&self, now: f64) -> Request {
         Request {
             read_at: Some(now),
             read_delay_s: (now - self.arrived).max(0.0),
-            time_left_s: (self.due - now).max(0.0),
+            time_left_s: (self.deadline - now).max(0.0),
             ..self.request.clone()
         }
     }
 }
 
-/// What a successor is given.
+/// All that a dispatcher hands off to its successor.
 #[derive(Debug)]
 pub struct HandedOff {
-    /// What bodies are hashed with.
+    /// The key of body fingerprints.
     pub fingerprint_key: FingerprintKey,
     /// What the controller has learned.
     pub learned: LearnedState,
@@ -62,52 +46,45 @@
     pub running: Vec<Rc<str>>,
     /// All keys that may have run.
     pub keys: Vec<IdempotencyUpdate>,
-    /// In the order in which they were read.
+    /// Requests that have not been started, in the order in which they were read.
     pub requests: Vec<HandedOffRequest>,
 }
 
 impl Dispatcher {
-    /// Identifies the body of a keyed request; the same in every version of the program.
-    pub(super) fn fingerprint(&self, body: &[u8]) -> u64 {
-        SipHasher13::new_with_keys(self.fingerprint_key.0, self.fingerprint_key.1).hash(body)
-    }
-
-    /// Sets what is to be assumed of keys that are not known here.
+    /// Sets which of the keys that are not in the table may have run elsewhere.
     pub fn set_indeterminate_keys(&mut self, indeterminate_keys: IndeterminateKeys) {
         self.indeterminate_keys = indeterminate_keys;
     }
 
-    /// Sets what bodies are hashed with: a secret that nobody can guess. Only while no key is known.
-    pub fn set_fingerprint_key(&mut self, key: FingerprintKey) {
-        self.fingerprint_key = key;
-    }
-
-    /// Takes over how the predecessor hashes bodies, and the names of the requests that run there. Only while no key is
-    /// known.
+    /// Adopts the predecessor's fingerprint key and the names of the requests that run there. To be called before any key
+    /// is in the table, since fingerprints under another key do not match.
     pub fn succeed(&mut self, fingerprint_key: FingerprintKey, running: Vec<Rc<str>>) {
         self.fingerprint_key = fingerprint_key;
         self.running_in_predecessor = running.into_iter().collect();
     }
 
     /// Whether no request is in flight: no response is pending, and nothing runs.
+    #[must_use]
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// What this process and its predecessor use.
+    /// What this process and its predecessor use together.
+    #[must_use]
     pub fn usage(&self) -> ResourceUsage {
         let mut usage = self.predecessor_usage;
         for in_flight in self.in_flight.values() {
-            let on_core = in_flight.started && in_flight.pending_call.is_none();
+            let on_core = in_flight.has_started() && in_flight.pending_call.is_none();
+            let memory_factor = if in_flight.has_started() { self.run_factor } else { 1.0 };
             usage.on_cores += usize::from(on_core);
-            usage.calling += usize::from(in_flight.calling);
-            usage.kb += in_flight.request.kb * if in_flight.started { self.run_factor } else { 1.0 };
+            usage.downstream_calls += usize::from(in_flight.calling);
+            usage.memory_kb += in_flight.request.memory_kb * memory_factor;
         }
         usage
     }
 
-    /// Gives away the requests that have not been started, where `can_hand_off` says that another process may deliver
-    /// the response. Runs stay here with the attempts that wait for them.
+    /// Hands off the requests that have not been started and whose response another process can deliver, by
+    /// `can_hand_off`. Runs stay here with the attempts that wait for them.
     pub fn hand_off(
         &mut self,
         now: f64,
@@ -120,7 +97,12 @@
         HandedOff {
             fingerprint_key: self.fingerprint_key,
             learned: self.learned_without(&requests),
-            running: self.in_flight.values().filter(|r| r.started).map(|r| r.request.name.clone()).collect(),
+            running: self
+                .in_flight
+                .values()
+                .filter(|r| r.has_started())
+                .map(|r| r.request.name.clone())
+                .collect(),
             keys: self.keys.keys().map(|key| self.keys.update_for(key)).collect(),
             requests,
         }
@@ -134,12 +116,15 @@
         let waiting: HashSet<RequestId> = self.keys.waiting_attempts().collect();
         let mut handed_off = Vec::new();
         for id in self.in_flight.ids_where(|id, _| !waiting.contains(&id)) {
-            // One before it in this list may have made room for it to be started.
-            let not_started = self.in_flight.get(id).filter(|r| !r.started && !r.responded);
+            // Handing off the requests before it may have freed capacity, and so have started this one.
+            let not_started = self.in_flight.get(id).filter(|r| !r.has_started() && !r.responded);
             let Some(in_flight) = not_started.filter(|r| can_hand_off(r.request.ticket)) else { continue };
             let request = in_flight.request.clone();
-            let (arrived, due) = (in_flight.arrived, in_flight.due);
-            handed_off.push(HandedOffRequest { request, arrived, due });
+            handed_off.push(HandedOffRequest {
+                request,
+                arrived: in_flight.arrived,
+                deadline: in_flight.deadline,
+            });
             self.in_flight.mark_responded(id);
             effects.events.push_back(Event::CallerGone(id));
             self.run_controller(effects);
@@ -148,8 +133,8 @@
         handed_off
     }
 
-    /// What the controller has learned, with the quota that these requests took given back: it is charged where they
-    /// are decided on, which is now the successor.
+    /// What the controller has learned, with the tenants' quota of these requests refunded: the successor decides on
+    /// them and charges it again.
     fn learned_without(&self, requests: &[HandedOffRequest]) -> LearnedState {
         let mut learned = self.controller.learned();
         for tenant in requests.iter().filter_map(|r| r.request.tenant) {
@@ -161,23 +146,23 @@
         learned
     }
 
-    /// There is no successor any more.
+    /// Ends the hand-off: there is no successor any more, and no key update is sent.
     pub fn end_hand_off(&mut self) {
         self.handed_off = false;
         self.updated_keys.clear();
     }
 
-    /// Tells the successor, if there is one, about keys that have changed.
+    /// Sends the successor, if there is one, an update for each key that has changed.
     pub(super) fn send_key_updates(&mut self, commands: &mut Vec<Command>) {
         let keys = &self.keys;
         let handed_off = self.handed_off;
-        // Drained, not taken: the list keeps its capacity.
+        // Drained and not taken, so that the list keeps its capacity.
         let updated = self.updated_keys.drain(..).filter(|_| handed_off);
         commands.extend(updated.map(|key| Command::IdempotencyUpdate(keys.update_for(&key))));
     }
 
-    /// What the predecessor reports about a key: a key that is not known here is adopted; for one that ran there, it is
-    /// the end that attempts here wait for.
+    /// Applies the predecessor's update about a key. A key that is not in the table is adopted. For one whose run the
+    /// predecessor began, an end completes the attempts that wait for it here.
     pub(super) fn apply_key_update(&mut self, update: &IdempotencyUpdate, effects: &mut Effects<'_>) {
         let Some(entry) = self.keys.get_mut(&update.key) else {
             let holder = self.next_id();
@@ -196,7 +181,7 @@
         }
     }
 
-    /// The predecessor has proved that the run of this key never began.
+    /// Releases a key whose run the predecessor has proved never to have begun.
     fn complete_never_ran_elsewhere(
         &mut self,
         key: &IdempotencyKey,
@@ -210,13 +195,13 @@
         self.complete_all(attempts, &Response::not_started(), Outcome::NotStarted, effects);
     }
 
-    /// The predecessor has ended. Keys that were open there have failed for good: whether they had their effect died
-    /// with it.
+    /// Completes the keys that were open in the predecessor as failed: it has ended, and whether they had their effect
+    /// can't be known any more.
     pub(super) fn on_predecessor_gone(&mut self, effects: &mut Effects<'_>) {
         self.running_in_predecessor = HashSet::new();
         self.set_predecessor_usage(ResourceUsage::default(), effects);
-        for (key, holder) in self.keys.open_in_other_process() {
-            self.complete_key(&key, holder, KeyProgress::Failed, effects);
+        for open in self.keys.open_in_other_process() {
+            self.complete_key(&open.key, open.holder, KeyProgress::Failed, effects);
         }
     }
 }
--- /dev/null
+++ b/src/dispatch/tests/metrics.rs
@@ -0,0 +1,54 @@
+//! The counters that operators read, under random histories.
+
+use super::*;
+use proptest::prelude::*;
+use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+
+/// Received = served + rejected + failed + in flight, at any instant, whatever happens in whatever order.
+#[test]
+fn each_request_is_counted_once_at_any_instant() {
+    let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
+    let step = (0..10u8, 0..60u64, 0..4usize, 1..40u32);
+    let steps = proptest::collection::vec(step, 1..400);
+    let mut runner = TestRunner::new_with_rng(config, rng);
+    let ran = runner.run(&steps, |steps| {
+        let (mut h, mut received, mut started) = (Harness::new(), 0, 0);
+        for (what, number, which, ms) in steps {
+            h.now += f64::from(ms) / 1000.0;
+            let some: Rc<str> = format!("r{number}").into();
+            let outcome = [Outcome::Ok, Outcome::Error, Outcome::NotStarted, Outcome::Cancelled][which];
+            let body: Rc<[u8]> = Rc::from(*b"!");
+            let out = match what {
+                // Names are repeated while they are in flight, keys often, now and then with another body.
+                0..=3 => {
+                    received += 1;
+                    let mut request = request(number, ["", "a", "b", "c"][which]);
+                    request.ticket = Ticket(received);
+                    request.time_left_s = f64::from(ms) / 10.0;
+                    if number == 7 {
+                        request.body = body;
+                    }
+                    h.input(Input::Arrived(request))
+                }
+                4 => h.input(Input::ClientDisconnected(Ticket(number))),
+                5 => h.input(Input::NeverRan { name: some }),
+                6 => h.input(Input::RunsLost),
+                7 => h.input(Input::CommandsLost { from: h.now - 0.1, to: h.now + 0.1 }),
+                8 => h.input(Input::Woken(Gauges::default())),
+                _ => h.input(Input::RunEnded { name: some, outcome, result: Some(body) }),
+            };
+            // What is commanded again after a break is the same run.
+            started += if what == 7 { 0 } else { runs(&out) as u64 };
+            let counts = h.dispatcher.metrics().classes();
+            let ended: u64 = counts.iter().map(crate::dispatch::metrics::ClassCounters::ended).sum();
+            prop_assert_eq!(received, ended + h.dispatcher.pending_responses() as u64);
+            prop_assert_eq!(h.dispatcher.pending_responses(), h.dispatcher.in_flight.by_ticket.len());
+            prop_assert_eq!(started, counts.iter().map(|c| c.dispatches).sum::<u64>());
+        }
+        h.pass(12.0);
+        prop_assert_eq!(h.dispatcher.pending_responses(), 0);
+        Ok(())
+    });
+    ran.unwrap();
+}
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -1,6 +1,7 @@
 //! The dispatcher alone: single scenarios, and random histories.
 
 mod crossings;
+mod metrics;
 mod request_handoff;
 
 use super::completion::{NOT_STARTED_RETRY_AFTER_S, SILENT_RUN_S};
@@ -50,7 +51,7 @@
         class: usize::from(!key.is_empty()),
         tenant: None,
         caller: 1,
-        kb: 10.0,
+        memory_kb: 10.0,
         read_at: None,
         read_delay_s: 0.0,
         time_left_s: 3.0,
@@ -160,7 +161,7 @@
     let out = h.input(Input::AtCall { name: "r1".into(), body: Rc::from(*b"?"), sequence: 7 });
     assert!(matches!(&out[..], [Command::Call { body, .. }] if **body == *b"?"), "{out:?}");
     let out = h.end(1, Outcome::Cancelled, b"");
-    assert_eq!(out, vec![Command::GiveUpCall("r1".into()), Command::Respond(Ticket(1), Response::Failed)]);
+    assert_eq!(out, vec![Command::CancelCall("r1".into()), Command::Respond(Ticket(1), Response::Failed)]);
     let reply = Some(Rc::from(*b"!"));
     assert_eq!(h.input(Input::CallEnded { name: "r1".into(), outcome: Outcome::Ok, reply }), vec![]);
     assert_eq!(h.input(Input::AtCall { name: "r1".into(), body: Rc::from([]), sequence: 8 }), vec![]);
@@ -287,7 +288,8 @@
     for seed in 0..20u64 {
         let (mut h, mut random_state) = (Harness::new(), seed.wrapping_mul(77) + 5);
         let mut roll = |n: u64| {
-            random_state = random_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            random_state =
+                random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             (random_state >> 33) % n
         };
         let (mut seen, mut key_runs) = (HashMap::new(), HashMap::new());
@@ -328,58 +330,3 @@
         assert!(key_runs.values().all(|n| *n == 1), "seed {seed}: {key_runs:?}");
     }
 }
-
-mod metrics {
-    use super::*;
-    use proptest::prelude::*;
-    use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-
-    /// Received = served + rejected + failed + in flight, at any instant, whatever happens in whatever order.
-    #[test]
-    fn each_request_is_counted_once_at_any_instant() {
-        let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
-        let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-        let step = (0..10u8, 0..60u64, 0..4usize, 1..40u32);
-        let steps = proptest::collection::vec(step, 1..400);
-        let mut runner = TestRunner::new_with_rng(config, rng);
-        let ran = runner.run(&steps, |steps| {
-            let (mut h, mut received, mut started) = (Harness::new(), 0, 0);
-            for (what, number, which, ms) in steps {
-                h.now += f64::from(ms) / 1000.0;
-                let some: Rc<str> = format!("r{number}").into();
-                let outcome = [Outcome::Ok, Outcome::Error, Outcome::NotStarted, Outcome::Cancelled][which];
-                let body: Rc<[u8]> = Rc::from(*b"!");
-                let out = match what {
-                    // Names are repeated while they are in flight, keys often, now and then with another body.
-                    0..=3 => {
-                        received += 1;
-                        let mut request = request(number, ["", "a", "b", "c"][which]);
-                        request.ticket = Ticket(received);
-                        request.time_left_s = f64::from(ms) / 10.0;
-                        if number == 7 {
-                            request.body = body;
-                        }
-                        h.input(Input::Arrived(request))
-                    }
-                    4 => h.input(Input::ClientDisconnected(Ticket(number))),
-                    5 => h.input(Input::NeverRan { name: some }),
-                    6 => h.input(Input::RunsLost),
-                    7 => h.input(Input::CommandsLost { from: h.now - 0.1, to: h.now + 0.1 }),
-                    8 => h.input(Input::Woken(Gauges::default())),
-                    _ => h.input(Input::RunEnded { name: some, outcome, result: Some(body) }),
-                };
-                // What is commanded again after a break is the same run.
-                started += if what == 7 { 0 } else { runs(&out) as u64 };
-                let counts = h.dispatcher.metrics().classes();
-                let ended: u64 = counts.iter().map(|c| c.ended()).sum();
-                prop_assert_eq!(received, ended + h.dispatcher.pending_responses() as u64);
-                prop_assert_eq!(h.dispatcher.pending_responses(), h.dispatcher.in_flight.by_ticket.len());
-                prop_assert_eq!(started, counts.iter().map(|c| c.dispatches).sum::<u64>());
-            }
-            h.pass(12.0);
-            prop_assert_eq!(h.dispatcher.pending_responses(), 0);
-            Ok(())
-        });
-        ran.unwrap();
-    }
-}
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -128,8 +128,8 @@
         for update in handed_off.keys {
             self.input(Role::Successor, Input::IdempotencyUpdate(update));
         }
-        let ResourceUsage { on_cores, calling, kb } = self.predecessor.dispatcher.usage();
-        self.input(Role::Successor, Input::OtherProcess { on_cores, calling, kb });
+        let usage = self.predecessor.dispatcher.usage();
+        self.input(Role::Successor, Input::PredecessorUsage(usage));
         for request in handed_off.requests {
             self.input(Role::Successor, Input::Arrived(request.at(now)));
         }
@@ -138,9 +138,7 @@
     fn receive_report(&mut self) -> bool {
         match self.reports.pop_front() {
             Some(Report::Key(update)) => self.input(Role::Successor, Input::IdempotencyUpdate(update)),
-            Some(Report::Usage(ResourceUsage { on_cores, calling, kb })) => {
-                self.input(Role::Successor, Input::OtherProcess { on_cores, calling, kb });
-            }
+            Some(Report::Usage(usage)) => self.input(Role::Successor, Input::PredecessorUsage(usage)),
             None => return false,
         }
         true
@@ -167,13 +165,13 @@
     let steps = proptest::collection::vec(step, 20..250);
     let ran = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
         let mut pair = Pair::new();
-        let (mut count, lends_at, dies) = (0, steps.len() / 3, steps[0].0 < 8);
+        let (mut count, hand_off_at, predecessor_dies) = (0, steps.len() / 3, steps[0].0 < 8);
         for (i, (what, which, key, ms)) in steps.iter().enumerate() {
             pair.pass(f64::from(*ms) / 1000.0);
-            if i == lends_at {
+            if i == hand_off_at {
                 pair.hand_off();
             }
-            if dies && i == 2 * lends_at {
+            if predecessor_dies && i == 2 * hand_off_at {
                 pair.kill_predecessor();
             }
             match what {
@@ -182,7 +180,7 @@
                     pair.arrive(count, ["", "a", "b", "c"][*key]);
                 }
                 9..=14 => {
-                    pair.end(*which, [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::NotStarted][*key])
+                    pair.end(*which, [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::NotStarted][*key]);
                 }
                 _ => drop(pair.receive_report()),
             }
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -206,7 +206,7 @@
             class,
             tenant,
             caller: self.caller.unwrap_or(0),
-            kb: self.need_kb.unwrap_or(DEFAULT_NEED_KB),
+            memory_kb: self.need_kb.unwrap_or(DEFAULT_NEED_KB),
             read_at: Some(clock.now()),
             read_delay_s,
             time_left_s,
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -60,7 +60,7 @@
         for (name, value) in fleet.member.metrics(fleet.now()) {
             let _ = writeln!(text, "{name}={value}");
         }
-        let overload = self.dispatcher.as_ref().map(Dispatcher::overload_figures).unwrap_or_default();
+        let overload = self.dispatcher.as_ref().map(Dispatcher::overload_metrics).unwrap_or_default();
         for (name, value) in overload {
             let _ = writeln!(text, "fleet.overload.{name}={value}");
         }
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -5,7 +5,7 @@
 use super::peer_link::ReceivedFrame;
 use super::staged_state::{PredecessorState, ReceivedConnection};
 use super::FrontendListener;
-use crate::dispatch::{FingerprintKey, Input, Ticket};
+use crate::dispatch::{FingerprintKey, Input, ResourceUsage, Ticket};
 use crate::hot_restart::frame::{Frame, HandedOffConnection, KeyState, QueuedRequest, Usage};
 use crate::hot_restart::Event;
 use crate::net::frontends::connections::DetachedConnection;
@@ -153,7 +153,8 @@
     fn set_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
         let Usage { on_cores, calling, kb, sockets } = usage;
         self.poll.set_beside(sockets);
-        inputs.push(Input::OtherProcess { on_cores, calling, kb });
+        let usage = ResourceUsage { on_cores, downstream_calls: calling, memory_kb: kb };
+        inputs.push(Input::PredecessorUsage(usage));
     }
 
     fn adopt_connection(&mut self, now: f64, received: ReceivedConnection, inputs: &mut Vec<Input>) {
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -238,7 +238,7 @@
     /// Tells the successor what this process uses, if that has changed. So many connections are not counted.
     pub(super) fn report_usage(&mut self, uncounted_connections: usize) {
         let Some(dispatcher) = &self.dispatcher else { return };
-        let ResourceUsage { on_cores, calling, kb } = dispatcher.usage();
+        let ResourceUsage { on_cores, downstream_calls: calling, memory_kb: kb } = dispatcher.usage();
         let sockets = self.poll.used().saturating_sub(uncounted_connections) + OVERHEAD_DESCRIPTORS;
         let usage = Usage { on_cores, calling, kb, sockets };
         let Some(hot_restart) = &mut self.hot_restart else { return };
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -47,7 +47,7 @@
             self.wheel.set(now, at - now, Timer::Again);
         }
         self.state.leaving = true;
-        inputs.push(Input::Shutdown { notice: at.notice, stop: at.kill_at });
+        inputs.push(Input::Shutdown { noticed_at: at.notice, stop_at: at.kill_at });
         if let Some(http2) = &mut self.http2 {
             // Each connection is sent GOAWAY.
             http2.connections.touch_all();
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -14,9 +14,9 @@
     pub(in crate::net) fn execute(&mut self, now: f64, command: Command, inputs: &mut Vec<Input>) {
         match command {
             Command::Respond(ticket, response) => self.answer(now, ticket, response),
-            Command::Run { name, class, body, due } => {
+            Command::Run { name, class, body, deadline } => {
                 if let Some(servers) = &mut self.ajp_servers {
-                    servers.run(now, name, class, body, due, &mut self.wheel);
+                    servers.run(now, name, class, body, deadline, &mut self.wheel);
                 } else if !self.executor.run(&name, class, &body, &self.state.known) {
                     // Not even queued: it has not run, and will not.
                     inputs.push(Input::NeverRan { name });
@@ -26,7 +26,7 @@
                 Some(records) => records.call(now, name, body, timeout_s, is_retryable, &mut self.wheel),
                 None => inputs.push(Input::CallEnded { name, outcome: Outcome::Unreachable, reply: None }),
             },
-            Command::GiveUpCall(name) => self.records.iter_mut().for_each(|records| records.give_up(&name)),
+            Command::CancelCall(name) => self.records.iter_mut().for_each(|records| records.give_up(&name)),
             Command::Resume { name, reply } => {
                 if !self.executor.resume(&name, &reply) {
                     self.log.line("executor: the queue is full; a reply is lost");
@@ -79,7 +79,7 @@
             if let Input::Arrived(request) = input {
                 let response =
                     Response::Rejected { retry_after_s: NOT_UP_RETRY_AFTER_S, stop_retrying: false };
-                self.early_metrics.answered(request.class, &response);
+                self.early_metrics.record_response(request.class, &response);
                 self.answer(now, request.ticket, response);
             }
         }
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -32,7 +32,7 @@
             self.hot_restart.as_ref().map_or(IndeterminateKeys::None, HotRestart::indeterminate_keys),
         );
         if let Some(leaving) = &self.shutdown {
-            let shutdown = Input::Shutdown { notice: leaving.at.notice, stop: leaving.at.kill_at };
+            let shutdown = Input::Shutdown { noticed_at: leaving.at.notice, stop_at: leaving.at.kill_at };
             core.handle(now, [shutdown], &mut commands);
         }
         self.dispatcher = Some(core);
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -372,7 +372,7 @@
                 class: a.class,
                 tenant: Some(0),
                 caller: 1,
-                kb: a.need_kb,
+                memory_kb: a.need_kb,
                 read_at: None,
                 read_delay_s: 0.0,
                 time_left_s: due - now,
@@ -429,7 +429,7 @@
             let worker = &mut self.workers[w];
             match command {
                 Command::Respond(ticket, answer) => self.answered(now, w, ticket.0, &answer),
-                Command::Run { name, body, due, .. } => {
+                Command::Run { name, body, deadline: due, .. } => {
                     worker.executor.start(&name, Work::read(&body));
                     worker.due.insert(((due.max(0.0) * 1e6) as u64, name), ());
                 }
@@ -437,7 +437,7 @@
                     self.until.insert((w, name.clone()), now + timeout_s);
                     self.service.call(now, w, name);
                 }
-                Command::GiveUpCall(name) => {
+                Command::CancelCall(name) => {
                     self.until.remove(&(w, name.clone()));
                     self.service.give_up(now, w, &name);
                 }
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -168,7 +168,7 @@
             class: a.class,
             tenant: Some(0),
             caller: 1,
-            kb: a.need_kb,
+            memory_kb: a.need_kb,
             read_at: None,
             read_delay_s: 0.0,
             time_left_s: (a.at + class.deadline_ms / 1000.0 - now).max(0.01),
@@ -209,7 +209,7 @@
                     self.records.call(now, &name);
                     self.until.insert(name.to_string(), now + timeout_s);
                 }
-                Command::GiveUpCall(name) => {
+                Command::CancelCall(name) => {
                     self.until.remove(&*name);
                     self.records.give_up(&name);
                 }
