--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -24,7 +24,6 @@
 mod unconfirmed_replies;
 
 pub use dispatcher::Dispatcher;
-pub use fingerprint::FingerprintKey;
 pub use messages::{Command, DispatchEvent, Input, Request, Response, Ticket};
 pub use request_handoff::{HandedOff, HandedOffRequest};
 pub use resource_usage::ResourceUsage;
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -5,8 +5,8 @@
 
 use super::effects::Effects;
 use super::idempotency::{Entry, IdempotencyKey, IdempotencyUpdate, KeyProgress};
-use super::{Command, Dispatcher, FingerprintKey, Request, ResourceUsage, Response, Ticket};
-use crate::hot_restart::IndeterminateKeys;
+use super::{Command, Dispatcher, Request, ResourceUsage, Response, Ticket};
+use crate::hot_restart::{FingerprintKey, IndeterminateKeys};
 use crate::interface::{Event, LearnedState, Outcome, RequestId};
 use std::collections::HashSet;
 use std::rc::Rc;
--- a/src/hot_restart/frame.rs
+++ b/src/hot_restart/frame/messages.rs
@@ -1,9 +1,6 @@
-//! The frames on the link between a process and its successor.
-//!
-//! A frame is four bytes of length (big-endian), one byte that says whether a file descriptor comes with it, and one JSON
-//! object of that length. Unknown fields are ignored, so that another version of the program may send more. The names on
-//! the wire are older than those in the code and stay: `serde` attributes map them.
+//! The messages on the link.
 
+use crate::hot_restart::FingerprintKey;
 use crate::interface::LearnedState;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -12,35 +9,6 @@
 
 /// The version of these frames. Processes of different versions can't talk to each other.
 pub const VERSION: u32 = 1;
-/// The longest JSON object that is accepted (bytes): far more than a half-read request or a retained result needs.
-pub const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// Length and descriptor mark before the object (bytes).
-pub const HEADER_BYTES: usize = 5;
-
-/// Why bytes are not a frame.
-#[derive(Debug, thiserror::Error)]
-pub enum FrameError {
-    /// The header announces an object that is too long.
-    #[error("a frame of {length} bytes, {MAX_FRAME_BYTES} at most")]
-    TooLong {
-        /// The announced length (bytes).
-        length: usize,
-    },
-    /// The object is not JSON, or no frame of this version.
-    #[error("a frame can't be read: {0}")]
-    Malformed(#[source] serde_json::Error),
-    /// The header says the opposite of what the object needs about a descriptor.
-    #[error("a frame's mark does not fit it")]
-    DescriptorMark,
-}
-
-/// Errors are equal if they say the same.
-impl PartialEq for FrameError {
-    fn eq(&self, other: &FrameError) -> bool {
-        self.to_string() == other.to_string()
-    }
-}
-
 /// Bytes that are sent in base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bytes(pub Rc<[u8]>);
@@ -58,35 +26,37 @@
     }
 }
 
-/// What the predecessor uses of the resources that both processes share.
+/// The resources that the predecessor uses of those that both processes share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// Runs on the cores.
     pub on_cores: usize,
     /// Calls in flight to the records service.
-    pub calling: usize,
+    #[serde(rename = "calling")]
+    pub downstream_calls: usize,
     /// Memory of queued and running requests, by the executor's accounting (KB).
-    pub kb: f64,
+    #[serde(rename = "kb")]
+    pub memory_kb: f64,
     /// File descriptors.
     pub sockets: usize,
 }
 
-/// Where the run of a key stands.
+/// How far the run of a key has come.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "KeyEnd")]
 pub enum KeyOutcome {
-    /// Its run has not ended.
+    /// It has not ended.
     Open,
     /// It succeeded, with the result where it could be retained.
     Served(Option<Bytes>),
     /// It failed, or its outcome is unknown.
     Failed,
-    /// It turned out that its run never began.
+    /// It provably never began.
     #[serde(rename = "Never")]
     NeverRan,
 }
 
-/// An idempotency key, as both processes name it.
+/// An idempotency key. Both processes number classes and tenants alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Key {
     /// The number of the class.
@@ -102,13 +72,13 @@
 pub struct KeyState {
     /// Which key.
     pub key: Key,
-    /// Identifies the body that came with it.
+    /// Fingerprint of the body that came with it.
     #[serde(rename = "print")]
     pub body_fingerprint: u64,
-    /// When it stops matching retries (Unix milliseconds).
+    /// When its window ends (Unix milliseconds).
     #[serde(rename = "until_ms")]
     pub expires_at_ms: f64,
-    /// Where its run stands.
+    /// How far its run has come.
     #[serde(rename = "end")]
     pub outcome: KeyOutcome,
 }
@@ -125,11 +95,14 @@
     /// Which caller sent it.
     pub caller: u64,
     /// Its memory while queued (KB).
-    pub kb: f64,
+    #[serde(rename = "kb")]
+    pub memory_kb: f64,
     /// When it reached the machine (Unix milliseconds).
-    pub arrived_ms: f64,
-    /// Its deadline (Unix milliseconds).
-    pub due_ms: f64,
+    #[serde(rename = "arrived_ms")]
+    pub arrived_at_ms: f64,
+    /// When its caller stops waiting (Unix milliseconds).
+    #[serde(rename = "due_ms")]
+    pub deadline_ms: f64,
     /// What it is expected to take, where it carries a hint (seconds).
     #[serde(rename = "size_s")]
     pub estimate_s: Option<f64>,
@@ -162,7 +135,7 @@
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The successor's first: who it is, and by what names it knows classes and tenants.
+    /// The successor's first message: its identity, and its numbering of classes and tenants.
     Hello {
         /// The version of its frames.
         version: u32,
@@ -173,35 +146,35 @@
         /// Tenant names, by number.
         tenants: Vec<String>,
     },
-    /// The predecessor's answer to [`Frame::Hello`]: the two can talk.
+    /// The predecessor accepts [`Frame::Hello`]: the processes are compatible.
     Welcome,
-    /// The predecessor's answer to [`Frame::Hello`]: the two can't talk.
+    /// The predecessor rejects [`Frame::Hello`]: the processes are incompatible.
     #[serde(rename = "Stranger")]
     Incompatible {
-        /// For the log.
+        /// The cause, for the log.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The successor can serve and requests the listeners.
+    /// The successor is ready to serve and requests the listeners.
     #[serde(rename = "Take")]
     RequestListeners,
-    /// The first of what the predecessor hands off.
+    /// The first frame of the hand-off: the predecessor's state that is neither a key nor a connection.
     State {
-        /// What bodies of keyed requests are hashed with.
+        /// The key of body fingerprints.
         #[serde(rename = "prints")]
-        fingerprint_key: (u64, u64),
+        fingerprint_key: FingerprintKey,
         /// Operators have begun a drain.
         draining: bool,
-        /// What its controller has learned.
+        /// The learned state of its controller.
         learned: LearnedState,
         /// Names of requests that run there.
         running: Vec<Rc<str>>,
     },
-    /// A key that may have run, or an update about one.
+    /// The state of a key that may have run: all keys during the hand-off, then each that changes.
     Key(KeyState),
-    /// What the predecessor uses now.
+    /// The resources that the predecessor uses now.
     Usage(Usage),
-    /// A connection, with its descriptor.
+    /// A connection that is handed off, with its descriptor.
     #[serde(rename = "Passed")]
     Connection(HandedOffConnection),
     /// A listening socket of an operator's frontend, with its descriptor.
@@ -210,7 +183,7 @@
         #[serde(rename = "front")]
         frontend: String,
     },
-    /// All of the state has been sent.
+    /// The last frame of the hand-off: all of the state has been sent.
     #[serde(rename = "Done")]
     StateComplete,
     /// The successor has all of the state and owns the listeners.
@@ -219,46 +192,3 @@
     /// Operators have begun (`true`) or ended (`false`) a drain at the predecessor's console.
     Drain(bool),
 }
-
-impl Frame {
-    /// Whether a descriptor comes with it.
-    #[must_use]
-    pub fn carries_descriptor(&self) -> bool {
-        matches!(self, Frame::Connection(_) | Frame::Listener { .. })
-    }
-
-    /// The frame as it is sent.
-    #[must_use]
-    pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![0; HEADER_BYTES];
-        // These types hold nothing that JSON can't but numbers that are not finite, which are written as null.
-        let _ = serde_json::to_writer(&mut bytes, self);
-        let length = (bytes.len() - HEADER_BYTES) as u32;
-        bytes[..4].copy_from_slice(&length.to_be_bytes());
-        bytes[4] = u8::from(self.carries_descriptor());
-        bytes
-    }
-
-    /// Reads the first frame in the buffer and returns it with its length there; `None` while it is not complete.
-    ///
-    /// # Errors
-    ///
-    /// The bytes are not a frame, however many more may come.
-    pub fn decode(data: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
-        let Some(header) = data.get(..HEADER_BYTES) else { return Ok(None) };
-        let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
-        if length > MAX_FRAME_BYTES {
-            return Err(FrameError::TooLong { length });
-        }
-        let end = HEADER_BYTES + length;
-        let Some(object) = data.get(HEADER_BYTES..end) else { return Ok(None) };
-        let frame: Frame = serde_json::from_slice(object).map_err(FrameError::Malformed)?;
-        if frame.carries_descriptor() != (header[4] == 1) {
-            return Err(FrameError::DescriptorMark);
-        }
-        Ok(Some((frame, end)))
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/src/hot_restart/frame/tests.rs
+++ b/src/hot_restart/frame/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::hot_restart::FingerprintKey;
+use crate::interface::LearnedState;
+use std::rc::Rc;
 
 fn all_frames() -> Vec<Frame> {
     let key = Key { class: 1, tenant: Some(0), key: "k\u{e9}\"1".into() };
@@ -10,9 +13,9 @@
         class: 1,
         tenant: None,
         caller: 4,
-        kb: 24.5,
-        arrived_ms: 1.7e12,
-        due_ms: 1.7e12 + 480.0,
+        memory_kb: 24.5,
+        arrived_at_ms: 1.7e12,
+        deadline_ms: 1.7e12 + 480.0,
         estimate_s: Some(0.0125),
         key: Some("k".into()),
         retry: true,
@@ -24,7 +27,7 @@
         Frame::Incompatible { reason: "because".into() },
         Frame::RequestListeners,
         Frame::State {
-            fingerprint_key: (1, u64::MAX),
+            fingerprint_key: FingerprintKey(1, u64::MAX),
             draining: true,
             learned: LearnedState::default(),
             running: vec!["r9".into()],
@@ -34,7 +37,7 @@
         state(KeyOutcome::Served(None)),
         state(KeyOutcome::Failed),
         state(KeyOutcome::NeverRan),
-        Frame::Usage(Usage { on_cores: 3, calling: 1, kb: 0.5, sockets: 9 }),
+        Frame::Usage(Usage { on_cores: 3, downstream_calls: 1, memory_kb: 0.5, sockets: 9 }),
         Frame::Connection(HandedOffConnection {
             unread: Bytes(Rc::from(*b"GET /ch")),
             ..HandedOffConnection::default()
@@ -83,6 +86,6 @@
     let mut bytes = (text.len() as u32).to_be_bytes().to_vec();
     bytes.push(0);
     bytes.extend_from_slice(text);
-    let usage = Usage { on_cores: 1, calling: 0, kb: 2.0, sockets: 3 };
+    let usage = Usage { on_cores: 1, downstream_calls: 0, memory_kb: 2.0, sockets: 3 };
     assert_eq!(Frame::decode(&bytes), Ok(Some((Frame::Usage(usage), bytes.len()))));
 }
--- a/src/hot_restart/indeterminate_keys.rs
+++ b/src/hot_restart/indeterminate_keys.rs
@@ -1,19 +1,19 @@
-//! Which idempotency keys may have run in a process that can't be asked.
+//! Idempotency keys that may have run in another process, where that process can't report them.
 
-/// What may be assumed of keys that are not known here.
+/// Which of the keys that are not known here may have run elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum IndeterminateKeys {
-    /// All keys that ran are known.
+    /// None: all keys that ran are known.
     None,
-    /// Another process lives and may be running any key just now.
+    /// Any: another process is alive and does not report its keys.
     All,
-    /// A process that is dead may have run them: retries that arrived up to this time (loop's clock, seconds).
+    /// Those of retries that arrive up to this time (loop's clock, seconds): a process that has ended may have run them.
     RetriesUntil(f64),
 }
 
 impl IndeterminateKeys {
-    /// Whether a key that is not known here may have run elsewhere. `may_be_retry` says that the request is marked as a
-    /// retry, or that retries are not marked.
+    /// Whether a key that is not known here may have run elsewhere. `may_be_retry` is `false` only where callers mark their
+    /// retries and this request is not marked.
     #[must_use]
     pub fn covers(self, arrived: f64, may_be_retry: bool) -> bool {
         match self {
--- a/src/hot_restart/ownership.rs
+++ b/src/hot_restart/ownership.rs
@@ -2,9 +2,9 @@
 
 use super::{Effect, Event, IndeterminateKeys};
 
-/// How long a successor waits for the predecessor, counted from the connection and again from the request for the
-/// listeners (seconds). The platform wants a new process ready within 6 s, and both waits and the executor's start must
-/// fit.
+/// How long a successor waits for the predecessor's answer, first from the connection on and then from the request for the
+/// listeners on (seconds). The platform requires a new process to be ready within 6 s, which both waits and the start of
+/// the executor have to fit into.
 pub const PREDECESSOR_TIMEOUT_S: f64 = 1.5;
 
 /// How far a successor has come with its predecessor.
@@ -13,10 +13,13 @@
     /// Since when the predecessor's answer is awaited: the connection, or the request for the listeners (loop's clock,
     /// seconds). Absent while there is no connection.
     waiting_since: Option<f64>,
+    /// The predecessor has accepted this process as its successor.
     hello_accepted: bool,
+    /// The listeners have been requested.
     listeners_requested: bool,
 }
 
+/// The role of this process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     /// Not yet the owner.
@@ -29,32 +32,36 @@
     Released,
 }
 
-/// Whether one process owns the listeners.
+/// What is known of the predecessor, before and after this process becomes the owner.
+#[derive(Clone, Copy, Debug, Default)]
+struct Predecessor {
+    /// A link to it is established.
+    is_connected: bool,
+    /// Its state may still arrive, though this process already is the owner.
+    state_may_come_late: bool,
+    /// It is alive, and which keys it runs is not known here.
+    keys_unknown: bool,
+}
+
+/// The state machine by which a process gets, keeps and hands off the listeners.
 #[derive(Clone, Debug)]
 pub struct ListenerOwnership {
     state: State,
+    predecessor: Predecessor,
     ready_to_serve: bool,
-    /// A link to the predecessor is established; also after this process has become the owner.
-    has_predecessor: bool,
-    /// The predecessor's state may still come, though this process already is the owner.
-    state_may_come_late: bool,
-    /// The predecessor lives, and which keys it runs is not known here.
-    predecessor_keys_unknown: bool,
     shutting_down: bool,
-    /// How long a key matches retries at most (seconds).
+    /// The longest window of a key (seconds).
     longest_window_s: f64,
 }
 
 impl ListenerOwnership {
-    /// A process that has not looked for a predecessor yet. A key matches retries for `longest_window_s` at most.
+    /// A process that has not looked for a predecessor yet. Keys have a window of `longest_window_s` at most.
     #[must_use]
     pub fn new(longest_window_s: f64) -> ListenerOwnership {
         ListenerOwnership {
             state: State::Waiting(Handshake::default()),
+            predecessor: Predecessor::default(),
             ready_to_serve: false,
-            has_predecessor: false,
-            state_may_come_late: false,
-            predecessor_keys_unknown: false,
             shutting_down: false,
             longest_window_s,
         }
@@ -81,10 +88,11 @@
     /// Whether a link to the predecessor is established.
     #[must_use]
     pub fn has_predecessor(&self) -> bool {
-        self.has_predecessor
+        self.predecessor.is_connected
     }
 
-    /// Takes an event at the loop's clock (seconds); what is to be done is appended in order.
+    /// Handles an event at `now` (loop's clock, seconds), and appends the effects in the order in which they are to be
+    /// carried out.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::NoPredecessor => self.on_no_predecessor(out),
@@ -118,7 +126,7 @@
 
     fn on_predecessor_connected(&mut self, now: f64, out: &mut Vec<Effect>) {
         if self.is_waiting() {
-            self.has_predecessor = true;
+            self.predecessor.is_connected = true;
             let handshake = Handshake { waiting_since: Some(now), ..Handshake::default() };
             self.state = State::Waiting(handshake);
             out.push(Effect::SendHello);
@@ -137,15 +145,16 @@
         }
     }
 
-    /// Only while waiting is the link given up: afterwards its end must mean the end of a process.
+    /// Only a process that waits drops the link to an incompatible predecessor. After the takeover the end of that link has
+    /// to mean the end of the predecessor.
     fn on_incompatible(&mut self, out: &mut Vec<Effect>) {
         if self.is_waiting() {
-            self.predecessor_keys_unknown = true;
+            self.predecessor.keys_unknown = true;
             out.push(Effect::WatchPredecessor);
             out.push(Effect::SetIndeterminateKeys(IndeterminateKeys::All));
             self.become_owner(out);
         } else {
-            self.state_may_come_late = false;
+            self.predecessor.state_may_come_late = false;
         }
     }
 
@@ -154,25 +163,25 @@
             out.push(Effect::ConfirmTakeover);
             out.push(Effect::AdoptState);
             self.become_owner(out);
-        } else if self.state_may_come_late {
-            // The predecessor was too slow to be waited for. What it sends is good all the same.
-            self.state_may_come_late = false;
-            self.predecessor_keys_unknown = false;
+        } else if self.predecessor.state_may_come_late {
+            // The predecessor answered after the timeout; its state is complete all the same.
+            self.predecessor.state_may_come_late = false;
+            self.predecessor.keys_unknown = false;
             out.push(Effect::SetIndeterminateKeys(IndeterminateKeys::None));
             out.push(Effect::AdoptState);
         }
     }
 
     fn on_predecessor_disconnected(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.has_predecessor = false;
+        self.predecessor.is_connected = false;
         if self.is_waiting() {
             out.push(Effect::DiscardState);
             out.push(self.distrust_retries(now));
             self.become_owner(out);
             return;
         }
-        self.state_may_come_late = false;
-        if std::mem::take(&mut self.predecessor_keys_unknown) {
+        self.predecessor.state_may_come_late = false;
+        if std::mem::take(&mut self.predecessor.keys_unknown) {
             out.push(Effect::DiscardState);
             out.push(self.distrust_retries(now));
         }
@@ -202,7 +211,7 @@
                 self.state = State::Owner;
                 out.push(Effect::Reclaim);
             }
-            // The successor ran what nobody here knows of, and has died with it.
+            // The successor has ended, and with it the knowledge of what it ran.
             State::Released if !self.shutting_down => {
                 out.push(self.distrust_retries(now));
                 self.become_owner(out);
@@ -213,9 +222,10 @@
 
     fn on_shutdown_notice(&mut self, out: &mut Vec<Effect>) {
         self.shutting_down = true;
-        // A successor owes no response, and what it was sent it has not acted on: the predecessor reclaims it.
+        // A successor that waits has no pending response and has not acted on what it was sent: the predecessor reclaims
+        // that.
         if let State::Waiting(Handshake { waiting_since: Some(_), .. }) = self.state {
-            self.has_predecessor = false;
+            self.predecessor.is_connected = false;
             self.state = State::Released;
         }
         if self.has_handed_off() {
@@ -231,20 +241,20 @@
         }
     }
 
-    /// The predecessor is there and does not answer. Should it recover, it finds these messages waiting and hands off
-    /// everything without accepting a client.
+    /// Becomes the owner although the predecessor is connected and does not answer. Should it recover, it first receives
+    /// these messages, and so hands off everything before it accepts another client.
     fn take_over_from_silent_predecessor(&mut self, handshake: Handshake, out: &mut Vec<Effect>) {
         if !handshake.listeners_requested {
             out.push(Effect::RequestListeners);
         }
         out.push(Effect::ConfirmTakeover);
         out.push(Effect::SetIndeterminateKeys(IndeterminateKeys::All));
-        self.state_may_come_late = true;
-        self.predecessor_keys_unknown = true;
+        self.predecessor.state_may_come_late = true;
+        self.predecessor.keys_unknown = true;
         self.become_owner(out);
     }
 
-    /// Requests the listeners once, when the predecessor has accepted this process and this process can serve.
+    /// Requests the listeners once the predecessor has accepted this process and this process is ready to serve.
     fn request_listeners(&mut self, now: f64, out: &mut Vec<Effect>) {
         let ready_to_serve = self.ready_to_serve;
         let State::Waiting(handshake) = &mut self.state else { return };
@@ -268,7 +278,7 @@
         matches!(self.state, State::Waiting(_))
     }
 
-    /// A dead process may have run keys that are not known here. Retries of them come within the longest window.
+    /// A process that has ended may have run keys that are not known here. Retries of them arrive within the longest window.
     fn distrust_retries(&self, now: f64) -> Effect {
         Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(now + self.longest_window_s))
     }
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -5,7 +5,7 @@
 use super::peer_link::ReceivedFrame;
 use super::staged_state::{PredecessorState, ReceivedConnection};
 use super::FrontendListener;
-use crate::dispatch::{FingerprintKey, Input, ResourceUsage, Ticket};
+use crate::dispatch::{Input, ResourceUsage, Ticket};
 use crate::hot_restart::frame::{Frame, HandedOffConnection, KeyState, QueuedRequest, Usage};
 use crate::hot_restart::Event;
 use crate::net::frontends::connections::DetachedConnection;
@@ -141,9 +141,8 @@
     }
 
     fn adopt_predecessor_state(&mut self, state: PredecessorState, inputs: &mut Vec<Input>) {
-        let (key_0, key_1) = state.fingerprint_key;
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.succeed(FingerprintKey(key_0, key_1), state.running);
+            dispatcher.succeed(state.fingerprint_key, state.running);
         }
         inputs.push(Input::LearnedState(state.learned));
         // Whoever asked this process for a drain while it waited means it all the same.
@@ -151,9 +150,9 @@
     }
 
     fn set_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
-        let Usage { on_cores, calling, kb, sockets } = usage;
+        let Usage { on_cores, downstream_calls, memory_kb, sockets } = usage;
         self.poll.set_beside(sockets);
-        let usage = ResourceUsage { on_cores, downstream_calls: calling, memory_kb: kb };
+        let usage = ResourceUsage { on_cores, downstream_calls, memory_kb };
         inputs.push(Input::PredecessorUsage(usage));
     }
 
@@ -183,7 +182,7 @@
         let settings = &self.config.settings;
         let known_class = request.class < settings.profiles.len();
         let known_tenant = request.tenant.map_or(true, |tenant| tenant < settings.tenants.len());
-        let numbers = [request.kb, request.arrived_ms, request.due_ms];
+        let numbers = [request.memory_kb, request.arrived_at_ms, request.deadline_ms];
         known_class && known_tenant && numbers.iter().all(|n| n.is_finite() && *n >= 0.0)
     }
 }
--- a/src/net/lifecycle/hot_restart/staged_state.rs
+++ b/src/net/lifecycle/hot_restart/staged_state.rs
@@ -1,6 +1,7 @@
 //! What the predecessor has sent and this process has not acted on yet.
 
 use crate::hot_restart::frame::{HandedOffConnection, KeyOutcome, KeyState, Usage};
+use crate::hot_restart::FingerprintKey;
 use crate::interface::LearnedState;
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
@@ -10,7 +11,7 @@
 
 /// The fields of [`Frame::State`](crate::hot_restart::frame::Frame::State).
 pub(super) struct PredecessorState {
-    pub(super) fingerprint_key: (u64, u64),
+    pub(super) fingerprint_key: FingerprintKey,
     pub(super) draining: bool,
     pub(super) learned: LearnedState,
     pub(super) running: Vec<Rc<str>>,
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -151,7 +151,7 @@
     fn send_handed_off(&mut self, now: f64, handed_off: HandedOff, inputs: &mut Vec<Input>) {
         let zero_unix_ms = loop_zero_unix_ms(&self.clock);
         self.send_to_successor(&Frame::State {
-            fingerprint_key: (handed_off.fingerprint_key.0, handed_off.fingerprint_key.1),
+            fingerprint_key: handed_off.fingerprint_key,
             draining: self.state.draining,
             learned: handed_off.learned,
             running: handed_off.running,
@@ -238,9 +238,9 @@
     /// Tells the successor what this process uses, if that has changed. So many connections are not counted.
     pub(super) fn report_usage(&mut self, uncounted_connections: usize) {
         let Some(dispatcher) = &self.dispatcher else { return };
-        let ResourceUsage { on_cores, downstream_calls: calling, memory_kb: kb } = dispatcher.usage();
+        let ResourceUsage { on_cores, downstream_calls, memory_kb } = dispatcher.usage();
         let sockets = self.poll.used().saturating_sub(uncounted_connections) + OVERHEAD_DESCRIPTORS;
-        let usage = Usage { on_cores, calling, kb, sockets };
+        let usage = Usage { on_cores, downstream_calls, memory_kb, sockets };
         let Some(hot_restart) = &mut self.hot_restart else { return };
         if hot_restart.reported_usage != usage {
             hot_restart.reported_usage = usage;
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -1,8 +1,8 @@
 //! Starts the dispatcher once the executor is up.
 
 use super::Worker;
-use crate::dispatch::{Dispatcher, FingerprintKey, Input};
-use crate::hot_restart::{Event, IndeterminateKeys};
+use crate::dispatch::{Dispatcher, Input};
+use crate::hot_restart::{Event, FingerprintKey, IndeterminateKeys};
 use crate::interface::Settings;
 use crate::net::io::timer_wheel::Timer;
 use crate::net::lifecycle::hot_restart::HotRestart;
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -4,6 +4,7 @@
 
 use common::*;
 use port_worker::hot_restart::frame::{Bytes, Frame, Key, KeyOutcome, KeyState, VERSION};
+use port_worker::hot_restart::FingerprintKey;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::os::fd::AsRawFd;
@@ -563,7 +564,12 @@
     peer.send(&Frame::Welcome);
     assert_eq!(peer.receive(), Frame::RequestListeners);
     let learned = port_worker::interface::LearnedState { runs: 9, ..Default::default() };
-    peer.send(&Frame::State { fingerprint_key: (1, 2), draining: true, learned, running: vec!["r1".into()] });
+    peer.send(&Frame::State {
+        fingerprint_key: FingerprintKey(1, 2),
+        draining: true,
+        learned,
+        running: vec!["r1".into()],
+    });
     let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
     let outcome = KeyOutcome::Served(Some(Bytes(std::rc::Rc::from(*b"placed"))));
     let state =
--- a/tests/stored_forms/hand_off.rs
+++ b/tests/stored_forms/hand_off.rs
@@ -6,6 +6,7 @@
     Bytes, Frame, HandedOffConnection, Key, KeyOutcome, KeyState, QueuedRequest, Usage, HEADER_BYTES,
     MAX_FRAME_BYTES, VERSION,
 };
+use port_worker::hot_restart::FingerprintKey;
 use port_worker::interface::LearnedState;
 
 fn bytes(content: &[u8]) -> Bytes {
@@ -23,9 +24,9 @@
         class: 2,
         tenant: Some(1),
         caller: u64::MAX,
-        kb: 20.5,
-        arrived_ms: 1_700_000_000_000.25,
-        due_ms: 1_700_000_003_400.0,
+        memory_kb: 20.5,
+        arrived_at_ms: 1_700_000_000_000.25,
+        deadline_ms: 1_700_000_003_400.0,
         estimate_s: Some(0.125),
         key: Some("order/17".into()),
         retry: true,
@@ -39,9 +40,9 @@
         class: 0,
         tenant: None,
         caller: 0,
-        kb: 0.0,
-        arrived_ms: 0.0,
-        due_ms: 0.0,
+        memory_kb: 0.0,
+        arrived_at_ms: 0.0,
+        deadline_ms: 0.0,
         estimate_s: None,
         key: None,
         retry: false,
@@ -74,13 +75,13 @@
         Frame::Incompatible { reason: "its version is 2, here it is 1".to_owned() },
         Frame::RequestListeners,
         Frame::State {
-            fingerprint_key: (0, 0),
+            fingerprint_key: FingerprintKey(0, 0),
             draining: false,
             learned: LearnedState::default(),
             running: vec![],
         },
         Frame::State {
-            fingerprint_key: (u64::MAX, 1),
+            fingerprint_key: FingerprintKey(u64::MAX, 1),
             draining: true,
             learned: learned(),
             running: vec!["r-91".into(), "r-92".into()],
@@ -91,7 +92,7 @@
         key_state(Some(0), KeyOutcome::Failed),
         key_state(Some(0), KeyOutcome::NeverRan),
         Frame::Usage(Usage::default()),
-        Frame::Usage(Usage { on_cores: 6, calling: 4, kb: 1024.75, sockets: 311 }),
+        Frame::Usage(Usage { on_cores: 6, downstream_calls: 4, memory_kb: 1024.75, sockets: 311 }),
         Frame::Connection(HandedOffConnection::default()),
         connection_with(Some(request_with_least())),
         connection_with(Some(request_with_all())),
@@ -109,13 +110,13 @@
     vec![
         Frame::Hello { version: 1, name: "n1".to_owned(), classes: vec![], tenants: vec![] },
         Frame::State {
-            fingerprint_key: (1, 2),
+            fingerprint_key: FingerprintKey(1, 2),
             draining: false,
             learned: LearnedState::default(),
             running: vec![],
         },
         key_state(None, KeyOutcome::Open),
-        Frame::Usage(Usage { on_cores: 1, calling: 2, kb: 3.0, sockets: 4 }),
+        Frame::Usage(Usage { on_cores: 1, downstream_calls: 2, memory_kb: 3.0, sockets: 4 }),
         Frame::Connection(HandedOffConnection { queued_request: None, ..connection.clone() }),
         Frame::Connection(connection),
     ]
@@ -185,7 +186,7 @@
 
 #[test]
 fn a_number_that_is_not_finite_is_written_as_null() {
-    let usage = Frame::Usage(Usage { kb: f64::NAN, ..Usage::default() });
+    let usage = Frame::Usage(Usage { memory_kb: f64::NAN, ..Usage::default() });
     let payload = r#"{"Usage":{"on_cores":0,"calling":0,"kb":null,"sockets":0}}"#;
     assert_eq!(hex_of(&usage.encode()), hex_of(&framed(payload, false)));
     assert!(Frame::decode(&framed(payload, false)).is_err());
