--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -3,7 +3,7 @@
 use super::tasks::Schedule;
 use std::net::SocketAddr;
 
-/// What a worker knows of its fleet at the start.
+/// A worker's own configuration of its membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
     /// Name of the fleet.
@@ -21,7 +21,7 @@
     pub computes_totals: bool,
     /// Tasks for which this worker is a candidate.
     pub tasks: Vec<Schedule>,
-    /// Where overload is handled fleet-wide: this worker's own part of the downstream service's capacity (mean number of
+    /// With fleet-wide overload control: this worker's base allocation of the downstream service's capacity (mean number of
     /// calls in flight).
     pub overload: Option<f64>,
 }
--- a/src/fleet/lease_holder.rs
+++ b/src/fleet/lease_holder.rs
@@ -1,4 +1,4 @@
-//! What a worker knows of its leases: until when, on its own clock, nobody else can hold them.
+//! The leases that a worker holds, and until when, on its own clock, nobody else can hold them.
 //!
 //! Guarantee to callers: [`LeaseHolder::may_act`] permits an action only while no other process can hold the lease. A lease
 //! counts from when the heartbeat that requested its renewal was *sent*, less a share of its time to live for clock drift:
@@ -7,23 +7,23 @@
 use super::frame::{LeaseRef, RenewedLease};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most unacknowledged heartbeats that are remembered.
+/// Most unacknowledged heartbeats that are retained.
 const MAX_OUTSTANDING: usize = 64;
 /// Renewals per time to live.
 const RENEWALS_PER_TTL: f64 = 3.0;
 /// Renewal interval of a lease whose time to live is not known yet (seconds).
 const FIRST_RENEWAL_INTERVAL_S: f64 = 0.1;
 
-/// A lease as its holder knows it.
+/// The state of a lease at its holder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HeldLease {
     token: u64,
-    /// `None` until the first renewal: a grant alone does not say since when it counts.
+    /// `None` until the first renewal: a grant does not tell when the coordinators granted the lease.
     valid_until: Option<f64>,
     ttl_s: f64,
 }
 
-/// A heartbeat that has not been acknowledged yet.
+/// A heartbeat whose acknowledgement may still arrive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutstandingHeartbeat {
     /// Its number.
@@ -37,7 +37,7 @@
 /// The leases that a worker holds.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
-    /// The share of a time to live that is not used, for the drift of both clocks together.
+    /// The share of a time to live that is left unused, for the drift of both clocks together.
     drift: f64,
     leases: BTreeMap<String, HeldLease>,
     /// In the order in which they were sent.
@@ -51,7 +51,7 @@
         LeaseHolder { drift, leases: BTreeMap::new(), outstanding: VecDeque::new() }
     }
 
-    /// A lease was granted: it is valid from its first renewal on. One under a lower token is over.
+    /// Adds a lease that was granted; it is valid from its first renewal on, and replaces one under a lower token.
     pub fn granted(&mut self, lease: &LeaseRef) {
         let known_token = self.token(&lease.task).unwrap_or(0);
         if lease.token > known_token {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A heartbeat is sent now: returns the leases whose renewal it has to request.
+    /// Records that a heartbeat is sent now, and returns the leases whose renewal it has to request.
     pub fn heartbeat_sent(&mut self, now: f64, seq: u64) -> Vec<LeaseRef> {
         let leases: Vec<LeaseRef> = self.all().collect();
         self.outstanding.push_back(OutstandingHeartbeat { seq, sent_at: now, leases: leases.clone() });
@@ -70,12 +70,12 @@
         leases
     }
 
-    /// A heartbeat was acknowledged: extends the leases that were renewed, and returns those that are lost.
+    /// Handles the acknowledgement of a heartbeat: extends the leases that were renewed, and returns those that are lost.
     pub fn heartbeat_acked(&mut self, seq: u64, renewed: &[RenewedLease]) -> Vec<LeaseRef> {
         let Some(index) = self.outstanding.iter().position(|heartbeat| heartbeat.seq == seq) else {
             return Vec::new();
         };
-        // Answers to earlier heartbeats say nothing more.
+        // Acknowledgements of earlier heartbeats are superseded by this one.
         self.outstanding.drain(..index);
         let Some(heartbeat) = self.outstanding.pop_front() else { return Vec::new() };
         let mut lost = Vec::new();
@@ -83,12 +83,11 @@
             if self.token(&lease.task) != Some(lease.token) {
                 continue;
             }
-            match renewed.iter().find(|renewal| renewal.lease == lease) {
-                Some(renewal) => self.extend(&lease.task, heartbeat.sent_at, renewal.ttl_ms),
-                None => {
-                    self.leases.remove(&lease.task);
-                    lost.push(lease);
-                }
+            if let Some(renewal) = renewed.iter().find(|renewal| renewal.lease == lease) {
+                self.extend(&lease.task, heartbeat.sent_at, renewal.ttl_ms);
+            } else {
+                self.leases.remove(&lease.task);
+                lost.push(lease);
             }
         }
         lost
@@ -101,7 +100,8 @@
         held.valid_until = Some(held.valid_until.map_or(valid_until, |known| known.max(valid_until)));
     }
 
-    /// The fencing token under which an action that takes up to `duration_s` may begin now.
+    /// The fencing token under which an action of up to `duration_s` seconds may begin now; `None` if the lease is not held
+    /// or expires before the action would end.
     #[must_use]
     pub fn may_act(&self, now: f64, task: &str, duration_s: f64) -> Option<u64> {
         let held = self.leases.get(task)?;
@@ -125,12 +125,14 @@
         self.leases.iter().map(|(task, held)| LeaseRef { task: task.clone(), token: held.token })
     }
 
-    /// Heartbeats whose acknowledgement may still come.
+    /// Heartbeats whose acknowledgement may still arrive.
     pub fn outstanding(&self) -> impl Iterator<Item = &OutstandingHeartbeat> {
         self.outstanding.iter()
     }
 
-    /// The interval at which heartbeats are needed to keep all leases (seconds): a third of the shortest time to live.
+    /// The heartbeat interval that renews all leases in time (seconds): a third of the shortest time to live. `None` without
+    /// leases.
+    #[must_use]
     pub fn renewal_interval_s(&self) -> Option<f64> {
         let interval_s = |held: &HeldLease| {
             if held.ttl_s > 0.0 {
@@ -142,18 +144,18 @@
         self.leases.values().map(interval_s).reduce(f64::min)
     }
 
-    /// The lease is released: the worker does not act under it any more.
+    /// Removes a lease that the worker releases.
     pub fn release(&mut self, task: &str) {
         self.leases.remove(task);
     }
 
-    /// The session is over, and every lease with it.
+    /// Removes every lease, as the session has expired.
     pub fn clear(&mut self) {
         self.leases.clear();
         self.outstanding.clear();
     }
 
-    /// The session goes on over another link: leases stay, acknowledgements on the old link may be lost.
+    /// Handles that the session goes on over another link: leases stay, acknowledgements on the old link may be lost.
     pub fn reconnected(&mut self) {
         self.outstanding.clear();
     }
--- a/src/fleet/member/events.rs
+++ b/src/fleet/member/events.rs
@@ -1,4 +1,4 @@
-//! What a worker's membership reports to operators.
+//! Events of a worker's membership, for operators.
 
 use crate::fleet::frame::{CallOutcome, LeaseRef};
 use std::net::SocketAddr;
@@ -8,30 +8,30 @@
 pub enum MembershipEvent {
     /// A session with the coordinators is established.
     SessionEstablished {
-        /// Number of the session.
+        /// The number of the session.
         session: u64,
         /// The coordinator that it runs over.
         coordinator: Option<SocketAddr>,
     },
     /// The link to the coordinators is lost; the worker goes on serving.
     SessionLinkLost,
-    /// The coordinator does not lead any more: the worker connects to another.
+    /// The coordinator is not the leader: the worker connects to another one.
     CoordinatorNotLeader {
-        /// Why, as the coordinator says.
+        /// The cause, as the coordinator gives it.
         reason: String,
     },
     /// The coordinators have rejected a message.
     MessageRejected {
-        /// Why, as the coordinator says.
+        /// The cause, as the coordinator gives it.
         reason: String,
     },
-    /// This worker holds a lease from now on.
+    /// This worker has been granted a lease.
     LeaseAcquired(LeaseRef),
-    /// A lease has lapsed, or its session has ended.
+    /// A lease has expired, or its session has.
     LeaseLost {
         /// The lease.
         lease: LeaseRef,
-        /// Why.
+        /// The cause.
         cause: LeaseLossCause,
     },
     /// This worker has released a lease.
@@ -45,11 +45,11 @@
     },
 }
 
-/// Why a lease was lost.
+/// The cause of the loss of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseLossCause {
     /// The coordinators did not renew it.
     NotRenewed,
-    /// The session under which it was granted is over.
+    /// The session under which it was granted has expired.
     SessionExpired,
 }
--- a/src/fleet/member/metrics.rs
+++ b/src/fleet/member/metrics.rs
@@ -1,9 +1,9 @@
-//! The membership's state as operators read it at the console.
+//! The membership's metrics, for the operators' console.
 
 use super::FleetMember;
 
 impl FleetMember {
-    /// Names and values, in the order in which they are printed.
+    /// The metrics by name, in the order in which they are printed.
     #[must_use]
     pub fn metrics(&self, now: f64) -> Vec<(String, String)> {
         let is_connected = u64::from(self.is_connected());
@@ -31,7 +31,7 @@
         for task in &self.tasks {
             let name = &task.schedule.name;
             lines.push((format!("fleet.task.{name}.calls"), task.calls.to_string()));
-            lines.push((format!("fleet.task.{name}.unknown"), task.unknown.to_string()));
+            lines.push((format!("fleet.task.{name}.unknown"), task.indeterminate_calls.to_string()));
         }
     }
 
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -2,17 +2,16 @@
 
 use super::{FleetMember, LeaseLossCause, MemberAction, MembershipEvent};
 use crate::fleet::frame::{AgedCounters, ClientMessage, FleetTotals, LeaseRef, RenewedLease, ServerMessage};
-use crate::fleet::overload::client::FleetOverloadClient;
 use crate::fleet::overload::FleetDigest;
-use crate::fleet::tasks::PeriodDecision;
+use crate::fleet::tasks::{BegunPeriod, PeriodDecision};
 use crate::fleet::totals::{sum_counters, ReceivedTotals, TOTALS};
 
-/// Added to the pause that a coordinator asks for (seconds): a request that comes a little early is rejected, and each
-/// period would be requested twice.
+/// Margin that is added to the pause before the next request for a period (seconds). A request that arrives a little early
+/// is rejected, so that without it each period would be requested twice.
 const PERIOD_REQUEST_MARGIN_S: f64 = 0.002;
 
 impl FleetMember {
-    /// Handles a message from the coordinator.
+    /// Handles a message from the coordinator. Messages that do not apply to the current state have no effect.
     pub fn receive(&mut self, now: f64, message: &ServerMessage) {
         let was_established = self.session.is_established();
         let mut link_actions = Vec::new();
@@ -22,7 +21,7 @@
         }
         self.push_link_actions(link_actions);
         match message {
-            ServerMessage::Welcome { session, .. } => self.welcomed(now, *session),
+            ServerMessage::Welcome { session, .. } => self.begin_session(now, *session),
             ServerMessage::NotLeader { reason, .. } if was_established => {
                 self.log(MembershipEvent::CoordinatorNotLeader { reason: reason.clone() });
             }
@@ -35,20 +34,23 @@
                 self.update_totals(now, totals.as_ref());
                 self.compute_totals(now, counters);
             }
-            ServerMessage::LeaseGranted { lease } => self.lease_granted(now, lease),
+            ServerMessage::LeaseGranted { lease } => self.on_lease_granted(now, lease),
             ServerMessage::PeriodBegun { lease, period, attempt } => {
-                self.period_begun(now, lease, *period, *attempt);
+                let begun = BegunPeriod { lease, period: *period, attempt: *attempt };
+                self.begin_period(now, &begun);
             }
-            ServerMessage::PeriodNotBegun { lease, in_ms, .. } => self.period_not_begun(now, lease, *in_ms),
+            ServerMessage::PeriodNotBegun { lease, in_ms, .. } => self.postpone_period(now, lease, *in_ms),
             _ => {}
         }
     }
 
-    fn welcomed(&mut self, now: f64, session: u64) {
+    fn begin_session(&mut self, now: f64, session: u64) {
         let coordinator = self.session.coordinator();
         self.log(MembershipEvent::SessionEstablished { session, coordinator });
         self.leases.reconnected();
-        self.overload.iter_mut().for_each(FleetOverloadClient::reconnected);
+        if let Some(client) = &mut self.overload {
+            client.reconnected();
+        }
         for task in &mut self.tasks {
             self.actions.extend(task.reconnected(now).map(MemberAction::Send));
         }
@@ -78,35 +80,37 @@
         }
     }
 
-    fn lease_granted(&mut self, now: f64, lease: &LeaseRef) {
+    fn on_lease_granted(&mut self, now: f64, lease: &LeaseRef) {
         let is_wanted = self.may_take_tasks() && self.wanted_tasks().contains(&lease.task);
         if is_wanted {
             self.log(MembershipEvent::LeaseAcquired(lease.clone()));
             self.leases.granted(lease);
         } else {
-            // It was requested before the worker began to drain: nobody here will act under it.
+            // The lease was requested before the worker began to drain, which does not act under it any more.
             self.send(ClientMessage::ReleaseLease {
                 lease: lease.clone(),
                 failed: false,
-                pass_on: self.replaced,
+                pass_on: self.is_replaced(),
             });
         }
         self.session.heartbeat_now(now);
     }
 
-    fn period_begun(&mut self, now: f64, lease: &LeaseRef, period: u64, attempt: u64) {
+    fn begin_period(&mut self, now: f64, begun: &BegunPeriod<'_>) {
         if !self.may_take_tasks() {
             return;
         }
-        let Some(task) = self.tasks.iter_mut().find(|task| task.schedule.name == lease.task) else { return };
-        match task.period_begun(now, lease, period, attempt, &self.leases) {
+        let Some(task) = self.tasks.iter_mut().find(|task| task.schedule.name == begun.lease.task) else {
+            return;
+        };
+        match task.period_begun(now, begun, &self.leases) {
             PeriodDecision::Call(call) => self.actions.push(MemberAction::Call(call)),
             PeriodDecision::Report(report) => self.send(report),
             PeriodDecision::Superseded => {}
         }
     }
 
-    fn period_not_begun(&mut self, now: f64, lease: &LeaseRef, pause_ms: u64) {
+    fn postpone_period(&mut self, now: f64, lease: &LeaseRef, pause_ms: u64) {
         if let Some(task) = self.tasks.iter_mut().find(|task| task.schedule.name == lease.task) {
             task.period_not_begun(now, pause_ms as f64 / 1000.0 + PERIOD_REQUEST_MARGIN_S);
         }
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fleet::frame::ServerMessage;
+use crate::fleet::frame::{LeaseRef, ServerMessage};
 use crate::fleet::tasks::Schedule;
 
 fn address(port: u16) -> SocketAddr {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,18 +1,18 @@
 //! A worker's membership in its fleet: the session with the coordinators, leases, scheduled tasks, and fleet-wide overload
 //! control. No I/O here; the clock and random seeds are passed in.
 //!
-//! [`FleetMember`] is the whole of it: it is given the messages on its link and the outcomes of its calls, and returns
-//! [`MemberAction`]s. A worker serves requests the same with and without it: no request waits for anything here.
+//! [`FleetMember`] is the state machine of all this: messages on its link and outcomes of its calls go in,
+//! [`MemberAction`]s come out. No request waits for it, and a worker serves requests the same with and without it.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | [`frame`] | messages and their framing |
 //! | [`session`] | which coordinator to connect to, heartbeats, backoff |
-//! | [`lease_holder`] | until when a lease may be relied on |
+//! | [`lease_holder`] | until when an action may begin under a lease |
 //! | [`tasks`] | scheduled calls under a lease |
 //! | [`overload`] | fleet-wide overload control |
 //!
-//! Without `[fleet]` in an operator's file nothing of it is constructed.
+//! Without `[fleet]` in the operator's file none of it is constructed.
 
 #![warn(missing_docs)]
 
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -1,5 +1,5 @@
-//! A worker's one session with the coordinators: which of them it connects to, when it tries another, and when an
-//! established link is abandoned.
+//! A worker's session with the coordinators: which of them it connects to, when it tries another, and when an established
+//! link is abandoned. All times are on the membership's clock (seconds).
 //!
 //! Guarantees to callers: connection attempts are spread at random, so that a whole fleet that is cut off at the same
 //! moment reconnects over seconds; a leader that does not answer is abandoned; nothing here ever blocks.
@@ -7,13 +7,13 @@
 use super::frame::{ClientMessage, ServerMessage};
 use std::net::SocketAddr;
 
-/// How long it may take to connect and to be welcomed (seconds).
+/// Time within which a link has to be connected and welcomed (seconds).
 pub const HANDSHAKE_TIMEOUT_S: f64 = 2.0;
-/// Backoff before the second attempt (seconds); each is drawn from half to one and a half of its value.
+/// Backoff before the second attempt (seconds). Each backoff is multiplied by a random number from 0.5 to 1.5.
 const INITIAL_BACKOFF_S: f64 = 0.15;
 /// Longest backoff between two attempts (seconds).
 const MAX_BACKOFF_S: f64 = 1.0;
-/// Growth of the backoff from one attempt to the next.
+/// Factor by which the backoff grows from one attempt to the next.
 const BACKOFF_FACTOR: f64 = 1.3;
 /// Period over which a fleet's reconnections are spread after established links were lost (seconds).
 const RECONNECT_SPREAD_S: f64 = 0.4;
@@ -26,7 +26,7 @@
 /// Longest heartbeat interval that is accepted from a coordinator (seconds).
 const MAX_HEARTBEAT_INTERVAL_S: f64 = 60.0;
 
-/// What the session wants done with its link.
+/// What is to be done with the link of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAction {
     /// Connect to this coordinator.
@@ -37,6 +37,7 @@
     Close,
 }
 
+/// State of the link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkState {
     /// The next attempt is due at `until`.
@@ -53,6 +54,7 @@
     /// Index of the coordinator that is connected to, or tried next.
     current: usize,
     state: LinkState,
+    /// The next backoff, before it is randomized (seconds).
     backoff_s: f64,
     /// State of the random generator (xorshift, never zero).
     random_state: u64,
@@ -60,16 +62,18 @@
     pub number: Option<u64>,
     /// Interval at which the coordinators expect heartbeats (seconds).
     pub heartbeat_interval_s: f64,
-    /// Number of the last heartbeat.
-    pub seq: u64,
-    next_heartbeat: f64,
+    /// Sequence number of the last heartbeat.
+    pub last_heartbeat: u64,
+    /// When the next heartbeat is due.
+    next_heartbeat_at: f64,
     /// When the link was last established or lost.
     pub state_since: f64,
+    /// The first message on each link.
     hello: ClientMessage,
 }
 
 impl Session {
-    /// A session that is not connected yet; `hello` is sent on each new link, `seed` varies the backoffs.
+    /// A session that is not connected yet. `hello` is the first message on each link; `seed` varies the backoffs.
     #[must_use]
     pub fn new(now: f64, coordinators: Vec<SocketAddr>, seed: u64, hello: ClientMessage) -> Session {
         let mut session = Session {
@@ -79,8 +83,8 @@
             random_state: seed | 1,
             number: None,
             heartbeat_interval_s: DEFAULT_HEARTBEAT_INTERVAL_S,
-            seq: 0,
-            next_heartbeat: now,
+            last_heartbeat: 0,
+            next_heartbeat_at: now,
             state_since: now,
             hello,
             coordinators,
@@ -111,8 +115,8 @@
         self.coordinators.get(self.current).copied()
     }
 
-    /// Carries out what is due by now. `true` if a heartbeat is: the caller sends it, with the number that
-    /// [`Session::heartbeat_sent`] returns.
+    /// Carries out what is due by now. Returns `true` if a heartbeat is due, which the caller sends with the sequence number
+    /// that [`Session::heartbeat_sent`] returns.
     pub fn tick(&mut self, now: f64, actions: &mut Vec<LinkAction>) -> bool {
         match self.state {
             LinkState::BackingOff { until } => {
@@ -127,7 +131,7 @@
                 }
                 false
             }
-            // A leader that has lost its quorum, or a link that works in one direction only.
+            // The leader may have lost its quorum, or the link works in one direction only.
             LinkState::Established { unanswered_since: Some(since) }
                 if now - since > self.answer_timeout_s() =>
             {
@@ -150,7 +154,7 @@
         self.disconnected(now);
     }
 
-    /// How long an acknowledgement is waited for (seconds).
+    /// Time without an acknowledgement after which the link is abandoned (seconds).
     fn answer_timeout_s(&self) -> f64 {
         MAX_UNANSWERED_INTERVALS * self.heartbeat_interval_s
     }
@@ -158,32 +162,32 @@
     /// Whether a heartbeat is due.
     #[must_use]
     pub fn heartbeat_due(&self, now: f64) -> bool {
-        self.is_established() && now >= self.next_heartbeat
+        self.is_established() && now >= self.next_heartbeat_at
     }
 
-    /// A heartbeat is sent now: returns its number. The next one is due after `interval_s`.
+    /// Records that a heartbeat is sent now, and returns its sequence number. The next one is due after `interval_s`.
     pub fn heartbeat_sent(&mut self, now: f64, interval_s: f64) -> u64 {
-        self.seq += 1;
-        self.next_heartbeat = now + interval_s;
+        self.last_heartbeat += 1;
+        self.next_heartbeat_at = now + interval_s;
         if let LinkState::Established { unanswered_since } = &mut self.state {
             unanswered_since.get_or_insert(now);
         }
-        self.seq
+        self.last_heartbeat
     }
 
     /// Makes the next heartbeat due now.
     pub fn heartbeat_now(&mut self, now: f64) {
-        self.next_heartbeat = now;
+        self.next_heartbeat_at = now;
     }
 
-    /// The link is connected: the hello follows.
+    /// Handles that the link is connected: sends the hello.
     pub fn connected(&mut self, actions: &mut Vec<LinkAction>) {
         if matches!(self.state, LinkState::Handshaking { .. }) {
             actions.push(LinkAction::Send(self.hello.clone()));
         }
     }
 
-    /// The link was lost, or could not be established: the next coordinator is tried after a backoff.
+    /// Handles that the link was lost or could not be established: the next coordinator is tried after a backoff.
     pub fn disconnected(&mut self, now: f64) {
         let mut spread_s = 0.0;
         if self.is_established() {
@@ -203,11 +207,11 @@
         self.state = LinkState::BackingOff { until: now + pause_s };
     }
 
-    /// Handles what a message says of the session itself. `true` if the session before is over.
+    /// Handles the messages that concern the session itself. Returns `true` if the previous session has ended.
     pub fn receive(&mut self, now: f64, message: &ServerMessage, actions: &mut Vec<LinkAction>) -> bool {
         match message {
             ServerMessage::Welcome { session, keep_every_ms, .. } => {
-                self.receive_welcome(now, *session, *keep_every_ms)
+                self.receive_welcome(now, *session, *keep_every_ms as f64 / 1000.0)
             }
             ServerMessage::HeartbeatAck { seq, .. } => {
                 self.receive_heartbeat_ack(now, *seq);
@@ -232,27 +236,27 @@
         }
     }
 
-    /// `true` if this is another session than before.
-    fn receive_welcome(&mut self, now: f64, session: u64, heartbeat_interval_ms: u64) -> bool {
+    /// Returns `true` if this is another session than before.
+    fn receive_welcome(&mut self, now: f64, session: u64, heartbeat_interval_s: f64) -> bool {
         let is_new = self.number != Some(session);
-        let interval_s = heartbeat_interval_ms as f64 / 1000.0;
         self.number = Some(session);
-        self.heartbeat_interval_s = interval_s.clamp(MIN_HEARTBEAT_INTERVAL_S, MAX_HEARTBEAT_INTERVAL_S);
+        self.heartbeat_interval_s =
+            heartbeat_interval_s.clamp(MIN_HEARTBEAT_INTERVAL_S, MAX_HEARTBEAT_INTERVAL_S);
         self.state = LinkState::Established { unanswered_since: None };
         self.backoff_s = INITIAL_BACKOFF_S;
         self.state_since = now;
-        self.next_heartbeat = now;
+        self.next_heartbeat_at = now;
         is_new
     }
 
     fn receive_heartbeat_ack(&mut self, now: f64, seq: u64) {
         if let LinkState::Established { unanswered_since } = &mut self.state {
-            // Earlier heartbeats are answered by this one as well, or never will be.
-            *unanswered_since = (seq < self.seq).then_some(now);
+            // This acknowledgement covers earlier heartbeats, whose own may have been lost.
+            *unanswered_since = (seq < self.last_heartbeat).then_some(now);
         }
     }
 
-    /// Tries the leader next that a coordinator has named, if it is one of the configured ones.
+    /// Makes the leader that a coordinator has named the next one to connect to, if it is configured.
     fn follow_leader(&mut self, leader: Option<&str>) {
         let address = leader.and_then(|l| l.parse::<SocketAddr>().ok());
         let index = address.and_then(|a| self.coordinators.iter().position(|c| *c == a));
@@ -261,7 +265,7 @@
         }
     }
 
-    /// When something is due next.
+    /// When the next tick is due.
     #[must_use]
     pub fn next_wakeup(&self) -> f64 {
         match self.state {
@@ -269,7 +273,7 @@
             LinkState::Handshaking { since } => since + HANDSHAKE_TIMEOUT_S,
             LinkState::Established { unanswered_since } => {
                 let timeout = unanswered_since.map(|since| since + self.answer_timeout_s());
-                timeout.unwrap_or(f64::INFINITY).min(self.next_heartbeat)
+                timeout.unwrap_or(f64::INFINITY).min(self.next_heartbeat_at)
             }
         }
     }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -1,5 +1,5 @@
-//! Scheduled calls: when the holder of a task's lease requests the next period, makes its call, and how it handles the
-//! outcome.
+//! Scheduled calls: when the holder of a task's lease requests the next period and makes its call, and how it handles the
+//! outcome. All times are on the membership's clock (seconds).
 //!
 //! Guarantees to callers: a call is made only under a lease that lasts longer than the call may take, and only after the
 //! beginning of its period has been committed to the coordinators' log; a call that is not idempotent is made at most once
@@ -9,9 +9,9 @@
 use super::lease_holder::LeaseHolder;
 use std::net::SocketAddr;
 
-/// How long the answer to a request for a period is waited for before the request is repeated (seconds).
+/// Time without an answer after which a request for a period is repeated (seconds).
 const REQUEST_TIMEOUT_S: f64 = 1.5;
-/// Calls that may fail in a row before the holder releases its lease.
+/// Consecutive failed calls after which the holder releases its lease.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// Pause after a call before the next request for a period (seconds).
 const RETRY_PAUSE_S: f64 = 0.5;
@@ -29,7 +29,7 @@
     pub path: String,
     /// How long a call may take (seconds).
     pub deadline_s: f64,
-    /// Whether the call may be made twice in a period.
+    /// Whether the call may be repeated within a period.
     pub idempotent: bool,
 }
 
@@ -44,14 +44,25 @@
     pub period: u64,
 }
 
-/// What follows from the beginning of a period.
+/// The coordinators' answer to a request for a period: it has begun.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct BegunPeriod<'a> {
+    /// The lease under which it was requested.
+    pub lease: &'a LeaseRef,
+    /// Number of the period.
+    pub period: u64,
+    /// Number of the request that this answers.
+    pub attempt: u64,
+}
+
+/// What a worker does once a period has begun.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeriodDecision {
     /// The call is to be made.
     Call(ScheduledCall),
-    /// No time is left for the call under this lease: the coordinators are told that it certainly had no effect.
+    /// No time is left for the call under this lease: the report says that the call was not made.
     Report(ClientMessage),
-    /// A repeated answer, or one to an earlier request: nothing is to be done.
+    /// The answer is a duplicate, or one to an earlier request: nothing is to be done.
     Superseded,
 }
 
@@ -61,7 +72,7 @@
     Idle { until: f64 },
     /// A period was requested.
     Requested { at: f64 },
-    /// The call of a period is being made.
+    /// The call of a period is in flight.
     Calling(ScheduledCall),
 }
 
@@ -79,11 +90,11 @@
     /// Calls made.
     pub calls: u64,
     /// Calls whose outcome is indeterminate.
-    pub unknown: u64,
+    pub indeterminate_calls: u64,
 }
 
 impl ScheduledTask {
-    /// A task at rest; `index` identifies it in [`ScheduledCall::task`].
+    /// A task without a request in flight; `index` identifies it in [`ScheduledCall::task`].
     #[must_use]
     pub fn new(index: usize, schedule: Schedule) -> ScheduledTask {
         ScheduledTask {
@@ -94,17 +105,17 @@
             consecutive_failures: 0,
             unconfirmed_outcome: None,
             calls: 0,
-            unknown: 0,
+            indeterminate_calls: 0,
         }
     }
 
-    /// Whether a call is being made.
+    /// Whether a call is in flight.
     #[must_use]
     pub fn is_calling(&self) -> bool {
         matches!(self.state, TaskState::Calling(_))
     }
 
-    /// Whether the holder should release the lease since too many calls have failed. The count begins anew then.
+    /// Whether the holder should release the lease because too many calls have failed. If so, the count is reset.
     pub fn take_failure_limit_reached(&mut self) -> bool {
         let is_reached = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && !self.is_calling();
         if is_reached {
@@ -113,7 +124,7 @@
         is_reached
     }
 
-    /// The token under which a call may be made now.
+    /// The fencing token under which a call may be made now.
     fn token(&self, now: f64, leases: &LeaseHolder) -> Option<u64> {
         leases.may_act(now, &self.schedule.name, self.schedule.deadline_s)
     }
@@ -141,7 +152,7 @@
         })
     }
 
-    /// When something is due next.
+    /// When the next tick is due.
     #[must_use]
     pub fn next_wakeup(&self) -> f64 {
         match self.state {
@@ -151,15 +162,14 @@
         }
     }
 
-    /// The period has begun: the call follows, if there is still time for it under this lease.
+    /// Handles that a period has begun: its call is made if the lease outlasts it.
     pub fn period_begun(
         &mut self,
         now: f64,
-        lease: &LeaseRef,
-        period: u64,
-        attempt: u64,
+        begun: &BegunPeriod<'_>,
         leases: &LeaseHolder,
     ) -> PeriodDecision {
+        let BegunPeriod { lease, period, attempt } = *begun;
         let is_awaited = matches!(self.state, TaskState::Requested { .. }) && attempt == self.attempt;
         if !is_awaited {
             return PeriodDecision::Superseded;
@@ -174,7 +184,7 @@
         PeriodDecision::Report(self.report_outcome(lease.clone(), period, CallOutcome::NotDone))
     }
 
-    /// The period has not begun: the next request is due after `pause_s`.
+    /// Handles that a period has not begun: the next request is due after `pause_s`.
     pub fn period_not_begun(&mut self, now: f64, pause_s: f64) {
         if matches!(self.state, TaskState::Requested { .. }) {
             self.unconfirmed_outcome = None;
@@ -182,7 +192,7 @@
         }
     }
 
-    /// The call has ended: returns the report for the coordinators.
+    /// Handles the end of the call, and returns the report for the coordinators; `None` if no call was in flight.
     pub fn call_ended(&mut self, now: f64, outcome: CallOutcome) -> Option<ClientMessage> {
         let idle = TaskState::Idle { until: now + RETRY_PAUSE_S };
         let TaskState::Calling(call) = std::mem::replace(&mut self.state, idle) else { return None };
@@ -190,7 +200,7 @@
             CallOutcome::Done => self.consecutive_failures = 0,
             CallOutcome::NotDone | CallOutcome::Unknown => self.consecutive_failures += 1,
         }
-        self.unknown += u64::from(outcome == CallOutcome::Unknown);
+        self.indeterminate_calls += u64::from(outcome == CallOutcome::Unknown);
         Some(self.report_outcome(call.lease, call.period, outcome))
     }
 
@@ -200,8 +210,8 @@
         report
     }
 
-    /// The session goes on over another link: returns the report that may have been lost with the old one. It has no effect
-    /// where it was not.
+    /// Handles that the session goes on over another link: returns the report that may have been lost with the old one.
+    /// Coordinators ignore a report that they have received before.
     pub fn reconnected(&mut self, now: f64) -> Option<ClientMessage> {
         if matches!(self.state, TaskState::Requested { .. }) {
             self.state = TaskState::Requested { at: now - REQUEST_TIMEOUT_S };
--- a/src/fleet/tasks/tests.rs
+++ b/src/fleet/tasks/tests.rs
@@ -10,6 +10,10 @@
     LeaseRef { task: "t".into(), token }
 }
 
+fn begun(lease: &LeaseRef, period: u64, attempt: u64) -> BegunPeriod<'_> {
+    BegunPeriod { lease, period, attempt }
+}
+
 /// A holder whose lease was renewed with a heartbeat sent at `at`.
 fn holding(at: f64) -> LeaseHolder {
     let mut holder = LeaseHolder::new(0.1);
@@ -26,7 +30,7 @@
     assert_eq!(task.tick(2.3, &holder), None);
     assert!(matches!(task.tick(1.0, &holder), Some(ClientMessage::BeginPeriod { attempt: 1, .. })));
     // The answer comes too late for the call: the period is reported as not done.
-    let decision = task.period_begun(2.3, &held(1), 4, 1, &holder);
+    let decision = task.period_begun(2.3, &begun(&held(1), 4, 1), &holder);
     assert_eq!(
         decision,
         PeriodDecision::Report(ClientMessage::EndPeriod {
@@ -44,9 +48,9 @@
     let first = task.tick(0.1, &holder);
     assert_eq!(task.tick(0.2, &holder), None);
     assert_eq!(task.tick(1.7, &holder), first);
-    assert!(matches!(task.period_begun(1.8, &held(1), 1, 1, &holder), PeriodDecision::Call(_)));
+    assert!(matches!(task.period_begun(1.8, &begun(&held(1), 1, 1), &holder), PeriodDecision::Call(_)));
     assert_eq!(
-        task.period_begun(1.8, &held(1), 1, 1, &holder),
+        task.period_begun(1.8, &begun(&held(1), 1, 1), &holder),
         PeriodDecision::Superseded,
         "a repeated answer"
     );
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn three_failures_in_a_row_reach_the_limit_once() {
+fn three_consecutive_failures_reach_the_failure_limit_once() {
     let mut task = ScheduledTask::new(0, schedule(true));
     for n in 1..=3u32 {
         let now = f64::from(n) * 2.0;
@@ -63,7 +67,7 @@
         assert!(!task.take_failure_limit_reached());
         assert!(task.tick(now, &holder).is_some());
         assert!(matches!(
-            task.period_begun(now, &held(1), 1, u64::from(n), &holder),
+            task.period_begun(now, &begun(&held(1), 1, u64::from(n)), &holder),
             PeriodDecision::Call(_)
         ));
         task.call_ended(now, CallOutcome::NotDone);
--- a/src/fleet/totals.rs
+++ b/src/fleet/totals.rs
@@ -1,4 +1,4 @@
-//! The counters of the whole fleet, summed up by whoever holds the lease on [`TOTALS`].
+//! The fleet's totals: the sum of all workers' counters, computed by the worker that holds the lease on [`TOTALS`].
 
 use super::frame::{AgedCounters, Counters, FleetTotals};
 
@@ -8,12 +8,13 @@
 /// Totals as the coordinators sent them.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReceivedTotals {
-    pub totals: FleetTotals,
-    pub received_at: f64,
+    pub(super) totals: FleetTotals,
+    /// On the membership's clock (seconds).
+    pub(super) received_at: f64,
 }
 
-/// Sums up all workers' counters; each comes with its age (milliseconds). The sum is as old as the oldest of them, and
-/// saturates: no value that one worker sends can make it overflow.
+/// Sums up all workers' counters. The totals are as old as the oldest counters. Sums saturate, so that no value that one
+/// worker sends makes them overflow.
 pub(super) fn sum_counters(computed_by: &str, workers: &[AgedCounters]) -> FleetTotals {
     let mut counts = Counters::new();
     for worker in workers {
