--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,3 +1,8 @@
+#![expect(
+    clippy::float_cmp,
+    reason = "these values are exact: sums of binary fractions, or values passed through"
+)]
+
 use super::*;
 
 pub const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","executor":"127.0.0.1:1","registry":"127.0.0.1:2",
--- a/src/fleet/overload/capacity_leases/client.rs
+++ b/src/fleet/overload/capacity_leases/client.rs
@@ -1,9 +1,10 @@
-//! The worker's side: how many calls it may have in flight.
+//! The worker's side: its loans, its slice, and how many calls it may have in flight. Times are on the worker's clock
+//! (seconds).
 
-use super::{round_down, Loan, LOAN_S, MAX_OUTSTANDING, SLICE_S, UNLENDABLE_SHARE};
+use super::{round_down, Loan, SliceGrant, LOAN_S, MAX_OUTSTANDING, SLICE_S, UNLENDABLE_SHARE};
 use std::collections::VecDeque;
 
-/// A report that may still be answered.
+/// A report whose answer may still arrive.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingReport {
     number: u64,
@@ -13,25 +14,25 @@
 /// The capacity part of a report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanOffer {
-    /// Calls in flight that the worker lends.
-    pub lends: f64,
-    /// Number of the last digest that it has received.
+    /// The part of its base allocation that the worker lends (calls in flight).
+    pub lent_calls: f64,
+    /// Number of the last digest that it has received; 0 for none.
     pub last_digest: u64,
 }
 
-/// What a worker has lent and borrowed now (calls in flight).
+/// A worker's loan and slice that are valid now (calls in flight).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CurrentCapacity {
-    /// What it has lent.
+    /// The part of its base allocation that it has lent.
     pub lent: f64,
-    /// The slice that it has been granted.
+    /// The slice that it may use.
     pub slice: f64,
 }
 
-/// One worker's loans and slice.
+/// A worker's loans and its slice.
 #[derive(Clone, Debug)]
 pub struct CapacityClient {
-    /// Its base allocation.
+    /// Its base allocation (calls in flight).
     base_calls: f64,
     drift: f64,
     loans: VecDeque<Loan>,
@@ -43,11 +44,11 @@
 }
 
 impl CapacityClient {
-    /// A process that starts now; `base_calls` is its base allocation (mean calls in flight), `drift` the share by which
-    /// clocks may differ.
+    /// For a process that starts now. `base_calls` is its base allocation (mean calls in flight), `drift` the share by which
+    /// clocks may drift apart.
     #[must_use]
     pub fn new(now: f64, base_calls: f64, drift: f64) -> CapacityClient {
-        // The process before it may have lent so much.
+        // The previous process of this worker may have lent this much.
         let earlier_loan =
             Loan { amount: base_calls * (1.0 - UNLENDABLE_SHARE), until: now + LOAN_S / (1.0 - drift) };
         CapacityClient {
@@ -61,40 +62,41 @@
         }
     }
 
-    /// A report is sent now: what it lends of the `spare` calls that it does not need.
+    /// Records that a report is sent now, and returns its capacity part: what the worker lends of the `spare` calls that it
+    /// does not need.
     pub fn report(&mut self, now: f64, number: u64, spare: f64) -> LoanOffer {
         self.loans.retain(|loan| loan.until > now);
         self.outstanding.push_back(OutstandingReport { number, sent_at: now });
         if self.outstanding.len() > MAX_OUTSTANDING {
             self.outstanding.pop_front();
         }
-        let lends = self.lendable(spare);
-        if lends > 0.0 {
-            self.loans.push_back(Loan { amount: lends, until: now + LOAN_S / (1.0 - self.drift) });
+        let lent_calls = self.lendable(spare);
+        if lent_calls > 0.0 {
+            self.loans.push_back(Loan { amount: lent_calls, until: now + LOAN_S / (1.0 - self.drift) });
         }
-        LoanOffer { lends, last_digest: self.last_digest }
+        LoanOffer { lent_calls, last_digest: self.last_digest }
     }
 
     fn lendable(&self, spare: f64) -> f64 {
-        // Without a digest to count it from, the leader could not use the loan.
+        // The leader counts a loan from a digest, and could not use one without.
         if self.last_digest == 0 {
             return 0.0;
         }
         round_down(spare.min(self.base_calls * (1.0 - UNLENDABLE_SHARE)))
     }
 
-    /// A report was answered by this digest, with this slice.
-    pub fn receive(&mut self, report: u64, digest: u64, slice: f64) {
+    /// Handles the digest that answers the report of this number.
+    pub fn receive(&mut self, report: u64, grant: SliceGrant) {
         let Some(index) = self.outstanding.iter().position(|sent| sent.number == report) else { return };
         self.outstanding.drain(..index);
         let Some(answered) = self.outstanding.pop_front() else { return };
-        self.last_digest = digest;
-        self.slice = slice;
+        self.last_digest = grant.digest;
+        self.slice = grant.slice;
         self.slice_until = answered.sent_at + SLICE_S * (1.0 - self.drift);
     }
 
-    /// The session goes on over another link: digests are numbered anew, and messages on the old link are lost. The slice
-    /// ends, since the next one may come from another leader; loans stay as they were promised.
+    /// Handles that the session goes on over another link: digests are numbered anew, and messages on the old link are lost.
+    /// The slice ends, since the next one may come from another leader; loans last as long as promised.
     pub fn reconnected(&mut self) {
         self.outstanding.clear();
         self.last_digest = 0;
@@ -102,7 +104,8 @@
         self.slice_until = f64::NEG_INFINITY;
     }
 
-    /// What it has lent, and the slice that it may use now.
+    /// The loan and the slice that are valid now.
+    #[must_use]
     pub fn current(&self, now: f64) -> CurrentCapacity {
         let loans = self.loans.iter().filter(|loan| loan.until > now);
         let lent = loans.map(|loan| loan.amount).fold(0.0, f64::max);
@@ -110,7 +113,7 @@
         CurrentCapacity { lent, slice }
     }
 
-    /// The most calls that it may have in flight now.
+    /// The most calls that the worker may have in flight now.
     #[must_use]
     pub fn max_in_flight(&self, now: f64) -> f64 {
         let current = self.current(now);
--- a/src/fleet/overload/capacity_leases/server.rs
+++ b/src/fleet/overload/capacity_leases/server.rs
@@ -1,33 +1,33 @@
-//! The leader's side: it counts loans, and grants slices of what is lent.
+//! The leader's side: counts loans, and grants slices of them. Times are on the leader's clock (seconds).
 
 use super::{round_down, CapacityReport, Loan, LOAN_S, MAX_OUTSTANDING, SLICE_S, UNLENDABLE_SHARE};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A holder that has been silent for so long is removed (seconds): its loans and slices have long expired.
-const FORGET_AFTER_S: f64 = 10.0;
-/// How long computed fair shares stay in use (seconds): each worker reports twice a second.
+/// Time without a report after which a worker is removed (seconds): its loans and slices have expired long before.
+const REMOVE_AFTER_S: f64 = 10.0;
+/// How long computed fair shares are used (seconds): a fraction of the interval of reports.
 const FAIR_SHARES_VALID_S: f64 = 0.1;
-/// Weights below this count as this.
+/// The least weight; lower ones are raised to it.
 const MIN_WEIGHT: f64 = 1e-3;
 
-/// A digest of which the worker may say that it has received it.
+/// A digest that the worker may acknowledge in its next reports.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentDigest {
     pub(super) number: u64,
     sent_at: f64,
 }
 
-/// A slice that its holder may go by.
+/// A slice that its holder may use.
 #[derive(Clone, Copy, Debug)]
 struct GrantedSlice {
     /// Number of the digest that carried it.
     digest: u64,
     amount: f64,
-    /// When it has certainly expired.
+    /// When it has expired at its holder, however late that received it.
     until: f64,
 }
 
-/// What the leader knows of one worker.
+/// One worker's loans, slices and demand, as the leader knows them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CapacityHolder {
     last_digest: u64,
@@ -35,30 +35,30 @@
     pub(super) sent_digests: VecDeque<SentDigest>,
     loans: Vec<Loan>,
     granted: Vec<GrantedSlice>,
-    wants: f64,
+    wanted_calls: f64,
     weight: f64,
     last_report_at: f64,
 }
 
 impl CapacityHolder {
-    /// What it has certainly lent until then.
+    /// The capacity that the worker lends at least until that time.
     fn lent(&self, until: f64) -> f64 {
         let loans = self.loans.iter().filter(|loan| loan.until >= until);
         loans.map(|loan| loan.amount).fold(0.0, f64::max)
     }
 
-    /// The largest slice that it may go by now.
+    /// The largest slice that the worker may be using now.
     fn largest_slice(&self, now: f64) -> f64 {
         let slices = self.granted.iter().filter(|slice| slice.until > now);
         slices.map(|slice| slice.amount).fold(0.0, f64::max)
     }
 }
 
-/// What a worker wants of the lent capacity.
+/// A worker's demand for lent capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Demand {
     pub(super) worker: u64,
-    pub(super) wants: f64,
+    pub(super) wanted_calls: f64,
     pub(super) weight: f64,
 }
 
@@ -90,9 +90,9 @@
 /// Grants slices of lent capacity, for one term of a leader.
 #[derive(Clone, Debug)]
 pub struct CapacityLeaseServer {
-    /// The most that one worker can lend.
+    /// The most that one worker can lend (calls in flight).
     max_loan: f64,
-    /// Slices of the leader before may be in use until then.
+    /// Until then slices of the previous leader may be in use, and none is granted.
     grants_from: f64,
     pub(super) holders: BTreeMap<u64, CapacityHolder>,
     fair_shares: FairShares,
@@ -105,7 +105,7 @@
         CapacityLeaseServer::granting_from(now + SLICE_S, base_calls)
     }
 
-    /// One that grants from a given time on: tests show that [`CapacityLeaseServer::new`] has to wait.
+    /// A server that grants from a given time on. Tests show with it that [`CapacityLeaseServer::new`] has to wait.
     #[must_use]
     pub fn granting_from(grants_from: f64, base_calls: f64) -> CapacityLeaseServer {
         CapacityLeaseServer {
@@ -116,24 +116,25 @@
         }
     }
 
-    /// A worker's report has arrived.
+    /// Handles a worker's report.
     pub fn receive_report(&mut self, now: f64, worker: u64, report: CapacityReport) {
         let holder = self.holders.entry(worker).or_default();
         holder.last_report_at = now;
-        holder.wants = report.wants;
+        holder.wanted_calls = report.wanted_calls;
         holder.weight = report.weight;
-        // It goes by this digest or a later one: slices before it are not in use any more.
+        // The worker applies this digest or a later one, so that slices of earlier ones are not in use any more.
         holder.granted.retain(|slice| slice.digest >= report.last_digest && slice.until > now);
         holder.loans.retain(|loan| loan.until > now);
         let last_digest = holder.sent_digests.iter().find(|digest| digest.number == report.last_digest);
-        if let Some(digest) = last_digest.filter(|_| report.lends > 0.0) {
-            let amount = report.lends.min(self.max_loan);
+        if let Some(digest) = last_digest.filter(|_| report.lent_calls > 0.0) {
+            let amount = report.lent_calls.min(self.max_loan);
             holder.loans.push(Loan { amount, until: digest.sent_at + LOAN_S });
         }
         holder.sent_digests.retain(|digest| digest.number >= report.last_digest);
     }
 
-    /// The next digest for a worker goes out now, in answer to a report that arrived at `report_received_at`.
+    /// Grants the slice of the digest that is sent to a worker now, as the answer to a report that arrived at
+    /// `report_received_at`.
     pub fn grant(&mut self, now: f64, report_received_at: f64, worker: u64) -> SliceGrant {
         self.refresh_fair_shares(now);
         let lent = self.lent(now + SLICE_S);
@@ -148,7 +149,7 @@
             holder.sent_digests.pop_front();
         }
         let until = report_received_at + SLICE_S;
-        // One that lends has no use for more.
+        // A worker that lends has no need of a slice.
         let may_grant = now >= self.grants_from && until > now && holder.lent(now) == 0.0;
         let slice = if may_grant { round_down(fair_share.min(lent - granted_to_others)) } else { 0.0 };
         if slice > 0.0 {
@@ -157,7 +158,7 @@
         SliceGrant { digest, slice }
     }
 
-    /// What all workers have certainly lent until then.
+    /// The capacity that all workers together lend at least until that time.
     fn lent(&self, until: f64) -> f64 {
         self.holders.values().map(|holder| holder.lent(until)).sum()
     }
@@ -166,19 +167,19 @@
         if now - self.fair_shares.computed_at < FAIR_SHARES_VALID_S {
             return;
         }
-        self.holders.retain(|_, holder| now - holder.last_report_at < FORGET_AFTER_S);
+        self.holders.retain(|_, holder| now - holder.last_report_at < REMOVE_AFTER_S);
         let lent = self.lent(now + SLICE_S);
         let demand = |(worker, holder): (&u64, &CapacityHolder)| Demand {
             worker: *worker,
-            wants: holder.wants,
+            wanted_calls: holder.wanted_calls,
             weight: holder.weight.max(MIN_WEIGHT),
         };
         let demands: Vec<Demand> =
-            self.holders.iter().map(demand).filter(|demand| demand.wants > 0.0).collect();
+            self.holders.iter().map(demand).filter(|demand| demand.wanted_calls > 0.0).collect();
         self.fair_shares = FairShares { computed_at: now, by_worker: divide(lent, demands) };
     }
 
-    /// What is lent and granted now.
+    /// The sums of valid loans and slices.
     #[must_use]
     pub fn totals(&self, now: f64) -> CapacityTotals {
         CapacityTotals {
@@ -188,16 +189,15 @@
     }
 }
 
-/// Divides an amount by weighted max-min fairness (water-filling): each gets what it wants, or as much as its weight is
-/// against the others'.
+/// Divides an amount by weighted max-min fairness (water-filling): each worker gets its demand, or its share by weight.
 pub(super) fn divide(mut amount: f64, mut demands: Vec<Demand>) -> BTreeMap<u64, f64> {
-    // Whoever wants least for its weight is satisfied first; what it leaves goes to the rest.
-    demands.sort_by(|a, b| (a.wants / a.weight).total_cmp(&(b.wants / b.weight)));
+    // The smallest demand for its weight is satisfied first; what it leaves of its share goes to the others.
+    demands.sort_by(|a, b| (a.wanted_calls / a.weight).total_cmp(&(b.wanted_calls / b.weight)));
     let mut weights: f64 = demands.iter().map(|demand| demand.weight).sum();
     let mut shares = BTreeMap::new();
     for demand in demands {
         let by_weight = amount * demand.weight / weights.max(1e-9);
-        let share = demand.wants.min(by_weight).max(0.0);
+        let share = demand.wanted_calls.min(by_weight).max(0.0);
         amount -= share;
         weights -= demand.weight;
         shares.insert(demand.worker, share);
--- a/src/fleet/overload/capacity_leases/tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -1,3 +1,8 @@
+#![expect(
+    clippy::float_cmp,
+    reason = "these values are exact: sums of binary fractions, or values passed through"
+)]
+
 use super::server::{divide, Demand};
 use super::*;
 use proptest::prelude::*;
@@ -61,8 +66,8 @@
 fn report_of(offer: LoanOffer, spare: f64) -> CapacityReport {
     CapacityReport {
         last_digest: offer.last_digest,
-        lends: offer.lends,
-        wants: (-spare).max(0.0),
+        lent_calls: offer.lent_calls,
+        wanted_calls: (-spare).max(0.0),
         weight: 1.0,
     }
 }
@@ -136,7 +141,7 @@
             Step::Deliver(w) => {
                 let worker = &mut workers[w];
                 if let Some((number, grant)) = worker.down.pop_front() {
-                    worker.client.receive(number, grant.digest, grant.slice);
+                    worker.client.receive(number, grant);
                 }
             }
             Step::Reconnect(w) | Step::Restart(w) => {
@@ -242,7 +247,7 @@
         }
         for (w, client) in clients.iter_mut().enumerate() {
             let grant = server.grant(now, now, w as u64);
-            client.receive(number, grant.digest, grant.slice);
+            client.receive(number, grant);
         }
         [clients[0].max_in_flight(now), clients[1].max_in_flight(now)]
     };
@@ -265,7 +270,7 @@
 
 #[test]
 fn shares_go_by_weight_and_never_exceed_what_is_wanted() {
-    let demand = |worker, wants, weight| Demand { worker, wants, weight };
+    let demand = |worker, wanted_calls, weight| Demand { worker, wanted_calls, weight };
     let shares = divide(6.0, vec![demand(1, 1.0, 5.0), demand(2, 9.0, 2.0), demand(3, 9.0, 3.0)]);
     assert_eq!(shares.into_iter().collect::<Vec<_>>(), [(1, 1.0), (2, 2.0), (3, 3.0)]);
     assert!(divide(6.0, Vec::new()).is_empty());
@@ -275,9 +280,13 @@
 fn false_reports_lend_no_more_than_a_quarter_and_get_no_more_than_is_lent() {
     let mut server = CapacityLeaseServer::new(0.0, BASE_CALLS);
     for now in [1.0, 1.5] {
-        for (worker, lends, wants) in [(1, 1e6, 0.0), (2, 0.0, 1e6)] {
-            let last_digest = if now > 1.0 { 1 } else { 0 };
-            server.receive_report(now, worker, CapacityReport { last_digest, lends, wants, weight: 1e6 });
+        for (worker, lent_calls, wanted_calls) in [(1, 1e6, 0.0), (2, 0.0, 1e6)] {
+            let last_digest = u64::from(now > 1.0);
+            server.receive_report(
+                now,
+                worker,
+                CapacityReport { last_digest, lent_calls, wanted_calls, weight: 1e6 },
+            );
             server.grant(now, now, worker);
         }
     }
--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -1,26 +1,26 @@
-//! A worker's side of the protocol, beside its session: what it reports, and how long it may go by the answers.
+//! A worker's side of the protocol: its load reports, the digests that answer them, and how long those are valid.
 
-use super::capacity_leases::{CapacityClient, SLICE_S};
+use super::capacity_leases::{CapacityClient, SliceGrant, SLICE_S};
 use super::service::DIGEST_VALID_S;
 use super::{FleetDigest, LoadReport};
 
-/// Most unanswered reports that are remembered.
+/// Most unanswered reports that are retained.
 const MAX_OUTSTANDING: usize = 8;
-/// Decimal places that are kept beyond the first significant one: enough for every decision, and a short report.
+/// Digits that are sent of each value beyond the first significant one: enough for every decision, in a short report.
 const REPORT_DIGITS: i32 = 3;
-/// Smaller values are rounded as this one is.
+/// Values below this are rounded to the digits of this one.
 const MIN_ROUNDED: f64 = 1e-6;
 
-/// What the worker's decision module has counted since the last sample. Rates are as in [`LoadReport`].
+/// A worker's load since the last sample, as its admission control has counted it. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSample {
     /// First attempts by tier.
     pub arrivals: Vec<f64>,
     /// Retries of all tiers.
     pub retries: f64,
-    /// First attempts that its own admission control rejected.
+    /// First attempts that this worker rejected by itself.
     pub rejected: f64,
-    /// Requests that it could complete.
+    /// Requests that this worker can complete.
     pub capacity: f64,
     /// Downstream calls that succeeded.
     pub calls_succeeded: f64,
@@ -28,35 +28,35 @@
     pub calls_failed: f64,
     /// Mean duration of downstream calls that succeeded (seconds).
     pub call_s: f64,
-    /// Calls in flight that it would make beyond its capacity.
-    pub wants: f64,
+    /// Downstream calls that wait for capacity (calls in flight).
+    pub wanted_calls: f64,
     /// Mean priority weight of those calls.
     pub weight: f64,
-    /// Calls in flight of its base allocation that it does not need.
-    pub spare: f64,
+    /// The part of its base allocation that it does not need (calls in flight).
+    pub spare_calls: f64,
 }
 
-/// What the decision module goes by. Times are on the clock of whoever is told.
+/// What a worker's admission control applies of the fleet's decisions. Times are on the clock of the receiver (seconds).
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverloadDirective {
     /// The latest digest, with the slice that is valid now.
     pub digest: FleetDigest,
-    /// Until when the digest is valid.
-    pub until: f64,
-    /// Until when its slice is valid.
-    pub slice_until: f64,
-    /// What is lent of the worker's base allocation, whether or not the digest is valid (calls in flight).
-    pub lent: f64,
+    /// When the digest expires.
+    pub valid_until: f64,
+    /// When its slice expires.
+    pub slice_valid_until: f64,
+    /// The part of the worker's base allocation that is lent, whether or not the digest is valid (calls in flight).
+    pub lent_calls: f64,
 }
 
-/// A digest and until when it is valid.
+/// A digest, and when it expires.
 #[derive(Clone, Debug)]
 struct ReceivedDigest {
     digest: FleetDigest,
-    until: f64,
+    valid_until: f64,
 }
 
-/// A report that may still be answered.
+/// A report whose answer may still arrive.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingReport {
     number: u64,
@@ -74,7 +74,8 @@
 }
 
 impl FleetOverloadClient {
-    /// `base_calls` is what this worker may have in flight by itself, `drift` the share by which clocks may differ.
+    /// A client without a digest. `base_calls` is this worker's base allocation (calls in flight), `drift` the share by which
+    /// clocks may drift apart.
     #[must_use]
     pub fn new(now: f64, base_calls: f64, drift: f64) -> FleetOverloadClient {
         FleetOverloadClient {
@@ -85,9 +86,9 @@
         }
     }
 
-    /// The report that goes out now, with the heartbeat of this number.
+    /// Makes the report that is sent now, with the heartbeat of this sequence number.
     pub fn report(&mut self, now: f64, number: u64, sample: &LoadSample) -> LoadReport {
-        let offer = self.capacity.report(now, number, sample.spare);
+        let offer = self.capacity.report(now, number, sample.spare_calls);
         self.outstanding.push(OutstandingReport { number, sent_at: now });
         if self.outstanding.len() > MAX_OUTSTANDING {
             self.outstanding.remove(0);
@@ -102,18 +103,19 @@
             calls_succeeded: round(sample.calls_succeeded),
             calls_failed: round(sample.calls_failed),
             call_s: round(sample.call_s),
-            wants: round(sample.wants),
+            wanted_calls: round(sample.wanted_calls),
             weight: round(sample.weight),
-            circuit_open: self.goes_by_open_circuit(now),
-            lends: offer.lends as f32,
+            circuit_open: self.applies_open_circuit(now),
+            lent_calls: offer.lent_calls as f32,
         }
     }
 
-    fn goes_by_open_circuit(&self, now: f64) -> bool {
-        self.latest.as_ref().is_some_and(|latest| latest.digest.circuit_open && now < latest.until)
+    fn applies_open_circuit(&self, now: f64) -> bool {
+        self.latest.as_ref().is_some_and(|latest| latest.digest.circuit_open && now < latest.valid_until)
     }
 
-    /// The answer to a heartbeat.
+    /// Handles the digest that answers the report of this number. One that is out of range or answers no outstanding
+    /// report is ignored.
     pub fn receive(&mut self, report: u64, digest: &FleetDigest) {
         if !digest.is_sound() {
             return;
@@ -121,33 +123,38 @@
         let Some(index) = self.outstanding.iter().position(|sent| sent.number == report) else { return };
         let sent_at = self.outstanding[index].sent_at;
         self.outstanding.drain(..=index);
-        self.capacity.receive(report, digest.number, f64::from(digest.slice));
-        let until = sent_at + DIGEST_VALID_S * (1.0 - self.drift);
-        self.latest = Some(ReceivedDigest { digest: digest.clone(), until });
+        let grant = SliceGrant { digest: digest.number, slice: f64::from(digest.slice) };
+        self.capacity.receive(report, grant);
+        let valid_until = sent_at + DIGEST_VALID_S * (1.0 - self.drift);
+        self.latest = Some(ReceivedDigest { digest: digest.clone(), valid_until });
     }
 
-    /// The session goes on over another link: messages on the old one are lost, the digest stays until it expires.
+    /// Handles that the session goes on over another link: messages on the old one are lost, the digest stays until it
+    /// expires.
     pub fn reconnected(&mut self) {
         self.capacity.reconnected();
         self.outstanding.clear();
     }
 
-    /// What the worker may go by now, on the same clock.
+    /// The directive at `now`, on the same clock.
     #[must_use]
     pub fn directive(&self, now: f64) -> OverloadDirective {
         let current = self.capacity.current(now);
-        let (mut digest, until) = match &self.latest {
-            Some(latest) => (latest.digest.clone(), latest.until),
+        let (mut digest, valid_until) = match &self.latest {
+            Some(latest) => (latest.digest.clone(), latest.valid_until),
             None => (FleetDigest::default(), f64::NEG_INFINITY),
         };
         digest.slice = current.slice as f32;
-        let slice_until =
-            if current.slice > 0.0 { until - (DIGEST_VALID_S - SLICE_S) * (1.0 - self.drift) } else { now };
-        OverloadDirective { digest, until, slice_until, lent: current.lent }
+        let slice_valid_until = if current.slice > 0.0 {
+            valid_until - (DIGEST_VALID_S - SLICE_S) * (1.0 - self.drift)
+        } else {
+            now
+        };
+        OverloadDirective { digest, valid_until, slice_valid_until, lent_calls: current.lent }
     }
 }
 
-/// Rounds to a few significant digits.
+/// Rounds to [`REPORT_DIGITS`] digits beyond the first significant one.
 fn round(value: f64) -> f32 {
     let exponent = value.abs().max(MIN_ROUNDED).log10().floor() as i32 - REPORT_DIGITS;
     let unit = 10f64.powi(exponent.min(0));
--- a/src/fleet/overload/digest.rs
+++ b/src/fleet/overload/digest.rs
@@ -1,4 +1,4 @@
-//! The leader's answer to a load report.
+//! The digest by which the leader answers a load report.
 
 use super::level::SheddingLevel;
 use super::MAX_MEASUREMENT;
@@ -7,20 +7,20 @@
 /// Longest period over which retries may be spread (seconds).
 const MAX_SPREAD_S: f32 = 60.0;
 
-/// The fleet's state in overload, for one worker.
+/// The fleet's state and decisions, for one worker.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct FleetDigest {
-    /// Increases with each digest that this worker is sent.
+    /// Sequence number, counted for each session.
     pub number: u64,
-    /// Number of workers whose reports are in it.
+    /// Number of workers whose reports it is based on.
     #[serde(rename = "of")]
     pub workers: usize,
-    /// Age of the oldest report in it (milliseconds).
+    /// Age of the oldest of those reports (milliseconds).
     pub age_ms: u64,
-    /// How deep the fleet sheds load.
+    /// The fleet's shedding level.
     pub level: SheddingLevel,
-    /// Period over which rejected requests are to be spread by their Retry-After where the fleet is at capacity (seconds).
+    /// Period over which Retry-After spreads rejected requests while the fleet is at capacity (seconds).
     pub spread_s: f32,
     /// Share of retries that is admitted.
     #[serde(rename = "pass")]
@@ -34,13 +34,13 @@
     /// This worker makes the zone's half-open probes.
     #[serde(rename = "trial")]
     pub is_prober: bool,
-    /// Calls in flight beyond this worker's own capacity, for [`super::capacity_leases::SLICE_S`] from when it sent the
-    /// report.
+    /// Calls in flight that this worker may have beyond its base allocation, for [`super::capacity_leases::SLICE_S`] from
+    /// when it sent the report.
     pub slice: f32,
 }
 
 impl FleetDigest {
-    /// Whether all values are in range; other digests are ignored.
+    /// Whether all values are in range. Other digests are ignored.
     #[must_use]
     pub fn is_sound(&self) -> bool {
         let shares = [self.retry_share, self.call_share, self.level.share];
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -1,4 +1,5 @@
-//! What a leading coordinator makes of the workers' load reports. Each leader begins anew, from what the workers report.
+//! The leading coordinator's side: evaluates load reports and answers them with digests. Each leader begins without state,
+//! and learns it from the reports. Times are on the leader's clock (seconds).
 
 use super::capacity_leases::{CapacityLeaseServer, CapacityReport, CapacityTotals};
 use super::events::OverloadEvent;
@@ -14,19 +15,19 @@
 const MIN_SPREAD_S: f64 = 1.0;
 /// Longest period over which retries are spread where the fleet is at capacity (seconds).
 const MAX_SPREAD_S: f64 = 10.0;
-/// The fleet counts as short for so long after it last was (seconds).
+/// Time for which the fleet counts as short of capacity after it last was (seconds).
 const SHORT_FOR_S: f64 = 3.0;
 /// The fleet counts as short while its workers reject more than this share of first attempts.
 const MAX_REJECTED_SHARE: f64 = 0.01;
-/// A smaller capacity counts as this (requests a second).
+/// The least capacity; a lower one is raised to it (requests a second).
 const MIN_CAPACITY: f64 = 1e-3;
 
 /// `[overload]` of the coordinators' file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Each worker's base allocation: what it may have in flight downstream by itself (mean number of calls).
+    /// Each worker's base allocation of the downstream service's capacity (mean calls in flight).
     pub base_calls: f64,
-    /// Retries that the fleet admits for each first attempt while it is short.
+    /// Retries that the fleet admits for each first attempt while it is short of capacity.
     pub retry_share: f64,
 }
 
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A worker's report has arrived.
+    /// Handles a worker's report.
     pub fn receive(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) {
         if !self.view.receive(now, worker, zone, load) {
             return;
@@ -67,19 +68,19 @@
         self.service.receive_report(now, worker, zone, load.circuit_open);
         let report = CapacityReport {
             last_digest: load.last_digest,
-            lends: f64::from(load.lends),
-            wants: f64::from(load.wants),
+            lent_calls: f64::from(load.lent_calls),
+            wanted_calls: f64::from(load.wanted_calls),
             weight: f64::from(load.weight),
         };
         self.capacity.receive_report(now, worker, report);
     }
 
-    /// A worker has left.
+    /// Removes a worker that has left.
     pub fn remove(&mut self, worker: u64) {
         self.view.remove(worker);
     }
 
-    /// Evaluates the sums where that is due; returns what has changed.
+    /// Evaluates the sums if that is due, and returns what has changed.
     pub fn evaluate(&mut self, now: f64) -> Vec<OverloadEvent> {
         if now - self.evaluated_at < EVALUATION_INTERVAL_S {
             return Vec::new();
@@ -104,7 +105,7 @@
     }
 
     fn update_shortage(&mut self, now: f64) {
-        // What workers reject by themselves counts as well: a retry storm goes on where all else looks well again.
+        // Rejections of single workers count as well: during a retry storm they may be the only sign of a shortage.
         let first_attempts = self.sums.arrivals.iter().sum::<f64>();
         let workers_reject = self.sums.rejected > MAX_REJECTED_SHARE * first_attempts;
         if !self.levels.level(now).is_open() || self.service.is_short() || workers_reject {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The digest that goes out now to a worker whose report arrived at `report_received_at`.
+    /// Makes the digest that is sent now to a worker whose report arrived at `report_received_at`.
     pub fn digest(&mut self, now: f64, report_received_at: f64, worker: u64, zone: &str) -> FleetDigest {
         let grant = self.capacity.grant(now, report_received_at, worker);
         let service = self.service.state_for(worker, zone);
@@ -130,13 +131,13 @@
         }
     }
 
-    /// The period over which rejected requests fit in again: demand over capacity.
+    /// The period over which the rejected requests can be completed: demand over capacity.
     fn spread_s(&self) -> f64 {
         let demand = self.sums.arrivals.iter().sum::<f64>() + self.sums.retries;
         (demand / self.sums.capacity.max(MIN_CAPACITY)).clamp(MIN_SPREAD_S, MAX_SPREAD_S)
     }
 
-    /// An operator sets the level until then.
+    /// Pins the level that an operator has set until that time.
     pub fn pin(&mut self, level: SheddingLevel, until: f64) {
         self.levels.pin(level, until);
     }
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -1,37 +1,37 @@
-//! The fleet's shedding level: which tiers are admitted, and of the tier at the edge which share. It is the same for all
-//! workers, so that no low request is served at one at the price of a high one at another.
+//! The fleet's shedding level: which tiers are admitted, and which share of the first tier that is not admitted in full. It
+//! is the same for all workers, so that none serves a low tier while another rejects a higher one.
 //!
 //! Guarantees to callers: the level admits no lower tier where it sheds a higher one; it deepens within a second of a
-//! lasting shortage, and opens step by step, so that load that swings round the threshold changes it at most once a swing;
-//! every change has a cause.
+//! lasting shortage, and opens step by step, so that load that oscillates round the threshold changes it at most once a
+//! period; every change has a cause.
 
 use super::view::LoadSums;
 use super::MAX_TIERS;
 use serde::{Deserialize, Serialize};
 
-/// Demand that the level admits, against the capacity of the cores: a little more, since each worker's own admission
-/// control rejects what it can't complete in time, and what the level sheds too much is lost.
+/// Demand that the level admits, as a multiple of the cores' capacity. A little above 1, since each worker still rejects what
+/// it can't complete in time, whereas a request that the level sheds without need is lost.
 const TARGET_UTILIZATION: f64 = 1.05;
 /// How long a shortage has to last before the level deepens (seconds).
 const SHORT_FOR_S: f64 = 0.4;
 /// How long there has to be headroom before the level opens (seconds).
 const HEADROOM_FOR_S: f64 = 4.0;
-/// Steps in a tier: a share moves by one of these, or the level would change with each report.
+/// Steps in a tier. A share changes by whole steps, so that the level does not change with each report.
 const STEPS_PER_TIER: f64 = 4.0;
 /// Time between two steps while the level opens (seconds).
 const OPEN_STEP_S: f64 = 0.5;
-/// A shortage counts only where the workers themselves reject so large a share of what arrives: until then their capacity
-/// is a guess, as after a start.
+/// The least share of first attempts that workers reject by themselves before a shortage counts. Until then their capacity is
+/// an estimate, as after a start.
 const MIN_REJECTED_SHARE: f64 = 0.01;
-/// Retries count as demand up to this share of first attempts: what the budget admits. All of them would make each rejection
-/// a reason for the next.
+/// Retries count as demand up to this share of first attempts, which the budget admits. If all counted, each rejection would
+/// cause the next one.
 const MAX_RETRY_DEMAND: f64 = 0.1;
-/// Fewer workers in a view say nothing of a fleet.
+/// Number of reporting workers below which the fleet's load is unknown.
 const MIN_WORKERS: usize = 2;
-/// Depths that differ by less are equal.
+/// Difference below which two depths are equal.
 const DEPTH_TOLERANCE: f64 = 1e-9;
 
-/// Tiers before `tier` are admitted, of `tier` a share, and none after it.
+/// A shedding level: admits all tiers above `tier`, a share of `tier`, and none below it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct SheddingLevel {
     /// The first tier that is not admitted in full; [`MAX_TIERS`] if all are.
@@ -55,14 +55,14 @@
         self.tier >= MAX_TIERS
     }
 
-    /// Whether a request of this tier with this rank in it (0 the highest, below 1) is admitted.
+    /// Whether a request of this tier is admitted. `rank` is its rank within the tier, from 0 for the highest to below 1.
     #[must_use]
     pub fn admits(&self, tier: usize, rank: f64) -> bool {
         let tier = tier.min(MAX_TIERS - 1);
         tier < self.tier || tier == self.tier && rank < f64::from(self.share)
     }
 
-    /// How much it admits, as one number that grows with it.
+    /// The level as one number, which grows with what is admitted.
     fn depth(&self) -> f64 {
         self.tier as f64 + f64::from(self.share)
     }
@@ -75,7 +75,7 @@
         SheddingLevel { tier: tier as usize, share: (depth.max(0.0) - tier) as f32 }
     }
 
-    /// The deepest level that admits no more than the cores' capacity.
+    /// The level that admits as much as the cores' capacity allows.
     fn for_load(sums: &LoadSums) -> SheddingLevel {
         let mut headroom = sums.capacity * TARGET_UTILIZATION;
         // Retries arrive in the proportions in which first attempts do.
@@ -102,28 +102,28 @@
 pub struct LevelChange {
     /// The new level.
     pub level: SheddingLevel,
-    /// Why it changed.
+    /// The cause of the change.
     pub cause: LevelChangeCause,
 }
 
-/// Why the level changed.
+/// The cause of a change of the level.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LevelChangeCause {
-    /// More is asked than the cores can do.
+    /// Demand exceeds the capacity of the cores.
     Shortage {
         /// First attempts and retries that arrive (requests a second).
         demand_per_s: f64,
-        /// What the cores can do (requests a second).
+        /// The capacity of the cores (requests a second).
         capacity_per_s: f64,
     },
-    /// The cores could have done more for a while.
+    /// Capacity has exceeded demand for a while.
     Headroom {
         /// First attempts and retries that arrive (requests a second).
         demand_per_s: f64,
-        /// What the cores can do (requests a second).
+        /// The capacity of the cores (requests a second).
         capacity_per_s: f64,
     },
-    /// Too few workers report for a level other than open.
+    /// Too few workers report to shed anything.
     TooFewReports,
 }
 
@@ -134,13 +134,13 @@
     until: f64,
 }
 
-/// Moves the level with the fleet's load.
+/// Adjusts the level to the fleet's load.
 #[derive(Clone, Debug)]
 pub struct SheddingController {
     level: SheddingLevel,
-    /// Since when the load asks for a deeper level.
+    /// Since when the load requires a deeper level.
     short_since: Option<f64>,
-    /// Since when the load asks for a more open one.
+    /// Since when the load allows a more open one.
     headroom_since: Option<f64>,
     changed_at: f64,
     pinned: Option<PinnedLevel>,
@@ -165,12 +165,12 @@
         self.pinned.filter(|pinned| now < pinned.until).map_or(self.level, |pinned| pinned.level)
     }
 
-    /// An operator sets the level until then.
+    /// Pins the level that an operator has set until that time.
     pub fn pin(&mut self, level: SheddingLevel, until: f64) {
         self.pinned = Some(PinnedLevel { level, until });
     }
 
-    /// Evaluates new sums; what has changed, and why.
+    /// Evaluates new sums, and returns the change of the level, if there is one.
     pub fn evaluate(&mut self, now: f64, sums: &LoadSums) -> Option<LevelChange> {
         self.update_trends(now, sums);
         if self.short_since.is_some_and(|since| now - since >= SHORT_FOR_S) {
@@ -185,7 +185,7 @@
 
     fn update_trends(&mut self, now: f64, sums: &LoadSums) {
         if sums.workers < MIN_WORKERS {
-            // Nothing is known: the level opens as if there were headroom.
+            // The load is unknown: the level opens as if there were headroom.
             self.short_since = None;
             self.headroom_since = Some(self.headroom_since.unwrap_or(now));
             return;
@@ -200,7 +200,7 @@
     }
 
     fn deepen(&mut self, now: f64, sums: &LoadSums) -> Option<LevelChange> {
-        // The first step may be far; before the next one the sums have to show its effect.
+        // The first step may be a large one; the next one waits until the sums show its effect.
         self.short_since = None;
         let cause = LevelChangeCause::Shortage { demand_per_s: demand(sums), capacity_per_s: sums.capacity };
         self.change(now, SheddingLevel::for_load(sums), cause)
@@ -209,7 +209,7 @@
     fn open_one_step(&mut self, now: f64, sums: &LoadSums) -> Option<LevelChange> {
         let next_depth = (self.level.depth() * STEPS_PER_TIER + 1.0).round() / STEPS_PER_TIER;
         let mut next = SheddingLevel::from_depth(next_depth);
-        // Tiers in which nothing arrives are no steps.
+        // Tiers without arrivals are skipped.
         while !next.is_open() && next.share == 0.0 && sums.arrivals[next.tier] == 0.0 {
             next = SheddingLevel::from_depth((next.tier + 1) as f64);
         }
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -1,9 +1,10 @@
-//! What a worker's admission control asks while overload is handled fleet-wide. It counts what its worker does for the load
-//! reports, and holds the latest directive until that expires; without one every answer is that of a worker alone.
+//! The decisions that a worker's admission control takes from fleet-wide overload control. The policy holds the latest
+//! directive until it expires, and counts the worker's load for its reports. Without a valid directive every decision is that
+//! of a worker without a fleet.
 //!
-//! Guarantees to callers: it only ever adds rejections to those of the admission control, and none while the worker could
-//! start the request immediately, but for retries beyond the budget of a fleet that is short; what the worker may have in
-//! flight downstream is never more than its base allocation, less what is lent, and its slice.
+//! Guarantees to callers: it only adds rejections to those of admission control, and rejects no request that could start
+//! immediately except retries beyond the budget; the limit on downstream calls in flight never exceeds the base allocation,
+//! less what is lent, plus the slice. Times are on the worker's clock (seconds).
 
 use super::client::{LoadSample, OverloadDirective};
 use super::random::random_unit;
@@ -11,22 +12,23 @@
 use crate::interface::Settings;
 use std::cell::Cell;
 
-/// Interval between half-open probes (seconds): two a second and zone.
+/// Interval between the half-open probes of a zone (seconds).
 const PROBE_INTERVAL_S: f64 = 0.5;
-/// The share of its base allocation that a worker does not lend beyond its recent peak; one call at least.
+/// The share of its base allocation that a worker keeps above its recent peak instead of lending it, at least one call.
 const SPARE_MARGIN: f64 = 0.25;
-/// Time constant by which the peak of calls in flight decays (seconds).
+/// Time constant of the decay of the peak of calls in flight (seconds).
 const PEAK_DECAY_S: f64 = 3.0;
-/// The highest peak that is assumed at the start (calls in flight).
+/// The highest initial peak (calls in flight).
 const MAX_INITIAL_PEAK: f64 = 1e6;
-/// The share by which retries are spread over a longer period for each tier further down.
+/// The share by which the period of Retry-After grows with each lower tier.
 const SPREAD_PER_TIER: f64 = 0.25;
-/// A smaller base allocation is kept in the mean by the admission control (calls in flight): nothing of it can be lent.
+/// The least base allocation that can be lent from (calls in flight). A smaller one is a mean over time, which admission
+/// control alone maintains.
 const MIN_LENDABLE_CALLS: f64 = 1.0;
-/// A sample over a shorter time counts as this (seconds).
+/// The least duration of a sample; a shorter one is raised to it (seconds).
 const MIN_SAMPLE_S: f64 = 0.05;
 
-/// What is counted between two samples.
+/// Counts since the last sample.
 #[derive(Clone, Debug, Default)]
 struct Counts {
     /// First attempts by tier.
@@ -38,9 +40,9 @@
     call_time_s: f64,
 }
 
-/// Answers to all requests since the start.
+/// Responses to all requests since the start.
 #[derive(Clone, Copy, Debug, Default)]
-struct Answers {
+struct ResponseCounts {
     served: u64,
     rejected: u64,
 }
@@ -53,7 +55,7 @@
     weight: f64,
 }
 
-/// A worker's part in fleet-wide overload control.
+/// Fleet-wide overload control at one worker.
 #[derive(Clone, Debug)]
 pub struct OverloadPolicy {
     seed: u64,
@@ -66,19 +68,20 @@
     base_calls: f64,
     directive: Option<OverloadDirective>,
     sampled_at: f64,
-    /// The answers when the last sample was taken.
-    sampled_answers: Answers,
+    /// The responses when the last sample was taken.
+    sampled_responses: ResponseCounts,
     counts: Counts,
-    /// Requests a second that the admission control holds itself capable of.
+    /// The estimated capacity of this worker (requests a second).
     capacity: f64,
     waiting: WaitingCalls,
-    /// The most calls in flight, decaying.
+    /// The decaying peak of calls in flight.
     peak: f64,
+    /// When the last call was made.
     last_call_at: f64,
 }
 
 impl OverloadPolicy {
-    /// For a worker that starts now.
+    /// The policy of a worker that starts now, without a directive.
     #[must_use]
     pub fn new(now: f64, settings: &Settings) -> OverloadPolicy {
         let base_calls = settings.dependency.as_ref().map_or(f64::INFINITY, |dependency| dependency.share);
@@ -90,7 +93,7 @@
             base_calls,
             directive: None,
             sampled_at: now,
-            sampled_answers: Answers::default(),
+            sampled_responses: ResponseCounts::default(),
             counts: Counts::default(),
             capacity: 0.0,
             waiting: WaitingCalls::default(),
@@ -99,6 +102,7 @@
         }
     }
 
+    /// The next random number from 0 to 1.
     fn random(&self) -> f64 {
         self.drawn.set(self.drawn.get() + 1);
         random_unit(self.seed, self.drawn.get())
@@ -108,7 +112,7 @@
         self.shed.set(self.shed.get() + u64::from(is_shed));
     }
 
-    /// What the worker's session makes of the latest digest, on the clock of the admission control.
+    /// Sets the latest directive, with its times on the clock of admission control.
     pub fn set_directive(&mut self, directive: OverloadDirective) {
         self.directive = Some(directive);
     }
@@ -116,15 +120,15 @@
     /// The latest digest, while it is valid.
     fn digest(&self) -> Option<&FleetDigest> {
         let directive = self.directive.as_ref()?;
-        (self.now < directive.until).then_some(&directive.digest)
+        (self.now < directive.valid_until).then_some(&directive.digest)
     }
 
     fn is_circuit_open(&self) -> bool {
         self.digest().is_some_and(|digest| digest.circuit_open)
     }
 
-    /// Advances the clock, and applies the fleet's limit on calls in flight to the admission control's own: `max_limit` is
-    /// set to it, and `limit` kept below; where there is more, `limit` grows by its own steps.
+    /// Advances the clock, and applies the fleet's limit on calls in flight to that of admission control: `max_limit` is set
+    /// to it, and `limit` lowered to it. `limit` grows by admission control's own steps only.
     pub fn limit_calls(&mut self, now: f64, in_flight: usize, max_limit: &mut f64, limit: &mut f64) {
         let decay = (-(now - self.now).max(0.0) / PEAK_DECAY_S).exp();
         self.peak = (self.peak * decay).max(in_flight as f64);
@@ -133,16 +137,16 @@
             return;
         }
         let Some(directive) = &self.directive else { return };
-        let slice = if now < directive.slice_until { f64::from(directive.digest.slice) } else { 0.0 };
+        let slice = if now < directive.slice_valid_until { f64::from(directive.digest.slice) } else { 0.0 };
         let call_share = self.digest().map_or(1.0, |digest| f64::from(digest.call_share));
-        let fleet_limit = (self.base_calls - directive.lent + slice) * call_share;
+        let fleet_limit = (self.base_calls - directive.lent_calls + slice) * call_share;
         let fleet_limit = fleet_limit.max(self.base_calls.min(MIN_LENDABLE_CALLS));
         *limit = limit.min(fleet_limit);
         *max_limit = fleet_limit;
     }
 
-    /// Counts a first attempt or a retry that has arrived. `true` if it is beyond the retry budget: it is rejected immediately,
-    /// and is no load that others would have to wait behind.
+    /// Counts a first attempt or a retry that has arrived. Returns `true` if it exceeds the retry budget: then it is rejected
+    /// immediately, and not counted as load.
     pub fn exceeds_retry_budget(&mut self, tier: usize, is_retry: bool) -> bool {
         if !is_retry {
             self.counts.arrivals[tier.min(MAX_TIERS - 1)] += 1;
@@ -155,7 +159,7 @@
         is_over_budget
     }
 
-    /// Whether the fleet's level sheds a request. `can_start` says that it could start immediately.
+    /// Whether the fleet's level sheds a request. One that `can_start` immediately is not shed.
     pub fn sheds(&self, tier: usize, can_start: bool) -> bool {
         let Some(digest) = self.digest() else { return false };
         let is_shed = !can_start && !digest.level.admits(tier, self.random());
@@ -163,13 +167,15 @@
         is_shed
     }
 
-    /// Whether the fleet has no headroom elsewhere, if that is known.
+    /// Whether other workers have no headroom either; `None` if that is unknown.
+    #[must_use]
     pub fn fleet_at_capacity(&self) -> Option<bool> {
         self.digest().filter(|digest| digest.workers > 1).map(is_at_capacity)
     }
 
-    /// The Retry-After for a rejected request of this tier, where alone it would be `alone_s`: the same while another worker
-    /// has headroom, else spread over what the fleet can take, the lower tiers later.
+    /// The Retry-After of a rejected request of this tier (seconds). `alone_s` is that of a worker without a fleet; it holds
+    /// while another worker has headroom. Otherwise retries are spread over the digest's period, lower tiers later.
+    #[must_use]
     pub fn retry_after_s(&self, tier: usize, alone_s: f64) -> f64 {
         let Some(digest) = self.digest() else { return alone_s };
         if !is_at_capacity(digest) {
@@ -180,23 +186,25 @@
         alone_s.max(spread_s * (0.5 + self.random()))
     }
 
-    /// Whether a call is skipped altogether, since the circuit is open: requests that need it do not wait for it.
+    /// Whether a call is skipped because the circuit is open. Requests that need the call do not wait for it.
+    #[must_use]
     pub fn skips_call(&self, is_idempotent: bool) -> bool {
         self.digest().is_some_and(|digest| digest.circuit_open && !(digest.is_prober && is_idempotent))
     }
 
     /// Whether a call may be made now.
+    #[must_use]
     pub fn may_call(&self, is_idempotent: bool) -> bool {
         let probe_due = self.now - self.last_call_at >= PROBE_INTERVAL_S;
         !self.skips_call(is_idempotent) && (probe_due || !self.is_circuit_open())
     }
 
-    /// A call has been made.
+    /// Records that a call has been made.
     pub fn call_started(&mut self) {
         self.last_call_at = self.now;
     }
 
-    /// A call has ended, after so long.
+    /// Records that a call has ended after `duration_s` seconds.
     pub fn call_ended(&mut self, succeeded: bool, duration_s: f64) {
         if succeeded {
             self.counts.calls_succeeded += 1;
@@ -206,8 +214,8 @@
         }
     }
 
-    /// The state of the admission control: requests a second that it holds itself capable of, and the requests that wait for
-    /// a call, each entry a number of them and their priority weight.
+    /// Records the state of admission control: its estimated capacity (requests a second), and the requests that wait for a
+    /// downstream call, as their number and priority weight by tier.
     pub fn record_state<'a>(&mut self, capacity: f64, waiting: impl Iterator<Item = (usize, &'a f64)>) {
         let mut sum = WaitingCalls::default();
         for (count, weight) in waiting {
@@ -218,13 +226,13 @@
         self.waiting = sum;
     }
 
-    /// The sample for a load report; counts begin anew. `served` and `rejected` are all answers since the start.
+    /// Takes the sample for a load report, and resets the counts. `served` and `rejected` are the responses since the start.
     pub fn take_sample(&mut self, now: f64, served: u64, rejected: u64) -> LoadSample {
         let counts = std::mem::take(&mut self.counts);
-        let completed = served.saturating_sub(self.sampled_answers.served);
-        let all_rejected = rejected.saturating_sub(self.sampled_answers.rejected);
+        let completed = served.saturating_sub(self.sampled_responses.served);
+        let all_rejected = rejected.saturating_sub(self.sampled_responses.rejected);
         let own_rejected = all_rejected.saturating_sub(self.shed.take());
-        self.sampled_answers = Answers { served, rejected };
+        self.sampled_responses = ResponseCounts { served, rejected };
         let per_s = 1.0 / (now - self.sampled_at).max(MIN_SAMPLE_S);
         self.sampled_at = now;
         let tiers = counts.arrivals.iter().rposition(|count| *count > 0).map_or(0, |last| last + 1);
@@ -232,18 +240,18 @@
             arrivals: counts.arrivals[..tiers].iter().map(|count| *count as f64 * per_s).collect(),
             retries: counts.retries as f64 * per_s,
             rejected: own_rejected as f64 * per_s,
-            // What it has just completed it can do, whatever its estimate was.
+            // The rate that it has just completed is a lower bound of its capacity.
             capacity: self.capacity.max(completed as f64 * per_s),
             calls_succeeded: counts.calls_succeeded as f64 * per_s,
             calls_failed: counts.calls_failed as f64 * per_s,
             call_s: counts.call_time_s / (counts.calls_succeeded.max(1)) as f64,
-            wants: if self.base_calls.is_finite() { self.waiting.count } else { 0.0 },
+            wanted_calls: if self.base_calls.is_finite() { self.waiting.count } else { 0.0 },
             weight: self.waiting.weight / self.waiting.count.max(1.0),
-            spare: self.spare_calls(),
+            spare_calls: self.spare_calls(),
         }
     }
 
-    /// Calls in flight of the base allocation that the worker does not need.
+    /// The part of the base allocation that the worker does not need (calls in flight).
     fn spare_calls(&self) -> f64 {
         let spare = self.base_calls - self.peak - (self.base_calls * SPARE_MARGIN).max(1.0);
         let can_lend =
@@ -255,9 +263,10 @@
         }
     }
 
-    /// The directive as operators read it at the console: names and values.
+    /// The metrics of the current directive by name, for the operators' console.
+    #[must_use]
     pub fn metrics(&self) -> Vec<(&'static str, String)> {
-        let Some(OverloadDirective { digest, lent, .. }) = &self.directive else { return Vec::new() };
+        let Some(OverloadDirective { digest, lent_calls, .. }) = &self.directive else { return Vec::new() };
         let level = digest.level;
         let level =
             if level.is_open() { "open".to_owned() } else { format!("{}+{:.2}", level.tier, level.share) };
@@ -270,7 +279,7 @@
             ("calls_part", format!("{:.2}", digest.call_share)),
             ("given_up", u64::from(digest.circuit_open).to_string()),
             ("trial", u64::from(digest.is_prober).to_string()),
-            ("calls_lent", format!("{lent:.2}")),
+            ("calls_lent", format!("{lent_calls:.2}")),
             ("calls_slice", format!("{:.2}", digest.slice)),
         ]
     }
--- a/src/fleet/overload/policy/tests.rs
+++ b/src/fleet/overload/policy/tests.rs
@@ -1,3 +1,8 @@
+#![expect(
+    clippy::float_cmp,
+    reason = "these values are exact: sums of binary fractions, or values passed through"
+)]
+
 use super::*;
 use crate::fleet::overload::level::SheddingLevel;
 use crate::interface::Dependency;
@@ -11,45 +16,50 @@
 }
 
 /// A worker at 10 s with a directive that is valid until 12 s, and its slice until 11 s.
-fn advised(digest: FleetDigest, lent: f64) -> OverloadPolicy {
+fn policy_with(digest: FleetDigest, lent: f64) -> OverloadPolicy {
     let mut policy = OverloadPolicy::new(0.0, &settings(4.0));
     policy.limit_calls(10.0, 0, &mut 4.0, &mut 2.0);
-    policy.set_directive(OverloadDirective { digest, until: 12.0, slice_until: 11.0, lent });
+    policy.set_directive(OverloadDirective {
+        digest,
+        valid_until: 12.0,
+        slice_valid_until: 11.0,
+        lent_calls: lent,
+    });
     policy
 }
 
 /// The share of a thousand requests that is shed.
-fn shed(policy: &OverloadPolicy, tier: usize, free: bool) -> f64 {
+fn shed_share(policy: &OverloadPolicy, tier: usize, free: bool) -> f64 {
     (0..1000).filter(|_| policy.sheds(tier, free)).count() as f64 / 1000.0
 }
 
 /// The share of a thousand attempts that is beyond the budget.
-fn over(policy: &mut OverloadPolicy, is_retry: bool) -> f64 {
+fn over_budget_share(policy: &mut OverloadPolicy, is_retry: bool) -> f64 {
     (0..1000).filter(|_| policy.exceeds_retry_budget(0, is_retry)).count() as f64 / 1000.0
 }
 
 #[test]
 fn the_level_sheds_by_tier_and_share_and_never_what_could_start_immediately() {
-    let policy = advised(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..digest() }, 0.0);
-    assert_eq!([0, 2, 7, 99].map(|tier| shed(&policy, tier, false)), [0.0, 1.0, 1.0, 1.0]);
-    assert!((shed(&policy, 1, false) - 0.75).abs() < 0.05);
-    assert_eq!(shed(&policy, 2, true), 0.0);
+    let policy = policy_with(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..digest() }, 0.0);
+    assert_eq!([0, 2, 7, 99].map(|tier| shed_share(&policy, tier, false)), [0.0, 1.0, 1.0, 1.0]);
+    assert!((shed_share(&policy, 1, false) - 0.75).abs() < 0.05);
+    assert_eq!(shed_share(&policy, 2, true), 0.0);
     assert_eq!(policy.fleet_at_capacity(), Some(true));
 }
 
 #[test]
 fn retries_beyond_the_budget_are_shed_and_first_attempts_are_not() {
-    let mut policy = advised(FleetDigest { retry_share: 0.2, ..digest() }, 0.0);
-    assert!((over(&mut policy, true) - 0.8).abs() < 0.05);
-    assert_eq!(over(&mut policy, false), 0.0);
-    let mut calm = advised(digest(), 0.0);
-    assert_eq!(over(&mut calm, true), 0.0, "a fleet that is not short admits them all");
+    let mut policy = policy_with(FleetDigest { retry_share: 0.2, ..digest() }, 0.0);
+    assert!((over_budget_share(&mut policy, true) - 0.8).abs() < 0.05);
+    assert_eq!(over_budget_share(&mut policy, false), 0.0);
+    let mut calm = policy_with(digest(), 0.0);
+    assert_eq!(over_budget_share(&mut calm, true), 0.0, "a fleet that is not short admits them all");
 }
 
 #[test]
 fn an_expired_directive_or_one_for_a_single_worker_changes_nothing() {
     let level = SheddingLevel { tier: 0, share: 0.0 };
-    let mut policy = advised(
+    let mut policy = policy_with(
         FleetDigest { level, retry_share: 0.0, call_share: 0.25, circuit_open: true, slice: 8.0, ..digest() },
         1.0,
     );
@@ -57,7 +67,7 @@
     policy.limit_calls(12.0, 0, &mut max_limit, &mut limit);
     assert_eq!(
         (
-            shed(&policy, 5, false) + over(&mut policy, true),
+            shed_share(&policy, 5, false) + over_budget_share(&mut policy, true),
             policy.fleet_at_capacity(),
             policy.retry_after_s(5, 0.3)
         ),
@@ -65,7 +75,7 @@
     );
     assert!(policy.may_call(false) && !policy.skips_call(false));
     assert_eq!((max_limit, limit), (3.0, 2.0), "a loan outlasts the digest");
-    assert_eq!(advised(FleetDigest { workers: 1, level, ..digest() }, 0.0).fleet_at_capacity(), None);
+    assert_eq!(policy_with(FleetDigest { workers: 1, level, ..digest() }, 0.0).fleet_at_capacity(), None);
 }
 
 #[test]
@@ -78,7 +88,7 @@
         (0.0, 6.0, 0.25, 10.5, 2.5),
         (2.0, 0.0, 0.25, 10.5, 1.0),
     ] {
-        let mut policy = advised(FleetDigest { slice, call_share, ..digest() }, lent);
+        let mut policy = policy_with(FleetDigest { call_share, slice, ..digest() }, lent);
         let (mut max_limit, mut limit) = (4.0, 2.0);
         policy.limit_calls(now, 0, &mut max_limit, &mut limit);
         assert_eq!(
@@ -92,9 +102,9 @@
 #[test]
 fn an_open_circuit_is_probed_by_one_worker_with_idempotent_calls_twice_a_second() {
     let down = FleetDigest { circuit_open: true, ..digest() };
-    let other = advised(down.clone(), 0.0);
+    let other = policy_with(down.clone(), 0.0);
     assert!(other.skips_call(true) && !other.may_call(true));
-    let mut prober = advised(FleetDigest { is_prober: true, ..down }, 0.0);
+    let mut prober = policy_with(FleetDigest { is_prober: true, ..down }, 0.0);
     assert!(prober.skips_call(false) && !prober.skips_call(true));
     let mut made = 0;
     for n in 0..100 {
@@ -109,10 +119,10 @@
 
 #[test]
 fn retry_after_is_spread_by_tier_where_the_fleet_is_at_capacity() {
-    let policy = advised(FleetDigest { level: SheddingLevel { tier: 1, share: 0.0 }, ..digest() }, 0.0);
+    let policy = policy_with(FleetDigest { level: SheddingLevel { tier: 1, share: 0.0 }, ..digest() }, 0.0);
     let mean = |tier| (0..1000).map(|_| policy.retry_after_s(tier, 0.1)).sum::<f64>() / 1000.0;
     assert!((mean(1) - 4.0).abs() < 0.2 && (mean(3) - 6.0).abs() < 0.3, "{} {}", mean(1), mean(3));
-    assert_eq!(advised(digest(), 0.0).retry_after_s(1, 0.1), 0.1, "another worker has headroom");
+    assert_eq!(policy_with(digest(), 0.0).retry_after_s(1, 0.1), 0.1, "another worker has headroom");
 }
 
 #[test]
@@ -131,13 +141,13 @@
     );
     assert_eq!((n.capacity, n.rejected), (80.0, 12.0), "it has done more than it thought");
     assert!(
-        (n.call_s - 0.03).abs() < 1e-9 && n.spare == 0.0,
+        (n.call_s - 0.03).abs() < 1e-9 && n.spare_calls == 0.0,
         "its base allocation may have been in use: {n:?}"
     );
     assert_eq!(policy.take_sample(1.0, 40, 6).arrivals, Vec::<f64>::new());
     policy.limit_calls(60.0, 1, &mut 8.0, &mut 4.0);
-    assert_eq!(policy.take_sample(60.0, 40, 6).spare, 8.0 - 1.0 - 2.0);
+    assert_eq!(policy.take_sample(60.0, 40, 6).spare_calls, 8.0 - 1.0 - 2.0);
     policy.record_state(50.0, [(2, &5.0), (1, &2.0)].into_iter());
     let n = policy.take_sample(61.0, 40, 6);
-    assert_eq!((n.spare, n.wants, n.weight), (0.0, 3.0, 4.0));
+    assert_eq!((n.spare_calls, n.wanted_calls, n.weight), (0.0, 3.0, 4.0));
 }
--- a/src/fleet/overload/report.rs
+++ b/src/fleet/overload/report.rs
@@ -3,8 +3,7 @@
 use super::{MAX_MEASUREMENT, MAX_TIERS};
 use serde::{Deserialize, Serialize};
 
-/// What a worker reports of its load, in under 256 bytes: hence the short keys. Rates are per second, over the time since
-/// its last report.
+/// A worker's load since its last report. Rates are per second. The keys are short so that a report stays below 256 bytes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LoadReport {
@@ -20,10 +19,10 @@
     /// Retries of all tiers.
     #[serde(rename = "f")]
     pub retries: f32,
-    /// First attempts that its own admission control rejected, without those that the fleet's level shed.
+    /// First attempts that the worker rejected by itself, without those that the fleet's level shed.
     #[serde(rename = "r")]
     pub rejected: f32,
-    /// Requests that it could complete, by its own estimate.
+    /// Requests that the worker can complete, by its own estimate.
     #[serde(rename = "c")]
     pub capacity: f32,
     /// Downstream calls that succeeded.
@@ -35,18 +34,18 @@
     /// Mean duration of downstream calls that succeeded (seconds).
     #[serde(rename = "l")]
     pub call_s: f32,
-    /// Calls in flight that it would make beyond its capacity.
+    /// Downstream calls that it would make beyond its capacity (calls in flight).
     #[serde(rename = "w")]
-    pub wants: f32,
+    pub wanted_calls: f32,
     /// Mean priority weight of those calls.
     #[serde(rename = "v")]
     pub weight: f32,
-    /// It goes by a digest in which the downstream circuit is open.
+    /// The digest that it applies has the downstream circuit open.
     #[serde(rename = "d", skip_serializing_if = "std::ops::Not::not")]
     pub circuit_open: bool,
-    /// Calls in flight that it lends of its own capacity, for [`super::capacity_leases::LOAN_S`].
+    /// The part of its base allocation that it lends for [`super::capacity_leases::LOAN_S`] (calls in flight).
     #[serde(rename = "o")]
-    pub lends: f32,
+    pub lent_calls: f32,
 }
 
 impl LoadReport {
@@ -58,21 +57,21 @@
             self.calls_succeeded,
             self.calls_failed,
             self.call_s,
-            self.wants,
+            self.wanted_calls,
             self.weight,
-            self.lends,
+            self.lent_calls,
         ];
         self.arrivals.iter().copied().chain(scalars)
     }
 
-    /// Whether it can have been measured; other reports are ignored.
+    /// Whether all values are in range. Other reports are ignored.
     #[must_use]
     pub fn is_sound(&self) -> bool {
         let is_measurement = |value: f32| (0.0..=MAX_MEASUREMENT).contains(&value);
         self.arrivals.len() <= MAX_TIERS && self.measurements().all(is_measurement)
     }
 
-    /// Whether all measurements are equal: a busy worker whose reports repeat has stopped measuring.
+    /// Whether all measurements are equal. A busy worker whose reports repeat has stopped measuring.
     pub(super) fn has_same_measurements(&self, other: &LoadReport) -> bool {
         self.measurements().eq(other.measurements())
     }
--- a/src/fleet/overload/retries.rs
+++ b/src/fleet/overload/retries.rs
@@ -1,11 +1,12 @@
-//! The fleet's retry budget while it is short of capacity: a ratio of first attempts, and a burst that is saved up. Retries
-//! beyond it are rejected first and immediately, so that no retry storm keeps a fleet down after its cause has gone.
+//! The fleet's retry budget: while the fleet is short of capacity it admits retries up to a ratio of first attempts, and a
+//! burst that has been saved up. Retries beyond it are rejected first and immediately, so that a retry storm ends with its
+//! cause.
 
 use super::view::LoadSums;
 
-/// The largest balance, as so many seconds of the ratio.
+/// The largest balance, as the retries that the ratio admits within this time (seconds).
 const MAX_BURST_S: f64 = 2.0;
-/// A longer time between two evaluations counts as this (seconds).
+/// The longest time between two evaluations that is counted (seconds).
 const MAX_ELAPSED_S: f64 = 5.0;
 
 /// A token bucket of retries, filled by first attempts.
@@ -13,6 +14,7 @@
 pub struct RetryBudget {
     /// Retries per first attempt.
     ratio: f64,
+    /// Saved retries.
     balance: f64,
     evaluated_at: f64,
     admitted_share: f64,
@@ -25,7 +27,7 @@
         RetryBudget { ratio: ratio.max(0.0), balance: 0.0, evaluated_at: now, admitted_share: 1.0 }
     }
 
-    /// Evaluates new sums. A fleet that is not short of anything admits all: there a retry harms nobody.
+    /// Evaluates new sums. A fleet that is not short of capacity admits every retry.
     pub fn evaluate(&mut self, now: f64, sums: &LoadSums, is_short: bool) {
         let elapsed_s = (now - self.evaluated_at).clamp(0.0, MAX_ELAPSED_S);
         self.evaluated_at = now;
@@ -43,7 +45,7 @@
         self.admitted_share
     }
 
-    /// Retries that are saved up.
+    /// The retries that are saved up.
     #[must_use]
     pub fn balance(&self) -> f64 {
         self.balance
--- a/src/fleet/overload/retries/tests.rs
+++ b/src/fleet/overload/retries/tests.rs
@@ -1,3 +1,8 @@
+#![expect(
+    clippy::float_cmp,
+    reason = "these values are exact: sums of binary fractions, or values passed through"
+)]
+
 use super::*;
 use crate::fleet::overload::MAX_TIERS;
 
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -1,39 +1,39 @@
 //! The state of the shared downstream service as each zone sees it: overloaded, circuit open, half-open probes, and a
 //! recovery ramp.
 //!
-//! Guarantees to callers: each zone opens its circuit by itself; of a zone's workers at most one makes probes, however the
-//! leader changes; successful probes restore the smallest share of calls only, and the rest returns in steps, each of which
-//! has to hold.
+//! Guarantees to callers: each zone opens its circuit by itself; at most one worker of a zone makes probes, also when the
+//! leader changes; successful probes restore the smallest share of calls only, which then grows in steps while latency
+//! stays low.
 
 use super::events::ServiceEvent;
 use super::view::LoadSums;
 use std::collections::BTreeMap;
 
-/// The service is overloaded while calls take longer than so many times the baseline.
+/// The service is overloaded while calls take longer than this many times the baseline.
 const OVERLOADED_LATENCY_FACTOR: f64 = 2.2;
 /// Factor by which an overloaded service's share of calls shrinks at each evaluation.
 const SHRINK_FACTOR: f64 = 0.7;
 /// The smallest share of calls, however overloaded the service is.
 const MIN_CALL_SHARE: f64 = 0.25;
-/// Step by which the share grows at each evaluation: complete again within two seconds, since each worker's own limit grows
-/// by smaller steps below it.
+/// Step by which the share grows at each evaluation. It is restored within two seconds, since each worker's own limit below it
+/// grows in smaller steps.
 const RECOVERY_STEP: f64 = 0.25;
 /// The share of the distance by which the baseline follows a shorter latency at each evaluation.
 const BASELINE_FALL: f64 = 0.25;
 /// The share of the distance by which the baseline follows a longer latency at each evaluation.
 const BASELINE_RISE: f64 = 0.002;
-/// The circuit opens when so large a share of a zone's calls fails.
+/// Share of failed calls in a zone from which the circuit opens.
 const FAILING_SHARE: f64 = 0.5;
-/// Fewer calls a second say nothing.
+/// Rate of calls below which their outcome is not evaluated (calls a second).
 const MIN_CALLS_PER_S: f64 = 1.0;
 /// How long calls have to fail before the circuit opens (seconds).
 const FAILING_FOR_S: f64 = 0.4;
-/// Evaluations in a row with successful probes alone before the circuit closes.
+/// Consecutive evaluations with successful probes only, after which the circuit closes.
 const PROBES_TO_CLOSE: u32 = 3;
-/// How long a worker may go by a digest (seconds), counted from when it sent the report.
+/// How long a digest is valid (seconds), counted from when the worker sent the report.
 pub const DIGEST_VALID_S: f64 = 2.0;
-/// After how long without a report another worker becomes the prober, and a new leader appoints the first (seconds): when
-/// whoever may have been the prober before goes by no digest any more.
+/// Time without a report after which another worker becomes the prober, and after which a new leader appoints its first
+/// (seconds). By then the digest of any previous prober has expired.
 const PROBER_TIMEOUT_S: f64 = DIGEST_VALID_S * 1.25;
 
 /// The worker that makes a zone's probes while the circuit is open.
@@ -52,19 +52,19 @@
     failing_since: Option<f64>,
     is_open: bool,
     prober: Option<Prober>,
-    /// No prober may be appointed before.
+    /// No prober is appointed before that time.
     appoints_from: f64,
-    successes_in_row: u32,
+    consecutive_successes: u32,
 }
 
-/// What a worker goes by.
+/// The state of the service, for one worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceState {
-    /// Share of its downstream capacity that it may use.
+    /// Share of its downstream capacity that the worker may use.
     pub call_share: f64,
     /// The circuit is open.
     pub circuit_open: bool,
-    /// It makes the half-open probes.
+    /// This worker makes the half-open probes.
     pub is_prober: bool,
 }
 
@@ -100,8 +100,8 @@
         self.zones.entry(zone.to_owned()).or_insert_with(|| ZoneCircuit::closed(appoints_from))
     }
 
-    /// A worker has reported. `circuit_open` says that it goes by a digest in which the circuit is open: a new leader takes
-    /// that over, or all would call at the same moment after a change of leader.
+    /// Handles a worker's report. `circuit_open` means that the digest that it applies has the circuit open. A new leader
+    /// adopts that; otherwise all workers would call at the same moment after a change of leader.
     pub fn receive_report(&mut self, now: f64, worker: u64, zone: &str, circuit_open: bool) {
         let is_new_leader = now < self.appoints_from;
         let circuit = self.circuit(zone);
@@ -112,7 +112,7 @@
         circuit.update_prober(now, worker);
     }
 
-    /// Evaluates a zone's new sums; returns what has changed.
+    /// Evaluates a zone's new sums, and returns what has changed.
     pub fn evaluate(&mut self, now: f64, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         let circuit = self.circuit(zone);
         if circuit.is_open {
@@ -130,7 +130,7 @@
         circuit.evaluate_latency(zone, sums)
     }
 
-    /// What a worker of a zone goes by.
+    /// The state of the service for a worker of a zone.
     #[must_use]
     pub fn state_for(&self, worker: u64, zone: &str) -> ServiceState {
         let Some(circuit) = self.zones.get(zone) else {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Whether any zone is short of the service.
+    /// Whether calls are limited in any zone.
     #[must_use]
     pub fn is_short(&self) -> bool {
         self.zones.values().any(|circuit| circuit.is_open || circuit.call_share < 1.0)
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Removes zones that nobody reports from.
+    /// Removes all zones but these.
     pub fn retain_zones(&mut self, zones: &[String]) {
         self.zones.retain(|zone, _| zones.contains(zone));
     }
@@ -174,16 +174,16 @@
             is_open: false,
             prober: None,
             appoints_from,
-            successes_in_row: 0,
+            consecutive_successes: 0,
         }
     }
 
-    /// The worker that makes probes now: there are none while the circuit is closed.
+    /// The worker that makes probes now; `None` while the circuit is closed.
     fn active_prober(&self) -> Option<u64> {
         self.prober.filter(|_| self.is_open).map(|prober| prober.worker)
     }
 
-    /// Notes that a worker has reported, and appoints it where the prober has fallen silent.
+    /// Records that a worker has reported, and appoints it where the prober has stopped reporting.
     fn update_prober(&mut self, now: f64, worker: u64) {
         match &mut self.prober {
             Some(prober) if prober.worker == worker => prober.last_report_at = now,
@@ -204,17 +204,17 @@
     fn open(&mut self) {
         self.is_open = true;
         self.call_share = MIN_CALL_SHARE;
-        self.successes_in_row = 0;
+        self.consecutive_successes = 0;
         self.failing_since = None;
     }
 
     fn close(&mut self) {
         self.is_open = false;
         self.call_share = MIN_CALL_SHARE;
-        self.successes_in_row = 0;
+        self.consecutive_successes = 0;
     }
 
-    /// Shrinks or grows the share of calls by their latency.
+    /// Adjusts the share of calls to their latency.
     fn evaluate_latency(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         let share_before = self.call_share;
         if sums.calls_succeeded > 0.0 && sums.call_s > 0.0 {
@@ -225,7 +225,7 @@
             }
             self.update_baseline(sums.call_s);
         } else if sums.calls_succeeded + sums.calls_failed == 0.0 {
-            // Nobody calls: nothing says that it is overloaded.
+            // No calls are made, so that nothing shows an overload.
             self.grow();
         }
         let starts_to_shrink = self.call_share < share_before && share_before >= 1.0;
@@ -252,11 +252,11 @@
     /// Closes the circuit after enough successful probes in a row.
     fn evaluate_probes(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         if sums.calls_failed > 0.0 {
-            self.successes_in_row = 0;
+            self.consecutive_successes = 0;
         } else if sums.calls_succeeded > 0.0 {
-            self.successes_in_row += 1;
+            self.consecutive_successes += 1;
         }
-        if self.successes_in_row < PROBES_TO_CLOSE {
+        if self.consecutive_successes < PROBES_TO_CLOSE {
             return None;
         }
         self.close();
--- a/src/fleet/overload/service/tests.rs
+++ b/src/fleet/overload/service/tests.rs
@@ -1,10 +1,15 @@
+#![expect(
+    clippy::float_cmp,
+    reason = "these values are exact: sums of binary fractions, or values passed through"
+)]
+
 use super::*;
 
-fn sums(good: f64, bad: f64, call_ms: f64) -> LoadSums {
+fn sums(succeeded: f64, failed: f64, call_ms: f64) -> LoadSums {
     LoadSums {
         workers: 4,
-        calls_succeeded: good,
-        calls_failed: bad,
+        calls_succeeded: succeeded,
+        calls_failed: failed,
         call_s: call_ms / 1000.0,
         ..LoadSums::default()
     }
@@ -61,7 +66,7 @@
         (sums(2.0, 0.0, 10.0), true),
         (sums(1.0, 1.0, 10.0), true),
         (sums(2.0, 0.0, 10.0), true),
-        // An evaluation without a probe says nothing.
+        // An evaluation without a probe changes nothing.
         (sums(0.0, 0.0, 0.0), true),
         (sums(2.0, 0.0, 10.0), true),
         (sums(2.0, 0.0, 10.0), false),
@@ -82,7 +87,7 @@
     );
     service.receive_report(100.0 + PROBER_TIMEOUT_S, 8, "z", true);
     assert!(service.state_for(8, "z").is_prober);
-    // Later on it knows better than a worker with an old digest.
+    // Later on a worker with an old digest does not open the circuit.
     let mut service = DownstreamService::new(100.0);
     service.receive_report(110.0, 7, "z", true);
     assert!(!service.state_for(7, "z").circuit_open);
--- a/src/fleet/overload/tests.rs
+++ b/src/fleet/overload/tests.rs
@@ -12,9 +12,9 @@
         calls_succeeded: 1234.25,
         calls_failed: 1234.25,
         call_s: 0.0125,
-        wants: 12.5,
+        wanted_calls: 12.5,
         weight: 5.0,
-        lends: 12.5,
+        lent_calls: 12.5,
         circuit_open: true,
     };
     assert!(serde_json::to_string(&full).unwrap().len() <= 256, "{}", serde_json::to_string(&full).unwrap());
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -1,20 +1,20 @@
-//! Outlier-robust aggregation of load reports. A worker that reports nonsense shifts no sum by more than a few workers'
-//! shares; one that has fallen silent, or repeats the same measurements while it claims to be busy, is left out.
+//! Outlier-robust aggregation of load reports. A worker that reports wrong values shifts no sum by more than a few workers'
+//! shares. One that has stopped reporting, or repeats the same measurements under load, is left out.
 
 use super::{LoadReport, MAX_TIERS};
 use std::collections::BTreeMap;
 
-/// A report older than this is left out (seconds): five that should have come.
+/// Age from which a report is left out (seconds): five reporting intervals.
 pub const STALE_AFTER_S: f64 = 2.5;
-/// Measurements that have not changed at all for so long, under load, are frozen (seconds).
+/// Time without any change of its measurements after which a worker under load is left out (seconds).
 const FROZEN_AFTER_S: f64 = 3.0;
-/// A worker that has been silent for so long is removed (seconds).
-const FORGET_AFTER_S: f64 = 10.0;
-/// A value counts for at most so many times the mean of the others: workers of 2 and of 16 cores are that far apart.
+/// Time without a report after which a worker is removed (seconds).
+const REMOVE_AFTER_S: f64 = 10.0;
+/// A value counts for at most this many times the mean of the others: the ratio of a worker with 16 cores to one with 2.
 const MAX_OUTLIER_FACTOR: f64 = 8.0;
-/// The share of the highest values that is left out of that mean; one value at least.
+/// The share of the highest values that is left out of that mean, at least one value.
 const TRIMMED_SHARE: f64 = 0.05;
-/// Arrivals at a worker count for at most so many times its capacity.
+/// Arrivals at a worker count for at most this many times its capacity.
 const MAX_ARRIVALS_FACTOR: f64 = 3.0;
 
 /// The latest report of a worker.
@@ -65,7 +65,8 @@
 }
 
 impl FleetLoadView {
-    /// A worker's report has arrived; `false` if it can't have been measured, or is a repeat: it is ignored then.
+    /// Handles a worker's report. Returns `false` for one that is ignored, as its values are out of range or its number is not
+    /// a new one.
     pub fn receive(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) -> bool {
         if !load.is_sound() {
             return false;
@@ -80,12 +81,12 @@
         true
     }
 
-    /// A worker has left.
+    /// Removes a worker that has left.
     pub fn remove(&mut self, worker: u64) {
         self.reports.remove(&worker);
     }
 
-    /// Zones from which anything is known, sorted.
+    /// The zones of all workers that have reported, sorted.
     #[must_use]
     pub fn zones(&self) -> Vec<String> {
         let mut zones: Vec<String> = self.reports.values().map(|report| report.zone.clone()).collect();
@@ -94,9 +95,9 @@
         zones
     }
 
-    /// The sums of a zone, or of the fleet.
+    /// The sums of a zone, or of the whole fleet without one.
     pub fn sums(&mut self, now: f64, zone: Option<&str>) -> LoadSums {
-        self.reports.retain(|_, report| now - report.received_at < FORGET_AFTER_S);
+        self.reports.retain(|_, report| now - report.received_at < REMOVE_AFTER_S);
         let live: Vec<&LatestReport> = self.reports.values().filter(|report| report.is_live(now)).collect();
         let is_included = |report: &&&LatestReport| zone.map_or(true, |zone| report.zone == zone);
         let included: Vec<&LatestReport> = live.iter().filter(is_included).copied().collect();
@@ -115,15 +116,15 @@
     }
 }
 
-/// The most that one worker's value counts for. It comes from the whole fleet: one of a zone's two workers must not be half
-/// of the measure against itself.
+/// The most that one worker's value counts for. It is computed over the whole fleet, since in a zone of two workers each
+/// would be half of its own bound.
 fn outlier_bound(live: &[&LatestReport], value: fn(&LoadReport) -> f32) -> f64 {
     let mut values: Vec<f64> = live.iter().map(|report| f64::from(value(&report.load))).collect();
     values.sort_by(f64::total_cmp);
     let trimmed = ((values.len() as f64 * TRIMMED_SHARE) as usize).max(1);
     let kept = values.len().saturating_sub(trimmed);
     if kept == 0 {
-        // There is nobody to compare it with.
+        // There is no other worker to compare with.
         return f64::INFINITY;
     }
     MAX_OUTLIER_FACTOR * values[..kept].iter().sum::<f64>() / kept as f64
@@ -135,8 +136,8 @@
     included.iter().map(|report| f64::from(value(&report.load)).min(bound)).sum()
 }
 
-/// First attempts by tier. Arrivals at a worker count up to a few times its capacity: who claims a flood and no cores shifts
-/// nothing.
+/// First attempts by tier. Arrivals at a worker count up to a few times its capacity, so that one that reports many arrivals
+/// and no capacity shifts nothing.
 fn bounded_arrivals(live: &[&LatestReport], included: &[&LatestReport]) -> [f64; MAX_TIERS] {
     let capacity_bound = outlier_bound(live, |load| load.capacity);
     let mut sums = [0.0; MAX_TIERS];
@@ -152,7 +153,7 @@
     sums
 }
 
-/// The median of the workers' means: what is slow for all is slow, what is slow for one is its own fault.
+/// The median of the workers' means: a service that is slow for one worker only is not slow.
 fn median_call_s(included: &[&LatestReport]) -> f64 {
     let with_calls = included.iter().filter(|report| report.load.calls_succeeded > 0.0);
     let mut durations: Vec<f32> = with_calls.map(|report| report.load.call_s).collect();
--- a/src/fleet/overload/view/tests.rs
+++ b/src/fleet/overload/view/tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// Twenty honest workers in two zones, and whatever the last one says.
+/// The sums of twenty correct workers in two zones, and of one whose report is `last`.
 fn fleet(last: &LoadReport) -> LoadSums {
     let mut view = FleetLoadView::default();
     for worker in 0..20 {
@@ -50,11 +50,11 @@
     }
     assert!(!view.receive(5.0, 1, "east", &load(10, 99.0)), "a repeat");
     let all = view.sums(5.0, None);
-    // The second says the same for 4.5 s under load; the third has nothing to do, and may well say so.
+    // The second repeats its measurements for 4.5 s under load; the third is idle, and may repeat them.
     assert_eq!((all.workers, all.capacity), (2, 27.0));
     assert_eq!(view.sums(5.0, Some("west")).workers, 1);
     assert_eq!(view.sums(5.0 + STALE_AFTER_S + 0.1, None), LoadSums::default());
     assert_eq!(view.zones(), ["east", "west"]);
     view.sums(16.0, None);
-    assert!(view.zones().is_empty(), "forgotten");
+    assert!(view.zones().is_empty(), "removed");
 }
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -46,8 +46,8 @@
         let policy = self.dispatcher.as_mut().and_then(Dispatcher::overload);
         if let (Some(directive), Some(policy)) = (directive, policy) {
             policy.set_directive(OverloadDirective {
-                until: directive.until - fleet_now + now,
-                slice_until: directive.slice_until - fleet_now + now,
+                valid_until: directive.valid_until - fleet_now + now,
+                slice_valid_until: directive.slice_valid_until - fleet_now + now,
                 ..directive
             });
         }
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -504,9 +504,9 @@
                     capacity: 1.0,
                     calls_failed: 1e6,
                     call_s: 1e6,
-                    wants: 1e6,
+                    wanted_calls: 1e6,
                     weight: 1e6,
-                    lends: 1e6,
+                    lent_calls: 1e6,
                     ..load
                 };
             }
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -34,10 +34,10 @@
         calls_succeeded: 33.0,
         calls_failed: 0.5,
         call_s: 0.125,
-        wants: 2.0,
+        wanted_calls: 2.0,
         weight: 3.5,
         circuit_open: true,
-        lends: 1.015625,
+        lent_calls: 1.015625,
     }
 }
 
