--- a/src/config/ajp.rs
+++ b/src/config/ajp.rs
@@ -1,17 +1,16 @@
-//! `[ajp]` and `[backend]` of an operator's file: the AJP frontend and the AJP servers.
+//! `[ajp]` of an operator's file: the AJP frontend.
 
 use super::{Config, ConfigError};
 use serde::Deserialize;
-use std::collections::HashMap;
 use std::net::SocketAddr;
 
 /// The AJP frontend.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AjpSettings {
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// What every request must carry, if set.
+    /// The secret that every request must carry, if set.
     pub secret: Option<String>,
     /// Which paths belong to which class.
     #[serde(default, rename = "route")]
@@ -43,26 +42,6 @@
     pub tenant: String,
 }
 
-/// AJP servers that run requests instead of the executor.
-#[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct ServerSettings {
-    /// The servers.
-    pub servers: Vec<SocketAddr>,
-    /// The secret that they expect, if any.
-    pub secret: Option<String>,
-    /// The server name that is sent with each request.
-    #[serde(default = "default_server_name")]
-    pub server_name: String,
-    /// By class: the path at the servers, `/do/CLASS` where none is given.
-    #[serde(default)]
-    pub paths: HashMap<String, String>,
-}
-
-fn default_server_name() -> String {
-    "localhost".to_owned()
-}
-
 impl AjpSettings {
     /// The class of a path: that of the longest route that it equals or lies below.
     #[must_use]
@@ -89,17 +68,7 @@
         };
         self.tenants.iter().find(matches).map(|rule| rule.tenant.as_str())
     }
-}
-
-impl ServerSettings {
-    /// The path at the servers for a class.
-    #[must_use]
-    pub fn uri_of(&self, class: &str) -> String {
-        self.paths.get(class).cloned().unwrap_or_else(|| format!("/do/{class}"))
-    }
-}
 
-impl AjpSettings {
     pub(super) fn check(&self, config: &Config) -> Result<(), ConfigError> {
         if self.routes.is_empty() {
             return Err(ConfigError::NoRoutes);
@@ -135,19 +104,3 @@
         Ok(())
     }
 }
-
-impl ServerSettings {
-    pub(super) fn check(&self, config: &Config) -> Result<(), ConfigError> {
-        if self.servers.is_empty() {
-            return Err(ConfigError::NoServers);
-        }
-        match self.paths.keys().find(|class| !config.has_class(class)) {
-            Some(class) => Err(ConfigError::UnknownName {
-                key: "backend.paths".to_owned(),
-                kind: "class",
-                name: class.clone(),
-            }),
-            None => Ok(()),
-        }
-    }
-}
--- a/src/config/directory.rs
+++ b/src/config/directory.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The part of an AJP request by which the directory knows a portal.
+/// The part of an AJP request that identifies a portal in the directory.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Identity {
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DirectorySettings {
-    /// Where the directory listens.
+    /// The address of the directory.
     pub address: SocketAddr,
     /// The name to bind with; empty for an anonymous bind.
     #[serde(default)]
@@ -26,21 +26,21 @@
     /// The password to bind with.
     #[serde(default)]
     pub bind_password: String,
-    /// The entry below which portals are searched for.
+    /// The entry below which portals are searched.
     pub base: String,
-    /// What of a request identifies the portal.
+    /// The part of a request that identifies the portal.
     pub identity: Identity,
     /// The attribute that holds the identity.
     pub identity_attribute: String,
     /// The attribute that holds the tenant's name.
     pub tenant_attribute: String,
-    /// How long a search may take (milliseconds).
+    /// The timeout of a search (milliseconds).
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
     /// How long a result is cached (seconds).
     #[serde(default = "default_cache_s")]
     pub cache_s: f64,
-    /// Cached results at most.
+    /// Most cached results.
     #[serde(default = "default_cache_entries")]
     pub cache_entries: usize,
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,10 +1,10 @@
-//! Why a configuration or an operator's file can't be used.
+//! Errors in a configuration or an operator's file.
 
 use super::fleet::FleetConfigError;
 use std::io;
 
-/// A fault in a configuration or an operator's file. Its text is one line that names the key, what was found and what
-/// was expected.
+/// A configuration or an operator's file that can't be used. Its message is one line with the key, the value found and the
+/// value expected.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigError {
@@ -13,7 +13,7 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The file was read and can't be used.
@@ -214,7 +214,7 @@
 }
 
 impl ConfigError {
-    /// The same fault, with the file that it is in.
+    /// The same error, with its file.
     pub(super) fn in_file(self, path: &str) -> ConfigError {
         ConfigError::InFile { path: path.to_owned(), source: Box::new(self) }
     }
--- a/src/config/files.rs
+++ b/src/config/files.rs
@@ -1,12 +1,12 @@
-//! Where a worker's configuration comes from: the files and addresses that its environment names.
+//! The files and addresses that a worker's environment names, from which its configuration is read.
 
 use super::{Config, ConfigError, Operator};
 use std::io::Read;
 
-/// A configuration or an operator's file is read up to this length (bytes).
+/// The longest configuration or operator's file that is read (bytes).
 const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// What the environment and the command line name.
+/// The files and addresses named by the environment and the command line.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
     /// The path of the configuration.
@@ -17,7 +17,7 @@
     pub console: Option<String>,
     /// The number of the listening socket that this process inherits.
     pub socket: Option<String>,
-    /// The folder that this process shares with the one that it succeeds.
+    /// The folder that this process shares with its predecessor.
     pub folder: Option<String>,
 }
 
@@ -31,13 +31,13 @@
         let mut config = Config::decode(&text).map_err(|fault| fault.in_file(&self.config))?;
         if let Some(text) = &self.console {
             let address = text.parse().map_err(|_| ConfigError::ConsoleAddress { found: text.clone() })?;
-            config.console_passed_over = config.console.filter(|configured| *configured != address);
+            config.overridden_console = config.console.filter(|configured| *configured != address);
             config.console = Some(address);
         }
         Ok(config)
     }
 
-    /// Reads the operator's file and checks it against the configuration; nothing is set up where there is none.
+    /// Reads the operator's file and checks it against the configuration. Without a file every block is absent.
     ///
     /// # Errors
     /// A file that can't be read or used.
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -12,7 +12,7 @@
 
 /// Most coordinators of a fleet.
 const MAX_COORDINATORS: usize = 9;
-/// Largest clock drift that may be allowed for (percent).
+/// Largest clock drift that can be set (percent).
 const MAX_DRIFT_PERCENT: f64 = 50.0;
 /// Shortest period of a task (seconds).
 const MIN_PERIOD_S: f64 = 0.1;
@@ -23,7 +23,7 @@
 /// Longest deadline of a call (milliseconds).
 const MAX_DEADLINE_MS: f64 = 60_000.0;
 
-/// Membership of a fleet; `docs/operators/fleet.md` says what each setting is for.
+/// Membership of a fleet. `docs/operators/fleet.md` explains each setting.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
@@ -38,20 +38,21 @@
     #[serde(default = "default_drift_percent")]
     pub drift_percent: f64,
     /// Whether this worker is a candidate for computing the fleet's totals.
-    #[serde(default = "default_totals")]
-    pub totals: bool,
+    #[serde(default = "default_totals", rename = "totals")]
+    pub computes_totals: bool,
     /// Tasks for which this worker is a candidate.
     #[serde(default, rename = "task")]
     pub tasks: Vec<TaskSettings>,
-    /// Takes part in fleet-wide overload control.
+    /// Participation in fleet-wide overload control.
     pub overload: Option<OverloadSettings>,
 }
 
-/// Fleet-wide overload control. What the fleet decides of it is in the coordinators' file, the same for all workers.
+/// A worker's participation in fleet-wide overload control. The settings of the control itself are in the coordinators' file,
+/// the same for all workers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadSettings {
-    /// Whether this worker takes part.
+    /// Whether this worker participates.
     pub on: bool,
 }
 
@@ -72,7 +73,8 @@
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: f64,
     /// Whether a call with an indeterminate outcome may be made again in its period.
-    pub safe: bool,
+    #[serde(rename = "safe")]
+    pub idempotent: bool,
 }
 
 fn default_zone() -> String {
@@ -102,7 +104,7 @@
         let coordinators = self.coordinators.len() as f64;
         check_range("coordinators", coordinators, 1.0, MAX_COORDINATORS as f64)?;
         check_range("drift_percent", self.drift_percent, 0.0, MAX_DRIFT_PERCENT)?;
-        // One of the fleet's tasks is its own.
+        // The fleet's totals are one of its tasks.
         check_range("task", self.tasks.len() as f64, 0.0, (MAX_TASKS - 1) as f64)?;
         for task in &self.tasks {
             self.check_task(task)?;
@@ -126,22 +128,23 @@
         Ok(())
     }
 
-    /// Whether this worker takes part in fleet-wide overload control.
+    /// Whether this worker participates in fleet-wide overload control.
     #[must_use]
-    pub fn overload(&self) -> bool {
+    pub fn overload_enabled(&self) -> bool {
         self.overload.as_ref().is_some_and(|overload| overload.on)
     }
 
-    /// The membership's configuration, without overload control: the worker's part of the downstream capacity comes from the
-    /// platform's settings.
-    pub fn plan(&self, config: &Config) -> MembershipConfig {
+    /// The membership's configuration, without overload control: that needs the worker's base allocation, which comes from
+    /// the platform's settings.
+    #[must_use]
+    pub fn membership(&self, config: &Config) -> MembershipConfig {
         MembershipConfig {
             fleet: self.name.clone(),
             name: config.name.clone(),
             zone: self.zone.clone(),
             coordinators: self.coordinators.clone(),
             drift: self.drift_percent / 100.0,
-            computes_totals: self.totals,
+            computes_totals: self.computes_totals,
             tasks: self.tasks.iter().map(TaskSettings::schedule).collect(),
             overload: None,
         }
@@ -156,7 +159,7 @@
             address: self.address,
             path: self.path.clone(),
             deadline_s: self.deadline_ms / 1000.0,
-            idempotent: self.safe,
+            idempotent: self.idempotent,
         }
     }
 }
--- a/src/config/fleet/error.rs
+++ b/src/config/fleet/error.rs
@@ -1,12 +1,12 @@
-//! Why `[fleet]` of an operator's file can't be used.
+//! Errors in `[fleet]` of an operator's file.
 
 use crate::fleet::frame::MAX_NAME_BYTES;
 
-/// A fault in `[fleet]`. Its text is one line that names the key, what was found and what was expected.
+/// An invalid setting in `[fleet]`. Its message is one line with the key, the value found and the value expected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FleetConfigError {
-    /// A name has a character that is not allowed, or too many of them.
+    /// A name is empty, too long, or has a character that is not allowed.
     #[error(
         "fleet.{key} is {found:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
     )]
@@ -28,7 +28,7 @@
         /// The most that is accepted.
         max: f64,
     },
-    /// Two tasks have the same name, or one has that of the fleet's own task.
+    /// Two tasks have the same name, or one has the name of the totals' task.
     #[error("fleet.task.name is {name:?}, which is taken")]
     DuplicateTask {
         /// The name.
--- a/src/config/http2.rs
+++ b/src/config/http2.rs
@@ -1,4 +1,4 @@
-//! `[http2]` of an operator's file. What each bound guards against is in `docs/operators/http2.md`.
+//! `[http2]` of an operator's file: the HTTP/2 frontend. `docs/operators/http2.md` gives the reason for each bound.
 
 use super::ConfigError;
 use serde::Deserialize;
@@ -9,15 +9,15 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Http2Settings {
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// Connections at most.
+    /// Most connections.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Sessions at most of connections that have not sent a request yet.
+    /// Most connections that have not sent a request yet.
     #[serde(default = "default_newcomers")]
     pub newcomers: usize,
-    /// Streams that a client may have open at once on a connection.
+    /// Concurrent streams that a client may have on a connection.
     #[serde(default = "default_streams")]
     pub streams: u32,
     /// The flow-control window of a stream (KiB).
@@ -26,31 +26,31 @@
     /// The flow-control window of a connection (KiB).
     #[serde(default = "default_connection_window_kb")]
     pub connection_window_kb: u32,
-    /// Names and values of one request's headers at most (KiB).
+    /// Largest header list of a request: names and values (KiB).
     #[serde(default = "default_header_list_kb")]
     pub header_list_kb: u32,
-    /// The part of a stream's response that may wait in the codec (KiB).
+    /// Largest part of a stream's response that the codec buffers (KiB).
     #[serde(default = "default_send_buffer_kb")]
     pub send_buffer_kb: u32,
-    /// Responses that wait for clients' windows and sockets, in all (KiB).
+    /// Most bytes of responses, of all connections, that wait for clients' windows and sockets (KiB).
     #[serde(default = "default_waiting_kb")]
     pub waiting_kb: u32,
-    /// Streams that were reset before they were accepted, before the connection is ended.
+    /// Streams reset before they were accepted after which the connection is closed.
     #[serde(default = "default_pending_resets")]
     pub pending_resets: usize,
-    /// Streams in error before the connection is ended.
+    /// Streams in error after which the connection is closed.
     #[serde(default = "default_error_resets")]
     pub error_resets: usize,
-    /// How long a connection without a stream is kept (seconds).
+    /// Idle time after which a connection without a stream is closed (seconds).
     #[serde(default = "default_idle_s")]
     pub idle_s: f64,
-    /// How often an idle client is sent a PING (seconds); 0 for never.
+    /// Interval of PINGs to an idle client (seconds); 0 for none.
     #[serde(default = "default_ping_s")]
     pub ping_s: f64,
-    /// What a client may send at once that belongs to no request (KiB).
+    /// Burst of bytes that belong to no request which a client may send (KiB).
     #[serde(default = "default_overhead_kb")]
     pub overhead_kb: u32,
-    /// What a client may send that belongs to no request, in the mean (KiB a second).
+    /// Mean rate of bytes that belong to no request which a client may send (KiB a second).
     #[serde(default = "default_overhead_kb_per_s")]
     pub overhead_kb_per_s: u32,
 }
@@ -133,8 +133,8 @@
     }
 }
 
-fn within<T: PartialOrd + Display>(key: &str, value: T, min: T, max: T) -> Result<(), ConfigError> {
-    if (&min..=&max).contains(&&value) {
+fn within<T: Copy + PartialOrd + Display>(key: &str, value: T, min: T, max: T) -> Result<(), ConfigError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
     Err(ConfigError::OutOfRange {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,10 @@
-//! What the program is configured with: the platform's settings, a port worker's configuration, and the operator's
-//! file for what is set up beside the platform.
+//! Configuration: the platform's settings, a port worker's configuration, and the operator's file for subsystems beside the
+//! platform.
 //!
-//! The platform's and the operators' words stay at this edge: serde attributes map them to the names of the code.
+//! The names of keys are the platform's and the operators'; serde attributes map them to the names of the code here.
 
 pub mod ajp;
+pub mod backend;
 pub mod directory;
 pub mod error;
 pub mod files;
@@ -14,7 +15,8 @@
 pub mod pools;
 pub mod process;
 
-pub use ajp::{AjpSettings, Route, ServerSettings, TenantRule};
+pub use ajp::{AjpSettings, Route, TenantRule};
+pub use backend::BackendSettings;
 pub use directory::{DirectorySettings, Identity};
 pub use error::ConfigError;
 pub use files::Files;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,18 +1,18 @@
-//! An operator's file: what is set up beside the platform, in TOML, checked against the platform's settings.
+//! The operator's file: subsystems beside the platform, in TOML, checked against the platform's settings.
 
 use super::fleet::FleetSettings;
 use super::pools::PoolSettings;
-use super::{AjpSettings, Config, ConfigError, DirectorySettings, Http2Settings, ServerSettings};
+use super::{AjpSettings, BackendSettings, Config, ConfigError, DirectorySettings, Http2Settings};
 use serde::Deserialize;
 
-/// What an operator sets up beside the platform. A block that the file does not have is off.
+/// The operator's file. A subsystem whose block is absent is off.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
     /// The AJP frontend.
     pub ajp: Option<AjpSettings>,
     /// AJP servers that run requests.
-    pub backend: Option<ServerSettings>,
+    pub backend: Option<BackendSettings>,
     /// The LDAP directory of tenants.
     pub directory: Option<DirectorySettings>,
     /// Class pools.
@@ -24,7 +24,7 @@
 }
 
 impl Operator {
-    /// Decodes and checks against the platform's settings.
+    /// Decodes the file and checks it against the platform's settings.
     ///
     /// # Errors
     /// Text that is not TOML, unknown blocks and keys, and values that can't be used.
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// The blocks in which this file differs from `other` and which a running worker can't apply.
+    /// The blocks that differ from `other` and that a running worker can't apply.
     #[must_use]
     pub fn fixed_changes(&self, other: &Operator) -> Vec<&'static str> {
         let differs = [
@@ -70,10 +70,10 @@
     }
 }
 
-/// A parser's fault with the line that it is in.
+/// The error for a parser's fault, with its line.
 fn located(text: &str, fault: &toml::de::Error) -> ConfigError {
     let at = fault.span().map_or(0, |span| span.start.min(text.len()));
-    let line = text.as_bytes()[..at].iter().filter(|byte| **byte == b'\n').count() + 1;
+    let line = text.as_bytes()[..at].split(|byte| *byte == b'\n').count();
     ConfigError::Toml { line, message: fault.message().replace('\n', " ") }
 }
 
--- a/src/config/operator/tests.rs
+++ b/src/config/operator/tests.rs
@@ -1,16 +1,16 @@
-use super::super::tests::GOOD;
+use super::super::tests::VALID;
 use super::*;
 
 #[test]
 fn an_operators_file_is_checked_against_the_platforms_settings() {
-    let config = Config::decode(GOOD).unwrap();
-    let good = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p/\"\nclass = \"a\"\n";
-    let ajp = Operator::decode(good, &config).unwrap().ajp.unwrap();
+    let config = Config::decode(VALID).unwrap();
+    let valid = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p/\"\nclass = \"a\"\n";
+    let ajp = Operator::decode(valid, &config).unwrap().ajp.unwrap();
     assert_eq!((ajp.class_of("/p/x"), ajp.class_of("/p"), ajp.class_of("/px")), (Some("a"), Some("a"), None));
     for (text, named) in [
-        (good.replace("\"a\"", "\"b\""), "class"),
-        (good.replace("[[ajp.route]]", "[[ajp.other]]"), "route"),
-        (format!("{good}[[ajp.tenant]]\nremote_user = \"u\"\ntenant = \"t\"\n"), "tenant"),
+        (valid.replace("\"a\"", "\"b\""), "class"),
+        (valid.replace("[[ajp.route]]", "[[ajp.other]]"), "route"),
+        (format!("{valid}[[ajp.tenant]]\nremote_user = \"u\"\ntenant = \"t\"\n"), "tenant"),
         ("[backend]\nservers = []\n".to_owned(), "servers"),
         (
             "[http2]\nlisten = \"127.0.0.1:0\"\nstreams = 0\n".to_owned(),
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn every_block_refuses_what_it_does_not_know() {
-    let config = Config::decode(GOOD).unwrap();
+fn an_unknown_block_or_key_is_rejected_with_its_line() {
+    let config = Config::decode(VALID).unwrap();
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p\"\nclass = \"a\"\n";
     let backend = "[backend]\nservers = [\"127.0.0.1:1\"]\n";
     let directory = "[directory]\naddress = \"127.0.0.1:1\"\nbase = \"o=x\"\nidentity = \"remote-user\"\n\
@@ -39,7 +39,7 @@
     let pools = "[pools]\n[[pools.pool]]\nname = \"p\"\nclasses = [\"a\"]\n";
     for (text, unknown, line) in [
         ("[nonsense]\n".to_owned(), "nonsense", 1),
-        // A misspelt secret would leave the front open.
+        // A misspelt secret would leave the frontend without one.
         (ajp.replace("[[", "secrt = \"x\"\n[["), "secrt", 3),
         (format!("{ajp}clas = \"a\"\n"), "clas", 6),
         (format!("{ajp}[[ajp.tenant]]\nremote_usr = \"u\"\ntenant = \"t\"\n"), "remote_usr", 7),
@@ -59,16 +59,16 @@
 }
 
 #[test]
-fn the_files_that_come_with_the_program_are_good() {
+fn the_shipped_ajp_and_http2_files_are_valid() {
     let config = Config::decode(include_str!("../../../examples/config.json")).unwrap();
     let text = include_str!("../../../deploy/ajp.toml");
     let operator = Operator::decode(text, &config).unwrap();
     assert!(operator.ajp.is_some() && operator.backend.is_none() && operator.directory.is_none());
     let http2 = Operator::decode(include_str!("../../../deploy/http2.toml"), &config).unwrap().http2.unwrap();
-    // What it shows are the defaults.
+    // The shipped file spells out the defaults.
     let plain = Operator::decode("[http2]\nlisten = \"127.0.0.1:7002\"\n", &config).unwrap().http2;
     assert_eq!(Some(http2), plain);
-    // The parts that are shown switched off are good as well.
+    // The blocks that are commented out are valid as well.
     let on: String = text
         .lines()
         .map(|l| l.strip_prefix('#').filter(|r| !r.starts_with(' ')).unwrap_or(l))
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's settings object: its keys as the platform writes them, mapped to the controller's settings.
+//! The platform's settings object, and its mapping to the controller's settings.
 
 use crate::interface::{Class, Dependency, Gauges, Idempotency, Preemption, Settings, Signal, Tenant};
 use serde::Deserialize;
@@ -12,13 +12,13 @@
     pub profiles: Vec<Profile>,
     /// The tenants; a tenant's number is its place in this list.
     pub tenants: Vec<TenantItem>,
-    /// The machine and what it works with.
+    /// The machine, its executor and its downstream dependency.
     pub domain: Domain,
-    /// What is promised to callers.
+    /// Guarantees to callers, and the load that the machine survives.
     pub contract: Contract,
     /// Limits on answers.
     pub limits: Limits,
-    /// What callers do.
+    /// The behaviour of callers.
     pub clients: Clients,
     /// The weight of a request beyond its tenant's quota, as a share of its class's.
     #[serde(rename = "overShareWorth")]
@@ -48,7 +48,7 @@
     pub deadline_s: f64,
     /// `safe`, `keyed` or `unsafe`.
     pub effect: String,
-    /// How long a key may come again (seconds).
+    /// The window of an idempotency key (seconds).
     pub window_s: f64,
 }
 
@@ -62,7 +62,7 @@
     pub quota_per_s: f64,
 }
 
-/// The machine and what it works with.
+/// The machine, its executor and its downstream dependency.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Domain {
@@ -82,7 +82,7 @@
     pub key_entry_kb: f64,
     /// This worker's share of the downstream dependency (mean number of calls in flight).
     pub fair_calls: f64,
-    /// What can be done to a run: `discard`, `freeze`, or nothing.
+    /// The kind of preemption: `discard`, `freeze`, or none.
     pub halt: String,
     /// Memory for requests and keys (KB).
     pub heap_kb: f64,
@@ -94,7 +94,7 @@
     pub own_stats: Vec<String>,
     /// Requests carry the time that is left to them.
     pub passes_deadline: bool,
-    /// Callers learn of bad health.
+    /// Callers are notified of bad health.
     pub readiness: bool,
     /// Memory of a running request as a multiple of a queued one's.
     pub run_factor: f64,
@@ -106,19 +106,19 @@
     pub stays_for_s: f64,
 }
 
-/// What is promised to callers, and what the machine survives.
+/// Guarantees to callers, and the load that the machine survives.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Contract {
-    /// The least share of its speed that a cold worker has.
+    /// The share of its speed that a cold worker starts with.
     #[serde(rename = "coldFrom")]
     pub cold_speed: f64,
-    /// After this long it is warm (seconds).
+    /// Time after which it is warm (seconds).
     #[serde(rename = "coldS")]
     pub warm_up_s: f64,
     /// How long after the shutdown notice arrivals may still run (seconds).
     pub drain_grace_s: f64,
-    /// Runs a core, on the cores at once, that a warm worker survives.
+    /// Concurrent runs per core that a warm worker survives.
     pub fall_multiple: f64,
     /// How long after its due time an answer still counts (seconds).
     pub grace_to_answer_s: f64,
@@ -136,7 +136,7 @@
     pub retry_after: bool,
 }
 
-/// What callers do.
+/// The behaviour of callers.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Clients {
@@ -236,7 +236,7 @@
     }
 }
 
-/// The gauges by their names in the settings; one that is not there is absent.
+/// The gauges by their names in the settings. A gauge without a name or a value is `None`.
 #[must_use]
 pub fn read_gauges(names: &[String], values: &[f64]) -> Gauges {
     let read = |name: &str| names.iter().position(|n| n == name).and_then(|i| values.get(i)).copied();
--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -1,40 +1,41 @@
-//! The block `[pools]` of an operator's file: class pools, checked against the platform's settings.
+//! `[pools]` of an operator's file: class pools, checked against the platform's settings.
+
+mod assignment;
 
 use super::{ConfigError, Options};
 use crate::interface::{PoolItem, PoolPlan};
+use assignment::Assignment;
 use serde::Deserialize;
 
-/// The pool of the classes that no other names.
+/// The name of the pool of the classes that no other pool names.
 pub const REST: &str = "rest";
-/// Pools at most; each start looks at all of them.
+/// Most pools. Each start of a run examines all of them.
 pub const MAX_POOLS: usize = 16;
-/// Slots at most.
+/// Most slots.
 pub const MAX_SLOTS: usize = 4096;
-/// Where the file gives no `most_slots`, it is this many times the cores.
+/// The default of `most_slots`, as a multiple of the cores.
 const DEFAULT_SLOTS_PER_CORE: usize = 2;
-/// Guarantees are written as decimals: their sum may miss 1 by this much.
+/// Error by which the sum of guarantees, which are decimal fractions, may exceed 1.
 const ROUNDING: f64 = 1e-9;
-/// The longest name of a pool (bytes).
-const MAX_POOL_NAME_BYTES: usize = 64;
 
-/// Class pools, as the operator's file has them.
+/// Class pools.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSettings {
-    /// The limit on runs does not fall below this (slots); the cores where left out.
+    /// The least limit on runs (slots); by default the number of cores.
     pub least_slots: Option<usize>,
-    /// The limit on runs does not rise above this (slots); twice the cores where left out.
+    /// The largest limit on runs (slots); by default twice the number of cores.
     pub most_slots: Option<usize>,
-    /// How long a measured rate and a usual run length are believed (seconds).
+    /// How long measured rates and run lengths are used (seconds).
     #[serde(default = "default_window_s")]
     pub window_s: f64,
-    /// How often the limit is adjusted (seconds).
+    /// Interval at which the limit is adjusted (seconds).
     #[serde(default = "default_look_s")]
     pub look_s: f64,
-    /// Ended runs that an adjustment needs at least.
+    /// The least number of ended runs for an adjustment.
     #[serde(default = "default_samples")]
     pub samples: usize,
-    /// Runs this many times as long as the load explains mean that the executor has slowed down.
+    /// Ratio of the measured run length to the one expected at this load from which the executor counts as slowed down.
     #[serde(default = "default_slow_ratio")]
     pub slow_ratio: f64,
     /// Slots that one pool never lends.
@@ -62,16 +63,16 @@
     pub name: String,
     /// Its classes, by their names in the settings.
     pub classes: Vec<String>,
-    /// The share of the common slots that it has whenever it wants them.
+    /// The share of the common slots that it gets whenever it has requests for them.
     #[serde(default)]
     pub guarantee: f64,
-    /// The share of the common slots that it takes at most.
+    /// The largest share of the common slots that it may use.
     #[serde(default = "default_ceiling")]
     pub ceiling: f64,
     /// Its weight where pools compete for free slots.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Requests that it queues at most.
+    /// Most queued requests.
     #[serde(default = "default_queue")]
     pub queue: usize,
 }
@@ -105,10 +106,10 @@
 }
 
 impl PoolSettings {
-    /// Checks the block against the platform's settings and makes the plan of it.
+    /// Checks the block against the platform's settings and makes the plan for the controller.
     ///
     /// # Errors
-    /// The first value that can't be used.
+    /// The first setting that is invalid.
     pub fn plan(&self, settings: &Options) -> Result<PoolPlan, ConfigError> {
         let cores = settings.domain.n_cores.max(1) as usize;
         let least_slots = self.least_slots.unwrap_or(cores);
@@ -181,96 +182,6 @@
     Err(ConfigError::NumberOutOfRange { key, found, min, max })
 }
 
-/// The pools so far, and which classes they have.
-struct Assignment<'a> {
-    settings: &'a Options,
-    pools: Vec<PoolItem>,
-    /// By class: the number of its pool.
-    pool_of: Vec<Option<usize>>,
-}
-
-impl<'a> Assignment<'a> {
-    fn new(settings: &'a Options) -> Self {
-        Assignment { settings, pools: Vec::new(), pool_of: vec![None; settings.profiles.len()] }
-    }
-
-    fn add(&mut self, block: &PoolBlock) -> Result<(), ConfigError> {
-        self.check_name(block)?;
-        for class in &block.classes {
-            self.assign(block, class)?;
-        }
-        block.check_shares()?;
-        self.pools.push(PoolItem {
-            name: block.name.clone(),
-            guarantee: block.guarantee,
-            ceiling: block.ceiling,
-            weight: block.weight,
-            queue: block.queue,
-        });
-        Ok(())
-    }
-
-    fn check_name(&self, block: &PoolBlock) -> Result<(), ConfigError> {
-        let pool = block.name.clone();
-        let unusable = |c: char| c.is_whitespace() || c == '=';
-        if pool.is_empty() || pool.len() > MAX_POOL_NAME_BYTES || pool.contains(unusable) {
-            return Err(ConfigError::PoolName { pool });
-        }
-        if self.pools.iter().any(|earlier| earlier.name == pool) {
-            return Err(ConfigError::PoolNameTaken { pool });
-        }
-        if block.classes.is_empty() && pool != REST {
-            return Err(ConfigError::PoolWithoutClasses { pool });
-        }
-        Ok(())
-    }
-
-    fn assign(&mut self, block: &PoolBlock, class: &str) -> Result<(), ConfigError> {
-        let Some(number) = self.settings.profiles.iter().position(|profile| profile.name == class) else {
-            let key = format!("pools.pool {:?}: classes", block.name);
-            return Err(ConfigError::UnknownName { key, kind: "class", name: class.to_owned() });
-        };
-        if let Some(other) = self.pool_of[number] {
-            // The pool itself is not in the list yet: it names the class twice.
-            let other = self.pools.get(other).map_or(&block.name, |pool| &pool.name);
-            return Err(ConfigError::ClassInTwoPools {
-                pool: block.name.clone(),
-                class: class.to_owned(),
-                other: other.clone(),
-            });
-        }
-        self.pool_of[number] = Some(self.pools.len());
-        Ok(())
-    }
-
-    /// Gives the classes that no pool names to the pool [`REST`], which is made for them where the file has none.
-    fn add_rest(&mut self, blocks: &[PoolBlock]) -> Result<(), ConfigError> {
-        if self.pool_of.iter().all(Option::is_some) {
-            return match blocks.iter().find(|block| block.classes.is_empty()) {
-                Some(block) => Err(ConfigError::NoClassLeft { pool: block.name.clone() }),
-                None => Ok(()),
-            };
-        }
-        let rest = match self.pools.iter().position(|pool| pool.name == REST) {
-            Some(rest) => rest,
-            None => {
-                self.pools.push(PoolItem {
-                    name: REST.to_owned(),
-                    guarantee: 0.0,
-                    ceiling: default_ceiling(),
-                    weight: default_weight(),
-                    queue: default_queue(),
-                });
-                self.pools.len() - 1
-            }
-        };
-        for pool in &mut self.pool_of {
-            pool.get_or_insert(rest);
-        }
-        Ok(())
-    }
-}
-
 impl PoolBlock {
     fn check_shares(&self) -> Result<(), ConfigError> {
         let key = |name: &str| format!("pools.pool {:?}: {name}", self.name);
--- /dev/null
+++ b/src/config/pools/assignment.rs
@@ -0,0 +1,103 @@
+//! The assignment of classes to pools.
+
+use super::{default_ceiling, default_queue, default_weight, PoolBlock, REST};
+use crate::config::{ConfigError, Options};
+use crate::interface::PoolItem;
+
+/// The longest name of a pool (bytes).
+const MAX_POOL_NAME_BYTES: usize = 64;
+
+/// The pools that have been read so far, and the assignment of classes to them.
+pub(super) struct Assignment<'a> {
+    settings: &'a Options,
+    pub(super) pools: Vec<PoolItem>,
+    /// The number of the pool of each class, by class.
+    pub(super) pool_of: Vec<Option<usize>>,
+}
+
+impl<'a> Assignment<'a> {
+    /// No pool yet, for the classes of these settings.
+    pub(super) fn new(settings: &'a Options) -> Self {
+        Assignment { settings, pools: Vec::new(), pool_of: vec![None; settings.profiles.len()] }
+    }
+
+    /// Checks a pool and adds it.
+    pub(super) fn add(&mut self, block: &PoolBlock) -> Result<(), ConfigError> {
+        self.check_name(block)?;
+        for class in &block.classes {
+            self.assign(block, class)?;
+        }
+        block.check_shares()?;
+        self.pools.push(PoolItem {
+            name: block.name.clone(),
+            guarantee: block.guarantee,
+            ceiling: block.ceiling,
+            weight: block.weight,
+            queue: block.queue,
+        });
+        Ok(())
+    }
+
+    fn check_name(&self, block: &PoolBlock) -> Result<(), ConfigError> {
+        let pool = block.name.clone();
+        let unusable = |c: char| c.is_whitespace() || c == '=';
+        if pool.is_empty() || pool.len() > MAX_POOL_NAME_BYTES || pool.contains(unusable) {
+            return Err(ConfigError::PoolName { pool });
+        }
+        if self.pools.iter().any(|earlier| earlier.name == pool) {
+            return Err(ConfigError::PoolNameTaken { pool });
+        }
+        if block.classes.is_empty() && pool != REST {
+            return Err(ConfigError::PoolWithoutClasses { pool });
+        }
+        Ok(())
+    }
+
+    fn assign(&mut self, block: &PoolBlock, class: &str) -> Result<(), ConfigError> {
+        let Some(number) = self.settings.profiles.iter().position(|profile| profile.name == class) else {
+            let key = format!("pools.pool {:?}: classes", block.name);
+            return Err(ConfigError::UnknownName { key, kind: "class", name: class.to_owned() });
+        };
+        if let Some(other) = self.pool_of[number] {
+            // A pool that is not in the list yet is this one, which names the class twice.
+            let other = self.pools.get(other).map_or(&block.name, |pool| &pool.name);
+            return Err(ConfigError::ClassInTwoPools {
+                pool: block.name.clone(),
+                class: class.to_owned(),
+                other: other.clone(),
+            });
+        }
+        self.pool_of[number] = Some(self.pools.len());
+        Ok(())
+    }
+
+    /// Assigns the classes that no pool names to the pool [`REST`].
+    pub(super) fn add_rest(&mut self, blocks: &[PoolBlock]) -> Result<(), ConfigError> {
+        if self.pool_of.iter().all(Option::is_some) {
+            return match blocks.iter().find(|block| block.classes.is_empty()) {
+                Some(block) => Err(ConfigError::NoClassLeft { pool: block.name.clone() }),
+                None => Ok(()),
+            };
+        }
+        let rest = self.rest_pool();
+        for pool in &mut self.pool_of {
+            pool.get_or_insert(rest);
+        }
+        Ok(())
+    }
+
+    /// The number of the pool [`REST`], which is added if the file has none.
+    fn rest_pool(&mut self) -> usize {
+        if let Some(rest) = self.pools.iter().position(|pool| pool.name == REST) {
+            return rest;
+        }
+        self.pools.push(PoolItem {
+            name: REST.to_owned(),
+            guarantee: 0.0,
+            ceiling: default_ceiling(),
+            weight: default_weight(),
+            queue: default_queue(),
+        });
+        self.pools.len() - 1
+    }
+}
--- a/src/config/pools/tests.rs
+++ b/src/config/pools/tests.rs
@@ -4,25 +4,25 @@
     Config::decode(include_str!("../../../examples/config.json")).unwrap()
 }
 
-const GOOD: &str = "[pools]\nleast_slots = 6\n[pools.reserve]\npool = \"cheap\"\nslots = 1\n\
+const VALID: &str = "[pools]\nleast_slots = 6\n[pools.reserve]\npool = \"cheap\"\nslots = 1\n\
         [[pools.pool]]\nname = \"cheap\"\nclasses = [\"status-check\"]\nguarantee = 0.25\n\
         [[pools.pool]]\nname = \"orders\"\nclasses = [\"port-submit\"]\nguarantee = 0.5\nweight = 3.0\n";
 
 #[test]
-fn a_class_that_no_pool_names_goes_to_the_rest() {
+fn a_class_that_no_pool_names_belongs_to_the_pool_rest() {
     let config = config();
-    let plan = Operator::decode(GOOD, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
+    let plan = Operator::decode(VALID, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
     let names: Vec<&str> = plan.pools.iter().map(|p| p.name.as_str()).collect();
     assert_eq!((names, plan.pool_of), (vec!["cheap", "orders", "rest"], vec![0, 2, 1]));
     assert_eq!((plan.reserve, plan.least_slots, plan.most_slots), (Some((0, 1)), 6, 12));
     // The rest may be set up by name, without classes.
-    let text = format!("{GOOD}[[pools.pool]]\nname = \"rest\"\nclasses = []\nguarantee = 0.1\n");
+    let text = format!("{VALID}[[pools.pool]]\nname = \"rest\"\nclasses = []\nguarantee = 0.1\n");
     let plan = Operator::decode(&text, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
     assert_eq!((plan.pools.len(), plan.pools[2].guarantee), (3, 0.1));
 }
 
 #[test]
-fn what_is_wrong_with_a_pool_is_said_in_one_line_that_names_the_key() {
+fn invalid_pool_settings_are_rejected_in_one_line_that_names_the_key() {
     let config = config();
     for (from, to, named) in [
         ("\"status-check\"", "\"status\"", "pools.pool \"cheap\": classes: there is no class \"status\""),
@@ -48,15 +48,15 @@
         ("name = \"orders\"", "name = \"cheap\"", "name is taken"),
         ("name = \"orders\"", "name = \"or ders\"", "expected one word"),
     ] {
-        let text = GOOD.replacen(from, to, 1);
-        assert_ne!(text, GOOD, "{from}");
+        let text = VALID.replacen(from, to, 1);
+        assert_ne!(text, VALID, "{from}");
         let error = Operator::decode(&text, &config).expect_err(named).to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{named}: {error}");
     }
 }
 
 #[test]
-fn the_file_that_shows_pools_is_good() {
+fn the_shipped_pools_file_is_valid() {
     let config = config();
     let operator = Operator::decode(include_str!("../../../deploy/pools.toml"), &config).unwrap();
     let plan = operator.pools.unwrap().plan(&config.settings).unwrap();
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -5,12 +5,14 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Descriptors that are no client connection: standard streams, the loop's own, listeners, links, spares.
+/// Descriptors that are reserved for other uses than client connections: standard streams, the event loop, listeners,
+/// links, spares.
 pub const RESERVED_SOCKETS: usize = 32;
-/// The console takes one descriptor in this many.
+/// The console may use one descriptor in this many.
 const CONSOLE_SHARE: usize = 8;
-/// Bounds on the calls that the console keeps open at once.
+/// The least limit on concurrent calls at the console.
 const MIN_CONSOLE_CALLS: usize = 2;
+/// The largest limit on concurrent calls at the console.
 const MAX_CONSOLE_CALLS: usize = 16;
 /// The least memory limit (MiB).
 const MIN_MEMORY_MB: f64 = 16.0;
@@ -36,21 +38,21 @@
 pub struct Config {
     /// The worker's name in the registry.
     pub name: String,
-    /// Where the platform's frontend listens.
+    /// The address on which the platform's frontend listens.
     pub listen: SocketAddr,
-    /// The executor.
+    /// The address of the executor.
     pub executor: SocketAddr,
-    /// The registry, where there is one.
+    /// The address of the registry, if there is one.
     pub registry: Option<SocketAddr>,
-    /// The records service, where there is one.
+    /// The address of the records service, if there is one.
     pub records: Option<SocketAddr>,
-    /// The operators' console, where there is one.
+    /// The address of the operators' console, if there is one.
     #[serde(default)]
     pub console: Option<SocketAddr>,
-    /// The console's address in the file, where the environment's took precedence.
+    /// The console's address in the file, if the environment's has overridden it.
     #[serde(skip)]
-    pub console_passed_over: Option<SocketAddr>,
-    /// The seed of all draws, in hexadecimal digits.
+    pub overridden_console: Option<SocketAddr>,
+    /// The seed of all random numbers, in hexadecimal digits.
     #[serde(default)]
     pub seed: String,
     /// How long after the shutdown notice the process is stopped (milliseconds).
@@ -67,15 +69,15 @@
     3200.0
 }
 
-/// Calls that the console keeps open at once, by the limit on descriptors: a small share of what clients have, and
-/// enough that clients which hold calls open can't keep the next one out for long.
+/// Most concurrent calls at the console, by the limit on descriptors: a small share of those of clients, and enough that
+/// clients which hold calls open can't exclude the next one for long.
 #[must_use]
 pub fn console_calls(sockets: usize) -> usize {
     (sockets.saturating_sub(RESERVED_SOCKETS) / CONSOLE_SHARE).clamp(MIN_CONSOLE_CALLS, MAX_CONSOLE_CALLS)
 }
 
 impl Config {
-    /// Descriptors for clients and upstreams: what the limit leaves.
+    /// Descriptors for clients and upstreams: the limit less those that are reserved.
     #[must_use]
     pub fn socket_budget(&self) -> usize {
         let console = self.console.map_or(0, |_| console_calls(self.limits.sockets) + 1);
@@ -90,7 +92,7 @@
         self.settings.tenants.iter().any(|tenant| tenant.name == name)
     }
 
-    /// Decodes and checks.
+    /// Decodes and checks a configuration.
     ///
     /// # Errors
     /// Text that is no configuration, or one that can't be used.
@@ -160,7 +162,7 @@
         Ok(())
     }
 
-    /// What this configuration has that a running worker can't apply: the names of what differs from `old`.
+    /// The names of the keys that differ from `old` and that a running worker can't apply.
     #[must_use]
     pub fn fixed_changes(&self, old: &Config) -> Vec<&'static str> {
         let differs = [
@@ -175,7 +177,7 @@
         differs.into_iter().filter_map(|(name, differs)| differs.then_some(name)).collect()
     }
 
-    /// The seed as a number: hexadecimal digits; anything else is mixed into one.
+    /// The seed as a number. Text that is not hexadecimal is hashed into one.
     #[must_use]
     pub fn seed_number(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -6,7 +6,7 @@
 
 #![warn(missing_docs)]
 
-use crate::config::ServerSettings;
+use crate::config::BackendSettings;
 use crate::dispatch::Input;
 use crate::interface::Outcome;
 use crate::net::frontends::request_fields::Catalog;
@@ -148,7 +148,7 @@
 
 /// The connections to the servers, and the runs on them.
 pub struct AjpBackend {
-    settings: ServerSettings,
+    settings: BackendSettings,
     poll: Poll,
     connections: HashMap<u64, Connection>,
     /// Connections that are to be processed.
@@ -162,7 +162,7 @@
 impl AjpBackend {
     /// A backend without connections.
     #[must_use]
-    pub fn new(poll: &Poll, settings: ServerSettings) -> AjpBackend {
+    pub fn new(poll: &Poll, settings: BackendSettings) -> AjpBackend {
         AjpBackend {
             settings,
             poll: poll.clone(),
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -46,7 +46,7 @@
         log_address(&mut log, &config, "http", http.connections.address());
         log_address(&mut log, &config, "ajp", ajp.as_ref().and_then(|a| a.connections.address()));
         log_address(&mut log, &config, "http2", http2.as_ref().and_then(|h| h.connections.address()));
-        if let Some(address) = config.console_passed_over {
+        if let Some(address) = config.overridden_console {
             log.line(&format!("console: ROUTER_CONSOLE goes before the configuration's {address}"));
         }
         let hot_restart = match socket {
@@ -101,7 +101,7 @@
     let mut settings = config.settings.settings(config.seed_number());
     // Retained keys and results lie in this process's own memory: the platform books none for them.
     settings.key_entry_kb = 0.0;
-    settings.overload = operator.fleet.as_ref().is_some_and(|fleet| fleet.overload());
+    settings.overload = operator.fleet.as_ref().is_some_and(|fleet| fleet.overload_enabled());
     settings.pools = operator.pools.as_ref().map(|pools| pools.plan(&config.settings)).transpose()?;
     Ok(settings)
 }
@@ -154,8 +154,8 @@
 fn fleet_member(config: &Config, operator: &Operator, settings: &Settings, poll: &Poll) -> Option<Fleet> {
     let fleet = operator.fleet.as_ref()?;
     let share = settings.dependency.as_ref().map_or(0.0, |dependency| dependency.share);
-    let overload = fleet.overload().then_some(share);
-    Some(Fleet::new(poll, MembershipConfig { overload, ..fleet.plan(config) }))
+    let overload = fleet.overload_enabled().then_some(share);
+    Some(Fleet::new(poll, MembershipConfig { overload, ..fleet.membership(config) }))
 }
 
 fn connect_registry(config: &Config) -> Result<Option<Registry>, WorkerError> {
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -76,8 +76,8 @@
     for operator in then_and_now("fleet.toml") {
         assert_eq!(blocks(&operator), ["fleet"]);
         let fleet = operator.fleet.unwrap();
-        assert!(!fleet.overload());
-        let plan = fleet.plan(&config());
+        assert!(!fleet.overload_enabled());
+        let plan = fleet.membership(&config());
         assert_eq!([&plan.fleet, &plan.name, &plan.zone], ["polderlijn", "n1", "east"]);
         assert_eq!(plan.coordinators.iter().map(|c| c.port()).collect::<Vec<_>>(), [7101, 7102, 7103]);
         assert_eq!(plan.drift, 0.1);
@@ -153,8 +153,8 @@
     assert_eq!((http2.overhead_kb, http2.overhead_kb_per_s), (113, 114));
 
     let fleet = operator.fleet.unwrap();
-    assert!(fleet.overload());
-    let plan = fleet.plan(&config());
+    assert!(fleet.overload_enabled());
+    let plan = fleet.membership(&config());
     assert_eq!((plan.fleet.as_str(), plan.zone.as_str()), ("polderlijn", "west"));
     assert_eq!((plan.drift, plan.computes_totals), (0.125, false));
     let task = &plan.tasks[0];
@@ -194,8 +194,8 @@
     assert_eq!(http2, shown);
 
     let fleet = operator.fleet.unwrap();
-    assert!(!fleet.overload());
-    let plan = fleet.plan(&config());
+    assert!(!fleet.overload_enabled());
+    let plan = fleet.membership(&config());
     assert_eq!((plan.zone.as_str(), plan.drift, plan.computes_totals), ("none", 0.1, true));
     assert_eq!((plan.tasks[0].path.as_str(), plan.tasks[0].deadline_s), ("/", 0.5));
 }
