--- a/src/simulator_adapter/error.rs
+++ b/src/simulator_adapter/error.rs
@@ -1,26 +1,26 @@
-//! What can be wrong with a line of the simulator.
+//! Errors in a line of the simulator.
 
-/// A line that can't be answered.
+/// A line that can't be handled.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum AdapterError {
-    /// It is no batch.
+    /// The line is not a batch.
     #[error("malformed batch: {0}")]
     Batch(#[source] serde_json::Error),
-    /// Its time is no number.
+    /// The time of the batch is not finite.
     #[error("clockS is not a finite number")]
     Clock,
-    /// One of its items can't be delivered.
+    /// An item of the batch can't be delivered.
     #[error("worker {worker} item {item}: {source}")]
     Item {
-        /// The instance.
+        /// The number of the instance.
         worker: u64,
-        /// The item's place in the instance's list.
+        /// The position of the item in the instance's list, from 0.
         item: usize,
-        /// What is wrong with it.
+        /// The error.
         source: ItemError,
     },
-    /// The reply can't be written.
+    /// The reply can't be encoded.
     #[error("{0}")]
     Reply(#[source] serde_json::Error),
 }
@@ -29,13 +29,13 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ItemError {
-    /// It is not of a known form.
+    /// The item is malformed, or of an unknown kind.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The end of an instance that is not there.
+    /// The end of an instance that does not exist.
     #[error("Stop for an instance that does not exist")]
     StopWithoutInstance,
-    /// An event of an instance that is not there.
+    /// An event of an instance that does not exist.
     #[error("an event for an instance that does not exist")]
     NoInstance,
     /// A request of an unknown class.
@@ -44,7 +44,7 @@
     /// A request of an unknown tenant.
     #[error("Req: no tenant {0}")]
     NoTenant(usize),
-    /// It starts or ends an instance.
+    /// The item starts or ends an instance, and is no event of a running one.
     #[error("not an event of a running instance")]
     NotAnEvent,
 }
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -1,20 +1,25 @@
-//! The simulator's line protocol: its messages, and how they map to events' outcomes and from actions.
+//! The messages of the simulator's line protocol. Their names are the simulator's; they are mapped to those of the code
+//! here, and in `instance.rs` for events.
 
 use super::request_names::RequestNames;
 use crate::config::Options;
 use crate::interface::{Action, Outcome, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// What happened to the instances up to one time.
+/// The token of the only timer that is set: the controller keeps its own list of what is due.
+const TIMER_TOKEN: &str = "wake";
+
+/// A line of input: the events of all instances up to one time.
 #[derive(Deserialize)]
 pub(super) struct Batch<'a> {
+    /// The simulator's clock (seconds).
     #[serde(rename = "clockS")]
-    pub(super) clock: f64,
+    pub(super) now: f64,
     #[serde(borrow)]
     pub(super) workers: Vec<Inbox<'a>>,
 }
 
-/// What happened to one instance.
+/// The events of one instance, oldest first.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct Inbox<'a> {
@@ -26,62 +31,74 @@
 /// An event, or the start or end of an instance.
 #[derive(Deserialize)]
 #[serde(tag = "cmd", rename_all_fields = "camelCase")]
-pub(super) enum Item {
+pub(super) enum WireEvent {
+    /// The instance starts with this seed and these settings.
     Provision {
-        prng: u64,
+        #[serde(rename = "prng")]
+        seed: u64,
         options: Box<Options>,
     },
+    /// The instance ends.
     Stop,
-    Req(ReqItem),
-    Dropped {
-        req: String,
-    },
-    Ended {
-        req: String,
-        disposition: Disposition,
-    },
-    AtCall {
-        req: String,
-    },
-    DepReply {
-        req: String,
-        disposition: Disposition,
-    },
-    #[serde(rename_all = "camelCase")]
-    Sigterm {
-        #[serde(rename = "remainingS")]
-        remaining: f64,
-    },
+    /// A request was read.
+    Req(WireRequest),
+    /// The caller of a request has disconnected.
+    Dropped { req: String },
+    /// A run has ended.
+    Ended { req: String, disposition: WireOutcome },
+    /// A run has reached a downstream call.
+    AtCall { req: String },
+    /// A downstream call has ended.
+    DepReply { req: String, disposition: WireOutcome },
+    /// The shutdown notice: the instance is stopped after this time (seconds).
+    Sigterm { remaining_s: f64 },
+    /// A timer has expired; comes with the gauges in the order of the settings.
     DeadlineHit {
-        #[serde(default)]
-        gauge: Vec<f64>,
+        #[serde(default, rename = "gauge")]
+        gauges: Vec<f64>,
     },
 }
 
 /// A request that was read.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(super) struct ReqItem {
-    pub(super) req: String,
-    pub(super) tier_class: usize,
-    pub(super) kb: f64,
-    #[serde(default)]
-    pub(super) queued_for_s: f64,
-    #[serde(default)]
-    pub(super) remaining_s: f64,
-    pub(super) size_hint_s: Option<f64>,
-    pub(super) earlier: Option<serde_json::Value>,
-    pub(super) owner: Option<usize>,
+pub(super) struct WireRequest {
+    /// Its name.
+    #[serde(rename = "req")]
+    pub(super) name: String,
+    /// The number of its class.
+    #[serde(rename = "tierClass")]
+    pub(super) class: usize,
+    /// Its memory while queued (KB).
+    #[serde(rename = "kb")]
+    pub(super) memory_kb: f64,
+    /// How long it lay unread (seconds).
+    #[serde(default, rename = "queuedForS")]
+    pub(super) read_delay_s: f64,
+    /// How long its caller still waits (seconds); 0 if that is unknown.
+    #[serde(default, rename = "remainingS")]
+    pub(super) time_left_s: f64,
+    /// What it is expected to take, where it carries a hint (seconds).
+    #[serde(rename = "sizeHintS")]
+    pub(super) estimate_s: Option<f64>,
+    /// The name of the request that it repeats; other values than text mean none.
+    #[serde(rename = "earlier")]
+    pub(super) retry_of: Option<serde_json::Value>,
+    /// The number of its tenant.
+    #[serde(rename = "owner")]
+    pub(super) tenant: Option<usize>,
+    /// Whether it is marked as a retry.
     #[serde(default)]
     pub(super) is_retry: bool,
-    #[serde(default)]
-    pub(super) who: u64,
+    /// Which caller sent it.
+    #[serde(default, rename = "who")]
+    pub(super) caller: u64,
 }
 
-/// How a run or a call ended, in the words of the wire.
+/// How a run or a downstream call ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-pub(super) enum Disposition {
+pub(super) enum WireOutcome {
     Ok,
     Internal,
     ResourceExhausted,
@@ -92,7 +109,7 @@
     TooLate,
 }
 
-/// The actions of all instances.
+/// A line of output: the actions of all instances.
 #[derive(Serialize)]
 pub(super) struct Reply<'a> {
     pub(super) workers: Vec<Outbox<'a>>,
@@ -103,63 +120,79 @@
 #[serde(rename_all = "camelCase")]
 pub(super) struct Outbox<'a> {
     pub(super) worker_id: u64,
-    pub(super) out: Vec<Order<'a>>,
+    #[serde(rename = "out")]
+    pub(super) actions: Vec<WireAction<'a>>,
 }
 
-/// An action, in the words of the wire.
+/// An action. `req` is the name of the request that it is about.
 #[derive(Serialize)]
 #[serde(tag = "cmd", rename_all_fields = "camelCase")]
-pub(super) enum Order<'a> {
+pub(super) enum WireAction<'a> {
+    /// [`Action::Start`].
     Admit { req: &'a str },
+    /// [`Action::Reject`].
     Busy { req: &'a str, not_before_for_s: f64, no_retry: bool },
+    /// [`Action::Fail`].
     DropRequest { req: &'a str },
+    /// [`Action::RetainKey`].
     RecordKey { req: &'a str, ttl_s: f64 },
+    /// [`Action::ReleaseKey`].
     Unpin { req: &'a str },
+    /// [`Action::ShareResponse`].
     Reuse { req: &'a str },
+    /// [`Action::Call`].
     Dial { req: &'a str, until_s: f64 },
+    /// [`Action::SkipCall`].
     Bypass { req: &'a str },
+    /// [`Action::Preempt`].
     TakeOff { req: &'a str },
+    /// [`Action::Health`].
     Fitness { want: bool, from_state: bool },
+    /// [`Action::Publish`].
     Publish { level: f64 },
+    /// [`Action::WakeIn`].
     Schedule { in_s: f64, nonce: &'static str },
+    /// [`Action::Log`].
     Debug { body_text: String },
 }
 
-/// The only timer token: the controller keeps its own plan of what is due.
-const WAKE: &str = "wake";
-
-/// The outcome that a word of the wire stands for.
-pub(super) fn outcome(disposition: &Disposition) -> Outcome {
-    match disposition {
-        Disposition::Ok => Outcome::Ok,
-        Disposition::Internal => Outcome::Error,
-        Disposition::ResourceExhausted => Outcome::Rejected,
-        Disposition::DeadlineExceeded => Outcome::TimedOut,
-        Disposition::Unavailable => Outcome::Unreachable,
-        Disposition::Aborted => Outcome::Interrupted,
-        Disposition::Cancelled => Outcome::Cancelled,
-        Disposition::TooLate => Outcome::NotStarted,
+impl From<WireOutcome> for Outcome {
+    fn from(outcome: WireOutcome) -> Outcome {
+        match outcome {
+            WireOutcome::Ok => Outcome::Ok,
+            WireOutcome::Internal => Outcome::Error,
+            WireOutcome::ResourceExhausted => Outcome::Rejected,
+            WireOutcome::DeadlineExceeded => Outcome::TimedOut,
+            WireOutcome::Unavailable => Outcome::Unreachable,
+            WireOutcome::Aborted => Outcome::Interrupted,
+            WireOutcome::Cancelled => Outcome::Cancelled,
+            WireOutcome::TooLate => Outcome::NotStarted,
+        }
     }
 }
 
-/// An action in the words of the wire. One for a request that the wire no longer knows has nothing to act on.
-pub(super) fn order<'a>(names: &'a RequestNames, action: &'a Action) -> Option<Order<'a>> {
-    let name = |id: &RequestId| names.name(*id);
-    Some(match action {
-        Action::Start(id) => Order::Admit { req: name(id)? },
-        Action::Reject { id, retry_after_s, stop_retrying } => {
-            Order::Busy { req: name(id)?, not_before_for_s: *retry_after_s, no_retry: *stop_retrying }
-        }
-        Action::Fail(id) => Order::DropRequest { req: name(id)? },
-        Action::RetainKey { id, for_s } => Order::RecordKey { req: name(id)?, ttl_s: *for_s },
-        Action::ReleaseKey(id) => Order::Unpin { req: name(id)? },
-        Action::ShareResponse(id) => Order::Reuse { req: name(id)? },
-        Action::Call { id, until_s } => Order::Dial { req: name(id)?, until_s: *until_s },
-        Action::SkipCall(id) => Order::Bypass { req: name(id)? },
-        Action::Preempt(id) => Order::TakeOff { req: name(id)? },
-        Action::Health(good) => Order::Fitness { want: *good, from_state: true },
-        Action::Publish(level) => Order::Publish { level: *level },
-        Action::WakeIn(after) => Order::Schedule { in_s: *after, nonce: WAKE },
-        Action::Log(event) => Order::Debug { body_text: format!("{event:?}") },
-    })
+impl<'a> WireAction<'a> {
+    /// The message for an action. `None` for a request that the simulator no longer names, on which nothing can act.
+    pub(super) fn from_action(names: &'a RequestNames, action: &Action) -> Option<WireAction<'a>> {
+        let name = |id: &RequestId| names.name(*id);
+        Some(match action {
+            Action::Start(id) => WireAction::Admit { req: name(id)? },
+            Action::Reject { id, retry_after_s, stop_retrying } => WireAction::Busy {
+                req: name(id)?,
+                not_before_for_s: *retry_after_s,
+                no_retry: *stop_retrying,
+            },
+            Action::Fail(id) => WireAction::DropRequest { req: name(id)? },
+            Action::RetainKey { id, for_s } => WireAction::RecordKey { req: name(id)?, ttl_s: *for_s },
+            Action::ReleaseKey(id) => WireAction::Unpin { req: name(id)? },
+            Action::ShareResponse(id) => WireAction::Reuse { req: name(id)? },
+            Action::Call { id, until_s } => WireAction::Dial { req: name(id)?, until_s: *until_s },
+            Action::SkipCall(id) => WireAction::Bypass { req: name(id)? },
+            Action::Preempt(id) => WireAction::TakeOff { req: name(id)? },
+            Action::Health(healthy) => WireAction::Fitness { want: *healthy, from_state: true },
+            Action::Publish(level) => WireAction::Publish { level: *level },
+            Action::WakeIn(after_s) => WireAction::Schedule { in_s: *after_s, nonce: TIMER_TOKEN },
+            Action::Log(event) => WireAction::Debug { body_text: format!("{event:?}") },
+        })
+    }
 }
