--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -1,7 +1,7 @@
 //! Carries out the controller's actions: on the table of requests, or as commands to the event loop.
 
 use super::effects::Effects;
-use super::in_flight::{LastCommand, RunState, SentCommand};
+use super::in_flight::{LastCommand, RequestKey, RunState, SentCommand};
 use super::{Command, DispatchEvent, Dispatcher, Response};
 use crate::interface::{Action, Event, Outcome, RequestId};
 
@@ -62,14 +62,14 @@
 
     fn retain_key(&mut self, id: RequestId, expires_at: f64) {
         let Some(in_flight) = self.in_flight.get(id) else { return };
-        if let Some(key) = &in_flight.key {
-            self.keys.retain(key, id, in_flight.body_fingerprint, expires_at);
+        if let Some(RequestKey { key, body_fingerprint }) = &in_flight.key {
+            self.keys.retain(key, id, *body_fingerprint, expires_at);
         }
     }
 
     /// Does nothing if the request has been released together with its response.
     fn release_key(&mut self, id: RequestId) {
-        if let Some(key) = self.in_flight.get(id).and_then(|r| r.key.clone()) {
+        if let Some(key) = self.in_flight.get(id).and_then(|r| r.idempotency_key().cloned()) {
             self.keys.release(&key, id);
             self.updated_keys.push(key);
         }
--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -2,7 +2,7 @@
 
 use super::effects::Effects;
 use super::idempotency::{IdempotencyKey, MatchedAttempt};
-use super::in_flight::InFlight;
+use super::in_flight::{InFlight, RequestKey};
 use super::{Command, Dispatcher, Request, Response};
 use crate::interface::{Arrival, Event};
 
@@ -106,9 +106,9 @@
             retry: request.retry,
         }));
         let deadline = effects.now + times.time_left_s;
-        let (key, body_fingerprint) =
-            keyed.map_or((None, 0), |attempt| (Some(attempt.key), attempt.body_fingerprint));
-        self.in_flight.insert(id, InFlight::new(request, times.arrived, deadline, key, body_fingerprint));
+        let key =
+            keyed.map(|attempt| RequestKey { key: attempt.key, body_fingerprint: attempt.body_fingerprint });
+        self.in_flight.insert(id, InFlight::new(request, times.arrived, deadline, key));
     }
 
     /// Responds to a request that is not reported to the controller.
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -56,7 +56,7 @@
         effects: &mut Effects<'_>,
     ) {
         let Some(in_flight) = self.in_flight.get(id) else { return };
-        let key = in_flight.key.clone();
+        let key = in_flight.idempotency_key().cloned();
         if in_flight.calling {
             effects.commands.push(Command::CancelCall(in_flight.request.name.clone()));
         }
@@ -122,7 +122,7 @@
     ) {
         let Some(in_flight) = self.in_flight.get(id) else { return };
         let mut completed = vec![id];
-        if let Some(key) = in_flight.key.clone() {
+        if let Some(key) = in_flight.idempotency_key().cloned() {
             if let Some(entry) = self.keys.get_mut(&key).filter(|e| e.holder == id) {
                 completed.append(&mut entry.waiting_attempts);
             }
@@ -142,7 +142,7 @@
     /// How the run ended whose response this attempt shares; `None` if the attempt now waits for its end.
     fn shared_progress(&mut self, id: RequestId) -> Option<KeyProgress> {
         let Some(in_flight) = self.in_flight.get(id) else { return Some(KeyProgress::Failed) };
-        let Some(key) = &in_flight.key else { return Some(KeyProgress::Failed) };
+        let Some(key) = in_flight.idempotency_key() else { return Some(KeyProgress::Failed) };
         let previous = self.keys.previous_progress(key, in_flight.arrived);
         let Some(entry) = self.keys.get_mut(key) else { return Some(KeyProgress::Failed) };
         if previous.is_some() {
@@ -192,7 +192,7 @@
     /// A request that has its response and never ran leaves the table, and its key with it; a run goes on to its end.
     pub(super) fn release(&mut self, id: RequestId) {
         let Some(in_flight) = self.in_flight.get(id).filter(|r| !r.has_started()) else { return };
-        if let Some(key) = in_flight.key.clone() {
+        if let Some(key) = in_flight.idempotency_key().cloned() {
             self.keys.release(&key, id);
             if let Some(entry) = self.keys.get_mut(&key) {
                 entry.waiting_attempts.retain(|waiting| *waiting != id);
--- a/src/dispatch/in_flight.rs
+++ b/src/dispatch/in_flight.rs
@@ -51,6 +51,12 @@
     StartedAgain,
 }
 
+/// The idempotency key of a request, and the fingerprint of its body.
+pub(super) struct RequestKey {
+    pub(super) key: IdempotencyKey,
+    pub(super) body_fingerprint: u64,
+}
+
 /// A request that has been read and has not ended everywhere.
 pub(super) struct InFlight {
     pub(super) request: Request,
@@ -58,12 +64,11 @@
     pub(super) arrived: f64,
     /// When its caller stops waiting.
     pub(super) deadline: f64,
-    /// Identifies the body of a request with an idempotency key; 0 for others.
-    pub(super) body_fingerprint: u64,
     /// Its response was given, or nobody waits for it.
     pub(super) responded: bool,
     pub(super) run: RunState,
-    pub(super) key: Option<IdempotencyKey>,
+    /// Its idempotency key, if it carries one.
+    pub(super) key: Option<RequestKey>,
     pub(super) pending_call: Option<PendingCall>,
     /// Its downstream call is in flight.
     pub(super) calling: bool,
@@ -73,18 +78,11 @@
 
 impl InFlight {
     /// A request that has just been read and that the controller has not decided on.
-    pub(super) fn new(
-        request: Request,
-        arrived: f64,
-        deadline: f64,
-        key: Option<IdempotencyKey>,
-        body_fingerprint: u64,
-    ) -> InFlight {
+    pub(super) fn new(request: Request, arrived: f64, deadline: f64, key: Option<RequestKey>) -> InFlight {
         InFlight {
             request,
             arrived,
             deadline,
-            body_fingerprint,
             responded: false,
             run: RunState::NotStarted,
             key,
@@ -94,6 +92,11 @@
         }
     }
 
+    /// Its idempotency key, if it carries one.
+    pub(super) fn idempotency_key(&self) -> Option<&IdempotencyKey> {
+        self.key.as_ref().map(|request_key| &request_key.key)
+    }
+
     /// Whether its run has been commanded.
     pub(super) fn has_started(&self) -> bool {
         self.run != RunState::NotStarted
--- a/src/dispatch/tests/crossings/world.rs
+++ b/src/dispatch/tests/crossings/world.rs
@@ -54,7 +54,7 @@
 }
 
 impl SentRequest {
-    /// Whether its run may still go on: one about which nothing is heard for so long is considered dead.
+    /// Whether its run may still go on: one without a message for that long counts as lost.
     fn may_run(&self, now: f64) -> bool {
         self.run.is_open() && now <= self.due + SILENT_RUN_S
     }
@@ -64,7 +64,7 @@
 enum Run {
     None,
     Commanded,
-    /// It certainly began, since it has been heard of.
+    /// It certainly began, since a message about it has come.
     Began,
     AtCall,
     Calling,
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -223,7 +223,7 @@
     );
     // Both count the predecessor's runs.
     assert_eq!(pair.runs.len(), 2);
-    // A third process would be told the usage of both.
+    // A third process would receive the usage of both.
     assert_eq!(
         (pair.predecessor.dispatcher.usage().on_cores, pair.successor.dispatcher.usage().on_cores),
         (2, 2)
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -3,6 +3,10 @@
 use super::tasks::Schedule;
 use std::net::SocketAddr;
 
+/// Distinguishes a process from the others of its worker: a random number that is drawn when the process starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Incarnation(pub u64);
+
 /// A worker's own configuration of its membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
--- a/src/fleet/frame/codec.rs
+++ b/src/fleet/frame/codec.rs
@@ -7,7 +7,7 @@
 /// Size of the length in front of each frame (bytes).
 const LENGTH_BYTES: usize = 4;
 
-/// Why a frame can't be read. The connection is of no further use: where the next frame begins is not known.
+/// A frame that can't be decoded. The connection has to be closed, since the start of the next frame is unknown.
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The announced length is more than the reader accepts.
@@ -24,19 +24,20 @@
 }
 
 /// Serializes a message into one frame.
+#[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut frame = vec![0; LENGTH_BYTES];
-    // Strings, numbers and lists of them: every value of a message can be written.
+    // Writing to memory can't fail, nor can the types of messages: strings, numbers and lists of them.
     let _ = serde_json::to_writer(&mut frame, message);
     let length = (frame.len() - LENGTH_BYTES) as u32;
     frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
     frame
 }
 
-/// Reads the frame at the front of `data`: the message and the frame's length, or `None` while it is incomplete.
+/// Decodes the first frame in `data`, and returns its message and its length (bytes); `None` while it is incomplete.
 ///
 /// # Errors
-/// [`FrameError`] if the body is longer than `limit` bytes or can't be read.
+/// [`FrameError`] if the body is longer than `limit` bytes or malformed.
 pub fn decode<T: DeserializeOwned>(data: &[u8], limit: usize) -> Result<Option<(T, usize)>, FrameError> {
     let Some(head) = data.get(..LENGTH_BYTES).and_then(|head| head.try_into().ok()) else { return Ok(None) };
     let length = u32::from_be_bytes(head) as usize;
--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -1,5 +1,5 @@
-//! The messages that port workers, operators' commands and coordinators exchange. Renamed kinds carry the name that is
-//! on the wire in their serde attributes.
+//! The messages between port workers, operators' commands and coordinators. Where a name on the wire differs from that in the
+//! code, a serde attribute carries it.
 
 use crate::fleet::overload::{FleetDigest, LoadReport};
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 
 /// Protocol version of this program: 1 has sessions and leases, 2 adds periods of tasks.
 pub const VERSION: u32 = 2;
-/// The largest frame that a coordinator accepts (bytes): a worker's message is small.
+/// The largest frame that a coordinator accepts (bytes).
 pub const MAX_CLIENT_FRAME_BYTES: usize = 16 * 1024;
-/// The largest frame that a coordinator sends (bytes): the counters of a whole fleet are not small.
+/// The largest frame that a coordinator sends (bytes); it has to hold the counters of a whole fleet.
 pub const MAX_SERVER_FRAME_BYTES: usize = 1024 * 1024;
 /// Longest name of a worker, a zone or a task (bytes).
 pub const MAX_NAME_BYTES: usize = 64;
 /// Most tasks that a fleet may have.
 pub const MAX_TASKS: usize = 64;
 
-/// Whether this may be the name of a worker, a zone or a task: one to [`MAX_NAME_BYTES`] ASCII letters, digits, `-`, `_`
+/// Whether `name` is a valid name of a fleet, a worker, a zone or a task: one to [`MAX_NAME_BYTES`] ASCII letters, digits, `-`, `_`
 /// and `.`.
 #[must_use]
 pub fn is_valid_name(name: &str) -> bool {
@@ -77,10 +77,10 @@
         /// Zone that the worker runs in.
         #[serde(default)]
         zone: String,
-        /// Incarnation, drawn when the process starts: it tells apart two processes of one name.
+        /// The [`Incarnation`](crate::fleet::Incarnation) of the process.
         process: u64,
     },
-    /// Keeps the session alive, and requests renewal of leases.
+    /// Keeps the session alive, and requests the renewal of leases.
     #[serde(rename = "keep")]
     Heartbeat {
         /// Increases with each heartbeat of the worker.
@@ -91,13 +91,13 @@
         /// Leases to renew.
         #[serde(rename = "held", default)]
         leases: Vec<LeaseRef>,
-        /// The worker's counters, where they are due.
+        /// The worker's counters, if they are due.
         #[serde(rename = "figures", default, skip_serializing_if = "Option::is_none")]
         counters: Option<Counters>,
         /// Sums that this worker computed for the fleet.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         totals: Option<FleetTotals>,
-        /// Load report, where overload is handled fleet-wide.
+        /// The load report, with fleet-wide overload control.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         load: Option<LoadReport>,
     },
@@ -107,7 +107,7 @@
         /// The lease that is released.
         #[serde(rename = "held")]
         lease: LeaseRef,
-        /// The worker failed at the task: another should take it.
+        /// The worker failed at the task, and another one should be granted the lease.
         #[serde(default)]
         failed: bool,
         /// Grants the lease to the newest process of the same name.
@@ -151,7 +151,7 @@
         /// The query.
         what: OperatorQuery,
     },
-    /// A kind that this version does not know.
+    /// A kind that is unknown to this version.
     #[serde(other)]
     Unknown,
 }
@@ -160,15 +160,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorQuery {
-    /// State of this one coordinator; answered by any, also by one that is suspended.
+    /// State of this coordinator. Answered by any coordinator, also by a suspended one.
     Status,
-    /// Workers in session. Like all that follow it is answered by the leader alone, after a quorum has confirmed it.
+    /// Workers in session. This query and all below are answered by the leader only, once a quorum has confirmed it.
     Members,
     /// Leases and their holders.
     Leases,
     /// Tasks and their periods.
     Tasks,
-    /// State of the fleet's overload control: shedding level, shortages, and who probes a failed service.
+    /// State of the fleet's overload control: shedding level, shortages, and probers of failed services.
     Overload,
     /// Overrides the shedding level for a time.
     Pin {
@@ -179,7 +179,7 @@
         /// How long the override lasts (seconds).
         for_s: f64,
     },
-    /// Replaces a coordinator that has lost its disk by a blank one.
+    /// Replaces a coordinator that has lost its disk by one without state.
     Replace {
         /// Name of the coordinator.
         coordinator: String,
@@ -203,9 +203,9 @@
     },
     /// This coordinator is not the leader.
     NotLeader {
-        /// Address of the leader where it is known.
+        /// Address of the leader, if it is known.
         leader: Option<String>,
-        /// Why it is not, for logs.
+        /// The cause, for logs.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -222,7 +222,7 @@
         /// For the worker that computes the totals: each worker's counters.
         #[serde(rename = "figures", default, skip_serializing_if = "Vec::is_empty")]
         counters: Vec<AgedCounters>,
-        /// The fleet's state in overload, in answer to a load report.
+        /// The digest that answers the load report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         overload: Option<FleetDigest>,
     },
@@ -250,19 +250,19 @@
         /// The lease under which it was requested.
         #[serde(rename = "held")]
         lease: LeaseRef,
-        /// When to request it again (milliseconds).
+        /// Time after which it may be requested again (milliseconds).
         in_ms: u64,
-        /// Why it may not, for logs.
+        /// The cause, for logs.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The session has expired: the worker has to say hello again.
+    /// The session has expired. The worker has to send a new [`ClientMessage::Hello`].
     #[serde(rename = "gone")]
     SessionExpired,
     /// The message was rejected.
     #[serde(rename = "refused")]
     Rejected {
-        /// Why, for logs and operators.
+        /// The cause, for logs and operators.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -272,7 +272,7 @@
         /// The result, in the form that `fleetctl` prints.
         answer: serde_json::Value,
     },
-    /// A kind that this version does not know.
+    /// A kind that is unknown to this version.
     #[serde(other)]
     Unknown,
 }
@@ -287,7 +287,7 @@
     pub ttl_ms: u64,
 }
 
-/// One worker's counters as the coordinators hold them: a pair on the wire.
+/// One worker's counters, as the coordinators hold them. A pair on the wire.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u64, Counters)", into = "(u64, Counters)")]
 pub struct AgedCounters {
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -1,7 +1,7 @@
 //! The protocol between port workers, operators' commands and coordinators: [`messages`] and their framing, [`codec`].
 //!
-//! Unknown kinds and keys are ignored, so that two versions can talk to each other; [`VERSION`] says what a program
-//! understands beyond that. Operators' commands connect to the same port as workers.
+//! Unknown kinds and keys are ignored, so that different versions are compatible; [`VERSION`] states which features a program
+//! supports beyond that. Operators' commands connect to the same port as workers.
 
 pub mod codec;
 pub mod messages;
--- a/src/fleet/frame/tests.rs
+++ b/src/fleet/frame/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn errors_say_what_was_found_and_what_is_accepted() {
+fn error_messages_give_what_was_found_and_what_is_accepted() {
     let error = decode::<ClientMessage>(&[0, 0, 1, 1], 256).unwrap_err();
     assert!(matches!(error, FrameError::TooLarge { length: 257, limit: 256 }), "{error:?}");
     assert_eq!(error.to_string(), "a frame of 257 bytes; at most 256 are taken");
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -11,7 +11,7 @@
 
 pub use events::{LeaseLossCause, MembershipEvent};
 
-use super::config::MembershipConfig;
+use super::config::{Incarnation, MembershipConfig};
 use super::frame::{CallOutcome, ClientMessage, Counters, FleetTotals, VERSION};
 use super::lease_holder::LeaseHolder;
 use super::overload::client::{FleetOverloadClient, LoadSample, OverloadDirective};
@@ -60,16 +60,15 @@
 }
 
 impl FleetMember {
-    /// A member that is not connected yet. `incarnation` distinguishes this process from earlier ones of its name; `seed`
-    /// varies the backoffs.
+    /// A member that is not connected yet. `seed` varies the backoffs.
     #[must_use]
-    pub fn new(now: f64, config: MembershipConfig, incarnation: u64, seed: u64) -> FleetMember {
+    pub fn new(now: f64, config: MembershipConfig, incarnation: Incarnation, seed: u64) -> FleetMember {
         let hello = ClientMessage::Hello {
             fleet: config.fleet.clone(),
             version: VERSION,
             name: config.name.clone(),
             zone: config.zone.clone(),
-            process: incarnation,
+            process: incarnation.0,
         };
         let schedules = config.tasks.iter().cloned().enumerate();
         let tasks = schedules.map(|(index, schedule)| ScheduledTask::new(index, schedule)).collect();
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -33,7 +33,7 @@
 
 /// A member whose session is established at 1 s, and which holds the task's lease under token 3.
 fn holding() -> FleetMember {
-    let mut member = FleetMember::new(0.0, config(), 1, 1);
+    let mut member = FleetMember::new(0.0, config(), Incarnation(1), 1);
     member.tick(1.0, Counters::new);
     member.connected();
     let welcome =
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -26,6 +26,6 @@
 mod member;
 mod totals;
 
-pub use config::MembershipConfig;
+pub use config::{Incarnation, MembershipConfig};
 pub use member::{FleetMember, LeaseLossCause, MemberAction, MembershipEvent};
 pub use totals::TOTALS;
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::frame::{self, CallOutcome, Counters, ServerMessage, MAX_SERVER_FRAME_BYTES};
 use crate::fleet::tasks::ScheduledCall;
-use crate::fleet::{FleetMember, MemberAction, MembershipConfig};
+use crate::fleet::{FleetMember, Incarnation, MemberAction, MembershipConfig};
 use crate::log::LogEvent;
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::poll::{Place, Poll};
@@ -68,7 +68,7 @@
         let started_at = boot_time_s();
         Fleet {
             poll: poll.clone(),
-            member: FleetMember::new(0.0, config, incarnation, backoff_seed),
+            member: FleetMember::new(0.0, config, Incarnation(incarnation), backoff_seed),
             connection: None,
             calls: Vec::new(),
             wakes_at: f64::INFINITY,
--- a/testbed/src/fleet/session_load.rs
+++ b/testbed/src/fleet/session_load.rs
@@ -2,7 +2,7 @@
 
 use port_worker::fleet::frame::{decode, encode, ServerMessage, MAX_SERVER_FRAME_BYTES};
 use port_worker::fleet::tasks::Schedule;
-use port_worker::fleet::{FleetMember, MemberAction, MembershipConfig};
+use port_worker::fleet::{FleetMember, Incarnation, MemberAction, MembershipConfig};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
         };
         let seed = |n: usize| (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let new = |n| Session {
-            member: FleetMember::new(0.0, plan(n), seed(n), seed(n)),
+            member: FleetMember::new(0.0, plan(n), Incarnation(seed(n)), seed(n)),
             stream: None,
             data: Vec::new(),
             grants: 0,
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -10,7 +10,7 @@
 use fleet_coordinator::state_machine::{Task, LATEST};
 use port_worker::fleet::frame;
 use port_worker::fleet::tasks::{Schedule, ScheduledCall};
-use port_worker::fleet::{FleetMember, MemberAction, MembershipConfig};
+use port_worker::fleet::{FleetMember, Incarnation, MemberAction, MembershipConfig};
 use rand::Rng;
 
 /// The name of the fleet.
@@ -208,7 +208,7 @@
         let process = &mut self.workers[worker];
         process.incarnation += 1;
         process.clock = Clock { rate, started: now };
-        process.member = Some(FleetMember::new(0.0, config, incarnation_seed, seed));
+        process.member = Some(FleetMember::new(0.0, config, Incarnation(incarnation_seed), seed));
         process.paused_until = 0.0;
         process.link = None;
         let incarnation = process.incarnation;
