--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -47,8 +47,8 @@
         let policy = self.dispatcher.as_mut().and_then(Dispatcher::overload);
         if let (Some(directive), Some(policy)) = (directive, policy) {
             policy.set_directive(OverloadDirective {
-                until: directive.until - fleet_now + now,
-                slice_until: directive.slice_until - fleet_now + now,
+                valid_until: directive.valid_until - fleet_now + now,
+                slice_valid_until: directive.slice_valid_until - fleet_now + now,
                 ..directive
             });
         }
@@ -61,7 +61,7 @@
         for (name, value) in fleet.member.metrics(fleet.now()) {
             let _ = writeln!(text, "{name}={value}");
         }
-        let overload = self.dispatcher.as_ref().map(Dispatcher::overload_figures).unwrap_or_default();
+        let overload = self.dispatcher.as_ref().map(Dispatcher::overload_metrics).unwrap_or_default();
         for (name, value) in overload {
             let _ = writeln!(text, "fleet.overload.{name}={value}");
         }
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -4,7 +4,7 @@
 use super::messages::{loop_zero_unix_ms, to_key_update, to_request};
 use super::peer_link::ReceivedFrame;
 use super::staged_state::{PredecessorState, ReceivedConnection};
-use crate::dispatch::{FingerprintKey, Input, Ticket};
+use crate::dispatch::{Input, ResourceUsage, Ticket};
 use crate::hot_restart::frame::{Frame, HandedOffConnection, KeyState, QueuedRequest, Usage};
 use crate::hot_restart::Event;
 use crate::log::LogEvent;
@@ -141,9 +141,8 @@
     }
 
     fn adopt_predecessor_state(&mut self, state: PredecessorState, inputs: &mut Vec<Input>) {
-        let (key_0, key_1) = state.fingerprint_key;
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.succeed(FingerprintKey(key_0, key_1), state.running);
+            dispatcher.succeed(state.fingerprint_key, state.running);
         }
         inputs.push(Input::LearnedState(state.learned));
         // Whoever asked this process for a drain while it waited means it all the same.
@@ -151,9 +150,10 @@
     }
 
     fn set_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
-        let Usage { on_cores, calling, kb, sockets } = usage;
+        let Usage { on_cores, downstream_calls, memory_kb, sockets } = usage;
         self.poll.set_beside(sockets);
-        inputs.push(Input::OtherProcess { on_cores, calling, kb });
+        let usage = ResourceUsage { on_cores, downstream_calls, memory_kb };
+        inputs.push(Input::PredecessorUsage(usage));
     }
 
     fn adopt_connection(&mut self, now: f64, received: ReceivedConnection, inputs: &mut Vec<Input>) {
@@ -182,7 +182,7 @@
         let settings = &self.configuration.platform.settings;
         let known_class = request.class < settings.profiles.len();
         let known_tenant = request.tenant.map_or(true, |tenant| tenant < settings.tenants.len());
-        let numbers = [request.kb, request.arrived_ms, request.due_ms];
+        let numbers = [request.memory_kb, request.arrived_at_ms, request.deadline_ms];
         known_class && known_tenant && numbers.iter().all(|n| n.is_finite() && *n >= 0.0)
     }
 }
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -54,7 +54,7 @@
             self.wheel.set(now, at - now, Timer::Again);
         }
         self.context.availability.shutting_down = true;
-        inputs.push(Input::Shutdown { notice: at.notice, stop: at.kill_at });
+        inputs.push(Input::Shutdown { noticed_at: at.notice, stop_at: at.kill_at });
         self.frontends.announce_close();
         self.report_load(false);
     }
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -18,9 +18,9 @@
             Command::Respond(ticket, response) => {
                 self.frontends.respond(now, ticket, response, &self.context)
             }
-            Command::Run { name, class, body, due } => {
+            Command::Run { name, class, body, deadline } => {
                 if let Some(servers) = &mut self.upstreams.ajp_backend {
-                    servers.run(now, name, class, body, due, &mut self.wheel);
+                    servers.run(now, name, class, body, deadline, &mut self.wheel);
                 } else if !self.upstreams.executor.run(&name, class, &body, &self.context.catalog) {
                     // Not even queued: it has not run, and will not.
                     inputs.push(Input::NeverRan { name });
@@ -30,7 +30,7 @@
                 Some(records) => records.call(now, name, body, timeout_s, is_retryable, &mut self.wheel),
                 None => inputs.push(Input::CallEnded { name, outcome: Outcome::Unreachable, reply: None }),
             },
-            Command::GiveUpCall(name) => {
+            Command::CancelCall(name) => {
                 if let Some(records) = &mut self.upstreams.records {
                     records.abandon(&name);
                 }
@@ -73,7 +73,7 @@
             if let Input::Arrived(request) = input {
                 let response =
                     Response::Rejected { retry_after_s: NOT_UP_RETRY_AFTER_S, stop_retrying: false };
-                self.early_metrics.answered(request.class, &response);
+                self.early_metrics.record_response(request.class, &response);
                 self.frontends.respond(now, request.ticket, response, &self.context);
             }
         }
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -77,7 +77,7 @@
     let mut settings = config.settings.settings(config.seed_number());
     // Retained keys and results lie in this process's own memory: the platform books none for them.
     settings.key_entry_kb = 0.0;
-    settings.overload = operator.fleet.as_ref().is_some_and(|fleet| fleet.overload());
+    settings.overload = operator.fleet.as_ref().is_some_and(|fleet| fleet.overload_enabled());
     settings.pools = operator.pools.as_ref().map(|pools| pools.plan(&config.settings)).transpose()?;
     Ok(settings)
 }
@@ -142,8 +142,8 @@
     let Configuration { platform, operator, settings, .. } = configuration;
     let fleet = operator.fleet.as_ref()?;
     let share = settings.dependency.as_ref().map_or(0.0, |dependency| dependency.share);
-    let overload = fleet.overload().then_some(share);
-    Some(CoordinatorLink::new(poll, MembershipConfig { overload, ..fleet.plan(platform) }))
+    let overload = fleet.overload_enabled().then_some(share);
+    Some(CoordinatorLink::new(poll, MembershipConfig { overload, ..fleet.membership(platform) }))
 }
 
 fn connect_registry(platform: &Config) -> Result<Option<Registry>, WorkerError> {
@@ -163,7 +163,7 @@
         let frontend = kind.as_str();
         FrontendEvent::ListenerOpened { worker, frontend, address, inherited: false }.emit();
     }
-    if let Some(configured) = platform.console_passed_over {
+    if let Some(configured) = platform.overridden_console {
         FrontendEvent::ConsoleAddressOverridden { configured }.emit();
     }
     if socket_inherited {
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -1,8 +1,8 @@
 //! Starts the dispatcher once the executor is up.
 
 use super::Worker;
-use crate::dispatch::{Dispatcher, FingerprintKey, Input};
-use crate::hot_restart::{Event, IndeterminateKeys};
+use crate::dispatch::{Dispatcher, Input};
+use crate::hot_restart::{Event, FingerprintKey, IndeterminateKeys};
 use crate::interface::Settings;
 use crate::log::LogEvent;
 use crate::net::events::ExecutorEvent;
@@ -32,7 +32,7 @@
             self.hot_restart.as_ref().map_or(IndeterminateKeys::None, HotRestart::indeterminate_keys),
         );
         if let Some(shutdown) = &self.shutdown {
-            let input = Input::Shutdown { notice: shutdown.at.notice, stop: shutdown.at.kill_at };
+            let input = Input::Shutdown { noticed_at: shutdown.at.notice, stop_at: shutdown.at.kill_at };
             dispatcher.handle(now, [input], &mut commands);
         }
         self.dispatcher = Some(dispatcher);
