--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -110,6 +110,23 @@
         self.listen.or_else(|| own().map(|coordinator| coordinator.address))
     }
 
+    /// The keys in which another reading of the file differs and that are taken up at the next start only: all but
+    /// `epoch` and `task`.
+    #[must_use]
+    pub fn restart_keys(&self, other: &File) -> Vec<&'static str> {
+        let changes = [
+            ("fleet", self.fleet != other.fleet),
+            ("name", self.name != other.name),
+            ("folder", self.folder != other.folder),
+            ("listen", self.listen != other.listen),
+            ("write_overdue_ms", self.write_overdue_ms != other.write_overdue_ms),
+            ("version", self.version != other.version),
+            ("coordinator", self.coordinators != other.coordinators),
+            ("overload", self.overload != other.overload),
+        ];
+        changes.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
+    }
+
     /// The coordinator's settings.
     #[must_use]
     pub fn coordinator_config(&self) -> CoordinatorConfig {
--- a/fleet-coordinator/src/config/tests.rs
+++ b/fleet-coordinator/src/config/tests.rs
@@ -25,3 +25,19 @@
         assert!(error.starts_with(expected) && !error.contains('\n'), "{error}, not {expected}");
     }
 }
+
+#[test]
+fn keys_that_need_a_restart_are_named_in_the_order_of_the_file_and_epoch_and_tasks_are_not_among_them() {
+    let shipped = include_str!("../../../deploy/coordinator.toml");
+    let file = File::decode(shipped).unwrap();
+    let changed = |from: &str, to: &str| {
+        let text = shipped.replacen(from, to, 1);
+        assert_ne!(text, shipped, "{from} is not in the file");
+        file.restart_keys(&File::decode(&text).unwrap())
+    };
+    assert_eq!(changed("epoch = 1", "epoch = 2"), [""; 0]);
+    assert_eq!(changed("ttl_ms = 3000", "ttl_ms = 4000"), [""; 0]);
+    assert_eq!(changed("write_overdue_ms = 1000", "write_overdue_ms = 500"), ["write_overdue_ms"]);
+    assert_eq!(changed("epoch = 1", "epoch = 2\nlisten = '0.0.0.0:1'\nversion = 1"), ["listen", "version"]);
+    assert_eq!(changed("127.0.0.1:7102", "127.0.0.1:7109"), ["coordinator"]);
+}
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -3,24 +3,25 @@
 //! The same code runs behind sockets ([`crate::net`]) and in the testbed's virtual time. Links are numbered by the caller
 //! and numbers are never reused; frames go in as bytes and come out as bytes.
 
-mod events;
 mod frames;
 mod operator_queries;
 mod peer_messages;
+mod reporting;
 mod worker_messages;
 
 pub use frames::{next_frame, Frame, FrameTooLong, FRAME_HEADER_BYTES, MAX_PEER_FRAME_BYTES};
 pub use peer_messages::{PeerAnswer, PeerHello};
 
+use crate::events::CoordinatorEvent;
 use crate::leader_state::{LeaderState, LinkId, SafetyChecks};
-use crate::replica::{DiskJob, DiskResult, Replica, ReplicaStatus, StepError};
+use crate::replica::{DiskJob, DiskResult, MemberStatus, Replica, StepError};
 use crate::state_machine::Task;
 use operator_queries::{PendingQuery, FIRST_QUERY_NUMBER};
 use port_worker::fleet::frame::{self, ServerMessage, MAX_CLIENT_FRAME_BYTES};
 use port_worker::fleet::overload::leader::Settings as OverloadSettings;
 use std::collections::BTreeMap;
 
-/// How often a blank member asks its peers again who it is (seconds).
+/// How often an uninitialized member asks its peers again who it is (seconds).
 const PEER_QUERY_INTERVAL_S: f64 = 0.5;
 
 /// A coordinator's settings.
@@ -55,15 +56,6 @@
     pub address: String,
 }
 
-/// How a line for the log file is marked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Severity {
-    /// Part of normal service.
-    Info,
-    /// An operator may have to act.
-    Warning,
-}
-
 /// What the caller is to carry out.
 #[derive(Debug)]
 pub enum Output {
@@ -77,13 +69,8 @@
     Relink,
     /// Carry out a job of the disk, and report its result under this number.
     Disk(u64, DiskJob),
-    /// Write a line to the log file.
-    Log {
-        /// How the line is marked.
-        severity: Severity,
-        /// The line.
-        message: String,
-    },
+    /// Report an event to operators.
+    Log(CoordinatorEvent),
 }
 
 /// Why a frame can't come from anything that speaks to coordinators.
@@ -125,12 +112,12 @@
     roles: BTreeMap<LinkId, Role>,
     /// Names of members by number, as their links said.
     peer_names: BTreeMap<u64, String>,
-    /// What peers answered while this member is blank.
+    /// What peers answered while this member is uninitialized.
     peer_answers: BTreeMap<String, PeerAnswer>,
     pending_queries: Vec<PendingQuery>,
     last_query: u64,
     peers_asked_at: f64,
-    reported_status: ReplicaStatus,
+    reported_status: MemberStatus,
     outputs: Vec<Output>,
 }
 
@@ -148,7 +135,7 @@
             pending_queries: Vec::new(),
             last_query: FIRST_QUERY_NUMBER,
             peers_asked_at: now,
-            reported_status: ReplicaStatus::Opening,
+            reported_status: MemberStatus::Recovering,
             outputs: Vec::new(),
         };
         coordinator.process_events(now);
@@ -165,8 +152,8 @@
         self.replica.tick(now);
         self.leader_state.tick(now, &self.replica.state_machine);
         self.expire_queries(now);
-        let is_blank = matches!(self.replica.status, ReplicaStatus::Blank(_));
-        if is_blank && now - self.peers_asked_at >= PEER_QUERY_INTERVAL_S {
+        let is_uninitialized = matches!(self.replica.status, MemberStatus::Uninitialized(_));
+        if is_uninitialized && now - self.peers_asked_at >= PEER_QUERY_INTERVAL_S {
             self.peers_asked_at = now;
             self.outputs.push(Output::Relink);
         }
@@ -230,14 +217,14 @@
         self.send(link, &ServerMessage::Rejected { reason: reason.into() });
     }
 
-    fn log(&mut self, severity: Severity, message: impl Into<String>) {
-        self.outputs.push(Output::Log { severity, message: message.into() });
+    fn log(&mut self, event: CoordinatorEvent) {
+        self.outputs.push(Output::Log(event));
     }
 
     fn not_leader(&self) -> ServerMessage {
         let status = &self.replica.status;
         let reason = match status {
-            ReplicaStatus::Member => "another coordinator leads, or none does yet".to_owned(),
+            MemberStatus::Active => "another coordinator leads, or none does yet".to_owned(),
             _ => format!("{}: {}", status.label(), status.reason()),
         };
         ServerMessage::NotLeader { leader: self.leader_address(), reason }
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -1,6 +1,7 @@
 //! Operators' queries. What only a leader knows is answered after a quorum has confirmed it.
 
-use super::{Coordinator, Severity};
+use super::Coordinator;
+use crate::events::CoordinatorEvent;
 use crate::leader_state::LinkId;
 use port_worker::fleet::frame::{OperatorQuery, ServerMessage};
 use port_worker::fleet::overload::leader::Leader;
@@ -146,7 +147,7 @@
         let level = SheddingLevel { tier: tier.min(MAX_TIERS), share };
         leader.pin(level, now + for_s);
         let summary = overload_summary(now, leader);
-        self.log(Severity::Warning, format!("overload: pinned to {level:?} for {for_s} s"));
+        self.log(CoordinatorEvent::SheddingLevelPinned { level, for_s });
         Ok(summary)
     }
 
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -1,14 +1,12 @@
-//! How coordinators introduce themselves to each other, and how a blank one finds out who it is.
+//! How coordinators introduce themselves to each other, and how an uninitialized one finds out who it is.
 
-use super::{Coordinator, Output, ReceiveError, Role, Severity};
+use super::{Coordinator, Output, ReceiveError, Role};
+use crate::events::CoordinatorEvent;
 use crate::leader_state::LinkId;
-use crate::replica::ReplicaStatus;
+use crate::replica::{ExclusionCause, MemberStatus, Uninitialized};
 use port_worker::fleet::frame;
 use serde::{Deserialize, Serialize};
 
-/// Marks the status of a member that was told that it has lost its disk.
-const DISK_LOST_MARK: &str = "knows that it held";
-
 /// The first frame on a link from another coordinator. All that follow are the consensus library's messages.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct PeerHello {
@@ -52,11 +50,11 @@
     /// The first frame that this member sends on a new link to a peer.
     #[must_use]
     pub fn peer_hello(&self) -> Vec<u8> {
-        let is_member = self.replica.status == ReplicaStatus::Member;
+        let is_active = self.replica.status == MemberStatus::Active;
         frame::encode(&PeerHello {
             name: self.config.name.clone(),
             fleet: self.config.fleet.clone(),
-            member: if is_member { self.replica.member() } else { 0 },
+            member: if is_active { self.replica.member() } else { 0 },
             last_index: self.replica.log_position().last,
             version: self.replica.version(),
         })
@@ -68,12 +66,11 @@
             self.record_peer(answer.member, answer.version, peer);
         }
         if let Some(reason) = &answer.exclusion {
-            if self.replica.status == ReplicaStatus::Member {
-                self.replica.exclude(now, &format!("{peer} says: {reason}"));
-            }
+            let cause = ExclusionCause::ReportedByPeer { peer: peer.to_owned(), reason: reason.clone() };
+            self.replica.exclude(now, cause);
         }
         self.peer_answers.insert(peer.to_owned(), answer);
-        self.identify_blank_member(now);
+        self.identify_member(now);
         self.process_events(now);
     }
 
@@ -82,13 +79,13 @@
         self.peer_names.insert(member, name.to_owned());
     }
 
-    /// A blank member finds out whether it founds the fleet, joins it, or has lost its disk.
-    fn identify_blank_member(&mut self, now: f64) {
-        let ReplicaStatus::Blank(reason) = self.replica.status.clone() else { return };
+    /// An uninitialized member finds out whether it founds the fleet, joins it, or has lost its disk.
+    fn identify_member(&mut self, now: f64) {
+        let MemberStatus::Uninitialized(uninitialized) = self.replica.status.clone() else { return };
         let all_answered = self.peer_answers.len() + 1 == self.config.coordinators.len();
         let known = self.peer_answers.values().filter(|answer| answer.caller_member != 0);
         let Some(newest) = known.max_by_key(|answer| answer.caller_member).cloned() else {
-            // Nobody knows of a fleet: it is founded once all have answered and are blank.
+            // Nobody knows of a fleet: it is founded once all have answered and are uninitialized.
             if all_answered {
                 self.found(now);
             }
@@ -97,7 +94,7 @@
         let same_member = self.peer_answers.values().filter(|a| a.caller_member == newest.caller_member);
         let persisted = same_member.map(|answer| answer.caller_persisted).max().unwrap_or(0);
         if persisted > 0 {
-            self.report_lost_disk(&reason, persisted);
+            self.record_lost_disk(uninitialized, persisted);
         } else if !newest.caller_is_founder {
             self.replica.join(now, newest.caller_member);
         } else if all_answered {
@@ -106,15 +103,12 @@
         }
     }
 
-    fn report_lost_disk(&mut self, reason: &str, persisted: u64) {
-        if reason.contains(DISK_LOST_MARK) {
-            return;
+    /// The first index that peers name stays: later ones are the same loss.
+    fn record_lost_disk(&mut self, uninitialized: Uninitialized, persisted: u64) {
+        if uninitialized.lost_index.is_none() {
+            let lost = Uninitialized { lost_index: Some(persisted), ..uninitialized };
+            self.replica.status = MemberStatus::Uninitialized(lost);
         }
-        let name = &self.config.name;
-        let lost = format!("{reason}, and {name} {DISK_LOST_MARK} the log up to {persisted}");
-        let status = ReplicaStatus::Blank(lost.replace(name, "the quorum"));
-        self.log(Severity::Warning, format!("disk lost: {lost}; replace this member"));
-        self.replica.status = status;
     }
 
     fn found(&mut self, now: f64) {
@@ -132,10 +126,11 @@
         if !is_listed || hello.name == self.config.name {
             return Err(ReceiveError::UnknownPeer(hello.name.clone()));
         }
-        let answer = self.answer_to_peer(hello);
+        let exclusion = self.exclusion_of(hello);
+        let answer = self.answer_to_peer(hello, exclusion.as_ref());
         self.outputs.push(Output::Frame(link, frame::encode(&answer)));
-        if let Some(reason) = answer.exclusion {
-            self.log(Severity::Warning, format!("coordinator {} is barred: {reason}", hello.name));
+        if let Some(cause) = exclusion {
+            self.log(CoordinatorEvent::PeerExcluded { coordinator: hello.name.clone(), cause });
             self.outputs.push(Output::Close(link));
         } else if hello.member != 0 {
             self.record_peer(hello.member, hello.version, &hello.name);
@@ -144,32 +139,45 @@
         Ok(())
     }
 
-    fn answer_to_peer(&self, hello: &PeerHello) -> PeerAnswer {
-        let state = &self.replica.state_machine;
-        let caller_member = state.member(&hello.name).unwrap_or(0);
-        let caller_persisted = state.persisted.get(&caller_member).copied().unwrap_or(0);
+    /// Why nothing is accepted from the peer, if so.
+    fn exclusion_of(&self, hello: &PeerHello) -> Option<ExclusionCause> {
+        if hello.member == 0 {
+            return None;
+        }
+        let known = self.known_member(&hello.name);
         let has_state = self.replica.log_position().applied > 0;
-        let was_replaced = has_state
-            && hello.member != 0
-            && hello.member != caller_member
-            && hello.member <= state.last_member;
-        let disk_is_older =
-            hello.member != 0 && hello.member == caller_member && hello.last_index < caller_persisted;
-        let exclusion = if was_replaced {
-            Some(format!("member {} has been replaced", hello.member))
-        } else if disk_is_older {
-            let last = hello.last_index;
-            Some(format!("its disk is older than it was: it ends at {last}, and held {caller_persisted}"))
-        } else {
-            None
-        };
+        let is_past_or_present = hello.member <= self.replica.state_machine.last_member;
+        if hello.member == known.member {
+            let disk_is_older = hello.last_index < known.persisted;
+            return disk_is_older
+                .then_some(ExclusionCause::OlderDisk { last: hello.last_index, persisted: known.persisted });
+        }
+        (has_state && is_past_or_present).then_some(ExclusionCause::Replaced { member: hello.member })
+    }
+
+    fn answer_to_peer(&self, hello: &PeerHello, exclusion: Option<&ExclusionCause>) -> PeerAnswer {
+        let known = self.known_member(&hello.name);
         PeerAnswer {
             member: self.replica.member(),
             version: self.replica.version(),
-            caller_member,
-            caller_persisted,
-            caller_is_founder: caller_member != 0 && caller_member <= state.founders,
-            exclusion,
+            caller_member: known.member,
+            caller_persisted: known.persisted,
+            caller_is_founder: known.member != 0 && known.member <= self.replica.state_machine.founders,
+            exclusion: exclusion.map(ToString::to_string),
         }
     }
+
+    fn known_member(&self, name: &str) -> KnownMember {
+        let state = &self.replica.state_machine;
+        let member = state.member(name).unwrap_or(0);
+        KnownMember { member, persisted: state.persisted.get(&member).copied().unwrap_or(0) }
+    }
+}
+
+/// What the replicated state says of the coordinator of a name.
+struct KnownMember {
+    /// Its member number; 0 for none.
+    member: u64,
+    /// The log index up to which its disk is known to have been written.
+    persisted: u64,
 }
--- a/fleet-coordinator/src/coordinator/events.rs
+++ b/fleet-coordinator/src/coordinator/reporting.rs
@@ -1,8 +1,9 @@
-//! What the replica and the leader's state have to tell each other and the caller.
+//! Passes events and actions between the replica, the leader's state and the caller, and reports changes of status.
 
-use super::{frames, Coordinator, Output, Severity};
+use super::{frames, Coordinator, Output};
+use crate::events::CoordinatorEvent;
 use crate::leader_state::LeaderAction;
-use crate::replica::{ReplicaEvent, ReplicaOutput, ReplicaStatus};
+use crate::replica::{MemberStatus, ReplicaEvent, ReplicaOutput};
 use crate::state_machine::Command;
 
 impl Coordinator {
@@ -30,7 +31,7 @@
     fn on_replica_event(&mut self, now: f64, event: ReplicaEvent) {
         match event {
             ReplicaEvent::Elected => {
-                self.log(Severity::Info, format!("leads, term {}", self.replica.term()));
+                self.log(CoordinatorEvent::LeaderElected { term: self.replica.term() });
                 self.leader_state.start_term(now, &self.replica.state_machine);
                 self.propose_tasks(now);
             }
@@ -45,7 +46,7 @@
     }
 
     fn on_stepped_down(&mut self) {
-        self.log(Severity::Info, "leads no more");
+        self.log(CoordinatorEvent::LeadershipLost);
         let answer = self.not_leader();
         for link in self.leader_state.step_down() {
             self.send(link, &answer);
@@ -67,7 +68,7 @@
             // What can't be proposed now is proposed again by whoever still wants it.
             LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
             LeaderAction::Confirm(number) => self.replica.request_read_index(now, number),
-            LeaderAction::Log(event) => self.log(Severity::Info, format!("{event:?}")),
+            LeaderAction::Log(event) => self.log(CoordinatorEvent::Overload(event)),
         }
     }
 
@@ -85,15 +86,43 @@
         if self.reported_status == self.replica.status {
             return;
         }
-        let status = self.replica.status.clone();
-        let severity = if status == ReplicaStatus::Member { Severity::Info } else { Severity::Warning };
-        let line = format!("standing: {} {}", status.label(), status.reason());
-        self.log(severity, line.trim_end());
-        self.reported_status = status;
+        if let Some(event) = self.status_event() {
+            self.log(event);
+        }
+        self.reported_status = self.replica.status.clone();
         self.peer_answers.clear();
         self.outputs.push(Output::Relink);
     }
 
+    /// The event for operators of a status that has changed.
+    fn status_event(&self) -> Option<CoordinatorEvent> {
+        let event = match &self.replica.status {
+            // A member recovers once, before it reports anything.
+            MemberStatus::Recovering => return None,
+            MemberStatus::Active => {
+                let member = self.replica.member();
+                if matches!(self.reported_status, MemberStatus::Suspended(_)) {
+                    CoordinatorEvent::DiskResumed { member }
+                } else {
+                    CoordinatorEvent::MemberStarted { member }
+                }
+            }
+            MemberStatus::Uninitialized(uninitialized) => {
+                let cause = uninitialized.cause.clone();
+                match uninitialized.lost_index {
+                    Some(lost_index) => CoordinatorEvent::DiskLost { cause, lost_index },
+                    None => CoordinatorEvent::MemberUninitialized { cause },
+                }
+            }
+            MemberStatus::Suspended(cause) => CoordinatorEvent::DiskSuspended { cause: cause.clone() },
+            MemberStatus::Excluded(cause) => {
+                let coordinator = self.config.name.clone();
+                CoordinatorEvent::MemberExcluded { coordinator, cause: cause.clone() }
+            }
+        };
+        Some(event)
+    }
+
     pub(super) fn propose_tasks(&mut self, now: f64) {
         if self.replica.leads() && self.config.epoch > self.replica.state_machine.epoch {
             let epoch = self.config.epoch;
--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -2,7 +2,9 @@
 
 use super::server::{Server, MAX_QUEUED_BYTES};
 use crate::coordinator::{next_frame, FRAME_HEADER_BYTES};
+use crate::events::ServerEvent;
 use port_worker::fleet::frame::MAX_CLIENT_FRAME_BYTES;
+use port_worker::log::LogEvent;
 use port_worker::net::io::buffer::{Filled, Link};
 use port_worker::net::io::poll::{Accepted, Place};
 
@@ -117,8 +119,8 @@
         self.carry_out();
         match result {
             Ok(()) => Taken::Frame,
-            Err(why) => {
-                tracing::debug!(link = id, %why, "closed");
+            Err(cause) => {
+                ServerEvent::LinkRejected { link: id, cause }.emit();
                 Taken::Invalid
             }
         }
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -9,11 +9,13 @@
 mod server;
 
 use crate::config::{ConfigError, File};
+use crate::events::ServerEvent;
 use crate::replica::DiskResult;
 use calloop::channel::{channel, Channel, Event as ChannelEvent, Sender};
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle};
+use port_worker::log::{LogEvent, LogHandle};
 use port_worker::net::io::poll::{Acceptor, Gathered, Place, Poll};
 use rustix::time::{clock_gettime, ClockId};
 use server::Server;
@@ -77,11 +79,11 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// Runs a coordinator until it receives SIGTERM or SIGINT.
+/// Runs a coordinator until it receives SIGTERM or SIGINT. Its events go to `log`.
 ///
 /// # Errors
 /// Why it can't run, in one line.
-pub fn run(path: &Path) -> Result<(), NetError> {
+pub fn run(path: &Path, log: &LogHandle) -> Result<(), NetError> {
     let file = File::read(path)?;
     let mut event_loop: EventLoop<Gathered> =
         EventLoop::try_new().map_err(NetError::event_loop("event loop"))?;
@@ -94,16 +96,18 @@
     let inbox = watch_disk(&handle, channel)?;
     watch_timer(&handle)?;
     let mut server = start_server(poll, acceptor, file, results);
-    let config = &server.file;
-    tracing::info!(coordinator = %config.name, fleet = %config.fleet, at = %local_address, "listens");
+    let coordinator = server.file.name.clone();
+    let fleet = server.file.fleet.clone();
+    ServerEvent::ListenerOpened { coordinator, fleet, address: local_address }.emit();
     let mut gathered = Gathered::default();
     server.carry_out();
     while !gathered.leave {
         event_loop.dispatch(None, &mut gathered).map_err(NetError::event_loop("event loop"))?;
         let results = std::mem::take(&mut *inbox.borrow_mut());
         server.poll_once(&mut gathered, results, path);
+        log.report_suppressed();
     }
-    tracing::info!(coordinator = %server.file.name, "ends");
+    ServerEvent::ShutdownComplete.emit();
     Ok(())
 }
 
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -4,9 +4,11 @@
 use super::peers::Peer;
 use super::{boot_time_s, disk_thread, JobResult};
 use crate::config::File;
-use crate::coordinator::{Coordinator, Output, Severity, MAX_PEER_FRAME_BYTES};
+use crate::coordinator::{Coordinator, Output, MAX_PEER_FRAME_BYTES};
+use crate::events::ServerEvent;
 use crate::replica::DiskJob;
 use calloop::channel::Sender;
+use port_worker::log::LogEvent;
 use port_worker::net::io::buffer::Link;
 use port_worker::net::io::poll::{Acceptor, Gathered, Place, Poll};
 use std::collections::{BTreeMap, BTreeSet};
@@ -100,16 +102,16 @@
     fn reload(&mut self, now: f64, path: &Path) {
         match File::read(path) {
             Ok(file) => {
-                tracing::info!(epoch = file.epoch, tasks = file.tasks.len(), "reload");
-                let rest = File { epoch: self.file.epoch, tasks: self.file.tasks.clone(), ..file.clone() };
-                if rest != self.file {
-                    tracing::warn!("reload: only epoch and tasks are taken up before a restart");
+                ServerEvent::ConfigReloaded { epoch: file.epoch, tasks: file.tasks.len() }.emit();
+                let keys = self.file.restart_keys(&file);
+                if !keys.is_empty() {
+                    ServerEvent::ConfigReloadDeferred { keys }.emit();
                 }
                 self.file.epoch = file.epoch;
                 self.file.tasks.clone_from(&file.tasks);
                 self.coordinator.reload(now, file.epoch, file.tasks);
             }
-            Err(error) => tracing::warn!(why = %error, "reload: the old tasks stay"),
+            Err(error) => ServerEvent::ConfigReloadRejected { cause: error.to_string() }.emit(),
         }
     }
 
@@ -137,18 +139,11 @@
                     // The thread ends only with this server.
                     let _ = self.disk_jobs.send((number, job));
                 }
-                Output::Log { severity, message } => self.log(severity, &message),
+                Output::Log(event) => event.emit(),
             }
         }
     }
 
-    fn log(&self, severity: Severity, message: &str) {
-        match severity {
-            Severity::Info => tracing::info!(coordinator = %self.file.name, "{message}"),
-            Severity::Warning => tracing::warn!(coordinator = %self.file.name, "{message}"),
-        }
-    }
-
     fn flush(&mut self) {
         for peer in &mut self.peers {
             peer.flush();
--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -1,7 +1,7 @@
 //! Jobs for the disk, one after the other, and what their results mean for the replica.
 
 use super::recovered_log::RecoveredLog;
-use super::{Replica, ReplicaOutput, ReplicaStatus};
+use super::{MemberStatus, Replica, ReplicaOutput, SuspensionCause};
 use durable_log::{Disk, Recovered, Store, StoreError};
 
 /// A job for the disk.
@@ -114,9 +114,9 @@
             }
             DiskResult::Failed(reason) => {
                 // Jobs that follow a failed one fail for that reason alone.
-                let known = matches!(self.status, ReplicaStatus::Suspended(_)) && number != self.opening_job;
-                if !known && !matches!(self.status, ReplicaStatus::Excluded(_)) {
-                    self.suspend(now, reason);
+                let known = matches!(self.status, MemberStatus::Suspended(_)) && number != self.opening_job;
+                if !known && !matches!(self.status, MemberStatus::Excluded(_)) {
+                    self.suspend(now, SuspensionCause::DiskFailed(reason));
                 }
             }
         }
@@ -126,12 +126,17 @@
     pub(super) fn check_disk(&mut self, now: f64) {
         if let Some(job) = self.pending_jobs.front() {
             let waited_s = now - job.started_at;
-            if self.status == ReplicaStatus::Member && waited_s > self.write_overdue_s {
-                self.suspend(now, format!("the disk is slow: a write has taken {waited_s:.1} s"));
+            if self.status == MemberStatus::Active && waited_s > self.write_overdue_s {
+                self.suspend(now, SuspensionCause::WriteOverdue { waited_s: round_to_tenths(waited_s) });
             }
-        } else if matches!(self.status, ReplicaStatus::Suspended(_)) && now >= self.disk_retry_at {
+        } else if matches!(self.status, MemberStatus::Suspended(_)) && now >= self.disk_retry_at {
             self.disk_retry_at = now + super::DISK_RETRY_S;
             self.start_job(now, DiskJob::Open);
         }
     }
 }
+
+/// A status is reported anew when it changes: a time is part of it only as precisely as it is shown.
+pub(super) fn round_to_tenths(seconds: f64) -> f64 {
+    (seconds * 10.0).round() / 10.0
+}
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -20,7 +20,10 @@
 pub use disk::{carry_out, DiskJob, DiskResult};
 pub use membership::ReplaceError;
 pub use proposals::StepError;
-pub use status::{LogPosition, ReplicaEvent, ReplicaOutput, ReplicaStatus};
+pub use status::{
+    ExclusionCause, LogPosition, MemberStatus, ReplicaEvent, ReplicaOutput, SuspensionCause, Uninitialized,
+    UninitializedCause,
+};
 
 use crate::state_machine::{LeaseStateMachine, LATEST};
 use disk::PendingJob;
@@ -40,7 +43,7 @@
     /// The replicated state as of the last applied entry.
     pub state_machine: LeaseStateMachine,
     /// Whether the member takes part.
-    pub status: ReplicaStatus,
+    pub status: MemberStatus,
     /// By member number, the latest version that its program can apply.
     peer_versions: BTreeMap<u64, u32>,
     version: u32,
@@ -82,7 +85,7 @@
     pub fn new(now: f64, seed: u64, write_overdue_s: f64, version: u32) -> Replica {
         let mut replica = Replica {
             state_machine: LeaseStateMachine::default(),
-            status: ReplicaStatus::Opening,
+            status: MemberStatus::Recovering,
             peer_versions: BTreeMap::new(),
             version: version.min(LATEST),
             node: None,
@@ -165,19 +168,19 @@
         self.node.as_ref().map_or_else(Vec::new, |node| node.store().members.voters.clone())
     }
 
-    /// Peers refuse this member, for this reason; see [`ReplicaStatus::Excluded`].
-    pub fn exclude(&mut self, now: f64, reason: &str) {
-        if self.status == ReplicaStatus::Member {
-            self.leave(now, ReplicaStatus::Excluded(reason.to_owned()));
+    /// Peers accept nothing from this member, for this reason; see [`MemberStatus::Excluded`].
+    pub fn exclude(&mut self, now: f64, cause: ExclusionCause) {
+        if self.status == MemberStatus::Active {
+            self.leave(now, MemberStatus::Excluded(cause));
         }
     }
 
     /// Takes no part until the disk has been opened anew.
-    fn suspend(&mut self, now: f64, reason: String) {
-        self.leave(now, ReplicaStatus::Suspended(reason));
+    fn suspend(&mut self, now: f64, cause: SuspensionCause) {
+        self.leave(now, MemberStatus::Suspended(cause));
     }
 
-    fn leave(&mut self, now: f64, status: ReplicaStatus) {
+    fn leave(&mut self, now: f64, status: MemberStatus) {
         self.node = None;
         self.pending_ready.clear();
         self.disk_retry_at = now + DISK_RETRY_S;
--- a/fleet-coordinator/src/replica/proposals.rs
+++ b/fleet-coordinator/src/replica/proposals.rs
@@ -1,7 +1,7 @@
 //! What goes into the consensus library: peers' messages, proposals, and read-index requests.
 
 use super::scan::{self, ParseError};
-use super::Replica;
+use super::{ExclusionCause, Replica};
 use crate::state_machine::{Command, LogEntry};
 use raft::eraftpb::{Message, MessageType};
 
@@ -37,8 +37,7 @@
         let commit = message.commit;
         let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
         if is_heartbeat && message.term >= node.raft.term && commit > last {
-            let reason = format!("its disk is older than it was: it ends at {last}, and held {commit}");
-            self.exclude(now, &reason);
+            self.exclude(now, ExclusionCause::OlderDisk { last, persisted: commit });
             return Ok(());
         }
         // The library rejects messages that don't fit its state; the link is sound nevertheless.
--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -2,7 +2,7 @@
 
 use super::recovered_log::{entry_record, hard_state_record, snapshot_record};
 use super::scan;
-use super::{DiskJob, Replica, ReplicaEvent, ReplicaOutput};
+use super::{DiskJob, Replica, ReplicaEvent, ReplicaOutput, SuspensionCause};
 use crate::state_machine::LogEntry;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry, EntryType, Message, Snapshot};
@@ -36,7 +36,7 @@
     pub(super) fn process_ready(&mut self, now: f64) {
         while let Some(ready) = self.next_ready() {
             if let Err(UnreadableSnapshot(error)) = self.process_one(now, ready) {
-                return self.suspend(now, format!("a leader's snapshot can't be read: {error}"));
+                return self.suspend(now, SuspensionCause::UnreadableLeaderSnapshot(error.to_string()));
             }
         }
         self.compact(now);
@@ -143,18 +143,18 @@
                 let result = self.state_machine.apply(&entry);
                 self.events.push(ReplicaEvent::Applied(entry, result));
             }
-            // A command that can't be decoded here can't be skipped: other members may have applied it.
-            Err(error) => self.suspend(now, format!("entry {} can't be read: {error}", self.applied)),
+            Err(error) => {
+                let cause =
+                    SuspensionCause::UnreadableEntry { index: self.applied, error: error.to_string() };
+                self.suspend(now, cause);
+            }
         }
     }
 
     fn apply_member_change(&mut self, now: f64, entry: &Entry) {
         let change = match scan::parse::<ConfChange>(&entry.data) {
             Ok(change) if entry.get_entry_type() == EntryType::EntryConfChange => change,
-            _ => {
-                let reason = format!("entry {} changes members in a way not known here", entry.index);
-                return self.suspend(now, reason);
-            }
+            _ => return self.suspend(now, SuspensionCause::UnknownMemberChange { index: entry.index }),
         };
         let Some(node) = &mut self.node else { return };
         match node.apply_conf_change(&change) {
@@ -164,7 +164,11 @@
                 let is_new = change.get_change_type() == ConfChangeType::AddLearnerNode;
                 node.mut_store().snapshot_wanted.set(is_new);
             }
-            Err(error) => return self.suspend(now, format!("entry {}: {error}", entry.index)),
+            Err(error) => {
+                let index = entry.index;
+                let cause = SuspensionCause::RejectedMemberChange { index, error: error.to_string() };
+                return self.suspend(now, cause);
+            }
         }
         if change.get_change_type() == ConfChangeType::RemoveNode {
             if let Ok(replacement) = change.context.as_ref().try_into() {
--- a/fleet-coordinator/src/replica/startup.rs
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -1,9 +1,10 @@
 //! How a replica begins to take part: from what its disk holds, as a founder, or as a new member.
 
+use super::disk::round_to_tenths;
 use super::election::{ELECTION_TICKS, HEARTBEAT_TICKS};
 use super::raft_log::RaftLog;
 use super::recovered_log::RecoveredLog;
-use super::{DiskJob, Replica, ReplicaStatus};
+use super::{DiskJob, MemberStatus, Replica, SuspensionCause, Uninitialized, UninitializedCause};
 use crate::state_machine::LeaseStateMachine;
 use durable_log::Recovered;
 use raft::{Config, RawNode, ReadOnlyOption};
@@ -16,7 +17,7 @@
 const MAX_UNCOMMITTED_BYTES: u64 = 4 * 1024 * 1024;
 
 impl Replica {
-    /// Founds a fleet, with the same list on all coordinators. Does nothing unless the disk is blank.
+    /// Founds a fleet, with the same list on all coordinators. Does nothing unless the disk holds no member.
     pub fn found(&mut self, now: f64, coordinators: &[String], own: &str) {
         let state_machine = LeaseStateMachine::bootstrap(coordinators);
         let Some(member) = state_machine.member(own) else { return };
@@ -31,13 +32,13 @@
         self.begin(now, &log);
     }
 
-    /// Takes part as a new member, which the others know by this number. Does nothing unless the disk is blank.
+    /// Takes part as a new member, which the others know by this number. Does nothing unless the disk holds no member.
     pub fn join(&mut self, now: f64, member: u64) {
         self.begin(now, &RecoveredLog { member, ..RecoveredLog::default() });
     }
 
     fn begin(&mut self, now: f64, log: &RecoveredLog) {
-        if !matches!(self.status, ReplicaStatus::Blank(_)) {
+        if !matches!(self.status, MemberStatus::Uninitialized(_)) {
             return;
         }
         self.start_job(now, DiskJob::Replace(log.encode()));
@@ -45,20 +46,20 @@
     }
 
     pub(super) fn on_opened(&mut self, now: f64, took_s: f64, recovered: &Recovered) {
-        if matches!(self.status, ReplicaStatus::Member | ReplicaStatus::Blank(_) | ReplicaStatus::Excluded(_))
-        {
+        if !matches!(self.status, MemberStatus::Recovering | MemberStatus::Suspended(_)) {
             return;
         }
         if took_s > self.write_overdue_s {
-            return self.suspend(now, format!("the disk is slow: opening took {took_s:.1} s"));
+            let took_s = round_to_tenths(took_s);
+            return self.suspend(now, SuspensionCause::OpeningOverdue { took_s });
         }
-        let blank = match RecoveredLog::read(recovered) {
-            Err(error) => format!("the disk can't be read: {error}"),
-            Ok(_) if recovered.damaged => format!("the disk is damaged: {}", recovered.dropped.join("; ")),
-            Ok(log) if log.member == 0 => "the disk is empty".to_owned(),
+        let cause = match RecoveredLog::read(recovered) {
+            Err(error) => UninitializedCause::UnreadableLog(error.to_string()),
+            Ok(_) if recovered.damaged => UninitializedCause::DamagedDisk(recovered.dropped.join("; ")),
+            Ok(log) if log.member == 0 => UninitializedCause::EmptyDisk,
             Ok(log) => return self.start(now, &log),
         };
-        self.status = ReplicaStatus::Blank(blank);
+        self.status = MemberStatus::Uninitialized(Uninitialized { cause, lost_index: None });
     }
 
     fn start(&mut self, now: f64, log: &RecoveredLog) {
@@ -68,8 +69,8 @@
             _ => match serde_json::from_slice(&log.snapshot.data) {
                 Ok(state_machine) => state_machine,
                 Err(error) => {
-                    let reason = format!("the snapshot's facts can't be read: {error}");
-                    self.status = ReplicaStatus::Suspended(reason);
+                    let cause = SuspensionCause::UnreadableSnapshot(error.to_string());
+                    self.status = MemberStatus::Suspended(cause);
                     return;
                 }
             },
@@ -81,13 +82,13 @@
                 self.applied = index;
                 self.node = Some(node);
                 self.ticked_at = now;
-                self.status = ReplicaStatus::Member;
+                self.status = MemberStatus::Active;
                 self.election_timeout = None;
                 self.update_election_timeout();
                 self.process_ready(now);
             }
             Err(error) => {
-                self.status = ReplicaStatus::Suspended(format!("the log can't be taken up: {error}"));
+                self.status = MemberStatus::Suspended(SuspensionCause::RejectedLog(error.to_string()));
             }
         }
     }
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -4,8 +4,9 @@
 use durable_log::simulated::SimulatedDisk;
 use durable_log::Store;
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
+use fleet_coordinator::events::CoordinatorEvent;
 use fleet_coordinator::leader_state::SafetyChecks;
-use fleet_coordinator::replica::{carry_out, DiskResult, ReplicaStatus};
+use fleet_coordinator::replica::{carry_out, DiskResult, MemberStatus};
 use fleet_coordinator::state_machine::LATEST;
 use port_worker::fleet::frame::{decode, encode, ClientMessage, ServerMessage, MAX_SERVER_FRAME_BYTES};
 
@@ -21,6 +22,7 @@
     job_duration_s: f64,
     answers: Vec<(f64, u64, DiskResult)>,
     messages: Vec<ServerMessage>,
+    events: Vec<CoordinatorEvent>,
 }
 
 impl Scenario {
@@ -44,10 +46,11 @@
             job_duration_s: 0.0,
             answers: Vec::new(),
             messages: Vec::new(),
+            events: Vec::new(),
         };
         // A coordinator without peers founds its fleet when it ticks.
         scenario.until("it leads", 10.0, |scenario| {
-            if matches!(scenario.coordinator.replica.status, ReplicaStatus::Blank(_)) {
+            if matches!(scenario.coordinator.replica.status, MemberStatus::Uninitialized(_)) {
                 scenario.coordinator.replica.found(scenario.now, &["c1".to_owned()], "c1");
             }
             scenario.coordinator.replica.leads()
@@ -79,6 +82,7 @@
                             decode::<ServerMessage>(&bytes, MAX_SERVER_FRAME_BYTES).unwrap().unwrap();
                         self.messages.push(message);
                     }
+                    Output::Log(event) => self.events.push(event),
                     _ => {}
                 }
             }
@@ -118,7 +122,7 @@
     }
 
     fn is_suspended(&self) -> bool {
-        matches!(self.coordinator.replica.status, ReplicaStatus::Suspended(_))
+        matches!(self.coordinator.replica.status, MemberStatus::Suspended(_))
     }
 }
 
@@ -150,8 +154,19 @@
         let took = scenario.until(name, limit_s, |s| s.is_suspended());
         assert!(took <= 1.0, "{name}: {took}");
         assert_eq!(scenario.welcomed(), 1, "{name}: a session was acknowledged that the disk may not have");
-        let why = format!("{:?}", scenario.coordinator.replica.status);
-        assert!(why.contains("disk is slow") == name.contains("sync") && why.len() > 12, "{name}: {why}");
+        let reason = scenario.coordinator.replica.status.reason();
+        assert!(
+            reason.contains("disk is slow") == name.contains("sync") && reason.len() > 12,
+            "{name}: {reason}"
+        );
+        let MemberStatus::Suspended(cause) = scenario.coordinator.replica.status.clone() else {
+            panic!("{name}")
+        };
+        let suspended = CoordinatorEvent::DiskSuspended { cause };
+        assert_eq!(
+            scenario.events[scenario.events.len() - 2..],
+            [CoordinatorEvent::LeadershipLost, suspended]
+        );
         let status = scenario.coordinator.status();
         assert_eq!((&status["standing"], &status["leads"]), (&"aside".into(), &false.into()), "{name}");
         // It stays suspended while the disk fails, and takes part again without help once it works.
@@ -161,6 +176,7 @@
         }
         repair(&mut scenario);
         scenario.until("it leads again", 10.0, |s| s.coordinator.replica.leads());
+        assert!(scenario.events.contains(&CoordinatorEvent::DiskResumed { member: 1 }), "{name}");
         scenario.hello(90);
         scenario.until("another session", 1.0, |s| s.welcomed() == 2);
     }
--- /dev/null
+++ b/fleet-coordinator/tests/log_events.rs
@@ -0,0 +1,134 @@
+//! The log of one coordinator from its start to its end, as the process writes it.
+
+use durable_log::{Folder, Store};
+use fleet_coordinator::replica::{carry_out, Replica, ReplicaOutput};
+use fleet_coordinator::state_machine::LATEST;
+use rustix::process::{kill_process, Pid, Signal};
+use std::fs;
+use std::io::{BufRead, BufReader};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+
+/// A coordinator without peers, and its log.
+struct CoordinatorProcess {
+    folder: PathBuf,
+    child: Child,
+    log: BufReader<ChildStderr>,
+}
+
+impl CoordinatorProcess {
+    fn start(test: &str, prepare_data: impl FnOnce(&Path)) -> CoordinatorProcess {
+        let folder = std::env::temp_dir().join(format!("coordinator-log-{}-{test}", std::process::id()));
+        let _ = fs::remove_dir_all(&folder);
+        fs::create_dir_all(&folder).unwrap();
+        prepare_data(&data_folder(&folder));
+        let config = folder.join("coordinator.toml");
+        fs::write(&config, config_text(&folder, "epoch = 1")).unwrap();
+        let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-coordinator"));
+        command.arg("--config").arg(config).env_remove("RUST_LOG").stderr(Stdio::piped());
+        let mut child = command.spawn().unwrap();
+        let log = BufReader::new(child.stderr.take().unwrap());
+        CoordinatorProcess { folder, child, log }
+    }
+
+    /// The next line without its time, and with what differs from run to run replaced.
+    fn next_line(&mut self) -> String {
+        let mut line = String::new();
+        assert!(self.log.read_line(&mut line).unwrap() > 0, "the log has ended");
+        let (time, rest) = line.trim_end().split_once(' ').unwrap();
+        assert!(time.ends_with('Z') && time.contains('T'), "{line}");
+        let rest = rest.replace(self.folder.to_str().unwrap(), "FOLDER");
+        match rest.split_once(" address=") {
+            Some((event, address)) => {
+                assert!(address.starts_with("127.0.0.1:"), "{line}");
+                format!("{event} address=ADDRESS")
+            }
+            None => rest,
+        }
+    }
+
+    fn assert_next_lines(&mut self, expected: &[&str]) {
+        for line in expected {
+            assert_eq!(self.next_line(), *line);
+        }
+    }
+
+    /// Replaces these keys of the file, and lets the coordinator read it.
+    fn reload(&self, keys: &str) {
+        fs::write(self.folder.join("coordinator.toml"), config_text(&self.folder, keys)).unwrap();
+        self.send_signal(Signal::HUP);
+    }
+
+    fn send_signal(&self, signal: Signal) {
+        kill_process(Pid::from_child(&self.child), signal).unwrap();
+    }
+}
+
+impl Drop for CoordinatorProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = fs::remove_dir_all(&self.folder);
+    }
+}
+
+fn data_folder(folder: &Path) -> PathBuf {
+    folder.join("data")
+}
+
+fn config_text(folder: &Path, keys: &str) -> String {
+    let data = data_folder(folder).display().to_string();
+    format!(
+        "fleet = 'f'\nname = 'a'\nfolder = '{data}'\nlisten = '127.0.0.1:0'\n{keys}\n[[coordinator]]\nname = 'a'\naddress = '127.0.0.1:1'\n"
+    )
+}
+
+/// Makes the data folder that of the only founder of a fleet.
+fn found_fleet(data: &Path) {
+    let mut store: Option<Store<Folder>> = None;
+    let mut replica = Replica::new(0.0, 1, 1.0, LATEST);
+    let mut carry_out_jobs = |replica: &mut Replica| {
+        for output in replica.take_outputs() {
+            if let ReplicaOutput::Disk(number, job) = output {
+                let result = carry_out(&mut store, &job, || Folder::lock(data));
+                replica.on_disk_result(0.0, number, result);
+            }
+        }
+    };
+    carry_out_jobs(&mut replica);
+    replica.found(0.0, &["a".to_owned()], "a");
+    carry_out_jobs(&mut replica);
+}
+
+#[test]
+fn a_coordinator_reports_its_start_its_reloads_and_its_end_as_events_in_order() {
+    let mut coordinator = CoordinatorProcess::start("life", found_fleet);
+    coordinator.assert_next_lines(&[
+        "INFO listener_opened frontend=coordinator coordinator=a fleet=f address=ADDRESS",
+        "INFO member_started member=1",
+        "INFO leader_elected term=2",
+    ]);
+    coordinator.reload("epoch = 2");
+    coordinator.assert_next_lines(&["INFO config_reloaded epoch=2 tasks=0"]);
+    coordinator.reload("epoch = 3\nversion = 1\nwrite_overdue_ms = 500");
+    coordinator.assert_next_lines(&[
+        "INFO config_reloaded epoch=3 tasks=0",
+        "WARN config_reload_deferred keys=write_overdue_ms,version",
+    ]);
+    coordinator.reload("epoch = 0");
+    coordinator.assert_next_lines(&[
+        "WARN config_reload_rejected cause=\"FOLDER/coordinator.toml: epoch is 0; expected 1 to 18446744073709551615\"",
+    ]);
+    coordinator.send_signal(Signal::TERM);
+    coordinator.assert_next_lines(&["INFO shutdown_complete"]);
+    assert!(coordinator.child.wait().unwrap().success());
+}
+
+#[test]
+fn a_coordinator_with_an_empty_disk_reports_that_it_is_uninitialized() {
+    let mut coordinator = CoordinatorProcess::start("empty", |_| ());
+    coordinator.assert_next_lines(&[
+        "INFO listener_opened frontend=coordinator coordinator=a fleet=f address=ADDRESS",
+        "WARN member_uninitialized cause=empty_disk detail=\"the disk is empty\"",
+    ]);
+}
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -5,7 +5,7 @@
 use fleet_coordinator::config::File;
 use fleet_coordinator::coordinator::{Coordinator, Output};
 use fleet_coordinator::replica::{
-    carry_out, LogPosition, Replica, ReplicaEvent, ReplicaOutput, ReplicaStatus,
+    carry_out, LogPosition, MemberStatus, Replica, ReplicaEvent, ReplicaOutput,
 };
 use fleet_coordinator::state_machine::{Command, LeaseStateMachine, LogEntry, ReleaseReason, Task, LATEST};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
@@ -119,7 +119,7 @@
     let coordinator = start_c3(&data.member("c3"));
 
     let replica = &coordinator.replica;
-    assert_eq!(replica.status, ReplicaStatus::Member);
+    assert_eq!(replica.status, MemberStatus::Active);
     assert_eq!((replica.member(), replica.term()), (MEMBER_C3, 2));
     // What is behind the snapshot is applied once a quorum has confirmed it.
     assert_eq!(replica.log_position(), LogPosition { last: LAST_INDEX, applied: SNAPSHOT_INDEX });
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -76,7 +76,7 @@
         let mut command = Command::new(&self.programs.coordinator);
         command.arg("--config").arg(&path);
         let mut process = self.spawn(name, command)?;
-        let listen = process.wait_address(" at=")?;
+        let listen = process.wait_address(" address=")?;
         process.listen = Some(listen);
         self.relays.iter().filter(|r| r.to == name).for_each(|r| r.aim(Some(listen)));
         self.put(process);
--- a/testbed/src/fleet/virtual_fleet/faults.rs
+++ b/testbed/src/fleet/virtual_fleet/faults.rs
@@ -4,7 +4,7 @@
 use super::processes::CoordinatorProcess;
 use super::world::{coordinator_name, Event, World};
 use durable_log::simulated::SimulatedDisk;
-use fleet_coordinator::replica::ReplicaStatus;
+use fleet_coordinator::replica::MemberStatus;
 use rand::Rng;
 
 /// The numbers that a fault's kind is drawn from; some kinds have several of them.
@@ -34,7 +34,7 @@
         let name = coordinator_name(coordinator);
         let machine = self.coordinators[coordinator].machine.as_ref();
         let lost = machine.is_some_and(|machine| match &machine.replica.status {
-            ReplicaStatus::Blank(why) => why.contains("held the log up to"),
+            MemberStatus::Uninitialized(uninitialized) => uninitialized.lost_index.is_some(),
             _ => false,
         });
         match self.leader().filter(|_| lost) {
@@ -233,7 +233,7 @@
         let last = replicas.iter().map(|replica| replica.log_position().applied).max().unwrap_or(0);
         replicas.len() == self.coordinators.len()
             && replicas.iter().all(|replica| {
-                replica.status == ReplicaStatus::Member && replica.log_position().applied + MAX_LAG >= last
+                replica.status == MemberStatus::Active && replica.log_position().applied + MAX_LAG >= last
             })
     }
 
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -6,6 +6,7 @@
 use durable_log::simulated::SimulatedDisk;
 use durable_log::Store;
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
+use fleet_coordinator::events::CoordinatorEvent;
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::state_machine::{Task, LATEST};
 use port_worker::fleet::frame;
@@ -284,9 +285,10 @@
                     }
                 }
                 Output::Disk(number, job) => self.schedule_disk_job(coordinator, number, job),
-                Output::Log { message, .. } => {
-                    self.verdict.leaders += u64::from(message.starts_with("leads, term"));
-                    self.trace(&coordinator_name(coordinator), &message);
+                Output::Log(event) => {
+                    self.verdict.leaders +=
+                        u64::from(matches!(event, CoordinatorEvent::LeaderElected { .. }));
+                    self.trace(&coordinator_name(coordinator), &format!("{event:?}"));
                 }
             }
         }
