--- a/durable-log/src/lib.rs
+++ b/durable-log/src/lib.rs
@@ -1,5 +1,14 @@
 //! A crash-safe store: a write-ahead log of records, which a snapshot replaces now and then.
 //!
+//! | module | job |
+//! | --- | --- |
+//! | `store` | the open store: appends, snapshots, and what a failed write means |
+//! | `recovery` | reads what a folder holds after a crash |
+//! | `record` | one record as bytes, with its checksum |
+//! | `layout` | the names of files |
+//! | `disk` | the file system as the store uses it, and the system's |
+//! | `simulated` | a disk in memory that can fail and lose power |
+//!
 //! Guarantees: what [`Store::append`] or [`Store::replace`] returned `Ok` for is recovered by [`Store::open`] after any
 //! crash, complete and in order, as long as the disk keeps what it synced. What was not acknowledged may be recovered or
 //! not, but only as a prefix of what was written, never in part. Opening does not fail for what it finds: it reports what
@@ -11,6 +20,7 @@
 
 mod disk;
 mod error;
+mod layout;
 mod record;
 mod recovery;
 pub mod simulated;
@@ -18,7 +28,7 @@
 
 pub use disk::{Disk, Folder};
 pub use error::StoreError;
-pub use recovery::Recovered;
+pub use recovery::{DroppedData, Recovered, RecoveredRecord};
 pub use store::Store;
 
 /// The largest record (bytes), which also limits how much of a file is read for one. An encoded snapshot of all that the
--- a/durable-log/src/recovery.rs
+++ b/durable-log/src/recovery.rs
@@ -1,8 +1,8 @@
 //! Reading what a folder holds after a crash.
 
 use crate::error::in_operation;
+use crate::layout::{first_sequence, log_name, FOLDER, MAGIC, SNAPSHOT};
 use crate::record::{self, Record, HEADER_BYTES};
-use crate::store::{log_name, FOLDER, LOG_PREFIX, MAGIC, SNAPSHOT};
 use crate::{Disk, StoreError};
 
 /// What a store held when it was opened.
@@ -10,28 +10,88 @@
 pub struct Recovered {
     /// The newest complete snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// Records after it, in order, with their sequence numbers.
-    pub records: Vec<(u64, Vec<u8>)>,
-    /// What was dropped, and why; a sentence each.
-    pub dropped: Vec<String>,
+    /// Records after it, in order.
+    pub records: Vec<RecoveredRecord>,
+    /// What was dropped.
+    pub dropped: Vec<DroppedData>,
     /// Something is missing that no crash explains: complete records follow a bad one, or a snapshot can't be read.
     pub damaged: bool,
 }
 
+/// A record that was recovered.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecoveredRecord {
+    /// Its sequence number.
+    pub sequence: u64,
+    /// What was appended.
+    pub body: Vec<u8>,
+}
+
+/// Data that was found and could not be recovered.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DroppedData {
+    /// A snapshot without a valid header or checksum. It was synced before it was renamed, so no crash explains it.
+    #[error("snapshot: {bytes} bytes that can't be read")]
+    UnreadableSnapshot {
+        /// The size of the file (bytes).
+        bytes: usize,
+    },
+    /// A log whose snapshot is lost.
+    #[error("{file}: the snapshot before it is missing")]
+    LogWithoutSnapshot {
+        /// The log file.
+        file: String,
+    },
+    /// The end of a log from a record on that was not written completely, as a crash leaves it.
+    #[error("{file}: {bytes} bytes after record {last_sequence}: a record that is not whole")]
+    IncompleteRecord {
+        /// The log file.
+        file: String,
+        /// The size of the end (bytes).
+        bytes: usize,
+        /// The last complete record before it.
+        last_sequence: u64,
+    },
+    /// The end of a log from a bad record on that later batches follow. No crash explains it.
+    #[error("{file}: {bytes} bytes after record {last_sequence}: whole records lie behind a bad one")]
+    CorruptRecord {
+        /// The log file.
+        file: String,
+        /// The size of the end (bytes).
+        bytes: usize,
+        /// The last complete record before it.
+        last_sequence: u64,
+    },
+}
+
+impl DroppedData {
+    /// Whether no crash explains this.
+    fn is_damage(&self) -> bool {
+        !matches!(self, DroppedData::IncompleteRecord { .. })
+    }
+}
+
 impl Recovered {
-    fn drop_as_damage(&mut self, reason: String) {
-        self.damaged = true;
-        self.dropped.push(reason);
+    fn drop_data(&mut self, dropped: DroppedData) {
+        self.damaged |= dropped.is_damage();
+        self.dropped.push(dropped);
     }
 }
 
-/// Reads the snapshot and the log after it; also returns the last sequence number.
-pub(crate) fn read<D: Disk>(disk: &mut D) -> Result<(Recovered, u64), StoreError> {
+/// What a folder holds.
+pub(crate) struct FolderContents {
+    pub(crate) recovered: Recovered,
+    /// The sequence number of the last record, or the last that the snapshot covers.
+    pub(crate) last_sequence: u64,
+}
+
+/// Reads the snapshot and the log after it.
+pub(crate) fn read<D: Disk>(disk: &mut D) -> Result<FolderContents, StoreError> {
     let mut recovered = Recovered::default();
     let snapshot_end = read_snapshot(disk, &mut recovered)?;
     check_for_later_logs(disk, snapshot_end, &mut recovered)?;
-    let last = read_log(disk, snapshot_end, &mut recovered)?;
-    Ok((recovered, last))
+    let last_sequence = read_log(disk, snapshot_end, &mut recovered)?;
+    Ok(FolderContents { recovered, last_sequence })
 }
 
 /// Returns the last sequence number that the snapshot covers; 0 without one.
@@ -41,8 +101,7 @@
         recovered.snapshot = Some(record.body.to_vec());
         return Ok(record.sequence);
     }
-    // It was synced before it was renamed, so no crash leaves an incomplete one.
-    recovered.drop_as_damage(format!("snapshot: {} bytes that can't be read", bytes.len()));
+    recovered.drop_data(DroppedData::UnreadableSnapshot { bytes: bytes.len() });
     Ok(0)
 }
 
@@ -54,13 +113,12 @@
     recovered: &mut Recovered,
 ) -> Result<(), StoreError> {
     for name in in_operation("list", FOLDER, disk.list())? {
-        let number = name.strip_prefix(LOG_PREFIX).and_then(|number| number.parse::<u64>().ok());
-        let Some(first) = number else { continue };
+        let Some(first) = first_sequence(&name) else { continue };
         if first <= snapshot_end + 1 {
             continue;
         }
         if in_operation("read", &name, disk.read(&name))?.is_some_and(|bytes| !bytes.is_empty()) {
-            recovered.drop_as_damage(format!("{name}: the snapshot before it is missing"));
+            recovered.drop_data(DroppedData::LogWithoutSnapshot { file: name });
         }
     }
     Ok(())
@@ -68,24 +126,26 @@
 
 /// Returns the last sequence number.
 fn read_log<D: Disk>(disk: &mut D, snapshot_end: u64, recovered: &mut Recovered) -> Result<u64, StoreError> {
-    let name = log_name(snapshot_end + 1);
-    let bytes = in_operation("read", &name, disk.read(&name))?.unwrap_or_default();
-    let mut last = snapshot_end;
+    let file = log_name(snapshot_end + 1);
+    let bytes = in_operation("read", &file, disk.read(&file))?.unwrap_or_default();
+    let mut last_sequence = snapshot_end;
     let mut at = 0;
-    while let Some(record) = record::decode(&bytes[at..]).filter(|record| record.sequence == last + 1) {
-        recovered.records.push((record.sequence, record.body.to_vec()));
-        last = record.sequence;
+    while let Some(record) = record::decode(&bytes[at..]).filter(|r| r.sequence == last_sequence + 1) {
+        last_sequence = record.sequence;
         at += record.encoded_bytes();
+        recovered.records.push(RecoveredRecord { sequence: record.sequence, body: record.body.to_vec() });
     }
     let rest = &bytes[at..];
     if !rest.is_empty() {
+        let bytes = rest.len();
         // Parts of one unsynced batch may reach the disk in any order; a later batch only after a sync.
-        let is_damage = has_later_batch(rest, last);
-        recovered.damaged |= is_damage;
-        let why = if is_damage { "whole records lie behind a bad one" } else { "a record that is not whole" };
-        recovered.dropped.push(format!("{name}: {} bytes after record {last}: {why}", rest.len()));
+        recovered.drop_data(if has_later_batch(rest, last_sequence) {
+            DroppedData::CorruptRecord { file, bytes, last_sequence }
+        } else {
+            DroppedData::IncompleteRecord { file, bytes, last_sequence }
+        });
     }
-    Ok(last)
+    Ok(last_sequence)
 }
 
 /// Whether these bytes hold a complete record that was written after what follows `last` had been synced.
--- a/durable-log/src/simulated.rs
+++ b/durable-log/src/simulated.rs
@@ -72,6 +72,13 @@
     }
 }
 
+/// What a call does with the disk.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Access {
+    Read,
+    Write,
+}
+
 /// Chooses what survives a loss of power.
 pub trait RandomSource {
     /// A number below `bound`.
@@ -152,11 +159,11 @@
     }
 
     /// Counts a call; `Err` where it is to fail.
-    fn call(&self, writes: bool) -> io::Result<MutexGuard<'_, DiskState>> {
+    fn call(&self, access: Access) -> io::Result<MutexGuard<'_, DiskState>> {
         let mut state = self.state();
         state.calls += 1;
         let fails = state.fail_at.is_some_and(|at| state.calls >= at);
-        if fails || writes && state.full {
+        if fails || access == Access::Write && state.full {
             return Err(io::Error::from_raw_os_error(NO_SPACE));
         }
         Ok(state)
@@ -169,16 +176,16 @@
 
 impl Disk for SimulatedDisk {
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        let state = self.call(false)?;
+        let state = self.call(Access::Read)?;
         Ok(state.names.get(name).map(|file| state.files[*file].bytes.clone()))
     }
 
     fn list(&mut self) -> io::Result<Vec<String>> {
-        Ok(self.call(false)?.names.keys().cloned().collect())
+        Ok(self.call(Access::Read)?.names.keys().cloned().collect())
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let mut state = self.call(true)?;
+        let mut state = self.call(Access::Write)?;
         let number = state.files.len();
         state.files.push(FileState::default());
         state.names.insert(name.to_owned(), number);
@@ -186,7 +193,7 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        match self.call(true) {
+        match self.call(Access::Write) {
             Ok(mut state) => {
                 let file = *state.names.get(name).ok_or_else(not_found)?;
                 state.files[file].bytes.extend_from_slice(bytes);
@@ -203,25 +210,25 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let mut state = self.call(true)?;
+        let mut state = self.call(Access::Write)?;
         let file = *state.names.get(name).ok_or_else(not_found)?;
         state.files[file].synced = state.files[file].bytes.len();
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let mut state = self.call(true)?;
+        let mut state = self.call(Access::Write)?;
         let file = state.names.remove(from).ok_or_else(not_found)?;
         state.names.insert(to.to_owned(), file);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.call(true)?.names.remove(name).map(|_| ()).ok_or_else(not_found)
+        self.call(Access::Write)?.names.remove(name).map(|_| ()).ok_or_else(not_found)
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        let mut state = self.call(true)?;
+        let mut state = self.call(Access::Write)?;
         state.synced_names = state.names.clone();
         Ok(())
     }
--- a/durable-log/src/store.rs
+++ b/durable-log/src/store.rs
@@ -1,29 +1,20 @@
 //! The open store.
 
 use crate::error::in_operation;
-use crate::recovery::{self, Recovered};
+use crate::layout::{is_log, log_name, FOLDER, MAGIC, NEW_SNAPSHOT, SNAPSHOT};
+use crate::recovery::{self, FolderContents, Recovered};
 use crate::{record, Disk, StoreError, MAX_RECORD_BYTES};
 
 /// A snapshot is written in steps of this size, so that no single call blocks the disk for long (bytes).
 const WRITE_STEP_BYTES: usize = 64 * 1024;
-/// The first bytes of a snapshot file.
-pub(crate) const MAGIC: &[u8; 8] = b"hpstore1";
-pub(crate) const SNAPSHOT: &str = "snapshot";
-const NEW_SNAPSHOT: &str = "snapshot.new";
-pub(crate) const LOG_PREFIX: &str = "log.";
-/// How errors name the folder.
-pub(crate) const FOLDER: &str = "the folder";
-
-/// The log file whose first record has this sequence number.
-pub(crate) fn log_name(first_sequence: u64) -> String {
-    format!("{LOG_PREFIX}{first_sequence}")
-}
 
 /// An open store.
 pub struct Store<D: Disk> {
     disk: D,
     next_sequence: u64,
+    /// The name of the log file that is appended to.
     log: String,
+    /// A write has failed, or runs now: the store can't be written to.
     failed: bool,
     /// Bytes in the log since the snapshot.
     log_bytes: u64,
@@ -39,9 +30,9 @@
         mut disk: D,
         encode: impl FnOnce(&Recovered) -> Vec<u8>,
     ) -> Result<(Store<D>, Recovered), StoreError> {
-        let (recovered, last) = recovery::read(&mut disk)?;
-        let mut store =
-            Store { disk, next_sequence: last + 1, log: String::new(), failed: false, log_bytes: 0 };
+        let FolderContents { recovered, last_sequence } = recovery::read(&mut disk)?;
+        let next_sequence = last_sequence + 1;
+        let mut store = Store { disk, next_sequence, log: String::new(), failed: false, log_bytes: 0 };
         let snapshot = encode(&recovered);
         store.replace(&snapshot)?;
         Ok((store, recovered))
@@ -139,7 +130,7 @@
 
 fn remove_other_logs<D: Disk>(disk: &mut D, log: &str) -> Result<(), StoreError> {
     let names = in_operation("list", FOLDER, disk.list())?;
-    for name in names.iter().filter(|name| name.starts_with(LOG_PREFIX) && *name != log) {
+    for name in names.iter().filter(|name| is_log(name) && *name != log) {
         in_operation("remove", name, disk.remove(name))?;
     }
     Ok(())
--- a/durable-log/src/tests.rs
+++ b/durable-log/src/tests.rs
@@ -1,6 +1,6 @@
+use crate::layout::MAGIC;
 use crate::record::HEADER_BYTES;
 use crate::simulated::SimulatedDisk;
-use crate::store::MAGIC;
 use crate::{Disk, Folder, Recovered, Store, StoreError};
 use std::io;
 
@@ -18,7 +18,7 @@
 /// All values that were recovered, in order, from the snapshot and the records.
 fn values(found: &Recovered) -> Vec<u8> {
     let mut all = found.snapshot.clone().unwrap_or_default();
-    all.extend(found.records.iter().map(|(_, body)| body[0]));
+    all.extend(found.records.iter().map(|record| record.body[0]));
     all
 }
 
@@ -151,10 +151,14 @@
     disk.corrupt_byte("log.1", HEADER_BYTES + 20 + 6);
     let (_, found) = Store::open(disk, values).unwrap();
     assert!(found.damaged && values(&found) == [1], "{found:?}");
+    let rest = "log.1: 176 bytes after record 1: whole records lie behind a bad one";
+    assert_eq!(found.dropped[0].to_string(), rest);
     let length = torn_tail.lengths().iter().find(|(name, _)| name == "log.1").unwrap().1;
     torn_tail.corrupt_byte("log.1", length - 1);
     let (_, found) = Store::open(torn_tail, values).unwrap();
     assert!(!found.damaged && values(&found) == [1, 2, 3, 4] && found.dropped.len() == 1, "{found:?}");
+    let rest = "log.1: 44 bytes after record 4: a record that is not whole";
+    assert_eq!(found.dropped[0].to_string(), rest);
 }
 
 #[test]
@@ -166,6 +170,8 @@
     disk.corrupt_byte("snapshot", MAGIC.len() + HEADER_BYTES);
     let (_, found) = Store::open(disk, values).unwrap();
     assert!(found.damaged && found.snapshot.is_none(), "{found:?}");
+    let dropped: Vec<String> = found.dropped.iter().map(ToString::to_string).collect();
+    assert_eq!(dropped, ["snapshot: 33 bytes that can't be read"]);
 }
 
 #[test]
--- a/fleet-coordinator/src/replica/recovered_log.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -2,7 +2,7 @@
 //! Decoding needs no state of the consensus library, so a store can be opened, checked and shown without one.
 
 use super::scan::{self, ParseError};
-use durable_log::Recovered;
+use durable_log::{Recovered, RecoveredRecord};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
 /// The first byte of a record.
@@ -113,8 +113,8 @@
         if let Some(snapshot) = &recovered.snapshot {
             log.read_parts(snapshot)?;
         }
-        for (sequence, record) in &recovered.records {
-            let result = log.read_record(record);
+        for RecoveredRecord { sequence, body } in &recovered.records {
+            let result = log.read_record(body);
             result.map_err(|source| RecoveredLogError::Record { sequence: *sequence, source })?;
         }
         let index = log.snapshot.get_metadata().index;
--- a/fleet-coordinator/src/replica/startup.rs
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -55,7 +55,9 @@
         }
         let cause = match RecoveredLog::read(recovered) {
             Err(error) => UninitializedCause::UnreadableLog(error.to_string()),
-            Ok(_) if recovered.damaged => UninitializedCause::DamagedDisk(recovered.dropped.join("; ")),
+            Ok(_) if recovered.damaged => {
+                UninitializedCause::DamagedDisk { dropped: recovered.dropped.clone() }
+            }
             Ok(log) if log.member == 0 => UninitializedCause::EmptyDisk,
             Ok(log) => return self.start(now, &log),
         };
--- a/fleet-coordinator/src/replica/status.rs
+++ b/fleet-coordinator/src/replica/status.rs
@@ -2,6 +2,7 @@
 
 use super::DiskJob;
 use crate::state_machine::{LogEntry, Outcome, Rejection};
+use durable_log::DroppedData;
 
 /// Whether a replica takes part in the quorum.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,13 +36,20 @@
     #[error("the disk is empty")]
     EmptyDisk,
     /// Records are missing that no crash explains.
-    #[error("the disk is damaged: {0}")]
-    DamagedDisk(String),
+    #[error("the disk is damaged: {}", join(dropped))]
+    DamagedDisk {
+        /// What could not be recovered.
+        dropped: Vec<DroppedData>,
+    },
     /// Its records are not a replicated log.
     #[error("the disk can't be read: {0}")]
     UnreadableLog(String),
 }
 
+fn join(dropped: &[DroppedData]) -> String {
+    dropped.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
+}
+
 /// Why a member is suspended.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SuspensionCause {
@@ -161,7 +169,7 @@
     pub fn key(&self) -> &'static str {
         match self {
             UninitializedCause::EmptyDisk => "empty_disk",
-            UninitializedCause::DamagedDisk(_) => "damaged_disk",
+            UninitializedCause::DamagedDisk { .. } => "damaged_disk",
             UninitializedCause::UnreadableLog(_) => "unreadable_log",
         }
     }
