--- a/fleet-coordinator/src/net/disk_thread.rs
+++ b/fleet-coordinator/src/net/disk_thread.rs
@@ -1,21 +1,32 @@
 //! The thread that alone accesses the data folder: one job after the other.
 
-use super::JobResult;
-use crate::replica::{carry_out, DiskJob};
+use crate::replica::{carry_out, DiskJob, DiskResult};
 use calloop::channel::Sender;
 use durable_log::Folder;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
 
+/// A job for the thread.
+pub(super) struct NumberedJob {
+    pub(super) number: u64,
+    pub(super) job: DiskJob,
+}
+
+/// The result of the job with the same number.
+pub(super) struct JobResult {
+    pub(super) number: u64,
+    pub(super) result: DiskResult,
+}
+
 /// Starts the thread; it ends when the returned sender is dropped.
-pub(super) fn spawn(folder: &Path, results: Sender<JobResult>) -> mpsc::Sender<(u64, DiskJob)> {
-    let (sender, jobs) = mpsc::channel::<(u64, DiskJob)>();
+pub(super) fn spawn(folder: &Path, results: Sender<JobResult>) -> mpsc::Sender<NumberedJob> {
+    let (sender, jobs) = mpsc::channel::<NumberedJob>();
     let folder: PathBuf = folder.to_owned();
     std::thread::spawn(move || {
         let mut store = None;
-        for (number, job) in jobs {
+        for NumberedJob { number, job } in jobs {
             let result = carry_out(&mut store, &job, || Folder::lock(&folder));
-            if results.send((number, result)).is_err() {
+            if results.send(JobResult { number, result }).is_err() {
                 break;
             }
         }
--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -1,136 +1,159 @@
 //! Links that were accepted: workers', operators' and other coordinators'.
 
-use super::server::{Server, MAX_QUEUED_BYTES};
+use super::limits::MAX_QUEUED_BYTES;
 use crate::coordinator::{next_frame, FRAME_HEADER_BYTES};
-use crate::events::ServerEvent;
 use port_worker::fleet::frame::MAX_CLIENT_FRAME_BYTES;
-use port_worker::log::LogEvent;
 use port_worker::net::io::buffer::{Filled, Link};
-use port_worker::net::io::poll::{Accepted, Place};
+use port_worker::net::io::poll::{Accepted, Acceptor, Place, Poll};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// A link without a complete frame for so long is closed (seconds): workers send a heartbeat every second.
 const LINK_TIMEOUT_S: f64 = 30.0;
-/// How often all links are looked at (seconds).
+/// How often all links are checked, since nothing else notices silent ones (seconds).
 const SWEEP_INTERVAL_S: f64 = 1.0;
-/// The largest number of frames that are taken from one link at once.
-const MAX_FRAMES_AT_ONCE: usize = 128;
 
-pub(super) struct Inbound {
-    pub(super) link: Link,
+/// All links that were accepted, by number.
+#[derive(Default)]
+pub(super) struct InboundLinks {
+    links: BTreeMap<u64, Inbound>,
+    /// Links on which something may have been received.
+    touched: BTreeSet<u64>,
+    /// When all links were last checked.
+    swept_at: f64,
+}
+
+struct Inbound {
+    link: Link,
+    /// When the last complete frame was received.
     received_at: f64,
     /// Nothing is received any more; the link is closed once everything has been written.
-    pub(super) closing: bool,
+    closing: bool,
 }
 
 impl Inbound {
     /// Writes what waits; `true` where the link has ended.
-    pub(super) fn flush_or_end(&mut self) -> bool {
+    fn flush_or_end(&mut self) -> bool {
         let broken = self.link.flush().is_err() || self.link.queued() > MAX_QUEUED_BYTES;
         broken || self.closing && self.link.queued() == 0
     }
 }
 
-/// What became of an attempt to take a frame from a link.
-enum Taken {
-    Frame,
+/// Whether a link goes on after it was read from.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum LinkState {
+    /// More may come.
+    Open,
+    /// It has ended or was silent for too long: what has been received is still to be processed.
+    Ended,
+}
+
+/// The result of an attempt to take a frame from a link.
+pub(super) enum Taken<E> {
+    /// A frame was taken, and its receiver returned this.
+    Frame(Result<(), E>),
     /// No complete frame has been received, or the link is closing.
     Nothing,
-    /// The link is to be closed.
-    Invalid,
+    /// The link sends a frame that is too long.
+    TooLong(String),
 }
 
-impl Server {
-    pub(super) fn accept(&mut self, now: f64) {
+impl InboundLinks {
+    /// Accepts links that wait at the socket; returns their numbers.
+    pub(super) fn accept(&mut self, now: f64, poll: &Poll, acceptor: &mut Acceptor) -> Vec<u64> {
+        let mut opened = Vec::new();
         let mut accepted = 0;
-        while let Accepted::Stream(stream) = self.acceptor.accept(accepted) {
+        while let Accepted::Stream(stream) = acceptor.accept(accepted) {
             accepted += 1;
-            let id = self.poll.fresh();
+            let id = poll.fresh();
             let buffer_bytes = MAX_CLIENT_FRAME_BYTES + FRAME_HEADER_BYTES;
             let link = stream
                 .set_nonblocking(true)
-                .and_then(|()| Link::new(&self.poll, stream, Place::Fleet(id), buffer_bytes));
+                .and_then(|()| Link::new(poll, stream, Place::Fleet(id), buffer_bytes));
             if let Ok(link) = link {
-                self.coordinator.opened(id);
                 self.touched.insert(id);
-                self.inbound.insert(id, Inbound { link, received_at: now, closing: false });
+                self.links.insert(id, Inbound { link, received_at: now, closing: false });
+                opened.push(id);
             }
         }
+        opened
+    }
+
+    /// The link's buffers; `None` where it is not one of these.
+    pub(super) fn link(&mut self, id: u64) -> Option<&mut Link> {
+        self.links.get_mut(&id).map(|inbound| &mut inbound.link)
     }
 
-    pub(super) fn receive(&mut self, now: f64) {
+    /// Something may have been received on this link.
+    pub(super) fn touch(&mut self, id: u64) {
+        self.touched.insert(id);
+    }
+
+    /// Takes the numbers of links that are to be read from.
+    pub(super) fn take_touched(&mut self, now: f64) -> BTreeSet<u64> {
         if now - self.swept_at >= SWEEP_INTERVAL_S {
-            // Silent links are found by looking at all of them.
             self.swept_at = now;
-            self.touched.extend(self.inbound.keys());
-        }
-        for id in std::mem::take(&mut self.touched) {
-            self.receive_on(now, id);
+            self.touched.extend(self.links.keys());
         }
+        std::mem::take(&mut self.touched)
     }
 
-    fn receive_on(&mut self, now: f64, id: u64) {
-        let Some(inbound) = self.inbound.get_mut(&id).filter(|inbound| !inbound.closing) else { return };
-        let filled = inbound.link.fill();
-        let mut ended = filled != Filled::Open || now - inbound.received_at > LINK_TIMEOUT_S;
-        for count in 1..=MAX_FRAMES_AT_ONCE {
-            if count == MAX_FRAMES_AT_ONCE {
-                self.touched.insert(id);
-            }
-            match self.take_frame(now, id) {
-                Taken::Frame => {}
-                Taken::Nothing => break,
-                Taken::Invalid => {
-                    ended = true;
-                    break;
-                }
-            }
-        }
-        if ended {
-            self.close_inbound(id);
-        }
+    /// Reads from the link; `None` where nothing is received on it any more.
+    pub(super) fn fill(&mut self, now: f64, id: u64) -> Option<LinkState> {
+        let inbound = self.open_link(id)?;
+        let is_open = inbound.link.fill() == Filled::Open && now - inbound.received_at <= LINK_TIMEOUT_S;
+        Some(if is_open { LinkState::Open } else { LinkState::Ended })
     }
 
-    fn take_frame(&mut self, now: f64, id: u64) -> Taken {
-        let limit = self.coordinator.max_frame_bytes(id);
-        let Some(inbound) = self.inbound.get_mut(&id).filter(|inbound| !inbound.closing) else {
-            return Taken::Nothing;
-        };
+    /// Passes one frame with a body of at most `limit` bytes to `receive`.
+    pub(super) fn take_frame<E>(
+        &mut self,
+        now: f64,
+        id: u64,
+        limit: usize,
+        receive: impl FnOnce(&[u8]) -> Result<(), E>,
+    ) -> Taken<E> {
+        let Some(inbound) = self.open_link(id) else { return Taken::Nothing };
         inbound.link.set_room(limit + FRAME_HEADER_BYTES);
-        let result: Result<(), String> = match next_frame(inbound.link.data(), limit) {
-            Ok(None) => {
-                if inbound.link.unread() {
-                    self.touched.insert(id);
-                }
-                return Taken::Nothing;
-            }
+        let taken = match next_frame(inbound.link.data(), limit) {
+            Err(error) => return Taken::TooLong(error.to_string()),
+            Ok(None) => Taken::Nothing,
             Ok(Some(frame)) => {
                 let length = frame.length;
-                let result = self.coordinator.receive(now, id, frame.body);
+                let result = receive(frame.body);
                 inbound.received_at = now;
                 inbound.link.consume(length);
-                if inbound.link.unread() {
-                    // The buffer was full: the rest is in the socket, which will not become readable again.
-                    self.touched.insert(id);
-                }
-                result.map_err(|error| error.to_string())
+                Taken::Frame(result)
             }
-            Err(error) => Err(error.to_string()),
         };
-        self.carry_out();
-        match result {
-            Ok(()) => Taken::Frame,
-            Err(cause) => {
-                ServerEvent::LinkRejected { link: id, cause }.emit();
-                Taken::Invalid
-            }
+        if inbound.link.unread() {
+            // The buffer was full: the rest is in the socket, which will not become readable again.
+            self.touched.insert(id);
         }
+        taken
     }
 
-    pub(super) fn close_inbound(&mut self, id: u64) {
-        if let Some(mut inbound) = self.inbound.remove(&id) {
-            // The last message may still be sent.
-            let _ = inbound.link.flush();
-            self.coordinator.closed(id);
+    fn open_link(&mut self, id: u64) -> Option<&mut Inbound> {
+        self.links.get_mut(&id).filter(|inbound| !inbound.closing)
+    }
+
+    /// Receives no more on the link, and closes it once everything has been written.
+    pub(super) fn start_closing(&mut self, id: u64) {
+        if let Some(inbound) = self.links.get_mut(&id) {
+            inbound.closing = true;
         }
     }
+
+    /// Writes what waits on all links; returns those that have ended.
+    pub(super) fn flush(&mut self) -> Vec<u64> {
+        let ended = self.links.iter_mut().filter_map(|(id, inbound)| inbound.flush_or_end().then_some(*id));
+        ended.collect()
+    }
+
+    /// Closes a link; `false` where it was closed before.
+    pub(super) fn close(&mut self, id: u64) -> bool {
+        let Some(mut inbound) = self.links.remove(&id) else { return false };
+        // The last message may still be sent.
+        let _ = inbound.link.flush();
+        true
+    }
 }
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -2,22 +2,33 @@
 //!
 //! One event loop does everything but the disk's jobs: those have a thread of their own, since a sync may take seconds
 //! and the loop must go on answering.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `server` | joins the coordinator with its links and the disk's thread |
+//! | `inbound` | links that were accepted: reading, frames, silence |
+//! | `peers` | links to other coordinators: connecting, introductions |
+//! | `disk_thread` | the thread that accesses the data folder |
+//! | `clock`, `limits` | the clock that coordinators count by; limits of links |
 
+mod clock;
 mod disk_thread;
 mod inbound;
+mod limits;
 mod peers;
 mod server;
 
 use crate::config::{ConfigError, File};
 use crate::events::ServerEvent;
-use crate::replica::DiskResult;
 use calloop::channel::{channel, Channel, Event as ChannelEvent, Sender};
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle};
+use clock::boot_time_s;
+use disk_thread::JobResult;
+use limits::MAX_LINKS;
 use port_worker::log::{LogEvent, LogHandle};
 use port_worker::net::io::poll::{Acceptor, Gathered, Place, Poll};
-use rustix::time::{clock_gettime, ClockId};
 use server::Server;
 use std::cell::RefCell;
 use std::error::Error;
@@ -26,8 +37,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest number of links: as many sessions as the limits allow, peers and operators among them (descriptors).
-const MAX_LINKS: usize = 4096 + 64;
 /// How often the coordinator's clock is advanced (seconds).
 const TICK_S: f64 = 0.02;
 
@@ -67,18 +76,9 @@
     }
 }
 
-/// A job's number, and its result.
-type JobResult = (u64, DiskResult);
-
 /// Results of the disk that the event loop has received and the server has not.
 type ResultInbox = Rc<RefCell<Vec<JobResult>>>;
 
-/// Seconds on a clock that can't be set and that goes on during sleep.
-fn boot_time_s() -> f64 {
-    let time = clock_gettime(ClockId::Boottime);
-    time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
-}
-
 /// Runs a coordinator until it receives SIGTERM or SIGINT. Its events go to `log`.
 ///
 /// # Errors
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -1,11 +1,11 @@
 //! Links to the other coordinators, for what this member sends.
 
-use super::server::{Server, MAX_QUEUED_BYTES};
-use crate::config::CoordinatorEntry;
+use super::limits::MAX_QUEUED_BYTES;
+use crate::config::{CoordinatorEntry, File};
 use crate::coordinator::{next_frame, PeerAnswer, MAX_PEER_FRAME_BYTES};
 use port_worker::fleet::frame::MAX_SERVER_FRAME_BYTES;
 use port_worker::net::io::buffer::{Filled, Link};
-use port_worker::net::io::poll::Place;
+use port_worker::net::io::poll::{Place, Poll};
 use std::net::SocketAddr;
 
 /// How often a peer that is not connected is tried (seconds).
@@ -13,8 +13,20 @@
 /// How long an attempt to connect may take (seconds).
 const CONNECT_TIMEOUT_S: f64 = 2.0;
 
+/// The links to all peers.
+pub(super) struct PeerLinks {
+    peers: Vec<Peer>,
+}
+
+/// What a peer has answered to this member's hello.
+pub(super) struct PeerAnswered {
+    /// The peer's name.
+    pub(super) peer: String,
+    pub(super) answer: PeerAnswer,
+}
+
 /// The link to one peer.
-pub(super) struct Peer {
+struct Peer {
     name: String,
     address: SocketAddr,
     connection: Option<Connection>,
@@ -55,7 +67,7 @@
 }
 
 impl Peer {
-    pub(super) fn new(entry: &CoordinatorEntry) -> Peer {
+    fn new(entry: &CoordinatorEntry) -> Peer {
         Peer {
             name: entry.name.clone(),
             address: entry.address,
@@ -64,28 +76,55 @@
         }
     }
 
-    pub(super) fn link_with_id(&mut self, id: u64) -> Option<&mut Link> {
+    fn link_with_id(&mut self, id: u64) -> Option<&mut Link> {
         let connection = self.connection.as_mut().filter(|connection| connection.id == id)?;
         Some(&mut connection.link)
     }
 
-    pub(super) fn is_up(&self, name: &str) -> bool {
+    fn is_up(&self, name: &str) -> bool {
         let up = self.connection.as_ref().is_some_and(|connection| connection.stage == Stage::Up);
         self.name == name && up
     }
 
-    pub(super) fn push(&mut self, bytes: Vec<u8>) {
+    fn push(&mut self, bytes: Vec<u8>) {
         if let Some(connection) = &mut self.connection {
             connection.link.push(bytes);
         }
     }
 
-    pub(super) fn disconnect(&mut self) {
+    fn disconnect(&mut self) {
         self.connection = None;
     }
 
+    /// Connects, or reads what the peer has answered.
+    fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Option<PeerAnswered> {
+        let waited_s = now - self.connect_started_at;
+        let Some(connection) = &mut self.connection else {
+            self.start_connecting(now, poll);
+            return None;
+        };
+        let polled = match connection.connect(waited_s, hello) {
+            Ok(()) => connection.read_answer(),
+            Err(Broken) => Polled::broken(),
+        };
+        if polled.broken {
+            self.connection = None;
+        }
+        polled.answer.map(|answer| PeerAnswered { peer: self.name.clone(), answer })
+    }
+
+    fn start_connecting(&mut self, now: f64, poll: &Poll) {
+        if now - self.connect_started_at < CONNECT_INTERVAL_S {
+            return;
+        }
+        self.connect_started_at = now;
+        let id = poll.fresh();
+        let link = Link::connect(poll, self.address, Place::Fleet(id), MAX_PEER_FRAME_BYTES);
+        self.connection = link.ok().map(|link| Connection { id, link, stage: Stage::Connecting });
+    }
+
     /// Writes what waits, and disconnects where that fails.
-    pub(super) fn flush(&mut self) {
+    fn flush(&mut self) {
         let Some(connection) = self.connection.as_mut().filter(|c| c.stage != Stage::Connecting) else {
             return;
         };
@@ -136,46 +175,45 @@
     }
 }
 
-impl Server {
-    /// Connects to peers, and passes on what they answer.
-    pub(super) fn poll_peers(&mut self, now: f64) {
-        let mut answers = Vec::new();
-        for index in 0..self.peers.len() {
-            if self.peers[index].connection.is_none() {
-                self.start_connecting(now, index);
-                continue;
-            }
-            let polled = self.poll_peer(now, index);
-            let peer = &mut self.peers[index];
-            answers.extend(polled.answer.map(|answer| (peer.name.clone(), answer)));
-            if polled.broken {
-                peer.connection = None;
-            }
+impl PeerLinks {
+    /// Links to all other coordinators of the file; none is connected yet.
+    pub(super) fn new(file: &File) -> PeerLinks {
+        let others = file.coordinators.iter().filter(|coordinator| coordinator.name != file.name);
+        PeerLinks { peers: others.map(Peer::new).collect() }
+    }
+
+    /// The buffers of the link with this number; `None` where it is not one of these.
+    pub(super) fn link(&mut self, id: u64) -> Option<&mut Link> {
+        self.peers.iter_mut().find_map(|peer| peer.link_with_id(id))
+    }
+
+    /// Sends a frame to the peer of this name, if it is connected.
+    pub(super) fn send(&mut self, name: &str, bytes: Vec<u8>) {
+        if let Some(peer) = self.peers.iter_mut().find(|peer| peer.is_up(name)) {
+            peer.push(bytes);
         }
-        for (name, answer) in answers {
-            self.coordinator.peer_answered(now, &name, answer);
-            self.carry_out();
+    }
+
+    /// Closes all links; they are made anew.
+    pub(super) fn disconnect_all(&mut self) {
+        for peer in &mut self.peers {
+            peer.disconnect();
         }
     }
 
-    fn start_connecting(&mut self, now: f64, index: usize) {
-        let peer = &mut self.peers[index];
-        if now - peer.connect_started_at < CONNECT_INTERVAL_S {
-            return;
+    /// Writes what waits on all links.
+    pub(super) fn flush(&mut self) {
+        for peer in &mut self.peers {
+            peer.flush();
         }
-        peer.connect_started_at = now;
-        let id = self.poll.fresh();
-        let link = Link::connect(&self.poll, peer.address, Place::Fleet(id), MAX_PEER_FRAME_BYTES);
-        peer.connection = link.ok().map(|link| Connection { id, link, stage: Stage::Connecting });
     }
 
-    fn poll_peer(&mut self, now: f64, index: usize) -> Polled {
-        let peer = &mut self.peers[index];
-        let waited_s = now - peer.connect_started_at;
-        let Some(connection) = &mut peer.connection else { return Polled::default() };
-        match connection.connect(waited_s, || self.coordinator.peer_hello()) {
-            Ok(()) => connection.read_answer(),
-            Err(Broken) => Polled::broken(),
+    /// Connects to peers, sends each this member's hello, and returns what they have answered.
+    pub(super) fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Vec<PeerAnswered> {
+        let mut answers = Vec::new();
+        for peer in &mut self.peers {
+            answers.extend(peer.poll(now, poll, &hello));
         }
+        answers
     }
 }
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -1,37 +1,30 @@
 //! The coordinator with its links: what is received goes in, and what it puts out is carried out.
 
-use super::inbound::Inbound;
-use super::peers::Peer;
-use super::{boot_time_s, disk_thread, JobResult};
+use super::clock::boot_time_s;
+use super::disk_thread::{self, JobResult, NumberedJob};
+use super::inbound::{InboundLinks, LinkState, Taken};
+use super::limits::MAX_FRAMES_AT_ONCE;
+use super::peers::PeerLinks;
 use crate::config::File;
-use crate::coordinator::{Coordinator, Output, MAX_PEER_FRAME_BYTES};
+use crate::coordinator::{Coordinator, Output};
 use crate::events::ServerEvent;
-use crate::replica::DiskJob;
 use calloop::channel::Sender;
 use port_worker::log::LogEvent;
 use port_worker::net::io::buffer::Link;
 use port_worker::net::io::poll::{Acceptor, Gathered, Place, Poll};
-use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::sync::mpsc;
 
-/// The largest amount of data that waits to be written on one link (bytes); a link beyond that is closed.
-pub(super) const MAX_QUEUED_BYTES: usize = 2 * MAX_PEER_FRAME_BYTES;
-
 pub(super) struct Server {
-    pub(super) poll: Poll,
-    pub(super) acceptor: Acceptor,
+    poll: Poll,
+    acceptor: Acceptor,
     /// On the boot clock: the coordinator's time is counted from here.
     started_at: f64,
-    pub(super) inbound: BTreeMap<u64, Inbound>,
-    pub(super) peers: Vec<Peer>,
-    disk_jobs: mpsc::Sender<(u64, DiskJob)>,
-    pub(super) coordinator: Coordinator,
+    inbound: InboundLinks,
+    peers: PeerLinks,
+    disk_jobs: mpsc::Sender<NumberedJob>,
+    coordinator: Coordinator,
     pub(super) file: File,
-    /// Links on which something may have been received.
-    pub(super) touched: BTreeSet<u64>,
-    /// When all links were last looked at.
-    pub(super) swept_at: f64,
 }
 
 impl Server {
@@ -43,18 +36,15 @@
         started_at: f64,
         seed: u64,
     ) -> Server {
-        let others = file.coordinators.iter().filter(|coordinator| coordinator.name != file.name);
         Server {
             poll,
             acceptor,
             started_at,
-            inbound: BTreeMap::new(),
-            peers: others.map(Peer::new).collect(),
+            inbound: InboundLinks::default(),
+            peers: PeerLinks::new(&file),
             disk_jobs: disk_thread::spawn(&file.folder, results),
             coordinator: Coordinator::new(0.0, file.coordinator_config(), seed),
             file,
-            touched: BTreeSet::new(),
-            swept_at: 0.0,
         }
     }
 
@@ -67,7 +57,7 @@
         if std::mem::take(&mut gathered.reload) {
             self.reload(now, path);
         }
-        for (number, result) in results {
+        for JobResult { number, result } in results {
             self.coordinator.disk_done(now, number, result);
         }
         self.accept(now);
@@ -85,17 +75,14 @@
                 if let Some(link) = self.link(id) {
                     link.mark(readable, writable);
                 }
-                self.touched.insert(id);
+                self.inbound.touch(id);
             }
             _ => {}
         }
     }
 
     fn link(&mut self, id: u64) -> Option<&mut Link> {
-        if let Some(inbound) = self.inbound.get_mut(&id) {
-            return Some(&mut inbound.link);
-        }
-        self.peers.iter_mut().find_map(|peer| peer.link_with_id(id))
+        self.inbound.link(id).or_else(|| self.peers.link(id))
     }
 
     /// Takes up the tasks of a valid file; all other changes need a restart.
@@ -115,29 +102,75 @@
         }
     }
 
+    fn accept(&mut self, now: f64) {
+        for id in self.inbound.accept(now, &self.poll, &mut self.acceptor) {
+            self.coordinator.opened(id);
+        }
+    }
+
+    /// Connects to peers, and passes on what they answer.
+    fn poll_peers(&mut self, now: f64) {
+        let answers = self.peers.poll(now, &self.poll, || self.coordinator.peer_hello());
+        for answered in answers {
+            self.coordinator.peer_answered(now, &answered.peer, answered.answer);
+            self.carry_out();
+        }
+    }
+
+    fn receive(&mut self, now: f64) {
+        for id in self.inbound.take_touched(now) {
+            self.receive_on(now, id);
+        }
+    }
+
+    fn receive_on(&mut self, now: f64, id: u64) {
+        let Some(mut state) = self.inbound.fill(now, id) else { return };
+        for count in 1..=MAX_FRAMES_AT_ONCE {
+            if count == MAX_FRAMES_AT_ONCE {
+                self.inbound.touch(id);
+            }
+            let limit = self.coordinator.max_frame_bytes(id);
+            let coordinator = &mut self.coordinator;
+            let taken = self.inbound.take_frame(now, id, limit, |body| coordinator.receive(now, id, body));
+            let cause = match taken {
+                Taken::Nothing => break,
+                Taken::Frame(Ok(())) => None,
+                Taken::Frame(Err(error)) => Some(error.to_string()),
+                Taken::TooLong(cause) => Some(cause),
+            };
+            self.carry_out();
+            if let Some(cause) = cause {
+                ServerEvent::LinkRejected { link: id, cause }.emit();
+                state = LinkState::Ended;
+                break;
+            }
+        }
+        if state == LinkState::Ended {
+            self.close(id);
+        }
+    }
+
+    fn close(&mut self, id: u64) {
+        if self.inbound.close(id) {
+            self.coordinator.closed(id);
+        }
+    }
+
     pub(super) fn carry_out(&mut self) {
         for output in self.coordinator.take_outputs() {
             match output {
                 Output::Frame(id, bytes) => {
-                    if let Some(inbound) = self.inbound.get_mut(&id) {
-                        inbound.link.push(bytes);
-                    }
-                }
-                Output::Close(id) => {
-                    if let Some(inbound) = self.inbound.get_mut(&id) {
-                        inbound.closing = true;
+                    if let Some(link) = self.inbound.link(id) {
+                        link.push(bytes);
                     }
                 }
+                Output::Close(id) => self.inbound.start_closing(id),
                 // The consensus library repeats what is lost.
-                Output::Peer(name, bytes) => {
-                    if let Some(peer) = self.peers.iter_mut().find(|peer| peer.is_up(&name)) {
-                        peer.push(bytes);
-                    }
-                }
-                Output::Relink => self.peers.iter_mut().for_each(Peer::disconnect),
+                Output::Peer(name, bytes) => self.peers.send(&name, bytes),
+                Output::Relink => self.peers.disconnect_all(),
                 Output::Disk(number, job) => {
                     // The thread ends only with this server.
-                    let _ = self.disk_jobs.send((number, job));
+                    let _ = self.disk_jobs.send(NumberedJob { number, job });
                 }
                 Output::Log(event) => event.emit(),
             }
@@ -145,16 +178,9 @@
     }
 
     fn flush(&mut self) {
-        for peer in &mut self.peers {
-            peer.flush();
-        }
-        let ended: Vec<u64> = self
-            .inbound
-            .iter_mut()
-            .filter_map(|(id, inbound)| inbound.flush_or_end().then_some(*id))
-            .collect();
-        for id in ended {
-            self.close_inbound(id);
+        self.peers.flush();
+        for id in self.inbound.flush() {
+            self.close(id);
         }
     }
 }
