--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -4,7 +4,7 @@
 //! Invariants: a lease expires no sooner than its TTL after the last renewal that may have been answered, by this leader
 //! or by an earlier one; a renewal is answered with no more than was counted when it was received, and never once the
 //! lease is being released. [`ReadIndexQueue`] holds renewals until a quorum has confirmed the leader after they were
-//! received. `tests/lease_world.rs` checks both, together with the worker's holder, in all reachable states.
+//! received. `tests/lease_world/` checks both, together with the worker's holder, in all reachable states.
 
 mod read_index_queue;
 
