--- a/fleet-coordinator/src/bin/fleetctl.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -122,8 +122,9 @@
 
 fn format_member(name: &str, value: &Value) -> String {
     let Value::Array(rows) = value else { return format!("{name}: {value}\n") };
-    let table: String = format_table(rows).lines().map(|line| format!("  {line}\n")).collect();
-    format!("{name}:\n{table}")
+    let table = format_table(rows);
+    let indented: Vec<String> = table.lines().map(|line| format!("  {line}\n")).collect();
+    format!("{name}:\n{}", indented.concat())
 }
 
 /// The first row's keys are the columns.
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -154,7 +154,7 @@
 /// The line of a place in the text, from 1 on.
 fn line_of(text: &str, at: usize) -> usize {
     let before = &text.as_bytes()[..at.min(text.len())];
-    before.iter().filter(|byte| **byte == b'\n').count() + 1
+    before.split(|byte| *byte == b'\n').count()
 }
 
 #[cfg(test)]
--- a/fleet-coordinator/src/lease_clock/read_index_queue.rs
+++ b/fleet-coordinator/src/lease_clock/read_index_queue.rs
@@ -1,4 +1,4 @@
-//! Batches of requests that wait for a quorum to confirm the leader (Raft's ReadIndex).
+//! Batches of requests that wait for a quorum to confirm the leader (Raft's `ReadIndex`).
 
 use std::collections::VecDeque;
 
--- a/fleet-coordinator/src/lease_clock/tests.rs
+++ b/fleet-coordinator/src/lease_clock/tests.rs
@@ -19,7 +19,7 @@
     assert!(!clock.start_release_if_expired(16.5, &long, 2.0), "its proposal is on its way");
     assert!(clock.start_release_if_expired(16.6, &long, 2.0), "its proposal seems lost");
     clock.record_release(7);
-    assert_eq!(clock.remaining_s(16.6, 7), 0.0);
+    assert_eq!((clock.remaining_s(16.6, 7), clock.is_releasing(7)), (0.0, false));
     // A lease that was never recorded has its full TTL from when it is first seen.
     let unknown = lease(8, 1000, 1000);
     assert!(
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -115,7 +115,7 @@
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ])
         .map_err(NetError::event_loop("signals"))?;
     handle
-        .insert_source(signals, |event, _, gathered: &mut Gathered| match event.signal() {
+        .insert_source(signals, |event, (), gathered: &mut Gathered| match event.signal() {
             Signal::SIGHUP => gathered.reload = true,
             // A write beyond the limit on file sizes has failed: the disk's thread reports it.
             Signal::SIGXFSZ => {}
@@ -137,7 +137,7 @@
     let inbox = ResultInbox::default();
     let received = inbox.clone();
     handle
-        .insert_source(channel, move |event, _, _: &mut Gathered| {
+        .insert_source(channel, move |event, (), _: &mut Gathered| {
             if let ChannelEvent::Msg(result) = event {
                 received.borrow_mut().push(result);
             }
@@ -149,7 +149,7 @@
 fn watch_timer(handle: &LoopHandle<'static, Gathered>) -> Result<(), NetError> {
     let interval = Duration::from_secs_f64(TICK_S);
     handle
-        .insert_source(Timer::from_duration(interval), move |_, _, _| TimeoutAction::ToDuration(interval))
+        .insert_source(Timer::from_duration(interval), move |_, (), _| TimeoutAction::ToDuration(interval))
         .map_err(NetError::event_loop("timer"))?;
     Ok(())
 }
--- a/fleet-coordinator/src/replica/proposals.rs
+++ b/fleet-coordinator/src/replica/proposals.rs
@@ -78,7 +78,7 @@
         self.term_start.log_time_ms + (led_s * 1000.0) as u64
     }
 
-    /// Asks a quorum whether this member still leads (Raft's ReadIndex).
+    /// Asks a quorum whether this member still leads (Raft's `ReadIndex`).
     /// [`Confirmed`](super::ReplicaEvent::Confirmed) follows with this number if it led after this call.
     pub fn request_read_index(&mut self, now: f64, number: u64) {
         if let Some(node) = self.node.as_mut().filter(|_| self.leads) {
--- a/fleet-coordinator/tests/command_line.rs
+++ b/fleet-coordinator/tests/command_line.rs
@@ -1,5 +1,6 @@
 //! What operators' scripts rest on: help texts, exit statuses, and the lines on stderr.
 
+use std::fmt::Write as _;
 use std::fs;
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -37,7 +38,7 @@
         let output = run(program, &arguments);
         assert_eq!(output.status.code(), Some(0), "{arguments:?}");
         assert!(output.stderr.is_empty(), "{arguments:?}");
-        text.push_str(&format!("$ {} {}\n", program.name, arguments.join(" ")));
+        writeln!(text, "$ {} {}", program.name, arguments.join(" ")).unwrap();
         text.push_str(std::str::from_utf8(&output.stdout).unwrap());
     }
     text
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -61,9 +61,8 @@
         [CoordinatorAddress { name: "a".to_owned(), address: "[::1]:1".to_owned() }]
     );
     assert_eq!(setup.tasks, file.tasks);
-    assert_eq!(setup.write_overdue_s, 0.25);
     let settings = setup.overload.unwrap();
-    assert_eq!((settings.base_calls, settings.retry_share), (4.0, 0.25));
+    assert_eq!((setup.write_overdue_s, settings.base_calls, settings.retry_share), (0.25, 4.0, 0.25));
 }
 
 #[test]
--- a/fleet-coordinator/tests/operator_file.rs
+++ b/fleet-coordinator/tests/operator_file.rs
@@ -1,7 +1,7 @@
 //! Pins coordinators' files: what came with the program at commit c001dc7 stands under the root's
 //! `tests/fixtures/operator_files` and must go on being read with the same meaning. Tests never write there.
 
-use fleet_coordinator::config::File;
+use fleet_coordinator::config::{File, Overload};
 use std::path::Path;
 
 fn read(path: &str) -> File {
@@ -51,7 +51,7 @@
     assert_eq!(file.listen_address(), Some("127.0.0.1:7101".parse().unwrap()));
     let task = &file.tasks[0];
     assert_eq!((task.ttl_ms, task.pause_ms, task.zones.len()), (3000, 2000, 0));
-    assert_eq!(file.overload.unwrap().retry_percent, 10.0);
+    assert_eq!(file.overload, Some(Overload { calls_part: 4.0, retry_percent: 10.0 }));
 }
 
 #[test]
