--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -13,7 +13,8 @@
 pub use peer_messages::{PeerAnswer, PeerHello};
 
 use crate::events::CoordinatorEvent;
-use crate::leader_state::{LeaderState, LinkId, SafetyChecks};
+use crate::ids::{LinkId, MemberId};
+use crate::leader_state::{LeaderState, SafetyChecks};
 use crate::replica::{DiskJob, DiskResult, MemberStatus, Replica, StepError};
 use crate::state_machine::Task;
 use operator_queries::{PendingQuery, FIRST_QUERY_NUMBER};
@@ -97,7 +98,7 @@
     New,
     Worker,
     /// A coordinator, by its member number.
-    Peer(u64),
+    Peer(MemberId),
     Operator,
 }
 
@@ -111,7 +112,7 @@
     pub leader_state: LeaderState,
     roles: BTreeMap<LinkId, Role>,
     /// Names of members by number, as their links said.
-    peer_names: BTreeMap<u64, String>,
+    peer_names: BTreeMap<MemberId, String>,
     /// What peers answered while this member is uninitialized.
     peer_answers: BTreeMap<String, PeerAnswer>,
     pending_queries: Vec<PendingQuery>,
@@ -237,7 +238,7 @@
         leader.map(|leader| leader.address.clone())
     }
 
-    fn name_of(&self, member: u64) -> Option<String> {
+    fn name_of(&self, member: MemberId) -> Option<String> {
         let known = self.replica.state_machine.members.get(&member);
         known.or_else(|| self.peer_names.get(&member)).cloned()
     }
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use crate::events::CoordinatorEvent;
-use crate::leader_state::LinkId;
+use crate::ids::LinkId;
 use port_worker::fleet::frame::{OperatorQuery, ServerMessage};
 use port_worker::fleet::overload::leader::Leader;
 use port_worker::fleet::overload::level::SheddingLevel;
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -2,7 +2,7 @@
 
 use super::{Coordinator, Output, ReceiveError, Role};
 use crate::events::CoordinatorEvent;
-use crate::leader_state::LinkId;
+use crate::ids::{LinkId, MemberId};
 use crate::replica::{ExclusionCause, MemberStatus, Uninitialized};
 use port_worker::fleet::frame;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     /// Its fleet's name.
     pub fleet: String,
     /// Its member number; 0 while its disk holds no member.
-    pub member: u64,
+    pub member: MemberId,
     /// The last index of its log.
     #[serde(rename = "last")]
     pub last_index: u64,
@@ -29,16 +29,16 @@
 #[serde(default)]
 pub struct PeerAnswer {
     /// The answering member's number.
-    pub member: u64,
+    pub member: MemberId,
     /// The latest version that its program can apply.
     pub version: u32,
     /// The number under which the caller is known; 0 where the answering member knows of no members.
     #[serde(rename = "yours")]
-    pub caller_member: u64,
+    pub caller_member: MemberId,
     /// The log index up to which the caller's disk is known to have been written.
     #[serde(rename = "kept")]
     pub caller_persisted: u64,
-    /// The caller is one of the fleet's founders.
+    /// The caller is one of the fleet's last_founder.
     #[serde(rename = "founder")]
     pub caller_is_founder: bool,
     /// Why nothing is accepted from the caller, if so.
@@ -54,7 +54,7 @@
         frame::encode(&PeerHello {
             name: self.config.name.clone(),
             fleet: self.config.fleet.clone(),
-            member: if is_active { self.replica.member() } else { 0 },
+            member: if is_active { self.replica.member() } else { MemberId::NONE },
             last_index: self.replica.log_position().last,
             version: self.replica.version(),
         })
@@ -62,7 +62,7 @@
 
     /// A peer has answered that frame.
     pub fn peer_answered(&mut self, now: f64, peer: &str, answer: PeerAnswer) {
-        if answer.member != 0 {
+        if answer.member != MemberId::NONE {
             self.record_peer(answer.member, answer.version, peer);
         }
         if let Some(reason) = &answer.exclusion {
@@ -74,7 +74,7 @@
         self.process_events(now);
     }
 
-    fn record_peer(&mut self, member: u64, version: u32, name: &str) {
+    fn record_peer(&mut self, member: MemberId, version: u32, name: &str) {
         self.replica.record_peer_version(member, version);
         self.peer_names.insert(member, name.to_owned());
     }
@@ -83,7 +83,7 @@
     fn identify_member(&mut self, now: f64) {
         let MemberStatus::Uninitialized(uninitialized) = self.replica.status.clone() else { return };
         let all_answered = self.peer_answers.len() + 1 == self.config.coordinators.len();
-        let known = self.peer_answers.values().filter(|answer| answer.caller_member != 0);
+        let known = self.peer_answers.values().filter(|answer| answer.caller_member != MemberId::NONE);
         let Some(newest) = known.max_by_key(|answer| answer.caller_member).cloned() else {
             // Nobody knows of a fleet: it is founded once all have answered and are uninitialized.
             if all_answered {
@@ -132,7 +132,7 @@
         if let Some(cause) = exclusion {
             self.log(CoordinatorEvent::PeerExcluded { coordinator: hello.name.clone(), cause });
             self.outputs.push(Output::Close(link));
-        } else if hello.member != 0 {
+        } else if hello.member != MemberId::NONE {
             self.record_peer(hello.member, hello.version, &hello.name);
             self.roles.insert(link, Role::Peer(hello.member));
         }
@@ -141,7 +141,7 @@
 
     /// Why nothing is accepted from the peer, if so.
     fn exclusion_of(&self, hello: &PeerHello) -> Option<ExclusionCause> {
-        if hello.member == 0 {
+        if hello.member == MemberId::NONE {
             return None;
         }
         let known = self.known_member(&hello.name);
@@ -162,14 +162,15 @@
             version: self.replica.version(),
             caller_member: known.member,
             caller_persisted: known.persisted,
-            caller_is_founder: known.member != 0 && known.member <= self.replica.state_machine.founders,
+            caller_is_founder: known.member != MemberId::NONE
+                && known.member <= self.replica.state_machine.last_founder,
             exclusion: exclusion.map(ToString::to_string),
         }
     }
 
     fn known_member(&self, name: &str) -> KnownMember {
         let state = &self.replica.state_machine;
-        let member = state.member(name).unwrap_or(0);
+        let member = state.member(name).unwrap_or(MemberId::NONE);
         KnownMember { member, persisted: state.persisted.get(&member).copied().unwrap_or(0) }
     }
 }
@@ -177,7 +178,7 @@
 /// What the replicated state says of the coordinator of a name.
 struct KnownMember {
     /// Its member number; 0 for none.
-    member: u64,
+    member: MemberId,
     /// The log index up to which its disk is known to have been written.
     persisted: u64,
 }
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -1,7 +1,8 @@
 //! Messages of workers and operators' commands: each goes to the part that answers it.
 
 use super::{Coordinator, PeerHello, ReceiveError, Role};
-use crate::leader_state::{BeginRequest, Heartbeat, Hello, LinkId, ReleaseRequest};
+use crate::ids::LinkId;
+use crate::leader_state::{BeginRequest, Heartbeat, Hello, ReleaseRequest};
 use port_worker::fleet::frame::{ClientMessage, OperatorQuery, ServerMessage};
 
 /// The zone of a worker that names none.
--- a/fleet-coordinator/src/events/log_lines.rs
+++ b/fleet-coordinator/src/events/log_lines.rs
@@ -10,7 +10,7 @@
         match self {
             CoordinatorEvent::LeaderElected { term } => info!(name: "leader_elected", term),
             CoordinatorEvent::LeadershipLost => info!(name: "leadership_lost", ""),
-            CoordinatorEvent::MemberStarted { member } => info!(name: "member_started", member),
+            CoordinatorEvent::MemberStarted { member } => info!(name: "member_started", member = member.0),
             CoordinatorEvent::MemberUninitialized { cause } => {
                 warn!(name: "member_uninitialized", cause = cause.key(), detail = %cause);
             }
@@ -20,7 +20,7 @@
             CoordinatorEvent::DiskSuspended { cause } => {
                 warn!(name: "disk_suspended", cause = cause.key(), detail = %cause);
             }
-            CoordinatorEvent::DiskResumed { member } => info!(name: "disk_resumed", member),
+            CoordinatorEvent::DiskResumed { member } => info!(name: "disk_resumed", member = member.0),
             CoordinatorEvent::MemberExcluded { coordinator, cause } => {
                 let detail = cause.to_string();
                 error!(name: "member_excluded", coordinator, cause = cause.key(), detail = excerpt(&detail));
@@ -61,7 +61,7 @@
                 warn!(name: "config_reload_deferred", keys = keys.join(","));
             }
             ServerEvent::LinkRejected { link, cause } => {
-                debug!(name: "link_rejected", target: FOLDED, link, cause = excerpt(cause));
+                debug!(name: "link_rejected", target: FOLDED, link = link.0, cause = excerpt(cause));
             }
             ServerEvent::ShutdownComplete => info!(name: "shutdown_complete", ""),
         }
--- a/fleet-coordinator/src/events/mod.rs
+++ b/fleet-coordinator/src/events/mod.rs
@@ -3,6 +3,7 @@
 
 mod log_lines;
 
+use crate::ids::{LinkId, MemberId};
 use crate::replica::{ExclusionCause, SuspensionCause, UninitializedCause};
 use port_worker::fleet::overload::events::OverloadEvent;
 use port_worker::fleet::overload::level::SheddingLevel;
@@ -21,7 +22,7 @@
     /// This coordinator takes part in the quorum, after its start or after it was initialized.
     MemberStarted {
         /// Its member number.
-        member: u64,
+        member: MemberId,
     },
     /// The disk holds no member: the coordinator asks its peers whether it founds the fleet, joins it, or has lost its
     /// disk.
@@ -44,7 +45,7 @@
     /// The disk was opened anew, and this coordinator takes part again.
     DiskResumed {
         /// Its member number.
-        member: u64,
+        member: MemberId,
     },
     /// The quorum accepts nothing from this coordinator any more.
     MemberExcluded {
@@ -103,7 +104,7 @@
     /// A link was closed since it sent what no worker, operator or coordinator of this fleet sends.
     LinkRejected {
         /// The link's number.
-        link: u64,
+        link: LinkId,
         /// What was wrong.
         cause: String,
     },
--- a/fleet-coordinator/src/leader_state/granting.rs
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -1,6 +1,7 @@
 //! Granting free tasks to workers that wait for them, and the backoff of holders that failed.
 
 use super::{LeaderState, LiveSession, PROPOSAL_RETRY_S};
+use crate::ids::SessionId;
 use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection, Task};
 use port_worker::fleet::frame::ServerMessage;
 
@@ -8,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct PendingGrant {
     proposed_at: f64,
-    session: u64,
+    session: SessionId,
 }
 
 /// A worker that failed at a task.
@@ -35,7 +36,7 @@
     /// Tasks that the worker holds or is being granted: tasks are spread before queues are followed.
     leases: usize,
     queue_place: u64,
-    session: u64,
+    session: SessionId,
 }
 
 impl LeaderState {
@@ -81,7 +82,7 @@
         &self,
         now: f64,
         task: &Task,
-        id: u64,
+        id: SessionId,
         live: &LiveSession,
         state: &LeaseStateMachine,
     ) -> Option<GrantRank> {
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -14,10 +14,12 @@
 mod renewals;
 mod sessions;
 
+pub use crate::ids::LinkId;
 pub use crate::lease_clock::SafetyChecks;
 pub use messages::{BeginRequest, Heartbeat, Hello, ReleaseRequest};
 pub use queries::SessionActivity;
 
+use crate::ids::SessionId;
 use crate::lease_clock::{LeaseClock, ReadIndexQueue};
 use crate::state_machine::{Command, LeaseStateMachine, LogEntry, Outcome, Rejection};
 use granting::{Backoff, HolderOfTask, PendingGrant};
@@ -38,9 +40,6 @@
 const PROPOSAL_RETRY_S: f64 = 2.0;
 const SESSION_TTL_S: f64 = SESSION_TTL_MS as f64 / 1000.0;
 
-/// Identifies a connection. Numbers are given by the caller and never reused.
-pub type LinkId = u64;
-
 /// What the coordinator is to carry out for the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaderAction {
@@ -105,9 +104,9 @@
 pub struct LeaderState {
     checks: SafetyChecks,
     leads: bool,
-    sessions: BTreeMap<u64, LiveSession>,
+    sessions: BTreeMap<SessionId, LiveSession>,
     /// The session on each link.
-    links: BTreeMap<LinkId, u64>,
+    links: BTreeMap<LinkId, SessionId>,
     /// Links whose session is being opened.
     opening: BTreeMap<LinkId, ProcessId>,
     lease_clock: LeaseClock,
--- a/fleet-coordinator/src/leader_state/queries.rs
+++ b/fleet-coordinator/src/leader_state/queries.rs
@@ -1,6 +1,7 @@
 //! What operators may ask a leader about its soft state.
 
 use super::{LeaderState, SESSION_TTL_S};
+use crate::ids::SessionId;
 use port_worker::fleet::overload::leader::Leader;
 
 /// How a session is connected.
@@ -32,7 +33,7 @@
 
     /// How the session is connected; `None` for one that is not known.
     #[must_use]
-    pub fn session_activity(&self, now: f64, session: u64) -> Option<SessionActivity> {
+    pub fn session_activity(&self, now: f64, session: SessionId) -> Option<SessionActivity> {
         let live = self.sessions.get(&session)?;
         let silent_s = (now - live.expires_at + SESSION_TTL_S).max(0.0);
         Some(SessionActivity { silent_s, linked: live.link.is_some() })
--- a/fleet-coordinator/src/leader_state/releasing.rs
+++ b/fleet-coordinator/src/leader_state/releasing.rs
@@ -1,6 +1,7 @@
 //! Leases that end: returned by their holder, handed over to its successor, or expired.
 
 use super::{LeaderState, LinkId, ReleaseRequest, PROPOSAL_RETRY_S};
+use crate::ids::SessionId;
 use crate::state_machine::{Command, LeaseStateMachine, ReleaseReason};
 use port_worker::fleet::frame::LeaseRef;
 
@@ -12,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct HandOver {
     lease: LeaseRef,
-    from_session: u64,
+    from_session: SessionId,
     deadline: f64,
 }
 
--- a/fleet-coordinator/src/leader_state/renewals.rs
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -1,6 +1,7 @@
 //! Heartbeats: each renews a session and its leases, and is answered once a quorum has confirmed the leader.
 
 use super::{Heartbeat, LeaderAction, LeaderState, LinkId, ReceivedTotals, SESSION_TTL_S, TOTALS_TASK};
+use crate::ids::SessionId;
 use crate::state_machine::LeaseStateMachine;
 use port_worker::fleet::frame::{
     AgedCounters, FleetTotals, LeaseRef, RenewedLease, ServerMessage, MAX_TASKS,
@@ -16,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Renewal {
     link: LinkId,
-    session: u64,
+    session: SessionId,
     sequence: u64,
     received_at: f64,
     /// The worker sent its load, and is sent the fleet's.
@@ -60,7 +61,12 @@
     }
 
     /// Whoever holds a task is not in its queue, and goes to the end when the lease has ended.
-    fn update_queue_places(&mut self, session: u64, wanted_tasks: Vec<String>, state: &LeaseStateMachine) {
+    fn update_queue_places(
+        &mut self,
+        session: SessionId,
+        wanted_tasks: Vec<String>,
+        state: &LeaseStateMachine,
+    ) {
         let Some(live) = self.sessions.get_mut(&session) else { return };
         let wanted: BTreeSet<String> = wanted_tasks.into_iter().take(MAX_TASKS).collect();
         live.wanted_tasks.retain(|task, _| wanted.contains(task));
@@ -79,7 +85,7 @@
     fn count_renewals(
         &mut self,
         now: f64,
-        session: u64,
+        session: SessionId,
         leases: Vec<LeaseRef>,
         state: &LeaseStateMachine,
     ) -> Vec<RenewedLease> {
@@ -92,9 +98,9 @@
         counted
     }
 
-    fn record_load(&mut self, now: f64, session: u64, load: &LoadReport, state: &LeaseStateMachine) {
+    fn record_load(&mut self, now: f64, session: SessionId, load: &LoadReport, state: &LeaseStateMachine) {
         if let Some(overload) = &mut self.overload {
-            overload.leader.receive(now, session, zone_of(session, state), load);
+            overload.leader.receive(now, session.0, zone_of(session, state), load);
         }
     }
 
@@ -163,11 +169,11 @@
     ) -> Option<FleetDigest> {
         let overload = self.overload.as_mut().filter(|_| renewal.reports_load)?;
         let zone = zone_of(renewal.session, state);
-        Some(overload.leader.digest(now, renewal.received_at, renewal.session, zone))
+        Some(overload.leader.digest(now, renewal.received_at, renewal.session.0, zone))
     }
 }
 
-fn zone_of(session: u64, state: &LeaseStateMachine) -> &str {
+fn zone_of(session: SessionId, state: &LeaseStateMachine) -> &str {
     state.sessions.get(&session).map_or("", |session| session.zone.as_str())
 }
 
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -4,6 +4,7 @@
     Hello, LeaderState, LinkId, LiveSession, ProcessId, HEARTBEAT_INTERVAL_MS, PROPOSAL_RETRY_S,
     SESSION_TTL_MS, SESSION_TTL_S,
 };
+use crate::ids::SessionId;
 use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection, ReleaseReason, LATEST};
 use port_worker::fleet::frame::{LeaseRef, ServerMessage};
 use std::collections::BTreeMap;
@@ -21,7 +22,7 @@
         self.propose(Command::OpenSession { name, zone, incarnation, version });
     }
 
-    fn is_closing(&self, session: u64) -> bool {
+    fn is_closing(&self, session: SessionId) -> bool {
         self.sessions.get(&session).is_some_and(|live| live.closing_since.is_some())
     }
 
@@ -39,7 +40,7 @@
 
     /// The session on this link.
     #[must_use]
-    pub fn session(&self, link: LinkId) -> Option<u64> {
+    pub fn session(&self, link: LinkId) -> Option<SessionId> {
         self.links.get(&link).copied()
     }
 
@@ -83,7 +84,7 @@
                 Ok(Outcome::Opened(session)) => {
                     self.attach_link(now, *session, link);
                     ServerMessage::Welcome {
-                        session: *session,
+                        session: session.0,
                         session_ttl_ms: SESSION_TTL_MS,
                         keep_every_ms: HEARTBEAT_INTERVAL_MS,
                         version: LATEST,
@@ -97,7 +98,7 @@
     }
 
     /// Nothing that is received on the session's earlier link counts any more.
-    fn attach_link(&mut self, now: f64, session: u64, link: LinkId) {
+    fn attach_link(&mut self, now: f64, session: SessionId, link: LinkId) {
         let live = self.sessions.entry(session).or_default();
         if let Some(earlier) = live.link.replace(link).filter(|earlier| *earlier != link) {
             self.links.remove(&earlier);
@@ -106,9 +107,9 @@
         self.links.insert(link, session);
     }
 
-    pub(super) fn on_session_closed(&mut self, session: u64) {
+    pub(super) fn on_session_closed(&mut self, session: SessionId) {
         if let Some(overload) = &mut self.overload {
-            overload.leader.remove(session);
+            overload.leader.remove(session.0);
         }
         if let Some(link) = self.sessions.remove(&session).and_then(|live| live.link) {
             self.links.remove(&link);
--- a/fleet-coordinator/src/leader_state/tests.rs
+++ b/fleet-coordinator/src/leader_state/tests.rs
@@ -2,7 +2,7 @@
 use crate::state_machine::{ReleaseReason, Task};
 use port_worker::fleet::frame::{LeaseRef, RenewedLease};
 
-const LINK: LinkId = 5;
+const LINK: LinkId = LinkId(5);
 
 fn set_tasks(epoch: u64, ttl_ms: u64, pause_ms: u64) -> Command {
     let task = Task { name: "t".into(), ttl_ms, zones: Vec::new(), pause_ms };
@@ -14,7 +14,7 @@
 }
 
 fn grant_lease() -> Command {
-    Command::GrantLease { task: "t".into(), session: 1 }
+    Command::GrantLease { task: "t".into(), session: SessionId(1) }
 }
 
 fn hello() -> Hello {
--- a/fleet-coordinator/src/lease_clock/tests.rs
+++ b/fleet-coordinator/src/lease_clock/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use crate::ids::SessionId;
 
 fn lease(token: u64, ttl_ms: u64, max_ttl_ms: u64) -> Lease {
-    Lease { session: 1, token, granted_ms: 0, ttl_ms, max_ttl_ms }
+    Lease { session: SessionId(1), token, granted_ms: 0, ttl_ms, max_ttl_ms }
 }
 
 #[test]
--- a/fleet-coordinator/src/lib.rs
+++ b/fleet-coordinator/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod config;
 pub mod coordinator;
 pub mod events;
+pub mod ids;
 pub mod leader_state;
 pub mod lease_clock;
 pub mod net;
--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -2,6 +2,7 @@
 
 use super::limits::MAX_QUEUED_BYTES;
 use crate::coordinator::{next_frame, FRAME_HEADER_BYTES};
+use crate::ids::LinkId;
 use port_worker::fleet::frame::MAX_CLIENT_FRAME_BYTES;
 use port_worker::net::io::buffer::{Filled, Link};
 use port_worker::net::io::poll::{Accepted, Acceptor, Place, Poll};
@@ -15,9 +16,9 @@
 /// All links that were accepted, by number.
 #[derive(Default)]
 pub(super) struct InboundLinks {
-    links: BTreeMap<u64, Inbound>,
+    links: BTreeMap<LinkId, Inbound>,
     /// Links on which something may have been received.
-    touched: BTreeSet<u64>,
+    touched: BTreeSet<LinkId>,
     /// When all links were last checked.
     swept_at: f64,
 }
@@ -59,16 +60,17 @@
 
 impl InboundLinks {
     /// Accepts links that wait at the socket; returns their numbers.
-    pub(super) fn accept(&mut self, now: f64, poll: &Poll, acceptor: &mut Acceptor) -> Vec<u64> {
+    pub(super) fn accept(&mut self, now: f64, poll: &Poll, acceptor: &mut Acceptor) -> Vec<LinkId> {
         let mut opened = Vec::new();
         let mut accepted = 0;
         while let Accepted::Stream(stream) = acceptor.accept(accepted) {
             accepted += 1;
-            let id = poll.fresh();
+            let number = poll.fresh();
+            let id = LinkId(number);
             let buffer_bytes = MAX_CLIENT_FRAME_BYTES + FRAME_HEADER_BYTES;
             let link = stream
                 .set_nonblocking(true)
-                .and_then(|()| Link::new(poll, stream, Place::Fleet(id), buffer_bytes));
+                .and_then(|()| Link::new(poll, stream, Place::Fleet(number), buffer_bytes));
             if let Ok(link) = link {
                 self.touched.insert(id);
                 self.links.insert(id, Inbound { link, received_at: now, closing: false });
@@ -79,17 +81,17 @@
     }
 
     /// The link's buffers; `None` where it is not one of these.
-    pub(super) fn link(&mut self, id: u64) -> Option<&mut Link> {
+    pub(super) fn link(&mut self, id: LinkId) -> Option<&mut Link> {
         self.links.get_mut(&id).map(|inbound| &mut inbound.link)
     }
 
     /// Something may have been received on this link.
-    pub(super) fn touch(&mut self, id: u64) {
+    pub(super) fn touch(&mut self, id: LinkId) {
         self.touched.insert(id);
     }
 
     /// Takes the numbers of links that are to be read from.
-    pub(super) fn take_touched(&mut self, now: f64) -> BTreeSet<u64> {
+    pub(super) fn take_touched(&mut self, now: f64) -> BTreeSet<LinkId> {
         if now - self.swept_at >= SWEEP_INTERVAL_S {
             self.swept_at = now;
             self.touched.extend(self.links.keys());
@@ -98,7 +100,7 @@
     }
 
     /// Reads from the link; `None` where nothing is received on it any more.
-    pub(super) fn fill(&mut self, now: f64, id: u64) -> Option<LinkState> {
+    pub(super) fn fill(&mut self, now: f64, id: LinkId) -> Option<LinkState> {
         let inbound = self.open_link(id)?;
         let is_open = inbound.link.fill() == Filled::Open && now - inbound.received_at <= LINK_TIMEOUT_S;
         Some(if is_open { LinkState::Open } else { LinkState::Ended })
@@ -108,7 +110,7 @@
     pub(super) fn take_frame<E>(
         &mut self,
         now: f64,
-        id: u64,
+        id: LinkId,
         limit: usize,
         receive: impl FnOnce(&[u8]) -> Result<(), E>,
     ) -> Taken<E> {
@@ -132,25 +134,25 @@
         taken
     }
 
-    fn open_link(&mut self, id: u64) -> Option<&mut Inbound> {
+    fn open_link(&mut self, id: LinkId) -> Option<&mut Inbound> {
         self.links.get_mut(&id).filter(|inbound| !inbound.closing)
     }
 
     /// Receives no more on the link, and closes it once everything has been written.
-    pub(super) fn start_closing(&mut self, id: u64) {
+    pub(super) fn start_closing(&mut self, id: LinkId) {
         if let Some(inbound) = self.links.get_mut(&id) {
             inbound.closing = true;
         }
     }
 
     /// Writes what waits on all links; returns those that have ended.
-    pub(super) fn flush(&mut self) -> Vec<u64> {
+    pub(super) fn flush(&mut self) -> Vec<LinkId> {
         let ended = self.links.iter_mut().filter_map(|(id, inbound)| inbound.flush_or_end().then_some(*id));
         ended.collect()
     }
 
     /// Closes a link; `false` where it was closed before.
-    pub(super) fn close(&mut self, id: u64) -> bool {
+    pub(super) fn close(&mut self, id: LinkId) -> bool {
         let Some(mut inbound) = self.links.remove(&id) else { return false };
         // The last message may still be sent.
         let _ = inbound.link.flush();
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -3,6 +3,7 @@
 use super::limits::MAX_QUEUED_BYTES;
 use crate::config::{CoordinatorEntry, File};
 use crate::coordinator::{next_frame, PeerAnswer, MAX_PEER_FRAME_BYTES};
+use crate::ids::LinkId;
 use port_worker::fleet::frame::MAX_SERVER_FRAME_BYTES;
 use port_worker::net::io::buffer::{Filled, Link};
 use port_worker::net::io::poll::{Place, Poll};
@@ -34,7 +35,7 @@
 }
 
 struct Connection {
-    id: u64,
+    id: LinkId,
     link: Link,
     stage: Stage,
 }
@@ -76,7 +77,7 @@
         }
     }
 
-    fn link_with_id(&mut self, id: u64) -> Option<&mut Link> {
+    fn link_with_id(&mut self, id: LinkId) -> Option<&mut Link> {
         let connection = self.connection.as_mut().filter(|connection| connection.id == id)?;
         Some(&mut connection.link)
     }
@@ -118,9 +119,10 @@
             return;
         }
         self.connect_started_at = now;
-        let id = poll.fresh();
-        let link = Link::connect(poll, self.address, Place::Fleet(id), MAX_PEER_FRAME_BYTES);
-        self.connection = link.ok().map(|link| Connection { id, link, stage: Stage::Connecting });
+        let number = poll.fresh();
+        let link = Link::connect(poll, self.address, Place::Fleet(number), MAX_PEER_FRAME_BYTES);
+        self.connection =
+            link.ok().map(|link| Connection { id: LinkId(number), link, stage: Stage::Connecting });
     }
 
     /// Writes what waits, and disconnects where that fails.
@@ -183,7 +185,7 @@
     }
 
     /// The buffers of the link with this number; `None` where it is not one of these.
-    pub(super) fn link(&mut self, id: u64) -> Option<&mut Link> {
+    pub(super) fn link(&mut self, id: LinkId) -> Option<&mut Link> {
         self.peers.iter_mut().find_map(|peer| peer.link_with_id(id))
     }
 
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -8,6 +8,7 @@
 use crate::config::File;
 use crate::coordinator::{Coordinator, Output};
 use crate::events::ServerEvent;
+use crate::ids::LinkId;
 use calloop::channel::Sender;
 use port_worker::log::LogEvent;
 use port_worker::net::io::buffer::Link;
@@ -71,7 +72,8 @@
     fn mark_ready(&mut self, place: Place, readable: bool, writable: bool) {
         match place {
             Place::FleetListener => self.acceptor.mark(),
-            Place::Fleet(id) => {
+            Place::Fleet(number) => {
+                let id = LinkId(number);
                 if let Some(link) = self.link(id) {
                     link.mark(readable, writable);
                 }
@@ -81,7 +83,7 @@
         }
     }
 
-    fn link(&mut self, id: u64) -> Option<&mut Link> {
+    fn link(&mut self, id: LinkId) -> Option<&mut Link> {
         self.inbound.link(id).or_else(|| self.peers.link(id))
     }
 
@@ -123,7 +125,7 @@
         }
     }
 
-    fn receive_on(&mut self, now: f64, id: u64) {
+    fn receive_on(&mut self, now: f64, id: LinkId) {
         let Some(mut state) = self.inbound.fill(now, id) else { return };
         for count in 1..=MAX_FRAMES_AT_ONCE {
             if count == MAX_FRAMES_AT_ONCE {
@@ -150,7 +152,7 @@
         }
     }
 
-    fn close(&mut self, id: u64) {
+    fn close(&mut self, id: LinkId) {
         if self.inbound.close(id) {
             self.coordinator.closed(id);
         }
--- a/fleet-coordinator/src/replica/membership.rs
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -2,7 +2,8 @@
 
 use super::raft_log::RaftLog;
 use super::Replica;
-use crate::state_machine::Command;
+use crate::ids::MemberId;
+use crate::state_machine::{Command, MemberProgress};
 use raft::eraftpb::{ConfChange, ConfChangeType};
 use raft::RawNode;
 
@@ -33,15 +34,14 @@
     /// The version that all voters can apply.
     common_version: u32,
     /// A member that is not in the configuration yet.
-    joining: Option<u64>,
+    joining: Option<MemberId>,
     /// A learner that may vote.
-    caught_up_learner: Option<u64>,
+    caught_up_learner: Option<MemberId>,
 }
 
 /// Progress that the log does not record yet.
 struct ProgressReview {
-    /// Member numbers with the log index up to which they are known to have persisted.
-    unrecorded: Vec<(u64, u64)>,
+    unrecorded: Vec<MemberProgress>,
     /// It is to be recorded now.
     due: bool,
 }
@@ -60,9 +60,9 @@
             self.propose(now, Command::RaiseVersion { version: review.common_version });
         }
         if let Some(member) = review.joining {
-            self.change_members(ConfChangeType::AddLearnerNode, member, 0);
+            self.change_members(ConfChangeType::AddLearnerNode, member, None);
         } else if let Some(member) = review.caught_up_learner {
-            self.change_members(ConfChangeType::AddNode, member, 0);
+            self.change_members(ConfChangeType::AddNode, member, None);
         }
         self.process_ready(now);
     }
@@ -77,44 +77,51 @@
             progress.is_some_and(|p| p.recent_active && p.matched + MAX_LEARNER_LAG_ENTRIES >= last)
         });
         let mut members = self.state_machine.members.keys().copied();
-        let joining = members.find(|id| !voters.contains(id) && !learners.contains(id));
-        let versions = voters.iter().map(|id| match *id {
+        let joining = members.find(|id| !voters.contains(&id.0) && !learners.contains(&id.0));
+        let versions = voters.iter().map(|id| match MemberId(*id) {
             id if id == self.member => self.version,
             id => self.peer_versions.get(&id).copied().unwrap_or(0),
         });
         let common_version = versions.min().unwrap_or(0);
         let progress = self.review_progress(now, node);
+        let caught_up_learner = caught_up_learner.map(MemberId);
         Some(QuorumReview { progress, common_version, joining, caught_up_learner })
     }
 
     fn review_progress(&self, now: f64, node: &RawNode<RaftLog>) -> ProgressReview {
-        let recorded = |member: u64| self.state_machine.persisted.get(&member).copied().unwrap_or(0);
+        let recorded = |member: MemberId| self.state_machine.persisted.get(&member).copied().unwrap_or(0);
         let commit = node.raft.raft_log.committed;
         let mut unrecorded = Vec::new();
         let mut first_record = false;
-        for (member, progress) in node.raft.prs().iter() {
+        for (id, progress) in node.raft.prs().iter() {
+            let member = MemberId(*id);
             // What is committed is never truncated; more than that a new leader might truncate.
             let index = progress.matched.min(commit);
-            first_record |= recorded(*member) == 0 && index > 1;
-            if index > recorded(*member) {
-                unrecorded.push((*member, index));
+            first_record |= recorded(member) == 0 && index > 1;
+            if index > recorded(member) {
+                unrecorded.push(MemberProgress { member, index });
             }
         }
         // The record itself moves all ends by one.
-        let moved = unrecorded.iter().any(|(member, index)| *index > recorded(*member) + 1);
+        let moved = unrecorded.iter().any(|progress| progress.index > recorded(progress.member) + 1);
         let since_s = now - self.progress_recorded_at;
         let due =
             first_record && since_s > FIRST_PROGRESS_INTERVAL_S || moved && since_s > PROGRESS_INTERVAL_S;
         ProgressReview { unrecorded, due }
     }
 
-    /// Proposes a change of members; the library rejects it while another is on its way. `replacement` is the number of
-    /// the member that takes the removed one's place; 0 for none.
-    fn change_members(&mut self, kind: ConfChangeType, member: u64, replacement: u64) -> bool {
+    /// Proposes a change of members; the library rejects it while another is on its way. `replacement` takes the place of
+    /// a member that is removed.
+    fn change_members(
+        &mut self,
+        kind: ConfChangeType,
+        member: MemberId,
+        replacement: Option<MemberId>,
+    ) -> bool {
         let Some(node) = &mut self.node else { return false };
-        let mut change = ConfChange { node_id: member, ..ConfChange::default() };
+        let mut change = ConfChange { node_id: member.0, ..ConfChange::default() };
         change.set_change_type(kind);
-        change.context = replacement.to_le_bytes().to_vec().into();
+        change.context = replacement.unwrap_or(MemberId::NONE).0.to_le_bytes().to_vec().into();
         !node.raft.has_pending_conf() && node.propose_conf_change(Vec::new(), change).is_ok()
     }
 
@@ -122,14 +129,14 @@
     ///
     /// # Errors
     /// Why that can't be done now.
-    pub fn replace(&mut self, now: f64, name: &str) -> Result<u64, ReplaceError> {
+    pub fn replace(&mut self, now: f64, name: &str) -> Result<MemberId, ReplaceError> {
         let old = self.state_machine.member(name);
         let old = old.ok_or_else(|| ReplaceError::UnknownCoordinator(name.to_owned()))?;
         if old == self.member {
             return Err(ReplaceError::Leads(name.to_owned()));
         }
-        let replacement = self.state_machine.last_member + 1;
-        if !self.change_members(ConfChangeType::RemoveNode, old, replacement) {
+        let replacement = self.state_machine.last_member.next();
+        if !self.change_members(ConfChangeType::RemoveNode, old, Some(replacement)) {
             return Err(ReplaceError::ChangePending);
         }
         self.process_ready(now);
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -25,6 +25,7 @@
     UninitializedCause,
 };
 
+use crate::ids::MemberId;
 use crate::state_machine::{LeaseStateMachine, LATEST};
 use disk::PendingJob;
 use election::ElectionTimeout;
@@ -45,10 +46,10 @@
     /// Whether the member takes part.
     pub status: MemberStatus,
     /// By member number, the latest version that its program can apply.
-    peer_versions: BTreeMap<u64, u32>,
+    peer_versions: BTreeMap<MemberId, u32>,
     version: u32,
     node: Option<RawNode<RaftLog>>,
-    member: u64,
+    member: MemberId,
     applied: u64,
     leads: bool,
     /// What waits for the disk, in order.
@@ -89,7 +90,7 @@
             peer_versions: BTreeMap::new(),
             version: version.min(LATEST),
             node: None,
-            member: 0,
+            member: MemberId::NONE,
             applied: 0,
             leads: false,
             pending_ready: VecDeque::new(),
@@ -122,7 +123,7 @@
 
     /// This member's number; 0 while it has none.
     #[must_use]
-    pub fn member(&self) -> u64 {
+    pub fn member(&self) -> MemberId {
         self.member
     }
 
@@ -133,7 +134,7 @@
     }
 
     /// Records the latest version that another member's program can apply.
-    pub fn record_peer_version(&mut self, member: u64, version: u32) {
+    pub fn record_peer_version(&mut self, member: MemberId, version: u32) {
         self.peer_versions.insert(member, version);
     }
 
@@ -145,8 +146,9 @@
 
     /// The member that leads, as far as this one knows.
     #[must_use]
-    pub fn leader(&self) -> Option<u64> {
-        self.node.as_ref().map(|node| node.raft.leader_id).filter(|id| *id != 0)
+    pub fn leader(&self) -> Option<MemberId> {
+        let leader = self.node.as_ref().map(|node| MemberId(node.raft.leader_id));
+        leader.filter(|leader| *leader != MemberId::NONE)
     }
 
     /// The current term; 0 while this member does not take part.
@@ -164,8 +166,9 @@
 
     /// Members that may vote.
     #[must_use]
-    pub fn voters(&self) -> Vec<u64> {
-        self.node.as_ref().map_or_else(Vec::new, |node| node.store().members.voters.clone())
+    pub fn voters(&self) -> Vec<MemberId> {
+        let voters = self.node.as_ref().map(|node| &node.store().members.voters);
+        voters.into_iter().flatten().copied().map(MemberId).collect()
     }
 
     /// Peers accept nothing from this member, for this reason; see [`MemberStatus::Excluded`].
--- a/fleet-coordinator/src/replica/proposals.rs
+++ b/fleet-coordinator/src/replica/proposals.rs
@@ -2,6 +2,7 @@
 
 use super::scan::{self, ParseError};
 use super::{ExclusionCause, Replica};
+use crate::ids::MemberId;
 use crate::state_machine::{Command, LogEntry};
 use raft::eraftpb::{Message, MessageType};
 
@@ -26,10 +27,10 @@
     ///
     /// # Errors
     /// Bytes that are no message from that member to this one.
-    pub fn step(&mut self, now: f64, from: u64, bytes: &[u8]) -> Result<(), StepError> {
+    pub fn step(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> Result<(), StepError> {
         let Some(node) = &mut self.node else { return Ok(()) };
         let message: Message = scan::parse(bytes)?;
-        if message.from != from || message.to != self.member {
+        if message.from != from.0 || message.to != self.member.0 {
             return Err(StepError::WrongAddress { from: message.from, to: message.to });
         }
         // A leader commits here only what this disk has acknowledged; the library would panic at more.
@@ -48,9 +49,9 @@
     }
 
     /// A peer can't be reached.
-    pub fn unreachable(&mut self, member: u64) {
+    pub fn unreachable(&mut self, member: MemberId) {
         if let Some(node) = &mut self.node {
-            node.report_unreachable(member);
+            node.report_unreachable(member.0);
         }
     }
 
--- a/fleet-coordinator/src/replica/raft_log.rs
+++ b/fleet-coordinator/src/replica/raft_log.rs
@@ -1,6 +1,7 @@
 //! The replicated log in memory, as the consensus library reads it.
 
 use super::recovered_log::RecoveredLog;
+use crate::ids::MemberId;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 use std::cell::Cell;
@@ -31,7 +32,7 @@
     }
 
     /// The log as a disk should hold it.
-    pub fn to_recovered(&self, member: u64) -> RecoveredLog {
+    pub fn to_recovered(&self, member: MemberId) -> RecoveredLog {
         RecoveredLog {
             member,
             hard_state: self.hard_state.clone(),
--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -3,6 +3,7 @@
 use super::recovered_log::{entry_record, hard_state_record, snapshot_record};
 use super::scan;
 use super::{DiskJob, Replica, ReplicaEvent, ReplicaOutput, SuspensionCause};
+use crate::ids::MemberId;
 use crate::state_machine::LogEntry;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry, EntryType, Message, Snapshot};
@@ -172,7 +173,8 @@
         }
         if change.get_change_type() == ConfChangeType::RemoveNode {
             if let Ok(replacement) = change.context.as_ref().try_into() {
-                self.state_machine.replace_member(change.node_id, u64::from_le_bytes(replacement));
+                self.state_machine
+                    .replace_member(MemberId(change.node_id), MemberId(u64::from_le_bytes(replacement)));
             }
         }
     }
@@ -198,7 +200,7 @@
 fn send(outputs: &mut Vec<ReplicaOutput>, messages: Vec<Message>) {
     for message in messages {
         if let Ok(bytes) = message.write_to_bytes() {
-            outputs.push(ReplicaOutput::Send(message.to, bytes));
+            outputs.push(ReplicaOutput::Send(MemberId(message.to), bytes));
         }
     }
 }
--- a/fleet-coordinator/src/replica/recovered_log.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -2,6 +2,7 @@
 //! Decoding needs no state of the consensus library, so a store can be opened, checked and shown without one.
 
 use super::scan::{self, ParseError};
+use crate::ids::MemberId;
 use durable_log::{Recovered, RecoveredRecord};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
@@ -60,8 +61,8 @@
 /// The replicated log as the disk holds it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredLog {
-    /// This member's number; 0 while it has none.
-    pub member: u64,
+    /// This member; none while the disk is empty.
+    pub member: MemberId,
     /// Term, vote and commit index.
     pub hard_state: HardState,
     /// The latest snapshot; its index is 0 while there is none.
@@ -90,9 +91,9 @@
 
 /// A member's number as a record.
 #[must_use]
-pub fn member_record(member: u64) -> Vec<u8> {
+pub fn member_record(member: MemberId) -> Vec<u8> {
     let mut bytes = vec![MEMBER];
-    bytes.extend_from_slice(&member.to_le_bytes());
+    bytes.extend_from_slice(&member.0.to_le_bytes());
     bytes
 }
 
@@ -163,7 +164,7 @@
             SNAPSHOT => self.read_snapshot(scan::parse(body)?),
             MEMBER => {
                 let number = body.try_into().map_err(|_| RecordError::MemberNumber)?;
-                self.member = u64::from_le_bytes(number);
+                self.member = MemberId(u64::from_le_bytes(number));
             }
             other => return Err(RecordError::UnknownKind(other)),
         }
--- a/fleet-coordinator/src/replica/startup.rs
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -5,6 +5,7 @@
 use super::raft_log::RaftLog;
 use super::recovered_log::RecoveredLog;
 use super::{DiskJob, MemberStatus, Replica, SuspensionCause, Uninitialized, UninitializedCause};
+use crate::ids::MemberId;
 use crate::state_machine::LeaseStateMachine;
 use durable_log::Recovered;
 use raft::{Config, RawNode, ReadOnlyOption};
@@ -26,14 +27,14 @@
         let metadata = log.snapshot.mut_metadata();
         metadata.index = 1;
         metadata.term = 1;
-        metadata.mut_conf_state().voters = state_machine.members.keys().copied().collect();
+        metadata.mut_conf_state().voters = state_machine.members.keys().map(|member| member.0).collect();
         log.hard_state.term = 1;
         log.hard_state.commit = 1;
         self.begin(now, &log);
     }
 
     /// Takes part as a new member, which the others know by this number. Does nothing unless the disk holds no member.
-    pub fn join(&mut self, now: f64, member: u64) {
+    pub fn join(&mut self, now: f64, member: MemberId) {
         self.begin(now, &RecoveredLog { member, ..RecoveredLog::default() });
     }
 
@@ -58,7 +59,7 @@
             Ok(_) if recovered.damaged => {
                 UninitializedCause::DamagedDisk { dropped: recovered.dropped.clone() }
             }
-            Ok(log) if log.member == 0 => UninitializedCause::EmptyDisk,
+            Ok(log) if log.member == MemberId::NONE => UninitializedCause::EmptyDisk,
             Ok(log) => return self.start(now, &log),
         };
         self.status = MemberStatus::Uninitialized(Uninitialized { cause, lost_index: None });
@@ -96,9 +97,9 @@
     }
 }
 
-fn raft_config(member: u64, applied: u64) -> Config {
+fn raft_config(member: MemberId, applied: u64) -> Config {
     Config {
-        id: member,
+        id: member.0,
         election_tick: ELECTION_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         applied,
--- a/fleet-coordinator/src/replica/status.rs
+++ b/fleet-coordinator/src/replica/status.rs
@@ -1,6 +1,7 @@
 //! What a replica reports: its status, its outputs, and events.
 
 use super::DiskJob;
+use crate::ids::MemberId;
 use crate::state_machine::{LogEntry, Outcome, Rejection};
 use durable_log::DroppedData;
 
@@ -124,7 +125,7 @@
     #[error("member {member} has been replaced")]
     Replaced {
         /// The number of the member that was replaced.
-        member: u64,
+        member: MemberId,
     },
 }
 
@@ -218,7 +219,7 @@
 #[derive(Debug)]
 pub enum ReplicaOutput {
     /// Send bytes to the member of this number.
-    Send(u64, Vec<u8>),
+    Send(MemberId, Vec<u8>),
     /// Carry out a job, and report its result under this number.
     Disk(u64, DiskJob),
 }
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -1,5 +1,6 @@
 //! What stands in the replicated log, and what applying it returns.
 
+use crate::ids::{MemberId, SessionId};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 
@@ -49,7 +50,7 @@
     #[serde(rename = "close")]
     CloseSession {
         /// The session.
-        session: u64,
+        session: SessionId,
     },
     /// Grants a free task's lease.
     #[serde(rename = "grant")]
@@ -57,7 +58,7 @@
         /// The task.
         task: String,
         /// The new holder.
-        session: u64,
+        session: SessionId,
     },
     /// Ends a lease, so that the task can be granted again.
     #[serde(rename = "free")]
@@ -76,7 +77,7 @@
         #[serde(rename = "held")]
         lease: LeaseRef,
         /// The new holder.
-        session: u64,
+        session: SessionId,
     },
     /// Begins the task's next period, or its current one again where that is safe.
     #[serde(rename = "begin")]
@@ -115,9 +116,9 @@
     /// Records up to which index each coordinator's log is known to be persisted.
     #[serde(rename = "progress")]
     RecordProgress {
-        /// Pairs of member number and log index.
+        /// What is known of each member.
         #[serde(rename = "kept")]
-        persisted: Vec<(u64, u64)>,
+        persisted: Vec<MemberProgress>,
     },
     /// All coordinators can apply commands of this version.
     #[serde(rename = "raise")]
@@ -130,6 +131,28 @@
     Unknown,
 }
 
+/// Up to where a member's log is known to be persisted. In the log it is a pair of numbers.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct MemberProgress {
+    /// The member.
+    pub member: MemberId,
+    /// The index of the last persisted entry.
+    pub index: u64,
+}
+
+impl From<(u64, u64)> for MemberProgress {
+    fn from((member, index): (u64, u64)) -> MemberProgress {
+        MemberProgress { member: MemberId(member), index }
+    }
+}
+
+impl From<MemberProgress> for (u64, u64) {
+    fn from(progress: MemberProgress) -> (u64, u64) {
+        (progress.member.0, progress.index)
+    }
+}
+
 /// Why a lease ended.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
@@ -158,7 +181,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The session of this number is open.
-    Opened(u64),
+    Opened(SessionId),
     /// The lease was granted.
     Granted(LeaseRef),
     /// The period of this number has begun.
--- a/fleet-coordinator/src/state_machine/failures.rs
+++ b/fleet-coordinator/src/state_machine/failures.rs
@@ -1,6 +1,7 @@
 //! Holders that failed at a task, and their exponential backoff.
 
 use super::{LeaseStateMachine, MAX_FAILURES_PER_TASK};
+use crate::ids::SessionId;
 use port_worker::fleet::frame::LeaseRef;
 use serde::{Deserialize, Serialize};
 
@@ -22,7 +23,7 @@
 
 impl LeaseStateMachine {
     /// Counts a failure, and starts a backoff that doubles each time.
-    pub(super) fn record_failure(&mut self, task: &str, session: u64) {
+    pub(super) fn record_failure(&mut self, task: &str, session: SessionId) {
         let Some(name) = self.sessions.get(&session).map(|session| session.name.clone()) else { return };
         let backoff_ms = self.tasks.get(task).map_or(0, |task| task.pause_ms);
         let now = self.log_time_ms;
--- a/fleet-coordinator/src/state_machine/leases.rs
+++ b/fleet-coordinator/src/state_machine/leases.rs
@@ -1,6 +1,7 @@
 //! Leases of tasks: granting, releasing, transferring, and the list of tasks.
 
 use super::{LeaseStateMachine, Outcome, Rejection, ReleaseReason, Task};
+use crate::ids::SessionId;
 use port_worker::fleet::frame::{is_valid_name, LeaseRef, MAX_TASKS};
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +9,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Lease {
     /// The holder.
-    pub session: u64,
+    pub session: SessionId,
     /// The fencing token.
     pub token: u64,
     /// The log's time when it was granted (milliseconds).
@@ -27,7 +28,7 @@
         self.leases.get(&lease.task).filter(|current| current.token == lease.token)
     }
 
-    pub(super) fn grant_lease(&mut self, task: &str, session: u64) -> Result<Outcome, Rejection> {
+    pub(super) fn grant_lease(&mut self, task: &str, session: SessionId) -> Result<Outcome, Rejection> {
         if self.leases.contains_key(task) {
             return Err(Rejection::AlreadyHeld);
         }
@@ -47,7 +48,11 @@
         Ok(Outcome::Done)
     }
 
-    pub(super) fn transfer_lease(&mut self, lease: &LeaseRef, session: u64) -> Result<Outcome, Rejection> {
+    pub(super) fn transfer_lease(
+        &mut self,
+        lease: &LeaseRef,
+        session: SessionId,
+    ) -> Result<Outcome, Rejection> {
         self.lease(lease).ok_or(Rejection::NotHeld)?;
         if !self.sessions.contains_key(&session) {
             return Err(Rejection::UnknownSession);
@@ -56,7 +61,7 @@
         self.insert_lease(&lease.task, session)
     }
 
-    fn insert_lease(&mut self, task: &str, session: u64) -> Result<Outcome, Rejection> {
+    fn insert_lease(&mut self, task: &str, session: SessionId) -> Result<Outcome, Rejection> {
         let ttl_ms = self.tasks.get(task).ok_or(Rejection::UnknownTask)?.ttl_ms;
         if !self.sessions.contains_key(&session) {
             return Err(Rejection::UnknownSession);
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -12,12 +12,13 @@
 mod periods;
 mod sessions;
 
-pub use command::{Command, LogEntry, Outcome, Rejection, ReleaseReason, Task};
+pub use command::{Command, LogEntry, MemberProgress, Outcome, Rejection, ReleaseReason, Task};
 pub use failures::FailureRecord;
 pub use leases::Lease;
 pub use periods::{IndeterminateCall, Period};
 pub use sessions::Session;
 
+use crate::ids::{MemberId, SessionId};
 use periods::PeriodRequest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -47,11 +48,11 @@
     /// The newest fencing token.
     pub last_token: u64,
     /// The newest session's number.
-    pub last_session: u64,
+    pub last_session: SessionId,
     /// Tasks by name.
     pub tasks: BTreeMap<String, Task>,
     /// Open sessions by number.
-    pub sessions: BTreeMap<u64, Session>,
+    pub sessions: BTreeMap<SessionId, Session>,
     /// Leases by task.
     pub leases: BTreeMap<String, Lease>,
     /// The latest period of each task that has had one.
@@ -67,38 +68,39 @@
     pub indeterminate_calls_total: u64,
     /// By member number: the log index up to which its disk is known to have been written.
     #[serde(rename = "progress")]
-    pub persisted: BTreeMap<u64, u64>,
+    pub persisted: BTreeMap<MemberId, u64>,
     /// Coordinators' names by member number. Numbers are never reused.
-    pub members: BTreeMap<u64, String>,
+    pub members: BTreeMap<MemberId, String>,
     /// The newest member's number.
-    pub last_member: u64,
-    /// Members up to this number founded the fleet.
-    pub founders: u64,
+    pub last_member: MemberId,
+    /// Members up to this one founded the fleet.
+    #[serde(rename = "founders")]
+    pub last_founder: MemberId,
 }
 
 impl LeaseStateMachine {
     /// The state of a new fleet.
     #[must_use]
     pub fn bootstrap(coordinators: &[String]) -> LeaseStateMachine {
-        let count = coordinators.len() as u64;
-        let members = (1..).zip(coordinators.iter().cloned()).collect();
+        let members = (1..).map(MemberId).zip(coordinators.iter().cloned()).collect();
+        let last_founder = MemberId(coordinators.len() as u64);
         LeaseStateMachine {
             version: 1,
             members,
-            last_member: count,
-            founders: count,
+            last_member: last_founder,
+            last_founder,
             ..LeaseStateMachine::default()
         }
     }
 
     /// The member number of the coordinator of this name.
     #[must_use]
-    pub fn member(&self, name: &str) -> Option<u64> {
+    pub fn member(&self, name: &str) -> Option<MemberId> {
         self.members.iter().find(|(_, member)| *member == name).map(|(number, _)| *number)
     }
 
     /// Gives the coordinator that was member `old` the number `new`, after it has lost its disk.
-    pub fn replace_member(&mut self, old: u64, new: u64) {
+    pub fn replace_member(&mut self, old: MemberId, new: MemberId) {
         if let Some(name) = self.members.remove(&old) {
             self.members.insert(new, name);
             self.last_member = self.last_member.max(new);
@@ -142,10 +144,10 @@
         }
     }
 
-    fn record_progress(&mut self, persisted: &[(u64, u64)]) {
-        for (member, index) in persisted.iter().take(MAX_MEMBERS) {
-            let known = self.persisted.entry(*member).or_default();
-            *known = (*known).max(*index);
+    fn record_progress(&mut self, persisted: &[MemberProgress]) {
+        for progress in persisted.iter().take(MAX_MEMBERS) {
+            let known = self.persisted.entry(progress.member).or_default();
+            *known = (*known).max(progress.index);
         }
     }
 }
--- a/fleet-coordinator/src/state_machine/sessions.rs
+++ b/fleet-coordinator/src/state_machine/sessions.rs
@@ -1,6 +1,7 @@
 //! Sessions of workers: opening and closing.
 
 use super::{LeaseStateMachine, Outcome, Rejection, MAX_SESSIONS};
+use crate::ids::SessionId;
 use port_worker::fleet::frame::is_valid_name;
 use serde::{Deserialize, Serialize};
 
@@ -22,13 +23,13 @@
 
 impl LeaseStateMachine {
     /// The session of this process, if it has one.
-    pub(crate) fn session_of(&self, name: &str, incarnation: u64) -> Option<u64> {
+    pub(crate) fn session_of(&self, name: &str, incarnation: u64) -> Option<SessionId> {
         self.sessions.iter().find(|(_, s)| s.incarnation == incarnation && s.name == name).map(|(id, _)| *id)
     }
 
     /// The newest session of a worker's name.
     #[must_use]
-    pub fn newest_session(&self, name: &str) -> Option<u64> {
+    pub fn newest_session(&self, name: &str) -> Option<SessionId> {
         self.sessions.iter().rev().find(|(_, s)| s.name == name).map(|(id, _)| *id)
     }
 
@@ -39,9 +40,9 @@
         incarnation: u64,
         version: u32,
     ) -> Result<Outcome, Rejection> {
-        for word in [name, zone] {
-            if !is_valid_name(word) {
-                return Err(Rejection::InvalidName(word.to_owned()));
+        for text in [name, zone] {
+            if !is_valid_name(text) {
+                return Err(Rejection::InvalidName(text.to_owned()));
             }
         }
         // The same process asked twice, over two links or two leaders: one session.
@@ -51,7 +52,7 @@
         if self.sessions.len() >= MAX_SESSIONS {
             return Err(Rejection::TooManySessions(self.sessions.len()));
         }
-        self.last_session += 1;
+        self.last_session = self.last_session.next();
         let session = Session {
             name: name.to_owned(),
             zone: zone.to_owned(),
@@ -63,7 +64,7 @@
         Ok(Outcome::Opened(self.last_session))
     }
 
-    pub(super) fn close_session(&mut self, session: u64) -> Result<Outcome, Rejection> {
+    pub(super) fn close_session(&mut self, session: SessionId) -> Result<Outcome, Rejection> {
         if self.leases.values().any(|lease| lease.session == session) {
             return Err(Rejection::StillHoldsLeases);
         }
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -63,7 +63,11 @@
 }
 
 fn grant(session: u64) -> Command {
-    Command::GrantLease { task: "t".into(), session }
+    Command::GrantLease { task: "t".into(), session: SessionId(session) }
+}
+
+fn progress(member: u64, index: u64) -> MemberProgress {
+    MemberProgress { member: MemberId(member), index }
 }
 
 fn tasks(epoch: u64, ttl_ms: u64) -> Command {
@@ -76,25 +80,25 @@
         (0, grant(1), "UnknownTask"),
         (0, tasks(1, 3000), "Done"),
         (0, grant(1), "UnknownSession"),
-        (1, open(7), "Opened(1)"),
-        (1, open(7), "Opened(1)"),
-        (1, open(8), "Opened(2)"),
+        (1, open(7), "Opened(SessionId(1))"),
+        (1, open(7), "Opened(SessionId(1))"),
+        (1, open(8), "Opened(SessionId(2))"),
         (2, grant(1), "Granted(LeaseRef { task: \"t\", token: 1 })"),
         (2, grant(2), "AlreadyHeld"),
-        (3, Command::CloseSession { session: 1 }, "StillHoldsLeases"),
+        (3, Command::CloseSession { session: SessionId(1) }, "StillHoldsLeases"),
         (4, free(1), "Done"),
         (4, free(1), "NotHeld"),
         (5, grant(2), "Granted(LeaseRef { task: \"t\", token: 2 })"),
         (5, free(1), "NotHeld"),
-        (6, Command::TransferLease { lease: lease("t", 2), session: 9 }, "UnknownSession"),
+        (6, Command::TransferLease { lease: lease("t", 2), session: SessionId(9) }, "UnknownSession"),
         (
             6,
-            Command::TransferLease { lease: lease("t", 2), session: 1 },
+            Command::TransferLease { lease: lease("t", 2), session: SessionId(1) },
             "Granted(LeaseRef { task: \"t\", token: 3 })",
         ),
-        (7, Command::CloseSession { session: 2 }, "Done"),
+        (7, Command::CloseSession { session: SessionId(2) }, "Done"),
     ]);
-    assert_eq!((state.leases["t"].session, state.leases["t"].token), (1, 3));
+    assert_eq!((state.leases["t"].session, state.leases["t"].token), (SessionId(1), 3));
 }
 
 #[test]
@@ -104,7 +108,7 @@
         (0, open(1), "Opened"),
         (0, grant(1), "Granted"),
         (1, tasks(2, 2000), "Done"),
-        (1, Command::RecordProgress { persisted: vec![(1, 7), (2, 5)] }, "Done"),
+        (1, Command::RecordProgress { persisted: vec![progress(1, 7), progress(2, 5)] }, "Done"),
         (1, Command::RaiseVersion { version: LATEST }, "Done"),
         (1, tasks(2, 5000), "StaleEpoch"),
     ]);
@@ -161,7 +165,7 @@
 #[test]
 fn the_backoff_of_a_failing_holder_doubles_until_it_succeeds() {
     let failed = |token| Command::ReleaseLease { lease: lease("t", token), reason: ReleaseReason::Failed };
-    let mut steps = vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened(1)")];
+    let mut steps = vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened(SessionId(1))")];
     for token in 1..=9 {
         steps.extend([(1000, grant(1), "Granted"), (1000, failed(token), "Done")]);
     }
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -5,6 +5,7 @@
 use durable_log::Store;
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::events::CoordinatorEvent;
+use fleet_coordinator::ids::{LinkId, MemberId};
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::replica::{carry_out, DiskResult, MemberStatus};
 use fleet_coordinator::state_machine::LATEST;
@@ -104,14 +105,15 @@
     }
 
     /// A worker connects over a new link; its session has to be written to the log.
-    fn hello(&mut self, link: u64) {
+    fn hello(&mut self, number: u64) {
+        let link = LinkId(number);
         self.coordinator.opened(link);
         let hello = ClientMessage::Hello {
             fleet: "f".into(),
             version: LATEST,
-            name: format!("w{link}"),
+            name: format!("w{number}"),
             zone: "z".into(),
-            process: link,
+            process: number,
         };
         let bytes = encode(&hello);
         self.coordinator.receive(self.now, link, &bytes[4..]).unwrap();
@@ -176,7 +178,7 @@
         }
         repair(&mut scenario);
         scenario.until("it leads again", 10.0, |s| s.coordinator.replica.leads());
-        assert!(scenario.events.contains(&CoordinatorEvent::DiskResumed { member: 1 }), "{name}");
+        assert!(scenario.events.contains(&CoordinatorEvent::DiskResumed { member: MemberId(1) }), "{name}");
         scenario.hello(90);
         scenario.until("another session", 1.0, |s| s.welcomed() == 2);
     }
--- a/fleet-coordinator/tests/lease_world/leader.rs
+++ b/fleet-coordinator/tests/lease_world/leader.rs
@@ -1,12 +1,12 @@
 //! A leader: the state machine, the lease clock and the read-index queue of the service, joined as `LeaderState` joins them.
 
+use crate::limits::TTL_MS;
 use crate::world::{ToWorker, LEADER_CLOCK_RATE, TASK};
+use fleet_coordinator::ids::SessionId;
 use fleet_coordinator::lease_clock::{LeaseClock, ReadIndexQueue, SafetyChecks};
 use fleet_coordinator::state_machine::{Command, LeaseStateMachine, LogEntry, Outcome, Task};
 use port_worker::fleet::frame::{LeaseRef, RenewedLease};
 
-use crate::limits::TTL_MS;
-
 /// A heartbeat that a leader has received.
 #[derive(Clone, Debug)]
 pub struct ReceivedHeartbeat {
@@ -30,8 +30,13 @@
 }
 
 /// The number of a worker's session.
-pub fn session(worker: usize) -> u64 {
-    worker as u64 + 1
+pub fn session(worker: usize) -> SessionId {
+    SessionId(worker as u64 + 1)
+}
+
+/// The index of the worker with this session.
+pub fn worker_of(session: SessionId) -> usize {
+    session.0 as usize - 1
 }
 
 pub fn entry(command: Command) -> LogEntry {
@@ -59,7 +64,7 @@
             (Command::GrantLease { session, .. }, Ok(Outcome::Granted(lease))) => {
                 let ttl_ms = self.state.lease(&lease).map_or(0, |current| current.ttl_ms);
                 self.clock.record_grant(now * LEADER_CLOCK_RATE, lease.token, ttl_ms);
-                Some((*session as usize - 1, ToWorker::Granted(lease)))
+                Some((worker_of(*session), ToWorker::Granted(lease)))
             }
             (Command::ReleaseLease { lease, .. }, Ok(_)) => {
                 self.clock.record_release(lease.token);
--- a/fleet-coordinator/tests/lease_world/state_key.rs
+++ b/fleet-coordinator/tests/lease_world/state_key.rs
@@ -3,9 +3,10 @@
 //! Times are written as differences, and tokens, batches and heartbeats as ranks. What has no effect any more is left
 //! out, and the workers may change places.
 
-use crate::leader::{Leader, ReceivedHeartbeat};
+use crate::leader::{worker_of, Leader, ReceivedHeartbeat};
 use crate::limits::Limits;
 use crate::world::{ToLeader, ToWorker, Upward, Worker, World, LEADER_CLOCK_RATE, NEWEST, PREDECESSOR, TASK};
+use fleet_coordinator::ids::SessionId;
 use fleet_coordinator::lease_clock::ReadIndexBatch;
 use fleet_coordinator::state_machine::Command;
 use port_worker::fleet::lease_holder::OutstandingHeartbeat;
@@ -112,8 +113,8 @@
         self.order.iter().position(|at| *at == worker).unwrap_or(9) as u8
     }
 
-    fn place_of_session(&self, session: u64) -> u8 {
-        self.place(session as usize - 1)
+    fn place_of_session(&self, session: SessionId) -> u8 {
+        self.place(worker_of(session))
     }
 
     /// An awaited heartbeat by its place, all others by the same number.
--- /dev/null
+++ b/fleet-coordinator/tests/peer_frames.rs
@@ -0,0 +1,34 @@
+//! The frames with which coordinators introduce themselves: coordinators of two versions must understand each other.
+
+use fleet_coordinator::coordinator::{PeerAnswer, PeerHello};
+use fleet_coordinator::ids::MemberId;
+
+#[test]
+fn a_hello_is_encoded_in_the_same_keys() {
+    let hello = PeerHello {
+        name: "c2".to_owned(),
+        fleet: "f".to_owned(),
+        member: MemberId(4),
+        last_index: 47,
+        version: 2,
+    };
+    let text = r#"{"peer":"c2","fleet":"f","member":4,"last":47,"version":2}"#;
+    assert_eq!(serde_json::to_string(&hello).unwrap(), text);
+    assert_eq!(serde_json::from_str::<PeerHello>(text).unwrap(), hello);
+}
+
+#[test]
+fn an_answer_is_encoded_in_the_same_keys_and_missing_ones_have_their_defaults() {
+    let answer = PeerAnswer {
+        member: MemberId(1),
+        version: 2,
+        caller_member: MemberId(4),
+        caller_persisted: 25,
+        caller_is_founder: true,
+        exclusion: Some("member 2 has been replaced".to_owned()),
+    };
+    let text = r#"{"member":1,"version":2,"yours":4,"kept":25,"founder":true,"barred":"member 2 has been replaced"}"#;
+    assert_eq!(serde_json::to_string(&answer).unwrap(), text);
+    assert_eq!(serde_json::from_str::<PeerAnswer>(text).unwrap(), answer);
+    assert_eq!(serde_json::from_str::<PeerAnswer>("{}").unwrap(), PeerAnswer::default());
+}
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -4,10 +4,13 @@
 use durable_log::{Folder, Store};
 use fleet_coordinator::config::File;
 use fleet_coordinator::coordinator::{Coordinator, Output};
+use fleet_coordinator::ids::{MemberId, SessionId};
 use fleet_coordinator::replica::{
     carry_out, LogPosition, MemberStatus, Replica, ReplicaEvent, ReplicaOutput,
 };
-use fleet_coordinator::state_machine::{Command, LeaseStateMachine, LogEntry, ReleaseReason, Task, LATEST};
+use fleet_coordinator::state_machine::{
+    Command, LeaseStateMachine, LogEntry, MemberProgress, ReleaseReason, Task, LATEST,
+};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -19,10 +22,10 @@
 const OVERDUE_S: f64 = 1.0;
 /// Folders in `fixtures/data`.
 const MEMBERS: [&str; 3] = ["c1", "c2", "c3"];
-const MEMBER_C1: u64 = 1;
-const MEMBER_C3: u64 = 3;
+const MEMBER_C1: MemberId = MemberId(1);
+const MEMBER_C3: MemberId = MemberId(3);
 /// c2 came back with another number.
-const MEMBER_C2: u64 = 4;
+const MEMBER_C2: MemberId = MemberId(4);
 /// Where the snapshot ends, and the log.
 const SNAPSHOT_INDEX: u64 = 25;
 const LAST_INDEX: u64 = 47;
@@ -279,7 +282,7 @@
     quorum.leader().unwrap().take_events();
 
     quorum.propose(open("worker-f", "west", 16));
-    quorum.propose(Command::GrantLease { task: "inventory".into(), session: 6 });
+    quorum.propose(Command::GrantLease { task: "inventory".into(), session: SessionId(6) });
 
     let leader = quorum.leader().unwrap();
     assert_eq!((leader.term(), leader.log_position()), (3, LogPosition { last: 50, applied: 50 }));
@@ -319,7 +322,7 @@
     let later = read(r#"{"at_ms":9999,"do":"seal","held":{"task":"archive","token":9},"until_ms":12000}"#);
     assert_eq!(later, LogEntry { at_ms: 9999, command: Command::Unknown });
     let more_keys = read(r#"{"at_ms":7,"do":"close","session":4,"later":true}"#);
-    assert_eq!(more_keys, LogEntry { at_ms: 7, command: Command::CloseSession { session: 4 } });
+    assert_eq!(more_keys, LogEntry { at_ms: 7, command: Command::CloseSession { session: SessionId(4) } });
 }
 
 /// In the order of `commands.jsonl`; variants with an enum inside stand once for each of its values.
@@ -335,18 +338,23 @@
     };
     let commands = vec![
         open("worker-a", "east", u64::MAX),
-        Command::CloseSession { session: 4 },
-        Command::GrantLease { task: "archive".into(), session: 4 },
+        Command::CloseSession { session: SessionId(4) },
+        Command::GrantLease { task: "archive".into(), session: SessionId(4) },
         free(ReleaseReason::Expired),
         free(ReleaseReason::Returned),
         free(ReleaseReason::Failed),
-        Command::TransferLease { lease: held(), session: 5 },
+        Command::TransferLease { lease: held(), session: SessionId(5) },
         Command::BeginPeriod { lease: held(), every_ms: 60_000, idempotent: true, attempt: 2 },
         end(CallOutcome::Done),
         end(CallOutcome::NotDone),
         end(CallOutcome::Unknown),
         Command::SetTasks { epoch: 2, tasks: vec![task] },
-        Command::RecordProgress { persisted: vec![(1, 20), (2, 19)] },
+        Command::RecordProgress {
+            persisted: vec![
+                MemberProgress { member: MemberId(1), index: 20 },
+                MemberProgress { member: MemberId(2), index: 19 },
+            ],
+        },
         Command::RaiseVersion { version: 2 },
         Command::Unknown,
     ];
@@ -357,7 +365,7 @@
     Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST }
 }
 
-fn sorted(mut numbers: Vec<u64>) -> Vec<u64> {
+fn sorted(mut numbers: Vec<MemberId>) -> Vec<MemberId> {
     numbers.sort_unstable();
     numbers
 }
--- a/testbed/src/fleet/virtual_fleet/network.rs
+++ b/testbed/src/fleet/virtual_fleet/network.rs
@@ -4,6 +4,7 @@
 use super::processes::Link;
 use super::world::{address, coordinator_name, Event, World};
 use fleet_coordinator::coordinator::{Coordinator, PeerAnswer};
+use fleet_coordinator::ids::LinkId;
 use port_worker::fleet::frame::{self, ServerMessage};
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -134,7 +135,7 @@
         self.workers[worker].link = Some(Link { number: link, coordinator });
         let state = WorkerLink { worker, up: LinkDirection::default(), down: LinkDirection::default() };
         self.network.worker_links.insert(link, state);
-        self.with_coordinator(coordinator, |machine, _| machine.opened(link));
+        self.with_coordinator(coordinator, |machine, _| machine.opened(LinkId(link)));
         self.with_worker(worker, |member, _| member.connected());
     }
 
@@ -151,7 +152,7 @@
         if let Some(Link { coordinator, .. }) = self.workers[worker].link.take() {
             self.network.worker_links.remove(&link);
             if let Some(machine) = &mut self.coordinators[coordinator].machine {
-                machine.closed(link);
+                machine.closed(LinkId(link));
             }
         }
     }
@@ -210,7 +211,7 @@
         let Some(Link { coordinator, .. }) = link else { return };
         let mut unreadable = false;
         self.with_coordinator(coordinator, |machine, now| {
-            unreadable = machine.receive(now, number, &bytes[LENGTH_BYTES..]).is_err();
+            unreadable = machine.receive(now, LinkId(number), &bytes[LENGTH_BYTES..]).is_err();
         });
         if unreadable {
             self.violation("a coordinator could not read a worker's frame".to_owned());
@@ -259,8 +260,8 @@
         self.network.peer_links.insert(peers, link);
         self.network.peers_by_link.insert(link, peers);
         self.with_coordinator(to, |machine, now| {
-            machine.opened(link);
-            let _ = machine.receive(now, link, &hello[LENGTH_BYTES..]);
+            machine.opened(LinkId(link));
+            let _ = machine.receive(now, LinkId(link), &hello[LENGTH_BYTES..]);
         });
     }
 
@@ -284,7 +285,7 @@
     pub fn receive_from_peer(&mut self, peers: NodePair, link: u64, bytes: &[u8]) {
         if self.network.peer_links.get(&peers) == Some(&link) {
             self.with_coordinator(peers.to, |machine, now| {
-                drop(machine.receive(now, link, &bytes[LENGTH_BYTES..]));
+                drop(machine.receive(now, LinkId(link), &bytes[LENGTH_BYTES..]));
             });
         }
     }
@@ -305,7 +306,7 @@
         if let Some(link) = self.network.peer_links.remove(&peers) {
             self.network.peers_by_link.remove(&link);
             if let Some(machine) = &mut self.coordinators[peers.to].machine {
-                machine.closed(link);
+                machine.closed(LinkId(link));
             }
         }
     }
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -272,9 +272,9 @@
         let outputs = machine.map(Coordinator::take_outputs).unwrap_or_default();
         for output in outputs {
             match output {
-                Output::Frame(link, bytes) => self.send_from_coordinator(coordinator, link, bytes),
+                Output::Frame(link, bytes) => self.send_from_coordinator(coordinator, link.0, bytes),
                 Output::Close(link) => {
-                    if let Some(peers) = self.network.peers_on(link) {
+                    if let Some(peers) = self.network.peers_on(link.0) {
                         self.drop_peer(peers);
                     }
                 }
