--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -3,6 +3,7 @@
 //! The same code runs behind sockets ([`crate::net`]) and in the testbed's virtual time. Links are numbered by the caller
 //! and numbers are never reused; frames go in as bytes and come out as bytes.
 
+mod answers;
 mod frames;
 mod operator_queries;
 mod peer_messages;
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -1,10 +1,13 @@
 //! Operators' queries. What only a leader knows is answered after a quorum has confirmed it.
 
+use super::answers::{
+    round_to_tenths, to_value, LeaseRow, MemberRow, OverloadAnswer, StatusAnswer, TaskRow, TasksAnswer,
+};
 use super::Coordinator;
 use crate::events::CoordinatorEvent;
-use crate::ids::LinkId;
+use crate::ids::{LinkId, SessionId};
+use crate::state_machine::{Lease, Session};
 use port_worker::fleet::frame::{OperatorQuery, ServerMessage};
-use port_worker::fleet::overload::leader::Leader;
 use port_worker::fleet::overload::level::SheddingLevel;
 use port_worker::fleet::overload::MAX_TIERS;
 use serde_json::{json, Value};
@@ -76,7 +79,8 @@
             OperatorQuery::Leases => Ok(self.leases(now)),
             OperatorQuery::Tasks => Ok(self.tasks()),
             OperatorQuery::Overload => {
-                Ok(self.leader_state.overload().map_or(Value::Null, |leader| overload_summary(now, leader)))
+                let leader = self.leader_state.overload();
+                Ok(leader.map_or(Value::Null, |leader| to_value(&OverloadAnswer::new(now, leader))))
             }
             OperatorQuery::Pin { tier, share, for_s } => self.pin_level(now, *tier, *share, *for_s),
             OperatorQuery::Replace { coordinator } => {
@@ -94,48 +98,55 @@
 
     fn members(&self, now: f64) -> Value {
         let state = &self.replica.state_machine;
-        let rows = state.sessions.iter().map(|(id, session)| {
+        let row = |(id, session): (&SessionId, &Session)| {
             let activity = self.leader_state.session_activity(now, *id).unwrap_or_default();
-            let held = state.leases.iter().filter(|(_, lease)| lease.session == *id);
-            let held_tasks: Vec<&String> = held.map(|(task, _)| task).collect();
-            let same_name = state.sessions.values().filter(|other| other.name == session.name).count();
-            json!({
-                "session": id, "name": session.name, "zone": session.zone, "version": session.version,
-                "linked": activity.linked, "silent_s": round_to_tenths(activity.silent_s),
-                "holds": held_tasks, "twice": same_name > 1,
+            let held_tasks = state.leases.iter().filter(|(_, lease)| lease.session == *id);
+            let same_name = state.sessions.values().filter(|other| other.name == session.name);
+            to_value(&MemberRow {
+                session: *id,
+                name: &session.name,
+                zone: &session.zone,
+                version: session.version,
+                linked: activity.linked,
+                silent_s: round_to_tenths(activity.silent_s),
+                held_tasks: held_tasks.map(|(task, _)| task.as_str()).collect(),
+                name_is_shared: same_name.count() > 1,
             })
-        });
-        rows.collect()
+        };
+        state.sessions.iter().map(row).collect()
     }
 
     fn leases(&self, now: f64) -> Value {
         let state = &self.replica.state_machine;
-        let rows = state.leases.iter().map(|(task, lease)| {
-            let holder = state.sessions.get(&lease.session).map(|session| session.name.clone());
-            let remaining_s = self.leader_state.remaining_s(now, lease.token);
-            json!({
-                "task": task, "holder": holder, "session": lease.session, "token": lease.token,
-                "ttl_ms": lease.ttl_ms, "free_in_s": round_to_tenths(remaining_s),
-                "waiting": self.leader_state.waiting(task),
+        let row = |(task, lease): (&String, &Lease)| {
+            to_value(&LeaseRow {
+                task,
+                holder: state.sessions.get(&lease.session).map(|session| session.name.as_str()),
+                session: lease.session,
+                token: lease.token,
+                ttl_ms: lease.ttl_ms,
+                remaining_s: round_to_tenths(self.leader_state.remaining_s(now, lease.token)),
+                waiting: self.leader_state.waiting(task),
             })
-        });
-        rows.collect()
+        };
+        state.leases.iter().map(row).collect()
     }
 
     fn tasks(&self) -> Value {
         let state = &self.replica.state_machine;
-        let rows = state.tasks.values().map(|task| {
-            json!({
-                "task": task.name, "ttl_ms": task.ttl_ms, "zones": task.zones,
-                "held": state.leases.contains_key(&task.name),
-                "waiting": self.leader_state.waiting(&task.name),
-                "period": state.periods.get(&task.name),
-            })
+        let rows = state.tasks.values().map(|task| TaskRow {
+            task: &task.name,
+            ttl_ms: task.ttl_ms,
+            zones: &task.zones,
+            held: state.leases.contains_key(&task.name),
+            waiting: self.leader_state.waiting(&task.name),
+            period: state.periods.get(&task.name),
         });
-        let tasks: Vec<Value> = rows.collect();
-        json!({
-            "epoch": state.epoch, "tasks": tasks, "unknown": state.indeterminate_calls,
-            "unknown_in_all": state.indeterminate_calls_total,
+        to_value(&TasksAnswer {
+            epoch: state.epoch,
+            tasks: rows.collect(),
+            indeterminate_calls: &state.indeterminate_calls,
+            indeterminate_calls_total: state.indeterminate_calls_total,
         })
     }
 
@@ -146,7 +157,7 @@
         };
         let level = SheddingLevel { tier: tier.min(MAX_TIERS), share };
         leader.pin(level, now + for_s);
-        let summary = overload_summary(now, leader);
+        let summary = to_value(&OverloadAnswer::new(now, leader));
         self.log(CoordinatorEvent::SheddingLevelPinned { level, for_s });
         Ok(summary)
     }
@@ -154,49 +165,28 @@
     /// This member's status, as any coordinator answers it.
     #[must_use]
     pub fn status(&self) -> Value {
-        let status = &self.replica.status;
-        let position = self.replica.log_position();
-        let state = &self.replica.state_machine;
-        json!({
-            "name": self.config.name, "fleet": self.config.fleet, "standing": status.label(),
-            "why": status.reason(), "leads": self.replica.leads(),
-            "leader": self.replica.leader().and_then(|leader| self.name_of(leader)),
-            "member": self.replica.member(), "term": self.replica.term(), "last": position.last,
-            "applied": position.applied, "version": state.version, "epoch": state.epoch,
-            "members": state.members, "voters": self.replica.voters(), "sessions": state.sessions.len(),
-            "leases": state.leases.len(), "unknown_in_all": state.indeterminate_calls_total,
-            "kept": state.persisted,
+        let replica = &self.replica;
+        let state = &replica.state_machine;
+        let position = replica.log_position();
+        to_value(&StatusAnswer {
+            name: &self.config.name,
+            fleet: &self.config.fleet,
+            status: replica.status.label(),
+            reason: replica.status.reason(),
+            leads: replica.leads(),
+            leader: replica.leader().and_then(|leader| self.name_of(leader)),
+            member: replica.member(),
+            term: replica.term(),
+            last_index: position.last,
+            applied_index: position.applied,
+            version: state.version,
+            epoch: state.epoch,
+            members: &state.members,
+            voters: replica.voters(),
+            sessions: state.sessions.len(),
+            leases: state.leases.len(),
+            indeterminate_calls_total: state.indeterminate_calls_total,
+            persisted: &state.persisted,
         })
     }
 }
-
-/// How the fleet's overload control stands.
-fn overload_summary(now: f64, leader: &Leader) -> Value {
-    let level = leader.level(now);
-    let sums = leader.sums();
-    let capacity = leader.capacity_totals(now);
-    let zones: Vec<Value> = leader
-        .service()
-        .zones()
-        .map(|zone| {
-            json!({
-                "zone": zone.zone, "calls_part": zone.call_share, "given_up": zone.circuit_open,
-                "tried_by_session": zone.prober,
-            })
-        })
-        .collect();
-    let level =
-        if level.is_open() { json!("open") } else { json!({"tier": level.tier, "share": level.share}) };
-    json!({
-        "level": level, "workers": sums.workers, "age_s": round_to_tenths(sums.age_s),
-        "asked_per_s": sums.arrivals.iter().sum::<f64>().round(), "further_per_s": sums.retries.round(),
-        "capacity_per_s": sums.capacity.round(), "calls_per_s": (sums.calls_succeeded + sums.calls_failed).round(),
-        "call_ms": (sums.call_s * 10_000.0).round() / 10.0, "retries_pass": leader.retry_budget().admitted_share(),
-        "retries_saved": leader.retry_budget().balance().round(), "calls_lent": capacity.lent, "calls_in_slices": capacity.granted,
-        "zones": zones,
-    })
-}
-
-fn round_to_tenths(value: f64) -> f64 {
-    (value * 10.0).round() / 10.0
-}
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -38,7 +38,7 @@
     /// The log index up to which the caller's disk is known to have been written.
     #[serde(rename = "kept")]
     pub caller_persisted: u64,
-    /// The caller is one of the fleet's last_founder.
+    /// The caller is one of the fleet's founders.
     #[serde(rename = "founder")]
     pub caller_is_founder: bool,
     /// Why nothing is accepted from the caller, if so.
