--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -2,21 +2,34 @@
 //!
 //! One event loop does everything but the disk's jobs: those have a thread of their own, since a sync may take seconds
 //! and the loop must go on answering.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `server` | joins the coordinator with its links and the disk's thread |
+//! | `inbound` | links that were accepted: reading, frames, silence |
+//! | `peers` | links to other coordinators: connecting, introductions |
+//! | `disk_thread` | the thread that accesses the data folder |
+//! | `clock`, `limits` | the clock that coordinators count by; limits of links |
 
+mod clock;
 mod disk_thread;
 mod inbound;
+mod limits;
 mod peers;
 mod server;
 
 use crate::config::{ConfigError, File};
-use crate::replica::DiskResult;
+use crate::events::ServerEvent;
 use calloop::channel::{channel, Channel, Event as ChannelEvent, Sender};
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle};
+use clock::boot_time_s;
+use disk_thread::JobResult;
+use limits::MAX_LINKS;
+use port_worker::log::{LogEvent, LogHandle};
 use port_worker::net::io::poll::{Acceptor, Gathered, Poll};
 use port_worker::net::io::source::Source;
-use rustix::time::{clock_gettime, ClockId};
 use server::Server;
 use std::cell::RefCell;
 use std::error::Error;
@@ -25,8 +38,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest number of links: as many sessions as the limits allow, peers and operators among them (descriptors).
-const MAX_LINKS: usize = 4096 + 64;
 /// How often the coordinator's clock is advanced (seconds).
 const TICK_S: f64 = 0.02;
 
@@ -66,23 +77,14 @@
     }
 }
 
-/// A job's number, and its result.
-type JobResult = (u64, DiskResult);
-
 /// Results of the disk that the event loop has received and the server has not.
 type ResultInbox = Rc<RefCell<Vec<JobResult>>>;
 
-/// Seconds on a clock that can't be set and that goes on during sleep.
-fn boot_time_s() -> f64 {
-    let time = clock_gettime(ClockId::Boottime);
-    time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
-}
-
-/// Runs a coordinator until it receives SIGTERM or SIGINT.
+/// Runs a coordinator until it receives SIGTERM or SIGINT. Its events go to `log`.
 ///
 /// # Errors
 /// Why it can't run, in one line.
-pub fn run(path: &Path) -> Result<(), NetError> {
+pub fn run(path: &Path, log: &LogHandle) -> Result<(), NetError> {
     let file = File::read(path)?;
     let mut event_loop: EventLoop<Gathered> =
         EventLoop::try_new().map_err(NetError::event_loop("event loop"))?;
@@ -95,16 +97,18 @@
     let inbox = watch_disk(&handle, channel)?;
     watch_timer(&handle)?;
     let mut server = start_server(poll, acceptor, file, results);
-    let config = &server.file;
-    tracing::info!(coordinator = %config.name, fleet = %config.fleet, at = %local_address, "listens");
+    let coordinator = server.file.name.clone();
+    let fleet = server.file.fleet.clone();
+    ServerEvent::ListenerOpened { coordinator, fleet, address: local_address }.emit();
     let mut gathered = Gathered::default();
     server.carry_out();
     while !gathered.shutdown {
         event_loop.dispatch(None, &mut gathered).map_err(NetError::event_loop("event loop"))?;
         let results = std::mem::take(&mut *inbox.borrow_mut());
         server.poll_once(&mut gathered, results, path);
+        log.report_suppressed();
     }
-    tracing::info!(coordinator = %server.file.name, "ends");
+    ServerEvent::ShutdownComplete.emit();
     Ok(())
 }
 
@@ -112,7 +116,7 @@
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ])
         .map_err(NetError::event_loop("signals"))?;
     handle
-        .insert_source(signals, |event, _, gathered: &mut Gathered| match event.signal() {
+        .insert_source(signals, |event, (), gathered: &mut Gathered| match event.signal() {
             Signal::SIGHUP => gathered.reload = true,
             // A write beyond the limit on file sizes has failed: the disk's thread reports it.
             Signal::SIGXFSZ => {}
@@ -135,7 +139,7 @@
     let inbox = ResultInbox::default();
     let received = inbox.clone();
     handle
-        .insert_source(channel, move |event, _, _: &mut Gathered| {
+        .insert_source(channel, move |event, (), _: &mut Gathered| {
             if let ChannelEvent::Msg(result) = event {
                 received.borrow_mut().push(result);
             }
@@ -147,7 +151,7 @@
 fn watch_timer(handle: &LoopHandle<'static, Gathered>) -> Result<(), NetError> {
     let interval = Duration::from_secs_f64(TICK_S);
     handle
-        .insert_source(Timer::from_duration(interval), move |_, _, _| TimeoutAction::ToDuration(interval))
+        .insert_source(Timer::from_duration(interval), move |_, (), _| TimeoutAction::ToDuration(interval))
         .map_err(NetError::event_loop("timer"))?;
     Ok(())
 }
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -20,8 +20,12 @@
 pub use disk::{carry_out, DiskJob, DiskResult};
 pub use membership::ReplaceError;
 pub use proposals::StepError;
-pub use status::{LogPosition, ReplicaEvent, ReplicaOutput, ReplicaStatus};
+pub use status::{
+    ExclusionCause, LogPosition, MemberStatus, ReplicaEvent, ReplicaOutput, SuspensionCause, Uninitialized,
+    UninitializedCause,
+};
 
+use crate::ids::MemberId;
 use crate::state_machine::{LeaseStateMachine, LATEST};
 use disk::PendingJob;
 use election::ElectionTimeout;
@@ -40,12 +44,12 @@
     /// The replicated state as of the last applied entry.
     pub state_machine: LeaseStateMachine,
     /// Whether the member takes part.
-    pub status: ReplicaStatus,
+    pub status: MemberStatus,
     /// By member number, the latest version that its program can apply.
-    peer_versions: BTreeMap<u64, u32>,
+    peer_versions: BTreeMap<MemberId, u32>,
     version: u32,
     node: Option<RawNode<RaftLog>>,
-    member: u64,
+    member: MemberId,
     applied: u64,
     leads: bool,
     /// What waits for the disk, in order.
@@ -82,11 +86,11 @@
     pub fn new(now: f64, seed: u64, write_overdue_s: f64, version: u32) -> Replica {
         let mut replica = Replica {
             state_machine: LeaseStateMachine::default(),
-            status: ReplicaStatus::Opening,
+            status: MemberStatus::Recovering,
             peer_versions: BTreeMap::new(),
             version: version.min(LATEST),
             node: None,
-            member: 0,
+            member: MemberId::NONE,
             applied: 0,
             leads: false,
             pending_ready: VecDeque::new(),
@@ -119,7 +123,7 @@
 
     /// This member's number; 0 while it has none.
     #[must_use]
-    pub fn member(&self) -> u64 {
+    pub fn member(&self) -> MemberId {
         self.member
     }
 
@@ -130,7 +134,7 @@
     }
 
     /// Records the latest version that another member's program can apply.
-    pub fn record_peer_version(&mut self, member: u64, version: u32) {
+    pub fn record_peer_version(&mut self, member: MemberId, version: u32) {
         self.peer_versions.insert(member, version);
     }
 
@@ -142,8 +146,9 @@
 
     /// The member that leads, as far as this one knows.
     #[must_use]
-    pub fn leader(&self) -> Option<u64> {
-        self.node.as_ref().map(|node| node.raft.leader_id).filter(|id| *id != 0)
+    pub fn leader(&self) -> Option<MemberId> {
+        let leader = self.node.as_ref().map(|node| MemberId(node.raft.leader_id));
+        leader.filter(|leader| *leader != MemberId::NONE)
     }
 
     /// The current term; 0 while this member does not take part.
@@ -161,23 +166,24 @@
 
     /// Members that may vote.
     #[must_use]
-    pub fn voters(&self) -> Vec<u64> {
-        self.node.as_ref().map_or_else(Vec::new, |node| node.store().members.voters.clone())
+    pub fn voters(&self) -> Vec<MemberId> {
+        let voters = self.node.as_ref().map(|node| &node.store().members.voters);
+        voters.into_iter().flatten().copied().map(MemberId).collect()
     }
 
-    /// Peers refuse this member, for this reason; see [`ReplicaStatus::Excluded`].
-    pub fn exclude(&mut self, now: f64, reason: &str) {
-        if self.status == ReplicaStatus::Member {
-            self.leave(now, ReplicaStatus::Excluded(reason.to_owned()));
+    /// Peers accept nothing from this member, for this reason; see [`MemberStatus::Excluded`].
+    pub fn exclude(&mut self, now: f64, cause: ExclusionCause) {
+        if self.status == MemberStatus::Active {
+            self.leave(now, MemberStatus::Excluded(cause));
         }
     }
 
     /// Takes no part until the disk has been opened anew.
-    fn suspend(&mut self, now: f64, reason: String) {
-        self.leave(now, ReplicaStatus::Suspended(reason));
+    fn suspend(&mut self, now: f64, cause: SuspensionCause) {
+        self.leave(now, MemberStatus::Suspended(cause));
     }
 
-    fn leave(&mut self, now: f64, status: ReplicaStatus) {
+    fn leave(&mut self, now: f64, status: MemberStatus) {
         self.node = None;
         self.pending_ready.clear();
         self.disk_retry_at = now + DISK_RETRY_S;
