--- /dev/null
+++ b/test-support/src/executor.rs
@@ -0,0 +1,198 @@
+//! The executor, which runs what the worker admits.
+
+use crate::{accept_link, unique_request_id, Client, RequestBuilder, WorkerUnderTest, TIMEOUT};
+use serde_json::{json, Value};
+use std::io::{BufRead, BufReader, ErrorKind, Write};
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::time::Instant;
+
+/// Gauges of two cores of which one is free, at which the worker may take up a third run.
+const DEFAULT_GAUGES: [f64; 4] = [0.5, 1.0, 0.1, 3.0];
+/// How long an executor that is warm has been up (milliseconds).
+const WARM_UPTIME_MS: f64 = 3_600_000.0;
+
+/// Text as the executor's protocol carries it.
+#[must_use]
+pub fn encode(text: &str) -> String {
+    use base64::Engine;
+    base64::engine::general_purpose::STANDARD.encode(text)
+}
+
+/// A scripted executor on one link. Questions for the gauges are answered along the way.
+#[derive(Debug)]
+pub struct Executor {
+    reader: BufReader<TcpStream>,
+    /// The number of the last notice.
+    pub last_notice: u64,
+    /// What it reports of its cores. By default one of two is free, at which the worker may take up a third run.
+    pub gauges: [f64; 4],
+    /// Jobs that were started before this link; a worker may start them again when their commands were lost.
+    pub started: Vec<Value>,
+}
+
+impl Executor {
+    /// Accepts the worker's next link.
+    ///
+    /// # Panics
+    /// The worker does not connect.
+    #[must_use]
+    pub fn accept(listener: &TcpListener) -> Executor {
+        Executor {
+            reader: BufReader::new(accept_link(listener)),
+            last_notice: 0,
+            gauges: DEFAULT_GAUGES,
+            started: Vec::new(),
+        }
+    }
+
+    /// Answers the worker's JOIN as an executor that is warm.
+    ///
+    /// # Panics
+    /// The link is broken.
+    pub fn welcome(&mut self) {
+        self.send(&json!({"type": "WELCOME", "state": "LOADED", "took": WARM_UPTIME_MS}));
+    }
+
+    /// Sends a notice as it is.
+    ///
+    /// # Panics
+    /// The link is broken.
+    pub fn send(&mut self, notice: &Value) {
+        self.send_raw(&format!("{notice}\n"));
+    }
+
+    /// Sends a part of a notice, without its end.
+    ///
+    /// # Panics
+    /// The link is broken.
+    pub fn send_raw(&mut self, text: &str) {
+        self.reader.get_ref().write_all(text.as_bytes()).unwrap();
+    }
+
+    /// Sends a notice with the next number.
+    ///
+    /// # Panics
+    /// The link is broken.
+    pub fn send_notice(&mut self, mut notice: Value) {
+        self.last_notice += 1;
+        notice["n"] = json!(self.last_notice);
+        self.send(&notice);
+    }
+
+    /// Reports the end of a run.
+    ///
+    /// # Panics
+    /// The link is broken.
+    pub fn send_exit(&mut self, job: &Value, state: &str, result: &str) {
+        let data = encode(result);
+        self.send_notice(json!({"type": "EXIT", "job": job, "state": state, "took": 1.0, "data": data}));
+    }
+
+    /// Sends no more, and lets the worker close the link. To drop the link could reset it, if a command is unread.
+    ///
+    /// # Panics
+    /// The link is broken.
+    pub fn end_link(&self) {
+        self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
+    }
+
+    /// Reads the next command that is no question for the gauges.
+    ///
+    /// # Panics
+    /// None comes within [`TIMEOUT`], or the link is closed.
+    pub fn read_command(&mut self) -> Value {
+        self.read_command_or_end().expect("the link was closed")
+    }
+
+    /// The same; `None` at the end of the link.
+    ///
+    /// # Panics
+    /// Neither comes within [`TIMEOUT`].
+    pub fn read_command_or_end(&mut self) -> Option<Value> {
+        let until = Instant::now() + TIMEOUT;
+        loop {
+            assert!(Instant::now() < until, "no command but questions for the gauges");
+            let mut line = String::new();
+            match self.reader.read_line(&mut line) {
+                Ok(0) => return None,
+                Err(e) if e.kind() == ErrorKind::ConnectionReset => return None,
+                read => read.expect("a command"),
+            };
+            let command: Value = serde_json::from_str(&line).unwrap();
+            if command["type"] == "EXEC" && self.started.contains(&command["job"]) {
+                continue;
+            }
+            if command["type"] != "METER" {
+                return Some(command);
+            }
+            let gauges = json!({"type": "METERS", "ref": command["ref"], "gauges": self.gauges});
+            if self.reader.get_ref().write_all(format!("{gauges}\n").as_bytes()).is_err() {
+                return None;
+            }
+        }
+    }
+
+    /// Reads the commands up to the next question for the gauges, which comes at every wake-up.
+    ///
+    /// # Panics
+    /// None comes within [`TIMEOUT`], or the link is closed.
+    pub fn read_commands_of_one_wakeup(&mut self) -> Vec<Value> {
+        let mut commands = Vec::new();
+        loop {
+            let mut line = String::new();
+            assert!(self.reader.read_line(&mut line).expect("a command") > 0, "the link was closed");
+            let command: Value = serde_json::from_str(&line).unwrap();
+            if command["type"] == "METER" {
+                self.send(&json!({"type": "METERS", "ref": command["ref"], "gauges": self.gauges}));
+                return commands;
+            }
+            commands.push(command);
+        }
+    }
+
+    /// Reads all commands until the worker closes the link. Nothing is answered: an answer to a worker that has ended
+    /// would reset the link, and what it sent last would be lost.
+    ///
+    /// # Panics
+    /// The link is not closed within [`TIMEOUT`].
+    pub fn read_remaining_commands(&mut self) -> Vec<Value> {
+        let lines = (&mut self.reader).lines().map(|l| serde_json::from_str(&l.expect("a command")).unwrap());
+        lines.filter(|c: &Value| c["type"] != "METER").collect()
+    }
+
+    /// Reads the next command, which must be of this type.
+    ///
+    /// # Panics
+    /// It is of another type, or none comes.
+    pub fn expect_command(&mut self, kind: &str) -> Value {
+        let command = self.read_command();
+        assert_eq!(command["type"], kind, "{command}");
+        command
+    }
+
+    /// Runs the next request with this result, which its client then gets.
+    ///
+    /// # Panics
+    /// The client gets something else.
+    pub fn serve_next(&mut self, client: &mut Client, result: &str) {
+        let exec = self.expect_command("EXEC");
+        self.send_exit(&exec["job"], "PASS", result);
+        let reply = client.read_response();
+        assert_eq!((reply.status, &reply.body[..]), (200, result.as_bytes()));
+    }
+
+    /// Expects no command but the one that starts a marker request. That command shows that the worker has handled all
+    /// that was sent before.
+    ///
+    /// # Panics
+    /// Another command came.
+    pub fn expect_no_command(&mut self, worker: &WorkerUnderTest) {
+        let marker = unique_request_id();
+        let mut client = Client::connect(worker.http);
+        client.send(&RequestBuilder::new("look").id(&marker));
+        let command = self.read_command();
+        assert_eq!(command["job"], marker.as_str(), "{command}");
+        self.send_exit(&command["job"], "PASS", "");
+        assert_eq!(client.read_response().status, 200);
+    }
+}
--- /dev/null
+++ b/test-support/src/lib.rs
@@ -0,0 +1,29 @@
+//! What the integration tests of the port worker share: the worker as a process, its clients, and scripted peers in the
+//! places of the executor, the records service and the registry.
+//!
+//! All waits are for conditions. Their one limit, [`TIMEOUT`], is far beyond what a slow machine needs. A failed
+//! expectation panics, and with it the test.
+
+mod client;
+mod executor;
+mod network;
+mod program;
+mod records;
+mod registry;
+mod request;
+mod settings;
+mod shared_listener;
+mod timing;
+mod worker;
+
+pub use client::{Client, Reply};
+pub use executor::{encode, Executor};
+pub use network::{accept_link, reserve_address};
+pub use program::WorkerProgram;
+pub use records::RecordsPeer;
+pub use registry::RegistryPeer;
+pub use request::{unique_request_id, RequestBuilder};
+pub use settings::settings;
+pub use shared_listener::SharedListener;
+pub use timing::{unix_ms, TIMEOUT};
+pub use worker::{MovedPeers, WorkerUnderTest};
--- /dev/null
+++ b/test-support/src/settings.rs
@@ -0,0 +1,25 @@
+//! The platform's settings of the worker under test.
+
+use serde_json::{json, Value};
+
+/// A small service: class `look` is idempotent and calls the records service, class `order` needs an idempotency key; one
+/// tenant, two cores.
+#[must_use]
+pub fn settings() -> Value {
+    json!({
+        "profiles": [
+            {"name": "look", "credit": 1.0, "targetS": 4.0, "deadlineS": 8.0, "effect": "safe", "windowS": 5.0},
+            {"name": "order", "credit": 5.0, "targetS": 4.0, "deadlineS": 8.0, "effect": "keyed", "windowS": 30.0}
+        ],
+        "tenants": [{"name": "acme", "quotaPerS": 1000.0, "share": 1.0}],
+        "domain": {
+            "nCores": 2, "heapKb": 90000.0, "runFactor": 4.0, "entryKb": 100.0, "idleS": 30.0,
+            "dependsOn": "one_for_all", "fairCalls": 8.0, "depWindowS": 5.0, "staysForS": 0.2,
+            "classCalls": [true, true], "degradedWorth": [0.6, 0.0], "passesDeadline": true,
+            "signal": "weight", "ownStats": ["cpu_busy", "runnable", "mem_used", "sockets"], "senders": 2
+        },
+        "contract": {"fallMultiple": 8.0, "tipAfterS": 3.0, "drainGraceS": 2.0, "graceToAnswerS": 0.1},
+        "limits": {"maxRetryAfterS": 1.0, "retryAfter": true},
+        "clients": {"marksRetry": true}, "overShareWorth": 0.1, "servers": 2, "periodS": 0.004
+    })
+}
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -1,84 +1,84 @@
 //! Stories of the operators' console: a started worker, its scripted peers, and calls on its second address.
 
-mod common;
-
-use common::*;
 use serde_json::json;
 use std::io::Write;
 use std::net::TcpStream;
-use std::process::Command;
 use std::time::{Duration, Instant};
+use test_support::{settings, Client, Executor, RequestBuilder, WorkerProgram, WorkerUnderTest, TIMEOUT};
+
+/// The program under test.
+const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
-fn site() -> Site {
-    Site::with(|c| c["console"] = json!("127.0.0.1:0"), None)
+fn start_with_console() -> WorkerUnderTest {
+    WORKER.start_with(|c| c["console"] = json!("127.0.0.1:0"), None)
 }
 
 #[test]
 fn ready_says_no_until_the_executor_is_up_and_after_the_notice_to_leave() {
-    let mut site = site();
-    assert_eq!(site.call("GET", "/-/ready").0, 503);
-    let mut executor = site.link();
-    assert_eq!(site.call("GET", "/-/ready").0, 200);
-    let mut client = Client::connect(site.http);
-    client.send(&Ask::new("look"));
-    let exec = executor.next("EXEC");
-    site.terminate();
-    site.wait_log("notice to leave");
-    assert_eq!(site.call("GET", "/-/ready").0, 503);
-    executor.exit(&exec["job"], "PASS", "");
-    assert_eq!(client.answer().status, 200);
-    assert!(site.ended_well());
+    let mut worker = start_with_console();
+    assert_eq!(worker.console_request("GET", "/-/ready").0, 503);
+    let mut executor = worker.accept_link();
+    assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
+    let mut client = Client::connect(worker.http);
+    client.send(&RequestBuilder::new("look"));
+    let exec = executor.expect_command("EXEC");
+    worker.terminate();
+    worker.wait_log("notice to leave");
+    assert_eq!(worker.console_request("GET", "/-/ready").0, 503);
+    executor.send_exit(&exec["job"], "PASS", "");
+    assert_eq!(client.read_response().status, 200);
+    assert!(worker.exits_successfully());
 }
 
 #[test]
 fn what_is_no_call_is_turned_away_by_its_status() {
-    let site = site();
-    assert_eq!(site.call("GET", "/-/nothing").0, 404);
-    assert_eq!(site.call("POST", "/-/metrics").0, 405);
-    assert_eq!(site.call("GET", "/-/drain").0, 405);
-    assert_eq!(site.call("nonsense", "and more").0, 400);
+    let worker = start_with_console();
+    assert_eq!(worker.console_request("GET", "/-/nothing").0, 404);
+    assert_eq!(worker.console_request("POST", "/-/metrics").0, 405);
+    assert_eq!(worker.console_request("GET", "/-/drain").0, 405);
+    assert_eq!(worker.console_request("nonsense", "and more").0, 400);
     // Nothing of that drained it.
-    let _executor = site.link();
-    assert_eq!(site.health(), 200);
+    let _executor = worker.accept_link();
+    assert_eq!(worker.check_health(), 200);
 }
 
 #[test]
 fn figures_are_what_the_peers_saw_and_all_classes_are_there_from_the_start() {
-    let site = site();
-    let mut executor = site.link();
-    let (_, text) = site.call("GET", "/-/metrics");
+    let worker = start_with_console();
+    let mut executor = worker.accept_link();
+    let (_, text) = worker.console_request("GET", "/-/metrics");
     for class in ["look", "order"] {
         for what in ["success", "overload", "error", "dispatches"] {
             assert!(text.contains(&format!("svc.replies.{class}.{what}=0\n")), "{text}");
         }
     }
-    let mut client = Client::connect(site.http);
+    let mut client = Client::connect(worker.http);
     for state in ["PASS", "PASS", "FAIL"] {
-        client.send(&Ask::new("look"));
-        let exec = executor.next("EXEC");
-        assert_eq!(site.figure("svc.concurrent"), 1);
-        executor.exit(&exec["job"], state, "");
-        client.answer();
+        client.send(&RequestBuilder::new("look"));
+        let exec = executor.expect_command("EXEC");
+        assert_eq!(worker.metric("svc.concurrent"), 1);
+        executor.send_exit(&exec["job"], state, "");
+        client.read_response();
     }
     // A key's second try is a second request and the same run.
     for _ in 0..2 {
-        client.send(&Ask { key: Some("k1"), ..Ask::new("order") });
+        client.send(&RequestBuilder::new("order").key("k1"));
         if executor.started.is_empty() {
-            let exec = executor.next("EXEC");
+            let exec = executor.expect_command("EXEC");
             executor.started.push(exec["job"].clone());
-            executor.exit(&exec["job"], "PASS", "");
+            executor.send_exit(&exec["job"], "PASS", "");
         }
-        assert_eq!(client.answer().status, 200);
+        assert_eq!(client.read_response().status, 200);
     }
     // One that its client leaves ends too, and its run with it.
-    client.send(&Ask::new("look"));
-    let exec = executor.next("EXEC");
+    client.send(&RequestBuilder::new("look"));
+    let exec = executor.expect_command("EXEC");
     client.reset();
-    let until = Instant::now() + PATIENCE;
-    while site.figure("svc.concurrent") > 0 {
+    let until = Instant::now() + TIMEOUT;
+    while worker.metric("svc.concurrent") > 0 {
         assert!(Instant::now() < until, "the request of a client that left never ends");
     }
-    executor.exit(&exec["job"], "PASS", "");
+    executor.send_exit(&exec["job"], "PASS", "");
     for (name, n) in [
         ("svc.replies.look.success", 2),
         ("svc.replies.look.dispatches", 4),
@@ -87,76 +87,76 @@
         ("svc.replies.order.success", 2),
         ("svc.replies.order.dispatches", 1),
     ] {
-        assert_eq!(site.figure(name), n, "{name}");
+        assert_eq!(worker.metric(name), n, "{name}");
     }
 }
 
 #[test]
 fn a_drain_makes_health_bad_and_answers_what_still_comes_until_it_is_ended() {
-    let mut site = site();
-    let mut executor = site.link();
-    assert_eq!(site.call("POST", "/-/resume").0, 200);
+    let mut worker = start_with_console();
+    let mut executor = worker.accept_link();
+    assert_eq!(worker.console_request("POST", "/-/resume").0, 200);
     for _ in 0..2 {
-        assert_eq!(site.call("POST", "/-/drain").0, 200);
-        assert_eq!(site.health(), 503);
-        site.wait_beat("draining");
+        assert_eq!(worker.console_request("POST", "/-/drain").0, 200);
+        assert_eq!(worker.check_health(), 503);
+        worker.wait_load_report("draining");
     }
     // A reload and a new link do not end it.
-    site.reload(|c| c["stop_ms"] = json!(7000));
-    site.wait_log("reload");
+    worker.reload(|c| c["stop_ms"] = json!(7000));
+    worker.wait_log("reload");
     drop(executor);
-    executor = Executor::accept(&site.executor);
-    executor.next("JOIN");
-    assert_eq!(site.health(), 503);
-    let mut client = Client::connect(site.http);
-    client.send(&Ask { key: Some("k1"), ..Ask::new("order") });
-    let exec = executor.next("EXEC");
-    executor.exit(&exec["job"], "PASS", "as ever");
-    let reply = client.answer();
+    executor = Executor::accept(&worker.executor);
+    executor.expect_command("JOIN");
+    assert_eq!(worker.check_health(), 503);
+    let mut client = Client::connect(worker.http);
+    client.send(&RequestBuilder::new("order").key("k1"));
+    let exec = executor.expect_command("EXEC");
+    executor.send_exit(&exec["job"], "PASS", "as ever");
+    let reply = client.read_response();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"as ever"[..]));
     assert_eq!(reply.header("Connection"), None);
-    assert_eq!(site.call("POST", "/-/resume").0, 200);
-    assert_eq!(site.health(), 200);
-    site.wait_beat("ready");
-    assert!(site.alive());
+    assert_eq!(worker.console_request("POST", "/-/resume").0, 200);
+    assert_eq!(worker.check_health(), 200);
+    worker.wait_load_report("ready");
+    assert!(worker.is_running());
 }
 
 #[test]
 fn a_notice_to_leave_wins_over_the_end_of_a_drain() {
-    let mut site = site();
-    let mut executor = site.link();
-    let mut client = Client::connect(site.http);
-    client.send(&Ask::new("look"));
-    let exec = executor.next("EXEC");
-    assert_eq!(site.call("POST", "/-/drain").0, 200);
-    site.terminate();
-    site.wait_log("notice to leave");
-    assert_eq!(site.call("POST", "/-/resume").0, 200);
-    assert_eq!(site.health(), 503);
-    executor.exit(&exec["job"], "PASS", "");
-    assert_eq!(client.answer().status, 200);
-    assert!(site.ended_well());
+    let mut worker = start_with_console();
+    let mut executor = worker.accept_link();
+    let mut client = Client::connect(worker.http);
+    client.send(&RequestBuilder::new("look"));
+    let exec = executor.expect_command("EXEC");
+    assert_eq!(worker.console_request("POST", "/-/drain").0, 200);
+    worker.terminate();
+    worker.wait_log("notice to leave");
+    assert_eq!(worker.console_request("POST", "/-/resume").0, 200);
+    assert_eq!(worker.check_health(), 503);
+    executor.send_exit(&exec["job"], "PASS", "");
+    assert_eq!(client.read_response().status, 200);
+    assert!(worker.exits_successfully());
 }
 
 /// The oldest that has not asked goes for the next, so that holders keep nobody out; and no crowd of clients takes
 /// the console's descriptors.
 #[test]
 fn calls_are_answered_beside_holders_and_a_flood_of_clients() {
-    let site = site();
-    let _executor = site.link();
-    let flood: Vec<TcpStream> = (0..220).filter_map(|_| TcpStream::connect(site.http).ok()).collect();
+    let worker = start_with_console();
+    let _executor = worker.accept_link();
+    let flood: Vec<TcpStream> = (0..220).filter_map(|_| TcpStream::connect(worker.http).ok()).collect();
     let mut holders = Vec::new();
     for round in 0..80 {
-        let mut holder = TcpStream::connect(site.console.unwrap()).unwrap();
+        let mut holder = TcpStream::connect(worker.console.unwrap()).unwrap();
         if round % 2 == 0 {
             holder.write_all(b"GET /-/rea").unwrap();
         }
         holders.push(holder);
         if round % 8 == 0 {
             let asked = Instant::now();
-            assert_eq!(site.call("GET", "/-/ready").0, 200);
+            assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
             // What the page wants; it takes a millisecond where nothing else runs.
-            assert!(asked.elapsed() < PATIENCE / 2, "{:?}", asked.elapsed());
+            assert!(asked.elapsed() < TIMEOUT / 2, "{:?}", asked.elapsed());
         }
     }
     drop(flood);
@@ -164,13 +164,13 @@
 
 #[test]
 fn a_call_that_comes_byte_by_byte_is_answered() {
-    let site = site();
-    let mut client = Client::connect(site.console.unwrap());
+    let worker = start_with_console();
+    let mut client = Client::connect(worker.console.unwrap());
     for byte in "GET /-/metrics HTTP/1.1\r\nHost: n1\r\n\r\n".chars() {
         client.write(&byte.to_string());
         std::thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!(client.answer().status, 200);
+    assert_eq!(client.read_response().status, 200);
 }
 
 #[test]
@@ -185,7 +185,8 @@
     for (address, said) in
         [("nowhere", "ROUTER_CONSOLE"), (&taken.local_addr().unwrap().to_string(), "console")]
     {
-        let ended = Command::new(env!("CARGO_BIN_EXE_port-worker"))
+        let ended = WORKER
+            .command()
             .env("ROUTER_CONFIG", folder.join("config.json"))
             .env("ROUTER_CONSOLE", address)
             .output()
@@ -199,10 +200,11 @@
 
 #[test]
 fn the_environments_address_goes_before_the_files_and_the_log_says_so() {
-    let mut site =
-        Site::with_env(&[("ROUTER_CONSOLE", "127.0.0.1:0")], |c| c["console"] = json!("127.0.0.1:9"));
-    site.wait_log("ROUTER_CONSOLE goes before the configuration's 127.0.0.1:9");
-    assert_eq!(site.call("GET", "/-/metrics").0, 200);
+    let mut worker = WORKER.start_with_environment(&[("ROUTER_CONSOLE", "127.0.0.1:0")], |c| {
+        c["console"] = json!("127.0.0.1:9")
+    });
+    worker.wait_log("ROUTER_CONSOLE goes before the configuration's 127.0.0.1:9");
+    assert_eq!(worker.console_request("GET", "/-/metrics").0, 200);
 }
 
 #[test]
@@ -210,7 +212,7 @@
     // An address that no other test is given: nobody else listens there once this one does not.
     let executor = std::net::TcpListener::bind("127.0.77.1:0").unwrap();
     let at = executor.local_addr().unwrap();
-    let mut site = Site::with(
+    let mut worker = WORKER.start_with(
         |c| {
             c["console"] = json!("127.0.0.1:0");
             c["executor"] = json!(at);
@@ -218,11 +220,11 @@
         None,
     );
     let mut link = Executor::accept(&executor);
-    link.next("JOIN");
-    link.say(json!({"type": "WELCOME", "state": "LOADED", "took": 3_600_000.0}));
-    site.wait_beat("ready");
-    assert_eq!(site.call("GET", "/-/ready").0, 200);
+    link.expect_command("JOIN");
+    link.welcome();
+    worker.wait_load_report("ready");
+    assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
     drop((link, executor));
-    site.wait_log("executor: no link");
-    assert_eq!(site.call("GET", "/-/ready"), (503, "no link to the executor\n".to_owned()));
+    worker.wait_log("executor: no link");
+    assert_eq!(worker.console_request("GET", "/-/ready"), (503, "no link to the executor\n".to_owned()));
 }
--- a/tests/crossings/keys.rs
+++ b/tests/crossings/keys.rs
@@ -2,94 +2,97 @@
 
 use super::*;
 
-fn short_window(window_s: f64) -> Site {
-    Site::with(|c| c["settings"]["profiles"][1]["windowS"] = json!(window_s), None)
+fn short_window(window_s: f64) -> WorkerUnderTest {
+    WORKER.start_with(|c| c["settings"]["profiles"][1]["windowS"] = json!(window_s), None)
 }
 
-fn order<'a>() -> Ask<'a> {
-    Ask { key: Some("5c0f6e1a"), ..Ask::new("order") }
+fn order<'a>() -> RequestBuilder<'a> {
+    RequestBuilder::new("order").key("5c0f6e1a")
 }
 
 /// The window ends long before the run does.
 #[test]
 fn a_key_is_retained_while_its_run_goes_on_however_short_its_window() {
     for window_s in [0.0, 0.1] {
-        let site = short_window(window_s);
-        let mut executor = site.link();
-        let (mut first, job) = start_run(&site, &mut executor, &order());
+        let worker = short_window(window_s);
+        let mut executor = worker.accept_link();
+        let (mut first, job) = start_run(&worker, &mut executor, &order());
         // The table is swept each second.
         let_pass(Duration::from_millis(1300));
-        let mut retry = Client::connect(site.http);
+        let mut retry = Client::connect(worker.http);
         retry.send(&order());
-        executor.quiet_but_for(&site, "");
-        executor.exit(&job, "PASS", "once");
-        assert_eq!((first.answer().body, retry.answer().body), (b"once".to_vec(), b"once".to_vec()));
+        executor.expect_no_command(&worker);
+        executor.send_exit(&job, "PASS", "once");
+        assert_eq!(
+            (first.read_response().body, retry.read_response().body),
+            (b"once".to_vec(), b"once".to_vec())
+        );
     }
 }
 
 /// The retry and the end of the run are handled in one turn.
 #[test]
 fn a_retry_that_meets_the_end_of_its_run_gets_its_result() {
-    let site = Site::start();
-    let mut executor = site.link();
-    let (mut first, job) = start_run(&site, &mut executor, &order());
-    let mut retry = Client::connect(site.http);
-    assert_eq!(retry.ask_check(), 200);
+    let worker = WORKER.start();
+    let mut executor = worker.accept_link();
+    let (mut first, job) = start_run(&worker, &mut executor, &order());
+    let mut retry = Client::connect(worker.http);
+    assert_eq!(retry.check_health(), 200);
     for round in 0..2 {
-        site.hang(true);
+        worker.suspend();
         // In the second round the run has ended long ago.
         if round == 0 {
-            executor.exit(&job, "PASS", "once");
+            executor.send_exit(&job, "PASS", "once");
         }
         retry.send(&order());
-        site.hang(false);
-        assert_eq!(retry.answer().body, b"once");
+        worker.resume();
+        assert_eq!(retry.read_response().body, b"once");
     }
-    assert_eq!(first.answer().body, b"once");
-    executor.quiet_but_for(&site, "");
+    assert_eq!(first.read_response().body, b"once");
+    executor.expect_no_command(&worker);
 }
 
 /// The first caller resets its connection as its run ends; the retry comes in the same turn.
 #[test]
 fn a_reset_the_end_of_the_run_and_a_retry_in_one_turn_are_one_run() {
-    let site = Site::start();
-    let mut executor = site.link();
-    let (first, job) = start_run(&site, &mut executor, &order());
-    site.hang(true);
+    let worker = WORKER.start();
+    let mut executor = worker.accept_link();
+    let (first, job) = start_run(&worker, &mut executor, &order());
+    worker.suspend();
     first.reset();
-    executor.exit(&job, "PASS", "once");
-    let mut retry = Client::connect(site.http);
+    executor.send_exit(&job, "PASS", "once");
+    let mut retry = Client::connect(worker.http);
     retry.send(&order());
-    site.hang(false);
-    assert_eq!(retry.answer().body, b"once");
-    executor.quiet_but_for(&site, "");
+    worker.resume();
+    assert_eq!(retry.read_response().body, b"once");
+    executor.expect_no_command(&worker);
 }
 
 /// An attempt that reached the machine within the window is read after one that came when it was over, whose run may
 /// not begin: it still gets the result of the first run.
 #[test]
 fn an_attempt_of_the_window_that_is_read_after_a_later_one_does_not_run_again() {
-    let site = short_window(0.3);
-    let mut executor = site.link();
+    let worker = short_window(0.3);
+    let mut executor = worker.accept_link();
     executor.gauges = [1.0, 4.0, 0.1, 3.0];
-    let (mut first, job) = start_run(&site, &mut executor, &order());
+    let (mut first, job) = start_run(&worker, &mut executor, &order());
     let arrived_ms = unix_ms();
-    executor.exit(&job, "PASS", "once");
-    assert_eq!(first.answer().body, b"once");
+    executor.send_exit(&job, "PASS", "once");
+    assert_eq!(first.read_response().body, b"once");
     // Both slots are taken, so that the late one is queued.
     let busy: Vec<(Client, Value)> =
-        (0..2).map(|_| start_run(&site, &mut executor, &Ask::new("look"))).collect();
+        (0..2).map(|_| start_run(&worker, &mut executor, &RequestBuilder::new("look"))).collect();
     let_pass(Duration::from_millis(500));
-    let mut late = Client::connect(site.http);
+    let mut late = Client::connect(worker.http);
     late.send(&order());
-    assert_eq!(site.health(), 200);
-    let mut within = Client::connect(site.http);
-    let reply = within.ask(&Ask { arrived_ms, ..order() });
+    assert_eq!(worker.check_health(), 200);
+    let mut within = Client::connect(worker.http);
+    let reply = within.request(&order().arrived_ms(arrived_ms));
     assert_eq!((reply.status, reply.body), (200, b"once".to_vec()));
     // Now the late one may run.
     for (mut client, job) in busy {
-        executor.exit(&job, "PASS", "");
-        assert_eq!(client.answer().status, 200);
+        executor.send_exit(&job, "PASS", "");
+        assert_eq!(client.read_response().status, 200);
     }
-    executor.serve(&mut late, "anew");
+    executor.serve_next(&mut late, "anew");
 }
--- a/tests/crossings/main.rs
+++ b/tests/crossings/main.rs
@@ -4,17 +4,21 @@
 //! A worker that is stopped by SIGSTOP handles nothing: what reaches it meanwhile, it finds in one turn of its loop.
 
 mod closing;
-#[path = "../common/mod.rs"]
-mod common;
 mod downstream;
 mod keys;
 mod shutdown;
 
-use common::*;
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
+use test_support::{
+    encode, unique_request_id, unix_ms, Client, Executor, RegistryPeer, Reply, RequestBuilder,
+    SharedListener, WorkerProgram, WorkerUnderTest, TIMEOUT,
+};
+
+/// The program under test.
+const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
 /// Lets so much time pass while the worker is stopped: past the end of the timeout that is the test's subject.
 fn let_pass(time: Duration) {
@@ -44,7 +48,7 @@
 
 /// Waits until nothing listens there any more.
 fn wait_refused(address: SocketAddr) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while TcpStream::connect(address).is_ok() {
         assert!(Instant::now() < until, "it goes on listening");
         std::thread::sleep(Duration::from_millis(2));
@@ -52,8 +56,8 @@
 }
 
 /// A site with this grace and this time from the shutdown notice to the stop.
-fn site_with_shutdown(grace_s: f64, stop_ms: u64) -> Site {
-    Site::with(
+fn start_with_shutdown(grace_s: f64, stop_ms: u64) -> WorkerUnderTest {
+    WORKER.start_with(
         |c| {
             c["settings"]["contract"]["drainGraceS"] = json!(grace_s);
             c["stop_ms"] = json!(stop_ms);
@@ -63,15 +67,15 @@
 }
 
 /// Starts a run of this class on a connection of its own.
-fn start_run(site: &Site, executor: &mut Executor, ask: &Ask) -> (Client, Value) {
-    let mut client = Client::connect(site.http);
+fn start_run(worker: &WorkerUnderTest, executor: &mut Executor, ask: &RequestBuilder) -> (Client, Value) {
+    let mut client = Client::connect(worker.http);
     client.send(ask);
-    (client, executor.next("EXEC")["job"].clone())
+    (client, executor.expect_command("EXEC")["job"].clone())
 }
 
 /// Ends a run successfully and checks that its caller gets the result.
 fn finish_run(executor: &mut Executor, job: &Value, client: &mut Client) {
-    executor.exit(job, "PASS", "done");
-    let reply = client.answer();
+    executor.send_exit(job, "PASS", "done");
+    let reply = client.read_response();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"done"[..]), "{}", reply.head);
 }
--- a/tests/http2/conformance.rs
+++ b/tests/http2/conformance.rs
@@ -1,7 +1,7 @@
 //! RFC 9113 and RFC 7541 by section: what is sent after a sound preface, and what must come of it.
 
-use crate::common::Site;
 use crate::peer::*;
+use crate::WORKER;
 
 const FLOW_CONTROL_ERROR: u32 = 3;
 const STREAM_CLOSED: u32 = 5;
@@ -184,10 +184,10 @@
 
 #[test]
 fn what_each_section_asks_for_comes() {
-    let site = Site::with(|_| {}, Some(FRONT));
-    let mut executor = site.link();
+    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut executor = worker.accept_link();
     for case in cases() {
-        let mut peer = Peer::connect(&site, &[]);
+        let mut peer = Peer::connect(&worker, &[]);
         for (kind, flags, stream, payload) in &case.sent {
             peer.frame(*kind, *flags, *stream, payload);
         }
@@ -210,34 +210,34 @@
             Comes::Nothing => {
                 peer.frame(PING, 0, 0, b"whatever");
                 peer.next(&name, |f| f.kind == PING && f.payload == b"whatever");
-                peer.ask(7, "nonsense", None, "hello");
-                assert_eq!(peer.answer(7).status, 404, "{name}");
+                peer.send_request(7, "nonsense", None, "hello");
+                assert_eq!(peer.read_response(7).status, 404, "{name}");
             }
         }
     }
-    executor.quiet_but_for(&site, "none");
+    executor.expect_no_command(&worker);
 }
 
 /// Sections 6.9.1 and 6.9.2: the window is the settings' as soon as the client has acknowledged them.
 #[test]
 fn data_beyond_a_streams_window_ends_the_stream_and_never_reaches_the_module() {
-    let site = Site::with(|_| {}, Some(FRONT));
-    let mut executor = site.link();
-    let mut peer = Peer::connect(&site, &[]);
+    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut executor = worker.accept_link();
+    let mut peer = Peer::connect(&worker, &[]);
     // Reading the settings acknowledges them, and the ping's answer shows that this has been seen.
     peer.next("settings", |f| f.kind == SETTINGS && f.flags & ACK == 0);
     peer.frame(PING, 0, 0, b"whatever");
     peer.next("the ping's answer", |f| f.kind == PING && f.flags & ACK != 0);
     peer.frame(HEADERS, END_HEADERS, 1, &Peer::block(&Peer::head("look", None)));
     peer.frame(DATA, END_STREAM, 1, &[b'x'; 5000]);
-    assert_eq!(peer.answer(1).reset, Some(FLOW_CONTROL_ERROR));
-    executor.quiet_but_for(&site, "none");
+    assert_eq!(peer.read_response(1).reset, Some(FLOW_CONTROL_ERROR));
+    executor.expect_no_command(&worker);
 }
 
 #[test]
 fn a_request_cut_at_every_byte_is_one_request() {
-    let site = Site::with(|_| {}, Some(FRONT));
-    let mut executor = site.link();
+    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut executor = worker.accept_link();
     let block = Peer::block(&Peer::head("look", None));
     let whole = [
         PREFACE.to_vec(),
@@ -247,11 +247,11 @@
     ]
     .concat();
     // A byte a write, on one connection; each is a segment of its own.
-    let mut peer = Peer::silent(&site);
+    let mut peer = Peer::silent(&worker);
     for byte in &whole {
         peer.raw(&[*byte]);
     }
-    let job = executor.next("EXEC")["job"].clone();
-    executor.exit(&job, "PASS", "seen");
-    assert_eq!(peer.answer(1).body, b"seen");
+    let job = executor.expect_command("EXEC")["job"].clone();
+    executor.send_exit(&job, "PASS", "seen");
+    assert_eq!(peer.read_response(1).body, b"seen");
 }
--- a/tests/http2/peer.rs
+++ b/tests/http2/peer.rs
@@ -1,8 +1,8 @@
 //! A client that speaks frames byte by byte, right or wrong.
 
-use crate::common::{name, unix_ms, Site, PATIENCE};
 use std::io::{Read, Write};
 use std::net::TcpStream;
+use test_support::{unique_request_id, unix_ms, WorkerUnderTest, TIMEOUT};
 
 pub const FRONT: &str = "[http2]\nlisten = \"127.0.0.1:0\"\n";
 pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
@@ -70,16 +70,16 @@
 
 impl Peer {
     /// Connects and says nothing.
-    pub fn silent(site: &Site) -> Peer {
-        let stream = TcpStream::connect(site.http2.unwrap()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    pub fn silent(worker: &WorkerUnderTest) -> Peer {
+        let stream = TcpStream::connect(worker.http2.unwrap()).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Peer { stream, decoder: hpack::Decoder::new(), kept: Vec::new(), ack_pings: true }
     }
 
     /// Connects and says the preface with these settings (identifier, value).
-    pub fn connect(site: &Site, settings: &[(u16, u32)]) -> Peer {
-        let mut peer = Peer::silent(site);
+    pub fn connect(worker: &WorkerUnderTest, settings: &[(u16, u32)]) -> Peer {
+        let mut peer = Peer::silent(worker);
         peer.raw(PREFACE);
         let payload: Vec<u8> = settings
             .iter()
@@ -123,7 +123,7 @@
             pair(":scheme", "http"),
             pair(":authority", "service.internal"),
             pair(":path", &format!("/do/{class}")),
-            pair("x-correlation-id", &name()),
+            pair("x-correlation-id", &unique_request_id()),
             pair("x-arrived-ms", &unix_ms().to_string()),
             pair("x-org", "acme"),
             pair("x-deadline-ms", "8000"),
@@ -132,7 +132,7 @@
         head
     }
 
-    pub fn ask(&mut self, stream: u32, class: &str, key: Option<&str>, body: &str) {
+    pub fn send_request(&mut self, stream: u32, class: &str, key: Option<&str>, body: &str) {
         let block = Peer::block(&Peer::head(class, key));
         self.frame(HEADERS, END_HEADERS, stream, &block);
         self.frame(DATA, END_STREAM, stream, body.as_bytes());
@@ -184,7 +184,7 @@
     }
 
     /// All of one stream's answer.
-    pub fn answer(&mut self, stream: u32) -> Reply {
+    pub fn read_response(&mut self, stream: u32) -> Reply {
         let mut reply = Reply::default();
         loop {
             let frame = self
@@ -215,7 +215,7 @@
         (frame.code(0) & 0x7fff_ffff, frame.code(4))
     }
 
-    pub fn closed(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         while let Some(frame) = self.read() {
             self.kept.push(frame);
         }
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -4,12 +4,12 @@
 //! To record the fixtures anew from the present worker, run with `UPDATE_OUTPUT_FIXTURES=1` and read the difference. Such
 //! a run fails: nothing is compared in it.
 
-mod common;
-
-use common::*;
 use serde_json::json;
 use std::path::PathBuf;
-use std::time::Instant;
+use test_support::{Client, RequestBuilder, SharedListener, WorkerProgram, WorkerUnderTest};
+
+/// The program under test.
+const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
 const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
 
@@ -53,7 +53,7 @@
     format!("<time> {}", mask_durations(&text))
 }
 
-fn log_of(worker: &mut Site) -> String {
+fn log_of(worker: &mut WorkerUnderTest) -> String {
     worker.complete_log().iter().map(|line| mask_line(line) + "\n").collect()
 }
 
@@ -68,25 +68,18 @@
     assert_eq!(found, expected, "{fixture}");
 }
 
-fn terminate(worker: &mut Site) {
+fn terminate(worker: &mut WorkerUnderTest) {
     worker.terminate();
-    assert!(worker.ended_well());
-}
-
-fn wait_ready(worker: &Site) {
-    let until = Instant::now() + PATIENCE;
-    while worker.call("GET", "/-/ready").0 != 200 {
-        assert!(Instant::now() < until, "the worker never gets ready");
-    }
+    assert!(worker.exits_successfully());
 }
 
 #[test]
 fn start_and_graceful_shutdown_log_the_recorded_lines() {
-    let mut worker = Site::with(|config| config["console"] = json!("127.0.0.1:0"), None);
-    let mut executor = worker.link();
+    let mut worker = WORKER.start_with(|config| config["console"] = json!("127.0.0.1:0"), None);
+    let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
-    client.send(&Ask::new("look"));
-    executor.serve(&mut client, "done");
+    client.send(&RequestBuilder::new("look"));
+    executor.serve_next(&mut client, "done");
     terminate(&mut worker);
     check("shutdown.txt", &log_of(&mut worker));
 }
@@ -94,8 +87,8 @@
 #[test]
 fn good_and_rejected_reloads_log_the_recorded_lines() {
     let pools = "[pools]\n[[pools.pool]]\nname = \"all\"\nclasses = [\"look\", \"order\"]\n";
-    let mut worker = Site::with(|_| {}, Some(""));
-    let _executor = worker.link();
+    let mut worker = WORKER.start_with(|_| {}, Some(""));
+    let _executor = worker.accept_link();
     worker.reload(|config| config["stop_ms"] = json!(7000));
     worker.wait_log("127.0.0.1:");
     worker.reload(|config| config["name"] = json!("n2"));
@@ -116,24 +109,24 @@
 
 #[test]
 fn executor_link_lost_and_restored_logs_the_recorded_lines() {
-    let mut worker = Site::start();
-    let first = worker.link();
+    let mut worker = WORKER.start();
+    let first = worker.accept_link();
     first.end_link();
     worker.wait_log("link lost");
-    let mut executor = worker.link_silently();
+    let mut executor = worker.accept_link_unreported();
     let mut client = Client::connect(worker.http);
-    client.send(&Ask::new("look"));
-    executor.serve(&mut client, "served over the second link");
+    client.send(&RequestBuilder::new("look"));
+    executor.serve_next(&mut client, "served over the second link");
     terminate(&mut worker);
     check("executor_link.txt", &log_of(&mut worker));
 }
 
 #[test]
 fn console_drain_and_resume_log_the_recorded_lines() {
-    let mut worker = Site::with(|config| config["console"] = json!("127.0.0.1:0"), None);
-    let _executor = worker.link();
+    let mut worker = WORKER.start_with(|config| config["console"] = json!("127.0.0.1:0"), None);
+    let _executor = worker.accept_link();
     for path in ["/-/drain", "/-/drain", "/-/resume", "/-/resume"] {
-        assert_eq!(worker.call("POST", path).0, 200);
+        assert_eq!(worker.console_request("POST", path).0, 200);
     }
     terminate(&mut worker);
     check("console_drain.txt", &log_of(&mut worker));
@@ -141,13 +134,13 @@
 
 #[test]
 fn hot_restart_logs_the_recorded_lines_in_both_processes() {
-    let shared = SharedListener::new();
-    let mut predecessor = Site::at(&shared, |_| {});
-    let _predecessor_executor = predecessor.link();
-    wait_ready(&predecessor);
-    let mut successor = Site::at(&shared, |_| {});
-    let _successor_executor = successor.link();
-    wait_ready(&successor);
+    let shared = SharedListener::bind();
+    let mut predecessor = WORKER.start_on(&shared, |_| {});
+    let _predecessor_executor = predecessor.accept_link();
+    predecessor.wait_ready();
+    let mut successor = WORKER.start_on(&shared, |_| {});
+    let _successor_executor = successor.accept_link();
+    successor.wait_ready();
     terminate(&mut predecessor);
     terminate(&mut successor);
     let (predecessor, successor) = (log_of(&mut predecessor), log_of(&mut successor));
--- a/tests/output_pins.rs
+++ b/tests/output_pins.rs
@@ -4,18 +4,21 @@
 //! To write the fixtures anew from the present programs, run with `UPDATE_OUTPUT_FIXTURES=1` and read the difference.
 //! Such a run fails: nothing is compared in it.
 
-mod common;
-
-use common::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
 use std::time::Instant;
+use test_support::{
+    accept_link, reserve_address, settings, unique_request_id, Client, Executor, Reply, RequestBuilder,
+    WorkerProgram, WorkerUnderTest, TIMEOUT,
+};
+
+/// The program under test.
+const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
 /// The programs as cargo built them, and the names by which they speak of themselves.
-const WORKER: &str = env!("CARGO_BIN_EXE_port-worker");
 const WORKER_NAME: &str = "port-worker";
 const SIMULATOR_ADAPTER: &str = env!("CARGO_BIN_EXE_simulator-adapter");
 const SIMULATOR_ADAPTER_NAME: &str = "simulator-adapter";
@@ -75,7 +78,8 @@
 
 impl Folder {
     fn new() -> Folder {
-        let folder = std::env::temp_dir().join(format!("output-pins-{}-{}", std::process::id(), name()));
+        let folder =
+            std::env::temp_dir().join(format!("output-pins-{}-{}", std::process::id(), unique_request_id()));
         std::fs::create_dir_all(&folder).unwrap();
         Folder(folder)
     }
@@ -121,39 +125,39 @@
 // The console.
 
 /// Sends one call as it is and reads all that comes until the console closes.
-fn console_exchange(site: &Site, request: &str) -> Vec<u8> {
-    let mut stream = TcpStream::connect(site.console.expect("a console")).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+fn console_exchange(worker: &WorkerUnderTest, request: &str) -> Vec<u8> {
+    let mut stream = TcpStream::connect(worker.console.expect("a console")).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     let mut reply = Vec::new();
     stream.read_to_end(&mut reply).unwrap();
     reply
 }
 
-fn console_call(site: &Site, method: &str, path: &str) -> Vec<u8> {
-    console_exchange(site, &format!("{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n"))
+fn console_call(worker: &WorkerUnderTest, method: &str, path: &str) -> Vec<u8> {
+    console_exchange(worker, &format!("{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n"))
 }
 
-fn console_site(operator: Option<&str>) -> Site {
-    Site::with(|config| config["console"] = json!("127.0.0.1:0"), operator)
+fn start_with_console(operator: Option<&str>) -> WorkerUnderTest {
+    WORKER.start_with(|config| config["console"] = json!("127.0.0.1:0"), operator)
 }
 
 /// Ends one run of this class with this state.
-fn run_one(site: &Site, executor: &mut Executor, ask: &Ask, state: &str) {
-    let mut client = Client::connect(site.http);
+fn run_one(worker: &WorkerUnderTest, executor: &mut Executor, ask: &RequestBuilder, state: &str) {
+    let mut client = Client::connect(worker.http);
     client.send(ask);
-    let exec = executor.next("EXEC");
-    executor.exit(&exec["job"], state, "done");
-    client.answer();
+    let exec = executor.expect_command("EXEC");
+    executor.send_exit(&exec["job"], state, "done");
+    client.read_response();
 }
 
 #[test]
 fn console_replies() {
     let mut transcript = Transcript::default();
-    let mut site = console_site(None);
-    transcript.wire("ready without a link", &console_call(&site, "GET", "/-/ready"));
-    transcript.wire("metrics without a link", &console_call(&site, "GET", "/-/metrics"));
-    let mut executor = site.link();
+    let mut worker = start_with_console(None);
+    transcript.wire("ready without a link", &console_call(&worker, "GET", "/-/ready"));
+    transcript.wire("metrics without a link", &console_call(&worker, "GET", "/-/metrics"));
+    let mut executor = worker.accept_link();
     for (title, method, path) in [
         ("ready", "GET", "/-/ready"),
         ("ready with a query", "GET", "/-/ready?verbose=1"),
@@ -172,27 +176,27 @@
         ("resume with a wrong method", "PUT", "/-/resume"),
         ("malformed call", "nonsense", "and more"),
     ] {
-        transcript.wire(title, &console_call(&site, method, path));
+        transcript.wire(title, &console_call(&worker, method, path));
     }
-    transcript.wire("unknown version", &console_exchange(&site, "GET /-/ready HTTP/9\r\n\r\n"));
-    transcript.wire("HTTP/1.0", &console_exchange(&site, "GET /-/ready HTTP/1.0\r\n\r\n"));
+    transcript.wire("unknown version", &console_exchange(&worker, "GET /-/ready HTTP/9\r\n\r\n"));
+    transcript.wire("HTTP/1.0", &console_exchange(&worker, "GET /-/ready HTTP/1.0\r\n\r\n"));
     let headers = "X-Odd: 1\r\n".repeat(33);
     let request = format!("GET /-/ready HTTP/1.1\r\n{headers}\r\n");
-    transcript.wire("too many headers", &console_exchange(&site, &request));
-    transcript.wire("metrics of an idle worker", &console_call(&site, "GET", "/-/metrics"));
-    run_one(&site, &mut executor, &Ask::new("look"), "PASS");
-    run_one(&site, &mut executor, &Ask::new("look"), "FAIL");
-    run_one(&site, &mut executor, &Ask { key: Some("k1"), ..Ask::new("order") }, "PASS");
-    let mut client = Client::connect(site.http);
-    client.send(&Ask::new("look"));
-    let exec = executor.next("EXEC");
-    transcript.wire("metrics with counts and a run", &console_call(&site, "GET", "/-/metrics"));
-    site.terminate();
-    site.wait_log("notice to leave");
-    transcript.wire("ready after SIGTERM", &console_call(&site, "GET", "/-/ready"));
-    transcript.wire("resume after SIGTERM", &console_call(&site, "POST", "/-/resume"));
-    executor.exit(&exec["job"], "PASS", "");
-    assert_eq!(client.answer().status, 200);
+    transcript.wire("too many headers", &console_exchange(&worker, &request));
+    transcript.wire("metrics of an idle worker", &console_call(&worker, "GET", "/-/metrics"));
+    run_one(&worker, &mut executor, &RequestBuilder::new("look"), "PASS");
+    run_one(&worker, &mut executor, &RequestBuilder::new("look"), "FAIL");
+    run_one(&worker, &mut executor, &RequestBuilder::new("order").key("k1"), "PASS");
+    let mut client = Client::connect(worker.http);
+    client.send(&RequestBuilder::new("look"));
+    let exec = executor.expect_command("EXEC");
+    transcript.wire("metrics with counts and a run", &console_call(&worker, "GET", "/-/metrics"));
+    worker.terminate();
+    worker.wait_log("notice to leave");
+    transcript.wire("ready after SIGTERM", &console_call(&worker, "GET", "/-/ready"));
+    transcript.wire("resume after SIGTERM", &console_call(&worker, "POST", "/-/resume"));
+    executor.send_exit(&exec["job"], "PASS", "");
+    assert_eq!(client.read_response().status, 200);
     transcript.check("console.txt");
 }
 
@@ -221,7 +225,7 @@
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p\"\nclass = \"look\"\n";
     let http2 = "[http2]\nlisten = \"127.0.0.1:0\"\n";
     // Nobody listens at the coordinator's address: it stays reserved while the worker runs.
-    let (_reserved, coordinator) = reserve();
+    let (_reserved, coordinator) = reserve_address();
     let fleet = format!(
         "[fleet]\nname = \"f\"\ncoordinators = [\"{coordinator}\"]\n\
          [[fleet.task]]\nname = \"report\"\nperiod_s = 60.0\naddress = \"{coordinator}\"\nsafe = true\n\
@@ -235,10 +239,10 @@
         ("fleet with two tasks, without a coordinator", &fleet),
         ("fleet with overload control, without a coordinator", &overload),
     ] {
-        let site = console_site(Some(operator));
-        let unlinked = console_call(&site, "GET", "/-/metrics");
-        let _executor = site.link();
-        let linked = console_call(&site, "GET", "/-/metrics");
+        let worker = start_with_console(Some(operator));
+        let unlinked = console_call(&worker, "GET", "/-/metrics");
+        let _executor = worker.accept_link();
+        let linked = console_call(&worker, "GET", "/-/metrics");
         for (state, reply) in [("not linked", unlinked), ("linked", linked)] {
             let text = mask_metrics(&String::from_utf8(reply).unwrap(), &["fleet.linked_or_not_for_s="]);
             transcript.wire(&format!("{title}; {state}"), text.as_bytes());
@@ -290,7 +294,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let coordinator = listener.local_addr().unwrap();
     // Nobody listens where the tasks' calls would go.
-    let (_reserved, target) = reserve();
+    let (_reserved, target) = reserve_address();
     let task = |name: &str, safe: bool| {
         format!("[[fleet.task]]\nname = \"{name}\"\nperiod_s = 60.0\naddress = \"{target}\"\nsafe = {safe}\n")
     };
@@ -299,21 +303,21 @@
         task("report", true),
         task("audit", false)
     );
-    let site = console_site(Some(&operator));
-    let _executor = site.link();
-    let stream = accept(&listener);
+    let worker = start_with_console(Some(&operator));
+    let _executor = worker.accept_link();
+    let stream = accept_link(&listener);
     let server = std::thread::spawn(move || serve_as_coordinator(stream));
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let mut text = String::new();
     while !["fleet.lease.report", "fleet.lease.audit", "fleet.totals"].iter().all(|part| text.contains(part))
     {
         assert!(Instant::now() < until, "no lease or no totals in {text}");
-        text = String::from_utf8(console_call(&site, "GET", "/-/metrics")).unwrap();
+        text = String::from_utf8(console_call(&worker, "GET", "/-/metrics")).unwrap();
     }
     let text = mask_metrics(&text, &["fleet.linked_or_not_for_s=", ".left_s=", "fleet.totals.age_s="]);
     let mut transcript = Transcript::default();
     transcript.wire("fleet with two leases and totals", text.as_bytes());
-    drop(site);
+    drop(worker);
     server.join().unwrap();
     transcript.check("console_fleet_metrics.txt");
 }
@@ -329,7 +333,7 @@
 
 /// Runs the worker to its end in a clean environment, with this configuration file and these arguments.
 fn run_worker(config: Option<&str>, arguments: &[&str]) -> Output {
-    let mut command = Command::new(WORKER);
+    let mut command = WORKER.command();
     for variable in ["ROUTER_CONFIG", "ROUTER_CONSOLE", "ROUTER_SOCKET_FD"] {
         command.env_remove(variable);
     }
@@ -501,7 +505,7 @@
     config["executor"] = json!(executor.local_addr().unwrap());
     config["settings"]["contract"]["drainGraceS"] = json!(0.1);
     let path = folder.write("config.json", &config.to_string());
-    let mut command = Command::new(WORKER);
+    let mut command = WORKER.command();
     command.env("ROUTER_CONFIG", path).env_remove("ROUTER_CONSOLE").env_remove("ROUTER_SOCKET_FD");
     command.env("TMPDIR", &folder.0).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
@@ -600,7 +604,7 @@
 
 /// Reads one whole answer and returns its bytes.
 fn answer_bytes(client: &mut Client) -> Vec<u8> {
-    let (first, rest, body) = client.message();
+    let (first, rest, body) = client.read_message();
     [first.as_bytes(), b"\r\n", rest.as_bytes(), &body].concat()
 }
 
@@ -609,46 +613,47 @@
     let mut client = Client::connect(to);
     client.write(request);
     let bytes = answer_bytes(&mut client);
-    assert!(client.closed(), "more than one answer to {request:?}");
+    assert!(client.is_closed(), "more than one answer to {request:?}");
     bytes
 }
 
 #[test]
 fn front_answers() {
     let mut transcript = Transcript::default();
-    let site = Site::start();
+    let worker = WORKER.start();
     let check = "GET /check HTTP/1.1\r\nConnection: close\r\n\r\n";
-    transcript.wire("check without a link", &closing_answer(site.http, check));
+    transcript.wire("check without a link", &closing_answer(worker.http, check));
     let bad = "GET /nothing HTTP/1.1\r\n\r\n";
-    transcript.wire("404 without a link", &closing_answer(site.http, bad));
-    let mut executor = site.link();
-    transcript.wire("check", &closing_answer(site.http, check));
-    let mut client = Client::connect(site.http);
+    transcript.wire("404 without a link", &closing_answer(worker.http, bad));
+    let mut executor = worker.accept_link();
+    transcript.wire("check", &closing_answer(worker.http, check));
+    let mut client = Client::connect(worker.http);
     client.write("GET /check?e2e=1 HTTP/1.1\r\n\r\n");
     transcript.wire("check on a connection that is kept", &answer_bytes(&mut client));
-    let mut serve = |transcript: &mut Transcript, title: &str, ask: &Ask, state: &str, result: &str| {
-        client.send(ask);
-        let exec = executor.next("EXEC");
-        executor.exit(&exec["job"], state, result);
-        transcript.wire(title, &answer_bytes(&mut client));
-    };
-    serve(&mut transcript, "served", &Ask::new("look"), "PASS", "the result");
-    serve(&mut transcript, "served with an empty result", &Ask::new("look"), "PASS", "");
-    serve(&mut transcript, "failed", &Ask::new("look"), "FAIL", "");
-    serve(&mut transcript, "started nothing", &Ask::new("look"), "NOOP", "");
-    let keyed = Ask { key: Some("k1"), ..Ask::new("order") };
+    let mut serve =
+        |transcript: &mut Transcript, title: &str, ask: &RequestBuilder, state: &str, result: &str| {
+            client.send(ask);
+            let exec = executor.expect_command("EXEC");
+            executor.send_exit(&exec["job"], state, result);
+            transcript.wire(title, &answer_bytes(&mut client));
+        };
+    serve(&mut transcript, "served", &RequestBuilder::new("look"), "PASS", "the result");
+    serve(&mut transcript, "served with an empty result", &RequestBuilder::new("look"), "PASS", "");
+    serve(&mut transcript, "failed", &RequestBuilder::new("look"), "FAIL", "");
+    serve(&mut transcript, "started nothing", &RequestBuilder::new("look"), "NOOP", "");
+    let keyed = RequestBuilder::new("order").key("k1");
     serve(&mut transcript, "served with a key", &keyed, "PASS", "placed 17");
-    client.send(&Ask { extra: "X-Resent: 1\r\n", ..Ask { key: Some("k1"), ..Ask::new("order") } });
+    client.send(&RequestBuilder::new("order").key("k1").retry());
     transcript.wire("repeated", &answer_bytes(&mut client));
-    client.send(&Ask { key: Some("k1"), body: "another", ..Ask::new("order") });
+    client.send(&RequestBuilder::new("order").key("k1").body("another"));
     transcript.wire("409: a key with another body", &answer_bytes(&mut client));
-    let good = Ask::new("look").text();
-    let order = Ask { key: Some("k"), ..Ask::new("order") }.text();
+    let good = RequestBuilder::new("look").text();
+    let order = RequestBuilder::new("order").key("k").text();
     client.write(&good.replace("X-Org: acme", "X-Org: acme\r\nConnection: close"));
-    let exec = executor.next("EXEC");
-    executor.exit(&exec["job"], "PASS", "last");
+    let exec = executor.expect_command("EXEC");
+    executor.send_exit(&exec["job"], "PASS", "last");
     transcript.wire("served, and the client wants the end", &answer_bytes(&mut client));
-    assert!(client.closed());
+    assert!(client.is_closed());
     for (title, text) in [
         ("400: unknown version", good.replace("HTTP/1.1", "HTTP/9")),
         ("400: two lengths", good.replace("X-Org: acme\r\n", "X-Org: acme\r\nContent-Length: 5\r\n")),
@@ -659,7 +664,7 @@
         ("400: bad need", good.replace("X-Need-Kb: 24.5", "X-Need-Kb: 0")),
         ("400: bad criticality", good.replace("X-Criticality: 0.6250", "X-Criticality: 1.0")),
         ("400: bad peer", good.replace("X-Upstream-Peer: 4", "X-Upstream-Peer: +4")),
-        ("400: stamp of another day", Ask { arrived_ms: 12, ..Ask::new("look") }.text()),
+        ("400: stamp of another day", RequestBuilder::new("look").arrived_ms(12).text()),
         ("400: no operation key", order.replace("X-Operation-Key: k\r\n", "")),
         ("403: unknown tenant", good.replace("X-Org: acme", "X-Org: other")),
         ("404: unknown class", good.replace("/do/look", "/do/nothing")),
@@ -670,7 +675,7 @@
         ("431: head too long", good.replace("X-Org: acme", &format!("X-Org: {}", "a".repeat(9000)))),
         ("431: too many headers", good.replace("X-Org: acme", &"X-Odd: 1\r\n".repeat(80))),
     ] {
-        transcript.wire(title, &closing_answer(site.http, &text));
+        transcript.wire(title, &closing_answer(worker.http, &text));
     }
     transcript.check("front_answers.txt");
 }
@@ -679,15 +684,15 @@
 #[test]
 fn front_refusal_with_advice() {
     let mut transcript = Transcript::default();
-    let site = Site::start();
-    let mut executor = site.link();
+    let worker = WORKER.start();
+    let mut executor = worker.accept_link();
     let mut clients: Vec<Client> = Vec::new();
     for _ in 0..40 {
-        let mut client = Client::connect(site.http);
-        client.send(&Ask::new("look"));
+        let mut client = Client::connect(worker.http);
+        client.send(&RequestBuilder::new("look"));
         clients.push(client);
     }
-    executor.next("EXEC");
+    executor.expect_command("EXEC");
     // Nothing ends, so the last of them can't be started in time.
     let answer = String::from_utf8(answer_bytes(clients.last_mut().unwrap())).unwrap();
     let reply = Reply { status: 503, head: answer.clone(), body: Vec::new() };
@@ -703,17 +708,17 @@
 #[test]
 fn front_timeouts() {
     let mut transcript = Transcript::default();
-    let site = Site::start();
-    let mut executor = site.link();
+    let worker = WORKER.start();
+    let mut executor = worker.accept_link();
     for (title, ask) in [
-        ("504: with a key", Ask { key: Some("k4"), deadline_ms: 1200, ..Ask::new("order") }),
-        ("idempotent", Ask { deadline_ms: 1200, ..Ask::new("look") }),
+        ("504: with a key", RequestBuilder::new("order").key("k4").deadline_ms(1200)),
+        ("idempotent", RequestBuilder::new("look").deadline_ms(1200)),
     ] {
-        let mut client = Client::connect(site.http);
+        let mut client = Client::connect(worker.http);
         client.send(&ask);
-        let exec = executor.next("EXEC");
+        let exec = executor.expect_command("EXEC");
         let answer = answer_bytes(&mut client);
-        executor.exit(&exec["job"], "PASS", "late");
+        executor.send_exit(&exec["job"], "PASS", "late");
         transcript.wire(title, &answer);
     }
     transcript.check("front_timeouts.txt");
