--- a/testbed/src/error/tests.rs
+++ b/testbed/src/error/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn errors_of_the_system_name_what_they_are_about() {
+fn system_errors_name_their_subject() {
     let file = TestbedError::file(Path::new("/nowhere/fleet.json"))(missing());
     assert_eq!(file.to_string(), "/nowhere/fleet.json: No such file or directory (os error 2)");
     let component = TestbedError::component("relay")(missing());
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_lines_of_a_fleet_stay_as_they_are() {
+fn fleet_error_lines_are_unchanged() {
     let name = || "w1".to_owned();
     let lines = [
         (TestbedError::UnknownProcess { name: name() }, "there is no w1"),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_file_with_a_value_out_of_range_says_which() {
+fn out_of_range_value_error_names_the_key() {
     let fleet = FleetFile::decode("fleet = \"f\"\ncoordinators = 4\nworkers = 1\n");
     assert!(matches!(fleet, Err(FleetFileError::CoordinatorCount { found: 4 })));
     assert_eq!(fleet.unwrap_err().to_string(), "coordinators is 4; expected 1, 3, 5, 7 or 9");
--- a/testbed/src/fleet/overload_storm/tests.rs
+++ b/testbed/src/fleet/overload_storm/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn in_calm_the_fleet_s_part_costs_nothing_whatever_it_is_told_and_a_seed_is_a_storm() {
+fn calm_overload_control_costs_nothing_and_a_seed_replays_its_storm() {
     let shape = |part| Shape { part, workers: 4, length_s: 6.0, ..Shape::default() };
     let alone = play(&shape(Part::Alone), 3).unwrap();
     assert!(alone.earned() > 0.9 && alone.owed == 0, "{alone:?}");
--- a/testbed/src/fleet/process_campaign/tests.rs
+++ b/testbed/src/fleet/process_campaign/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_seed_draws_one_schedule_with_every_kind_of_fault() {
+fn seed_draws_one_schedule_with_every_kind_of_fault() {
     let faults = some();
     assert_eq!(faults, some());
     let kinds: std::collections::HashSet<_> =
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_schedule_is_cut_down_to_the_faults_that_matter() {
+fn failing_schedule_is_reduced_to_the_faults_that_matter() {
     let faults = some();
     let matters = [faults[3].clone(), faults[20].clone()];
     let short = shrink(faults, |fewer| matters.iter().all(|m| fewer.contains(m)));
--- a/testbed/src/fleet/task_log/tests.rs
+++ b/testbed/src/fleet/task_log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_judge_finds_each_kind_of_wrong() {
+fn review_finds_each_kind_of_violation() {
     let act = |token, begin_ms, end_ms, period| ActLine {
         task: "t".into(),
         token,
--- a/testbed/src/floods/tests.rs
+++ b/testbed/src/floods/tests.rs
@@ -2,7 +2,7 @@
 
 /// A flood whose frames did not parse would measure nothing but the worker's first complaint.
 #[test]
-fn every_flood_is_made_of_whole_frames() {
+fn every_flood_consists_of_complete_frames() {
     use Flood::*;
     for flood in [
         Resets,
--- a/testbed/tests/command_line.rs
+++ b/testbed/tests/command_line.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn help_texts_stay_as_they_are() {
+fn help_texts_match_the_fixture() {
     let mut text = String::new();
     for arguments in std::iter::once(vec!["--help"]).chain(SUBCOMMANDS.iter().map(|s| vec![*s, "--help"])) {
         let output = run(&arguments);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_missing_argument_is_a_usage_error() {
+fn missing_argument_is_a_usage_error() {
     let usage = |missing: &str, usage: &str| {
         format!("error: the following required arguments were not provided:\n  {missing}\n\nUsage: {NAME} {usage}\n\nFor more information, try '--help'.\n")
     };
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn without_a_subcommand_the_help_goes_to_stderr() {
+fn missing_subcommand_prints_the_help_on_stderr() {
     let help = run(&["--help"]).stdout;
     assert_unusable(&[], std::str::from_utf8(&help).unwrap());
 }
 
 #[test]
-fn a_file_that_cannot_be_used_ends_with_one_line() {
+fn unusable_file_ends_with_a_one_line_error() {
     let missing = "/nowhere/experiment.toml";
     let expected = format!("{NAME}: {missing}: No such file or directory (os error 2)\n");
     assert_unusable(&["sim", missing], &expected);
--- a/testbed/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_service_that_is_down_is_tried_by_one_worker_a_zone_and_opens_when_it_is_back() {
+fn unavailable_service_is_probed_by_one_worker_per_zone_and_reopens_when_back() {
     let fleet = Fleet::overloaded();
     let service = fleet.rig.service.clone().unwrap();
     let routers = send(&fleet, "eligibility", [1; 4], 120.0);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_leader_killed_while_the_service_is_down_opens_nothing_for_long() {
+fn leader_killed_while_the_service_is_down_keeps_calls_suspended() {
     let mut fleet = Fleet::overloaded();
     let service = fleet.rig.service.clone().unwrap();
     let routers = send(&fleet, "eligibility", [1; 4], 120.0);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_idle_workers_do_without_a_busy_one_has_and_never_more_than_all_parts() {
+fn busy_worker_uses_idle_workers_capacity_and_never_exceeds_the_total() {
     let mut fleet = Fleet::overloaded();
     let service = fleet.rig.service.clone().unwrap();
     // Calls of 100 ms: four in hand are 40 a second, and the first is asked for three times that.
--- a/testbed/tests/fleet/stories.rs
+++ b/testbed/tests/fleet/stories.rs
@@ -5,7 +5,7 @@
 use testbed::fleet::session_load::SessionLoad;
 
 #[test]
-fn a_killed_leader_s_fleet_goes_on_under_another_with_the_same_holders() {
+fn killed_leader_is_replaced_and_lease_holders_stay() {
     let mut fleet = Fleet::start();
     let leader = fleet.leader();
     let holders = TASKS.map(|task| fleet.holder(task));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn without_a_quorum_nobody_acts_and_all_serve_and_with_it_they_act_again() {
+fn lost_quorum_stops_tasks_but_not_serving_until_it_is_back() {
     let mut fleet = Fleet::start();
     let (leader, follower) = (fleet.leader(), fleet.follower());
     fleet.rig.kill(&leader).unwrap();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_killed_holder_s_task_goes_to_another() {
+fn lease_of_a_killed_holder_moves_to_another_worker() {
     let mut fleet = Fleet::start();
     let holder = fleet.holder("report");
     fleet.rig.kill(&holder).unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_holder_that_was_stopped_past_its_time_finds_another_acting_and_acts_no_more() {
+fn holder_suspended_beyond_its_lease_does_not_act_when_resumed() {
     let mut fleet = Fleet::start();
     let holder = fleet.holder("report");
     let token = fleet.accepted("report").pop().unwrap().token;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_holder_cut_off_both_ways_or_one_way_gives_way_to_another() {
+fn lease_of_a_partitioned_holder_moves_to_another_worker() {
     let mut fleet = Fleet::start();
     let all = fleet.rig.coordinators();
     // Renewals arrive and answers don't; the other way round; neither.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_leader_alone_in_a_minority_renews_nothing() {
+fn leader_in_a_minority_renews_no_lease() {
     let mut fleet = Fleet::start();
     let leader = fleet.leader();
     for other in fleet.rig.coordinators().into_iter().filter(|c| *c != leader) {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_leader_whose_disk_fills_up_steps_aside_at_once_and_comes_back_when_there_is_room() {
+fn leader_with_a_full_disk_is_suspended_until_space_is_free() {
     let mut fleet = Fleet::start();
     let leader = fleet.leader();
     fleet.rig.fill(&leader, true).unwrap();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn two_of_five_full_disks_cost_nothing_and_a_third_costs_the_quorum_until_there_is_room() {
+fn quorum_survives_two_of_five_full_disks_and_not_three() {
     let mut fleet = Fleet::of_five();
     let leader = fleet.leader();
     let full: Vec<String> = fleet.rig.coordinators().into_iter().filter(|c| *c != leader).take(2).collect();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn of_three_hundred_that_want_one_lease_one_is_told_at_a_time() {
+fn free_lease_is_granted_to_one_of_three_hundred_waiting_sessions() {
     let fleet = Fleet::wanted();
     let mut crowd = SessionLoad::new(300, "story", &fleet.rig.asked(), &["wanted"]);
     let wait = |crowd: &mut SessionLoad, what: &str, so: &dyn Fn(&SessionLoad) -> bool| {
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn coordinators_restarted_one_after_the_other_lose_nothing() {
+fn rolling_coordinator_restart_loses_nothing() {
     let mut fleet = Fleet::start();
     for name in fleet.rig.coordinators() {
         fleet.rig.terminate(&name).unwrap();
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn all_killed_at_once_come_back_to_what_was_acknowledged() {
+fn coordinators_killed_together_recover_all_acknowledged_tokens() {
     let mut fleet = Fleet::start();
     let before: Vec<u64> = TASKS.iter().map(|t| fleet.accepted(t).pop().unwrap().token).collect();
     let all = fleet.rig.coordinators();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn two_versions_share_a_quorum_and_the_newer_begins_when_all_have_it() {
+fn new_protocol_version_starts_when_every_coordinator_has_it() {
     // Periods of tasks came with version 2: while one coordinator lacks it, leases are held and nobody acts.
     let mut fleet = Fleet::mixed();
     fleet.holder("report");
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_replaced_holder_passes_its_task_on_with_the_door() {
+fn hot_restarted_holder_passes_its_lease_to_its_successor() {
     let mut fleet = Fleet::start();
     let holder = fleet.holder("report");
     let token = fleet.accepted("report").pop().unwrap().token;
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_drained_holder_gives_its_tasks_back_and_a_leaving_one_too() {
+fn drained_or_terminated_holder_releases_its_leases() {
     let mut fleet = Fleet::start();
     let holder = fleet.holder("report");
     fleet.drain(&holder, true);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_lost_disk_is_a_fresh_member_only_by_command() {
+fn coordinator_with_a_lost_disk_rejoins_only_by_replace_command() {
     let mut fleet = Fleet::start();
     let lost = fleet.follower();
     fleet.rig.kill(&lost).unwrap();
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn yesterday_s_disk_is_found_out_and_has_no_vote() {
+fn coordinator_with_an_outdated_disk_is_excluded() {
     let mut fleet = Fleet::start();
     let old = fleet.follower();
     fleet.rig.kill(&old).unwrap();
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn every_console_shows_the_fleet_s_figures_with_their_age() {
+fn every_console_shows_fleet_totals_and_their_age() {
     let fleet = Fleet::start();
     for name in fleet.rig.workers() {
         fleet.wait(&format!("totals of six at {name}"), |_| {
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn links_that_are_reset_in_mid_frame_cost_nothing_but_time() {
+fn links_reset_in_mid_frame_lose_nothing() {
     let mut fleet = Fleet::start();
     let names: Vec<String> = fleet.rig.coordinators().into_iter().chain(fleet.rig.workers()).collect();
     for _ in 0..5 {
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn what_is_no_port_worker_is_shown_the_door_and_harms_nobody() {
+fn connection_with_malformed_frames_is_closed_without_a_reply() {
     use std::io::{Read, Write};
     let fleet = Fleet::start();
     let at = fleet.rig.address(&fleet.leader()).unwrap();
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn a_call_that_was_held_back_until_another_acted_is_refused_by_its_token() {
+fn delayed_call_with_an_old_token_is_rejected() {
     let mut fleet = Fleet::start();
     let (_, token) = late_act(&mut fleet);
     fleet.wait("the late call, refused", |rig| {
@@ -388,7 +388,7 @@
 
 /// The counter-proof for the stand-in's fence: with every token taken, the same judge finds a stopped holder's late act.
 #[test]
-fn without_fencing_the_judge_finds_a_stopped_holder_s_late_act() {
+fn late_call_without_fencing_is_found_by_the_review() {
     let mut fleet = Fleet::with("", false);
     late_act(&mut fleet);
     fleet.wait("what the judge finds", |rig| {
--- a/testbed/tests/fleet_virtual.rs
+++ b/testbed/tests/fleet_virtual.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn two_holders_never_act_at_once_whatever_fails() {
+fn tasks_never_overlap_under_random_faults() {
     let shape = Shape::default();
     let (mut accepted, mut grants) = (0, 0);
     for seed in 0..40 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn each_guard_that_is_taken_away_is_missed() {
+fn removing_any_safety_check_is_detected() {
     for weak in [Weakness::NoDriftBound, Weakness::NoWholeTtl, Weakness::NoConfirm, Weakness::NoFencing] {
         let shape = Shape { weak, ..Shape::default() };
         let found = broken(&shape, 0..400);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_seed_is_a_run() {
+fn same_seed_plays_the_same_run() {
     let shape = Shape { faults_s: 20.0, quiet_s: 15.0, ..Shape::default() };
     let (one, two) = (play(&shape, 7), play(&shape, 7));
     assert_eq!((one.digest, one.faults, one.accepted), (two.digest, two.faults, two.accepted));
@@ -40,7 +40,7 @@
 
 /// In both a task's time to live grew between a renewal and the quorum's word for it.
 #[test]
-fn seeds_that_once_failed_hold() {
+fn formerly_failing_seeds_pass() {
     let shape = Shape { coordinators: 5, workers: 300, ..Shape::default() };
     for seed in [1488, 1998] {
         assert_eq!(play(&shape, seed).violations, Vec::<String>::new(), "seed {seed}");
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_experiments_bounds_hold_in_virtual_time() {
+fn experiment_bounds_hold_in_virtual_time_and_fail_without_pools() {
     let experiment = experiment();
     let plays: Vec<Play> =
         (1..=5).flat_map(|seed| ["plain", "pools"].map(|variant| play(&experiment, variant, seed))).collect();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_same_seed_plays_the_same() {
+fn same_seed_plays_the_same_experiment() {
     let experiment = experiment();
     let text = |seed| serde_json::to_string(&play(&experiment, "pools", seed)).unwrap();
     assert_eq!(text(3), text(3));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_jump_in_one_step_from_seven_tenths_and_back_leaves_the_reserve_whole() {
+fn load_step_from_70_percent_and_back_keeps_the_reserve_available() {
     let mut e = experiment();
     (e.load, e.slow) = (0.7, Vec::new());
     e.jump = vec![Jump { at_s: 8.0, for_s: 8.0, times: 1.6 }];
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_flood_of_one_class_at_three_times_the_capacity_leaves_the_others_theirs() {
+fn flood_of_one_class_at_three_times_capacity_leaves_the_others_their_guarantee() {
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.7, Vec::new(), Vec::new());
     // Eligibility alone asks for three times what the cores can do.
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_executor_that_slows_ten_times_never_comes_near_the_crowd_rule() {
+fn executor_slowed_ten_times_stays_far_below_the_survivable_concurrency() {
     let mut e = experiment();
     e.jump = Vec::new();
     e.slow = vec![Slow { at_s: 8.0, for_s: 10.0, times: 10.0 }];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_reserve_class_that_was_silent_for_a_minute_is_served_when_it_bursts() {
+fn reserved_class_silent_for_a_minute_is_served_when_it_bursts() {
     let mut e = experiment();
     (e.length_s, e.slow, e.jump) = (70.0, Vec::new(), Vec::new());
     e.class[0].jump =
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_records_service_that_stalls_leaves_no_pool_without_room() {
+fn stalled_records_service_leaves_every_pool_its_slots() {
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.9, Vec::new(), Vec::new());
     e.stall = vec![Slow { at_s: 8.0, for_s: 6.0, times: 1.0 }];
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_worker_s_limit_beats_a_product_of_extremes_on_a_slowed_executor() {
+fn worker_limit_outperforms_bbr_and_gradient2_on_a_slowed_executor() {
     let table = limits::compare(2);
     let throughput = |way: &str| -> f64 {
         let row =
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_file_that_is_wrong_names_line_key_and_what_was_expected() {
+fn invalid_experiment_file_error_names_line_key_and_expected_value() {
     let good = include_str!("../experiments/pools-110.toml");
     for (from, to, named) in [
         ("length_s = 25.0", "length_s = 0.0", "length_s is 0; expected above 0"),
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_short_play_on_loopback_answers_all_and_keeps_nothing_from_the_reserve() {
+fn short_loopback_run_answers_all_requests_and_keeps_the_reserve() {
     let mut e = experiment();
     e.length_s = 4.0;
     e.jump = vec![Jump { at_s: 1.0, for_s: 2.0, times: 1.6 }];
--- a/tests/worker.rs
+++ b/tests/admission_properties.rs
@@ -445,7 +445,7 @@
 }
 
 #[test]
-fn the_four_rules_hold_at_every_step() {
+fn admission_rules_hold_at_every_step_of_random_loads() {
     let mut served = 0;
     for seed in 0..160 {
         let worker = play(seed);
@@ -456,6 +456,6 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_the_same_actions() {
     assert_eq!(play(5).log, play(5).log);
 }
--- /dev/null
+++ b/tests/ajp/main.rs
@@ -0,0 +1,104 @@
+//! The AJP frontend, AJP servers and the directory, against scripted clients and servers.
+
+mod backend;
+mod directory;
+mod frontend;
+
+use port_worker::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use test_support::{Reply, RequestBuilder, WorkerProgram, TIMEOUT};
+
+/// The program under test.
+const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
+
+const FRONT: &str = r#"
+[ajp]
+listen = "127.0.0.1:0"
+secret = "s3cret"
+[[ajp.route]]
+path = "/portal/look"
+class = "look"
+[[ajp.route]]
+path = "/portal/order"
+class = "order"
+"#;
+
+/// One end of an AJP connection.
+struct Ajp {
+    stream: TcpStream,
+}
+
+impl Ajp {
+    fn connect(to: SocketAddr) -> Ajp {
+        Ajp::on(TcpStream::connect(to).unwrap())
+    }
+
+    fn on(stream: TcpStream) -> Ajp {
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        Ajp { stream }
+    }
+
+    fn write(&mut self, bytes: &[u8]) {
+        self.stream.write_all(bytes).unwrap();
+    }
+
+    /// The payload of the next packet; `None` at the end.
+    fn packet(&mut self, way: Way) -> Option<Vec<u8>> {
+        let mut bytes = vec![0; 4];
+        self.stream.read_exact(&mut bytes).ok()?;
+        bytes.resize(4 + usize::from(u16::from_be_bytes([bytes[2], bytes[3]])), 0);
+        self.stream.read_exact(&mut bytes[4..]).unwrap();
+        ajp_codec::packet(&bytes, way).unwrap().map(|range| bytes[range].to_vec())
+    }
+
+    fn send(&mut self, f: &Forward, body: &[u8]) {
+        let mut bytes = ajp_codec::write_forward(f).unwrap();
+        if !body.is_empty() {
+            bytes.extend(ajp_codec::write_body(body).unwrap());
+        }
+        self.write(&bytes);
+    }
+
+    /// Reads one answer: status, head as text, body, and whether the connection may be used again.
+    fn read_response(&mut self) -> (Reply, bool) {
+        let mut reply = Reply { status: 0, head: String::new(), body: Vec::new() };
+        loop {
+            let payload = self.packet(Way::ToWebServer).expect("an answer");
+            match ajp_codec::to_web_server(&payload).unwrap() {
+                ToWebServer::Headers { status, headers } => {
+                    reply.status = status;
+                    for (name, value) in headers {
+                        reply.head += &format!("{name}: {}\n", String::from_utf8_lossy(value));
+                    }
+                }
+                ToWebServer::Chunk(bytes) => reply.body.extend(bytes),
+                ToWebServer::End { reuse } => return (reply, reuse),
+                other => panic!("{other:?}"),
+            }
+        }
+    }
+
+    fn request(&mut self, f: &Forward, body: &[u8]) -> Reply {
+        self.send(f, body);
+        self.read_response().0
+    }
+
+    fn is_closed(&mut self) -> bool {
+        matches!(self.stream.read(&mut [0; 16]), Ok(0) | Err(_))
+    }
+}
+
+/// A request as a portal's web server would forward it, with a body of five bytes.
+fn forward<'a>(uri: &'a str, key: &'a str) -> Forward<'a> {
+    let mut headers: Vec<(&str, &[u8])> = vec![("content-length", b"5"), ("X-Org", b"acme")];
+    if !key.is_empty() {
+        headers.push(("X-Operation-Key", key.as_bytes()));
+    }
+    let secret = Some(&b"s3cret"[..]);
+    Forward { method: "POST", uri, server_name: "portal.example", headers, remote_user: None, secret }
+}
+
+fn order(key: &str) -> RequestBuilder<'_> {
+    RequestBuilder::new("order").key(key)
+}
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_process_s_part_is_understood() {
+fn process_settings_are_decoded() {
     for config in then_and_now() {
         assert_eq!(config.name, "n1");
         assert_eq!((config.listen.port(), config.executor.port()), (7001, 7300));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn classes_and_tenants_are_understood() {
+fn classes_and_tenants_are_decoded() {
     for config in then_and_now() {
         let names = config.settings.profiles.iter().map(|p| p.name.as_str());
         assert_eq!(names.collect::<Vec<_>>(), ["status-check", "eligibility", "port-submit"]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_controller_s_settings_are_understood() {
+fn controller_settings_are_decoded() {
     for config in then_and_now() {
         let settings = config.settings.settings(config.seed_number());
         assert_eq!(settings.seed, 0x8c1f_30d2_7a5b_e964);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_platform_s_words_keep_their_meaning() {
+fn platform_terms_keep_their_meaning() {
     let effect = |word: &str| settings_with("\"effect\": \"safe\"", &format!("\"effect\": \"{word}\""));
     assert_eq!(effect("keyed").classes[0].effect, Idempotency::Keyed);
     assert_eq!(effect("unsafe").classes[0].effect, Idempotency::NotIdempotent);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn gauges_are_found_by_the_platform_s_names() {
+fn gauges_are_found_by_the_platforms_names() {
     let names = Config::decode(&example()).unwrap().settings.domain.own_stats;
     assert_eq!(names, ["cpu_busy", "runnable", "mem_used", "sockets"]);
     let gauges = read_gauges(&names, &[0.5, 7.0, 100.0, 42.0]);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn keys_that_are_left_out_have_their_defaults_and_unknown_ones_are_ignored() {
+fn missing_optional_keys_have_defaults_and_unknown_keys_are_ignored() {
     let text = text_of("tests/fixtures/configuration/needed_keys.json");
     let config = Config::decode(&text).unwrap();
     assert_eq!((config.name.as_str(), config.seed.as_str(), config.stop_ms), ("n2", "", 3200.0));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_needed_key_that_is_missing_is_an_error() {
+fn missing_required_key_is_an_error() {
     let text = text_of("tests/fixtures/configuration/needed_keys.json");
     for key in
         ["name", "listen", "executor", "settings", "nCores", "heapKb", "effect", "targetS", "deadlineS"]
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn ready_says_no_until_the_executor_is_up_and_after_the_notice_to_leave() {
+fn ready_fails_until_the_executor_is_up_and_after_the_shutdown_notice() {
     let mut worker = start_with_console();
     assert_eq!(worker.console_request("GET", "/-/ready").0, 503);
     let mut executor = worker.accept_link();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_is_no_call_is_turned_away_by_its_status() {
+fn invalid_console_request_gets_its_error_status() {
     let worker = start_with_console();
     assert_eq!(worker.console_request("GET", "/-/nothing").0, 404);
     assert_eq!(worker.console_request("POST", "/-/metrics").0, 405);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn figures_are_what_the_peers_saw_and_all_classes_are_there_from_the_start() {
+fn metrics_count_what_peers_saw_and_list_all_classes_from_the_start() {
     let worker = start_with_console();
     let mut executor = worker.accept_link();
     let (_, text) = worker.console_request("GET", "/-/metrics");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_drain_makes_health_bad_and_answers_what_still_comes_until_it_is_ended() {
+fn drain_fails_health_checks_and_serves_requests_until_resumed() {
     let mut worker = start_with_console();
     let mut executor = worker.accept_link();
     assert_eq!(worker.console_request("POST", "/-/resume").0, 200);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_notice_to_leave_wins_over_the_end_of_a_drain() {
+fn shutdown_notice_outlasts_a_resume_of_the_drain() {
     let mut worker = start_with_console();
     let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
@@ -141,7 +141,7 @@
 /// The oldest that has not asked goes for the next, so that holders keep nobody out; and no crowd of clients takes
 /// the console's descriptors.
 #[test]
-fn calls_are_answered_beside_holders_and_a_flood_of_clients() {
+fn console_answers_beside_idle_connections_and_a_flood_of_clients() {
     let worker = start_with_console();
     let _executor = worker.accept_link();
     let flood: Vec<TcpStream> = (0..220).filter_map(|_| TcpStream::connect(worker.http).ok()).collect();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_call_that_comes_byte_by_byte_is_answered() {
+fn console_request_in_single_bytes_is_answered() {
     let worker = start_with_console();
     let mut client = Client::connect(worker.console.unwrap());
     for byte in "GET /-/metrics HTTP/1.1\r\nHost: n1\r\n\r\n".chars() {
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn an_address_that_cant_be_used_is_one_line_and_a_bad_end() {
+fn unusable_console_address_ends_the_start_with_a_one_line_error() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = std::env::temp_dir().join(format!("honeypost-console-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn the_environments_address_goes_before_the_files_and_the_log_says_so() {
+fn environment_console_address_overrides_the_file_and_is_logged() {
     let mut worker = WORKER.start_with_environment(&[("ROUTER_CONSOLE", "127.0.0.1:0")], |c| {
         c["console"] = json!("127.0.0.1:9")
     });
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn ready_says_no_while_there_is_no_link_to_the_executor() {
+fn ready_fails_without_a_link_to_the_executor() {
     // An address that no other test is given: nobody else listens there once this one does not.
     let executor = std::net::TcpListener::bind("127.0.77.1:0").unwrap();
     let at = executor.local_addr().unwrap();
--- a/tests/crossings/keys.rs
+++ b/tests/crossings/keys.rs
@@ -71,7 +71,7 @@
 /// An attempt that reached the machine within the window is read after one that came when it was over, whose run may
 /// not begin: it still gets the result of the first run.
 #[test]
-fn an_attempt_of_the_window_that_is_read_after_a_later_one_does_not_run_again() {
+fn attempt_within_the_window_read_after_a_later_one_does_not_run_again() {
     let worker = short_window(0.3);
     let mut executor = worker.accept_link();
     executor.gauges = [1.0, 4.0, 0.1, 3.0];
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -31,7 +31,7 @@
 
 /// The notice may lie unhandled while the process is stopped: the grace counts from when it was sent.
 #[test]
-fn a_notice_read_late_lets_nothing_run_that_came_after_its_grace() {
+fn shutdown_notice_read_late_runs_nothing_that_arrived_after_its_grace() {
     let mut worker = start_with_shutdown(0.2, 8000);
     let mut executor = worker.accept_link();
     // The worker is seen to run just before it is stopped, so that this is when the notice comes.
@@ -109,7 +109,7 @@
 
 /// A request on a resting connection, and the moment at which such connections are ended: in one turn.
 #[test]
-fn a_request_that_meets_the_end_of_its_resting_connection_is_answered() {
+fn request_that_meets_the_close_of_its_idle_connection_is_answered() {
     let mut worker = start_with_shutdown(1.0, 8000);
     let mut executor = worker.accept_link();
     let (mut busy, job) = start_run(&worker, &mut executor, &RequestBuilder::new("look"));
@@ -212,7 +212,7 @@
 
 /// The registry is down at the notice, and hears `draining` once it is back.
 #[test]
-fn draining_is_repeated_for_a_registry_that_was_away() {
+fn draining_report_is_repeated_until_an_absent_registry_is_back() {
     let mut worker = start_with_shutdown(60.0, 60_000);
     let mut executor = worker.accept_link();
     let (mut busy, job) = start_run(&worker, &mut executor, &RequestBuilder::new("look"));
--- a/tests/failures/deadlines.rs
+++ b/tests/failures/deadlines.rs
@@ -17,7 +17,7 @@
 /// response comes with the next sweep, not near the deadline, with a Retry-After where the request may be
 /// repeated.
 #[test]
-fn a_worthless_request_is_answered_and_its_run_stopped_at_once() {
+fn request_without_remaining_weight_is_answered_and_its_run_stopped() {
     for preemption in [Preemption::Discard, Preemption::Pause, Preemption::Never] {
         let mut worker = Harness::new(Settings { preemption, ..settings() });
         worker.arrive(1, 0);
--- a/tests/failures/downstream_calls.rs
+++ b/tests/failures/downstream_calls.rs
@@ -24,7 +24,7 @@
 
 /// A rejected call was made again in the same batch, and a quick rejection counted as a short call.
 #[test]
-fn rejected_calls_are_not_repeated_at_once_and_lower_the_limit() {
+fn rejected_calls_are_not_retried_immediately_and_lower_the_limit() {
     let mut worker = Harness::new(with_calls(8.0));
     let mut sheds = 0;
     worker.arrive(1, 0);
--- a/tests/failures/health.rs
+++ b/tests/failures/health.rs
@@ -33,7 +33,7 @@
 
 /// Two of three workers became sick at their start; delisted, they got no requests, and stayed so all day.
 #[test]
-fn a_sick_worker_without_arrivals_is_listed_again_after_a_rest() {
+fn unhealthy_worker_without_arrivals_is_relisted_after_a_pause() {
     let mut worker = Harness::new(settings());
     let mut actions = Vec::new();
     for id in 1..=8 {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_hung_worker_is_delisted() {
+fn worker_with_stalled_runs_is_delisted() {
     let mut worker = Harness::new(settings());
     worker.arrive(1, 0);
     worker.arrive(2, 0);
@@ -98,7 +98,7 @@
 
 /// Delisted and without arrivals, a worker stood idle for nine seconds after its backlog.
 #[test]
-fn a_free_core_ends_a_read_lag_at_once() {
+fn free_core_ends_a_read_lag_immediately() {
     let back = |runnable: f64| {
         let mut worker = Harness::new(settings());
         let mut actions = Vec::new();
--- a/tests/failures/shutdown.rs
+++ b/tests/failures/shutdown.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_repeated_attempt_after_the_grace_is_failed_at_once() {
+fn repeated_attempt_after_the_grace_fails_immediately() {
     let mut worker = Harness::new(settings());
     worker.arrive(1, 1);
     worker.handle(Event::Shutdown { ago_s: 0.0, in_s: 2.0 });
--- /dev/null
+++ b/tests/hot_restart/lifecycle.rs
@@ -0,0 +1,150 @@
+//! Start, reload, drain and shutdown round a hot restart.
+
+use crate::{job, order, retry, start_first, start_successor, WORKER};
+use serde_json::json;
+use std::io::{Read, Write};
+use std::os::fd::AsRawFd;
+use test_support::{reserve_address, settings, Client, Executor, RequestBuilder, SharedListener, TIMEOUT};
+
+#[test]
+fn a_drain_reaches_the_successor_at_the_hand_off_and_by_the_predecessors_console() {
+    let shared = SharedListener::bind();
+    let (mut predecessor, _predecessor_executor) = start_first(&shared);
+    assert_eq!(predecessor.console_request("POST", "/-/drain").0, 200);
+    let successor = WORKER.start_on(&shared, |_| {});
+    let _successor_executor = successor.accept_link_unreported();
+    successor.wait_ready();
+    assert_eq!(successor.check_health(), 503);
+    successor.wait_load_report("draining");
+    predecessor.reload(|c| c["stop_ms"] = json!(7000));
+    assert_eq!(predecessor.console_request("POST", "/-/resume").0, 200);
+    successor.wait_load_report("ready");
+    assert_eq!(successor.check_health(), 200);
+}
+
+#[test]
+fn invalid_listener_descriptor_ends_the_start_with_a_one_line_error() {
+    let folder = std::env::temp_dir().join(format!("honeypost-fd-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let config = json!({
+        "name": "n1", "listen": "127.0.0.1:0", "executor": "127.0.0.1:9", "settings": settings()
+    });
+    std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
+    let file = std::fs::File::open(folder.join("config.json")).unwrap();
+    rustix::io::fcntl_setfd(&file, rustix::io::FdFlags::empty()).unwrap();
+    for number in ["nonsense", "1", "987654", &file.as_raw_fd().to_string()] {
+        let ended = WORKER
+            .command()
+            .env("ROUTER_CONFIG", folder.join("config.json"))
+            .env("ROUTER_SOCKET_FD", number)
+            .output()
+            .unwrap();
+        let text = String::from_utf8(ended.stderr).unwrap();
+        assert_eq!(ended.status.code(), Some(2), "{number}: {text}");
+        assert!(text.contains("ROUTER_SOCKET_FD") && text.lines().count() == 1, "{number}: {text}");
+    }
+    std::fs::remove_dir_all(&folder).unwrap();
+}
+
+#[test]
+fn worker_without_a_shared_folder_serves_without_hot_restart() {
+    for (folder, expected) in [
+        ("", "this process can't replace or be replaced"),
+        ("/nowhere/at/all", "this process can't be replaced"),
+    ] {
+        let mut shared = SharedListener::bind();
+        let kept = std::mem::replace(&mut shared.folder, folder.into());
+        let (mut worker, _executor) = start_first(&shared);
+        assert_eq!(worker.check_health(), 200);
+        // The line may come after the answer: it goes through a pipe of its own.
+        let seen = worker.log.iter().any(|line| line.contains(expected));
+        let waited = seen || worker.wait_log("replaced").contains(expected);
+        assert!(waited, "{expected:?} is not in {:?}", worker.log);
+        shared.folder = kept;
+    }
+}
+
+/// Whether an AJP frontend answers a CPing.
+fn cping(stream: &mut std::net::TcpStream) -> bool {
+    let mut answer = [0; 5];
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+    stream.write_all(&[0x12, 0x34, 0, 1, 10]).is_ok()
+        && stream.read_exact(&mut answer).is_ok()
+        && answer == [b'A', b'B', 0, 1, 9]
+}
+
+#[test]
+fn operator_frontends_are_handed_off_with_their_sockets() {
+    let shared = SharedListener::bind();
+    let (_kept, ajp) = reserve_address();
+    let (_also, http2) = reserve_address();
+    drop((_kept, _also));
+    let operator = format!(
+        "[ajp]\nlisten = \"{ajp}\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n[http2]\nlisten = \"{http2}\"\n"
+    );
+    let mut predecessor = WORKER.start_on_with(&shared, |_| {}, Some(&operator));
+    predecessor.wait_log("the door is open here");
+    let _predecessor_executor = predecessor.accept_link();
+    let mut resting = std::net::TcpStream::connect(ajp).unwrap();
+    assert!(cping(&mut resting));
+    let mut successor = WORKER.start_on_with(&shared, |_| {}, Some(&operator));
+    let _successor_executor = successor.accept_link();
+    successor.wait_ready();
+    successor.wait_log(&format!("ajp on {ajp}"));
+    successor.wait_log(&format!("http2 on {http2}"));
+    // Idle connections of the predecessor are closed, as in a shutdown; successor ones are the successor's.
+    assert_eq!(resting.read(&mut [0; 8]).unwrap_or(0), 0);
+    predecessor.terminate();
+    assert!(predecessor.exits_successfully());
+    assert!(cping(&mut std::net::TcpStream::connect(ajp).unwrap()));
+    let mut client = std::net::TcpStream::connect(http2).unwrap();
+    client.set_read_timeout(Some(TIMEOUT)).unwrap();
+    client.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").unwrap();
+    let mut frame = [0; 9];
+    client.read_exact(&mut frame).unwrap();
+    assert_eq!(frame[3], 4, "its first frame is SETTINGS");
+}
+
+#[test]
+fn a_reload_during_a_hot_restart_moves_the_peers_of_both_and_loses_nothing() {
+    let shared = SharedListener::bind();
+    let (mut predecessor, mut predecessor_executor) = start_first(&shared);
+    let mut open = Client::connect(predecessor.http);
+    open.send(&order("k1"));
+    let exec = predecessor_executor.expect_command("EXEC");
+    let (mut successor, _successor_executor) = start_successor(&shared);
+    // The executor of each is to be found elsewhere from now on.
+    let _kept = (predecessor.move_peers(), successor.move_peers());
+    let mut predecessor_next = Executor::accept(&predecessor.executor);
+    let mut successor_next = Executor::accept(&successor.executor);
+    for executor in [&mut predecessor_next, &mut successor_next] {
+        executor.expect_command("JOIN");
+        executor.welcome();
+    }
+    predecessor_next.last_notice = predecessor_executor.last_notice;
+    let mut client = Client::connect(successor.http);
+    client.send(&retry("k1"));
+    // What was commanded just before may be sent again on the successor link.
+    predecessor_next.started.push(exec["job"].clone());
+    predecessor_next.send_exit(job(&exec), "PASS", "placed");
+    assert_eq!(open.read_response().body, b"placed");
+    assert_eq!(client.read_response().body, b"placed");
+    client.send(&RequestBuilder::new("look"));
+    successor_next.serve_next(&mut client, "moved");
+    successor.wait_load_report("ready");
+    predecessor.terminate();
+    assert!(predecessor.exits_successfully());
+}
+
+#[test]
+fn a_successor_shut_down_before_it_can_serve_exits_immediately() {
+    let shared = SharedListener::bind();
+    let (mut predecessor, _executor) = start_first(&shared);
+    let mut successor = WORKER.start_on(&shared, |_| {});
+    assert_eq!(successor.console_request("GET", "/-/ready").0, 503);
+    successor.terminate();
+    assert!(successor.exits_successfully());
+    predecessor.wait_log("the new process has ended");
+    assert_eq!(predecessor.console_request("GET", "/-/ready").0, 200);
+    assert_eq!(predecessor.check_health(), 200);
+}
--- /dev/null
+++ b/tests/http/lifecycle.rs
@@ -0,0 +1,142 @@
+//! Start, health checks, reload and shutdown.
+
+use crate::WORKER;
+use serde_json::json;
+use std::time::Duration;
+use test_support::{encode, unique_request_id, unix_ms, Client, Executor, RequestBuilder};
+
+#[test]
+fn health_check_succeeds_only_with_an_executor_and_before_shutdown() {
+    let worker = WORKER.start();
+    let check = |path: &str| {
+        let mut client = Client::connect(worker.http);
+        client.write(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
+        client.read_response().status
+    };
+    assert_eq!(check("/check"), 503);
+    let _executor = worker.accept_link();
+    assert_eq!((check("/check"), check("/check?e2e=1")), (200, 200));
+    worker.terminate();
+    worker.wait_load_report("draining");
+    assert_eq!(check("/check"), 503);
+}
+
+#[test]
+fn shutdown_answers_all_requests_and_runs_none_that_arrived_after_the_grace() {
+    let mut worker = WORKER.start();
+    let mut executor = worker.accept_link();
+    let mut held = Client::connect(worker.http);
+    held.send(&RequestBuilder::new("look"));
+    let exec = executor.expect_command("EXEC");
+    worker.terminate();
+    worker.wait_load_report("draining");
+    let mut during = Client::connect(worker.http);
+    during.send(&RequestBuilder::new("look"));
+    let second = executor.expect_command("EXEC");
+    executor.send_exit(&second["job"], "PASS", "");
+    let reply = during.read_response();
+    assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
+    std::thread::sleep(Duration::from_millis(1300));
+    // A part of a request is there, so that this connection stays open when the door closes.
+    let mut late = Client::connect(worker.http);
+    let text = RequestBuilder::new("look").text();
+    late.write(&text[..20]);
+    std::thread::sleep(Duration::from_millis(800));
+    let stamp = text.split("X-Arrived-Ms: ").nth(1).unwrap().split('\r').next().unwrap().to_owned();
+    late.write(&text[20..].replace(&stamp, &unix_ms().to_string()));
+    assert_eq!(late.read_response().status, 503);
+    executor.send_exit(&exec["job"], "PASS", "kept");
+    let reply = held.read_response();
+    assert_eq!((reply.status, &reply.body[..]), (200, &b"kept"[..]));
+    assert_eq!(reply.header("Connection"), Some("close"));
+    assert!(worker.exits_successfully());
+}
+
+#[test]
+fn unusable_configuration_ends_the_start_with_a_one_line_error() {
+    let run = |config: Option<&str>, operator: Option<&str>| {
+        let folder = std::env::temp_dir().join(format!(
+            "honeypost-bad-{}-{}",
+            std::process::id(),
+            unique_request_id()
+        ));
+        std::fs::create_dir_all(&folder).unwrap();
+        let mut command = WORKER.command();
+        command.env_remove("ROUTER_CONFIG");
+        if let Some(text) = config {
+            std::fs::write(folder.join("c"), text).unwrap();
+            command.env("ROUTER_CONFIG", folder.join("c"));
+        }
+        if let Some(word) = operator {
+            command.arg(word);
+        }
+        let output = command.output().unwrap();
+        std::fs::remove_dir_all(&folder).unwrap();
+        (output.status.success(), String::from_utf8(output.stderr).unwrap())
+    };
+    for (config, operator, named) in [
+        (None, None, "ROUTER_CONFIG"),
+        (Some("{"), None, "EOF"),
+        (Some("{\"name\": \"n1\"}"), None, "listen"),
+        (None, Some("--what"), "usage"),
+    ] {
+        let (success, text) = run(config, operator);
+        assert!(!success && text.lines().count() == 1 && text.contains(named), "{text}");
+    }
+}
+
+/// The default of the signal ended the worker, with all that it held.
+#[test]
+fn reload_moves_to_new_peers_and_runs_and_queued_requests_continue() {
+    let mut worker = WORKER.start();
+    let mut executor = worker.accept_link();
+    let mut clients: Vec<Client> = (0..5).map(|_| Client::connect(worker.http)).collect();
+    let mut jobs = Vec::new();
+    for client in &mut clients[..2] {
+        client.send(&RequestBuilder::new("look"));
+        jobs.push(executor.expect_command("EXEC")["job"].clone());
+    }
+    executor.send_notice(json!({"type": "CALLOUT", "job": jobs[0], "data": encode("q")}));
+    let mut below = worker.records.accept();
+    below.read_message();
+    // The run at its call has left a slot to the order; the last look is held.
+    clients[2].send(&RequestBuilder::new("order").key("5c0f"));
+    let order = executor.expect_command("EXEC")["job"].clone();
+    clients[3].send(&RequestBuilder::new("look"));
+    let _former = worker.move_peers();
+    let mut moved = Executor::accept(&worker.executor);
+    assert_eq!(moved.expect_command("JOIN")["n"], 1);
+    moved.last_notice = 1;
+    moved.started.extend([jobs[1].clone(), order.clone()]);
+    moved.welcome();
+    worker.wait_load_report("ready");
+    // The call in hand ends where it was placed; what was held starts over the new link.
+    below.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
+    assert_eq!(moved.expect_command("RETURN")["data"], encode("a"));
+    moved.send_exit(&jobs[0], "PASS", "one");
+    assert_eq!(clients[0].read_response().body, b"one");
+    jobs.push(moved.expect_command("EXEC")["job"].clone());
+    // The next call goes to the new address, though the old connection was kept.
+    moved.send_notice(json!({"type": "CALLOUT", "job": jobs[1], "data": encode("r")}));
+    worker.records.accept().read_message();
+    moved.send_exit(&order, "PASS", "done");
+    assert_eq!(clients[2].read_response().body, b"done");
+    moved.send_exit(&jobs[2], "PASS", "late");
+    assert_eq!(clients[3].read_response().body, b"late");
+    assert_eq!(clients[4].request(&RequestBuilder::new("order").key("5c0f")).body, b"done");
+}
+
+#[test]
+fn reload_of_an_unusable_file_changes_nothing_and_fixed_settings_are_logged() {
+    let mut worker = WORKER.start();
+    let mut executor = worker.accept_link();
+    worker.reload_text("{\"name\":");
+    worker.wait_log("the old configuration stays");
+    worker.reload(|c| c["limits"]["sockets"] = json!(128));
+    assert!(worker.wait_log("not taken up before a restart").ends_with("limits"));
+    let mut client = Client::connect(worker.http);
+    client.send(&RequestBuilder::new("look"));
+    let job = executor.expect_command("EXEC")["job"].clone();
+    executor.send_exit(&job, "PASS", "x");
+    assert_eq!(client.read_response().body, b"x");
+}
--- /dev/null
+++ b/tests/http/main.rs
@@ -0,0 +1,12 @@
+//! The port worker over HTTP/1.1, with an executor and a records service, on real sockets.
+
+mod connections;
+mod downstream_calls;
+mod executor_link;
+mod lifecycle;
+mod requests;
+
+use test_support::WorkerProgram;
+
+/// The program under test.
+const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
--- a/tests/http2/conformance.rs
+++ b/tests/http2/conformance.rs
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn what_each_section_asks_for_comes() {
+fn protocol_violations_end_as_their_rfc_section_requires() {
     let worker = WORKER.start_with(|_| {}, Some(FRONT));
     let mut executor = worker.accept_link();
     for case in cases() {
@@ -220,7 +220,7 @@
 
 /// Sections 6.9.1 and 6.9.2: the window is the settings' as soon as the client has acknowledged them.
 #[test]
-fn data_beyond_a_streams_window_ends_the_stream_and_never_reaches_the_module() {
+fn data_beyond_the_stream_window_resets_the_stream_and_is_not_dispatched() {
     let worker = WORKER.start_with(|_| {}, Some(FRONT));
     let mut executor = worker.accept_link();
     let mut peer = Peer::connect(&worker, &[]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_request_cut_at_every_byte_is_one_request() {
+fn request_in_single_bytes_is_run_once() {
     let worker = WORKER.start_with(|_| {}, Some(FRONT));
     let mut executor = worker.accept_link();
     let block = Peer::block(&Peer::head("look", None));
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn an_empty_file_switches_nothing_on() {
+fn empty_file_enables_nothing() {
     assert!(blocks(&decoded("")).is_empty());
 }
 
 #[test]
-fn the_ajp_file_is_understood() {
+fn ajp_file_is_decoded() {
     for operator in then_and_now("ajp.toml") {
         assert_eq!(blocks(&operator), ["ajp"]);
         let ajp = operator.ajp.unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_http2_file_is_understood() {
+fn http2_file_is_decoded() {
     for operator in then_and_now("http2.toml") {
         assert_eq!(blocks(&operator), ["http2"]);
         let http2 = operator.http2.unwrap();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_fleet_file_is_understood() {
+fn fleet_file_is_decoded() {
     for operator in then_and_now("fleet.toml") {
         assert_eq!(blocks(&operator), ["fleet"]);
         let fleet = operator.fleet.unwrap();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_pools_file_is_understood() {
+fn pools_file_is_decoded() {
     for operator in then_and_now("pools.toml") {
         assert_eq!(blocks(&operator), ["pools"]);
         let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn every_key_is_understood() {
+fn every_key_is_decoded() {
     let operator = decoded(&text_of("tests/fixtures/operator_files/every_key.toml"));
     assert_eq!(blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
 
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn keys_that_are_left_out_have_their_defaults() {
+fn missing_optional_keys_have_defaults() {
     let operator = decoded(&text_of("tests/fixtures/operator_files/needed_keys.toml"));
     assert_eq!(blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
 
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_an_error_that_names_it_in_every_block() {
+fn unknown_key_in_any_block_is_an_error_that_names_it() {
     let text = text_of("tests/fixtures/operator_files/every_key.toml");
     for header in text.lines().filter(|line| line.starts_with('[') && *line != "[backend.paths]") {
         let wrong = text.replacen(header, &format!("{header}\nmisspelt = 1"), 1);
@@ -214,7 +214,7 @@
 
 /// The platform reads this file: its keys are fixed, and its paths are the repository's.
 #[test]
-fn the_platform_s_file_names_paths_that_exist() {
+fn platform_file_names_existing_paths() {
     let file: toml::Table = text_of("deploy/balancer.toml").parse().unwrap();
     let mut keys: Vec<&str> = file.keys().map(String::as_str).collect();
     keys.sort_unstable();
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_flood_of_heavy_work_leaves_the_reserve_its_slot_and_it_opens_at_once() {
+fn flood_of_one_pool_leaves_the_reserved_slot_available_immediately() {
     let mut worker = WORKER.start_with(|_| {}, Some(POOLS));
     let mut executor = worker.accept_link();
     let mut heavy = orders(&worker, 0..3);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_full_pool_refuses_at_once_with_its_own_advice_and_a_repeat_shares_the_run() {
+fn full_pool_rejects_immediately_with_its_own_advice_and_a_retry_shares_the_run() {
     let worker = WORKER.start_with(|_| {}, Some(POOLS));
     let mut executor = worker.accept_link();
     let mut running = order(&worker, "k0");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn runs_of_one_pool_stuck_at_calls_leave_room_for_the_other() {
+fn runs_stuck_at_calls_leave_capacity_to_the_other_pool() {
     // What stands at a call holds no slot: without pools such runs would fill the crowd that the cores survive.
     let crowd = |c: &mut Value| c["settings"]["contract"]["fallMultiple"] = json!(3.0);
     let pools = "[pools]\n[[pools.pool]]\nname = \"stuck\"\nclasses = [\"look\"]\nguarantee = 0.5\n\
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn pools_of_one_slot_take_turns_on_a_single_core() {
+fn pools_alternate_on_a_single_slot() {
     let pools =
         "[pools]\nmost_slots = 1\n[[pools.pool]]\nname = \"cheap\"\nclasses = [\"look\"]\nguarantee = 0.5\n\
         [[pools.pool]]\nname = \"orders\"\nclasses = [\"order\"]\nguarantee = 0.5\n";
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn the_limit_climbs_with_the_rate_falls_when_the_executor_slows_and_comes_back() {
+fn run_limit_rises_with_throughput_falls_when_the_executor_slows_and_recovers() {
     let worker = WORKER.start_with(|c| c["settings"]["domain"]["fairCalls"] = json!(64.0), Some(CLIMB));
     let executor = worker.accept_link();
     let mut busy = Busy { worker, executor, open: Vec::new(), clients: Vec::new() };
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_reload_in_a_jump_shrinks_pools_without_a_lost_run_and_a_drain_answers_all() {
+fn reload_under_load_shrinks_pools_without_losing_runs() {
     let mut worker = WORKER.start_with(|c| c["settings"]["domain"]["nCores"] = json!(6), Some(POOLS));
     let mut executor = worker.accept_link();
     let mut clients = orders(&worker, 0..5);
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn pools_can_be_taken_away_and_a_bad_file_leaves_the_old_ones() {
+fn reload_removes_pools_and_an_unusable_file_keeps_them() {
     let mut worker = WORKER.start_with(|_| {}, Some(POOLS));
     let mut executor = worker.accept_link();
     worker.reload_operator(&POOLS.replace("slots = 1", "slots = 9"));
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_is_one_line_and_nothing_starts() {
+fn unusable_pools_file_ends_the_start_with_a_one_line_error() {
     let folder = std::env::temp_dir().join(format!("honeypost-pools-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("operator.toml");
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn a_jump_in_one_step_to_one_and_six_tenths_leaves_the_cheap_class_its_part_and_goes_by() {
+fn load_step_to_160_percent_keeps_the_cheap_pools_guarantee() {
     let pools = "[pools]\nleast_slots = 10\nmost_slots = 10\n[pools.reserve]\npool = \"cheap\"\nslots = 1\n\
         [[pools.pool]]\nname = \"cheap\"\nclasses = [\"look\"]\nguarantee = 0.2\n\
         [[pools.pool]]\nname = \"heavy\"\nclasses = [\"order\"]\nguarantee = 0.5\n";
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -15,13 +15,13 @@
 const REQ: &str = r#"{"cmd":"Req","req":"a","tierClass":0,"kb":5.0,"queuedForS":0.001}"#;
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_gets_an_empty_reply() {
     let mut host = SimulatorAdapter::default();
     assert_eq!(host.answer(r#"{"clockS":2.0,"workers":[]}"#).unwrap(), "{\"workers\":[]}\n");
 }
 
 #[test]
-fn a_request_is_started_and_its_end_is_taken() {
+fn request_is_admitted_and_its_end_is_accepted() {
     let mut host = SimulatorAdapter::default();
     let hello = host.answer(&provision(3, "")).unwrap();
     assert!(hello.contains(r#""cmd":"Fitness","want":true,"fromState":true"#), "{hello}");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_repeat_named_by_the_wire_shares_the_run() {
+fn retry_named_by_the_simulator_shares_the_run() {
     let mut host = SimulatorAdapter::default();
     host.answer(&provision(1, "")).unwrap();
     let first = r#"{"cmd":"Req","req":"k1","tierClass":1,"kb":5.0,"write":true}"#;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn stop_and_provision_in_one_batch_start_afresh() {
+fn stop_and_provision_in_one_batch_start_a_new_instance() {
     let mut host = SimulatorAdapter::default();
     host.answer(&provision(2, "")).unwrap();
     host.answer(&items(1.1, 2, REQ)).unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn instances_share_nothing() {
+fn instances_are_independent() {
     let mut alone = SimulatorAdapter::default();
     alone.answer(&provision(1, "")).unwrap();
     let mut together = SimulatorAdapter::default();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named_with_its_place() {
+fn malformed_input_is_reported_with_its_place() {
     let cases = [
         ("not json".to_owned(), "malformed batch"),
         (r#"{"workers":[]}"#.to_owned(), "clockS"),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn empty_settings_do_no_harm() {
+fn empty_settings_are_accepted() {
     let mut host = SimulatorAdapter::default();
     host.answer(&items(0.0, 1, r#"{"cmd":"Provision","prng":1,"options":{}}"#)).unwrap();
     host.answer(&items(0.5, 1, r#"{"cmd":"DeadlineHit","nonce":"wake"}"#)).unwrap();
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn whole_frames_keep_their_bytes() {
+fn complete_frames_keep_their_bytes() {
     let lines = fixture_lines("fleet_frames.hex");
     let (requests, responses) = whole_frames();
     assert_eq!(lines.len(), 2);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn what_lacks_a_needed_field_is_an_error() {
+fn missing_required_field_is_an_error() {
     for payload in fixture_lines("fleet_requests_unreadable.jsonl") {
         assert!(decode::<ClientMessage>(&framed(&payload), MAX_CLIENT_FRAME_BYTES).is_err(), "{payload}");
     }
--- a/tests/stored_forms/hand_off.rs
+++ b/tests/stored_forms/hand_off.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn whole_frames_keep_their_bytes() {
+fn complete_frames_keep_their_bytes() {
     for (hex, value) in paired("hand_off_frames.hex", whole_frames()) {
         assert_eq!(hex_of(&value.encode()), hex);
         let frame = bytes_of(&hex);
