--- a/durable-log/src/lib.rs
+++ b/durable-log/src/lib.rs
@@ -1,4 +1,4 @@
-//! A crash-safe store: a write-ahead log of records, which a snapshot replaces now and then.
+//! A crash-safe store: a write-ahead log of records, which a snapshot replaces from time to time.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/durable-log/src/recovery.rs
+++ b/durable-log/src/recovery.rs
@@ -5,7 +5,7 @@
 use crate::record::{self, Record, HEADER_BYTES};
 use crate::{Disk, StoreError};
 
-/// What a store held when it was opened.
+/// What was recovered when a store was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest complete snapshot.
--- a/durable-log/src/store.rs
+++ b/durable-log/src/store.rs
@@ -91,7 +91,7 @@
         let covered = self.next_sequence - 1;
         write_new_snapshot(disk, covered, snapshot)?;
         // The log is created first: a snapshot without its log would be complete, but a log that is created later could
-        // not be told from one that was lost.
+        // not be distinguished from one that was lost.
         let log = log_name(self.next_sequence);
         in_operation("create", &log, disk.create(&log))?;
         in_operation("sync", &log, disk.sync(&log))?;
--- a/fleet-coordinator/src/bin/fleetctl.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -92,7 +92,7 @@
             print_answer(&answer, arguments.json);
             ExitCode::SUCCESS
         }
-        QueryOutcome::Refused(reason) => {
+        QueryOutcome::Rejected(reason) => {
             eprintln!("fleetctl: refused: {reason}");
             ExitCode::from(EXIT_REJECTED)
         }
--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -24,7 +24,7 @@
     /// The answer.
     Answer(Value),
     /// The query was rejected, for this reason.
-    Refused(String),
+    Rejected(String),
     /// No leader was confirmed in time; this is what was last found.
     NoQuorum(String),
 }
@@ -116,7 +116,7 @@
     loop {
         let rows: Vec<Value> = addresses.iter().map(|address| status_row(*address, fleet, timeout)).collect();
         if let Some(refused) = rows.iter().find(|row| row["standing"] == "refuses") {
-            return QueryOutcome::Refused(refused["why"].as_str().unwrap_or_default().to_owned());
+            return QueryOutcome::Rejected(refused["why"].as_str().unwrap_or_default().to_owned());
         }
         if rows.iter().any(|row| row["leads"] == true) {
             // A table takes its columns from the first row, which must be one that answered.
@@ -158,7 +158,7 @@
         for address in addresses {
             last_failure = match ask(*address, fleet, query, attempt_timeout) {
                 Ok(ServerMessage::QueryResult { answer }) => return QueryOutcome::Answer(answer),
-                Ok(ServerMessage::Rejected { reason }) => return QueryOutcome::Refused(reason),
+                Ok(ServerMessage::Rejected { reason }) => return QueryOutcome::Rejected(reason),
                 Ok(ServerMessage::NotLeader { reason, .. }) => format!("{address}: {reason}"),
                 Ok(other) => format!("{address}: {other:?}"),
                 Err(error) => error.to_string(),
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -110,8 +110,7 @@
         self.listen.or_else(|| own().map(|coordinator| coordinator.address))
     }
 
-    /// The keys in which another reading of the file differs and that are taken up at the next start only: all but
-    /// `epoch` and `task`.
+    /// The keys that have another value in `other` and are applied at the next start only: all but `epoch` and `task`.
     #[must_use]
     pub fn restart_keys(&self, other: &File) -> Vec<&'static str> {
         let changes = [
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -14,7 +14,7 @@
 pub use peer_messages::{PeerAnswer, PeerHello};
 
 use crate::events::CoordinatorEvent;
-use crate::ids::{LinkId, MemberId};
+use crate::ids::{DiskJobId, LinkId, MemberId};
 use crate::leader_state::{LeaderState, SafetyChecks};
 use crate::replica::{DiskJob, DiskResult, MemberStatus, Replica, StepError};
 use crate::state_machine::Task;
@@ -70,12 +70,12 @@
     /// Reconnect to all peers: this member's status has changed.
     Relink,
     /// Carry out a job of the disk, and report its result under this number.
-    Disk(u64, DiskJob),
+    Disk(DiskJobId, DiskJob),
     /// Report an event to operators.
     Log(CoordinatorEvent),
 }
 
-/// Why a frame can't come from anything that speaks to coordinators.
+/// Why a frame comes from no worker, operator or coordinator of this fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
     /// The frame's body is not a message.
@@ -112,7 +112,7 @@
     /// What it does as a leader.
     pub leader_state: LeaderState,
     roles: BTreeMap<LinkId, Role>,
-    /// Names of members by number, as their links said.
+    /// Names of members by number, as they introduced themselves.
     peer_names: BTreeMap<MemberId, String>,
     /// What peers answered while this member is uninitialized.
     peer_answers: BTreeMap<String, PeerAnswer>,
@@ -163,7 +163,7 @@
     }
 
     /// A job of the disk has ended.
-    pub fn disk_done(&mut self, now: f64, job: u64, result: DiskResult) {
+    pub fn disk_done(&mut self, now: f64, job: DiskJobId, result: DiskResult) {
         self.replica.on_disk_result(now, job, result);
         self.process_events(now);
     }
@@ -192,7 +192,7 @@
     /// A frame's body was received.
     ///
     /// # Errors
-    /// Why it can't come from anything that speaks to coordinators; the link is to be closed.
+    /// The frame comes from no worker, operator or coordinator of this fleet; the link is to be closed.
     pub fn receive(&mut self, now: f64, link: LinkId, body: &[u8]) -> Result<(), ReceiveError> {
         let result = match self.roles.get(&link).cloned() {
             None => Ok(()),
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -175,7 +175,7 @@
     }
 }
 
-/// What the replicated state says of the coordinator of a name.
+/// What the replicated state records of the coordinator of a name.
 struct KnownMember {
     /// Its member number; 0 for none.
     member: MemberId,
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -28,7 +28,7 @@
                 self.on_worker_hello(now, link, &fleet, hello);
             }
             ClientMessage::Query { fleet, what } => self.on_operator_query(now, link, &fleet, what),
-            // The link never said hello, or this member does not lead any more.
+            // No hello was received on this link, or this member does not lead any more.
             _ if *role != Role::Worker => self.send(link, &ServerMessage::SessionExpired),
             _ if !self.replica.leads() => {
                 let answer = self.not_leader();
--- a/fleet-coordinator/src/events/mod.rs
+++ b/fleet-coordinator/src/events/mod.rs
@@ -96,7 +96,7 @@
         /// What is wrong with it, in one line.
         cause: String,
     },
-    /// Keys of the file have changed that are taken up at the next start only.
+    /// Keys of the file have changed that are applied at the next start only.
     ConfigReloadDeferred {
         /// The keys.
         keys: Vec<&'static str>,
--- a/fleet-coordinator/src/ids.rs
+++ b/fleet-coordinator/src/ids.rs
@@ -37,6 +37,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
+/// A job for a coordinator's disk. Numbers grow with each job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct DiskJobId(pub u64);
+
+impl DiskJobId {
+    /// The job of the next number.
+    #[must_use]
+    pub fn next(self) -> DiskJobId {
+        DiskJobId(self.0 + 1)
+    }
+}
+
 impl fmt::Display for MemberId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
--- a/fleet-coordinator/src/leader_state/granting.rs
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -98,9 +98,9 @@
         }
         let zone_preference =
             task.zones.iter().position(|zone| *zone == session.zone).unwrap_or(task.zones.len());
-        let held = state.leases.values().filter(|lease| lease.session == id).count();
+        let leases = state.leases.values().filter(|lease| lease.session == id).count();
         let pending = self.pending_grants.values().filter(|grant| grant.session == id).count();
-        Some(GrantRank { zone_preference, leases: held + pending, queue_place, session: id })
+        Some(GrantRank { zone_preference, leases: leases + pending, queue_place, session: id })
     }
 
     pub(super) fn on_lease_granted(
@@ -109,11 +109,11 @@
         result: &Result<Outcome, Rejection>,
         state: &LeaseStateMachine,
     ) {
-        let Ok(Outcome::Granted(held)) = result else { return };
-        let ttl_ms = state.lease(held).map_or(0, |lease| lease.ttl_ms);
-        self.lease_clock.record_grant(now, held.token, ttl_ms);
-        if let Some(link) = self.link_of_holder(held, state) {
-            self.send(link, ServerMessage::LeaseGranted { lease: held.clone() });
+        let Ok(Outcome::Granted(lease)) = result else { return };
+        let ttl_ms = state.lease(lease).map_or(0, |granted| granted.ttl_ms);
+        self.lease_clock.record_grant(now, lease.token, ttl_ms);
+        if let Some(link) = self.link_of_holder(lease, state) {
+            self.send(link, ServerMessage::LeaseGranted { lease: lease.clone() });
         }
     }
 }
--- a/fleet-coordinator/src/leader_state/messages.rs
+++ b/fleet-coordinator/src/leader_state/messages.rs
@@ -10,7 +10,7 @@
     pub name: String,
     /// The worker's zone.
     pub zone: String,
-    /// Tells processes of the same name apart.
+    /// Distinguishes processes of the same name.
     pub incarnation: u64,
     /// The latest protocol version that the worker understands.
     pub version: u32,
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Invariants: a renewal is answered only after a quorum has confirmed, later than the renewal was received, that this
 //! member leads; a lease is released no sooner than its TTL after the last renewal that may have been answered, by this
-//! leader or an earlier one. A holder counts from when it *sent* the renewal. Together that is why two holders never act
+//! leader or an earlier one. A holder counts from when it *sent* the renewal. Together these keep two holders from acting
 //! at the same time.
 
 mod granting;
--- a/fleet-coordinator/src/leader_state/renewals.rs
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -90,10 +90,10 @@
         state: &LeaseStateMachine,
     ) -> Vec<RenewedLease> {
         let mut counted = Vec::new();
-        for held in leases.into_iter().take(MAX_TASKS) {
-            let own = state.lease(&held).filter(|lease| lease.session == session);
-            let ttl_ms = own.map_or(0, |lease| self.lease_clock.record_renewal(now, lease));
-            counted.push(RenewedLease { lease: held, ttl_ms });
+        for lease in leases.into_iter().take(MAX_TASKS) {
+            let own = state.lease(&lease).filter(|current| current.session == session);
+            let ttl_ms = own.map_or(0, |current| self.lease_clock.record_renewal(now, current));
+            counted.push(RenewedLease { lease, ttl_ms });
         }
         counted
     }
@@ -137,9 +137,9 @@
     }
 
     fn renewed_leases(&self, renewal: &Renewal, state: &LeaseStateMachine) -> Vec<RenewedLease> {
-        let is_valid = |held: &LeaseRef| {
-            let still_held = state.lease(held).is_some_and(|lease| lease.session == renewal.session);
-            still_held && !self.lease_clock.is_releasing(held.token)
+        let is_valid = |lease: &LeaseRef| {
+            let is_own = state.lease(lease).is_some_and(|current| current.session == renewal.session);
+            is_own && !self.lease_clock.is_releasing(lease.token)
         };
         renewal
             .leases
--- a/fleet-coordinator/src/net/disk_thread.rs
+++ b/fleet-coordinator/src/net/disk_thread.rs
@@ -1,5 +1,6 @@
 //! The thread that alone accesses the data folder: one job after the other.
 
+use crate::ids::DiskJobId;
 use crate::replica::{carry_out, DiskJob, DiskResult};
 use calloop::channel::Sender;
 use durable_log::Folder;
@@ -8,13 +9,13 @@
 
 /// A job for the thread.
 pub(super) struct NumberedJob {
-    pub(super) number: u64,
+    pub(super) number: DiskJobId,
     pub(super) job: DiskJob,
 }
 
 /// The result of the job with the same number.
 pub(super) struct JobResult {
-    pub(super) number: u64,
+    pub(super) number: DiskJobId,
     pub(super) result: DiskResult,
 }
 
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -87,7 +87,7 @@
         self.inbound.link(id).or_else(|| self.peers.link(id))
     }
 
-    /// Takes up the tasks of a valid file; all other changes need a restart.
+    /// Applies the tasks of a valid file; all other changes need a restart.
     fn reload(&mut self, now: f64, path: &Path) {
         match File::read(path) {
             Ok(file) => {
--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -2,6 +2,7 @@
 
 use super::recovered_log::RecoveredLog;
 use super::{MemberStatus, Replica, ReplicaOutput, SuspensionCause};
+use crate::ids::DiskJobId;
 use durable_log::{Disk, Recovered, Store, StoreError};
 
 /// A job for the disk.
@@ -18,7 +19,7 @@
 /// The result of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskResult {
-    /// The store is open, and held this.
+    /// The store is open, and this was recovered from it.
     Opened(Recovered),
     /// Everything was written and synced.
     Written,
@@ -39,7 +40,7 @@
 
 /// A job that was started and not answered.
 pub(super) struct PendingJob {
-    number: u64,
+    number: DiskJobId,
     started_at: f64,
 }
 
@@ -89,9 +90,9 @@
 }
 
 impl Replica {
-    pub(super) fn start_job(&mut self, now: f64, job: DiskJob) -> u64 {
+    pub(super) fn start_job(&mut self, now: f64, job: DiskJob) -> DiskJobId {
         let number = self.next_job;
-        self.next_job += 1;
+        self.next_job = number.next();
         self.pending_jobs.push_back(PendingJob { number, started_at: now });
         if job == DiskJob::Open {
             self.opening_job = number;
@@ -101,14 +102,14 @@
     }
 
     /// A job has ended. Jobs are answered in the order in which they were started.
-    pub fn on_disk_result(&mut self, now: f64, number: u64, result: DiskResult) {
+    pub fn on_disk_result(&mut self, now: f64, number: DiskJobId, result: DiskResult) {
         let Some(job) = self.pending_jobs.pop_front() else { return };
         debug_assert_eq!(job.number, number, "jobs are answered in order");
         match result {
             DiskResult::Opened(recovered) => self.on_opened(now, now - job.started_at, &recovered),
             DiskResult::Written => {
                 if self.node.is_some() {
-                    self.on_persisted(number);
+                    self.on_persisted(Some(number));
                     self.process_ready(now);
                 }
             }
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -25,7 +25,7 @@
     UninitializedCause,
 };
 
-use crate::ids::MemberId;
+use crate::ids::{DiskJobId, MemberId};
 use crate::state_machine::{LeaseStateMachine, LATEST};
 use disk::PendingJob;
 use election::ElectionTimeout;
@@ -55,9 +55,9 @@
     /// What waits for the disk, in order.
     pending_ready: VecDeque<PendingReady>,
     pending_jobs: VecDeque<PendingJob>,
-    next_job: u64,
+    next_job: DiskJobId,
     /// The last job that opens the disk.
-    opening_job: u64,
+    opening_job: DiskJobId,
     write_overdue_s: f64,
     disk_retry_at: f64,
     ticked_at: f64,
@@ -95,8 +95,8 @@
             leads: false,
             pending_ready: VecDeque::new(),
             pending_jobs: VecDeque::new(),
-            next_job: 1,
-            opening_job: 1,
+            next_job: DiskJobId(1),
+            opening_job: DiskJobId(1),
             write_overdue_s,
             disk_retry_at: now,
             ticked_at: now,
--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -3,7 +3,7 @@
 use super::recovered_log::{entry_record, hard_state_record, snapshot_record};
 use super::scan;
 use super::{DiskJob, Replica, ReplicaEvent, ReplicaOutput, SuspensionCause};
-use crate::ids::MemberId;
+use crate::ids::{DiskJobId, MemberId};
 use crate::state_machine::LogEntry;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry, EntryType, Message, Snapshot};
@@ -14,18 +14,19 @@
 
 /// Messages that wait for a job of the disk.
 pub(super) struct PendingReady {
-    /// The library's number.
-    number: u64,
+    /// The library's number for it.
+    ready_number: u64,
     messages: Vec<Message>,
     /// `None` where nothing has to be written.
-    job: Option<u64>,
-    /// The last index of a leader's snapshot that is being written; 0 for none.
-    snapshot_index: u64,
+    job: Option<DiskJobId>,
+    /// The last index of a leader's snapshot that is being written.
+    snapshot_index: Option<u64>,
 }
 
 impl PendingReady {
-    fn waits_beyond(&self, job: u64) -> bool {
-        self.job.is_some_and(|own| own > job)
+    /// Whether this waits for a job that is not done once `persisted` is; `None` where none is.
+    fn waits_beyond(&self, persisted: Option<DiskJobId>) -> bool {
+        self.job > persisted
     }
 }
 
@@ -50,13 +51,13 @@
     fn process_one(&mut self, now: f64, mut ready: Ready) -> Result<(), UnreadableSnapshot> {
         send(&mut self.outputs, ready.take_messages());
         let mut records = Vec::new();
-        let mut snapshot_index = 0;
+        let mut snapshot_index = None;
         if !ready.snapshot().is_empty() {
-            snapshot_index = self.restore_snapshot(ready.snapshot())?;
+            snapshot_index = Some(self.restore_snapshot(ready.snapshot())?);
             records.push(snapshot_record(ready.snapshot()));
         }
         self.append_entries(&mut ready, &mut records);
-        let number = ready.number();
+        let ready_number = ready.number();
         let messages = ready.take_persisted_messages();
         let committed = ready.take_committed_entries();
         let read_states = ready.take_read_states();
@@ -64,9 +65,9 @@
             node.advance_append_async(ready);
         }
         let job = (!records.is_empty()).then(|| self.start_job(now, DiskJob::Append(records)));
-        self.pending_ready.push_back(PendingReady { number, messages, job, snapshot_index });
+        self.pending_ready.push_back(PendingReady { ready_number, messages, job, snapshot_index });
         if self.pending_ready.len() == 1 && job.is_none() {
-            self.on_persisted(0);
+            self.on_persisted(None);
         }
         self.apply_committed(now, &committed);
         self.update_role(now);
@@ -78,7 +79,7 @@
         Ok(())
     }
 
-    /// Takes up a snapshot that a leader sent; returns its index.
+    /// Replaces log and state by a snapshot that a leader sent; returns its index.
     fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<u64, UnreadableSnapshot> {
         self.state_machine = serde_json::from_slice(&snapshot.data).map_err(UnreadableSnapshot)?;
         if let Some(node) = &mut self.node {
@@ -88,7 +89,7 @@
         Ok(self.applied)
     }
 
-    /// Takes up new entries and the hard state, with their records for the disk.
+    /// Appends new entries and the hard state to the log, and their records to `records`.
     fn append_entries(&mut self, ready: &mut Ready, records: &mut Vec<Vec<u8>>) {
         let Some(node) = &mut self.node else { return };
         let entries = ready.take_entries();
@@ -103,21 +104,21 @@
         }
     }
 
-    /// Sends all messages that waited for this job, or for none since.
-    pub(super) fn on_persisted(&mut self, job: u64) {
+    /// Sends all messages that waited for this job or an earlier one, and those that wait for none behind them.
+    pub(super) fn on_persisted(&mut self, job: Option<DiskJobId>) {
         let Some(node) = &mut self.node else { return };
         let mut persisted_number = None;
-        let mut snapshot_index = 0;
+        let mut snapshot_index = None;
         while self.pending_ready.front().is_some_and(|pending| !pending.waits_beyond(job)) {
             let Some(pending) = self.pending_ready.pop_front() else { break };
-            persisted_number = Some(pending.number);
+            persisted_number = Some(pending.ready_number);
             snapshot_index = snapshot_index.max(pending.snapshot_index);
             send(&mut self.outputs, pending.messages);
         }
         if let Some(number) = persisted_number {
             node.on_persist_ready(number);
-            if snapshot_index > 0 {
-                node.advance_apply_to(snapshot_index);
+            if let Some(index) = snapshot_index {
+                node.advance_apply_to(index);
             }
         }
     }
--- a/fleet-coordinator/src/replica/status.rs
+++ b/fleet-coordinator/src/replica/status.rs
@@ -1,7 +1,7 @@
 //! What a replica reports: its status, its outputs, and events.
 
 use super::DiskJob;
-use crate::ids::MemberId;
+use crate::ids::{DiskJobId, MemberId};
 use crate::state_machine::{LogEntry, Outcome, Rejection};
 use durable_log::DroppedData;
 
@@ -221,7 +221,7 @@
     /// Send bytes to the member of this number.
     Send(MemberId, Vec<u8>),
     /// Carry out a job, and report its result under this number.
-    Disk(u64, DiskJob),
+    Disk(DiskJobId, DiskJob),
 }
 
 /// What has happened.
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -40,13 +40,13 @@
         name: String,
         /// The worker's zone.
         zone: String,
-        /// Tells processes of the same name apart.
+        /// Distinguishes processes of the same name.
         #[serde(rename = "process")]
         incarnation: u64,
         /// The latest protocol version that the worker understands.
         version: u32,
     },
-    /// Ends a session that holds no lease: the worker left, or was silent for the session's TTL.
+    /// Ends a session that holds no lease: the worker left, or sent nothing for the session's TTL.
     #[serde(rename = "close")]
     CloseSession {
         /// The session.
@@ -79,7 +79,7 @@
         /// The new holder.
         session: SessionId,
     },
-    /// Begins the task's next period, or its current one again where that is safe.
+    /// Begins the task's next period, or its current one again where its call may be repeated.
     #[serde(rename = "begin")]
     BeginPeriod {
         /// The lease under which the call is made.
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -34,7 +34,7 @@
 /// The latest version whose commands this program can apply. Commands of later ones are rejected by all members alike.
 pub const LATEST: u32 = port_worker::fleet::frame::VERSION;
 
-/// The whole replicated state. A snapshot is this as JSON; names there are fixed by `serde` attributes.
+/// The complete replicated state. A snapshot is this as JSON; names there are fixed by `serde` attributes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LeaseStateMachine {
--- a/fleet-coordinator/src/state_machine/sessions.rs
+++ b/fleet-coordinator/src/state_machine/sessions.rs
@@ -12,7 +12,7 @@
     pub name: String,
     /// The worker's zone.
     pub zone: String,
-    /// Tells processes of the same name apart.
+    /// Distinguishes processes of the same name.
     #[serde(rename = "process")]
     pub incarnation: u64,
     /// The latest protocol version that the worker understands.
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -140,8 +140,8 @@
         ),
         (1, 1, 1)
     );
-    // A holder dies in its call: the next one may make a safe call again, and no other.
-    let safe = with(vec![
+    // A holder dies in its call: the next one may make an idempotent call again, and no other.
+    let idempotent = with(vec![
         (10, begin(1, true), "Begun(1)"),
         (20, begin(1, true), "NotDue"),
         (30, free(1), "Done"),
@@ -151,7 +151,7 @@
         (50, end(1, 1, CallOutcome::Done), "NotHeld"),
         (60, end(2, 1, CallOutcome::Done), "Done"),
     ]);
-    assert!(safe.indeterminate_calls.is_empty());
+    assert!(idempotent.indeterminate_calls.is_empty());
     let unsafe_one = with(vec![
         (10, begin(1, false), "Begun(1)"),
         (30, free(1), "Done"),
--- a/fleet-coordinator/tests/command_line.rs
+++ b/fleet-coordinator/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What operators' scripts rest on: help texts, exit statuses, and the lines on stderr.
+//! What operators' scripts depend on: help texts, exit statuses, and the lines on stderr.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -60,7 +60,7 @@
 /// An address of this host on which nothing listens.
 const CLOSED_ADDRESS: &str = "127.0.0.1:1";
 
-/// Asks a scripted coordinator that answers one question with this body; returns what was asked, too.
+/// Runs `fleetctl` against a scripted coordinator that answers one query with this body; returns the query, too.
 fn ask_scripted(arguments: &[&str], answer: &'static str) -> (String, Output) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -68,11 +68,11 @@
         let (mut stream, _) = listener.accept().unwrap();
         let mut length = [0; 4];
         stream.read_exact(&mut length).unwrap();
-        let mut question = vec![0; u32::from_be_bytes(length) as usize];
-        stream.read_exact(&mut question).unwrap();
+        let mut query = vec![0; u32::from_be_bytes(length) as usize];
+        stream.read_exact(&mut query).unwrap();
         stream.write_all(&(answer.len() as u32).to_be_bytes()).unwrap();
         stream.write_all(answer.as_bytes()).unwrap();
-        String::from_utf8(question).unwrap()
+        String::from_utf8(query).unwrap()
     });
     let mut all = vec!["--coordinators", address.as_str()];
     all.extend(arguments);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn no_coordinator_within_reach_is_no_quorum() {
+fn unreachable_coordinators_are_reported_as_no_quorum() {
     let address = CLOSED_ADDRESS;
     let refused = format!("{address}: Connection refused (os error 111)");
     let expected = line(&FLEET, &format!("no quorum within 0.2 s: {refused}"));
@@ -151,18 +151,18 @@
 }
 
 #[test]
-fn an_answer_is_printed_as_a_table_or_as_json() {
+fn an_answer_is_printed_as_a_table_or_with_json_as_it_is() {
     let answer = r#"{"word":"answer","answer":[{"held":null,"task":"totals","token":7},{"held":true,"task":"a","token":12}]}"#;
-    let (question, output) = ask_scripted(&["leases"], answer);
-    assert_eq!(question, r#"{"say":"ask","fleet":"polderlijn","what":"leases"}"#);
+    let (query, output) = ask_scripted(&["leases"], answer);
+    assert_eq!(query, r#"{"say":"ask","fleet":"polderlijn","what":"leases"}"#);
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(
         std::str::from_utf8(&output.stdout).unwrap(),
         "held  task    token\n-     totals  7\ntrue  a       12\n"
     );
 
-    let (question, output) = ask_scripted(&["--json", "--fleet", "f", "members"], answer);
-    assert_eq!(question, r#"{"say":"ask","fleet":"f","what":"members"}"#);
+    let (query, output) = ask_scripted(&["--json", "--fleet", "f", "members"], answer);
+    assert_eq!(query, r#"{"say":"ask","fleet":"f","what":"members"}"#);
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(
         std::str::from_utf8(&output.stdout).unwrap(),
@@ -171,15 +171,15 @@
 }
 
 #[test]
-fn a_rejected_question_ends_with_one_line() {
+fn a_rejected_query_ends_fleetctl_with_one_line_and_its_own_status() {
     let cases: [(&[&str], &str); 3] = [
         (&["replace", "c2"], r#"{"replace":{"coordinator":"c2"}}"#),
         (&["pin", "2", "0.5", "--for", "30"], r#"{"pin":{"tier":2,"share":0.5,"for_s":30.0}}"#),
         (&["overload"], r#""overload""#),
     ];
     for (arguments, expected) in cases {
-        let (question, output) = ask_scripted(arguments, r#"{"word":"refused","why":"not now"}"#);
-        assert_eq!(question, format!(r#"{{"say":"ask","fleet":"polderlijn","what":{expected}}}"#));
+        let (query, output) = ask_scripted(arguments, r#"{"word":"refused","why":"not now"}"#);
+        assert_eq!(query, format!(r#"{{"say":"ask","fleet":"polderlijn","what":{expected}}}"#));
         assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), line(&FLEET, "refused: not now"));
         assert_eq!(output.status.code(), Some(REJECTED), "{arguments:?}");
         assert!(output.stdout.is_empty(), "{arguments:?}");
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_key_is_read_and_reaches_the_setup() {
+fn every_key_is_read_and_reaches_the_coordinator_config() {
     let file = File::decode(concat!(
         "fleet = 'f'\nname = 'a'\nfolder = '/data'\nlisten = '0.0.0.0:9'\nepoch = 7\n",
         "write_overdue_ms = 250\nversion = 1\n",
@@ -54,15 +54,15 @@
             r#"{"name":"defaults","ttl_ms":3000,"zones":[],"pause_ms":2000}]"#
         )
     );
-    let setup = file.coordinator_config();
-    assert_eq!((setup.fleet.as_str(), setup.name.as_str(), setup.epoch, setup.version), ("f", "a", 7, 1));
+    let config = file.coordinator_config();
+    assert_eq!((config.fleet.as_str(), config.name.as_str(), config.epoch, config.version), ("f", "a", 7, 1));
     assert_eq!(
-        setup.coordinators,
+        config.coordinators,
         [CoordinatorAddress { name: "a".to_owned(), address: "[::1]:1".to_owned() }]
     );
-    assert_eq!(setup.tasks, file.tasks);
-    let settings = setup.overload.unwrap();
-    assert_eq!((setup.write_overdue_s, settings.base_calls, settings.retry_share), (0.25, 4.0, 0.25));
+    assert_eq!(config.tasks, file.tasks);
+    let settings = config.overload.unwrap();
+    assert_eq!((config.write_overdue_s, settings.base_calls, settings.retry_share), (0.25, 4.0, 0.25));
 }
 
 #[test]
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_is_refused_with_one_whole_line() {
+fn an_unusable_file_is_rejected_with_one_complete_line() {
     let cases = [
         ("epoch = 1", "epock = 1", "line 7: unknown field `epock`, expected one of `fleet`, `name`, `folder`, `listen`, `epoch`, `write_overdue_ms`, `version`, `coordinator`, `task`, `overload`"),
         ("epoch = 1", "epoch = 0", "epoch is 0; expected 1 to 18446744073709551615"),
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -5,7 +5,7 @@
 use durable_log::Store;
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::events::CoordinatorEvent;
-use fleet_coordinator::ids::{LinkId, MemberId};
+use fleet_coordinator::ids::{DiskJobId, LinkId, MemberId};
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::replica::{carry_out, DiskResult, MemberStatus};
 use fleet_coordinator::state_machine::LATEST;
@@ -21,7 +21,7 @@
     store: Option<Store<SimulatedDisk>>,
     /// How long each job of the disk takes.
     job_duration_s: f64,
-    answers: Vec<(f64, u64, DiskResult)>,
+    answers: Vec<(f64, DiskJobId, DiskResult)>,
     messages: Vec<ServerMessage>,
     events: Vec<CoordinatorEvent>,
 }
--- a/fleet-coordinator/tests/operator_file.rs
+++ b/fleet-coordinator/tests/operator_file.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_file_that_comes_with_the_program_is_understood() {
+fn the_shipped_file_and_its_first_version_have_the_same_meaning() {
     for path in ["tests/fixtures/operator_files/coordinator.toml", "deploy/coordinator.toml"] {
         let file = read(path);
         assert_eq!([&file.fleet, &file.name], ["polderlijn", "c1"]);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_key_is_understood() {
+fn a_file_with_every_key_has_the_same_meaning_as_before() {
     let file = read("tests/fixtures/operator_files/coordinator_every_key.toml");
     assert_eq!((file.epoch, file.write_overdue_ms, file.version), (4, 750, 1));
     assert_eq!(file.listen_address(), Some("0.0.0.0:7201".parse().unwrap()));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn keys_that_are_left_out_have_their_defaults() {
+fn missing_keys_have_their_defaults() {
     let file = read("tests/fixtures/operator_files/coordinator_needed_keys.toml");
     assert_eq!((file.write_overdue_ms, file.version), (1000, 2));
     assert_eq!(file.listen_address(), Some("127.0.0.1:7101".parse().unwrap()));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_an_error_that_names_it_in_every_block() {
+fn an_unknown_key_in_any_block_is_an_error_that_names_it() {
     let text = text_of_every_key();
     let mut wrong = vec![format!("misspelt = 1\n{text}")];
     for header in text.lines().filter(|line| line.starts_with('[')) {
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -1,5 +1,5 @@
 //! Data folders that an earlier build wrote must be recovered in full, and what is written next must be the same bytes.
-//! Facts are compared as JSON, which is how they are stored. `fixtures/README.md` says what the folders hold.
+//! States are compared as JSON, which is how they are stored. `fixtures/README.md` says what the folders hold.
 
 use durable_log::{Folder, Store};
 use fleet_coordinator::config::File;
@@ -130,11 +130,11 @@
     assert_eq!(sorted(replica.voters()), [MEMBER_C1, MEMBER_C3]);
     let status = serde_json::to_string(&coordinator.status()).unwrap();
     assert_eq!(status, fixture_text("expected/status.json").trim_end());
-    assert_facts_are(&replica.state_machine, "expected/snapshot-facts.json");
+    assert_state_is(&replica.state_machine, "expected/snapshot-facts.json");
 }
 
 #[test]
-fn a_quorum_recovers_all_facts_of_snapshot_and_log() {
+fn a_quorum_recovers_the_complete_state_of_snapshot_and_log() {
     let data = DataCopy::new("quorum");
     let mut quorum = Quorum::start(&data);
     quorum.tick_until_led();
@@ -143,15 +143,15 @@
     // One more than was stored: a new leader's own first entry.
     assert_eq!(leader.log_position(), LogPosition { last: LAST_INDEX + 1, applied: LAST_INDEX + 1 });
     assert_eq!(sorted(leader.voters()), [MEMBER_C3, MEMBER_C2]);
-    assert_eq!(serde_json::to_value(&leader.state_machine).unwrap(), expected_facts());
-    assert_facts_are(&leader.state_machine, "expected/facts.json");
+    assert_eq!(serde_json::to_value(&leader.state_machine).unwrap(), expected_state());
+    assert_state_is(&leader.state_machine, "expected/facts.json");
 }
 
-/// What the fleet of the fixtures was made to hold.
-fn expected_facts() -> Value {
-    let held = |session: u64, token: u64, granted_ms: u64| json!({"session": session, "token": token, "granted_ms": granted_ms, "ttl_ms": 4000, "whole_ms": 4000});
+/// The state that the fleet of the fixtures was brought to.
+fn expected_state() -> Value {
+    let lease = |session: u64, token: u64, granted_ms: u64| json!({"session": session, "token": token, "granted_ms": granted_ms, "ttl_ms": 4000, "whole_ms": 4000});
     let session = |name: &str, zone: &str, process: u64, opened_ms: u64| json!({"name": name, "zone": zone, "process": process, "version": 2, "opened_ms": opened_ms});
-    let period = |token: u64, attempt: u64, due_ms: u64, ending: Value, safe: bool| json!({"number": 1, "token": token, "attempt": attempt, "due_ms": due_ms, "ending": ending, "safe": safe});
+    let period = |token: u64, attempt: u64, due_ms: u64, outcome: Value, idempotent: bool| json!({"number": 1, "token": token, "attempt": attempt, "due_ms": due_ms, "ending": outcome, "safe": idempotent});
     let task = |name: &str| json!({"name": name, "ttl_ms": 4000, "zones": ["east"], "pause_ms": 2000});
     let task_names = ["archive", "billing", "cleanup", "digest", "export", "forward", "inventory", "totals"];
     let tasks: BTreeMap<&str, Value> = task_names.into_iter().map(|name| (name, task(name))).collect();
@@ -167,8 +167,8 @@
         // archive was transferred, digest granted anew; cleanup lapsed, totals' holders failed, nobody has had
         // inventory: those three wait for a holder.
         "leases": {
-            "archive": held(3, 9, 5729), "billing": held(2, 2, 2519), "digest": held(1, 10, 5759),
-            "export": held(1, 5, 2549), "forward": held(1, 7, 2569),
+            "archive": lease(3, 9, 5729), "billing": lease(2, 2, 2519), "digest": lease(1, 10, 5759),
+            "export": lease(1, 5, 2549), "forward": lease(1, 7, 2569),
         },
         "periods": {
             "archive": period(1, 1, 2579, json!("done"), false),
@@ -190,11 +190,11 @@
     })
 }
 
-/// Compares facts with their stored form, both ways.
-fn assert_facts_are(facts: &LeaseStateMachine, name: &str) {
+/// Compares a state with its stored form, both ways.
+fn assert_state_is(state: &LeaseStateMachine, name: &str) {
     let expected = fixture_text(name);
-    assert_eq!(serde_json::to_string(facts).unwrap(), expected.trim_end());
-    assert_eq!(&serde_json::from_str::<LeaseStateMachine>(&expected).unwrap(), facts);
+    assert_eq!(serde_json::to_string(state).unwrap(), expected.trim_end());
+    assert_eq!(&serde_json::from_str::<LeaseStateMachine>(&expected).unwrap(), state);
 }
 
 #[test]
@@ -296,9 +296,9 @@
         .collect();
     assert_eq!(outcomes.len(), 2, "{outcomes:?}");
     assert!(outcomes.iter().all(|outcome| outcome.starts_with("Ok(")), "{outcomes:?}");
-    let facts = serde_json::to_value(&leader.state_machine).unwrap();
-    assert_eq!(facts["sessions"]["6"]["name"], "worker-f");
-    assert_eq!(facts["leases"]["inventory"]["token"], 11, "tokens only grow");
+    let state = serde_json::to_value(&leader.state_machine).unwrap();
+    assert_eq!(state["sessions"]["6"]["name"], "worker-f");
+    assert_eq!(state["leases"]["inventory"]["token"], 11, "tokens only grow");
     for member in MEMBERS {
         assert_same_files(&data.member(member), &fixture("expected/continued").join(member));
     }
@@ -327,9 +327,9 @@
 
 /// In the order of `commands.jsonl`; variants with an enum inside stand once for each of its values.
 fn one_of_each_command() -> Vec<LogEntry> {
-    let held = || LeaseRef { task: "archive".into(), token: 9 };
-    let end = |ending| Command::EndPeriod { lease: held(), period: 3, outcome: ending };
-    let free = |why| Command::ReleaseLease { lease: held(), reason: why };
+    let lease = || LeaseRef { task: "archive".into(), token: 9 };
+    let end = |outcome| Command::EndPeriod { lease: lease(), period: 3, outcome };
+    let free = |reason| Command::ReleaseLease { lease: lease(), reason };
     let task = Task {
         name: "archive".into(),
         ttl_ms: 4000,
@@ -343,8 +343,8 @@
         free(ReleaseReason::Expired),
         free(ReleaseReason::Returned),
         free(ReleaseReason::Failed),
-        Command::TransferLease { lease: held(), session: SessionId(5) },
-        Command::BeginPeriod { lease: held(), every_ms: 60_000, idempotent: true, attempt: 2 },
+        Command::TransferLease { lease: lease(), session: SessionId(5) },
+        Command::BeginPeriod { lease: lease(), every_ms: 60_000, idempotent: true, attempt: 2 },
         end(CallOutcome::Done),
         end(CallOutcome::NotDone),
         end(CallOutcome::Unknown),
--- a/testbed/src/fleet/virtual_fleet/disks.rs
+++ b/testbed/src/fleet/virtual_fleet/disks.rs
@@ -1,13 +1,14 @@
 //! The coordinators' disks: how long a job takes, and what a loss of power leaves.
 
 use super::world::{Event, World};
+use fleet_coordinator::ids::DiskJobId;
 use fleet_coordinator::replica::{carry_out, DiskJob};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 impl World {
     /// Gives the disk a job; it does one after the other.
-    pub fn schedule_disk_job(&mut self, coordinator: usize, number: u64, job: DiskJob) {
+    pub fn schedule_disk_job(&mut self, coordinator: usize, number: DiskJobId, job: DiskJob) {
         let slow = self.now < self.coordinators[coordinator].slow_until;
         let takes_s =
             if slow { self.rng.random_range(1.5..5.0) } else { self.rng.random_range(0.0005..0.006) };
@@ -19,7 +20,7 @@
     }
 
     /// Carries a job out and tells the coordinator.
-    pub fn disk_done(&mut self, coordinator: usize, incarnation: u64, number: u64, job: &DiskJob) {
+    pub fn disk_done(&mut self, coordinator: usize, incarnation: u64, number: DiskJobId, job: &DiskJob) {
         if self.coordinators[coordinator].incarnation == incarnation {
             let process = &mut self.coordinators[coordinator];
             let disk = process.disk.clone();
--- a/testbed/src/fleet/virtual_fleet/world.rs
+++ b/testbed/src/fleet/virtual_fleet/world.rs
@@ -4,6 +4,7 @@
 use super::network::{Network, NodePair};
 use super::processes::{CoordinatorProcess, WorkerProcess};
 use super::{Shape, Verdict};
+use fleet_coordinator::ids::DiskJobId;
 use fleet_coordinator::replica::DiskJob;
 use port_worker::fleet::frame::CallOutcome;
 use port_worker::fleet::tasks::ScheduledCall;
@@ -42,7 +43,7 @@
     Disk {
         coordinator: usize,
         incarnation: u64,
-        number: u64,
+        number: DiskJobId,
         job: DiskJob,
     },
     /// Bytes on a worker's link, to the coordinator.
