--- a/examples/toy_site.rs
+++ b/examples/toy_site.rs
@@ -46,7 +46,9 @@
     let records = TcpListener::bind("127.0.0.1:8900")?;
     let registry = UdpSocket::bind("127.0.0.1:2379")?;
     thread::spawn(move || {
-        records.incoming().flatten().for_each(|s| drop(thread::spawn(|| serve_records(s))))
+        for stream in records.incoming().flatten() {
+            thread::spawn(|| serve_records(stream));
+        }
     });
     thread::spawn(move || {
         let mut bytes = [0; 256];
@@ -88,7 +90,9 @@
                 held.say(&json!({"type": "WELCOME", "state": "LOADED", "took": 60_000.0}));
                 let missed: Vec<Value> =
                     held.notices.iter().skip(read).flat_map(|n| serde_json::from_str(n)).collect();
-                missed.iter().for_each(|n| held.say(n));
+                for notice in &missed {
+                    held.say(notice);
+                }
             }
             "EXEC" => {
                 println!("executor: {} begins {job}", command["kind"]);
--- a/fleet-coordinator/src/events/log_lines.rs
+++ b/fleet-coordinator/src/events/log_lines.rs
@@ -56,7 +56,7 @@
                 info!(name: "listener_opened", frontend = "coordinator", coordinator, fleet, %address);
             }
             ServerEvent::ConfigReloaded { epoch, tasks } => info!(name: "config_reloaded", epoch, tasks),
-            ServerEvent::ConfigReloadRejected { cause } => warn!(name: "config_reload_rejected", cause),
+            ServerEvent::ConfigReloadRejected { cause } => error!(name: "config_reload_rejected", cause),
             ServerEvent::ConfigReloadDeferred { keys } => {
                 warn!(name: "config_reload_deferred", keys = keys.join(","));
             }
--- a/fleet-coordinator/tests/log_events.rs
+++ b/fleet-coordinator/tests/log_events.rs
@@ -135,7 +135,7 @@
     ]);
     coordinator.reload("epoch = 0");
     coordinator.assert_next_lines(&[
-        "WARN config_reload_rejected cause=\"FOLDER/coordinator.toml: epoch is 0; expected 1 to 18446744073709551615\"",
+        "ERROR config_reload_rejected cause=\"FOLDER/coordinator.toml: epoch is 0; expected 1 to 18446744073709551615\"",
     ]);
     coordinator.send_signal(Signal::TERM);
     coordinator.assert_next_lines(&["INFO shutdown_complete"]);
--- a/src/log/events/dispatch.rs
+++ b/src/log/events/dispatch.rs
@@ -9,7 +9,7 @@
         match self {
             DispatchEvent::Admission(event) => event.emit(),
             DispatchEvent::LearnedStateRejected => {
-                warn!(name: "learned_state_rejected", peer = "predecessor")
+                warn!(name: "learned_state_rejected", peer = "predecessor");
             }
         }
     }
--- a/src/net/events/hot_restart.rs
+++ b/src/net/events/hot_restart.rs
@@ -117,7 +117,7 @@
                 warn!(name: "hot_restart_rejected", by = "this_process", cause = %reason);
             }
             HotRestartEvent::StateTooLarge => {
-                warn!(name: "hot_restart_state_too_large", peer = "predecessor")
+                warn!(name: "hot_restart_state_too_large", peer = "predecessor");
             }
             HotRestartEvent::StateAdopted { keys, connections, queued, predecessor_runs } => {
                 info!(name: "hot_restart_state_adopted", keys, connections, queued, predecessor_runs);
--- a/src/net/events/lifecycle.rs
+++ b/src/net/events/lifecycle.rs
@@ -82,7 +82,7 @@
     fn emit(&self) {
         match self {
             LifecycleEvent::ConfigReloaded { executor } => {
-                info!(name: "config_reloaded", executor = %executor)
+                info!(name: "config_reloaded", executor = %executor);
             }
             LifecycleEvent::ConfigReloadRejected { file, error } => {
                 error!(name: "config_reload_rejected", file = file.as_str(), cause = %error);
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -45,6 +45,7 @@
 
 impl AjpFrontend {
     /// A frontend that doesn't listen yet.
+    #[must_use]
     pub fn closed(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFrontend {
         let connections = Connections::closed(poll, FrontendKind::Ajp, 2 * MAX_PACKET_BYTES);
         AjpFrontend { connections, settings, directory, seed, generated_ids: 0 }
@@ -66,7 +67,7 @@
             }
             match ajp_codec::packet(connection.link.data(), Way::ToContainer) {
                 Ok(Some(payload)) if connection.memory.0.is_some() => {
-                    self.on_body_packet(now, id, payload, turn)
+                    self.on_body_packet(now, id, payload, turn);
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
                 // A client that is gone before its last byte: the request never reaches the dispatcher.
@@ -290,7 +291,7 @@
 }
 
 /// An id for a request that came without one: 16 hex digits, unique in the life of a process. The mixing function is
-/// that of SplitMix64.
+/// that of `SplitMix64`.
 fn generated_id(seed: u64, number: u64) -> String {
     let mut z = seed.wrapping_add(number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -92,7 +92,7 @@
                 // Guards against spinning: the connection stays in the queue, and the next attempt is left to a timer.
                 Accepted::Full | Accepted::Pause => return true,
             };
-            if self.by_id.len() >= self.max_connections {
+            if self.by_id.len() >= self.limit {
                 match self.evict_one(now) {
                     Eviction::Evicted => {}
                     Eviction::Later => {
--- a/src/net/frontends/connections/eviction.rs
+++ b/src/net/frontends/connections/eviction.rs
@@ -75,6 +75,7 @@
     /// There is no descriptor to linger with, so the connection is closed without a half-close. That is safe where
     /// nothing lies unread: it is read first, and one whose request has just come stays and is processed.
     pub(super) fn evict_one(&mut self, now: f64) -> Eviction {
+        #[expect(clippy::float_cmp, reason = "both are copies of one reading of the clock")]
         let any_just_opened = self.by_id.values().any(|connection| connection.opened_at == now);
         loop {
             let any_unseen = self.by_id.values().any(|connection| connection.has_unseen_bytes);
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -40,13 +40,14 @@
     touched: Vec<u64>,
     /// After so long without a complete request a connection may be evicted.
     silence_limit_s: f64,
-    max_connections: usize,
+    limit: usize,
     /// Accepted, and waits for an eviction until the frontend has processed what has just come.
     pending_stream: Option<TcpStream>,
 }
 
 impl<P: Default> Connections<P> {
     /// No connections, and nothing is accepted yet.
+    #[must_use]
     pub fn closed(poll: &Poll, kind: FrontendKind, max_unread_bytes: usize) -> Connections<P> {
         Connections {
             acceptor: None,
@@ -56,14 +57,14 @@
             by_id: HashMap::new(),
             touched: Vec::new(),
             silence_limit_s: eviction::SILENCE_LIMIT_S,
-            max_connections: usize::MAX,
+            limit: usize::MAX,
             pending_stream: None,
         }
     }
 
     /// Limits the number of connections: beyond, a new one takes the place of an idle one, or is turned away.
     pub fn at_most(&mut self, max_connections: usize) {
-        self.max_connections = max_connections;
+        self.limit = max_connections;
     }
 
     /// Lets a new connection take the place of the oldest that has sent no complete request, however young that is.
--- a/src/net/frontends/http2/abuse_detection.rs
+++ b/src/net/frontends/http2/abuse_detection.rs
@@ -3,7 +3,7 @@
 //!
 //! A token bucket for each connection. Each byte that goes to the codec is charged; a request is credited with the size
 //! of its unpacked fields (RFC 7541, section 4.1) and of its body, which is more than it took on the wire. So clients
-//! that send requests never exhaust their budget, while PING, SETTINGS, PRIORITY, WINDOW_UPDATE, empty DATA, and streams
+//! that send requests never exhaust their budget, while PING, SETTINGS, PRIORITY, `WINDOW_UPDATE`, empty DATA, and streams
 //! that are reset as soon as they are opened only cost. A client with an exhausted budget is read at the rate at which
 //! the budget refills, which it feels as back-pressure on its socket; one that goes on so for [`MAX_THROTTLED_S`] is
 //! terminated. For a time after a client exhausted its budget, or was ended for a protocol error, new connections begin
@@ -129,7 +129,7 @@
     }
 
     /// Whether new connections begin with a reduced budget.
-    pub fn is_elevated(&self, now: f64) -> bool {
+    pub fn is_elevated(self, now: f64) -> bool {
         now < self.elevated_until
     }
 }
--- a/src/net/frontends/http2/session/mod.rs
+++ b/src/net/frontends/http2/session/mod.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Ends the connection with GOAWAY and ENHANCE_YOUR_CALM, for a client that abuses the protocol.
+    /// Ends the connection with GOAWAY and `ENHANCE_YOUR_CALM`, for a client that abuses the protocol.
     pub fn abort_for_abuse(&mut self) {
         if let Codec::Open(connection) = &mut self.codec {
             connection.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -189,7 +189,7 @@
                     stream.received_bytes += data.len();
                     let _ = body.flow_control().release_capacity(data.len());
                 }
-                Poll::Ready(Some(Err(_))) | Poll::Ready(None) => {
+                Poll::Ready(Some(Err(_)) | None) => {
                     stream.response_body = None;
                     stream.ended = true;
                 }
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -120,7 +120,7 @@
     /// [`FieldError::Field`] where the value is malformed or the header is repeated.
     pub fn note(&mut self, name: &str, value: &[u8]) -> Result<(), FieldError> {
         let is = |known: &str| name.eq_ignore_ascii_case(known);
-        let text = || std::str::from_utf8(value).map(str::trim).unwrap_or("");
+        let text = || std::str::from_utf8(value).map_or("", str::trim);
         if is("X-Correlation-Id") {
             set(&mut self.id, parse_correlation_id(text()), "X-Correlation-Id")
         } else if is("X-Org") {
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -45,6 +45,7 @@
 
 impl Frontends {
     /// Frontends that may listen already.
+    #[must_use]
     pub fn new(
         console: Option<Console>,
         http1: Http1Frontend,
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -3,7 +3,7 @@
 
 use crate::net::io::poll::{self, Poll, Watch};
 use crate::net::io::source::{Readiness, Source};
-use socket2::SockRef;
+use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read, Write};
 use std::mem::MaybeUninit;
@@ -97,7 +97,6 @@
         if !poll.room() {
             return Err(io::Error::from_raw_os_error(poll::EMFILE));
         }
-        use socket2::{Domain, Protocol, Socket, Type};
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
@@ -161,6 +160,7 @@
 
     /// Discards what is there, up to `most` bytes, without copying it: a peer that goes on sending after its rejection
     /// must not cost processor time. Returns the result of reading and whether anything came.
+    #[expect(clippy::large_stack_arrays, reason = "it is never initialized, and the stack has room for it")]
     pub fn discard(&mut self, most: usize) -> (Filled, bool) {
         self.consume(self.input.len());
         let mut scratch = [MaybeUninit::uninit(); DISCARD_BYTES];
--- a/src/net/io/idle_pool.rs
+++ b/src/net/io/idle_pool.rs
@@ -2,6 +2,7 @@
 
 use crate::net::io::buffer::{Filled, Link};
 use std::collections::HashMap;
+use std::hash::BuildHasher;
 
 /// Idle connections at most.
 pub const MAX_IDLE: usize = 16;
@@ -17,7 +18,12 @@
 
 /// Takes the connection used last, but not within the last `quiet_s` seconds, if it is usable as far as can be seen;
 /// unusable ones are closed.
-pub fn take_idle<C: Pooled>(all: &mut HashMap<u64, C>, now: f64, quiet_s: f64, keep_s: f64) -> Option<u64> {
+pub fn take_idle<C: Pooled, S: BuildHasher>(
+    all: &mut HashMap<u64, C, S>,
+    now: f64,
+    quiet_s: f64,
+    keep_s: f64,
+) -> Option<u64> {
     loop {
         let idle = all.iter().filter_map(|(id, c)| Some((*id, c.idle_since()?)));
         let idle = idle.filter(|(_, since)| now - since >= quiet_s);
@@ -34,6 +40,6 @@
 
 /// Whether there are more idle connections than are kept.
 #[must_use]
-pub fn full<C: Pooled>(all: &HashMap<u64, C>) -> bool {
+pub fn full<C: Pooled, S: BuildHasher>(all: &HashMap<u64, C, S>) -> bool {
     all.values().filter(|c| c.idle_since().is_some()).count() > MAX_IDLE
 }
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -4,13 +4,14 @@
 use crate::dispatch::Dispatcher;
 use crate::fleet::frame::Counters;
 use crate::fleet::overload::client::OverloadDirective;
+use crate::net::upstreams::coordinator_link::CoordinatorLink;
 use crate::net::Worker;
 use std::fmt::Write;
 
 impl Worker {
     /// The membership's part of a turn.
     pub(in crate::net) fn poll_coordinators(&mut self, now: f64) {
-        let Some(fleet_now) = self.upstreams.coordinators.as_ref().map(|fleet| fleet.now()) else { return };
+        let Some(fleet_now) = self.upstreams.coordinators.as_ref().map(CoordinatorLink::now) else { return };
         self.update_membership(now, fleet_now);
         let Some(fleet) = &mut self.upstreams.coordinators else { return };
         let (core, known) = (self.dispatcher.as_ref(), &self.context.catalog);
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -1,5 +1,6 @@
 //! The exit of a process that has handed off and has had the shutdown notice.
 
+use crate::dispatch::Dispatcher;
 use crate::log::LogEvent;
 use crate::net::events::{HotRestartEvent, LifecycleEvent, ResponseState};
 use crate::net::io::timer_wheel::Timer;
@@ -48,7 +49,7 @@
     /// Whether no response is pending and the successor has been sent everything.
     fn has_handed_off_everything(&self) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
-        let idle = self.dispatcher.as_ref().map_or(true, |dispatcher| dispatcher.is_idle());
+        let idle = self.dispatcher.as_ref().map_or(true, Dispatcher::is_idle);
         // Without a successor nobody takes idle connections.
         let frontends_done = if hot_restart.links.has_successor() {
             self.frontends.all_handed_off()
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -67,8 +67,7 @@
     output: VecDeque<OutgoingFrame>,
     /// Bytes of the first outgoing frame that have been sent.
     written: usize,
-    readable: bool,
-    writable: bool,
+    readiness: Readiness,
     closed: bool,
     /// What comes is discarded: only the end of the link still counts.
     discards_input: bool,
@@ -89,8 +88,7 @@
             descriptors: VecDeque::new(),
             output: VecDeque::new(),
             written: 0,
-            readable: true,
-            writable: true,
+            readiness: Readiness { readable: true, writable: true },
             closed: false,
             discards_input: false,
         })
@@ -99,8 +97,8 @@
     /// Notes that the loop has found the socket ready.
     pub(super) fn mark(&mut self, number: u64, readiness: Readiness) {
         if self.number == number {
-            self.readable |= readiness.readable;
-            self.writable |= readiness.writable;
+            self.readiness.readable |= readiness.readable;
+            self.readiness.writable |= readiness.writable;
         }
     }
 
@@ -155,7 +153,7 @@
 
     /// Reads until a frame of any length would be complete, or nothing more is there.
     fn read(&mut self) {
-        while self.readable
+        while self.readiness.readable
             && !self.closed
             && self.input.len() - self.input_start < MAX_FRAME_BYTES + HEADER_BYTES
         {
@@ -180,7 +178,7 @@
         self.input.truncate(end + received.as_ref().map_or(0, |message| message.bytes));
         match received.map_err(io::Error::from) {
             Ok(message) => self.closed = message.bytes == 0,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => self.readable = false,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => self.readiness.readable = false,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(_) => self.closed = true,
         }
@@ -188,10 +186,10 @@
 
     /// Sends what the other process takes; `true` if the rest must be tried again without an event.
     pub(super) fn flush(&mut self) -> bool {
-        while self.writable && !self.output.is_empty() {
+        while self.readiness.writable && !self.output.is_empty() {
             match self.write_step() {
                 Ok(()) => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.writable = false,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => self.readiness.writable = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 // Too many descriptors are on their way: no event tells when there are fewer.
                 Err(e) if e.raw_os_error() == Some(rustix::io::Errno::TOOMANYREFS.raw_os_error()) => {
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -59,7 +59,7 @@
         if plan != self.configuration.settings.pools {
             let pools = plan.as_ref().map_or(0, |p| p.pools.len());
             LifecycleEvent::PoolsReloaded { pools }.emit();
-            self.configuration.settings.pools = plan.clone();
+            self.configuration.settings.pools.clone_from(&plan);
             // Before the core is there it will start with them.
             if self.dispatcher.is_some() {
                 inputs.push(Input::Pools(plan));
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend.rs
@@ -1,6 +1,6 @@
 //! AJP servers as the backend: a run is a Forward Request to one of them.
 //!
-//! A connection that has carried a request is asked with CPing first. As long as no byte of the request has gone out,
+//! A connection that has carried a request is asked with `CPing` first. As long as no byte of the request has gone out,
 //! the run can go elsewhere or be returned as never run; from the first byte on any break means that it may have run,
 //! and it is never repeated.
 
@@ -23,7 +23,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long a server may take to accept a connection or to answer a CPing (seconds).
+/// How long a server may take to accept a connection or to answer a `CPing` (seconds).
 const PONG_TIMEOUT_S: f64 = 1.0;
 
 /// How long a run may go on after its deadline: its result may still be asked for (seconds).
--- a/src/net/upstreams/ajp_codec/mod.rs
+++ b/src/net/upstreams/ajp_codec/mod.rs
@@ -90,7 +90,7 @@
     Shutdown,
     /// The older of the two pings; it has no response.
     Ping,
-    /// Asks whether the connection is alive; the response is CPong.
+    /// Asks whether the connection is alive; the response is `CPong`.
     CPing,
 }
 
@@ -113,7 +113,7 @@
     },
     /// Asks for at most so many bytes of the request's body.
     GetBody(u16),
-    /// The response to a CPing.
+    /// The response to a `CPing`.
     CPong,
 }
 
--- a/src/net/upstreams/ajp_codec/reader.rs
+++ b/src/net/upstreams/ajp_codec/reader.rs
@@ -1,6 +1,11 @@
 //! Reads AJP messages off payloads.
 
-use super::codes::*;
+use super::codes::{
+    ABSENT_STRING, ATTRIBUTES_DONE, ATTRIBUTE_CONTEXT, ATTRIBUTE_METHOD, ATTRIBUTE_REMOTE_USER,
+    ATTRIBUTE_REQUEST, ATTRIBUTE_SECRET, ATTRIBUTE_SSL_KEY_SIZE, ATTRIBUTE_SSL_SESSION, CODED_NAME, CPING,
+    CPONG, END_RESPONSE, FORWARD_REQUEST, GET_BODY_CHUNK, METHODS, PING, REQUEST_HEADERS, RESPONSE_HEADERS,
+    SEND_BODY_CHUNK, SEND_HEADERS, SHUTDOWN, STORED_METHOD,
+};
 use super::{Forward, PacketError, ToContainer, ToWebServer};
 
 /// Reads numbers and strings off a payload; beyond its end every read fails.
--- a/src/net/upstreams/ajp_codec/writer.rs
+++ b/src/net/upstreams/ajp_codec/writer.rs
@@ -1,6 +1,10 @@
 //! Writes AJP packets.
 
-use super::codes::*;
+use super::codes::{
+    ATTRIBUTES_DONE, ATTRIBUTE_REMOTE_USER, ATTRIBUTE_SECRET, CODED_NAME, CPING, CPONG, END_RESPONSE,
+    FORWARD_REQUEST, GET_BODY_CHUNK, METHODS, REQUEST_HEADERS, RESPONSE_HEADERS, SEND_BODY_CHUNK,
+    SEND_HEADERS,
+};
 use super::{Forward, Way, HEAD_BYTES, MAX_PAYLOAD_BYTES, MAX_RESPONSE_CHUNK_BYTES};
 
 /// Writes one packet: its length is set when it is closed.
@@ -92,13 +96,13 @@
     vec![first, second, 0, 1, message_type]
 }
 
-/// Writes a CPing: the web server asks whether the connection is alive.
+/// Writes a `CPing`: the web server asks whether the connection is alive.
 #[must_use]
 pub fn write_cping() -> Vec<u8> {
     type_only(Way::ToContainer, CPING)
 }
 
-/// Writes a CPong, the response to a CPing.
+/// Writes a `CPong`, the response to a `CPing`.
 #[must_use]
 pub fn write_cpong() -> Vec<u8> {
     type_only(Way::ToWebServer, CPONG)
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -164,7 +164,7 @@
                 }
                 self.connection = None;
             }
-            MemberAction::Call(call) => self.start_call(now, call),
+            MemberAction::Call(call) => self.start_call(now, &call),
             MemberAction::Log(event) => event.emit(),
         }
     }
@@ -200,11 +200,11 @@
         }
     }
 
-    fn start_call(&mut self, now: f64, call: ScheduledCall) {
+    fn start_call(&mut self, now: f64, call: &ScheduledCall) {
         let config = self.member.config();
         let Some(task) = config.tasks.get(call.task) else { return };
         let id = self.poll.fresh();
-        let started = CallInFlight::start(&self.poll, id, now, task, &config.name, &call);
+        let started = CallInFlight::start(&self.poll, id, now, task, &config.name, call);
         match started {
             Ok(started) => self.calls.push(started),
             Err(_) => self.member.call_ended(now, call.task, CallOutcome::NotDone),
--- a/src/net/upstreams/directory.rs
+++ b/src/net/upstreams/directory.rs
@@ -13,7 +13,10 @@
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
 use bytes::BytesMut;
-use ldap3_proto::proto::*;
+use ldap3_proto::proto::{
+    LdapBindCred, LdapBindRequest, LdapDerefAliases, LdapFilter, LdapMsg, LdapOp, LdapPartialAttribute,
+    LdapResultCode, LdapSearchRequest, LdapSearchResultEntry, LdapSearchScope,
+};
 use ldap3_proto::LdapCodec;
 use std::collections::HashMap;
 use std::io;
@@ -331,9 +334,11 @@
         let Some(search) = self.searches.remove(&message_id) else { return };
         let result = match (code, &search.tenants[..]) {
             (LdapResultCode::Success, [tenant]) => LookupResult::Tenant(tenant.clone()),
-            // None, or more than one: it is not told whose requests these are.
-            (LdapResultCode::Success | LdapResultCode::SizeLimitExceeded, _) => LookupResult::Unknown,
-            (LdapResultCode::NoSuchObject, _) => LookupResult::Unknown,
+            // No tenant, or more than one: whose requests these are is not known.
+            (
+                LdapResultCode::Success | LdapResultCode::SizeLimitExceeded | LdapResultCode::NoSuchObject,
+                _,
+            ) => LookupResult::Unknown,
             (code, _) => {
                 UpstreamEvent::DirectorySearchFailed(&code).emit();
                 LookupResult::Unavailable
--- a/src/net/upstreams/executor/notices.rs
+++ b/src/net/upstreams/executor/notices.rs
@@ -88,7 +88,7 @@
 fn call_requested(name: Rc<str>, notice: &Notice, inputs: &mut Vec<Input>) {
     match notice.data.as_deref().map_or(Ok(Vec::new()), |data| STANDARD.decode(data)) {
         Ok(body) => {
-            inputs.push(Input::AtCall { name, body: body.into(), sequence: notice.number.unwrap_or(0) })
+            inputs.push(Input::AtCall { name, body: body.into(), sequence: notice.number.unwrap_or(0) });
         }
         Err(_) => ExecutorEvent::NoticeMalformed(MalformedNotice::Callout).emit(),
     }
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -16,7 +16,7 @@
     pub(in crate::net) fn execute(&mut self, now: f64, command: Command, inputs: &mut Vec<Input>) {
         match command {
             Command::Respond(ticket, response) => {
-                self.frontends.respond(now, ticket, response, &self.context)
+                self.frontends.respond(now, ticket, response, &self.context);
             }
             Command::Run { name, class, body, deadline } => {
                 if let Some(servers) = &mut self.upstreams.ajp_backend {
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -43,7 +43,7 @@
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(WorkerError::Signals)?;
     handle
-        .insert_source(signals, |event, _, gathered: &mut Gathered| match event.signal() {
+        .insert_source(signals, |event, (), gathered: &mut Gathered| match event.signal() {
             Signal::SIGHUP => gathered.reload = true,
             _ => gathered.shutdown = true,
         })
@@ -74,7 +74,7 @@
             let timer = Timer::from_deadline(worker.clock.instant(at));
             let token = self
                 .handle
-                .insert_source(timer, |_, _, _: &mut Gathered| TimeoutAction::Drop)
+                .insert_source(timer, |_, (), _: &mut Gathered| TimeoutAction::Drop)
                 .map_err(|fault| WorkerError::Timer(fault.error))?;
             self.token = Some(token);
         }
