--- a/src/net/availability.rs
+++ b/src/net/availability.rs
@@ -45,7 +45,7 @@
         self.shutting_down || self.handing_off
     }
 
-    /// What health checks and the registry are told.
+    /// Whether health checks and load reports call this worker ready.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.health == Health::Healthy && !self.shutting_down && !self.draining
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -32,7 +32,7 @@
     Console {
         /// Where it was to listen.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
     /// The registry's socket can't be opened.
@@ -40,7 +40,7 @@
     Registry {
         /// Where the registry is.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
     /// The inherited listening socket can't be used.
@@ -57,6 +57,6 @@
 pub struct ListenError {
     /// Where it was to listen.
     pub address: SocketAddr,
-    /// What the system said.
+    /// The system's error.
     pub source: io::Error,
 }
--- a/src/net/events/hot_restart.rs
+++ b/src/net/events/hot_restart.rs
@@ -17,7 +17,7 @@
     PredecessorDead,
     /// The predecessor does not hand off to this process.
     PredecessorIncompatible {
-        /// Why, as it says.
+        /// The reason that it sent.
         reason: &'a str,
     },
     /// The predecessor has sent more than a process can have.
--- a/src/net/events/upstreams.rs
+++ b/src/net/events/upstreams.rs
@@ -26,7 +26,7 @@
     RegistryUnusable {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         error: &'a io::Error,
     },
 }
--- a/src/net/frontends/ajp/head.rs
+++ b/src/net/frontends/ajp/head.rs
@@ -10,7 +10,7 @@
 pub(super) struct PendingRequest {
     pub(super) class: usize,
     pub(super) tenant: Option<usize>,
-    /// The identity that the directory is to be asked for.
+    /// The identity that is looked up in the directory.
     pub(super) identity: Option<String>,
     pub(super) fields: RequestFields,
     /// The length of the body, where the head states it.
@@ -41,7 +41,7 @@
     }
 }
 
-/// What the headers say of a request.
+/// The fields of a request's headers.
 struct Headers {
     fields: RequestFields,
     /// The length of the body; `None` where it is chunked.
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Rejects a body of the wrong length, goes on with a complete one, or asks for more of it.
+    /// Rejects a body of the wrong length, goes on with a complete one, or requests more of it.
     fn on_body_chunk(&mut self, id: u64, body_ended: bool, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = &connection.memory.0 else { return };
@@ -182,7 +182,7 @@
         }
     }
 
-    /// A request has come complete: the directory is asked first where it must be, else the dispatcher.
+    /// A complete request goes to the directory where its tenant has to be looked up, or else to the dispatcher.
     fn on_complete(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = &mut connection.memory.0 else { return };
@@ -244,7 +244,7 @@
         self.connections.owns(ticket.0)
     }
 
-    /// The directory's answers would come too late: clients are told to retry.
+    /// The directory's results would come too late: clients get a response with Retry-After.
     fn respond_all(&mut self, turn: &mut FrontendTurn<'_>) {
         let waits_for_directory = |connection: &Connection<Memory>| {
             connection.state == ConnectionState::Asked && connection.memory.0.is_some()
@@ -280,7 +280,7 @@
     }
 }
 
-/// The response where a lookup has told no tenant of the settings.
+/// The response to a request whose lookup found no tenant of the settings.
 fn failed_lookup_response(result: &LookupResult) -> AjpResponse {
     match result {
         LookupResult::Unavailable => AjpResponse::from(Rejection::new(503, "the directory is down"))
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -109,10 +109,10 @@
         false
     }
 
-    /// Evicts a connection, or turns the waiting one away. `false` where neither could be done now.
+    /// Evicts a connection, or closes the waiting one. `false` where neither could be done now.
     ///
     /// An idle connection may be closed at any time: one that waits is worth more. Where all are busy, the waiting
-    /// one is turned away immediately: a request that lies unread until its deadline is lost, and one on a
+    /// one is closed immediately: a request that lies unread until its deadline is lost, and one on a
     /// connection closed before anything ran may be retried elsewhere.
     fn resolve_descriptor_shortage(&mut self, now: f64) -> bool {
         match self.evict_one(now) {
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -23,7 +23,7 @@
     Idle,
     /// A part of a request has come.
     Reading,
-    /// The dispatcher, or the directory before it, owes a response.
+    /// A response is pending at the dispatcher, or a lookup at the directory before it.
     Asked,
     /// The response is being written.
     Answering,
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -21,7 +21,7 @@
 }
 
 impl<P: Default> Connections<P> {
-    /// Goes on with a connection that was detached; `asked` says that its request is in flight.
+    /// Goes on with a connection that was detached; with `asked` its request is in flight.
     pub fn reattach(&mut self, now: f64, id: u64, asked: bool) {
         let detached = self.by_id.get_mut(&id).filter(|c| c.state == ConnectionState::HandedOff);
         let Some(connection) = detached else { return };
@@ -31,7 +31,7 @@
         self.touched.push(id);
     }
 
-    /// Takes over a connection from another process, in non-blocking mode; `asked` says that its request is in flight.
+    /// Takes over a connection from another process, in non-blocking mode; with `asked` its request is in flight.
     /// `None` where its socket can't be polled.
     pub fn adopt(&mut self, now: f64, detached: DetachedConnection<P>, asked: bool) -> Option<u64> {
         let id = self.poll.fresh();
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Limits the number of connections: beyond, a new one takes the place of an idle one, or is turned away.
+    /// Limits the number of connections: beyond, a new one replaces an idle one, or is closed.
     pub fn at_most(&mut self, max_connections: usize) {
         self.limit = max_connections;
     }
@@ -152,7 +152,7 @@
         self.by_id.remove(&id);
     }
 
-    /// Closes a connection that is broken, and tells the dispatcher where its request is in flight.
+    /// Closes a broken connection, and notifies the dispatcher where its request is in flight.
     pub fn disconnected(&mut self, id: u64, inputs: &mut Vec<Input>) {
         if self.by_id.remove(&id).is_some_and(|connection| connection.state == ConnectionState::Asked) {
             inputs.push(Input::ClientDisconnected(Ticket(id)));
--- a/src/net/frontends/frontend.rs
+++ b/src/net/frontends/frontend.rs
@@ -8,7 +8,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// What the worker lends a frontend for a turn of the loop.
+/// The parts of the worker that a frontend uses in one turn of the loop.
 pub struct FrontendTurn<'a> {
     /// The worker's clock.
     pub clock: &'a Clock,
@@ -22,7 +22,7 @@
 
 /// A frontend of the worker: a listener, connections, and the protocol spoken on them.
 ///
-/// The dispatcher knows a request by its ticket, and the ticket tells which frontend the response belongs to.
+/// The dispatcher knows a request by its ticket, and the ticket identifies the frontend that the response belongs to.
 pub trait Frontend {
     /// Which frontend this is.
     fn kind(&self) -> FrontendKind;
@@ -66,7 +66,7 @@
     /// Ends connections by the protocol's own limits.
     fn sweep(&mut self, _now: f64, _availability: &Availability, _inputs: &mut Vec<Input>) {}
 
-    /// Has clients told on their connections that this process will close them.
+    /// Announces on all connections that this process will close them.
     fn announce_close(&mut self) {}
 
     /// Answers requests that wait for something else than the dispatcher, since the process ends.
--- a/src/net/frontends/http1/parsing.rs
+++ b/src/net/frontends/http1/parsing.rs
@@ -10,7 +10,7 @@
 pub(super) enum Parsed {
     /// A part of a request; `wants_continue` where its body is sent after a `100 Continue`.
     Partial { wants_continue: bool },
-    /// A complete request of `length` bytes; `keep_alive` tells whether another one may follow.
+    /// A complete request of `length` bytes; with `keep_alive` another one may follow.
     Complete { request: Box<Request>, length: usize, keep_alive: bool },
     /// A health check of `length` bytes.
     Check { length: usize, keep_alive: bool },
@@ -18,7 +18,7 @@
     Invalid(HttpError),
 }
 
-/// What the headers say about the request beside the platform's fields.
+/// What the headers contain about the request, apart from the platform's fields.
 struct Headers {
     content_length: Option<usize>,
     keep_alive: bool,
@@ -97,7 +97,7 @@
     value.parse().map_err(|_| HttpError::new(413, "the body is too long"))
 }
 
-/// Whether the connection is kept after a Connection header.
+/// Whether the connection stays open under this Connection header.
 fn keeps_alive(value: &str, version: Option<u8>, default: bool) -> bool {
     let mut keep_alive = default;
     for option in value.split(',').map(str::trim) {
--- a/src/net/frontends/http2/abuse_detection.rs
+++ b/src/net/frontends/http2/abuse_detection.rs
@@ -35,7 +35,7 @@
 pub enum ReadDecision {
     /// Read so many bytes of it.
     Read(usize),
-    /// Read nothing for now; `first` says that the budget has just been exhausted.
+    /// Read nothing for now; with `first` the budget has just been exhausted.
     Throttle {
         /// Whether this is the first such decision since the client last was within its budget.
         first: bool,
--- a/src/net/frontends/http2/abuse_detection/tests.rs
+++ b/src/net/frontends/http2/abuse_detection/tests.rs
@@ -4,7 +4,7 @@
 const BUDGET: OverheadBudget =
     OverheadBudget { max_bytes: 64.0 * 1024.0, bytes_per_s: 4096.0, reduced_bytes: 12.0 * 1024.0 };
 
-/// Sends so many bytes in pieces every so often, and says what was taken in all and when it was terminated.
+/// Sends pieces at an interval; returns the bytes that were read in all, and when the client was terminated.
 fn flood(mut account: AbuseDetector, piece: usize, every_s: f64, for_s: f64) -> (usize, Option<f64>) {
     let (mut now, mut taken) = (0.0, 0);
     while now < for_s {
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -20,7 +20,7 @@
 const MAX_BYTES_PER_POLL: usize = 8 * 1024;
 /// Output that waits for a client's socket before no more is taken from the codec (bytes).
 const MAX_QUEUED_OUTPUT_BYTES: usize = 64 * 1024;
-/// What a client that doesn't speak HTTP/2 is told.
+/// The response to a client that doesn't speak HTTP/2.
 const PREFACE_EXPECTED: &str = "this port speaks HTTP/2 by prior knowledge\n";
 
 /// What a turn of the event loop gives to the connections that it processes.
@@ -258,7 +258,7 @@
     })
 }
 
-/// Moves so many bytes from the socket's buffer to the codec, and tells it when the client has sent its last.
+/// Moves so many bytes from the socket's buffer to the codec, and signals the end of the client's input.
 fn feed(session: &Session, link: &mut Link, length: usize, filled: Filled) {
     session.pipe().feed(&link.data()[..length]);
     link.consume(length);
@@ -275,7 +275,7 @@
     }
 }
 
-/// Charges the client for what is read from it; one that goes on beyond its budget is told to go.
+/// Charges the client for what is read from it; one that goes on beyond its budget is terminated.
 fn decide_read(
     active: &mut ActiveSession,
     available: usize,
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -34,9 +34,9 @@
 
 /// Unread bytes that a connection keeps.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// Of a connection's first request, what comes beside its fields: preface, settings, frame heads, a body.
+/// Bytes of a connection's first request beyond its fields: preface, settings, frame heads, a body.
 const FIRST_REQUEST_OVERHEAD_BYTES: f64 = 4096.0;
-/// How much longer than its settings say an idle connection lasts at most (seconds).
+/// How much longer than the settings an idle connection lasts at most (seconds).
 const IDLE_MARGIN_S: f64 = 5.0;
 
 fn kb_to_bytes(kb: u32) -> f64 {
--- a/src/net/frontends/http2/session/mod.rs
+++ b/src/net/frontends/http2/session/mod.rs
@@ -60,7 +60,7 @@
 pub struct PollOutput {
     /// Requests that are complete.
     pub requests: Vec<Request>,
-    /// Requests whose client has gone while the dispatcher owed a response.
+    /// Requests whose client disconnected while the response was pending.
     pub disconnected: Vec<Ticket>,
     /// Size of the fields and bodies that requests have brought (bytes).
     pub request_bytes: usize,
@@ -126,7 +126,7 @@
         self.accepted_streams
     }
 
-    /// Tickets of the requests to which the dispatcher owes a response.
+    /// Tickets of the requests whose responses are pending.
     pub fn awaiting_response(&self) -> Vec<Ticket> {
         let awaiting = self.streams.iter().filter(|(_, stream)| stream.awaits_response());
         awaiting.map(|(ticket, _)| Ticket(*ticket)).collect()
--- a/src/net/frontends/http2/session/request.rs
+++ b/src/net/frontends/http2/session/request.rs
@@ -1,4 +1,4 @@
-//! The request of a stream: its head is checked as a whole, its body is collected up to a bound.
+//! The request of a stream: its complete head is checked, its body is collected up to a bound.
 
 use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
 use crate::net::frontends::status_mapping::{target, HttpError, Target};
@@ -7,7 +7,7 @@
 use http::header::CONTENT_LENGTH;
 use std::task::{Context, Poll};
 
-/// What HPACK counts for a field beside its name and value (bytes; RFC 7541, section 4.1).
+/// What HPACK counts for a field beyond its name and value (bytes; RFC 7541, section 4.1).
 const FIELD_OVERHEAD_BYTES: usize = 32;
 /// `:method`, `:scheme`, `:authority` and `:path`.
 const PSEUDO_HEADERS: usize = 4;
--- a/src/net/frontends/http2/session/response.rs
+++ b/src/net/frontends/http2/session/response.rs
@@ -15,7 +15,7 @@
 }
 
 impl SharedBytes {
-    /// The whole of `all`.
+    /// All of `all`.
     pub(super) fn new(all: Rc<[u8]>) -> SharedBytes {
         let part = 0..all.len();
         SharedBytes { all, part }
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -21,7 +21,7 @@
 enum StreamStage {
     /// The head has been read, and the body is still to come.
     ReceivingBody(IncomingRequest),
-    /// The dispatcher owes a response.
+    /// A response is pending at the dispatcher.
     AwaitingResponse,
     /// The response waits for the client's windows.
     Sending(OutgoingBody),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether the dispatcher owes it a response.
+    /// Whether its response is pending at the dispatcher.
     pub(super) fn awaits_response(&self) -> bool {
         matches!(self.stage, StreamStage::AwaitingResponse)
     }
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -32,7 +32,7 @@
     was_reset: bool,
 }
 
-/// A client and a session, and between them a connection that moves bytes when it is told to.
+/// A client and a session, and between them a connection that moves bytes on request.
 struct Harness {
     waker: Waker,
     clock: Clock,
--- a/src/net/frontends/http2/session_admission/tests.rs
+++ b/src/net/frontends/http2/session_admission/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// A little more than the time for which a slot is kept.
+/// A little more than the time for which a slot is occupied.
 const STEP_S: f64 = 1.01 * MIN_SLOT_S;
 
 /// Silent connections by the hundred, each with a preface, made the worker build a session for each.
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Hands what the directory found to the frontend that asked for it.
+    /// Hands the result of a lookup to the frontend that requested it.
     pub fn complete_lookup(&mut self, ticket: Ticket, result: LookupResult, turn: &mut FrontendTurn<'_>) {
         if let Some(frontend) = self.all_mut().find(|frontend| frontend.owns(ticket)) {
             frontend.complete_lookup(ticket, result, turn);
@@ -167,7 +167,7 @@
         self.all().all(is_done)
     }
 
-    /// Has clients told on their connections that this process will close them.
+    /// Announces on all connections that this process will close them.
     pub fn announce_close(&mut self) {
         for frontend in self.all_mut() {
             frontend.announce_close();
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Begins to connect; [`Link::connected`] tells the result once the socket is ready.
+    /// Begins to connect; [`Link::connected`] returns the result once the socket is ready.
     ///
     /// # Errors
     /// No descriptor is left, or the system refuses at once.
--- a/src/net/io/idle_pool.rs
+++ b/src/net/io/idle_pool.rs
@@ -7,7 +7,7 @@
 /// Idle connections at most.
 pub const MAX_IDLE: usize = 16;
 
-/// A connection that can be kept while idle.
+/// A connection that can be pooled while idle.
 pub trait Pooled {
     /// The connection itself.
     fn link(&mut self) -> &mut Link;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether there are more idle connections than are kept.
+/// Whether there are more idle connections than the pool holds.
 #[must_use]
 pub fn full<C: Pooled, S: BuildHasher>(all: &HashMap<u64, C, S>) -> bool {
     all.values().filter(|c| c.idle_since().is_some()).count() > MAX_IDLE
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -112,8 +112,8 @@
         self.last_number.get()
     }
 
-    /// Watches a socket until the watch is dropped. Readiness is edge-triggered: read and write until the system says
-    /// that it would block.
+    /// Watches a socket until the watch is dropped. Readiness is edge-triggered: read and write until the call
+    /// would block.
     ///
     /// # Errors
     /// No descriptor is left in the budget, or the system can't watch the socket.
@@ -200,7 +200,7 @@
     /// Where it listens.
     ///
     /// # Errors
-    /// The system does not say.
+    /// The system does not know it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
--- a/src/net/io/timer_wheel.rs
+++ b/src/net/io/timer_wheel.rs
@@ -8,7 +8,7 @@
 /// What is due. Timers are never removed: the owner ignores one that no longer applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The controller asked to be woken.
+    /// The controller requested a wake-up.
     Wake,
     /// A downstream call has run out of time, by its number.
     Call(u64),
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -1,4 +1,4 @@
-//! The worker's part in its fleet: what the membership is told of draining, shutdown and hot restart, its counters and load
+//! The worker's part in its fleet: what the membership learns of draining, shutdown and hot restart, its counters and load
 //! samples, and the metrics that operators read.
 
 use crate::dispatch::Dispatcher;
--- a/src/net/lifecycle/hot_restart/inherited_listener.rs
+++ b/src/net/lifecycle/hot_restart/inherited_listener.rs
@@ -28,7 +28,7 @@
     System {
         /// The descriptor.
         descriptor: RawFd,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
 }
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -43,7 +43,7 @@
     frontend_listeners: Vec<FrontendListener>,
     /// Why a frontend could not be opened.
     frontend_error: Option<ListenError>,
-    /// What the successor was told last.
+    /// The usage that was last reported to the successor.
     reported_usage: Usage,
     /// This process and its successor understand each other.
     successor_accepted: bool,
--- a/src/net/lifecycle/hot_restart/staged_state.rs
+++ b/src/net/lifecycle/hot_restart/staged_state.rs
@@ -23,7 +23,7 @@
     pub(super) stream: OwnedFd,
 }
 
-/// What the predecessor has sent before it said that this was all.
+/// What the predecessor has sent, until it marks its state as complete.
 #[derive(Default)]
 pub(super) struct StagedState {
     pub(super) state: Option<PredecessorState>,
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -10,7 +10,7 @@
 use crate::net::frontends::connections::{Connection, ConnectionState};
 use crate::net::Worker;
 
-/// Descriptors that a process holds beside its budget: standard streams, the loop's, links.
+/// Descriptors that a process holds outside its budget: standard streams, the loop's, links.
 const OVERHEAD_DESCRIPTORS: usize = 10;
 
 /// Why a process is not accepted as the successor.
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends clients away, or lets them come again: health checks and load reports change at once, decisions don't.
+    /// Begins or ends a drain: health checks and load reports change immediately, admission does not.
     pub(in crate::net) fn set_draining(&mut self, on: bool) {
         if self.forward_drain(on) {
             return;
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -30,7 +30,7 @@
 }
 
 impl Worker {
-    /// The shutdown notice: the grace begins, and clients are told to close.
+    /// Handles the shutdown notice: the grace begins, and the close of connections is announced.
     pub(in crate::net) fn begin_shutdown(&mut self, now: f64, inputs: &mut Vec<Input>) {
         if self.has_handed_off() {
             return self.on_hot_restart_event(now, Event::ShutdownNotice, inputs);
--- a/src/net/lifecycle/shutdown/timeline.rs
+++ b/src/net/lifecycle/shutdown/timeline.rs
@@ -2,11 +2,11 @@
 //! given in.
 //!
 //! Every margin is a share of the stop where the stop is short: the settings may name any grace and any stop, and an
-//! answer is owed before the end under all of them.
+//! response is pending at the end under any of them.
 
 /// The listeners close this long before the kill at the latest, where the grace reaches beyond it (seconds, share).
 const ACCEPT_MARGIN: (f64, f64) = (0.4, 0.5);
-/// Whatever is still owed is answered this long before the kill: the module gives up before, unless the stop was too
+/// All pending responses are given this long before the kill: the controller rejects before, unless the stop was too
 /// short for it (seconds, share).
 const ANSWER_MARGIN: (f64, f64) = (0.15, 0.4);
 /// The process exits this long before the kill at the latest: SIGKILL closes sockets without reading them (seconds,
--- a/src/net/lifecycle/shutdown/timeline/tests.rs
+++ b/src/net/lifecycle/shutdown/timeline/tests.rs
@@ -18,7 +18,7 @@
     );
 }
 
-/// Whatever a customer's settings say: nobody is let in after the grace, and each step comes before the next.
+/// Under any customer's settings nothing is admitted after the grace, and each step comes before the next.
 #[test]
 fn the_order_holds_for_every_stop_and_grace() {
     let config = Config { failure_persistence: None, ..Config::default() };
--- a/src/net/upstreams/ajp_backend.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -6,6 +6,11 @@
 
 #![warn(missing_docs)]
 
+mod error;
+mod run;
+
+pub use error::ConnectionError;
+
 use crate::config::BackendSettings;
 use crate::dispatch::Input;
 use crate::interface::Outcome;
@@ -17,9 +22,9 @@
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
-use crate::net::upstreams::ajp_codec::{self, Forward, PacketError, ToWebServer, Way, MAX_PACKET_BYTES};
+use crate::net::upstreams::ajp_codec::{self, Forward, Way, MAX_PACKET_BYTES};
+use run::{Reaction, Run};
 use std::collections::HashMap;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -29,105 +34,15 @@
 /// How long a run may go on after its deadline: its result may still be asked for (seconds).
 const OVERTIME_S: f64 = 10.0;
 
-/// The longest result of a run (bytes).
-const MAX_RESULT_BYTES: usize = 64 * 1024;
-
 /// How long an idle connection is kept (seconds).
 const IDLE_TIMEOUT_S: f64 = 30.0;
 
-/// A run that a server executes, or is to execute.
-struct Run {
-    /// Changes with each timer that is set for the run, so that an old timer finds nothing.
-    timer_number: u64,
-    name: Rc<str>,
-    class: usize,
-    body: Rc<[u8]>,
-    /// Its deadline (seconds).
-    due_at: f64,
-    /// Connections tried so far without a byte of the request having gone out.
-    attempts: usize,
-    /// How many bytes the link had sent before the request; `None` before the request is queued.
-    sent_before: Option<u64>,
-    status: u16,
-    result: Vec<u8>,
-}
-
-/// Why a connection to an AJP server is closed.
-#[derive(Debug, thiserror::Error)]
-pub enum ConnectionError {
-    /// The server did not answer in time.
-    #[error("no answer in time")]
-    Timeout,
-    /// The connection could not be established.
-    #[error("{0}")]
-    Connect(#[source] io::Error),
-    /// Writing failed.
-    #[error("broken")]
-    Write,
-    /// The server has closed it.
-    #[error("closed")]
-    Closed,
-    /// A packet can't be read.
-    #[error("a bad packet: {0:?}")]
-    Packet(#[source] PacketError),
-    /// A message came while no request was open.
-    #[error("a message without a request")]
-    MessageWithoutRequest,
-    /// A message came that does not fit the request's state.
-    #[error("an unfit message")]
-    UnexpectedMessage,
-}
-
-/// What a message of the server asks for.
-enum Reaction {
-    /// Nothing: more of the response comes.
-    ReadOn,
-    /// The connection is alive: the request is sent.
-    SendRequest,
-    /// All of the body has been sent unasked: its end is told.
-    EndBody,
-    /// The run has ended; `reuse` tells whether the connection may carry another.
-    Complete { reuse: bool },
-}
-
 /// What becomes of a connection after a step.
 enum Progress {
     Continue,
     Wait,
 }
 
-impl Run {
-    /// Takes a message of the server.
-    fn on_message(&mut self, message: &ToWebServer) -> Result<Reaction, ConnectionError> {
-        if self.sent_before.is_none() {
-            return match message {
-                ToWebServer::CPong => Ok(Reaction::SendRequest),
-                _ => Err(ConnectionError::UnexpectedMessage),
-            };
-        }
-        match message {
-            ToWebServer::Headers { status, .. } => {
-                self.status = *status;
-                Ok(Reaction::ReadOn)
-            }
-            ToWebServer::Chunk(bytes) if self.result.len() + bytes.len() <= MAX_RESULT_BYTES => {
-                self.result.extend_from_slice(bytes);
-                Ok(Reaction::ReadOn)
-            }
-            ToWebServer::GetBody(_) => Ok(Reaction::EndBody),
-            ToWebServer::End { reuse } => Ok(Reaction::Complete { reuse: *reuse }),
-            ToWebServer::Chunk(_) | ToWebServer::CPong => Err(ConnectionError::UnexpectedMessage),
-        }
-    }
-
-    /// A status of success carries the result; any other is a failed run.
-    fn into_ended(self) -> Input {
-        let served = (200..300).contains(&self.status);
-        let outcome = if served { Outcome::Ok } else { Outcome::Error };
-        Input::RunEnded { name: self.name, outcome, result: served.then(|| self.result.into()) }
-    }
-}
-
 struct Connection {
     link: Link,
     connected: bool,
@@ -195,28 +110,17 @@
         !self.touched.is_empty() || !self.never_ran.is_empty()
     }
 
-    /// Starts a run; `due` is its deadline (seconds).
+    /// Starts a run; `deadline` is on the loop's clock (seconds).
     pub fn run(
         &mut self,
         now: f64,
         name: Rc<str>,
         class: usize,
         body: Rc<[u8]>,
-        due: f64,
+        deadline: f64,
         wheel: &mut Wheel,
     ) {
-        let run = Run {
-            timer_number: 0,
-            name,
-            class,
-            body,
-            due_at: due,
-            attempts: 0,
-            sent_before: None,
-            status: 0,
-            result: Vec::new(),
-        };
-        self.place(now, run, wheel);
+        self.place(now, Run::new(name, class, body, deadline), wheel);
     }
 
     /// Finds a connection for a run of which no byte has gone out, or returns it as never run.
@@ -362,7 +266,7 @@
         };
         run.timer_number = self.poll.fresh();
         run.sent_before = Some(connection.link.sent + connection.link.queued() as u64);
-        let timeout_s = (run.due_at - turn.now).max(0.0) + OVERTIME_S;
+        let timeout_s = (run.deadline - turn.now).max(0.0) + OVERTIME_S;
         turn.wheel.set(turn.now, timeout_s, Timer::Run(run.timer_number));
         match ajp_codec::write_forward(&forward) {
             Some(head) => connection.link.push(head),
--- a/src/net/upstreams/ajp_codec/mod.rs
+++ b/src/net/upstreams/ajp_codec/mod.rs
@@ -23,7 +23,7 @@
 /// The largest packet (bytes).
 pub const MAX_PACKET_BYTES: usize = 8 * 1024;
 
-/// The most that a packet carries beside its head (bytes).
+/// The most that a packet carries after its head (bytes).
 pub const MAX_PAYLOAD_BYTES: usize = MAX_PACKET_BYTES - HEAD_BYTES;
 
 /// Body bytes in one packet to a container: after the packet's head and their own length.
@@ -32,7 +32,7 @@
 /// Body bytes in one message to a web server: type, length, and a zero behind them.
 pub const MAX_RESPONSE_CHUNK_BYTES: usize = MAX_PAYLOAD_BYTES - 4;
 
-/// Which way a packet goes, told by its magic.
+/// The direction of a packet, given by its magic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
     /// From a web server to a container.
--- a/src/net/upstreams/ajp_codec/writer.rs
+++ b/src/net/upstreams/ajp_codec/writer.rs
@@ -108,14 +108,14 @@
     type_only(Way::ToWebServer, CPONG)
 }
 
-/// Writes a Get Body Chunk: the container asks for at most so many bytes of the body.
+/// Writes a Get Body Chunk: the container requests at most so many bytes of the body.
 #[must_use]
 pub fn write_get_body(length: u16) -> Vec<u8> {
     let [high, low] = length.to_be_bytes();
     vec![b'A', b'B', 0, 3, GET_BODY_CHUNK, high, low]
 }
 
-/// Writes an End Response; `reuse` tells whether the connection may carry another request.
+/// Writes an End Response; with `reuse` the connection may carry another request.
 #[must_use]
 pub fn write_end(reuse: bool) -> Vec<u8> {
     vec![b'A', b'B', 0, 2, END_RESPONSE, u8::from(reuse)]
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Handles what has arrived and what is due, and writes what is to be sent. `counters` is asked when they are due.
+    /// Handles what has arrived and what is due, and writes what is to be sent. `counters` is called when they are due.
     pub fn turn(&mut self, loop_now: f64, counters: impl Fn() -> Counters, wheel: &mut Wheel) {
         self.work_left = false;
         let now = self.now();
--- a/src/net/upstreams/directory.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -4,6 +4,12 @@
 
 #![warn(missing_docs)]
 
+mod error;
+mod lookup;
+
+pub use error::LinkError;
+pub use lookup::{Lookup, LookupResult};
+
 use crate::config::DirectorySettings;
 use crate::dispatch::Ticket;
 use crate::log::LogEvent;
@@ -19,7 +25,6 @@
 };
 use ldap3_proto::LdapCodec;
 use std::collections::HashMap;
-use std::io;
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -74,53 +79,6 @@
     Wait,
 }
 
-/// A search for the tenant of a request.
-#[derive(Debug, PartialEq)]
-pub struct Lookup {
-    /// The request that waits for it.
-    pub ticket: Ticket,
-    /// The identity of the portal or its user.
-    pub identity: String,
-    /// How long the request can wait for it (seconds).
-    pub timeout_s: f64,
-}
-
-/// What came of a lookup.
-#[derive(Clone, Debug, PartialEq)]
-pub enum LookupResult {
-    /// The name of the tenant.
-    Tenant(Rc<str>),
-    /// The directory knows no tenant of this identity, or several.
-    Unknown,
-    /// The directory can't be reached, or fails.
-    Unavailable,
-    /// The request's time was over before the directory had answered.
-    TimedOut,
-}
-
-/// Why the link to the directory is closed.
-#[derive(Debug, thiserror::Error)]
-pub enum LinkError {
-    /// Connecting, reading or writing failed.
-    #[error("{0}")]
-    Io(#[from] io::Error),
-    /// The server has closed it.
-    #[error("closed")]
-    Closed,
-    /// A message is longer than it may be.
-    #[error("a message has no end")]
-    MessageTooLong,
-    /// A message can't be read.
-    #[error("a message can't be read")]
-    MalformedMessage,
-    /// The server has rejected the bind.
-    #[error("the bind was refused: {0:?}")]
-    BindRejected(LdapResultCode),
-    /// A message came that nothing asked for.
-    #[error("an unfit message")]
-    UnexpectedMessage,
-}
-
 /// The link to the directory, its waiting lookups and the cache.
 pub struct Directory {
     settings: DirectorySettings,
--- a/src/net/upstreams/executor/messages.rs
+++ b/src/net/upstreams/executor/messages.rs
@@ -14,7 +14,7 @@
     Exec { job: &'a str, kind: &'a str, data: &'a str },
     /// Give a run the reply to its downstream call.
     Return { job: &'a str, data: &'a str },
-    /// Let a run go on without the downstream call that the notice of this number asked for.
+    /// Let a run go on without the downstream call that the notice of this number requested.
     Bypass { job: &'a str, n: u64 },
     /// Report the gauges; the answer carries the same reference.
     Meter { r#ref: &'a str },
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -1,7 +1,7 @@
 //! The link to the executor: one JSON object a line, notices numbered, resumed where it broke.
 //!
 //! Commands of the last moments before a break may be lost with it. The next link begins with JOIN and a METER command
-//! that serves as a fence: once it is answered, all notices from before have been read, and the dispatcher is told
+//! that serves as a fence: once it is answered, all notices from before have been read, and the dispatcher learns
 //! which commands may be lost. It alone decides which are sent again.
 
 mod messages;
@@ -182,7 +182,7 @@
         self.link = self.next_link.take();
     }
 
-    /// The link is broken, or given up for another.
+    /// The link is broken, or replaced by another.
     fn link_lost(&mut self, now: f64, cause: LinkLossCause<'_>) {
         if let Some(lost) = self.link.take() {
             ExecutorEvent::LinkLost(cause).emit();
--- a/src/net/upstreams/records.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -1,6 +1,10 @@
 //! Downstream calls to the records service: HTTP/1.1, one at a time on a connection, idle connections used again. A
 //! call is abandoned by closing its connection.
 
+mod reply;
+
+pub use reply::ReplyError;
+
 use crate::dispatch::Input;
 use crate::interface::Outcome;
 use crate::log::LogEvent;
@@ -10,15 +14,11 @@
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
+use reply::{parse, MAX_REPLY_BYTES};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The longest head of a reply (bytes).
-const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest reply with its head (bytes).
-const MAX_REPLY_BYTES: usize = 64 * 1024;
-const MAX_HEADERS: usize = 64;
 /// The service closes a connection idle for 10 s; one that may be about to close is not used (seconds).
 const MAX_IDLE_S: f64 = 5.0;
 /// A connection is used again only after this long without another byte: what comes late behind a reply would be
@@ -101,21 +101,22 @@
         !self.touched.is_empty()
     }
 
-    /// Makes a call for a run, to be abandoned after `for_s` seconds. A second call for a run abandons the first. A call
-    /// that can't be made `again` goes on a new connection: the peer may close an idle one as the call is written, and
-    /// nobody knows then whether it ran.
+    /// Makes a call for a run, to be abandoned after `timeout_s` seconds. A second call for a run abandons the first. A call
+    /// that is not retryable goes on a new connection: the peer may close an idle one as the call is written, and then it is
+    /// indeterminate whether the call ran.
     pub fn call(
         &mut self,
         now: f64,
         name: Rc<str>,
         body: Rc<[u8]>,
-        for_s: f64,
-        again: bool,
+        timeout_s: f64,
+        is_retryable: bool,
         wheel: &mut Wheel,
     ) {
         self.abandon(&name);
         let number = self.poll.fresh();
-        let idle = if again { take_idle(&mut self.connections, now, QUIET_S, MAX_IDLE_S) } else { None };
+        let idle =
+            if is_retryable { take_idle(&mut self.connections, now, QUIET_S, MAX_IDLE_S) } else { None };
         let Some(id) = idle.or_else(|| self.open(now)) else {
             // No descriptor is left, or the system refused at once: the call was never sent.
             return self.refuse(now, name, wheel);
@@ -124,7 +125,7 @@
         let head = format!(
             "POST /records/op HTTP/1.1\r\nHost: {}\r\nOp-Of: {name}\r\nOp-Wait-Ms: {}\r\nContent-Length: {}\r\n\r\n",
             self.address,
-            (for_s * 1000.0).ceil(),
+            (timeout_s * 1000.0).ceil(),
             body.len()
         );
         c.link.push(head.into_bytes());
@@ -132,7 +133,7 @@
         c.call = Some(Call { number, name: name.clone() });
         self.by_name.insert(name, id);
         self.touched.push(id);
-        wheel.set(now, for_s, Timer::Call(number));
+        wheel.set(now, timeout_s, Timer::Call(number));
     }
 
     fn refuse(&mut self, now: f64, name: Rc<str>, wheel: &mut Wheel) {
@@ -253,84 +254,5 @@
     }
 }
 
-/// A complete reply in the input buffer.
-struct Reply {
-    outcome: Outcome,
-    body: std::ops::Range<usize>,
-    length: usize,
-    /// The connection can be used again.
-    keep: bool,
-}
-
-/// Why a reply can't be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplyError {
-    /// The head is malformed or too large.
-    Head,
-    /// The reply changes the protocol, which was not requested.
-    ProtocolChange,
-    /// The Content-Length is missing, ambiguous or out of range.
-    Length,
-    /// The body comes in a transfer encoding.
-    Encoding,
-}
-
-/// Parses a reply where it lies, behind interim ones if there are any; `None` while it is not complete.
-fn parse(data: &[u8]) -> Result<Option<Reply>, ReplyError> {
-    let mut start = 0;
-    loop {
-        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut head = httparse::Response::new(&mut headers);
-        let rest = data.get(start..).unwrap_or(&[]);
-        match head.parse(rest) {
-            Ok(httparse::Status::Complete(n)) if start + n <= MAX_HEAD_BYTES => start += n,
-            Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
-            _ => return Err(ReplyError::Head),
-        }
-        // An interim response has no body, and the reply follows it. A change of protocol was not requested.
-        match head.code {
-            Some(101) => return Err(ReplyError::ProtocolChange),
-            Some(100..=199) => {}
-            _ => return parse_body(&head, start, data),
-        }
-    }
-}
-
-fn parse_body(head: &httparse::Response, start: usize, data: &[u8]) -> Result<Option<Reply>, ReplyError> {
-    let mut length = None;
-    let mut never_ran = false;
-    let mut keep = head.version == Some(1);
-    for h in head.headers.iter() {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("Content-Length") {
-            let digits = value.bytes().all(|b| b.is_ascii_digit());
-            // Two lengths, or one with a sign, could be read two ways.
-            length = value.parse::<usize>().ok().filter(|_| digits && length.is_none());
-            if length.is_none() {
-                return Err(ReplyError::Length);
-            }
-        } else if h.name.eq_ignore_ascii_case("Transfer-Encoding") {
-            return Err(ReplyError::Encoding);
-        } else if h.name.eq_ignore_ascii_case("Op-Not-Begun") {
-            never_ran = value == "1";
-        } else if h.name.eq_ignore_ascii_case("Connection") {
-            keep &= !value.eq_ignore_ascii_case("close");
-        }
-    }
-    let fit = |n: &usize| *n <= MAX_REPLY_BYTES - MAX_HEAD_BYTES;
-    let length = length.filter(fit).ok_or(ReplyError::Length)?;
-    if data.len() < start + length {
-        return Ok(None);
-    }
-    let outcome = match (head.code.unwrap_or(0), never_ran) {
-        (200, _) => Outcome::Ok,
-        (503, true) => Outcome::Rejected,
-        (409, true) => Outcome::NotStarted,
-        (504, _) => Outcome::TimedOut,
-        _ => Outcome::Error,
-    };
-    Ok(Some(Reply { outcome, body: start..start + length, length: start + length, keep }))
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -1,3 +1,4 @@
+use super::reply::MAX_HEAD_BYTES;
 use super::*;
 use crate::net::io::poll::Gathered;
 use crate::net::io::source::Source;
--- a/src/net/upstreams/set.rs
+++ b/src/net/upstreams/set.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// How far the start of whatever runs requests has come; none while it is not up. AJP servers say nothing of their
-    /// start: they are taken to be up and warm.
+    /// How far the start of whatever runs requests has come; none while it is not up. AJP servers report nothing of their
+    /// start: they count as up and warm.
     #[must_use]
     pub fn welcome(&self, now: f64) -> Option<Welcome> {
         if self.ajp_backend.is_some() {
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -8,7 +8,7 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Health;
 
-/// What callers are told when the executor is not up yet (seconds).
+/// Retry-After of a rejection while the executor is not up yet (seconds).
 const NOT_UP_RETRY_AFTER_S: f64 = 1.0;
 
 impl Worker {
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -16,7 +16,7 @@
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
 impl Worker {
-    /// Starts the dispatcher where the executor has said that it is up, as warm as it says.
+    /// Starts the dispatcher once the executor has reported that it is up, and whether it is warm.
     pub(super) fn start_dispatcher(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let Some(welcome) = self.upstreams.welcome(now) else { return };
         let settings = self.settings_at_start(now, welcome);
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -9,7 +9,7 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::upstreams::registry::BEAT_S;
 
-/// Rounds of one turn at most: requests that lie behind answered ones, and outcomes of what was just asked for.
+/// Rounds of one turn at most: requests that lie behind answered ones, and outcomes of commands that were just carried out.
 const MAX_ROUNDS: usize = 8;
 
 impl Worker {
