--- a/src/admission/arrival_rates.rs
+++ b/src/admission/arrival_rates.rs
@@ -1,14 +1,13 @@
-//! Fading rates of arrivals. They measure and decide nothing: the controller reads them.
+//! Fading rates of arrivals.
 
-use crate::admission::run_length::MEASUREMENT_MEMORY_S;
+use crate::admission::timing::{fade_factor, MEASUREMENT_MEMORY_S};
 
 /// Recent arrivals a second, fading over [`MEASUREMENT_MEMORY_S`].
-#[derive(Default)]
 pub(super) struct ArrivalRates {
     /// By tier, the highest first.
-    pub(super) by_tier: Vec<f64>,
+    by_tier: Vec<f64>,
     /// Attempts that callers mark as retries.
-    pub(super) retries: f64,
+    retries: f64,
 }
 
 impl ArrivalRates {
@@ -19,8 +18,10 @@
 
     /// Time passes.
     pub(super) fn advance(&mut self, elapsed_s: f64) {
-        let fade = (-elapsed_s / MEASUREMENT_MEMORY_S).exp();
-        self.by_tier.iter_mut().for_each(|rate| *rate *= fade);
+        let fade = fade_factor(elapsed_s);
+        for rate in &mut self.by_tier {
+            *rate *= fade;
+        }
         self.retries *= fade;
     }
 
@@ -34,21 +35,31 @@
         self.retries += 1.0 / MEASUREMENT_MEMORY_S;
     }
 
-    /// Takes over the rates of a predecessor.
-    pub(super) fn adopt(&mut self, by_tier: Vec<f64>, retries: f64) {
-        for (rate, learned) in self.by_tier.iter_mut().zip(by_tier) {
-            *rate = learned;
-        }
-        self.retries = retries;
-    }
-
-    /// Arrivals of all tiers.
+    /// Arrivals of all tiers (a second).
     pub(super) fn total(&self) -> f64 {
         self.by_tier.iter().sum()
     }
 
-    /// Arrivals of the tiers above this one.
+    /// Arrivals of the tiers above this one (a second).
     pub(super) fn above(&self, tier: usize) -> f64 {
         self.by_tier[..tier].iter().sum()
     }
+
+    /// Arrivals by tier (a second).
+    pub(super) fn by_tier(&self) -> &[f64] {
+        &self.by_tier
+    }
+
+    /// Marked retries (a second).
+    pub(super) fn retries(&self) -> f64 {
+        self.retries
+    }
+
+    /// Takes over the rates of a predecessor.
+    pub(super) fn adopt(&mut self, by_tier: Vec<f64>, retries: f64) {
+        for (rate, learned) in self.by_tier.iter_mut().zip(by_tier) {
+            *rate = learned;
+        }
+        self.retries = retries;
+    }
 }
--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -1,104 +1,93 @@
-//! Every admission decision. What passes in and out of it is in `interface.rs`.
+//! The admission controller: one event in, actions out, as `interface.rs` defines them.
 //!
-//! Requests are sorted into tiers by priority weight and queued; a free run slot starts the oldest of the
-//! highest non-empty tier, which runs to its end. An arrival of a lower tier is rejected at once while the
-//! queues of all tiers, or those of the tiers above it, are too long for its latency objective.
+//! Requests are sorted into tiers by priority weight and queued; a free run slot starts the oldest of the highest
+//! non-empty tier, which runs to its end. An arrival of a lower tier is rejected at once while the queues of all tiers,
+//! or those of the tiers above it, are too long for its latency objective.
+//!
+//! The controller only calls the concerns in order; each has its state and its rules in a file of its own.
 
 mod arrival;
 mod completion;
 mod downstream_calls;
-mod downstream_limit;
-mod health;
-mod housekeeping;
-mod learned;
-mod periodic;
-mod records;
-mod rejection;
-mod run_slots;
+mod start;
+mod sweep;
 
 use crate::admission::arrival_rates::ArrivalRates;
+use crate::admission::downstream::DownstreamCalls;
+use crate::admission::fleet_overload::FleetOverload;
+use crate::admission::health::HealthMonitor;
 use crate::admission::idempotency::IdempotencyTable;
+use crate::admission::memory::MemoryLimit;
+use crate::admission::other_process::OtherProcessUsage;
+use crate::admission::published_weight::PublishedWeight;
+use crate::admission::request::{Request, RequestState};
 use crate::admission::request_table::RequestTable;
+use crate::admission::retry_after::RetryAfter;
 use crate::admission::run_length::RunLengths;
-use crate::admission::tenant_usage::TenantUsages;
+use crate::admission::run_limit::SlotDemand;
+use crate::admission::run_slots::RunSlots;
+use crate::admission::shutdown::Shutdown;
+use crate::admission::tenant_quotas::TenantQuotas;
+use crate::admission::tiers::PriorityTiers;
+use crate::admission::timing::SWEEP_INTERVAL_S;
 use crate::fleet::overload::policy::OverloadPolicy;
 use crate::interface::{
-    Action, AdmissionEvent, Event, HealthState, LearnedState, RequestId, Settings, Signal, UnhealthyCause,
+    Action, AdmissionEvent, Class, Event, LearnedState, RecentOutcomes, RequestId, Settings, Traffic,
 };
 use crate::pools::Pools;
-use arrival::{tenant_usages, MIN_OVER_QUOTA_WEIGHT};
-use downstream_limit::DownstreamLimit;
-use health::HealthMonitor;
-use records::{OtherProcessUsage, ShutdownNotice};
-use run_slots::RunLimit;
-
-/// How often due times are checked, well inside the slack on responses (seconds).
-const SWEEP_S: f64 = 0.025;
-/// Shares of the survivable runs and of the memory that are used at most.
-const MAX_SHARE_OF_SURVIVABLE_RUNS: f64 = 0.8;
-const MAX_SHARE_OF_MEMORY: f64 = 0.95;
-/// All that was read is answered this long before the worker is stopped (seconds).
-const SHUTDOWN_MARGIN_S: f64 = 0.25;
 
 /// The admission controller of one worker.
-#[derive(Default)]
 pub struct Controller {
     settings: Settings,
-    /// By tier, falling.
-    tier_weights: Vec<f64>,
+    /// The latest time that an event came with (clock, seconds).
     now: f64,
-    started_at: f64,
+    tiers: PriorityTiers,
     requests: RequestTable,
     idempotency: IdempotencyTable,
+    /// Requests that no later event or action will name.
     released: Vec<RequestId>,
     run_lengths: RunLengths,
-    /// The mean run length while this worker is well: the baseline for a flood.
-    baseline_run_s: f64,
-    downstream: DownstreamLimit,
-    /// When calls that were abandoned leave the dependency at the latest.
-    abandoned_calls: Vec<f64>,
-    run_limit: RunLimit,
+    run_slots: RunSlots,
+    memory: MemoryLimit,
+    downstream: DownstreamCalls,
     arrivals: ArrivalRates,
-    tenants: TenantUsages,
-    shutdown: Option<ShutdownNotice>,
-    published_weight: f64,
+    quotas: TenantQuotas,
     health: HealthMonitor,
-    /// Neither sick nor lagging in its reads.
-    well: bool,
-    /// What health checks are told.
-    listed: bool,
-    /// Where an operator set up pools they say which class may start, and how many runs there are.
-    pub(crate) pools: Option<Pools>,
-    /// What the fleet sheds as one, and calls that it lends.
-    pub(crate) overload: Option<OverloadPolicy>,
+    published_weight: PublishedWeight,
+    retry_after: RetryAfter,
+    fleet: FleetOverload,
+    shutdown: Shutdown,
     other_process: OtherProcessUsage,
 }
 
 impl Controller {
     /// A controller for a worker that has just started and holds no requests.
-    pub fn new(settings: Settings, now: f64, out: &mut Vec<Action>) -> Self {
-        let tier_weights = tier_weights(&settings);
+    pub fn new(mut settings: Settings, now: f64, out: &mut Vec<Action>) -> Self {
+        let plan = settings.pools.take();
+        let tiers = PriorityTiers::new(&settings);
         let mut controller = Controller {
             now,
-            started_at: now,
-            overload: settings.overload.then(|| OverloadPolicy::new(now, &settings)),
-            requests: RequestTable::new(tier_weights.len(), settings.classes.len(), settings.run_factor),
+            requests: RequestTable::new(tiers.len(), settings.classes.len(), settings.run_factor),
+            idempotency: IdempotencyTable::default(),
+            released: Vec::new(),
             run_lengths: RunLengths::new(&settings.classes),
-            downstream: DownstreamLimit::new(settings.dependency.as_ref()),
-            run_limit: RunLimit::new(settings.cores.max(1) as usize, now),
-            arrivals: ArrivalRates::new(tier_weights.len()),
-            tenants: tenant_usages(&settings),
+            run_slots: RunSlots::new(&settings, now),
+            memory: MemoryLimit::new(&settings),
+            downstream: DownstreamCalls::new(settings.dependency.clone()),
+            arrivals: ArrivalRates::new(tiers.len()),
+            quotas: TenantQuotas::new(&settings),
             health: HealthMonitor::new(now),
-            well: true,
-            listed: true,
-            tier_weights,
+            published_weight: PublishedWeight::new(settings.signal),
+            retry_after: RetryAfter::new(&settings),
+            fleet: FleetOverload::new(now, &settings),
+            shutdown: Shutdown::new(settings.shutdown_grace_s),
+            other_process: OtherProcessUsage::default(),
+            tiers,
             settings,
-            ..Controller::default()
         };
-        controller.baseline_run_s = controller.run_lengths.mean_s();
-        let plan = controller.settings.pools.take();
-        controller.set_pools(plan);
-        out.extend([Action::Health(true), Action::WakeIn(SWEEP_S)]);
+        controller.run_slots.set_pools(plan, now, &controller.run_lengths, &controller.requests);
+        out.push(Action::Health(true));
+        out.push(Action::WakeIn(SWEEP_INTERVAL_S));
         controller.publish_weight(out);
         controller
     }
@@ -106,105 +95,168 @@
     /// Takes one event at the worker's clock and appends what is to be done, in order.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
+        self.apply(event, now, out);
+        // First the queues of a worker whose runs are at fault: what is rejected must neither make a call nor start.
+        self.drain_queues_during_run_fault(out);
+        // Then the health, so that callers are sent elsewhere before this worker takes on more.
+        self.update_health(out);
+        // Calls come before starts: a run that comes back from its call needs its core again, and what goes on without
+        // its call takes a slot that a start would have.
+        self.place_calls(out);
+        self.start_queued(out);
+    }
+
+    /// Time passes for every concern.
+    fn advance(&mut self, now: f64) {
+        let elapsed_s = (now - self.now).max(0.0);
+        self.now = self.now.max(now);
+        self.run_slots.advance(elapsed_s);
+        self.run_lengths.advance(self.requests.running_by_class(), elapsed_s);
+        self.downstream.advance(now, elapsed_s, self.requests.calling(), &mut self.fleet);
+        self.arrivals.advance(elapsed_s);
+        self.health.advance(elapsed_s, self.requests.running());
+        self.quotas.advance(elapsed_s);
+    }
+
+    fn apply(&mut self, event: Event, now: f64, out: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => self.arrived(arrival, out),
+            Event::Arrived(arrival) => self.arrived(&arrival, out),
             Event::CallerGone(id) => self.caller_gone(id, out),
             Event::RunEnded { id, outcome } => self.run_ended(id, outcome),
-            Event::AtCall(id) => self.at_call(id, out),
+            Event::AtCall(id) => self.reached_call(id, out),
             Event::CallEnded { id, outcome } => self.call_ended(id, outcome, out),
-            Event::Shutdown { ago_s, in_s } => {
-                self.shutdown = Some(ShutdownNotice { received: now - ago_s, stop: now + in_s });
-            }
+            Event::Shutdown { ago_s, in_s } => self.shutdown.announce(now, ago_s, in_s),
             Event::Woken(gauges) => self.woken(&gauges, out),
-            Event::Pools(plan) => self.set_pools(plan),
+            Event::Pools(plan) => {
+                self.run_slots.set_pools(plan, self.now, &self.run_lengths, &self.requests);
+            }
             Event::OtherProcess { on_cores, calling, kb } => {
-                self.other_process = OtherProcessUsage { running: on_cores, calling, memory_kb: kb };
+                self.other_process = OtherProcessUsage::new(on_cores, calling, kb);
             }
             Event::LearnedState(learned) => self.adopt(learned),
         }
-        self.drain_queues_while_sick(out);
-        self.update_health(out);
-        self.place_calls(out);
-        self.start_queued(out);
     }
 
+    /// Reports a change of health, and answers health checks accordingly.
     fn update_health(&mut self, out: &mut Vec<Action>) {
-        let sick = self.health.sick;
-        let read_lagging = self.health.read_lagging;
-        if self.well == (sick || read_lagging) {
-            self.well = !self.well;
+        if let Some(state) = self.health.take_change() {
             self.publish_weight(out);
-            let state = match (self.well, sick) {
-                (true, _) => HealthState::Healthy,
-                (false, true) => HealthState::Unhealthy(self.health.sick_cause),
-                (false, false) => HealthState::Unhealthy(UnhealthyCause::ReadLag),
-            };
             out.push(Action::Log(AdmissionEvent::HealthChanged(state)));
         }
-        // A delisted worker gets no requests: after a rest a sick one is listed again, to be probed.
-        let rested = self.running() == 0 && self.health.is_rested(self.now);
-        // While the whole fleet is full, delisting a lagging worker would overload those that are left.
-        let unfit = sick && !rested || read_lagging && !self.fleet_full();
-        if unfit == self.listed && (unfit || self.well || sick) {
-            self.listed = !unfit;
-            out.push(Action::Health(self.listed));
+        let fleet_is_full = self.is_fleet_full();
+        if let Some(listed) = self.health.update_listing(self.now, self.running(), fleet_is_full) {
+            out.push(Action::Health(listed));
+        }
+    }
+
+    /// Publishes the weight that callers give this worker, if it has changed.
+    fn publish_weight(&mut self, out: &mut Vec<Action>) {
+        let available = !self.shutdown.is_announced() && self.health.is_reported_healthy();
+        if let Some(weight) = self.published_weight.update(available) {
+            out.push(Action::Publish(weight));
         }
     }
 
+    /// What a successor on this machine should know.
+    #[must_use]
+    pub fn learned(&self) -> LearnedState {
+        let mut learned = LearnedState {
+            runs: self.run_slots.limit(),
+            usual_s: self.run_lengths.baseline_s(),
+            paces: self.run_lengths.learned(),
+            traffic: Traffic {
+                quotas: self.quotas.learned(),
+                arrivals: self.arrivals.by_tier().to_vec(),
+                lately: RecentOutcomes {
+                    retries_per_s: self.arrivals.retries(),
+                    failed_runs: self.health.failed_runs(),
+                    ended_runs: self.health.ended_runs(),
+                },
+            },
+            ..LearnedState::default()
+        };
+        self.downstream.export(&mut learned);
+        learned
+    }
+
     /// Takes over what another controller has learned, within the limits of this one.
     fn adopt(&mut self, learned: LearnedState) {
-        self.run_limit.runs = learned.runs.min(self.survivable_runs()).max(self.run_limit.runs);
-        self.baseline_run_s = learned.usual_s;
-        self.run_lengths.adopt(learned.paces);
-        let downstream = &mut self.downstream;
-        downstream.limit = learned.call_limit.min(downstream.max_limit.max(1.0));
-        downstream.lengths.adopt(learned.recent_calls, learned.call_baseline_s);
-        downstream.budget_s =
-            learned.call_budget_s.map_or(downstream.budget_s, |s| s.min(downstream.budget_s));
+        self.run_slots.adopt(learned.runs, self.now);
+        self.downstream.adopt(&learned);
+        self.run_lengths.adopt(learned.paces, learned.usual_s);
         let recent = learned.traffic.lately;
-        self.tenants.adopt(learned.traffic.quotas);
+        self.quotas.adopt(learned.traffic.quotas);
         self.arrivals.adopt(learned.traffic.arrivals, recent.retries_per_s);
-        self.health.signals.adopt(recent.failed_runs, recent.ended_runs);
-    }
-
-    /// Runs on the cores, or back to them, that are survived for certain: fewer while the worker warms up.
-    fn survivable_runs(&self) -> usize {
-        let cores = f64::from(self.settings.cores.max(1));
-        let cold_speed = self.settings.cold_speed.clamp(0.0, 1.0);
-        let warmed_up = (self.now - self.started_at) / self.settings.warm_up_s.max(SWEEP_S);
-        let warm_up_speed = (cold_speed + (1.0 - cold_speed) * warmed_up).min(1.0);
-        let speed = if self.settings.cold { warm_up_speed } else { 1.0 };
-        let runs = cores * (1.0 + (self.settings.survivable_multiple - 1.0).max(0.0) * speed);
-        (runs * MAX_SHARE_OF_SURVIVABLE_RUNS).floor().max(1.0) as usize
-    }
-
-    /// Runs a second: the run limit over the time on the cores, waits for calls apart. With pools, on what
-    /// the pool of this class can count.
-    fn service_rate(&self, class: usize) -> f64 {
-        let lengths = &self.run_lengths;
-        match &self.pools {
-            Some(pools) => pools.slots(class) / lengths.mean_s_of(|other| pools.together(other, class)),
-            None => self.run_limit.runs as f64 / lengths.mean_s(),
-        }
+        self.health.adopt(recent.failed_runs, recent.ended_runs);
     }
 
-    /// Publishes the weight that callers give this worker: 1, and 0 while it shuts down or is not well.
-    fn publish_weight(&mut self, out: &mut Vec<Action>) {
-        let weight = f64::from(u8::from(self.shutdown.is_none() && self.well));
-        if self.settings.signal == Signal::Weight && weight != self.published_weight {
-            self.published_weight = weight;
-            out.push(Action::Publish(weight));
+    /// Requests that no later event or action of this controller will name.
+    pub fn take_released(&mut self) -> Vec<RequestId> {
+        std::mem::take(&mut self.released)
+    }
+
+    /// The class pools, where an operator set some up.
+    #[must_use]
+    pub fn pools(&self) -> Option<&Pools> {
+        self.run_slots.pools()
+    }
+
+    /// This worker's part in the fleet's overload control, where there is one.
+    #[must_use]
+    pub fn overload_policy(&self) -> Option<&OverloadPolicy> {
+        self.fleet.policy()
+    }
+
+    /// This worker's part in the fleet's overload control, where there is one, to be told of the fleet's state.
+    pub fn overload_policy_mut(&mut self) -> Option<&mut OverloadPolicy> {
+        self.fleet.policy_mut()
+    }
+
+    fn class(&self, class: usize) -> &Class {
+        &self.settings.classes[class]
+    }
+
+    /// The class of a request in progress.
+    fn class_of(&self, id: RequestId) -> &Class {
+        self.class(self.requests[id].class)
+    }
+
+    /// Runs on the cores, those of the other process included.
+    fn running(&self) -> usize {
+        self.requests.running() + self.other_process.running()
+    }
+
+    /// What wants run slots, and what has them.
+    fn slot_demand(&self) -> SlotDemand {
+        SlotDemand { running: self.running(), has_queued: self.requests.has_queued() }
+    }
+
+    /// Memory of requests and keys, that of the other process included (KB).
+    fn memory_kb(&self) -> f64 {
+        let keys_kb = self.memory.keys_kb(self.idempotency.len());
+        self.requests.memory_kb() + keys_kb + self.other_process.memory_kb()
+    }
+
+    /// The expected time of a request's whole run on the cores (seconds).
+    fn expected_run_s(&self, request: &Request) -> f64 {
+        self.run_lengths.predict(request.class, request.hint)
+    }
+
+    /// Whether other workers are taken to reject as well. Not while this one shuts down: the others remain.
+    fn is_fleet_full(&self) -> bool {
+        if self.shutdown.is_announced() {
+            return false;
         }
+        let fleet_view = self.fleet.is_at_capacity();
+        fleet_view.unwrap_or_else(|| {
+            self.retry_after.fleet_looks_full(&self.arrivals, self.run_lengths.baseline_s())
+        })
     }
-}
 
-/// The distinct weights of classes, within quota and over it, in falling order.
-fn tier_weights(settings: &Settings) -> Vec<f64> {
-    let least = settings.over_quota_weight.max(MIN_OVER_QUOTA_WEIGHT);
-    let over_quota = if settings.tenants.is_empty() { 1.0 } else { least };
-    let classes = settings.classes.iter();
-    let mut weights: Vec<f64> = classes.flat_map(|c| [c.weight, c.weight * over_quota]).collect();
-    weights.sort_by(|a, b| b.total_cmp(a));
-    weights.dedup();
-    weights
+    /// Moves a request to another state, or out of all of them (`None`). Pools count what the table has moved.
+    fn transition(&mut self, id: RequestId, to: Option<RequestState>) {
+        if let Some(transition) = self.requests.transition(id, to, self.now) {
+            self.run_slots.request_moved(&transition);
+        }
+    }
 }
--- a/src/admission/controller/completion.rs
+++ b/src/admission/controller/completion.rs
@@ -1,15 +1,17 @@
-//! Ends of requests and runs: by themselves, by their callers, or given up.
+//! Ends of requests: by themselves, by their callers, rejected, or abandoned.
 
 use super::Controller;
-use crate::admission::request::RequestState;
+use crate::admission::request::{RequestState, Tier};
 use crate::interface::{Action, Outcome, Preemption, RequestId};
 
 impl Controller {
+    /// The caller has gone: no response is pending.
     pub(super) fn caller_gone(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.completed = true;
         if !request.state.is_unstarted() {
-            return self.stop_run(id, out);
+            self.stop_run(id, out);
+            return;
         }
         let pending_key = self.pending_key_of(id);
         self.remove_request(id);
@@ -24,43 +26,63 @@
         }
     }
 
+    /// A run, or a shared response, has ended.
     pub(super) fn run_ended(&mut self, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get(id).copied() else { return };
         if request.state == RequestState::Running && outcome != Outcome::NotStarted {
-            let length_s = request.core_time_s + self.now - request.state_since;
+            let length_s = request.running_core_time_s(self.now);
             self.run_lengths.run_ended(request.class, request.hint, length_s);
-            if let Some(pools) = &mut self.pools {
-                pools.run_ended(request.class, length_s);
-            }
-            // A cancelled run took its time on the cores, but says nothing of health.
+            self.run_slots.run_ended(request.class, length_s);
+            // A cancelled run took its time on the cores, but shows nothing of health.
             if outcome != Outcome::Cancelled {
                 self.health.run_ended(self.now, outcome == Outcome::Error);
-                self.run_limit.ended += 1;
+                self.run_slots.count_completed_run();
             }
         }
         if request.state == RequestState::Calling {
-            self.count_abandoned_call();
+            self.downstream.call_abandoned(self.now);
         }
         self.remove_request(id);
     }
 
-    /// Answers a request of which no use is left, with a Retry-After where it may run again, and stops it
-    /// where that can be done. Saves the cores from useless runs (bursts, hangs); costs another attempt.
-    pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Rejects a request that has not run, and those that wait for it.
+    pub(super) fn reject(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(id).copied() else { return };
+        let pending_key = self.pending_key_of(id);
+        let retry_after_s = self.retry_after_s(request.tier, request.class);
+        self.run_slots.count_rejection(request.class);
+        let stop_retrying = !self.health.has_run_fault() && self.is_fleet_full();
+        out.push(Action::Reject { id, retry_after_s, stop_retrying });
+        self.remove_request(id);
+        let Some(entry_id) = pending_key else { return };
+        for waiting in self.idempotency.waiting(entry_id).to_vec() {
+            self.reject(waiting, out);
+        }
+        out.push(Action::ReleaseKey(id));
+        self.remove_key(entry_id);
+    }
+
+    /// Answers a request whose response has lost its use, with a Retry-After where it may run again, and stops it where
+    /// that can be done. Saves the cores from useless runs (bursts, hangs); costs another attempt.
+    pub(super) fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| !request.completed) else { return };
         let unstarted = request.state.is_unstarted();
         let may_run_again = !unstarted && self.class(request.class).is_idempotent();
+        // Asked for also where it is not sent: the fleet's policy draws a random number for it.
         let retry_after_s = self.retry_after_s(request.tier, request.class);
-        let rejection = Action::Reject { id, retry_after_s, stop_retrying: true };
-        out.push(if may_run_again { rejection } else { Action::Fail(id) });
+        if may_run_again {
+            out.push(Action::Reject { id, retry_after_s, stop_retrying: true });
+        } else {
+            out.push(Action::Fail(id));
+        }
         self.stop_run(id, out);
         if unstarted {
             self.remove_request(id);
         }
     }
 
-    /// No response is pending any more; a run is taken off the cores where the worker can do that. A run with
-    /// an effect goes on: the next attempt asks for its result.
+    /// No response is pending any more; a run is taken off the cores where the worker can do that. A run with an effect
+    /// goes on: the next attempt asks for its result.
     fn stop_run(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.completed = true;
@@ -70,4 +92,43 @@
             out.push(Action::Preempt(id));
         }
     }
+
+    /// Retry-After for a request of this tier and class (seconds); the longest while unhealthy.
+    fn retry_after_s(&self, tier: Tier, class: usize) -> f64 {
+        let max_s = self.retry_after.max_s();
+        let alone_s = if self.health.is_reported_healthy() {
+            let queued = self.requests.queued_in(tier + 1);
+            let ahead =
+                queued.filter(|id| self.run_slots.are_shared(class, self.requests[*id].class)).count();
+            let service_rate = self.run_slots.service_rate(class, &self.run_lengths);
+            self.retry_after.alone_s(ahead, service_rate, &self.arrivals, self.is_fleet_full())
+        } else {
+            max_s
+        };
+        self.fleet.retry_after_s(tier, alone_s).min(max_s)
+    }
+
+    /// The idempotency key that this request holds, while no attempt of it has run.
+    fn pending_key_of(&self, id: RequestId) -> Option<RequestId> {
+        let entry_id = self.requests.get(id)?.entry?;
+        self.idempotency.is_pending_holder(entry_id, id).then_some(entry_id)
+    }
+
+    /// Removes a request; it is released once no key names it.
+    fn remove_request(&mut self, id: RequestId) {
+        self.transition(id, None);
+        let Some(request) = self.requests.remove(id) else { return };
+        if let Some(entry_id) = request.entry {
+            self.idempotency.remove_waiting(entry_id, id);
+        }
+        if !self.idempotency.contains_attempt(id) {
+            self.released.push(id);
+        }
+    }
+
+    /// Removes a key; its attempts that have ended are released.
+    pub(super) fn remove_key(&mut self, entry_id: RequestId) {
+        let attempts = self.idempotency.remove(entry_id);
+        self.released.extend(attempts.into_iter().filter(|attempt| !self.requests.contains(*attempt)));
+    }
 }
--- /dev/null
+++ b/src/admission/controller/sweep.rs
@@ -0,0 +1,95 @@
+//! Wake-ups: due times, expired keys, and the reviews of limits.
+
+use super::Controller;
+use crate::admission::request::{Request, RequestState};
+use crate::admission::timing::SWEEP_INTERVAL_S;
+use crate::interface::{Action, Gauges, RequestId};
+
+/// What becomes of a request at a wake-up.
+enum Due {
+    /// It has not run and can't be answered in time.
+    Reject,
+    /// Its response must be given now, or would be of no use.
+    Abandon,
+    /// Its run meets the objective only without the downstream call for which it waits.
+    SkipCall,
+    /// Nothing.
+    Keep,
+}
+
+impl Controller {
+    /// The time of a wake-up has come.
+    pub(super) fn woken(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
+        out.push(Action::WakeIn(SWEEP_INTERVAL_S));
+        out.extend(self.run_slots.review_pools(self.now).into_iter().map(Action::Log));
+        self.check_due_times(out);
+        self.remove_expired_keys();
+        self.downstream.review(self.requests.has_waiting_for_call());
+        let mean_run_s = self.run_lengths.mean_s();
+        self.record_load(mean_run_s);
+        self.health.check_stalled(self.now, mean_run_s);
+        if gauges.runnable.is_some_and(|runnable| runnable < f64::from(self.settings.cores)) {
+            self.health.core_is_free();
+        }
+        if self.run_slots.is_review_due(self.now) {
+            self.review_run_limit(gauges);
+            self.publish_weight(out);
+        }
+    }
+
+    /// Answers what is due before the next wake-up, or can no longer be of use.
+    fn check_due_times(&mut self, out: &mut Vec<Action>) {
+        let pending = self.requests.iter().filter(|(_, request)| !request.completed);
+        let ids: Vec<RequestId> = pending.map(|(id, _)| id).collect();
+        for id in ids {
+            // An earlier step of this loop may have answered it.
+            let Some(request) = self.requests.get(id) else { continue };
+            match self.due(request) {
+                Due::Reject => self.reject(id, out),
+                Due::Abandon => self.abandon(id, out),
+                Due::SkipCall => self.skip_downstream_call(id, out),
+                Due::Keep => {}
+            }
+        }
+    }
+
+    fn due(&self, request: &Request) -> Due {
+        let next_wake_up = self.now + SWEEP_INTERVAL_S + 2.0 * self.settings.wake_ahead_s;
+        let answer_by = match self.shutdown.answer_by() {
+            Some(answer_by) => answer_by.min(request.deadline),
+            None => request.deadline,
+        };
+        let is_due = answer_by <= next_wake_up;
+        let misses_objective = self.now + self.expected_run_s(request) > request.objective_at;
+        if request.state.waits_for_run() && (misses_objective || is_due) {
+            Due::Reject
+        } else if is_due || self.now >= request.worthless_from {
+            Due::Abandon
+        } else if request.state == RequestState::WaitingForCall && self.now >= self.last_call_start(request) {
+            Due::SkipCall
+        } else {
+            Due::Keep
+        }
+    }
+
+    /// Removes the keys that can't be repeated any more.
+    fn remove_expired_keys(&mut self) {
+        let expired = self.idempotency.expired(self.now, |id| self.requests.contains(id));
+        for entry_id in expired {
+            self.remove_key(entry_id);
+        }
+    }
+
+    /// Records for the fleet's load reports what this worker can do, and what waits for calls with which weight.
+    fn record_load(&mut self, mean_run_s: f64) {
+        let capacity = self.run_slots.limit() as f64 / mean_run_s;
+        let waiting = self.requests.waiting_for_call_by_tier().zip(self.tiers.weights());
+        self.fleet.record_state(capacity, waiting);
+    }
+
+    fn review_run_limit(&mut self, gauges: &Gauges) {
+        let demand = self.slot_demand();
+        self.run_slots.review_limit(self.now, gauges, demand, self.health.is_reported_healthy());
+        self.run_lengths.update_baseline();
+    }
+}
--- a/src/admission/call_length.rs
+++ b/src/admission/downstream/call_length.rs
@@ -1,23 +1,24 @@
-//! The measured length of downstream calls. It measures and decides nothing: the downstream limit reads it.
+//! The measured length of downstream calls.
 
-use crate::admission::run_length::{follow_baseline, MEASUREMENT_MEMORY_S};
+use crate::admission::baseline::follow_baseline;
+use crate::admission::timing::fade_factor;
 use crate::interface::RecentCalls;
 
 /// Time on calls (seconds) and ended calls.
 #[derive(Clone, Copy, Default)]
-pub(super) struct CallTotals {
-    pub(super) time_s: f64,
-    pub(super) ended: f64,
+struct CallTotals {
+    time_s: f64,
+    ended: f64,
 }
 
 /// Fading and windowed means of the length of calls.
 pub(super) struct CallLengthEstimate {
     /// Calls since the last window was closed.
-    pub(super) window: CallTotals,
+    window: CallTotals,
     /// Recent calls, fading.
-    pub(super) recent: CallTotals,
+    recent: CallTotals,
     /// What the mean of a window is measured against (seconds); infinite before the first window is closed.
-    pub(super) baseline_s: f64,
+    baseline_s: f64,
 }
 
 impl Default for CallLengthEstimate {
@@ -42,6 +43,21 @@
         (self.recent.time_s + baseline_s) / (self.recent.ended + 1.0)
     }
 
+    /// The baseline (seconds); infinite while it is not known.
+    pub(super) fn baseline_s(&self) -> f64 {
+        self.baseline_s
+    }
+
+    /// Calls that have ended in the window.
+    pub(super) fn window_ended(&self) -> f64 {
+        self.window.ended
+    }
+
+    /// Time on calls in the window (seconds).
+    pub(super) fn window_time_s(&self) -> f64 {
+        self.window.time_s
+    }
+
     /// The mean length in the window (seconds).
     pub(super) fn window_mean_s(&self) -> f64 {
         self.window.time_s / self.window.ended.max(1.0)
@@ -49,12 +65,22 @@
 
     /// Time passes with this many calls in flight.
     pub(super) fn advance(&mut self, in_flight: f64, elapsed_s: f64) {
-        let fade = (-elapsed_s / MEASUREMENT_MEMORY_S).exp();
+        let fade = fade_factor(elapsed_s);
         self.window.time_s += in_flight * elapsed_s;
         self.recent.time_s = self.recent.time_s * fade + in_flight * elapsed_s;
         self.recent.ended *= fade;
     }
 
+    /// Recent calls, as they are handed to a successor.
+    pub(super) fn learned_calls(&self) -> RecentCalls {
+        RecentCalls { time_s: self.recent.time_s, ended: self.recent.ended }
+    }
+
+    /// The baseline as it is handed to a successor, once it is known (seconds).
+    pub(super) fn learned_baseline_s(&self) -> Option<f64> {
+        self.is_known().then_some(self.baseline_s)
+    }
+
     /// Takes over the recent calls and the baseline of a predecessor.
     pub(super) fn adopt(&mut self, recent: RecentCalls, baseline_s: Option<f64>) {
         self.recent = CallTotals { time_s: recent.time_s, ended: recent.ended };
--- a/src/admission/idempotency.rs
+++ b/src/admission/idempotency.rs
@@ -1,7 +1,6 @@
 //! The table of idempotency keys: which attempts belong to one key, and which of them holds it.
 //!
-//! It keeps records and decides nothing: what becomes of an attempt is up to the controller. A key is named
-//! by the first attempt that brought it.
+//! A key is named by the first attempt that brought it.
 
 use crate::interface::RequestId;
 use std::collections::BTreeMap;
@@ -98,9 +97,9 @@
     }
 
     /// The keys whose time is over and whose attempts have all ended.
-    pub(super) fn expired(&self, now: f64, is_in_hand: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
+    pub(super) fn expired(&self, now: f64, in_progress: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
         let expired = |entry: &IdempotencyEntry| {
-            entry.retained_until <= now && !entry.attempts.iter().any(|attempt| is_in_hand(*attempt))
+            entry.retained_until <= now && !entry.attempts.iter().any(|attempt| in_progress(*attempt))
         };
         self.entries.iter().filter(|(_, entry)| expired(entry)).map(|(entry_id, _)| *entry_id).collect()
     }
--- /dev/null
+++ b/src/admission/memory.rs
@@ -0,0 +1,40 @@
+//! The memory limit: requests, idempotency keys, and what another process uses.
+
+use crate::admission::request::Request;
+use crate::interface::Settings;
+
+/// The share of the memory that is used at most.
+const MAX_SHARE: f64 = 0.95;
+
+/// The memory that this worker may use, and what keys and started runs take of it.
+pub(super) struct MemoryLimit {
+    max_kb: f64,
+    key_entry_kb: f64,
+    run_factor: f64,
+}
+
+impl MemoryLimit {
+    pub(super) fn new(settings: &Settings) -> Self {
+        MemoryLimit {
+            max_kb: settings.memory_kb * MAX_SHARE,
+            key_entry_kb: settings.key_entry_kb,
+            run_factor: settings.run_factor,
+        }
+    }
+
+    /// Memory of idempotency keys (KB).
+    pub(super) fn keys_kb(&self, keys: usize) -> f64 {
+        keys as f64 * self.key_entry_kb
+    }
+
+    /// Whether so much in use is over the limit.
+    pub(super) fn is_exceeded(&self, used_kb: f64) -> bool {
+        used_kb > self.max_kb
+    }
+
+    /// Whether a request can start while so much is in use: its memory grows then.
+    pub(super) fn has_room_to_start(&self, request: &Request, used_kb: f64) -> bool {
+        let growth_kb = request.kb * (self.run_factor - 1.0).max(0.0);
+        used_kb + growth_kb <= self.max_kb
+    }
+}
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,18 +1,49 @@
 //! Admission control: which requests are admitted, when they run, and which are rejected.
 //!
-//! The decisions stand in [`controller`] and the files below it that `deploy/balancer.toml` lists. The other
-//! files measure or keep records, and decide nothing.
+//! [`Controller`] takes one event after the other and calls the concerns in order. Each concern is a type in a file
+//! of its own, which owns its state:
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `request_table`, `request` | requests in progress, queues, counts by state |
+//! | `tiers` | priority tiers |
+//! | `run_slots`, `run_limit`, `survivable_runs` | how many runs there are at once, and which request starts next |
+//! | `run_length` | measured run lengths |
+//! | `memory` | the memory limit |
+//! | `downstream` | downstream calls: limit, budget, timeouts |
+//! | `idempotency` | idempotency keys and their attempts |
+//! | `tenant_quotas`, `token_bucket` | tenants' quotas |
+//! | `arrival_rates` | rates of arrivals |
+//! | `rejection`, `retry_after` | whether an arrival is rejected, and when its caller may retry |
+//! | `health` | whether this worker is healthy, and what it answers to health checks |
+//! | `fleet_overload` | what the fleet's overload control asks of this worker |
+//! | `shutdown` | the shutdown notice |
+//! | `other_process` | what the other process uses during a hot restart |
+//! | `published_weight` | the weight published to callers |
 #![warn(missing_docs)]
 
 mod arrival_rates;
-mod call_length;
+mod baseline;
 pub mod controller;
-mod health_signals;
+mod downstream;
+mod fleet_overload;
+mod health;
 mod idempotency;
+mod memory;
+mod other_process;
+mod published_weight;
+mod rejection;
 mod request;
 mod request_table;
+mod retry_after;
 mod run_length;
-mod tenant_usage;
+mod run_limit;
+mod run_slots;
+mod shutdown;
+mod survivable_runs;
+mod tenant_quotas;
+mod tiers;
+mod timing;
 mod token_bucket;
 
 pub use controller::Controller;
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -1,4 +1,4 @@
-//! One request in the controller's hands. This is a record and decides nothing.
+//! A request in progress, and the states of its life.
 
 use crate::interface::RequestId;
 use crate::pools::Place;
@@ -33,6 +33,11 @@
         matches!(self, New | Queued | QueuedBehindHolder | SharingResponse)
     }
 
+    /// Whether it waits for its own run, in a queue or behind the holder of its idempotency key.
+    pub(super) fn waits_for_run(self) -> bool {
+        matches!(self, RequestState::Queued | RequestState::QueuedBehindHolder)
+    }
+
     /// Where class pools count it, if they do.
     pub(super) fn place(self) -> Option<Place> {
         match self {
@@ -54,15 +59,15 @@
     /// When it reached the worker, read or not.
     pub(super) arrived: f64,
     /// When its caller stops waiting.
-    pub(super) due: f64,
+    pub(super) deadline: f64,
     /// When its latency objective ends.
     pub(super) objective_at: f64,
-    /// From then on a response is worth nothing.
+    /// From then on a response has no weight.
     pub(super) worthless_from: f64,
     pub(super) state: RequestState,
     /// No response is pending any more, though the run may go on.
     pub(super) completed: bool,
-    /// Its tenant's quota is used up, and the tenant sends far more than its share.
+    /// Its tenant's quota is exhausted, and the tenant sends far more than its part.
     pub(super) over_quota: bool,
     /// The entry of its idempotency key.
     pub(super) entry: Option<RequestId>,
@@ -73,3 +78,10 @@
     /// When the state last changed.
     pub(super) state_since: f64,
 }
+
+impl Request {
+    /// Time on the cores of a run that is on them now (seconds).
+    pub(super) fn running_core_time_s(&self, now: f64) -> f64 {
+        self.core_time_s + now - self.state_since
+    }
+}
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -1,6 +1,4 @@
-//! All requests in the controller's hands, with the queues and counts that follow from their states.
-//!
-//! It keeps records and decides nothing: the controller says which request goes to which state.
+//! All requests in progress, with the queues and counts that follow from their states.
 
 use crate::admission::request::{Request, RequestState};
 use crate::interface::RequestId;
--- a/src/admission/run_length.rs
+++ b/src/admission/run_length.rs
@@ -1,9 +1,9 @@
-//! Estimates of how long runs take. They measure and decide nothing: the controller reads them.
+//! Estimates of how long runs take.
 
+use crate::admission::baseline::follow_baseline;
+use crate::admission::timing::fade_factor;
 use crate::interface::{Class, LearnedRunLength};
 
-/// Time constant of the fading averages, long against one run and short against a change of speed (seconds).
-pub(super) const MEASUREMENT_MEMORY_S: f64 = 5.0;
 /// Before the first runs end, a run is taken to last this share of its class's latency objective.
 const PRIOR_SHARE_OF_OBJECTIVE: f64 = 0.25;
 /// The prior weighs as much as this many ended runs.
@@ -14,10 +14,6 @@
 const HINT_FADE: f64 = 0.98;
 /// A prediction lies within this factor of the mean length.
 const MAX_PREDICTION_FACTOR: f64 = 5.0;
-/// A baseline follows a shorter mean by this share in each window.
-const BASELINE_FALL: f64 = 0.25;
-/// A baseline follows a longer mean by this share in each window.
-const BASELINE_RISE: f64 = 0.005;
 
 /// Fading sums over ended runs that carried a hint, for a least-squares line from hints to lengths.
 #[derive(Clone, Copy, Default)]
@@ -99,7 +95,7 @@
     /// Time passes with this many runs on the cores.
     fn advance(&mut self, running: f64, elapsed_s: f64) {
         if self.ended > PRIOR_RUNS {
-            let fade = (-elapsed_s / MEASUREMENT_MEMORY_S).exp();
+            let fade = fade_factor(elapsed_s);
             self.core_time *= fade;
             self.ended *= fade;
         }
@@ -112,22 +108,20 @@
     }
 }
 
-/// Moves a baseline towards a measured mean: quickly down, slowly up.
-pub(super) fn follow_baseline(baseline: f64, mean: f64) -> f64 {
-    let share = if mean < baseline { BASELINE_FALL } else { BASELINE_RISE };
-    baseline + (mean - baseline) * share
-}
-
-/// The estimates of all classes, by class.
-#[derive(Default)]
+/// The estimates of all classes, and the baseline of their mean.
 pub(super) struct RunLengths {
     by_class: Vec<RunLengthEstimate>,
+    /// The mean length while nothing slows the runs down (seconds).
+    baseline_s: f64,
 }
 
 impl RunLengths {
     /// First guesses.
     pub(super) fn new(classes: &[Class]) -> Self {
-        RunLengths { by_class: classes.iter().map(RunLengthEstimate::new).collect() }
+        let by_class = classes.iter().map(RunLengthEstimate::new).collect();
+        let mut run_lengths = RunLengths { by_class, baseline_s: 0.0 };
+        run_lengths.baseline_s = run_lengths.mean_s();
+        run_lengths
     }
 
     /// What a run of this class and with this hint is expected to take (seconds).
@@ -165,6 +159,16 @@
         self.by_class.iter().map(RunLengthEstimate::mean).collect()
     }
 
+    /// The baseline of the mean length (seconds).
+    pub(super) fn baseline_s(&self) -> f64 {
+        self.baseline_s
+    }
+
+    /// Lets the baseline follow the mean, once a window.
+    pub(super) fn update_baseline(&mut self) {
+        self.baseline_s = follow_baseline(self.baseline_s, self.mean_s());
+    }
+
     /// The estimates, as they are handed to a successor.
     pub(super) fn learned(&self) -> Vec<LearnedRunLength> {
         let learned = |estimate: &RunLengthEstimate| LearnedRunLength {
@@ -175,8 +179,9 @@
         self.by_class.iter().map(learned).collect()
     }
 
-    /// Takes over the estimates of a predecessor.
-    pub(super) fn adopt(&mut self, learned: Vec<LearnedRunLength>) {
+    /// Takes over the estimates and the baseline of a predecessor.
+    pub(super) fn adopt(&mut self, learned: Vec<LearnedRunLength>, baseline_s: f64) {
+        self.baseline_s = baseline_s;
         for (estimate, learned) in self.by_class.iter_mut().zip(learned) {
             estimate.core_time = learned.core_time_s;
             estimate.ended = learned.ended;
--- /dev/null
+++ b/src/admission/run_slots.rs
@@ -0,0 +1,178 @@
+//! Run slots: how many runs there are at once, and which queued request starts next.
+//!
+//! Where an operator set up class pools they say which class may start and how many runs there are; else one limit
+//! serves all classes.
+
+use crate::admission::request_table::{RequestTable, Transition};
+use crate::admission::run_length::RunLengths;
+use crate::admission::run_limit::{RunLimit, SlotDemand};
+use crate::admission::survivable_runs::SurvivableRuns;
+use crate::interface::{AdmissionEvent, Gauges, PoolPlan, RequestId, Settings};
+use crate::pools::Pools;
+
+/// A queued request that could start.
+#[derive(Clone, Copy)]
+pub(super) struct Startable {
+    pub(super) id: RequestId,
+    pub(super) class: usize,
+}
+
+/// The run slots of this worker.
+pub(super) struct RunSlots {
+    survivable: SurvivableRuns,
+    limit: RunLimit,
+    pools: Option<Pools>,
+}
+
+impl RunSlots {
+    /// Without pools; see [`RunSlots::set_pools`].
+    pub(super) fn new(settings: &Settings, now: f64) -> Self {
+        RunSlots {
+            survivable: SurvivableRuns::new(settings, now),
+            limit: RunLimit::new(settings.cores.max(1) as usize, now),
+            pools: None,
+        }
+    }
+
+    pub(super) fn pools(&self) -> Option<&Pools> {
+        self.pools.as_ref()
+    }
+
+    /// The limit on runs, which with pools follows theirs.
+    pub(super) fn limit(&self) -> usize {
+        self.limit.runs()
+    }
+
+    /// Runs on the cores, or back to them, that are survived for certain.
+    pub(super) fn survivable_runs(&self, now: f64) -> usize {
+        self.survivable.at(now)
+    }
+
+    /// Takes up other pools, or none. Runs and queues stay as they are.
+    pub(super) fn set_pools(
+        &mut self,
+        plan: Option<PoolPlan>,
+        now: f64,
+        run_lengths: &RunLengths,
+        requests: &RequestTable,
+    ) {
+        let Some(plan) = plan else {
+            self.pools = None;
+            return;
+        };
+        if let Some(pools) = &mut self.pools {
+            pools.replan(plan);
+            return;
+        }
+        let mut pools = Pools::new(plan, &run_lengths.means_s(), self.survivable.at(now));
+        for (_, request) in requests.iter() {
+            pools.moved(request.class, None, request.state.place());
+        }
+        self.pools = Some(pools);
+    }
+
+    /// Time passes.
+    pub(super) fn advance(&mut self, elapsed_s: f64) {
+        if let Some(pools) = &mut self.pools {
+            pools.advance(elapsed_s);
+        }
+    }
+
+    /// A request has gone to another state.
+    pub(super) fn request_moved(&mut self, transition: &Transition) {
+        if let Some(pools) = &mut self.pools {
+            pools.moved(transition.class, transition.from, transition.to);
+        }
+    }
+
+    /// A run of this class has ended after so long on the cores (seconds).
+    pub(super) fn run_ended(&mut self, class: usize, length_s: f64) {
+        if let Some(pools) = &mut self.pools {
+            pools.run_ended(class, length_s);
+        }
+    }
+
+    /// Counts a run that has ended by itself: such runs are what the limit is to let through.
+    pub(super) fn count_completed_run(&mut self) {
+        self.limit.count_ended_run();
+    }
+
+    /// Counts a rejected request of this class.
+    pub(super) fn count_rejection(&mut self, class: usize) {
+        if let Some(pools) = &mut self.pools {
+            pools.count_rejection(class);
+        }
+    }
+
+    /// Lets the pools review their limit; returns what operators should see of it.
+    pub(super) fn review_pools(&mut self, now: f64) -> Vec<AdmissionEvent> {
+        let survivable_runs = self.survivable.at(now);
+        let Some(pools) = &mut self.pools else { return Vec::new() };
+        pools.review(now, survivable_runs);
+        pools.take_events()
+    }
+
+    /// Whether the window is over after which the limit is reviewed.
+    pub(super) fn is_review_due(&self, now: f64) -> bool {
+        self.limit.is_review_due(now)
+    }
+
+    /// Adjusts the limit at the end of a window.
+    pub(super) fn review_limit(&mut self, now: f64, gauges: &Gauges, demand: SlotDemand, healthy: bool) {
+        self.limit.review(now, gauges, demand, healthy, self.survivable.at(now));
+        if let Some(pools) = &self.pools {
+            self.limit.set(pools.limit());
+        }
+    }
+
+    /// Whether a request of this class that comes now would start at once.
+    pub(super) fn starts_at_once(&self, class: usize, demand: SlotDemand) -> bool {
+        match &self.pools {
+            Some(pools) => pools.open(class),
+            None => demand.running < self.limit.runs() && !demand.has_queued,
+        }
+    }
+
+    /// Whether the queue of this class's pool is at capacity.
+    pub(super) fn is_queue_full(&self, class: usize) -> bool {
+        self.pools.as_ref().is_some_and(|pools| pools.full(class))
+    }
+
+    /// Whether two classes wait for the same run slots.
+    pub(super) fn are_shared(&self, class: usize, other: usize) -> bool {
+        self.pools.as_ref().map_or(true, |pools| pools.together(other, class))
+    }
+
+    /// Runs a second: slots over the time on the cores, waits for calls apart. With pools, on the slots on which the
+    /// pool of this class can count.
+    pub(super) fn service_rate(&self, class: usize, run_lengths: &RunLengths) -> f64 {
+        match &self.pools {
+            Some(pools) => pools.slots(class) / run_lengths.mean_s_of(|other| pools.together(other, class)),
+            None => self.limit.runs() as f64 / run_lengths.mean_s(),
+        }
+    }
+
+    /// The request to start next, if a slot is free for one. `startable` has the highest tier and the oldest first.
+    pub(super) fn choose(
+        &mut self,
+        now: f64,
+        running: usize,
+        running_elsewhere: usize,
+        mut startable: impl Iterator<Item = Startable>,
+    ) -> Option<RequestId> {
+        if let Some(pools) = &mut self.pools {
+            let survivable_runs = self.survivable.at(now).saturating_sub(running_elsewhere);
+            return pools.choose(startable.map(|request| (request.id, request.class)), survivable_runs);
+        }
+        if running < self.limit.runs() {
+            startable.next().map(|request| request.id)
+        } else {
+            None
+        }
+    }
+
+    /// Takes over a predecessor's limit, within what is survived; a limit that is higher stays.
+    pub(super) fn adopt(&mut self, runs: usize, now: f64) {
+        self.limit.set(runs.min(self.survivable.at(now)).max(self.limit.runs()));
+    }
+}
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -1,11 +1,9 @@
-//! A token bucket. It counts tokens and decides nothing: what an empty bucket means is up to the controller.
+//! A token bucket.
 
 /// Tokens that fill up at a constant rate to a capacity.
 pub(super) struct TokenBucket {
-    /// Tokens added a second.
-    pub(super) rate_per_s: f64,
-    /// Tokens held now.
-    pub(super) tokens: f64,
+    rate_per_s: f64,
+    tokens: f64,
     capacity: f64,
 }
 
@@ -15,6 +13,16 @@
         TokenBucket { rate_per_s, tokens: capacity, capacity }
     }
 
+    /// Tokens added a second.
+    pub(super) fn rate_per_s(&self) -> f64 {
+        self.rate_per_s
+    }
+
+    /// Tokens left.
+    pub(super) fn tokens(&self) -> f64 {
+        self.tokens
+    }
+
     /// Time passes.
     pub(super) fn refill(&mut self, elapsed_s: f64) {
         self.tokens = (self.tokens + self.rate_per_s * elapsed_s).min(self.capacity);
@@ -25,6 +33,11 @@
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
+    /// Leaves this many tokens at most.
+    pub(super) fn reduce_to(&mut self, tokens: f64) {
+        self.tokens = tokens.min(self.tokens);
+    }
+
     /// Whether less than a whole token is left.
     pub(super) fn is_empty(&self) -> bool {
         self.tokens < 1.0
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -105,12 +105,12 @@
 
     /// The state of the class pools, where there are any.
     pub fn pools(&self) -> Option<PoolsState> {
-        self.controller.pools.as_ref().map(Pools::state)
+        self.controller.pools().map(Pools::state)
     }
 
     /// This worker's part in the fleet's overload control, where there is one.
     pub fn overload(&mut self) -> Option<&mut OverloadPolicy> {
-        self.controller.overload.as_mut()
+        self.controller.overload_policy_mut()
     }
 
     /// The load to report to the fleet. Taking the sample begins the next one.
@@ -118,12 +118,12 @@
         let totals = self.metrics.classes().iter();
         let (served, rejected) =
             totals.fold((0, 0), |(served, rejected), c| (served + c.success, rejected + c.overload));
-        Some(self.controller.overload.as_mut()?.take_sample(now, served, rejected))
+        Some(self.controller.overload_policy_mut()?.take_sample(now, served, rejected))
     }
 
     /// The metrics of the fleet's overload control: names and values.
     pub fn overload_figures(&self) -> Vec<(&'static str, String)> {
-        self.controller.overload.as_ref().map(OverloadPolicy::metrics).unwrap_or_default()
+        self.controller.overload_policy().map(OverloadPolicy::metrics).unwrap_or_default()
     }
 
     /// How requests have ended so far, by class.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -39,6 +39,18 @@
     pub fn is_idempotent(&self) -> bool {
         self.effect == Idempotency::Idempotent
     }
+
+    /// Whether a response keeps a part of its weight when the downstream call is skipped.
+    #[must_use]
+    pub fn may_skip_call(&self) -> bool {
+        self.skipped_call_weight > 0.0
+    }
+
+    /// Whether its runs are worth nothing without their downstream call.
+    #[must_use]
+    pub fn needs_call(&self) -> bool {
+        self.calls && !self.may_skip_call()
+    }
 }
 
 /// A tenant.
