--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -161,13 +161,13 @@
     #[must_use]
     pub fn learned(&self) -> LearnedState {
         let mut learned = LearnedState {
-            runs: self.run_slots.limit(),
-            usual_s: self.run_lengths.baseline_s(),
-            paces: self.run_lengths.learned(),
+            run_limit: self.run_slots.limit(),
+            baseline_run_s: self.run_lengths.baseline_s(),
+            run_lengths: self.run_lengths.learned(),
             traffic: Traffic {
-                quotas: self.quotas.learned(),
-                arrivals: self.arrivals.by_tier().to_vec(),
-                lately: RecentOutcomes {
+                tenants: self.quotas.learned(),
+                arrivals_per_s: self.arrivals.by_tier().to_vec(),
+                recent: RecentOutcomes {
                     retries_per_s: self.arrivals.retries(),
                     failed_runs: self.health.failed_runs(),
                     ended_runs: self.health.ended_runs(),
@@ -181,12 +181,12 @@
 
     /// Takes over what another controller has learned, within the limits of this one.
     fn adopt(&mut self, learned: LearnedState) {
-        self.run_slots.adopt(learned.runs, self.now);
+        self.run_slots.adopt(learned.run_limit, self.now);
         self.downstream.adopt(&learned);
-        self.run_lengths.adopt(learned.paces, learned.usual_s);
-        let recent = learned.traffic.lately;
-        self.quotas.adopt(learned.traffic.quotas);
-        self.arrivals.adopt(learned.traffic.arrivals, recent.retries_per_s);
+        self.run_lengths.adopt(learned.run_lengths, learned.baseline_run_s);
+        let recent = learned.traffic.recent;
+        self.quotas.adopt(learned.traffic.tenants);
+        self.arrivals.adopt(learned.traffic.arrivals_per_s, recent.retries_per_s);
         self.health.adopt(recent.failed_runs, recent.ended_runs);
     }
 
--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -128,26 +128,28 @@
     /// Whether a request of this class that comes now would start at once.
     pub(super) fn starts_at_once(&self, class: usize, demand: SlotDemand) -> bool {
         match &self.pools {
-            Some(pools) => pools.open(class),
+            Some(pools) => pools.starts_at_once(class),
             None => demand.running < self.limit.runs() && !demand.has_queued,
         }
     }
 
     /// Whether the queue of this class's pool is at capacity.
     pub(super) fn is_queue_full(&self, class: usize) -> bool {
-        self.pools.as_ref().is_some_and(|pools| pools.full(class))
+        self.pools.as_ref().is_some_and(|pools| pools.is_queue_full(class))
     }
 
     /// Whether two classes wait for the same run slots.
     pub(super) fn are_shared(&self, class: usize, other: usize) -> bool {
-        self.pools.as_ref().map_or(true, |pools| pools.together(other, class))
+        self.pools.as_ref().map_or(true, |pools| pools.share_pool(other, class))
     }
 
     /// Runs a second: slots over the time on the cores, waits for calls apart. With pools, on the slots on which the
     /// pool of this class can count.
     pub(super) fn service_rate(&self, class: usize, run_lengths: &RunLengths) -> f64 {
         match &self.pools {
-            Some(pools) => pools.slots(class) / run_lengths.mean_s_of(|other| pools.together(other, class)),
+            Some(pools) => {
+                pools.expected_slots(class) / run_lengths.mean_s_of(|other| pools.share_pool(other, class))
+            }
             None => self.limit.runs() as f64 / run_lengths.mean_s(),
         }
     }
--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -1,7 +1,7 @@
 //! The block `[pools]` of an operator's file: class pools, checked against the platform's settings.
 
 use super::{ConfigError, Options};
-use crate::interface::{PoolItem, PoolPlan};
+use crate::interface::{PoolItem, PoolPlan, PoolReserve};
 use serde::Deserialize;
 
 /// The pool of the classes that no other names.
@@ -133,11 +133,11 @@
             pools,
             pool_of: pool_of.into_iter().flatten().collect(),
             reserve,
-            least_slots,
-            most_slots,
+            min_slots: least_slots,
+            max_slots: most_slots,
             window_s: self.window_s,
-            look_s: self.look_s,
-            samples: self.samples,
+            review_s: self.look_s,
+            min_samples: self.samples,
             slow_ratio: self.slow_ratio,
         })
     }
@@ -290,8 +290,8 @@
 }
 
 impl ReserveSettings {
-    /// The number of the pool that has the reserve, and its slots.
-    fn plan(&self, pools: &[PoolItem], least_slots: usize) -> Result<(usize, usize), ConfigError> {
+    /// The reserve, with the number of its pool.
+    fn plan(&self, pools: &[PoolItem], least_slots: usize) -> Result<PoolReserve, ConfigError> {
         let Some(pool) = pools.iter().position(|pool| pool.name == self.pool) else {
             let key = "pools.reserve.pool".to_owned();
             return Err(ConfigError::UnknownName { key, kind: "pool", name: self.pool.clone() });
@@ -299,7 +299,7 @@
         if self.slots == 0 || self.slots >= least_slots {
             return Err(ConfigError::ReserveSlots { slots: self.slots, least_slots });
         }
-        Ok((pool, self.slots))
+        Ok(PoolReserve { pool, slots: self.slots })
     }
 }
 
--- a/src/config/pools/tests.rs
+++ b/src/config/pools/tests.rs
@@ -1,4 +1,5 @@
 use super::super::{Config, Operator};
+use crate::interface::PoolReserve;
 
 fn config() -> Config {
     Config::decode(include_str!("../../../examples/config.json")).unwrap()
@@ -14,7 +15,8 @@
     let plan = Operator::decode(GOOD, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
     let names: Vec<&str> = plan.pools.iter().map(|p| p.name.as_str()).collect();
     assert_eq!((names, plan.pool_of), (vec!["cheap", "orders", "rest"], vec![0, 2, 1]));
-    assert_eq!((plan.reserve, plan.least_slots, plan.most_slots), (Some((0, 1)), 6, 12));
+    let reserve = PoolReserve { pool: 0, slots: 1 };
+    assert_eq!((plan.reserve, plan.min_slots, plan.max_slots), (Some(reserve), 6, 12));
     // The rest may be set up by name, without classes.
     let text = format!("{GOOD}[[pools.pool]]\nname = \"rest\"\nclasses = []\nguarantee = 0.1\n");
     let plan = Operator::decode(&text, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -153,7 +153,7 @@
     fn learned_without(&self, requests: &[HandedOffRequest]) -> LearnedState {
         let mut learned = self.controller.learned();
         for tenant in requests.iter().filter_map(|r| r.request.tenant) {
-            if let Some(quota) = learned.traffic.quotas.get_mut(tenant) {
+            if let Some(quota) = learned.traffic.tenants.get_mut(tenant) {
                 quota.tokens += 1.0;
                 quota.arrivals = (quota.arrivals - 1.0).max(0.0);
             }
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -293,7 +293,7 @@
     let with_quota = || Harness::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
     let hand_off = |h: &mut Harness| h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new());
     let mut old = with_quota();
-    let whole = hand_off(&mut old).learned.traffic.quotas[0].tokens;
+    let whole = hand_off(&mut old).learned.traffic.tenants[0].tokens;
     old.dispatcher.end_hand_off();
     for number in 1..=2 {
         old.input(Input::Arrived(of_tenant(number)));
@@ -303,17 +303,18 @@
     (3..=6).for_each(|number| drop(old.input(Input::Arrived(of_tenant(number)))));
     let handed_off = hand_off(&mut old);
     assert_eq!((whole, handed_off.requests.len()), (6.0, 2));
-    let Traffic { quotas, arrivals, lately } = handed_off.learned.traffic.clone();
-    assert_eq!(quotas, [(2.0, 4.0).into()]);
-    assert!(arrivals[0] > 0.0 && lately == (arrivals[0], 2.0, 2.0).into(), "{arrivals:?} {lately:?}");
+    let Traffic { tenants, arrivals_per_s, recent } = handed_off.learned.traffic.clone();
+    assert_eq!(tenants, [(2.0, 4.0).into()]);
+    let arrivals = arrivals_per_s[0];
+    assert!(arrivals > 0.0 && recent == (arrivals, 2.0, 2.0).into(), "{arrivals_per_s:?} {recent:?}");
     let mut new = with_quota();
     new.input(Input::LearnedState(handed_off.learned));
-    assert_eq!(hand_off(&mut new).learned.traffic, Traffic { quotas, arrivals, lately });
+    assert_eq!(hand_off(&mut new).learned.traffic, Traffic { tenants, arrivals_per_s, recent });
     // A successor with other limits takes no more than its own.
     new.dispatcher.end_hand_off();
-    let more = Traffic { quotas: vec![(1e6, 0.0).into()], ..Traffic::default() };
+    let more = Traffic { tenants: vec![(1e6, 0.0).into()], ..Traffic::default() };
     new.input(Input::LearnedState(LearnedState { traffic: more, ..hand_off(&mut with_quota()).learned }));
-    assert_eq!(hand_off(&mut new).learned.traffic.quotas, [(2.0, 0.0).into()]);
+    assert_eq!(hand_off(&mut new).learned.traffic.tenants, [(2.0, 0.0).into()]);
 }
 
 #[test]
@@ -325,7 +326,10 @@
         h.end(number, Outcome::Ok, b"x");
     }
     let learned = h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new()).learned;
-    assert!((0.05..0.3).contains(&(learned.paces[0].core_time_s / learned.paces[0].ended)), "{learned:?}");
+    assert!(
+        (0.05..0.3).contains(&(learned.run_lengths[0].core_time_s / learned.run_lengths[0].ended)),
+        "{learned:?}"
+    );
     let mut new = Harness::new();
     new.input(Input::LearnedState(learned.clone()));
     assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, learned);
@@ -333,16 +337,16 @@
     let mut new = Harness::new();
     let before = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned;
     new.dispatcher.end_hand_off();
-    new.input(Input::LearnedState(LearnedState { usual_s: f64::NAN, ..learned.clone() }));
-    let traffic = Traffic { quotas: vec![(f64::INFINITY, 0.0).into()], ..Traffic::default() };
+    new.input(Input::LearnedState(LearnedState { baseline_run_s: f64::NAN, ..learned.clone() }));
+    let traffic = Traffic { tenants: vec![(f64::INFINITY, 0.0).into()], ..Traffic::default() };
     new.input(Input::LearnedState(LearnedState { traffic, ..learned.clone() }));
     new.input(Input::LearnedState(LearnedState {
-        paces: vec![(-1.0, 0.0, [0.0; 5]).into()],
+        run_lengths: vec![(-1.0, 0.0, [0.0; 5]).into()],
         ..learned.clone()
     }));
     assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, before);
     let mut new = Harness::new();
-    new.input(Input::LearnedState(LearnedState { runs: 1_000_000, ..learned }));
-    let most = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned.runs;
+    new.input(Input::LearnedState(LearnedState { run_limit: 1_000_000, ..learned }));
+    let most = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned.run_limit;
     assert!(most <= 16, "{most}");
 }
--- a/src/interface/learned.rs
+++ b/src/interface/learned.rs
@@ -10,11 +10,14 @@
 #[serde(default)]
 pub struct LearnedState {
     /// The limit on runs (slots).
-    pub runs: usize,
-    /// The mean run length while the worker is well (seconds).
-    pub usual_s: f64,
+    #[serde(rename = "runs")]
+    pub run_limit: usize,
+    /// The baseline of the mean run length, while nothing slows the runs down (seconds).
+    #[serde(rename = "usual_s")]
+    pub baseline_run_s: f64,
     /// By class: the measured run lengths.
-    pub paces: Vec<LearnedRunLength>,
+    #[serde(rename = "paces")]
+    pub run_lengths: Vec<LearnedRunLength>,
     /// The limit on downstream calls in flight.
     #[serde(rename = "call_room")]
     pub call_limit: f64,
@@ -36,11 +39,14 @@
 #[serde(default)]
 pub struct Traffic {
     /// By tenant.
-    pub quotas: Vec<TenantTraffic>,
+    #[serde(rename = "quotas")]
+    pub tenants: Vec<TenantTraffic>,
     /// By tier: arrivals a second, fading.
-    pub arrivals: Vec<f64>,
+    #[serde(rename = "arrivals")]
+    pub arrivals_per_s: Vec<f64>,
     /// Retries and outcomes.
-    pub lately: RecentOutcomes,
+    #[serde(rename = "lately")]
+    pub recent: RecentOutcomes,
 }
 
 /// Measured run lengths of a class, all fading.
@@ -138,29 +144,30 @@
 
 impl Traffic {
     fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
-        let quotas = self.quotas.iter().flat_map(|tenant| [tenant.tokens, tenant.arrivals]);
-        let recent = [self.lately.retries_per_s, self.lately.failed_runs, self.lately.ended_runs];
-        quotas.chain(self.arrivals.iter().copied()).chain(recent)
+        let tenants = self.tenants.iter().flat_map(|tenant| [tenant.tokens, tenant.arrivals]);
+        let recent = [self.recent.retries_per_s, self.recent.failed_runs, self.recent.ended_runs];
+        tenants.chain(self.arrivals_per_s.iter().copied()).chain(recent)
     }
 }
 
 impl LearnedState {
     /// Whether it can have been measured: anything else would spoil every later decision.
+    #[must_use]
     pub fn is_sound(&self) -> bool {
         self.numbers().all(|number| number.is_finite() && number >= 0.0)
             && self.call_budget_s.map_or(true, f64::is_finite)
-            && self.paces.iter().all(|run_length| run_length.ended > 0.0)
-            && self.usual_s > 0.0
+            && self.run_lengths.iter().all(|run_length| run_length.ended > 0.0)
+            && self.baseline_run_s > 0.0
             && self.call_limit > 0.0
     }
 
     /// All numbers that can't be negative.
     fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
-        let run_lengths = self.paces.iter().flat_map(|run_length| {
+        let run_lengths = self.run_lengths.iter().flat_map(|run_length| {
             [run_length.core_time_s, run_length.ended].into_iter().chain(run_length.hint_sums)
         });
         let calls = [self.call_limit, self.recent_calls.time_s, self.recent_calls.ended];
-        let lengths = [self.usual_s, self.call_baseline_s.unwrap_or(1.0)];
+        let lengths = [self.baseline_run_s, self.call_baseline_s.unwrap_or(1.0)];
         run_lengths.chain(calls).chain(lengths).chain(self.traffic.numbers())
     }
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a controller is told when its worker starts.
+//! The settings of a controller, fixed when its worker starts.
 
 /// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -110,6 +110,15 @@
     pub queue: usize,
 }
 
+/// Slots of the limit on runs that only one pool uses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PoolReserve {
+    /// The number of the pool.
+    pub pool: usize,
+    /// Its reserved slots.
+    pub slots: usize,
+}
+
 /// Class pools as an operator sets them up, checked: each class has a pool that exists.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolPlan {
@@ -117,23 +126,27 @@
     pub pools: Vec<PoolItem>,
     /// By class: the number of its pool.
     pub pool_of: Vec<usize>,
-    /// The number of a pool, and the slots of the limit that no other pool uses.
-    pub reserve: Option<(usize, usize)>,
+    /// Slots that only one pool uses.
+    pub reserve: Option<PoolReserve>,
     /// Lower bound of the limit on runs (slots).
-    pub least_slots: usize,
+    pub min_slots: usize,
     /// Upper bound of the limit on runs (slots).
-    pub most_slots: usize,
+    pub max_slots: usize,
     /// How long a measured rate and the baseline of run lengths are believed (seconds).
     pub window_s: f64,
     /// How often the limit is reviewed (seconds).
-    pub look_s: f64,
+    pub review_s: f64,
     /// Ended runs that a review needs.
-    pub samples: usize,
+    pub min_samples: usize,
     /// Runs that take so many times what their number explains mean that the executor has slowed.
     pub slow_ratio: f64,
 }
 
-/// All that a controller is told when its worker starts.
+/// The settings of a controller, fixed when its worker starts.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent settings of the platform, as its file has them"
+)]
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The seed of all random draws.
--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -10,7 +10,7 @@
     request: T,
 }
 
-/// Common slots that a pool claims, for its guarantee and for what it is owed.
+/// Common slots that a pool claims, for its guarantee and for its credit.
 #[derive(Clone, Copy)]
 struct Claim {
     pool: usize,
@@ -32,8 +32,8 @@
             return None;
         }
         let reserve = self.plan.reserve;
-        let takes_reserve =
-            reserve.is_some_and(|(pool, _)| self.reserve_is_free(pool) && self.queued(pool) > 0);
+        let takes_reserve = reserve
+            .is_some_and(|reserve| self.reserve_is_free(reserve.pool) && self.queued(reserve.pool) > 0);
         if self.free() == 0 && !takes_reserve {
             // Nothing can start, whoever is first: no need to look for it.
             self.limit_reached = true;
@@ -98,7 +98,7 @@
                 return permitted;
             }
             permitted[claim.pool] = true;
-            // Two of a pool may start before the pools are asked again; its claim covers so many.
+            // More than one of a pool may start before the next choice; its claim covers so many.
             let claimed = (claim.slots.ceil() as usize).min(self.queued(claim.pool)).max(1);
             free = free.saturating_sub(claimed);
         }
@@ -120,8 +120,8 @@
     }
 
     fn claim(&self, pool: usize, mean_run_s: f64) -> Claim {
-        let owed = self.accounts[pool].credit_slot_s / mean_run_s;
-        Claim { pool, slots: self.guarantee(pool) + owed - self.used(pool) as f64 }
+        let credit = self.accounts[pool].credit_slot_s / mean_run_s;
+        Claim { pool, slots: self.guarantee(pool) + credit - self.used(pool) as f64 }
     }
 
     /// The claims on common slots, the largest first.
@@ -133,7 +133,8 @@
         claims
     }
 
-    /// What nobody claims goes by weight; where nobody is under its part, to whoever wants some.
+    /// The pools that may use what nobody claims: those under their part by weight; where none is, all that want
+    /// some.
     fn pools_for_unclaimed(&self, mean_run_s: f64) -> Vec<usize> {
         let pools = self.indices().filter(|pool| self.can_use_common(*pool));
         let others: Vec<usize> =
--- a/src/pools/credit.rs
+++ b/src/pools/credit.rs
@@ -1,19 +1,19 @@
-//! What pools are owed: slot seconds that they missed while others ran on slots of their guarantee.
+//! Credits of pools: slot seconds that they missed while others ran on slots of their guarantee.
 
 use super::counts::Counts;
 use super::{Pools, EPSILON};
 
-/// What is owed to a pool, or by it, is at most this many mean runs of its guarantee and one slot more.
-const MAX_OWED_RUNS: f64 = 1.0;
-/// What is owed to a pool that wants nothing is forgotten over this time (seconds).
+/// A credit or debt is at most this many mean runs of the pool's guarantee and one slot more.
+const MAX_CREDIT_RUNS: f64 = 1.0;
+/// The credit of a pool that wants nothing fades over this time (seconds).
 const CREDIT_MEMORY_S: f64 = 5.0;
-/// What is owed and comes under this is nothing (slot seconds).
+/// A credit under this is none (slot seconds).
 const MIN_CREDIT_SLOT_S: f64 = 1e-6;
 
-/// What one pool is owed, whether it wants slots, and what became of its requests.
+/// A pool's credit, whether it wants slots, and counts of its requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Account {
-    /// Slot seconds: above 0 they are owed to the pool; below 0 it has had more while others went short.
+    /// Slot seconds that the pool missed; below 0 it has had more than its guarantee while others went short.
     pub(super) credit_slot_s: f64,
     /// It has a request that could start, were there a slot for it.
     pub(super) wants_slot: bool,
@@ -22,17 +22,17 @@
 }
 
 impl Pools {
-    /// Time passes. What pools are owed grows while they want slots and stay under their guarantee.
+    /// Time passes. Credits grow while pools want slots and stay under their guarantee.
     pub fn advance(&mut self, elapsed_s: f64) {
         if elapsed_s <= 0.0 {
             return;
         }
         self.limit.advance(elapsed_s, self.all.on_cores, self.limit_reached);
-        // Nobody is short of anything and nothing is owed: the usual case without overload.
+        // No pool wants a slot and none has a credit: the usual case without overload.
         if self.accounts.iter().all(|account| !account.wants_slot && account.credit_slot_s == 0.0) {
             return;
         }
-        // More than the common slots may be in use after the limit fell: that is nobody's debt.
+        // More than the common slots may be in use after the limit fell: that alone makes no debt.
         let pools_short = self.indices().filter(|pool| self.goes_short(*pool)).count();
         let mean_run_s = self.mean_run_s();
         for pool in self.indices() {
@@ -42,14 +42,14 @@
     }
 
     fn next_credit(&self, pool: usize, others_short: bool, mean_run_s: f64, elapsed_s: f64) -> f64 {
-        let max_credit = (self.guarantee(pool) + 1.0) * MAX_OWED_RUNS * mean_run_s;
+        let max_credit = (self.guarantee(pool) + 1.0) * MAX_CREDIT_RUNS * mean_run_s;
         let shortfall = self.shortfall(pool);
         let wants_slot = self.accounts[pool].wants_slot;
         let mut credit = self.accounts[pool].credit_slot_s;
         if wants_slot && shortfall > 0.0 {
             credit += shortfall * elapsed_s;
         } else if shortfall < 0.0 && (credit > 0.0 || others_short) {
-            // It is being paid back, or it runs on slots that another pool wants.
+            // It uses up its credit, or it runs on slots that another pool wants.
             let min_credit = if others_short { -max_credit } else { 0.0 };
             credit = (credit + shortfall * elapsed_s).max(min_credit.min(credit));
         } else if !wants_slot || credit < 0.0 {
--- a/src/pools/limit/baseline.rs
+++ b/src/pools/limit/baseline.rs
@@ -1,6 +1,6 @@
 //! The baseline of run lengths: how long the runs of a class take without contention.
 
-use super::window::RunTotals;
+use super::run_totals::RunTotals;
 
 /// A baseline is the mean of so many ended runs.
 pub(super) const BASELINE_RUNS: f64 = 64.0;
@@ -9,6 +9,12 @@
 /// A class without ended runs has this weight in the mean.
 const MIN_MEAN_WEIGHT: f64 = 0.1;
 
+/// A slowdown is smoothed by this share a window.
+const SLOWDOWN_GAIN: f64 = 0.4;
+/// A smoothed slowdown under this proves the baselines too long, whatever the contention. One window is noise (a sixth
+/// of the mean for sixteen runs), and would make them sink for good.
+const MIN_SMOOTHED_SLOWDOWN: f64 = 0.82;
+
 /// The baseline of one class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Baseline {
@@ -21,9 +27,9 @@
 }
 
 impl Baseline {
-    /// Whether enough runs have ended for it to tell of the executor's speed.
-    pub(super) fn is_known(&self) -> bool {
-        self.runs >= MIN_KNOWN_RUNS
+    /// The length, once enough runs have ended for it to be evidence of the executor's speed (seconds).
+    pub(super) fn known_length_s(&self) -> Option<f64> {
+        (self.runs >= MIN_KNOWN_RUNS).then_some(self.length_s)
     }
 
     fn learn(&mut self, totals: RunTotals, uncontended: bool) {
@@ -37,7 +43,7 @@
         } else if uncontended || !self.uncontended {
             totals.runs / (self.runs + totals.runs)
         } else {
-            // Longer runs under contention are the contention's doing.
+            // Runs that are longer under contention are so because of it.
             return;
         };
         self.length_s += (mean_s - self.length_s) * share;
@@ -50,13 +56,14 @@
 #[derive(Clone, Debug)]
 pub(super) struct Baselines {
     by_class: Vec<Baseline>,
+    smoothed_slowdown: f64,
 }
 
 impl Baselines {
     /// First guesses (seconds).
     pub(super) fn new(lengths_s: &[f64]) -> Self {
         let guess = |length_s: &f64| Baseline { length_s: length_s.max(1e-6), runs: 0.0, uncontended: false };
-        Baselines { by_class: lengths_s.iter().map(guess).collect() }
+        Baselines { by_class: lengths_s.iter().map(guess).collect(), smoothed_slowdown: 1.0 }
     }
 
     pub(super) fn get(&self, class: usize) -> Option<&Baseline> {
@@ -88,13 +95,22 @@
         }
     }
 
-    /// Makes all baselines shorter or longer.
-    pub(super) fn scale(&mut self, factor: f64) {
-        self.by_class.iter_mut().for_each(|baseline| baseline.length_s *= factor);
+    /// Shortens all baselines when runs have been shorter than them for several windows.
+    pub(super) fn correct(&mut self, slowdown: f64) {
+        self.smoothed_slowdown += (slowdown - self.smoothed_slowdown) * SLOWDOWN_GAIN;
+        if self.smoothed_slowdown >= MIN_SMOOTHED_SLOWDOWN {
+            return;
+        }
+        for baseline in &mut self.by_class {
+            baseline.length_s *= self.smoothed_slowdown;
+        }
+        self.smoothed_slowdown = 1.0;
     }
 
     /// Lets the next windows change the baselines, whatever the contention in them.
     pub(super) fn reopen(&mut self) {
-        self.by_class.iter_mut().for_each(|baseline| baseline.uncontended = false);
+        for baseline in &mut self.by_class {
+            baseline.uncontended = false;
+        }
     }
 }
--- a/src/pools/limit/calibration.rs
+++ b/src/pools/limit/calibration.rs
@@ -1,4 +1,4 @@
-//! Calibration: a phase of few runs, in which the baseline of run lengths is measured (BBR's PROBE_RTT;
+//! Calibration: a phase of few runs, in which the baseline of run lengths is measured (BBR's `PROBE_RTT`;
 //! Cardwell et al. 2016).
 
 use crate::interface::PoolLimitCause;
@@ -8,10 +8,10 @@
 /// Runs settle for so many mean runs.
 const SETTLE_RUNS: f64 = 2.0;
 
-/// How far a calibration is.
+/// The phases of a calibration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Earlier runs leave the cores. The last of them are the longest: their ends would tell too much.
+    /// Earlier runs leave the cores. The last of them are the longest: their ends would distort the mean.
     Draining,
     /// The first few runs end, and others begin at different times: of runs that all began together only the
     /// short ones would have ended.
@@ -36,7 +36,7 @@
         Calibration { resume_limit, resume_cause, phase: Phase::Draining, phase_s: 0.0 }
     }
 
-    /// Time passes; `drained` says that no more runs are on the cores than the lower bound of the limit.
+    /// Time passes; `drained` means that no more runs are on the cores than the lower bound of the limit.
     pub(super) fn advance(&mut self, elapsed_s: f64, drained: bool, mean_run_s: f64, review_s: f64) {
         self.phase_s += elapsed_s;
         let overdue = self.phase_s >= MAX_PHASE_REVIEWS * review_s;
--- a/src/pools/limit/window.rs
+++ b/src/pools/limit/window.rs
@@ -1,13 +1,6 @@
 //! The evidence of one review window.
 
-use super::baseline::Baseline;
-
-/// Ended runs and their time on the cores.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct RunTotals {
-    pub(super) length_s: f64,
-    pub(super) runs: f64,
-}
+use super::run_totals::RunTotals;
 
 /// What was measured since the last review.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +19,7 @@
     pub(super) ended_by_class: Vec<RunTotals>,
 }
 
-/// Figures of a window, for the log and the status.
+/// The measurements of a window, for the log and the status.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Measured {
     /// Ended runs a second.
@@ -53,20 +46,18 @@
         }
     }
 
-    /// Counts an ended run. One of a class that is hardly known says nothing of the speed.
-    pub(super) fn run_ended(&mut self, class: usize, length_s: f64, baseline: &Baseline) {
+    /// Counts an ended run. A run of a class without a known baseline is no evidence of the speed.
+    pub(super) fn run_ended(&mut self, class: usize, length_s: f64, known_baseline_s: Option<f64>) {
         let Some(of_class) = self.ended_by_class.get_mut(class) else { return };
-        of_class.length_s += length_s;
-        of_class.runs += 1.0;
-        let baseline_s = if baseline.is_known() { baseline.length_s } else { length_s };
+        of_class.add(length_s);
+        let baseline_s = known_baseline_s.unwrap_or(length_s);
         self.ended_baseline_s += baseline_s;
         self.ended_baseline_squared += baseline_s * baseline_s;
-        self.ended.length_s += length_s;
-        self.ended.runs += 1.0;
+        self.ended.add(length_s);
     }
 
-    /// How many runs of one length would tell as much as those that ended (Kish's effective sample size):
-    /// among many short runs the few long ones decide what the sum of lengths says.
+    /// How many runs of one length would be as much evidence as those that ended (Kish's effective sample size): among
+    /// many short runs the few long ones decide the sum of lengths.
     pub(super) fn effective_samples(&self) -> f64 {
         if self.ended_baseline_squared > 0.0 {
             self.ended_baseline_s.powi(2) / self.ended_baseline_squared
@@ -89,7 +80,7 @@
         self.core_time_s / self.span_s
     }
 
-    /// The figures of the window, if it has lasted.
+    /// The measurements of the window, if it has lasted.
     pub(super) fn measured(&self) -> Option<Measured> {
         if self.span_s <= 0.0 {
             return None;
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -1,16 +1,16 @@
 //! Class pools: who may have a run slot when slots are short, and how many slots there are.
 //!
-//! The admission controller asks, as it asks its other limits: [`Pools::choose`] names the request that may
-//! start next, [`Pools::slots`] the slots on which an arrival of a class can count, [`Pools::full`] whether
-//! its queue is at capacity. In return it tells every change of a request's place ([`Pools::moved`]), every
-//! ended run and the time ([`Pools::advance`]). Nothing here reads a clock, draws at random or does input or
-//! output.
+//! The admission controller uses them as one of its limits: [`Pools::choose`] returns the request that may start
+//! next, [`Pools::expected_slots`] the slots on which an arrival of a class can count, [`Pools::is_queue_full`]
+//! whether its queue is at capacity. The controller passes in every change of a request's place ([`Pools::moved`]),
+//! every ended run ([`Pools::run_ended`]) and the time ([`Pools::advance`]). Nothing here reads a clock, draws at
+//! random or does input or output.
 //!
-//! Slots are divided so: the reserve belongs to one pool and nobody else ever takes it; the rest are common.
-//! Of the common slots each pool has its guarantee whenever it wants it; what is not wanted is lent. A pool
-//! that wants its part and does not get it, since running work can't be stopped, is owed the difference in
-//! slot seconds, and is paid back first. What no guarantee claims is divided by weight among those that want
-//! some. Among pools that may start, the highest tier's oldest request goes first.
+//! Slots are divided so: the reserve belongs to one pool, and no other pool ever uses it; the rest are common. Of the
+//! common slots each pool has its guarantee whenever it wants it; what it does not want is lent to others. A pool that
+//! wants its guarantee and does not get it, since running work can't be stopped, gets a credit of the slot seconds that
+//! it missed, and goes first until the credit is used up. What no guarantee claims is divided by weight among the pools
+//! that want some. Among pools that may start, the highest tier's oldest request goes first.
 #![warn(missing_docs)]
 
 mod choice;
@@ -46,7 +46,7 @@
     /// By pool.
     accounts: Vec<Account>,
     limit: SlotLimit,
-    /// The runs that the executor survives for certain, as last told.
+    /// The runs that the executor survives for certain, as of the last call.
     survivable_runs: usize,
     /// More would run if the limit let them.
     limit_reached: bool,
@@ -74,7 +74,7 @@
     }
 
     /// Takes up another plan while runs are in flight. Counts are kept by class, so none is lost; what the
-    /// limit has learned stays, and a pool that keeps its name keeps what it is owed.
+    /// limit has learned stays, and a pool that keeps its name keeps its credit.
     pub fn replan(&mut self, plan: PoolPlan) {
         let account_of = |name: &str| {
             let index = self.plan.pools.iter().position(|pool| pool.name == name);
@@ -138,11 +138,11 @@
 
 fn limit_settings(plan: &PoolPlan) -> LimitSettings {
     LimitSettings {
-        min_slots: plan.least_slots.max(1),
-        max_slots: plan.most_slots.max(plan.least_slots).max(1),
+        min_slots: plan.min_slots.max(1),
+        max_slots: plan.max_slots.max(plan.min_slots).max(1),
         window_s: plan.window_s,
-        review_s: plan.look_s,
-        min_samples: plan.samples.max(1) as f64,
+        review_s: plan.review_s,
+        min_samples: plan.min_samples.max(1) as f64,
         slow_ratio: plan.slow_ratio,
     }
 }
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -22,7 +22,8 @@
     /// The mean length of those runs.
     pub run_s: f64,
     /// The length that they have without contention.
-    pub usual_run_s: f64,
+    #[serde(rename = "usual_run_s")]
+    pub baseline_run_s: f64,
     /// How often a request of the reserve's pool was left waiting with a reserved slot free.
     pub reserve_kept: u64,
     /// Pools by number.
@@ -35,7 +36,8 @@
     /// The name in the operator's file.
     pub name: String,
     /// Queued requests.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub queued: usize,
     /// Runs on the cores.
     pub on_cores: usize,
     /// Runs that wait for a downstream call or are in one.
@@ -48,12 +50,15 @@
     pub reserve_slots: usize,
     /// Common slots beyond the guarantee.
     pub borrowed_slots: f64,
-    /// Slot seconds that the pool is owed; below 0 it owes them.
-    pub owed_slot_s: f64,
+    /// Slot seconds that the pool missed and may make up for; below 0 it had more than its guarantee while others
+    /// went short.
+    #[serde(rename = "owed_slot_s")]
+    pub credit_slot_s: f64,
     /// Started runs.
     pub started: u64,
     /// Rejected requests.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
 }
 
 /// Counts of one pool's queue.
@@ -149,16 +154,16 @@
         let measured = self.limit.measured();
         let state_of = |pool: usize| PoolState {
             name: self.plan.pools[pool].name.clone(),
-            held: self.queued(pool),
+            queued: self.queued(pool),
             on_cores: self.on_cores(pool),
             at_calls: self.counts[pool].at_call,
             guarantee_slots: self.guarantee(pool),
             ceiling_slots: self.ceiling(pool),
             reserve_slots: self.reserve_of(pool),
             borrowed_slots: (self.used(pool) as f64 - self.guarantee(pool)).max(0.0),
-            owed_slot_s: self.accounts[pool].credit_slot_s,
+            credit_slot_s: self.accounts[pool].credit_slot_s,
             started: self.accounts[pool].started,
-            refused: self.accounts[pool].rejected,
+            rejected: self.accounts[pool].rejected,
         };
         PoolsState {
             limit_slots: self.limit(),
@@ -166,7 +171,7 @@
             capacity_slots: self.limit.capacity(),
             rate_per_s: measured.rate_per_s,
             run_s: measured.run_s,
-            usual_run_s: measured.baseline_s,
+            baseline_run_s: measured.baseline_s,
             reserve_kept: self.reserve_kept,
             pools: self.indices().map(state_of).collect(),
         }
--- a/src/pools/slots.rs
+++ b/src/pools/slots.rs
@@ -13,7 +13,7 @@
 
     /// Whether two classes share a pool.
     #[must_use]
-    pub fn together(&self, a: usize, b: usize) -> bool {
+    pub fn share_pool(&self, a: usize, b: usize) -> bool {
         self.pool_of(a) == self.pool_of(b)
     }
 
@@ -38,7 +38,12 @@
 
     /// The reserved slots of a pool.
     pub(super) fn reserve_of(&self, pool: usize) -> usize {
-        self.plan.reserve.filter(|(of, _)| *of == pool).map_or(0, |(_, slots)| slots)
+        self.plan.reserve.filter(|reserve| reserve.pool == pool).map_or(0, |reserve| reserve.slots)
+    }
+
+    /// The reserved slots, whichever pool has them.
+    fn reserved(&self) -> usize {
+        self.plan.reserve.map_or(0, |reserve| reserve.slots)
     }
 
     /// Whether a pool has a reserved slot that is free.
@@ -48,7 +53,7 @@
 
     /// The slots that all pools share: the limit without the reserve.
     fn common(&self) -> usize {
-        self.limit().saturating_sub(self.plan.reserve.map_or(0, |(_, slots)| slots)).max(1)
+        self.limit().saturating_sub(self.reserved()).max(1)
     }
 
     /// The common slots that a pool uses.
@@ -75,16 +80,16 @@
 
     /// Whether the queue of this class's pool is at capacity.
     #[must_use]
-    pub fn full(&self, class: usize) -> bool {
+    pub fn is_queue_full(&self, class: usize) -> bool {
         let pool = self.pool_of(class);
         self.queued(pool) >= self.plan.pools[pool].queue
     }
 
     /// Whether a request of this class that comes now would start at once.
     #[must_use]
-    pub fn open(&self, class: usize) -> bool {
+    pub fn starts_at_once(&self, class: usize) -> bool {
         let pool = self.pool_of(class);
-        // Others that wait and may have more would be asked first, but for what is guaranteed to this pool.
+        // Others that wait and may have more go first, but for what is guaranteed to this pool.
         let nobody_waits =
             self.indices().all(|other| self.queued(other) == 0 || self.used(other) >= self.ceiling(other));
         let guaranteed = (self.used(pool) as f64) + 1.0 <= self.guarantee(pool) + EPSILON;
@@ -96,7 +101,7 @@
     /// The slots on which the pool of a class can count while it wants them: its own, and its part of what
     /// others leave.
     #[must_use]
-    pub fn slots(&self, class: usize) -> f64 {
+    pub fn expected_slots(&self, class: usize) -> f64 {
         let pool = self.pool_of(class);
         let part = self.part(pool, |other| self.queued(other) > 0 || other == pool);
         let common = part.min(self.ceiling(pool) as f64);
@@ -105,9 +110,13 @@
 
     /// A pool's guarantee, and its part by weight of what no guarantee of those that want slots claims.
     pub(super) fn part(&self, pool: usize, wants: impl Fn(usize) -> bool) -> f64 {
-        let taken = |other: usize| match wants(other) {
-            true => self.guarantee(other),
-            false => (self.used(other) as f64).min(self.guarantee(other)),
+        let taken = |other: usize| {
+            let guarantee = self.guarantee(other);
+            if wants(other) {
+                guarantee
+            } else {
+                (self.used(other) as f64).min(guarantee)
+            }
         };
         let unclaimed = (self.common() as f64 - self.indices().map(taken).sum::<f64>()).max(0.0);
         let wanting = self.indices().filter(|other| wants(*other));
@@ -118,8 +127,7 @@
 
     /// How many more runs, on the cores and at calls, a pool may have of its own part of the survivable runs.
     pub(super) fn own_runs_left(&self, pool: usize) -> usize {
-        let reserve = self.plan.reserve.map_or(0, |(_, slots)| slots);
-        let reserved = reserve.min(self.survivable_runs.saturating_sub(1));
+        let reserved = self.reserved().min(self.survivable_runs.saturating_sub(1));
         let rest = self.survivable_runs.saturating_sub(reserved) as f64;
         let part = (self.plan.pools[pool].guarantee * rest + EPSILON).floor() as usize;
         let own = part + self.reserve_of(pool).min(reserved);
--- /dev/null
+++ b/src/pools/tests/report.rs
@@ -0,0 +1,45 @@
+//! Events about the limit and about rejections.
+
+use super::harness::{item, plan, PoolsHarness};
+use crate::interface::{AdmissionEvent, PoolLimitCause, PoolLimitChange};
+
+#[test]
+fn limit_changes_and_rejections_are_reported_at_most_once_a_second() {
+    let items = vec![item("a", 0.5, 1.0, 1.0), item("b", 0.5, 1.0, 1.0)];
+    let mut w = PoolsHarness::new(plan(items.clone(), None, 4, 40), 2);
+    let mut events: Vec<(f64, AdmissionEvent)> = Vec::new();
+    for turn in 0..4000 {
+        w.saturate(&[0, 1], 0.025, 0.1);
+        w.pools.count_rejection(1);
+        if turn == 2000 {
+            w.pools.replan(plan(items.clone(), None, 2, 3));
+        }
+        w.pools.review(w.now, 1000);
+        events.extend(w.pools.take_events().into_iter().map(|event| (w.now, event)));
+    }
+    let limit_change = |(at, event): &(f64, AdmissionEvent)| match event {
+        AdmissionEvent::PoolLimitChanged(change) => Some((*at, *change)),
+        _ => None,
+    };
+    let limits: Vec<(f64, PoolLimitChange)> = events.iter().filter_map(limit_change).collect();
+    assert!(limits.windows(2).all(|w| w[1].0 - w[0].0 >= 0.99), "{limits:?}");
+    let first = limits[0].1;
+    assert!(
+        first.previous == 4 && first.cause == PoolLimitCause::Rate && first.baseline_run_s > 0.0,
+        "{first:?}"
+    );
+    let is_reload = |change: &PoolLimitChange| change.limit == 3 && change.cause == PoolLimitCause::Reload;
+    assert!(limits.iter().any(|(_, change)| is_reload(change)), "{limits:?}");
+    let rejections_of = |name: &'static str| {
+        events.iter().filter_map(move |(at, event)| match event {
+            AdmissionEvent::PoolRequestsRejected { pool, rejected, .. } if pool == name => {
+                assert!(*rejected > 0, "an event reports no rejection");
+                Some(*at)
+            }
+            _ => None,
+        })
+    };
+    let rejections: Vec<f64> = rejections_of("b").collect();
+    assert!(rejections.len() > 50 && rejections.windows(2).all(|w| w[1] - w[0] >= 0.99));
+    assert_eq!(rejections_of("a").count(), 0);
+}
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -75,7 +75,7 @@
     play.reserve_kept = world.reserve_kept;
     play.limits = world.limits;
     let state = world.core.pools();
-    let result = |p: PoolState| PoolResult { name: p.name, started: p.started, refused: p.refused };
+    let result = |p: PoolState| PoolResult { name: p.name, started: p.started, refused: p.rejected };
     play.pools = state.map_or(Vec::new(), |s| s.pools.into_iter().map(result).collect());
     Ok(play)
 }
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -2,6 +2,7 @@
 //! and must go on being read with the same meaning, as the files in `deploy/` of today are. Tests never write there.
 
 use port_worker::config::{Config, Identity, Operator};
+use port_worker::PoolReserve;
 use std::path::Path;
 
 fn text_of(path: &str) -> String {
@@ -94,9 +95,9 @@
     for operator in then_and_now("pools.toml") {
         assert_eq!(blocks(&operator), ["pools"]);
         let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
-        assert_eq!((plan.least_slots, plan.most_slots, plan.samples), (6, 12, 16));
-        assert_eq!((plan.window_s, plan.look_s, plan.slow_ratio), (10.0, 0.5, 1.6));
-        assert_eq!(plan.reserve, Some((0, 1)));
+        assert_eq!((plan.min_slots, plan.max_slots, plan.min_samples), (6, 12, 16));
+        assert_eq!((plan.window_s, plan.review_s, plan.slow_ratio), (10.0, 0.5, 1.6));
+        assert_eq!(plan.reserve, Some(PoolReserve { pool: 0, slots: 1 }));
         // Classes in the configuration's order: status-check, eligibility, port-submit.
         assert_eq!(plan.pool_of, [0, 2, 1]);
         let pools = plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue));
@@ -135,9 +136,10 @@
     assert_eq!((directory.timeout_ms, directory.cache_s, directory.cache_entries), (250.5, 30.5, 12));
 
     let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
-    assert_eq!((plan.least_slots, plan.most_slots, plan.samples), (5, 15, 8));
-    assert_eq!((plan.window_s, plan.look_s, plan.slow_ratio), (20.5, 0.25, 2.5));
-    assert_eq!((plan.reserve, plan.pool_of), (Some((0, 2)), vec![1, 1, 0]));
+    assert_eq!((plan.min_slots, plan.max_slots, plan.min_samples), (5, 15, 8));
+    assert_eq!((plan.window_s, plan.review_s, plan.slow_ratio), (20.5, 0.25, 2.5));
+    let reserve = PoolReserve { pool: 0, slots: 2 };
+    assert_eq!((plan.reserve, plan.pool_of), (Some(reserve), vec![1, 1, 0]));
     let orders = &plan.pools[0];
     assert_eq!((orders.guarantee, orders.ceiling, orders.weight, orders.queue), (0.25, 0.75, 2.5, 32));
 
@@ -180,8 +182,8 @@
     assert_eq!((directory.timeout_ms, directory.cache_s, directory.cache_entries), (500.0, 60.0, 1024));
 
     let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
-    assert_eq!((plan.least_slots, plan.most_slots, plan.samples), (6, 12, 16));
-    assert_eq!((plan.window_s, plan.look_s, plan.slow_ratio), (10.0, 0.5, 1.6));
+    assert_eq!((plan.min_slots, plan.max_slots, plan.min_samples), (6, 12, 16));
+    assert_eq!((plan.window_s, plan.review_s, plan.slow_ratio), (10.0, 0.5, 1.6));
     assert_eq!((plan.reserve, plan.pool_of), (None, vec![1, 1, 0]));
     let pools = plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue));
     let expected = [("orders", 0.0, 1.0, 1.0, 256), ("rest", 0.0, 1.0, 1.0, 256)];
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -562,7 +562,7 @@
     assert!(matches!(peer.receive(), Frame::Hello { .. }));
     peer.send(&Frame::Welcome);
     assert_eq!(peer.receive(), Frame::RequestListeners);
-    let learned = port_worker::interface::LearnedState { runs: 9, ..Default::default() };
+    let learned = port_worker::interface::LearnedState { run_limit: 9, ..Default::default() };
     peer.send(&Frame::State { fingerprint_key: (1, 2), draining: true, learned, running: vec!["r1".into()] });
     let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
     let outcome = KeyOutcome::Served(Some(Bytes(std::rc::Rc::from(*b"placed"))));
--- a/tests/stored_forms/learned.rs
+++ b/tests/stored_forms/learned.rs
@@ -6,17 +6,17 @@
 /// A value in which every field differs from its default.
 pub fn learned() -> LearnedState {
     LearnedState {
-        runs: 9,
-        usual_s: 0.105,
-        paces: vec![(12.5, 3.0, [1.0, 2.0, 3.5, 0.25, 1e-9]).into(), (0.1, 0.3, [0.0; 5]).into()],
+        run_limit: 9,
+        baseline_run_s: 0.105,
+        run_lengths: vec![(12.5, 3.0, [1.0, 2.0, 3.5, 0.25, 1e-9]).into(), (0.1, 0.3, [0.0; 5]).into()],
         call_limit: 4.75,
         call_baseline_s: Some(0.035),
         recent_calls: (2.5, 71.0).into(),
         call_budget_s: Some(-0.5),
         traffic: Traffic {
-            quotas: vec![(3.5, 1.25).into(), (0.0, 7.0).into()],
-            arrivals: vec![40.0, 12.25, 1_234_567.875],
-            lately: (0.5, 0.25, 90.0).into(),
+            tenants: vec![(3.5, 1.25).into(), (0.0, 7.0).into()],
+            arrivals_per_s: vec![40.0, 12.25, 1_234_567.875],
+            recent: (0.5, 0.25, 90.0).into(),
         },
     }
 }
@@ -28,10 +28,10 @@
 
 /// What `learned_tolerated.jsonl` is read as: every field may be left out, and unknown ones are passed over.
 fn tolerated_values() -> Vec<LearnedState> {
-    let traffic = Traffic { arrivals: vec![2.0], ..Traffic::default() };
+    let traffic = Traffic { arrivals_per_s: vec![2.0], ..Traffic::default() };
     vec![
         LearnedState::default(),
-        LearnedState { runs: 4, ..LearnedState::default() },
+        LearnedState { run_limit: 4, ..LearnedState::default() },
         LearnedState { traffic, ..LearnedState::default() },
     ]
 }
