--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -96,12 +96,13 @@
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
         self.apply(event, now, out);
-        // First the queues of a worker whose runs are at fault: what is rejected must neither make a call nor start.
+        // First the queues of a worker whose runs are at fault: what is rejected must not start below. These rejections
+        // still carry the Retry-After that goes with the health reported so far.
         self.drain_queues_during_run_fault(out);
         // Then the health, so that callers are sent elsewhere before this worker takes on more.
         self.update_health(out);
-        // Calls come before starts: a run that comes back from its call needs its core again, and what goes on without
-        // its call takes a slot that a start would have.
+        // Calls come before starts: a run that goes on without its call is back on the cores, and takes the slot that a
+        // start would have had.
         self.place_calls(out);
         self.start_queued(out);
     }
@@ -207,7 +208,7 @@
         self.fleet.policy()
     }
 
-    /// This worker's part in the fleet's overload control, where there is one, to be told of the fleet's state.
+    /// The same, to pass in the fleet's state and to take load samples.
     pub fn overload_policy_mut(&mut self) -> Option<&mut OverloadPolicy> {
         self.fleet.policy_mut()
     }
--- a/src/admission/controller/completion.rs
+++ b/src/admission/controller/completion.rs
@@ -68,7 +68,7 @@
         let Some(request) = self.requests.get(id).filter(|request| !request.completed) else { return };
         let unstarted = request.state.is_unstarted();
         let may_run_again = !unstarted && self.class(request.class).is_idempotent();
-        // Asked for also where it is not sent: the fleet's policy draws a random number for it.
+        // Computed also where it is not sent: the fleet's policy draws a random number for it.
         let retry_after_s = self.retry_after_s(request.tier, request.class);
         if may_run_again {
             out.push(Action::Reject { id, retry_after_s, stop_retrying: true });
@@ -82,7 +82,7 @@
     }
 
     /// No response is pending any more; a run is taken off the cores where the worker can do that. A run with an effect
-    /// goes on: the next attempt asks for its result.
+    /// goes on: the next attempt gets its result.
     fn stop_run(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.completed = true;
--- a/src/admission/controller/sweep.rs
+++ b/src/admission/controller/sweep.rs
@@ -5,15 +5,15 @@
 use crate::admission::timing::SWEEP_INTERVAL_S;
 use crate::interface::{Action, Gauges, RequestId};
 
-/// What becomes of a request at a wake-up.
-enum Due {
-    /// It has not run and can't be answered in time.
+/// What becomes of a pending request at a wake-up.
+enum SweepDecision {
+    /// It has not run and can't be answered in time: reject it.
     Reject,
-    /// Its response must be given now, or would be of no use.
+    /// The response must be given now, or would be of no use: abandon the request.
     Abandon,
-    /// Its run meets the objective only without the downstream call for which it waits.
+    /// Its run meets the objective only without the downstream call for which it waits: skip the call.
     SkipCall,
-    /// Nothing.
+    /// It still has time.
     Keep,
 }
 
@@ -44,16 +44,16 @@
         for id in ids {
             // An earlier step of this loop may have answered it.
             let Some(request) = self.requests.get(id) else { continue };
-            match self.due(request) {
-                Due::Reject => self.reject(id, out),
-                Due::Abandon => self.abandon(id, out),
-                Due::SkipCall => self.skip_downstream_call(id, out),
-                Due::Keep => {}
+            match self.sweep_decision(request) {
+                SweepDecision::Reject => self.reject(id, out),
+                SweepDecision::Abandon => self.abandon(id, out),
+                SweepDecision::SkipCall => self.skip_downstream_call(id, out),
+                SweepDecision::Keep => {}
             }
         }
     }
 
-    fn due(&self, request: &Request) -> Due {
+    fn sweep_decision(&self, request: &Request) -> SweepDecision {
         let next_wake_up = self.now + SWEEP_INTERVAL_S + 2.0 * self.settings.wake_ahead_s;
         let answer_by = match self.shutdown.answer_by() {
             Some(answer_by) => answer_by.min(request.deadline),
@@ -62,13 +62,13 @@
         let is_due = answer_by <= next_wake_up;
         let misses_objective = self.now + self.expected_run_s(request) > request.objective_at;
         if request.state.waits_for_run() && (misses_objective || is_due) {
-            Due::Reject
+            SweepDecision::Reject
         } else if is_due || self.now >= request.worthless_from {
-            Due::Abandon
+            SweepDecision::Abandon
         } else if request.state == RequestState::WaitingForCall && self.now >= self.last_call_start(request) {
-            Due::SkipCall
+            SweepDecision::SkipCall
         } else {
-            Due::Keep
+            SweepDecision::Keep
         }
     }
 
--- a/src/admission/downstream/budget.rs
+++ b/src/admission/downstream/budget.rs
@@ -83,3 +83,6 @@
 fn max_saved_s(dependency: &Dependency) -> f64 {
     dependency.share * BURST_SHARE * dependency.window_s
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/admission/fleet_overload.rs
+++ b/src/admission/fleet_overload.rs
@@ -1,4 +1,4 @@
-//! What the fleet's overload control asks of this worker; without one, the answers of a worker alone.
+//! The directives of the fleet's overload control; without one, those of a worker alone.
 
 use crate::admission::request::Tier;
 use crate::fleet::overload::policy::OverloadPolicy;
@@ -27,7 +27,7 @@
         self.policy.as_mut().is_some_and(|policy| policy.exceeds_retry_budget(tier, is_retry))
     }
 
-    /// Whether the fleet sheds a request of this tier. The policy counts and draws with each question.
+    /// Whether the fleet sheds a request of this tier. Each call counts, and may draw a random number.
     pub(super) fn sheds(&self, tier: Tier, can_start: bool) -> bool {
         self.policy.as_ref().is_some_and(|policy| policy.sheds(tier, can_start))
     }
@@ -37,7 +37,7 @@
         self.policy.as_ref().and_then(OverloadPolicy::fleet_at_capacity)
     }
 
-    /// The Retry-After of a rejection, where a worker alone would ask for `alone_s` (seconds).
+    /// The Retry-After of a rejection, where a worker alone would send `alone_s` (seconds).
     pub(super) fn retry_after_s(&self, tier: Tier, alone_s: f64) -> f64 {
         match &self.policy {
             Some(policy) => policy.retry_after_s(tier, alone_s),
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -138,7 +138,7 @@
         self.next_probe = now + PROBE_INTERVAL_S;
     }
 
-    /// Whether no run is on the cores, and none has ended for so long that only another probe can tell more.
+    /// Whether no run is on the cores, and none has ended for so long that only another probe brings new evidence.
     fn is_at_rest(&self, now: f64, running: usize) -> bool {
         running == 0 && self.signals.since_progress_s(now) > HEALTH_MEMORY_S
     }
@@ -215,3 +215,6 @@
         self.signals.adopt(failed_runs, ended_runs);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/admission/health/tests.rs
@@ -0,0 +1,87 @@
+use super::*;
+
+/// A monitor on which so many runs have just failed.
+fn with_failed_runs(failed: usize) -> HealthMonitor {
+    let mut health = HealthMonitor::new(0.0);
+    for _ in 0..failed {
+        health.run_ended(0.0, true);
+    }
+    health
+}
+
+/// A monitor of a worker that reads requests ten objectives late.
+fn with_read_lag() -> HealthMonitor {
+    let mut health = HealthMonitor::new(0.0);
+    for _ in 0..10 {
+        health.record_read(10.0, 1.0);
+    }
+    health
+}
+
+#[test]
+fn failing_runs_are_reported_once_and_recovery_takes_three_successes() {
+    assert_eq!(with_failed_runs(2).take_change(), None);
+    let mut health = with_failed_runs(3);
+    assert_eq!(health.take_change(), Some(HealthState::Unhealthy(UnhealthyCause::FailingRuns)));
+    assert_eq!(health.take_change(), None);
+    // The failures fade; two successes are not enough.
+    health.advance(10.0, 0);
+    health.run_ended(10.0, false);
+    health.run_ended(10.0, false);
+    assert_eq!(health.take_change(), None);
+    health.run_ended(10.0, false);
+    assert_eq!(health.take_change(), Some(HealthState::Healthy));
+}
+
+#[test]
+fn runs_without_an_end_are_stalled_once_twenty_mean_runs_have_passed() {
+    let mut health = HealthMonitor::new(0.0);
+    health.advance(1.9, 1);
+    health.check_stalled(1.9, 0.1);
+    assert!(!health.has_run_fault());
+    health.advance(0.2, 1);
+    health.check_stalled(2.1, 0.1);
+    assert_eq!(health.take_change(), Some(HealthState::Unhealthy(UnhealthyCause::StalledRuns)));
+}
+
+#[test]
+fn worker_with_failing_runs_is_delisted_and_listed_again_after_a_rest() {
+    let mut health = with_failed_runs(3);
+    assert_eq!(health.update_listing(0.0, 0, false), Some(false));
+    assert_eq!(health.update_listing(1.9, 0, false), None);
+    // A run on the cores is a probe already.
+    assert_eq!(health.update_listing(2.1, 1, false), None);
+    assert_eq!(health.update_listing(2.1, 0, false), Some(true));
+}
+
+#[test]
+fn worker_with_read_lag_is_delisted_unless_the_fleet_is_full() {
+    let mut health = with_read_lag();
+    assert_eq!(health.update_listing(0.0, 0, true), None);
+    assert_eq!(health.update_listing(0.0, 0, false), Some(false));
+    // It is not listed again because the fleet has filled up, but when reads have caught up.
+    assert_eq!(health.update_listing(0.0, 0, true), None);
+    health.core_is_free();
+    assert_eq!(health.update_listing(0.0, 0, true), Some(true));
+}
+
+#[test]
+fn failing_runs_are_the_reported_cause_when_reads_lag_too() {
+    let mut health = with_read_lag();
+    for _ in 0..3 {
+        health.run_ended(0.0, true);
+    }
+    assert_eq!(health.take_change(), Some(HealthState::Unhealthy(UnhealthyCause::FailingRuns)));
+    // With both, a rest is not enough for a probe while other workers have room.
+    assert_eq!(health.update_listing(3.0, 0, false), Some(false));
+    assert_eq!(health.update_listing(3.0, 0, true), Some(true));
+}
+
+#[test]
+fn probes_are_half_a_second_apart() {
+    let mut health = with_failed_runs(3);
+    assert!(health.is_probe_due(0.0));
+    health.probe_kept(0.0);
+    assert!(!health.is_probe_due(0.49));
+    assert!(health.is_probe_due(0.5));
+}
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -16,7 +16,7 @@
 //! | `arrival_rates` | rates of arrivals |
 //! | `rejection`, `retry_after` | whether an arrival is rejected, and when its caller may retry |
 //! | `health` | whether this worker is healthy, and what it answers to health checks |
-//! | `fleet_overload` | what the fleet's overload control asks of this worker |
+//! | `fleet_overload` | the directives of the fleet's overload control |
 //! | `shutdown` | the shutdown notice |
 //! | `other_process` | what the other process uses during a hot restart |
 //! | `published_weight` | the weight published to callers |
--- a/src/admission/published_weight.rs
+++ b/src/admission/published_weight.rs
@@ -28,3 +28,6 @@
         Some(if available { AVAILABLE } else { UNAVAILABLE })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -55,7 +55,7 @@
     /// Why a request that has just been read can't be admitted, if it can't.
     pub(super) fn rejection_reason(&self, request: &Request) -> Option<RejectionReason> {
         let starts_at_once = self.run_slots.starts_at_once(request.class, self.demand);
-        // The fleet's policy counts what it is asked about, so it is asked whatever the other reasons.
+        // The fleet's policy counts each call, so it is called whatever the other reasons.
         let fleet_sheds = self.fleet.sheds(request.tier, starts_at_once);
         if self.lacks_downstream_call(request) {
             Some(RejectionReason::NoDownstreamCall)
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -6,15 +6,15 @@
 
 /// Other workers are taken to reject as well from this share of retries among arrivals on.
 const FLEET_FULL_RETRY_SHARE: f64 = 0.15;
-/// Where retries are not marked, other workers are taken to reject as well when arrivals ask for so many times what
-/// the cores can do at their baseline.
+/// Where retries are not marked, other workers are taken to reject as well when arrivals need so many times the time
+/// that the cores have, at the baseline of run lengths.
 const FLOOD_FACTOR: f64 = 1.2;
 /// A caller's next attempt is far off beyond so many times the longest Retry-After.
 const MAX_NEXT_ATTEMPT_FACTOR: f64 = 2.0;
 /// The shortest Retry-After (seconds).
 const MIN_RETRY_AFTER_S: f64 = 4.0 * SWEEP_INTERVAL_S;
 
-/// What the settings say of callers and of this machine's part of the load.
+/// The settings of callers and of this machine that a Retry-After depends on.
 pub(super) struct RetryAfter {
     /// The longest Retry-After that callers heed; 0 where none is relayed (seconds).
     max_s: f64,
--- a/src/admission/run_length.rs
+++ b/src/admission/run_length.rs
@@ -34,7 +34,7 @@
         self.hints_times_lengths = self.hints_times_lengths * HINT_FADE + hint * length;
     }
 
-    /// The slope of the line, between 0 (hints tell nothing) and lengths proportional to hints.
+    /// The slope of the line, between 0 (hints are no evidence) and lengths proportional to hints.
     fn slope(&self) -> f64 {
         let covariance = self.hints_times_lengths - self.hints * self.lengths / self.count;
         let variance = self.hints_squared - self.hints * self.hints / self.count;
--- a/src/admission/run_limit.rs
+++ b/src/admission/run_limit.rs
@@ -103,3 +103,6 @@
 fn cores_busy(gauges: &Gauges) -> bool {
     gauges.cores_busy.unwrap_or(1.0) >= BUSY_SHARE
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -1,7 +1,7 @@
 //! Run slots: how many runs there are at once, and which queued request starts next.
 //!
-//! Where an operator set up class pools they say which class may start and how many runs there are; else one limit
-//! serves all classes.
+//! Where an operator has set up class pools, they choose the class that may start and set the number of runs; else one
+//! limit serves all classes.
 
 use crate::admission::request_table::{RequestTable, Transition};
 use crate::admission::run_length::RunLengths;
--- a/src/admission/shutdown.rs
+++ b/src/admission/shutdown.rs
@@ -50,3 +50,6 @@
         self.answer_by().is_some_and(|answer_by| ends_at > answer_by)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/admission/tenant_quotas.rs
+++ b/src/admission/tenant_quotas.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Counts an arrival of a tenant; says how the tenant stands with its quota.
+    /// Counts an arrival of a tenant; returns how the tenant stands with its quota.
     pub(super) fn count_arrival(&mut self, tenant: Option<usize>) -> QuotaStatus {
         let all_rates_per_s: f64 = self.tenants.iter().map(|usage| usage.bucket.rate_per_s()).sum();
         // The arrivals before this one.
@@ -114,3 +114,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -38,7 +38,7 @@
     },
     /// Go on with a run without the downstream call for which it waits.
     SkipCall(RequestId),
-    /// Stop or pause a run, as the settings say.
+    /// Stop or pause a run, whichever the settings have.
     Preempt(RequestId),
     /// Answer health checks with this state from now on.
     Health(bool),
--- a/src/pools/tests/division.rs
+++ b/src/pools/tests/division.rs
@@ -26,7 +26,7 @@
     w.saturate(&[0], 0.5, 2.0);
     assert_eq!(w.on_cores(0), 4);
     let came_back = w.now;
-    // It wants its two slots for 1.5 s and has none: it is owed three slot seconds.
+    // It wants its two slots for 1.5 s and has none: its credit grows by three slot seconds.
     w.saturate(&[0, 1], 1.55, 2.0);
     assert!(w.pools.state().pools[1].credit_slot_s > 2.0, "{:?}", w.pools.state());
     assert!(w.on_cores(1) >= 3, "paid back beyond its two slots: {}", w.on_cores(1));
