--- a/tests/hot_restart/peers.rs
+++ b/tests/hot_restart/peers.rs
@@ -170,7 +170,7 @@
     assert!(matches!(peer.receive(), Frame::Hello { .. }));
     peer.send(&Frame::Welcome);
     assert_eq!(peer.receive(), Frame::RequestListeners);
-    let learned = port_worker::interface::LearnedState { runs: 9, ..Default::default() };
+    let learned = port_worker::interface::LearnedState { run_limit: 9, ..Default::default() };
     peer.send(&Frame::State {
         fingerprint_key: FingerprintKey(1, 2),
         draining: true,
