--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -8,17 +8,21 @@
 pub struct Work {
     /// Core seconds at full speed before the call and after it.
     pub before_s: f64,
+    /// Core seconds after the call; all of it is one run where there is no call.
     pub after_s: f64,
+    /// Whether the run makes a downstream call.
     pub calls: bool,
 }
 
 impl Work {
     /// The body of a request that asks for this work.
+    #[must_use]
     pub fn body(&self) -> Vec<u8> {
         format!("{:.6} {:.6} {}", self.before_s, self.after_s, u8::from(self.calls)).into_bytes()
     }
 
     /// Reads a body back; one that is none is no work at all.
+    #[must_use]
     pub fn read(body: &[u8]) -> Work {
         let text = String::from_utf8_lossy(body);
         let mut words = text.split(' ');
@@ -27,19 +31,37 @@
     }
 }
 
-/// What the executor has to say.
+/// What the executor reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// The end of a run, and whether a call was left out of it.
-    Exit(String, bool),
-    Callout(String),
+    /// A run has ended.
+    Exit {
+        /// The run.
+        job: String,
+        /// Its downstream call was skipped.
+        degraded: bool,
+    },
+    /// A run waits for its downstream call.
+    Callout {
+        /// The run.
+        job: String,
+    },
+}
+
+/// The core seconds that an executor had spent at a time, for the gauge of busy cores.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct BusyReading {
+    /// The time (seconds).
+    pub at: f64,
+    /// Core seconds spent until then.
+    pub busy_s: f64,
 }
 
 #[derive(Clone, Debug)]
 struct Run {
     left_s: f64,
     after_s: Option<f64>,
-    poor: bool,
+    degraded: bool,
 }
 
 /// The executor of one worker.
@@ -55,10 +77,13 @@
     busy_s: f64,
     /// Time integral of the runs on the cores, by whole tenths of a second.
     tenths: Vec<f64>,
+    /// The most runs that were on the cores at once.
     pub most_on_cores: usize,
 }
 
 impl Executor {
+    /// An executor at rest; `slows` are the times at which its cores are slower.
+    #[must_use]
     pub fn new(model: ExecutorModel, slows: Vec<Slow>) -> Executor {
         Executor {
             model,
@@ -73,11 +98,14 @@
         }
     }
 
+    /// Runs on the cores.
+    #[must_use]
     pub fn on_cores(&self) -> usize {
         self.runs.len()
     }
 
     /// Core seconds spent so far, for the gauge.
+    #[must_use]
     pub fn busy_s(&self) -> f64 {
         self.busy_s
     }
@@ -125,17 +153,18 @@
                 let Some(run) = self.runs.remove(&id) else { continue };
                 if run.after_s.is_some() {
                     self.at_calls.insert(id.clone(), run);
-                    out.push((self.now, Notice::Callout(id)));
+                    out.push((self.now, Notice::Callout { job: id }));
                 } else {
-                    out.push((self.now, Notice::Exit(id, run.poor)));
+                    out.push((self.now, Notice::Exit { job: id, degraded: run.degraded }));
                 }
             }
         }
         out
     }
 
-    /// When something may next happen, if nothing is said to it.
-    pub fn next(&self) -> Option<f64> {
+    /// When the next notice may come, if no command comes before.
+    #[must_use]
+    pub fn next_notice_at(&self) -> Option<f64> {
         let rate = self.rate(self.now);
         let least = self.runs.values().map(|r| r.left_s).fold(f64::INFINITY, f64::min);
         (rate > 0.0 && least.is_finite()).then(|| self.now + (least / rate).max(1e-6))
@@ -148,16 +177,16 @@
         }
         let after_s = work.calls.then_some(work.after_s);
         let left_s = if work.calls { work.before_s } else { work.before_s + work.after_s };
-        self.runs.insert(id.to_owned(), Run { left_s: left_s.max(1e-6), after_s, poor: false });
+        self.runs.insert(id.to_owned(), Run { left_s: left_s.max(1e-6), after_s, degraded: false });
         self.most_on_cores = self.most_on_cores.max(self.runs.len());
         true
     }
 
-    /// The call at which a run stands is over, or left out.
-    pub fn resume(&mut self, id: &str, left_out: bool) -> bool {
+    /// The call that a run waits for is over, or is skipped; `false` for a run that waits for none.
+    pub fn resume(&mut self, id: &str, skipped: bool) -> bool {
         let Some(mut run) = self.at_calls.remove(id) else { return false };
         run.left_s = run.after_s.take().unwrap_or(0.0).max(1e-6);
-        run.poor = left_out;
+        run.degraded = skipped;
         self.runs.insert(id.to_owned(), run);
         self.most_on_cores = self.most_on_cores.max(self.runs.len());
         true
@@ -169,6 +198,7 @@
     }
 
     /// The highest mean of runs on the cores over this time, for each core.
+    #[must_use]
     pub fn crowd_mean(&self, over_s: f64) -> f64 {
         let n = ((over_s * 10.0) as usize).max(1);
         let windows = self.tenths.windows(n.min(self.tenths.len().max(1)));
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -4,8 +4,9 @@
 use super::rig::{FleetFile, Programs, Rig};
 use crate::error::TestbedError;
 use crate::experiment::{Experiment, Variant};
+use crate::loopback;
 use crate::measure::{interval, Play};
-use crate::sockets;
+use crate::sync::lock;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
@@ -94,7 +95,7 @@
             for variant in order {
                 state.begin(&mut rig)?;
                 let play =
-                    flap_while(state, &mut rig, || sockets::play(&experiment, variant, seed, &worker))?;
+                    flap_while(state, &mut rig, || loopback::play(&experiment, variant, seed, &worker))?;
                 state.end(&mut rig)?;
                 plays.push(play);
             }
@@ -138,7 +139,7 @@
             let mut cut = false;
             while !over.load(Ordering::Relaxed) {
                 cut = !cut;
-                let mut rig = sockets::lock(&rig);
+                let mut rig = lock(&rig);
                 for c in &coordinators {
                     let _ = rig.cut("w1", c, false, cut);
                     rig.reset("w1", c);
--- a/testbed/src/fleet/overload_storm.rs
+++ b/testbed/src/fleet/overload_storm.rs
@@ -2,9 +2,9 @@
 //! on and clients that try again, a service below that slows when it is crowded, and a leader whose view is as old as the
 //! links make it. The same seed gives the same storm with and without the fleet's part.
 
-use crate::callers::{draw, Asked};
+use crate::callers::{plan_requests, PlannedRequest};
 use crate::error::TestbedError;
-use crate::executor::{Executor, Notice, Work};
+use crate::executor::{BusyReading, Executor, Notice, Work};
 use crate::experiment::{Experiment, Slow};
 use crate::measure::interval;
 use port_worker::config::Config;
@@ -138,11 +138,11 @@
     executor: Executor,
     side: FleetOverloadClient,
     wake: f64,
-    busy: (f64, f64),
+    busy: BusyReading,
     tells_at: f64,
     reports: u64,
     open: BTreeMap<u64, Try>,
-    poor: BTreeMap<u64, bool>,
+    degraded: BTreeMap<u64, bool>,
     /// When the requests of runs are over; the executor ends a run at a call then, as the platform's does.
     due: BTreeMap<(u64, Rc<str>), ()>,
     inbox: Vec<Input>,
@@ -200,7 +200,7 @@
 struct World {
     shape: Shape,
     experiment: Experiment,
-    asked: Vec<Asked>,
+    requests: Vec<PlannedRequest>,
     rng: ChaCha8Rng,
     workers: Vec<Worker>,
     service: Service,
@@ -225,7 +225,7 @@
 pub fn play(shape: &Shape, seed: u64) -> Result<Storm, TestbedError> {
     let mut experiment = Experiment::decode(SITE)?;
     (experiment.load, experiment.length_s) = (shape.load * shape.workers as f64, shape.length_s);
-    let asked = draw(&experiment, seed);
+    let requests = plan_requests(&experiment, seed);
     let nowhere = "127.0.0.1:1";
     let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
     let worker = |n: usize| {
@@ -242,11 +242,11 @@
             executor: Executor::new(experiment.executor.clone(), Vec::new()),
             side: FleetOverloadClient::new(0.0, shape.slots_each, 0.1),
             wake: 0.025,
-            busy: (0.0, 0.0),
+            busy: BusyReading::default(),
             tells_at: REPORT_INTERVAL_S * n as f64 / shape.workers as f64,
             reports: 0,
             open: BTreeMap::new(),
-            poor: BTreeMap::new(),
+            degraded: BTreeMap::new(),
             due: BTreeMap::new(),
             inbox: Vec::new(),
         }
@@ -276,14 +276,14 @@
         counts: vec![(0.0, 0.0); shape.length_s as usize + 8],
         until: BTreeMap::new(),
         storm: Storm { worth: vec![0.0; shape.length_s as usize], ..Storm::default() },
-        asked,
+        requests,
         experiment,
         shape: shape.clone(),
     };
-    world.storm.asked = world.asked.iter().map(|a| world.experiment.class[a.class].worth).sum();
-    for n in 0..world.asked.len() {
+    world.storm.asked = world.requests.iter().map(|a| world.experiment.class[a.class].worth).sum();
+    for n in 0..world.requests.len() {
         let reckless = world.rng.random_bool(shape.reckless);
-        world.try_at(world.asked[n].at, (n, 1, reckless));
+        world.try_at(world.requests[n].at, (n, 1, reckless));
     }
     world.run();
     Ok(world.storm)
@@ -355,7 +355,7 @@
                 break;
             }
             let Some((_, (number, tries, reckless))) = self.tries.pop_first() else { break };
-            let a = &self.asked[number];
+            let a = &self.requests[number];
             let class = &self.experiment.class[a.class];
             let due = a.at + class.deadline_ms / 1000.0;
             if due - now < 0.05 {
@@ -390,12 +390,12 @@
         let worker = &mut self.workers[w];
         for (_, notice) in worker.executor.advance(now) {
             worker.inbox.push(match notice {
-                Notice::Exit(id, poor) => {
-                    worker.poor.insert(u64::from_str_radix(&id, 16).unwrap_or(0), poor);
+                Notice::Exit { job: id, degraded } => {
+                    worker.degraded.insert(u64::from_str_radix(&id, 16).unwrap_or(0), degraded);
                     let result = Some(Rc::from(&b"done"[..]));
                     Input::RunEnded { name: id.as_str().into(), outcome: Outcome::Ok, result }
                 }
-                Notice::Callout(id) => {
+                Notice::Callout { job: id } => {
                     Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), mark: 0 }
                 }
             });
@@ -408,10 +408,10 @@
         }
         if now >= worker.wake {
             worker.wake = f64::INFINITY;
-            let (since, before) = worker.busy;
+            let BusyReading { at: since, busy_s: before } = worker.busy;
             let cores = f64::from(self.experiment.executor.cores);
             let busy = (worker.executor.busy_s() - before) / (now - since).max(1e-9) / cores;
-            worker.busy = (now, worker.executor.busy_s());
+            worker.busy = BusyReading { at: now, busy_s: worker.executor.busy_s() };
             worker.inbox.push(Input::Woken(Gauges {
                 cores_busy: Some(busy),
                 runnable: Some(worker.executor.on_cores() as f64),
@@ -450,7 +450,7 @@
 
     fn answered(&mut self, now: f64, w: usize, ticket: u64, answer: &Response) {
         let worker = &mut self.workers[w];
-        let poor = worker.poor.remove(&ticket).unwrap_or(false);
+        let degraded = worker.degraded.remove(&ticket).unwrap_or(false);
         let Some(Try { number, tries, reckless, due }) = worker.open.remove(&ticket) else { return };
         let kind = match answer {
             Response::Served(_) => 1u64,
@@ -458,10 +458,10 @@
             _ => 3,
         };
         self.storm.trace = (self.storm.trace ^ ticket ^ (kind << 60)).wrapping_mul(0x0100_0000_01b3);
-        let class = &self.experiment.class[self.asked[number].class];
+        let class = &self.experiment.class[self.requests[number].class];
         if kind == 1 {
-            let in_aim = (now - self.asked[number].at) * 1000.0 <= class.aim_ms;
-            let kept = if poor { class.skip_worth } else { 1.0 };
+            let in_aim = (now - self.requests[number].at) * 1000.0 <= class.aim_ms;
+            let kept = if degraded { class.skip_worth } else { 1.0 };
             if let Some(second) = self.storm.worth.get_mut(now as usize).filter(|_| in_aim) {
                 *second += class.worth * kept;
             }
--- a/testbed/src/fleet/relay.rs
+++ b/testbed/src/fleet/relay.rs
@@ -2,7 +2,7 @@
 //! in one direction or both, as a network does that loses them; what was held goes on when it is healed.
 
 use crate::error::TestbedError;
-use crate::sockets::lock;
+use crate::sync::lock;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -19,7 +19,7 @@
 use super::task_log;
 use crate::error::TestbedError;
 use crate::experiment::{ClassModel, Experiment};
-use crate::sockets::Clock;
+use crate::loopback::Clock;
 use processes::Process;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -2,7 +2,8 @@
 
 use super::{get, Rig};
 use crate::error::TestbedError;
-use crate::sockets::{lock, serve_executor};
+use crate::loopback::serve_executor;
+use crate::sync::lock;
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
--- a/testbed/src/fleet/routers.rs
+++ b/testbed/src/fleet/routers.rs
@@ -1,10 +1,11 @@
 //! Routers of a fleet of processes: requests at an even pace to doors in turn, each with its answer counted. They
 //! send each once, and hold it to one final answer.
 
-use crate::callers::Asked;
+use crate::callers::PlannedRequest;
 use crate::executor::Work;
 use crate::experiment::ClassModel;
-use crate::sockets::{fields, lock, message};
+use crate::loopback::{platform_fields, read_message};
+use crate::sync::lock;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -85,8 +86,8 @@
 fn send(door: SocketAddr, class: &ClassModel, number: usize) -> Option<u16> {
     let work =
         Work { before_s: class.work_ms / 2000.0, after_s: class.work_ms / 2000.0, calls: class.calls > 0.0 };
-    let asked = Asked { number, at: 0.0, class: 0, work, need_kb: class.need_kb };
-    let fields: String = fields(&asked, class, 1, class.deadline_ms / 1000.0)
+    let request = PlannedRequest { number, at: 0.0, class: 0, work, need_kb: class.need_kb };
+    let fields: String = platform_fields(&request, class, 1, class.deadline_ms / 1000.0)
         .into_iter()
         .map(|(name, value)| format!("{name}: {value}\r\n"))
         .collect();
@@ -100,9 +101,9 @@
     let _ = stream.set_read_timeout(Some(Duration::from_secs_f64(class.deadline_ms / 1000.0 + 2.0)));
     stream.write_all(&[head.as_bytes(), &body].concat()).ok()?;
     let mut reader = BufReader::new(stream);
-    let (head, _) = message(&mut reader)?;
+    let (head, _) = read_message(&mut reader)?;
     // A second answer on the same connection would be one too many.
-    if message(&mut reader).is_some() {
+    if read_message(&mut reader).is_some() {
         return None;
     }
     head.split(' ').nth(1)?.parse().ok()
--- a/testbed/src/fleet/service.rs
+++ b/testbed/src/fleet/service.rs
@@ -2,7 +2,8 @@
 //! away when told, and counts what it has in hand by its own clock.
 
 use crate::error::TestbedError;
-use crate::sockets::{lock, message};
+use crate::loopback::read_message;
+use crate::sync::lock;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -46,7 +47,7 @@
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut reader = BufReader::new(stream);
-        while message(&mut reader).is_some() {
+        while read_message(&mut reader).is_some() {
             let state = {
                 let mut state = lock(&self.state);
                 state.made += 1;
--- a/testbed/src/fleet/task_log.rs
+++ b/testbed/src/fleet/task_log.rs
@@ -2,7 +2,7 @@
 //! off one that is under way under a lower token, and writes a line for each act that it was asked for, by its one clock.
 
 use crate::error::TestbedError;
-use crate::sockets::lock;
+use crate::sync::lock;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 use std::io::{BufRead, BufReader, Write};
--- /dev/null
+++ b/testbed/src/loopback/attempt.rs
@@ -0,0 +1,67 @@
+//! One attempt of a request, whatever protocol carries it.
+
+use crate::callers::PlannedRequest;
+use crate::experiment::ClassModel;
+use crate::measure::RequestEnd;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// How long a client waits for a response beyond its deadline before it counts as owed (seconds).
+pub(super) const RESPONSE_GRACE_S: f64 = 1.0;
+/// Set in the identifiers of requests, so that none is short.
+const REQUEST_ID_BIT: u64 = 1 << 60;
+
+static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
+
+/// The response to an attempt.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptResponse {
+    pub status: u16,
+    /// For how long the worker asked to stay away (seconds).
+    pub retry_after_s: f64,
+    /// The run skipped its downstream call.
+    pub degraded: bool,
+}
+
+impl AttemptResponse {
+    /// What the response is to its client if it makes no further attempt.
+    pub fn end(&self, at: f64) -> RequestEnd {
+        match self.status {
+            200 => RequestEnd::Served { at, degraded: self.degraded },
+            429 | 503 => RequestEnd::Rejected,
+            _ => RequestEnd::Failed,
+        }
+    }
+}
+
+/// The time that a request has left, and a little where it has none (seconds).
+pub(super) fn time_left_s(request: &PlannedRequest, class: &ClassModel, now: f64) -> f64 {
+    (request.at + class.deadline_ms / 1000.0 - now).max(0.01)
+}
+
+/// The platform's header fields of one attempt; the first has the number 1.
+pub fn platform_fields(
+    request: &PlannedRequest,
+    class: &ClassModel,
+    attempt: u32,
+    left_s: f64,
+) -> Vec<(&'static str, String)> {
+    let id = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed) | REQUEST_ID_BIT;
+    let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
+    let mut fields = vec![
+        ("x-correlation-id", format!("{id:016x}")),
+        ("x-arrived-ms", unix_ms.to_string()),
+        ("x-upstream-peer", "1".to_owned()),
+        ("x-org", "lab".to_owned()),
+        ("x-deadline-ms", format!("{:.0}", left_s * 1000.0)),
+        ("x-need-kb", format!("{:.1}", request.need_kb)),
+        ("x-criticality", "0.5".to_owned()),
+    ];
+    if class.keyed {
+        fields.push(("x-operation-key", format!("k{:08x}", request.number)));
+    }
+    if attempt > 1 {
+        fields.push(("x-resent", "1".to_owned()));
+    }
+    fields
+}
--- /dev/null
+++ b/testbed/src/loopback/executor_server.rs
@@ -0,0 +1,148 @@
+//! The executor model behind its line protocol.
+
+use super::listener::accept_until;
+use super::Clock;
+use crate::executor::{BusyReading, Executor, Notice, Work};
+use crate::experiment::Experiment;
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine;
+use serde_json::{json, Value};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{channel, RecvTimeoutError};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+/// What comes from the worker.
+enum Received {
+    Link(TcpStream),
+    Line(String),
+}
+
+/// The executor behind its protocol: one thread takes links and lines, one plays the model.
+pub fn serve_executor(
+    listener: TcpListener,
+    experiment: &Experiment,
+    clock: Clock,
+    over: &Arc<AtomicBool>,
+) -> thread::JoinHandle<Executor> {
+    let model = Executor::new(experiment.executor.clone(), experiment.slow.clone());
+    let (sender, received) = channel::<Received>();
+    accept_until(listener, over.clone(), move |stream| {
+        let Ok(writer) = stream.try_clone() else { return };
+        let _ = sender.send(Received::Link(writer));
+        let sender = sender.clone();
+        thread::spawn(move || {
+            let lines = BufReader::new(stream).lines();
+            lines.map_while(Result::ok).try_for_each(|l| sender.send(Received::Line(l)))
+        });
+    });
+    let over = over.clone();
+    let cold = experiment.executor.cold_s > 0.0;
+    let cores = f64::from(experiment.executor.cores);
+    thread::spawn(move || {
+        let mut server = ExecutorServer {
+            model,
+            link: None,
+            notices: Vec::new(),
+            cold,
+            cores,
+            busy: BusyReading::default(),
+        };
+        while !over.load(Ordering::Relaxed) {
+            let now = clock.now();
+            let wait = server.model.next_notice_at().map_or(0.05, |at| at - now).clamp(0.0, 0.05);
+            match received.recv_timeout(Duration::from_secs_f64(wait)) {
+                Ok(Received::Link(stream)) => server.link = Some(stream),
+                Ok(Received::Line(line)) => {
+                    server.advance(clock.now());
+                    server.handle_command(clock.now(), &line);
+                }
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => break,
+            }
+            server.advance(clock.now());
+        }
+        server.model
+    })
+}
+
+/// The executor model behind the protocol.
+struct ExecutorServer {
+    model: Executor,
+    link: Option<TcpStream>,
+    notices: Vec<String>,
+    cold: bool,
+    cores: f64,
+    busy: BusyReading,
+}
+
+impl ExecutorServer {
+    fn send(&mut self, line: &str) {
+        if let Some(link) = &mut self.link {
+            if link.write_all(format!("{line}\n").as_bytes()).is_err() {
+                self.link = None;
+            }
+        }
+    }
+
+    fn send_notice(&mut self, mut notice: Value) {
+        notice["n"] = json!(self.notices.len() + 1);
+        let line = notice.to_string();
+        self.send(&line);
+        self.notices.push(line);
+    }
+
+    fn advance(&mut self, now: f64) {
+        for (_, notice) in self.model.advance(now) {
+            match notice {
+                Notice::Exit { job, degraded } => {
+                    let data = STANDARD.encode(if degraded { "poor" } else { "full" });
+                    self.send_notice(
+                        json!({"type": "EXIT", "job": job, "state": "PASS", "took": 1.0, "data": data}),
+                    );
+                }
+                Notice::Callout { job } => {
+                    self.send_notice(json!({"type": "CALLOUT", "job": job, "data": STANDARD.encode("?")}));
+                }
+            }
+        }
+    }
+
+    fn handle_command(&mut self, now: f64, line: &str) {
+        let Ok(command) = serde_json::from_str::<Value>(line) else {
+            self.link = None;
+            return;
+        };
+        let job = command["job"].as_str().unwrap_or("").to_owned();
+        match command["type"].as_str().unwrap_or("") {
+            "JOIN" => {
+                let state = if self.cold { "EMPTY" } else { "LOADED" };
+                let took = if self.cold { 1.0 } else { 3_600_000.0 };
+                self.send(&json!({"type": "WELCOME", "state": state, "took": took}).to_string());
+                let after = command["n"].as_u64().unwrap_or(0) as usize;
+                let missed: Vec<String> = self.notices.iter().skip(after).cloned().collect();
+                missed.iter().for_each(|line| self.send(line));
+            }
+            "EXEC" => {
+                let body = STANDARD.decode(command["data"].as_str().unwrap_or("")).unwrap_or_default();
+                self.model.start(&job, Work::read(&body));
+            }
+            "RETURN" => drop(self.model.resume(&job, false)),
+            "BYPASS" => drop(self.model.resume(&job, true)),
+            "METER" => {
+                let BusyReading { at: since, busy_s: before } = self.busy;
+                let busy = (self.model.busy_s() - before) / (now - since).max(1e-3) / self.cores;
+                // The gauge is a mean of the last tenth of a second at least.
+                if now - since > 0.1 {
+                    self.busy = BusyReading { at: now, busy_s: self.model.busy_s() };
+                }
+                let gauges = [busy.min(1.0), self.model.on_cores() as f64, 0.1, 3.0];
+                self.send(&json!({"type": "METERS", "ref": command["ref"], "gauges": gauges}).to_string());
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/testbed/src/loopback/mod.rs
@@ -0,0 +1,153 @@
+//! Plays an experiment on loopback: a real worker, and the models behind real sockets, in real time.
+//!
+//! A thread or two for each peer and one for each request in flight: simple, and bounded by the experiment's length
+//! and its callers. What callers send is drawn ahead, so that two variants get the same requests at the same times.
+
+mod attempt;
+mod clock;
+mod executor_server;
+mod http1_callers;
+mod http1_message;
+mod http2_callers;
+mod listener;
+mod records_server;
+mod worker_process;
+
+pub use attempt::platform_fields;
+pub use clock::Clock;
+pub use executor_server::serve_executor;
+pub use http1_message::read_message;
+
+use crate::callers::plan_requests;
+use crate::console::{self, Calls};
+use crate::error::TestbedError;
+use crate::experiment::{Experiment, Variant};
+use crate::floods;
+use crate::measure::{LimitChange, Play, PoolResult, RequestEnd, CROWD_BOUND, CROWD_S};
+use crate::sync::lock;
+use listener::bind_listener;
+use records_server::serve_records;
+use serde_json::{json, Value};
+use std::net::UdpSocket;
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use worker_process::WorkerProcess;
+
+/// The play begins when the worker is up. What is before that is time 0 to the models.
+const START_DELAY: Duration = Duration::from_millis(700);
+
+/// How each request ended, by its number; `None` where a response is owed.
+type RequestEnds = Arc<Mutex<Vec<Option<RequestEnd>>>>;
+
+/// Plays one variant with one seed against a worker's program.
+///
+/// # Errors
+/// The worker does not start or end, or a thread of the play panicked.
+pub fn play(
+    experiment: &Experiment,
+    variant: &Variant,
+    seed: u64,
+    worker: &Path,
+) -> Result<Play, TestbedError> {
+    let requests = Arc::new(plan_requests(experiment, seed));
+    let (over, called) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    let (executor_listener, executor_at) = bind_listener()?;
+    let (records_listener, records_at) = bind_listener()?;
+    let registry = UdpSocket::bind("127.0.0.1:0")?;
+    let registry_at = registry.local_addr()?;
+    let mut config = experiment.config(
+        "127.0.0.1:0",
+        &executor_at.to_string(),
+        &records_at.to_string(),
+        &registry_at.to_string(),
+    );
+    if variant.console_every_ms.is_some() {
+        config["console"] = json!("127.0.0.1:0");
+    }
+    let clock = Clock::from_now_in(START_DELAY);
+    let executor = serve_executor(executor_listener, experiment, clock, &over);
+    serve_records(records_listener, experiment, clock, &over);
+    let mut worker_process =
+        WorkerProcess::start(variant.worker.as_deref().unwrap_or(worker), &config, &variant.operator)?;
+    let console = match variant.console_every_ms {
+        Some(every_ms) => Some((worker_process.address("console on ")?, every_ms)),
+        None => None,
+    };
+    let address = worker_process.address("http on ")?;
+    let console =
+        console.map(|(at, every_ms)| console::watch(at, every_ms, variant.console_holders, &called));
+    let rest_kb = worker_process.resident_kb();
+    let peak = floods::watch_memory(worker_process.resident(), &called);
+    let mut flooders = Vec::new();
+    if let Some(flood) = variant.flood {
+        flooders =
+            floods::start(flood, variant.flood_connections, worker_process.address("http2 on ")?, &called);
+    }
+    clock.sleep_until(0.0);
+    let ends = Arc::new(Mutex::new(vec![None; requests.len()]));
+    let callers = match variant.http2_streams {
+        Some(streams) => {
+            let address = worker_process.address("http2 on ")?;
+            vec![http2_callers::start(experiment, &requests, clock, address, streams, &ends)]
+        }
+        None => http1_callers::start(experiment, &requests, clock, address, &ends),
+    };
+    let cpu_before = worker_process.cpu_ms();
+    clock.sleep_until(experiment.length_s / 4.0);
+    let memory = worker_process.resident_kb();
+    for caller in callers {
+        let _ = caller.join();
+    }
+    let (memory_after, cpu_after) = (worker_process.resident_kb(), worker_process.cpu_ms());
+    called.store(true, Ordering::Relaxed);
+    let calls = match console {
+        Some(calls) => calls.join().map_err(|_| TestbedError::ThreadFailed { owner: "the console" })?,
+        None => Calls::default(),
+    };
+    let lines = worker_process.terminate()?;
+    over.store(true, Ordering::Relaxed);
+    let executor = executor.join().map_err(|_| TestbedError::ThreadFailed { owner: "the executor" })?;
+    let mut play = Play::of(experiment, &variant.name, seed, &requests, &lock(&ends));
+    play.console = [calls.p50_ms, calls.p99_ms, calls.most_ms];
+    (play.console_made, play.console_bad) = (calls.made, calls.bad);
+    play.memory_over_mb = (peak.join().unwrap_or(f64::INFINITY) - rest_kb) / 1024.0;
+    for flooder in flooders {
+        let came_to = flooder.join().map_err(|_| TestbedError::ThreadFailed { owner: "a flooder" })?;
+        play.flood_connections += came_to.connections;
+        play.flood_ended += came_to.ended;
+        play.flood_mb += came_to.bytes as f64 / 1e6;
+    }
+    play.crowd_of_bound = executor.crowd_mean(CROWD_S) / CROWD_BOUND;
+    play.most_on_cores = executor.most_on_cores;
+    play.memory_growth = memory_after / memory.max(1.0);
+    play.cpu_ms = (cpu_after - cpu_before) / requests.len().max(1) as f64;
+    for line in &lines {
+        read_log_line(line, &mut play);
+    }
+    Ok(play)
+}
+
+/// Takes what the worker's log says of its pools.
+fn read_log_line(line: &str, play: &mut Play) {
+    let time = line.split(' ').next().and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+    if let Some(state) =
+        line.split_once("pools: state ").and_then(|(_, s)| serde_json::from_str::<Value>(s).ok())
+    {
+        play.reserve_kept = state["reserve_kept"].as_u64().unwrap_or(u64::MAX);
+        let pools = state["pools"].as_array().map_or(&[][..], Vec::as_slice);
+        let number = |v: &Value| v.as_u64().unwrap_or(0);
+        let result = |p: &Value| PoolResult {
+            name: p["name"].as_str().unwrap_or("").to_owned(),
+            started: number(&p["started"]),
+            rejected: number(&p["refused"]),
+        };
+        play.pools = pools.iter().map(result).collect();
+    } else if let Some((_, rest)) = line.split_once("pools: limit=") {
+        let mut words = rest.split(' ');
+        let limit = words.next().and_then(|w| w.parse().ok()).unwrap_or(0);
+        let cause = words.find_map(|w| w.strip_prefix("cause=")).unwrap_or("");
+        play.limits.push(LimitChange { at: time, slots: limit, cause: cause.to_owned() });
+    }
+}
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -13,7 +13,7 @@
 use testbed::fleet::rig::{self, FleetFile, Programs};
 use testbed::fleet::virtual_fleet::{self, Shape};
 use testbed::fleet::{overhead, process_campaign};
-use testbed::{limits, measure, sockets, virtual_time};
+use testbed::{limits, loopback, measure, virtual_time};
 
 #[derive(Parser)]
 #[command(name = "testbed", about = "Plays experiments on honeypost")]
@@ -225,7 +225,7 @@
         }
         for variant in variants {
             plays.push(match &worker {
-                Some(worker) => sockets::play(&experiment, variant, seed, worker)?,
+                Some(worker) => loopback::play(&experiment, variant, seed, worker)?,
                 None => virtual_time::play(&experiment, variant, seed)?,
             });
         }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -1,51 +1,73 @@
 //! What a play came to: by class and in all, as a table and as JSON, and whether an experiment's bounds hold.
 
-use crate::callers::Asked;
+use crate::callers::PlannedRequest;
 use crate::experiment::{Expect, Experiment};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Runs a core, in the mean of this time, are what the crowd rule bounds (seconds, runs a core).
+/// The time over which the survivable concurrency is a mean (seconds).
 pub const CROWD_S: f64 = 3.0;
+/// The survivable concurrency (runs a core).
 pub const CROWD_BOUND: f64 = 8.0;
 
-/// How a request ended for its client, all tries together.
+/// How a request ended for its client, all attempts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum RequestEnd {
     /// Served at this time, with the call or without.
     Served {
+        /// When the response came (seconds from the start).
         at: f64,
-        poor: bool,
+        /// The downstream call was skipped.
+        degraded: bool,
     },
-    Refused,
+    /// Its last attempt was rejected.
+    Rejected,
+    /// Its last attempt failed.
     Failed,
 }
 
+/// What became of the requests of one class.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassResult {
+    /// The class.
     pub name: String,
+    /// Requests that were made.
     pub asked: u64,
+    /// Served within the latency objective.
     pub in_aim: u64,
+    /// Served later than that.
     pub late: u64,
-    pub poor: u64,
-    pub refused: u64,
+    /// Served without their downstream call.
+    #[serde(rename = "poor")]
+    pub degraded: u64,
+    /// Rejected at their last attempt.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Failed at their last attempt.
     pub failed: u64,
+    /// Median latency of those that were served (milliseconds).
     pub p50_ms: f64,
+    /// 99th percentile of the same.
     pub p99_ms: f64,
 }
 
 /// One play of one variant with one seed.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Play {
+    /// The variant that was played.
     pub variant: String,
+    /// The seed.
     pub seed: u64,
+    /// By class, in the order of the experiment.
     pub classes: Vec<ClassResult>,
-    /// Worth answered within the aim over worth asked for, by request and by work.
+    /// Worth answered within the latency objective over worth asked for, by request.
     pub worth: f64,
+    /// The same, weighted by work.
     pub worth_by_work: f64,
     /// The crowd rule's mean against its bound.
     pub crowd_of_bound: f64,
+    /// The most runs on the cores at once.
     pub most_on_cores: usize,
     /// Wake-ups at which the reserve's pool waited with a reserved slot free.
     pub reserve_kept: u64,
@@ -55,36 +77,65 @@
     pub memory_growth: f64,
     /// Processor time of the worker a request (milliseconds); 0 where none was read.
     pub cpu_ms: f64,
-    /// Calls of the console: how long they took (milliseconds), how many were made, and how many went badly.
+    /// How long calls of the console took: median, 99th percentile and maximum (milliseconds).
     pub console: [f64; 3],
+    /// Calls of the console that were made.
     pub console_made: u64,
+    /// Those that went badly.
     pub console_bad: u64,
     /// The most of the worker's resident memory over what it had before anybody came (megabytes).
     pub memory_over_mb: f64,
-    /// Connections of a flood: opened, and ended by the worker; and what it wrote (megabytes).
+    /// Connections that a flood opened.
     pub flood_connections: u64,
+    /// Connections of a flood that the worker ended.
     pub flood_ended: u64,
+    /// What a flood wrote (megabytes).
     pub flood_mb: f64,
-    /// The limit over time, where pools are on: seconds, slots, cause; on loopback as far as the log tells.
-    pub limits: Vec<(f64, usize, String)>,
-    /// What each pool started and turned away, all tries counted, where pools are on.
+    /// The run limit over time, where pools are on; on loopback as far as the log tells.
+    pub limits: Vec<LimitChange>,
+    /// What each pool started and rejected, all attempts counted, where pools are on.
     pub pools: Vec<PoolResult>,
 }
 
+/// A change of the run limit. In JSON it is a list of its three values.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+#[serde(into = "(f64, usize, String)")]
+pub struct LimitChange {
+    /// When it changed (seconds).
+    pub at: f64,
+    /// The slots from then on.
+    pub slots: usize,
+    /// Why.
+    pub cause: String,
+}
+
+impl From<LimitChange> for (f64, usize, String) {
+    fn from(change: LimitChange) -> (f64, usize, String) {
+        (change.at, change.slots, change.cause)
+    }
+}
+
+/// What became of the attempts in one pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PoolResult {
+    /// The pool.
     pub name: String,
+    /// Attempts that were started.
     pub started: u64,
-    pub refused: u64,
+    /// Attempts that were rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
 }
 
 impl Play {
+    /// Sums up how the requests of a play ended.
+    #[must_use]
     pub fn of(
         experiment: &Experiment,
         variant: &str,
         seed: u64,
-        asked: &[Asked],
-        ends: &[Option<End>],
+        requests: &[PlannedRequest],
+        ends: &[Option<RequestEnd>],
     ) -> Play {
         let mut play = Play { variant: variant.to_owned(), seed, memory_growth: 1.0, ..Play::default() };
         let (mut worth, mut of, mut work_worth, mut work_of) = (0.0, 0.0, 0.0, 0.0);
@@ -92,31 +143,31 @@
             let mut r = ClassResult { name: class.name.clone(), ..ClassResult::default() };
             // A minute at most, to three digits; such bounds are always good.
             let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
-            for (a, end) in asked.iter().zip(ends).filter(|(a, _)| a.class == number) {
+            for (a, end) in requests.iter().zip(ends).filter(|(a, _)| a.class == number) {
                 let work = a.work.before_s + a.work.after_s;
                 r.asked += 1;
                 of += class.worth;
                 work_of += class.worth * work;
                 match end {
-                    Some(End::Served { at, poor }) => {
+                    Some(RequestEnd::Served { at, degraded }) => {
                         let took = at - a.at;
                         if let Some(times) = &mut times {
                             times.saturating_record((took * 1e6).max(1.0) as u64);
                         }
                         let in_aim = took * 1000.0 <= class.aim_ms;
                         if in_aim {
-                            r.in_aim += 1
+                            r.in_aim += 1;
                         } else {
-                            r.late += 1
+                            r.late += 1;
                         }
-                        r.poor += u64::from(*poor);
-                        let kept = if *poor { class.skip_worth } else { 1.0 };
+                        r.degraded += u64::from(*degraded);
+                        let kept = if *degraded { class.skip_worth } else { 1.0 };
                         let part = if in_aim { 1.0 } else { class.late_worth } * kept;
                         worth += class.worth * part;
                         work_worth += class.worth * part * work;
                     }
-                    Some(End::Refused) => r.refused += 1,
-                    Some(End::Failed) => r.failed += 1,
+                    Some(RequestEnd::Rejected) => r.rejected += 1,
+                    Some(RequestEnd::Failed) => r.failed += 1,
                     None => play.owed += 1,
                 }
             }
@@ -131,6 +182,7 @@
     }
 
     /// A metric by its name, of one class where it is one of classes.
+    #[must_use]
     pub fn metric(&self, name: &str, class: Option<&str>) -> f64 {
         let classes = || self.classes.iter().filter(|c| class.map_or(true, |name| c.name == name));
         let share = |n: fn(&ClassResult) -> u64| {
@@ -139,7 +191,7 @@
         };
         match name {
             "in_aim" => share(|c| c.in_aim),
-            "refused" => share(|c| c.refused),
+            "refused" => share(|c| c.rejected),
             "worth" => self.worth,
             "worth_by_work" => self.worth_by_work,
             "crowd_of_bound" => self.crowd_of_bound,
@@ -173,6 +225,7 @@
 }
 
 /// Values of a bound's metric, seed by seed.
+#[must_use]
 pub fn values(plays: &[Play], expect: &Expect) -> Vec<f64> {
     let of = |variant: &str, seed: u64| plays.iter().find(|p| p.variant == variant && p.seed == seed);
     let own = plays.iter().filter(|p| p.variant == expect.variant);
@@ -211,6 +264,7 @@
 }
 
 /// A table by variant and class, means over seeds.
+#[must_use]
 pub fn table(experiment: &Experiment, plays: &[Play]) -> String {
     let mut text = String::from(
         "| variant | class | asked | in aim | late | poorer | refused | failed | p50 ms | p99 ms |\n\
@@ -231,8 +285,8 @@
                 experiment.class[class].name,
                 part(|c| c.in_aim),
                 part(|c| c.late),
-                part(|c| c.poor),
-                part(|c| c.refused),
+                part(|c| c.degraded),
+                part(|c| c.rejected),
                 part(|c| c.failed),
                 mean(&|c| c.p50_ms),
                 mean(&|c| c.p99_ms)
@@ -243,10 +297,10 @@
             let mean = |of: fn(&PoolResult) -> u64| {
                 own.iter().filter_map(|p| p.pools.get(pool)).map(|q| of(q) as f64).sum::<f64>() / n
             };
-            let (started, refused) = (mean(|q| q.started), mean(|q| q.refused));
+            let (started, rejected) = (mean(|q| q.started), mean(|q| q.rejected));
             let _ = writeln!(
                 text,
-                "| {} | pool {name} | started {started:.0} | turned away {refused:.0} | | | | | | |",
+                "| {} | pool {name} | started {started:.0} | turned away {rejected:.0} | | | | | | |",
                 variant.name
             );
         }
--- a/testbed/src/records.rs
+++ b/testbed/src/records.rs
@@ -8,13 +8,16 @@
 pub struct Records {
     model: RecordsModel,
     stalls: Vec<Slow>,
-    /// Calls in hand by their end and a number.
+    /// Calls in flight, by their end (microseconds) and a number.
     calls: BTreeMap<(u64, u64), String>,
     next: u64,
+    /// The most calls that were in flight at once.
     pub most: usize,
 }
 
 impl Records {
+    /// A service without calls; in the times of `stalls` it answers nothing.
+    #[must_use]
     pub fn new(model: RecordsModel, stalls: Vec<Slow>) -> Records {
         Records { model, stalls, calls: BTreeMap::new(), next: 0, most: 0 }
     }
@@ -31,18 +34,21 @@
         at
     }
 
-    pub fn give_up(&mut self, id: &str) {
+    /// The caller waits no longer for the reply.
+    pub fn cancel(&mut self, id: &str) {
         self.calls.retain(|_, call| call != id);
     }
 
-    pub fn next(&self) -> Option<f64> {
+    /// When the next call is answered.
+    #[must_use]
+    pub fn next_reply_at(&self) -> Option<f64> {
         self.calls.keys().next().map(|(at, _)| *at as f64 / 1e6)
     }
 
     /// Calls that are answered by now.
     pub fn advance(&mut self, now: f64) -> Vec<String> {
         let mut done = Vec::new();
-        while self.next().is_some_and(|at| at <= now) {
+        while self.next_reply_at().is_some_and(|at| at <= now) {
             done.extend(self.calls.pop_first().map(|(_, id)| id));
         }
         done
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -1,11 +1,11 @@
 //! Plays an experiment in virtual time round the worker's own core: no sockets, no clock, the same seed gives the
 //! same play.
 
-use crate::callers::{again, draw, Asked};
+use crate::callers::{next_retry, plan_requests, PlannedRequest};
 use crate::error::TestbedError;
-use crate::executor::{Executor, Notice};
+use crate::executor::{BusyReading, Executor, Notice, Work};
 use crate::experiment::{Experiment, Variant};
-use crate::measure::{End, Play, PoolResult, CROWD_BOUND, CROWD_S};
+use crate::measure::{LimitChange, Play, PoolResult, RequestEnd, CROWD_BOUND, CROWD_S};
 use crate::records::Records;
 use port_worker::config::{Config, Operator};
 use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
@@ -21,25 +21,28 @@
 
 struct World<'a> {
     experiment: &'a Experiment,
-    asked: &'a [Asked],
-    core: Dispatcher,
+    requests: &'a [PlannedRequest],
+    dispatcher: Dispatcher,
     executor: Executor,
     records: Records,
     /// Tries to come: time in microseconds, number of the request, which try.
     tries: BTreeMap<(u64, usize), u32>,
     /// Tickets stand for a request and its try.
     open: BTreeMap<u64, (usize, u32)>,
-    ends: Vec<Option<End>>,
-    poor: BTreeMap<usize, bool>,
+    ends: Vec<Option<RequestEnd>>,
+    degraded: BTreeMap<usize, bool>,
     until: BTreeMap<String, f64>,
     wake: f64,
     tickets: u64,
-    busy: (f64, f64),
+    busy: BusyReading,
     reserve_kept: u64,
-    limits: Vec<(f64, usize, String)>,
+    limits: Vec<LimitChange>,
 }
 
 /// Plays one variant with one seed.
+///
+/// # Errors
+/// The experiment or the variant makes no valid configuration.
 pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<Play, TestbedError> {
     let nowhere = "127.0.0.1:1";
     let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
@@ -47,35 +50,35 @@
     let mut settings = config.settings.settings(1);
     settings.key_entry_kb = 0.0;
     settings.pools = operator.pools.as_ref().map(|p| p.plan(&config.settings)).transpose()?;
-    let asked = draw(experiment, seed);
+    let requests = plan_requests(experiment, seed);
     let mut out = Vec::new();
-    let core = Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out);
+    let dispatcher = Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out);
     let mut world = World {
         experiment,
-        asked: &asked,
-        core,
+        requests: &requests,
+        dispatcher,
         executor: Executor::new(experiment.executor.clone(), experiment.slow.clone()),
         records: Records::new(experiment.records.clone(), experiment.stall.clone()),
-        tries: asked.iter().map(|a| (((a.at * 1e6) as u64, a.number), 1)).collect(),
+        tries: requests.iter().map(|a| (((a.at * 1e6) as u64, a.number), 1)).collect(),
         open: BTreeMap::new(),
-        ends: vec![None; asked.len()],
-        poor: BTreeMap::new(),
+        ends: vec![None; requests.len()],
+        degraded: BTreeMap::new(),
         until: BTreeMap::new(),
         wake: f64::INFINITY,
         tickets: 0,
-        busy: (0.0, 0.0),
+        busy: BusyReading::default(),
         reserve_kept: 0,
         limits: Vec::new(),
     };
     world.carry_out(0.0, out);
     world.run(experiment.length_s + AFTER_S);
-    let mut play = Play::of(experiment, &variant.name, seed, &asked, &world.ends);
+    let mut play = Play::of(experiment, &variant.name, seed, &requests, &world.ends);
     play.crowd_of_bound = world.executor.crowd_mean(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = world.executor.most_on_cores;
     play.reserve_kept = world.reserve_kept;
     play.limits = world.limits;
-    let state = world.core.pools();
-    let result = |p: PoolState| PoolResult { name: p.name, started: p.started, refused: p.refused };
+    let state = world.dispatcher.pools();
+    let result = |p: PoolState| PoolResult { name: p.name, started: p.started, rejected: p.refused };
     play.pools = state.map_or(Vec::new(), |s| s.pools.into_iter().map(result).collect());
     Ok(play)
 }
@@ -90,22 +93,27 @@
         while now < end {
             let next_try = self.tries.keys().next().map(|(at, _)| *at as f64 / 1e6);
             let call_over = self.until.values().copied().fold(f64::INFINITY, f64::min);
-            let times =
-                [next_try, self.executor.next(), self.records.next(), Some(call_over), Some(self.wake)];
+            let times = [
+                next_try,
+                self.executor.next_notice_at(),
+                self.records.next_reply_at(),
+                Some(call_over),
+                Some(self.wake),
+            ];
             // A step past a speed change is broken off there: 10 ms at most, like the model's own.
             let next = times.into_iter().flatten().fold(now + 0.01, f64::min).max(now + 1e-6);
             now = next;
             let mut inputs = Vec::new();
             for (_, notice) in self.executor.advance(now) {
                 inputs.push(match notice {
-                    Notice::Exit(id, poor) => {
+                    Notice::Exit { job: id, degraded } => {
                         if let Some((number, _)) = number_of(&id).and_then(|t| self.open.get(&t).copied()) {
-                            self.poor.insert(number, poor);
+                            self.degraded.insert(number, degraded);
                         }
                         let result = Some(Rc::from(&b"done"[..]));
                         Input::RunEnded { name: id.as_str().into(), outcome: Outcome::Ok, result }
                     }
-                    Notice::Callout(id) => {
+                    Notice::Callout { job: id } => {
                         Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), mark: 0 }
                     }
                 });
@@ -120,7 +128,7 @@
                 self.until.iter().filter(|(_, at)| **at <= now).map(|(id, _)| id.clone()).collect();
             for id in over {
                 self.until.remove(&id);
-                self.records.give_up(&id);
+                self.records.cancel(&id);
                 inputs.push(Input::CallEnded {
                     name: id.as_str().into(),
                     outcome: Outcome::TimedOut,
@@ -138,19 +146,20 @@
                 inputs.push(Input::Woken(self.gauges(now)));
             }
             let mut out = Vec::new();
-            self.core.handle(now, inputs, &mut out);
+            self.dispatcher.handle(now, inputs, &mut out);
             self.carry_out(now, out);
         }
     }
 
     fn gauges(&mut self, now: f64) -> Gauges {
-        let (since, before) = self.busy;
+        let BusyReading { at: since, busy_s: before } = self.busy;
         let cores = f64::from(self.experiment.executor.cores);
         let busy = if now > since { (self.executor.busy_s() - before) / (now - since) / cores } else { 0.0 };
-        self.busy = (now, self.executor.busy_s());
-        if let Some(state) = self.core.pools() {
-            if self.limits.last().map_or(true, |l| l.1 != state.limit_slots || l.2 != state.cause) {
-                self.limits.push((now, state.limit_slots, state.cause.to_owned()));
+        self.busy = BusyReading { at: now, busy_s: self.executor.busy_s() };
+        if let Some(state) = self.dispatcher.pools() {
+            if self.limits.last().map_or(true, |l| l.slots != state.limit_slots || l.cause != state.cause) {
+                let cause = state.cause.to_owned();
+                self.limits.push(LimitChange { at: now, slots: state.limit_slots, cause });
             }
             self.reserve_kept = state.reserve_kept;
         }
@@ -158,7 +167,7 @@
     }
 
     fn request(&mut self, now: f64, number: usize, tries: u32) -> Request {
-        let a = &self.asked[number];
+        let a = &self.requests[number];
         let class = &self.experiment.class[a.class];
         self.tickets += 1;
         self.open.insert(self.tickets, (number, tries));
@@ -183,15 +192,15 @@
         let Some((number, tries)) = self.open.remove(&ticket) else { return };
         let (end, advice) = match answer {
             Response::Served(_) => {
-                let poor = self.poor.remove(&number).unwrap_or(false);
-                self.ends[number] = Some(End::Served { at: now, poor });
+                let degraded = self.degraded.remove(&number).unwrap_or(false);
+                self.ends[number] = Some(RequestEnd::Served { at: now, degraded });
                 return;
             }
-            Response::Rejected { retry_after_s, .. } => (End::Refused, retry_after_s),
-            _ => (End::Failed, 0.0),
+            Response::Rejected { retry_after_s, .. } => (RequestEnd::Rejected, retry_after_s),
+            _ => (RequestEnd::Failed, 0.0),
         };
-        // A client that tries again has not ended; its end is that of the last try.
-        match again(self.experiment, tries, now, &self.asked[number], advice) {
+        // A client that retries has not ended; its end is that of the last attempt.
+        match next_retry(self.experiment, tries, now, &self.requests[number], advice) {
             Some(at) => drop(self.tries.insert(((at * 1e6) as u64, number), tries + 1)),
             None => self.ends[number] = Some(end),
         }
@@ -203,7 +212,7 @@
             match command {
                 Command::Respond(ticket, answer) => self.answered(now, ticket.0, answer),
                 Command::Run { name, body, .. } => {
-                    self.executor.start(&name, crate::executor::Work::read(&body));
+                    self.executor.start(&name, Work::read(&body));
                 }
                 Command::Call { name, for_s, .. } => {
                     self.records.call(now, &name);
@@ -211,7 +220,7 @@
                 }
                 Command::GiveUpCall(name) => {
                     self.until.remove(&*name);
-                    self.records.give_up(&name);
+                    self.records.cancel(&name);
                 }
                 Command::Resume { name, .. } => {
                     self.executor.resume(&name, false);
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use testbed::experiment::{Experiment, Jump, Slow};
 use testbed::measure::{table, values, verdict, Play};
-use testbed::{limits, sockets, virtual_time};
+use testbed::{limits, loopback, virtual_time};
 
 fn experiment() -> Experiment {
     Experiment::decode(include_str!("../experiments/pools-110.toml")).unwrap()
@@ -73,11 +73,11 @@
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
         assert!(p.crowd_of_bound < 0.5 && p.owed == 0, "{p:?}");
-        assert!(p.limits.iter().any(|l| l.2 == "slow" && l.0 > 8.0 && l.0 < 10.5), "{:?}", p.limits);
+        assert!(p.limits.iter().any(|l| l.cause == "slow" && l.at > 8.0 && l.at < 10.5), "{:?}", p.limits);
         // Ends come again from 18 s on: within three seconds it is no slow one any more, whatever its limit is then.
-        let after = p.limits.iter().find(|l| l.2 != "slow" && l.0 > 18.0);
-        let over = p.limits.iter().rev().find(|l| l.0 <= 18.0).is_some_and(|l| l.2 != "slow");
-        assert!(over || after.is_some_and(|l| l.0 <= 21.0), "{:?}", p.limits);
+        let after = p.limits.iter().find(|l| l.cause != "slow" && l.at > 18.0);
+        let over = p.limits.iter().rev().find(|l| l.at <= 18.0).is_some_and(|l| l.cause != "slow");
+        assert!(over || after.is_some_and(|l| l.at <= 21.0), "{:?}", p.limits);
     }
 }
 
@@ -150,10 +150,10 @@
     e.jump = vec![Jump { at_s: 1.0, for_s: 2.0, times: 1.6 }];
     e.slow = Vec::new();
     let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
-    let p = sockets::play(&e, &variant, 1, &worker()).unwrap();
+    let p = loopback::play(&e, &variant, 1, &worker()).unwrap();
     // What a slow machine can't change: every request got its answer, and the reserve was never kept from its pool.
     assert_eq!((p.owed, p.reserve_kept), (0, 0), "{p:?}");
-    assert!(p.classes.iter().all(|c| c.asked == c.in_aim + c.late + c.refused + c.failed));
+    assert!(p.classes.iter().all(|c| c.asked == c.in_aim + c.late + c.rejected + c.failed));
     assert!(p.classes[0].in_aim > 0 && p.cpu_ms > 0.0, "{p:?}");
     let owed = e.expect.iter().find(|x| x.metric == "owed").unwrap();
     assert_eq!(values(&[p], owed), vec![0.0]);
