--- /dev/null
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -0,0 +1,110 @@
+//! Load reports and digests between the workers and the leader, each as late as the links are.
+
+use super::shape::{FleetMode, Shape};
+use super::worker::Worker;
+use port_worker::fleet::overload::leader::Leader;
+use port_worker::fleet::overload::{FleetDigest, LoadReport, REPORT_INTERVAL_S};
+use std::collections::{BTreeMap, VecDeque};
+
+/// The worker that lies, where one does.
+const LIAR: usize = 1;
+
+/// A load report on its way to the leader.
+struct ReportInFlight {
+    arrives_at: f64,
+    worker: usize,
+    report: LoadReport,
+}
+
+/// A digest on its way to a worker; it answers the report of this number.
+struct DigestInFlight {
+    arrives_at: f64,
+    worker: usize,
+    report_number: u64,
+    digest: FleetDigest,
+}
+
+/// What is on its way; the links keep its order.
+#[derive(Default)]
+pub(super) struct ReportExchange {
+    up: VecDeque<ReportInFlight>,
+    down: VecDeque<DigestInFlight>,
+    /// The first digest of each worker, for the mode in which it is repeated.
+    first_digests: BTreeMap<usize, FleetDigest>,
+}
+
+/// The report of a worker that lies.
+fn false_report(report: LoadReport) -> LoadReport {
+    LoadReport {
+        arrivals: vec![1e6; 3],
+        retries: 1e6,
+        capacity: 1.0,
+        calls_failed: 1e6,
+        call_s: 1e6,
+        wants: 1e6,
+        weight: 1e6,
+        lends: 1e6,
+        ..report
+    }
+}
+
+impl ReportExchange {
+    /// Sends, delivers and evaluates what is due by now; what the leader logs.
+    pub fn exchange(
+        &mut self,
+        now: f64,
+        shape: &Shape,
+        workers: &mut [Worker],
+        leader: &mut Leader,
+    ) -> Vec<String> {
+        for (number, worker) in workers.iter_mut().enumerate() {
+            self.send_report(now, shape, number, worker);
+        }
+        while let Some(arrived) = pop_arrived(&mut self.up, |r| r.arrives_at <= now) {
+            self.answer_report(now, shape, &arrived, leader);
+        }
+        while let Some(arrived) = pop_arrived(&mut self.down, |d| d.arrives_at <= now) {
+            workers[arrived.worker].client.receive(arrived.report_number, &arrived.digest);
+        }
+        leader.evaluate(now)
+    }
+
+    fn send_report(&mut self, now: f64, shape: &Shape, number: usize, worker: &mut Worker) {
+        if now < worker.next_report {
+            return;
+        }
+        worker.next_report += REPORT_INTERVAL_S;
+        let Some(sample) = worker.dispatcher.fleet_load_sample(now) else { return };
+        worker.reports += 1;
+        let mut report = worker.client.report(now, worker.reports, &sample);
+        if shape.mode == FleetMode::Liar && number == LIAR {
+            report = false_report(report);
+        }
+        let arrives_at = now + shape.late_s / 2.0;
+        self.up.push_back(ReportInFlight { arrives_at, worker: number, report });
+    }
+
+    fn answer_report(&mut self, now: f64, shape: &Shape, arrived: &ReportInFlight, leader: &mut Leader) {
+        let worker = arrived.worker;
+        let zone = format!("z{}", worker % shape.zones);
+        leader.receive(now, worker as u64, &zone, &arrived.report);
+        let mut digest = leader.digest(now, now, worker as u64, &zone);
+        if shape.mode == FleetMode::Frozen {
+            let number = digest.number;
+            let first =
+                self.first_digests.entry(worker).or_insert_with(|| FleetDigest { slice: 0.0, ..digest });
+            digest = FleetDigest { number, ..first.clone() };
+        }
+        let arrives_at = now + shape.late_s / 2.0;
+        let report_number = arrived.report.number;
+        self.down.push_back(DigestInFlight { arrives_at, worker, report_number, digest });
+    }
+}
+
+fn pop_arrived<T>(queue: &mut VecDeque<T>, has_arrived: impl Fn(&T) -> bool) -> Option<T> {
+    if queue.front().is_some_and(has_arrived) {
+        queue.pop_front()
+    } else {
+        None
+    }
+}
--- a/testbed/src/fleet/overload_storm/tests.rs
+++ b/testbed/src/fleet/overload_storm/tests.rs
@@ -1,19 +1,22 @@
-use super::*;
+use super::{play, FleetMode, Shape};
 
 #[test]
 fn calm_overload_control_costs_nothing_and_a_seed_replays_its_storm() {
-    let shape = |part| Shape { part, workers: 4, length_s: 6.0, ..Shape::default() };
-    let alone = play(&shape(Part::Alone), 3).unwrap();
+    let shape = |mode| Shape { mode, workers: 4, length_s: 6.0, ..Shape::default() };
+    let alone = play(&shape(FleetMode::Alone), 3).unwrap();
     assert!(alone.earned() > 0.9 && alone.owed == 0, "{alone:?}");
-    for part in [Part::Fleet, Part::Absent, Part::Liar, Part::Frozen] {
-        let storm = play(&shape(part), 3).unwrap();
+    for mode in [FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen] {
+        let storm = play(&shape(mode), 3).unwrap();
         assert!(
             storm.earned() >= 0.98 * alone.earned(),
-            "{part:?}: {} of {}",
+            "{mode:?}: {} of {}",
             storm.earned(),
             alone.earned()
         );
-        assert!(storm.owed == 0 && storm.lines.is_empty(), "{part:?}: {:?}", storm.lines);
+        assert!(storm.owed == 0 && storm.lines.is_empty(), "{mode:?}: {:?}", storm.lines);
     }
-    assert_eq!(play(&shape(Part::Fleet), 3).unwrap().trace, play(&shape(Part::Fleet), 3).unwrap().trace);
+    assert_eq!(
+        play(&shape(FleetMode::Fleet), 3).unwrap().trace,
+        play(&shape(FleetMode::Fleet), 3).unwrap().trace
+    );
 }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -9,7 +9,7 @@
 use testbed::error::TestbedError;
 use testbed::experiment::Experiment;
 use testbed::fleet::measure as fleet_cost;
-use testbed::fleet::overload_storm::{self, Part};
+use testbed::fleet::overload_storm::{self, FleetMode};
 use testbed::fleet::rig::{self, FleetFile, Programs};
 use testbed::fleet::virtual_fleet::{self, Shape};
 use testbed::fleet::{overhead, process_campaign};
@@ -203,8 +203,9 @@
             return Ok(true);
         }
         What::Storm { workers, seeds } => {
-            let parts = [Part::Alone, Part::Fleet, Part::Absent, Part::Liar, Part::Frozen];
-            println!("{}", overload_storm::compare(workers, seeds, &parts)?);
+            let modes =
+                [FleetMode::Alone, FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen];
+            println!("{}", overload_storm::compare(workers, seeds, &modes)?);
             return Ok(true);
         }
         What::Limits { seeds } => {
