--- a/testbed/src/fleet/virtual_fleet/campaign.rs
+++ b/testbed/src/fleet/virtual_fleet/campaign.rs
@@ -1,6 +1,8 @@
 //! Many seeds, played on several threads and summed up.
 
-use super::{play, Shape, Verdict};
+use super::event_loop::play;
+use super::shape::Shape;
+use super::verdict::Verdict;
 
 /// Threads that play seeds at the same time, at most.
 const MAX_THREADS: usize = 8;
@@ -20,6 +22,7 @@
 }
 
 /// Plays so many seeds and sums them up.
+#[must_use]
 pub fn campaign(shape: &Shape, from: u64, seeds: u64) -> CampaignSummary {
     let results = play_all(shape, from, seeds);
     let played = results.len();
--- a/testbed/src/fleet/virtual_fleet/faults.rs
+++ b/testbed/src/fleet/virtual_fleet/faults.rs
@@ -1,8 +1,9 @@
 //! The faults of a run: which comes is drawn at random, as is whom it hits and how long it lasts.
 
-use super::network::NodePair;
-use super::processes::CoordinatorProcess;
-use super::world::{coordinator_name, Event, World};
+use super::links::NodePair;
+use super::names::coordinator_name;
+use super::process_state::CoordinatorProcess;
+use super::world::{Event, World};
 use durable_log::simulated::SimulatedDisk;
 use fleet_coordinator::replica::ReplicaStatus;
 use rand::Rng;
--- a/testbed/src/fleet/virtual_fleet/network.rs
+++ b/testbed/src/fleet/virtual_fleet/network.rs
@@ -1,12 +1,13 @@
 //! The links between the processes: workers' to coordinators, which keep their order, and those between coordinators,
 //! which lose and double frames.
 
-use super::processes::Link;
-use super::world::{address, coordinator_name, Event, World};
+use super::links::{LinkDirection, NodePair, WorkerLink};
+use super::names::{address, coordinator_name};
+use super::process_state::Link;
+use super::world::{Event, World};
 use fleet_coordinator::coordinator::{Coordinator, PeerAnswer};
 use port_worker::fleet::frame::{self, ServerMessage};
 use rand::Rng;
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// Bytes of the length before each frame.
@@ -18,85 +19,6 @@
 /// A coordinator dials a peer that it has no link to at one tick in so many.
 const DIAL_ONE_IN: i32 = 8;
 
-/// A direction between two nodes: coordinators first, then workers.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct NodePair {
-    pub from: usize,
-    pub to: usize,
-}
-
-impl NodePair {
-    /// The other direction.
-    pub fn reversed(self) -> NodePair {
-        NodePair { from: self.to, to: self.from }
-    }
-}
-
-/// One direction of a worker's link.
-#[derive(Default)]
-struct LinkDirection {
-    /// When its last frame arrives: a link keeps its order.
-    last_arrival: f64,
-    /// Something was lost: nothing more passes this way.
-    lost: bool,
-}
-
-struct WorkerLink {
-    worker: usize,
-    up: LinkDirection,
-    down: LinkDirection,
-}
-
-/// All links, and what cuts them.
-pub(super) struct Network {
-    /// The number of each link between coordinators.
-    peer_links: BTreeMap<NodePair, u64>,
-    /// Whom each link between coordinators joins.
-    peers_by_link: BTreeMap<u64, NodePair>,
-    worker_links: BTreeMap<u64, WorkerLink>,
-    last_link: u64,
-    /// Until when nothing passes.
-    cuts: BTreeMap<NodePair, f64>,
-}
-
-impl Network {
-    pub fn new() -> Network {
-        Network {
-            peer_links: BTreeMap::new(),
-            peers_by_link: BTreeMap::new(),
-            worker_links: BTreeMap::new(),
-            last_link: 1,
-            cuts: BTreeMap::new(),
-        }
-    }
-
-    fn new_link(&mut self) -> u64 {
-        self.last_link += 1;
-        self.last_link
-    }
-
-    /// The coordinators that a link joins, if it is one between coordinators.
-    pub fn peers_on(&self, link: u64) -> Option<NodePair> {
-        self.peers_by_link.get(&link).copied()
-    }
-
-    /// All links between this coordinator and others.
-    pub fn peers_of(&self, coordinator: usize) -> Vec<NodePair> {
-        let joins = |peers: &&NodePair| peers.from == coordinator || peers.to == coordinator;
-        self.peer_links.keys().filter(joins).copied().collect()
-    }
-
-    /// Nothing passes in this direction until then.
-    pub fn cut(&mut self, direction: NodePair, until: f64) {
-        self.cuts.insert(direction, until);
-    }
-
-    /// All cuts end.
-    pub fn heal(&mut self) {
-        self.cuts.clear();
-    }
-}
-
 impl World {
     /// Draws how long a frame travels (seconds).
     pub fn latency(&mut self) -> f64 {
--- a/testbed/src/fleet/virtual_fleet/judge.rs
+++ b/testbed/src/fleet/virtual_fleet/review.rs
@@ -1,11 +1,12 @@
-//! The judge, which sees true time: who believes to hold a task, and what the resource that tasks call has accepted.
+//! The review, which sees true time: who believes to hold a task, and what the resource that tasks call has accepted.
 
-use super::world::{task_name, Event, World};
-use super::Weakness;
+use super::names::task_name;
+use super::shape::Weakness;
+use super::task_record::RunningCall;
+use super::world::{Event, World};
 use port_worker::fleet::frame::CallOutcome;
 use port_worker::fleet::tasks::ScheduledCall;
 use rand::Rng;
-use std::collections::BTreeMap;
 
 /// After the faults each task must have been called for within so long (seconds).
 const MAX_QUIET_S: f64 = 10.0;
@@ -14,41 +15,6 @@
 /// The answer to one call in so many is lost.
 const LOST_ANSWER_ONE_IN: i32 = 30;
 
-/// A call that the resource is carrying out.
-#[derive(Clone, Copy, PartialEq)]
-struct RunningCall {
-    token: u64,
-    worker: usize,
-}
-
-/// What the judge knows of a task.
-pub(super) struct TaskRecord {
-    /// The highest token that the resource has seen.
-    highest_token: u64,
-    running: Option<RunningCall>,
-    /// The tokens under which periods were carried out, by period.
-    done: BTreeMap<u64, u64>,
-    /// When a call was last carried out.
-    last_done: f64,
-    /// Until when, in true time, each worker believes that it holds the task.
-    pub claims: BTreeMap<usize, f64>,
-    /// Since when nobody has held the task.
-    free_since: Option<f64>,
-}
-
-impl TaskRecord {
-    pub fn new() -> TaskRecord {
-        TaskRecord {
-            highest_token: 0,
-            running: None,
-            done: BTreeMap::new(),
-            last_done: 0.0,
-            claims: BTreeMap::new(),
-            free_since: Some(0.0),
-        }
-    }
-}
-
 impl World {
     /// Notes that a guarantee was broken; the run ends.
     pub fn violation(&mut self, what: String) {
