--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -9,11 +9,11 @@
 use testbed::error::TestbedError;
 use testbed::experiment::Experiment;
 use testbed::fleet::measure as fleet_cost;
-use testbed::fleet::overload_storm::{self, Part};
+use testbed::fleet::overload_storm::{self, FleetMode};
 use testbed::fleet::rig::{self, FleetFile, Programs};
 use testbed::fleet::virtual_fleet::{self, Shape};
 use testbed::fleet::{overhead, process_campaign};
-use testbed::{limits, measure, sockets, virtual_time};
+use testbed::{limits, loopback, measure, virtual_time};
 
 #[derive(Parser)]
 #[command(name = "testbed", about = "Plays experiments on honeypost")]
@@ -203,8 +203,9 @@
             return Ok(true);
         }
         What::Storm { workers, seeds } => {
-            let parts = [Part::Alone, Part::Fleet, Part::Absent, Part::Liar, Part::Frozen];
-            println!("{}", overload_storm::compare(workers, seeds, &parts)?);
+            let modes =
+                [FleetMode::Alone, FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen];
+            println!("{}", overload_storm::compare(workers, seeds, &modes)?);
             return Ok(true);
         }
         What::Limits { seeds } => {
@@ -225,7 +226,7 @@
         }
         for variant in variants {
             plays.push(match &worker {
-                Some(worker) => sockets::play(&experiment, variant, seed, worker)?,
+                Some(worker) => loopback::play(&experiment, variant, seed, worker)?,
                 None => virtual_time::play(&experiment, variant, seed)?,
             });
         }
