--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -28,14 +28,13 @@
         self.survivable_runs = survivable_runs;
         if self.all.queued == 0 {
             self.limit_reached = false;
-            self.accounts.iter_mut().for_each(|account| account.wants_slot = false);
+            for account in &mut self.accounts {
+                account.wants_slot = false;
+            }
             return None;
         }
-        let reserve = self.plan.reserve;
-        let takes_reserve = reserve
-            .is_some_and(|reserve| self.reserve_is_free(reserve.pool) && self.queued(reserve.pool) > 0);
-        if self.free() == 0 && !takes_reserve {
-            // Nothing can start, whoever is first: no need to look for it.
+        if self.free() == 0 && !self.can_start_on_reserve() {
+            // Nothing can start, whichever request is first: no need to look for it.
             self.limit_reached = true;
             for (account, counts) in self.accounts.iter_mut().zip(&self.counts) {
                 account.wants_slot = counts.queued > 0;
@@ -53,6 +52,12 @@
         startable.min_by_key(|first| first.position).map(|first| first.request)
     }
 
+    /// Whether the reserve is free and its pool has a request queued.
+    fn can_start_on_reserve(&self) -> bool {
+        let Some(reserve) = self.plan.reserve else { return false };
+        self.reserve_is_free(reserve.pool) && self.queued(reserve.pool) > 0
+    }
+
     /// By pool: the first of its requests that could start.
     fn first_startable<T: Copy>(
         &self,
@@ -73,8 +78,8 @@
         firsts
     }
 
-    /// Counts pools whose request waits although a slot of their reserve is free. A pool whose own runs at
-    /// calls fill its part of the survivable runs waits for nobody else.
+    /// Counts pools whose request waits although a slot of their reserve is free. A pool whose own runs at calls fill its
+    /// part of the survivable runs is not counted: it waits for its own runs.
     fn count_idle_reserve(&mut self, permitted: &[bool]) {
         let waits = |pool: &usize| {
             let wants = self.accounts[*pool].wants_slot && !permitted[*pool];
--- a/src/pools/credit.rs
+++ b/src/pools/credit.rs
@@ -1,6 +1,5 @@
 //! Credits of pools: slot seconds that they missed while others ran on slots of their guarantee.
 
-use super::counts::Counts;
 use super::{Pools, EPSILON};
 
 /// A credit or debt is at most this many mean runs of the pool's guarantee and one slot more.
@@ -73,12 +72,13 @@
 
     /// The mean baseline length of what runs and what is queued (seconds).
     pub(super) fn mean_run_s(&self) -> f64 {
-        let weighted = |(class, counts): (usize, &Counts)| {
+        let mut sum = 0.0;
+        let mut weights = 0.0;
+        for (class, counts) in self.classes.iter().enumerate() {
             let weight = (counts.on_cores + counts.queued) as f64 + EPSILON;
-            (self.limit.baseline_s(class) * weight, weight)
-        };
-        let add = |(sum, weights): (f64, f64), (length, weight): (f64, f64)| (sum + length, weights + weight);
-        let (sum, weights) = self.classes.iter().enumerate().map(weighted).fold((0.0, 0.0), add);
+            sum += self.limit.baseline_s(class) * weight;
+            weights += weight;
+        }
         if weights > 0.0 {
             sum / weights
         } else {
--- a/src/pools/limit/baseline.rs
+++ b/src/pools/limit/baseline.rs
@@ -76,11 +76,13 @@
 
     /// The mean over all classes, by ended runs (seconds).
     pub(super) fn mean_s(&self) -> f64 {
-        let add = |(sum, weights): (f64, f64), baseline: &Baseline| {
+        let mut sum = 0.0;
+        let mut weights = 0.0;
+        for baseline in &self.by_class {
             let weight = baseline.runs.max(MIN_MEAN_WEIGHT);
-            (sum + baseline.length_s * weight, weights + weight)
-        };
-        let (sum, weights) = self.by_class.iter().fold((0.0, 0.0), add);
+            sum += baseline.length_s * weight;
+            weights += weight;
+        }
         if weights > 0.0 {
             sum / weights
         } else {
--- a/src/pools/slots.rs
+++ b/src/pools/slots.rs
@@ -89,13 +89,21 @@
     #[must_use]
     pub fn starts_at_once(&self, class: usize) -> bool {
         let pool = self.pool_of(class);
-        // Others that wait and may have more go first, but for what is guaranteed to this pool.
-        let nobody_waits =
-            self.indices().all(|other| self.queued(other) == 0 || self.used(other) >= self.ceiling(other));
-        let guaranteed = (self.used(pool) as f64) + 1.0 <= self.guarantee(pool) + EPSILON;
-        let common_free = self.free() > 0 && self.used(pool) < self.ceiling(pool);
-        let common = common_free && (nobody_waits || guaranteed);
-        self.queued(pool) == 0 && (self.reserve_is_free(pool) || common)
+        if self.queued(pool) > 0 {
+            return false;
+        }
+        self.reserve_is_free(pool) || self.may_take_common_slot(pool)
+    }
+
+    /// Whether a common slot is free for one more run of a pool. Others that wait and may have more go first, but for
+    /// what is guaranteed to this pool.
+    fn may_take_common_slot(&self, pool: usize) -> bool {
+        if self.free() == 0 || self.used(pool) >= self.ceiling(pool) {
+            return false;
+        }
+        let is_guaranteed = (self.used(pool) as f64) + 1.0 <= self.guarantee(pool) + EPSILON;
+        let may_take_slot = |other| self.queued(other) > 0 && self.used(other) < self.ceiling(other);
+        is_guaranteed || !self.indices().any(may_take_slot)
     }
 
     /// The slots on which the pool of a class can count while it wants them: its own, and its part of what
