--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -69,7 +69,7 @@
                 ToWebServer::Headers { status, headers } => {
                     reply.status = status;
                     for (name, value) in headers {
-                        reply.head += &format!("{name}: {}\n", String::from_utf8_lossy(value));
+                        writeln!(reply.head, "{name}: {}", String::from_utf8_lossy(value)).unwrap();
                     }
                 }
                 ToWebServer::Chunk(bytes) => reply.body.extend(bytes),
