--- a/testbed/src/console.rs
+++ b/testbed/src/console.rs
@@ -9,17 +9,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An answer that is not there by then is a bad one.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// A response that takes longer is a bad one.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often a holder opens a connection, sends half a call, and leaves it at that.
-const HOLD_EVERY: Duration = Duration::from_millis(20);
+const HOLD_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How the calls went.
 #[derive(Clone, Debug, Default)]
 pub struct Calls {
+    /// Median time of a call (milliseconds).
     pub p50_ms: f64,
+    /// 99th percentile (milliseconds).
     pub p99_ms: f64,
+    /// Maximum (milliseconds).
     pub most_ms: f64,
+    /// Calls that were made.
     pub made: u64,
     /// Refused, broken, late, or with another status than 200.
     pub bad: u64,
@@ -44,7 +48,7 @@
                 if held.len() > holders {
                     held.pop_front();
                 }
-                thread::sleep(HOLD_EVERY);
+                thread::sleep(HOLD_INTERVAL);
             }
         });
     }
@@ -71,8 +75,8 @@
 }
 
 fn call(address: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect_timeout(&address, PATIENCE) else { return false };
-    let _ = stream.set_read_timeout(Some(PATIENCE));
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, RESPONSE_TIMEOUT) else { return false };
+    let _ = stream.set_read_timeout(Some(RESPONSE_TIMEOUT));
     let mut text = String::new();
     let asked = stream.write_all(b"GET /-/metrics HTTP/1.1\r\nHost: lab\r\n\r\n");
     asked.is_ok()
--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -1,7 +1,7 @@
 //! A model of the executor: runs share cores, crowd each other, slow down for a while, warm up, and stand at calls.
 
 use crate::experiment::{ExecutorModel, Slow};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// What a request asks of the executor; callers write it into its body.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -73,7 +73,7 @@
     runs: BTreeMap<String, Run>,
     at_calls: BTreeMap<String, Run>,
     /// Whatever was started once is never started again.
-    begun: BTreeMap<String, ()>,
+    begun: BTreeSet<String>,
     busy_s: f64,
     /// Time integral of the runs on the cores, by whole tenths of a second.
     tenths: Vec<f64>,
@@ -91,7 +91,7 @@
             now: 0.0,
             runs: BTreeMap::new(),
             at_calls: BTreeMap::new(),
-            begun: BTreeMap::new(),
+            begun: BTreeSet::new(),
             busy_s: 0.0,
             tenths: Vec::new(),
             most_on_cores: 0,
@@ -172,7 +172,7 @@
 
     /// Starts a run; `false` for one that has begun before.
     pub fn start(&mut self, id: &str, work: Work) -> bool {
-        if self.begun.insert(id.to_owned(), ()).is_some() {
+        if !self.begun.insert(id.to_owned()) {
             return false;
         }
         let after_s = work.calls.then_some(work.after_s);
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -6,19 +6,26 @@
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 
+/// An experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// Its name.
     pub name: String,
     /// Each seed is played with each variant.
     pub seeds: Vec<u64>,
+    /// How long requests arrive (seconds).
     pub length_s: f64,
     /// What callers ask for in the mean, jumps apart, as a share of what the cores can do.
     pub load: f64,
+    /// The executor.
     pub executor: ExecutorModel,
+    /// The records service.
     pub records: RecordsModel,
+    /// The clients.
     #[serde(default)]
     pub callers: CallersModel,
+    /// The classes of requests.
     pub class: Vec<ClassModel>,
     /// Steps of the rate of all classes.
     #[serde(default)]
@@ -29,26 +36,32 @@
     /// Times at which the records service answers nothing; `times` is not used.
     #[serde(default)]
     pub stall: Vec<Slow>,
+    /// The variants that are compared.
     pub variant: Vec<Variant>,
+    /// What must hold.
     #[serde(default)]
     pub expect: Vec<Expect>,
 }
 
+/// The executor of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExecutorModel {
+    /// How many cores it has.
     pub cores: u32,
     /// Speed of each core.
     #[serde(default = "one")]
     pub speed: f64,
-    /// Runs a core past which crowding costs throughput, and how much of it for each such crowd.
+    /// Runs a core past which concurrency costs throughput.
     #[serde(default = "knee")]
     pub knee: f64,
+    /// How much throughput is lost for each such multiple.
     #[serde(default = "thrash")]
     pub thrash: f64,
-    /// A cold executor starts at this share of its speed and is warm after this time; 0 for a warm one.
+    /// A cold executor starts at this share of its speed.
     #[serde(default)]
     pub cold_from: f64,
+    /// It is warm after this time (seconds); 0 for a warm one.
     #[serde(default)]
     pub cold_s: f64,
     /// Memory for held and running requests.
@@ -56,21 +69,26 @@
     pub heap_kb: f64,
 }
 
+/// The records service of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordsModel {
+    /// Calls that it handles at once without slowing.
     pub slots: usize,
+    /// How long a call takes (milliseconds).
     pub call_ms: f64,
     /// Each call beyond the slots, as a share of them, makes calls longer by this much.
     #[serde(default = "thrash")]
     pub thrash: f64,
 }
 
+/// The clients of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallersModel {
-    /// Further tries of a client at most, and the least pause before one.
+    /// Retries of a client at most.
     pub retries: u32,
+    /// The least pause before a retry (milliseconds).
     pub pause_ms: f64,
 }
 
@@ -80,25 +98,37 @@
     }
 }
 
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassModel {
+    /// Its name.
     pub name: String,
+    /// Its share of all requests.
     pub share: f64,
+    /// Its mean work (core milliseconds).
     pub work_ms: f64,
+    /// The coefficient of variation of the work.
     pub cv: f64,
+    /// Its latency objective (milliseconds).
     pub aim_ms: f64,
+    /// How long a client waits (milliseconds).
     pub deadline_ms: f64,
+    /// What a request is worth when it is served within the objective.
     pub worth: f64,
+    /// The share of the worth when it is served later.
     #[serde(default)]
     pub late_worth: f64,
+    /// Its requests carry idempotency keys.
     #[serde(default)]
     pub keyed: bool,
-    /// The chance that a run calls below, and the share of the worth without the call; 0 forbids leaving it out.
+    /// The chance that a run makes a downstream call.
     #[serde(default)]
     pub calls: f64,
+    /// The share of the worth without the call; 0 forbids skipping it.
     #[serde(default)]
     pub skip_worth: f64,
+    /// The memory that a request declares (kilobytes).
     #[serde(default = "need_kb")]
     pub need_kb: f64,
     /// Steps of this class's rate alone.
@@ -106,26 +136,36 @@
     pub jump: Vec<Jump>,
 }
 
+/// A step of a rate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Jump {
+    /// When it begins (seconds).
     pub at_s: f64,
+    /// How long it lasts (seconds).
     pub for_s: f64,
+    /// By how many times the rate is higher.
     pub times: f64,
 }
 
+/// A time of slowness.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slow {
+    /// When it begins (seconds).
     pub at_s: f64,
+    /// How long it lasts (seconds).
     pub for_s: f64,
+    /// By how many times everything is slower.
     #[serde(default = "one")]
     pub times: f64,
 }
 
+/// One of the variants that are compared.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
+    /// Its name.
     pub name: String,
     /// The operator's file, as text; none for a worker without one.
     #[serde(default)]
@@ -134,12 +174,14 @@
     pub worker: Option<PathBuf>,
     /// On loopback: callers speak HTTP/2 with so many streams a connection, to the `[http2]` of the operator's file.
     pub http2_streams: Option<usize>,
-    /// On loopback: operators ask for the figures this often (milliseconds), beside so many holders of connections.
+    /// On loopback: operators read the metrics this often (milliseconds).
     pub console_every_ms: Option<f64>,
+    /// So many idle connections stand at the console meanwhile.
     #[serde(default)]
     pub console_holders: usize,
-    /// On loopback: misuse of the `[http2]` of the operator's file, on so many connections.
+    /// On loopback: a flood on the `[http2]` of the operator's file.
     pub flood: Option<Flood>,
+    /// The connections of the flood.
     #[serde(default = "flooders")]
     pub flood_connections: usize,
 }
@@ -148,12 +190,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
+    /// The variant.
     pub variant: String,
+    /// One of [`METRICS`].
     pub metric: String,
+    /// The class, for a metric of classes; all where left out.
     pub class: Option<String>,
     /// The metric is divided by the same one of this variant, seed by seed.
     pub against: Option<String>,
+    /// The mean must be at least this.
     pub least: Option<f64>,
+    /// The mean must be at most this.
     pub most: Option<f64>,
 }
 
@@ -201,7 +248,10 @@
 ];
 
 impl Experiment {
-    /// Reads and checks a file; an error is one line that names it.
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    /// The file can't be read, or [`Experiment::decode`] fails; the error is one line that names the file.
     pub fn read(path: &Path) -> Result<Experiment, TestbedError> {
         let text = std::fs::read_to_string(path).map_err(TestbedError::file(path))?;
         Experiment::decode(&text)
@@ -209,6 +259,9 @@
     }
 
     /// Reads and checks the text of a file.
+    ///
+    /// # Errors
+    /// A line is no TOML, a key is unknown, or a value is out of range.
     pub fn decode(text: &str) -> Result<Experiment, ExperimentError> {
         let e: Experiment = toml::from_str(text).map_err(|source: toml::de::Error| {
             let at = source.span().map_or(0, |s| s.start.min(text.len()));
@@ -272,18 +325,21 @@
     }
 
     /// Core seconds of a request in the mean.
+    #[must_use]
     pub fn mean_work_s(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|c| c.share).sum();
         self.class.iter().map(|c| c.share * c.work_ms / 1000.0).sum::<f64>() / shares
     }
 
     /// Requests a second, for shares that add up to 1.
+    #[must_use]
     pub fn rate_per_s(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|c| c.share).sum();
         self.load * f64::from(self.executor.cores) * self.executor.speed / self.mean_work_s() / shares
     }
 
     /// The worker's configuration, for peers at these addresses.
+    #[must_use]
     pub fn config(&self, listen: &str, executor: &str, records: &str, registry: &str) -> Value {
         let list = |of: &dyn Fn(&ClassModel) -> Value| self.class.iter().map(of).collect::<Vec<_>>();
         let profile = |c: &ClassModel| {
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -7,6 +7,7 @@
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES, VERSION,
 };
+use std::fmt::Write as _;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -16,14 +17,14 @@
 const FLEET: &str = "fleet = \"cost\"\ncoordinators = 3\nworkers = 4\nwork_ms = 1\n\
     [[task]]\nname = \"watched\"\nperiod_s = 0.1\nttl_ms = 3000\ndeadline_ms = 200\nsafe = true\n";
 /// How long one thing is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until something is so; how long it took (seconds).
 fn wait(what: &str, mut look: impl FnMut() -> bool) -> Result<f64, TestbedError> {
     let start = Instant::now();
     while !look() {
-        if start.elapsed() > PATIENCE {
-            return Err(TestbedError::TimedOut { what: what.to_owned(), limit: PATIENCE });
+        if start.elapsed() > TIMEOUT {
+            return Err(TestbedError::TimedOut { what: what.to_owned(), limit: TIMEOUT });
         }
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -77,7 +78,7 @@
         // The one that came back is in session again before the next.
         std::thread::sleep(Duration::from_millis(1500));
     }
-    let wrong = super::task_log::judge(&rig.acts());
+    let wrong = super::task_log::find_violations(&rig.acts());
     if !wrong.is_empty() {
         return Err(TestbedError::GuaranteeBroken(wrong));
     }
@@ -132,7 +133,7 @@
 pub fn grants(folder: &Path, programs: Programs, takers: usize, for_s: f64) -> Result<String, TestbedError> {
     let mut text = "fleet = \"cost\"\ncoordinators = 3\nworkers = 1\n".to_owned();
     for n in 0..takers {
-        text += &format!("[[task]]\nname = \"t{n}\"\nperiod_s = 1000.0\nsafe = true\n");
+        let _ = write!(text, "[[task]]\nname = \"t{n}\"\nperiod_s = 1000.0\nsafe = true\n");
     }
     let mut rig = Rig::start(FleetFile::decode(&text)?, folder, programs)?;
     // The tasks are the takers'.
@@ -161,11 +162,11 @@
             process,
         })?;
         while taker.until(|w| matches!(w, ServerMessage::Welcome { .. }).then_some(()))?.is_none() {
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > TIMEOUT {
                 return Err(TestbedError::Missing("welcome"));
             }
         }
-        let (mut taken, mut seq) = (0, 0);
+        let (mut leases, mut seq) = (0, 0);
         while begun.elapsed().as_secs_f64() < for_s {
             seq += 1;
             let wants = vec![format!("t{n}")];
@@ -183,9 +184,9 @@
             })?;
             let Some(held) = granted else { continue };
             taker.say(&ClientMessage::ReleaseLease { held, failed: false, pass_on: false })?;
-            taken += 1;
+            leases += 1;
         }
-        Ok(taken)
+        Ok(leases)
     };
     let mut rows = format!("takers {takers}, memory of the leader (MB) at each tenth:");
     let taken: Result<Vec<u64>, TestbedError> = std::thread::scope(|scope| {
@@ -193,7 +194,7 @@
         let handles: Vec<_> = (0..takers).map(|n| scope.spawn(move || take(n))).collect();
         for _tenth in 0..10 {
             std::thread::sleep(Duration::from_secs_f64(for_s / 10.0));
-            rows += &format!(" {:.1}", resident_kb(pid) as f64 / 1024.0);
+            let _ = write!(rows, " {:.1}", resident_kb(pid) as f64 / 1024.0);
         }
         handles
             .into_iter()
@@ -228,7 +229,7 @@
 /// What did not come about.
 pub fn sessions(
     folder: &Path,
-    programs: Programs,
+    programs: &Programs,
     counts: &[usize],
     for_s: f64,
 ) -> Result<String, TestbedError> {
@@ -246,7 +247,7 @@
         let mut crowd = SessionLoad::new(count, "cost", &all, &[]);
         while !crowd.all_linked() {
             crowd.turn();
-            if crowd.now() > PATIENCE.as_secs_f64() {
+            if crowd.now() > TIMEOUT.as_secs_f64() {
                 return Err(TestbedError::SessionsNotEstablished { count });
             }
             std::thread::sleep(Duration::from_millis(2));
@@ -262,7 +263,8 @@
         }
         let took = begun.elapsed().as_secs_f64();
         let each = |bytes: u64| bytes as f64 / took / count as f64;
-        text += &format!(
+        let _ = write!(
+            text,
             "\n{count:>8}  {opened:>7.2} s  {:>10.2}%  {:>5.1} MB  {:>11.0}  {:>13.0}",
             100.0 * (cpu_of_all_threads_s(pid) - cpu) / took,
             resident_kb(pid) as f64 / 1024.0,
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -7,6 +7,7 @@
 use crate::loopback;
 use crate::measure::{interval, Play};
 use crate::sync::lock;
+use std::fmt::Write as _;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
@@ -113,7 +114,8 @@
         };
         let metric = |name: &'static str| move |play: &Play| play.metric(name, None);
         let owed: u64 = pairs.iter().map(|(with, _)| with.owed).sum();
-        text += &format!(
+        let _ = write!(
+            text,
             "\n{:<14}{}{}{}{}{}    {owed}",
             format!("{state:?}").to_lowercase(),
             ratio(&metric("worth")),
--- a/testbed/src/fleet/overload_storm/reports.rs
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -34,7 +34,7 @@
 }
 
 /// The report of a worker that lies.
-fn false_report(report: LoadReport) -> LoadReport {
+fn false_report(report: &LoadReport) -> LoadReport {
     LoadReport {
         arrivals: vec![1e6; 3],
         retries: 1e6,
@@ -44,7 +44,7 @@
         wants: 1e6,
         weight: 1e6,
         lends: 1e6,
-        ..report
+        ..report.clone()
     }
 }
 
@@ -78,7 +78,7 @@
         worker.reports += 1;
         let mut report = worker.client.report(now, worker.reports, &sample);
         if shape.mode == FleetMode::Liar && number == LIAR {
-            report = false_report(report);
+            report = false_report(&report);
         }
         let arrives_at = now + shape.late_s / 2.0;
         self.up.push_back(ReportInFlight { arrives_at, worker: number, report });
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -23,7 +23,7 @@
     /// The request, by its place in the plan.
     pub number: usize,
     /// Which attempt of the request it is, from 1.
-    pub attempt: u32,
+    pub ordinal: u32,
     /// Its router ignores all advice.
     pub reckless: bool,
     /// When its client waits no longer.
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -169,10 +169,8 @@
         while let Some((worker, name)) = self.service.take_ended(now) {
             self.call_timeouts.remove(&(worker, name.clone()));
             let down = active_interval(&self.shape.down, now).is_some();
-            let (outcome, reply) = match down {
-                true => (Outcome::Unreachable, None),
-                false => (Outcome::Ok, Some(Rc::from(&b"!"[..]))),
-            };
+            let (outcome, reply) =
+                if down { (Outcome::Unreachable, None) } else { (Outcome::Ok, Some(Rc::from(&b"!"[..]))) };
             self.workers[worker].inbox.push(Input::CallEnded { name, outcome, reply });
         }
         let over: Vec<(usize, Rc<str>)> =
@@ -228,7 +226,7 @@
             body: planned.work.body().into(),
         };
         let worker = &mut self.workers[worker];
-        worker.open.insert(self.tickets, Attempt { number, attempt, reckless, due });
+        worker.open.insert(self.tickets, Attempt { number, ordinal: attempt, reckless, due });
         worker.inbox.push(Input::Arrived(request));
     }
 
@@ -287,7 +285,7 @@
 
     /// Plans the retry of an attempt that was not served, if there is one.
     fn retry(&mut self, now: f64, failed: &Attempt, response: &Response) {
-        let Attempt { number, attempt, reckless, due } = *failed;
+        let Attempt { number, ordinal: attempt, reckless, due } = *failed;
         let (advice, stop_retrying) = match response {
             Response::Rejected { retry_after_s, stop_retrying } => (*retry_after_s, *stop_retrying),
             _ => (0.0, true),
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -1,13 +1,14 @@
-//! Random faults among real processes: a seed draws a schedule, a fleet is started and lives through it, the acts' own log
-//! is the judge, and a schedule that breaks something is made shorter while it still does.
+//! Random faults among real processes: a seed draws a schedule, a fleet is started and runs under it, the log of the tasks'
+//! calls is reviewed, and a schedule that breaks something is made shorter while it still does.
 
 use super::rig::{get, FleetFile, Programs, Rig};
-use super::task_log::{judge, ActLine};
+use super::task_log::{find_violations, ActLine};
 use crate::error::TestbedError;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::fmt;
+use std::fmt::Write as _;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -26,45 +27,80 @@
 /// What is done to whom, from when and for how long.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
+    /// When it begins (milliseconds).
     pub at_ms: u64,
+    /// How long it lasts (milliseconds).
     pub for_ms: u64,
-    pub what: What,
+    /// What is done.
+    pub action: FaultAction,
 }
 
+/// What is done to whom.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum FaultAction {
+    /// The process is killed.
     Kill(String),
+    /// The process is suspended.
     Pause(String),
+    /// The disk is full for the process.
     Fill(String),
+    /// The worker is hot restarted.
     Replace(String),
-    Cut { from: String, to: String, one_way: bool },
-    Delay { from: String, to: String, ms: u64 },
-    Reset { from: String, to: String },
+    /// Bytes between the two are held back.
+    Cut {
+        /// One side; that which sends, where the cut is one-way.
+        from: String,
+        /// The other side.
+        to: String,
+        /// Only bytes from the one to the other are held back.
+        one_way: bool,
+    },
+    /// Bytes between the two are delayed.
+    Delay {
+        /// One side.
+        from: String,
+        /// The other side.
+        to: String,
+        /// By how long (milliseconds).
+        ms: u64,
+    },
+    /// Connections between the two are reset.
+    Reset {
+        /// One side.
+        from: String,
+        /// The other side.
+        to: String,
+    },
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let words = match &self.what {
-            What::Kill(name) => format!("kill {name}"),
-            What::Pause(name) => format!("pause {name}"),
-            What::Fill(name) => format!("fill {name}"),
-            What::Replace(name) => format!("replace {name}"),
-            What::Cut { from, to, one_way } => {
+        let words = match &self.action {
+            FaultAction::Kill(name) => format!("kill {name}"),
+            FaultAction::Pause(name) => format!("pause {name}"),
+            FaultAction::Fill(name) => format!("fill {name}"),
+            FaultAction::Replace(name) => format!("replace {name}"),
+            FaultAction::Cut { from, to, one_way } => {
                 format!("cut {from} {to}{}", if *one_way { " --one-way" } else { "" })
             }
-            What::Delay { from, to, ms } => format!("delay {from} {to} by {ms} ms"),
-            What::Reset { from, to } => format!("reset {from} {to}"),
+            FaultAction::Delay { from, to, ms } => format!("delay {from} {to} by {ms} ms"),
+            FaultAction::Reset { from, to } => format!("reset {from} {to}"),
         };
         write!(f, "{:>6} ms, for {:>5} ms: {words}", self.at_ms, self.for_ms)
     }
 }
 
-impl What {
+impl FaultAction {
     /// Whom it is about.
     fn names(&self) -> Vec<&str> {
         match self {
-            What::Kill(name) | What::Pause(name) | What::Fill(name) | What::Replace(name) => vec![name],
-            What::Cut { from, to, .. } | What::Delay { from, to, .. } | What::Reset { from, to } => {
+            FaultAction::Kill(name)
+            | FaultAction::Pause(name)
+            | FaultAction::Fill(name)
+            | FaultAction::Replace(name) => vec![name],
+            FaultAction::Cut { from, to, .. }
+            | FaultAction::Delay { from, to, .. }
+            | FaultAction::Reset { from, to } => {
                 vec![from, to]
             }
         }
@@ -73,16 +109,16 @@
     /// What can't be done now, as to a process that does not run, is not done.
     fn begin(&self, rig: &mut Rig) -> Result<(), TestbedError> {
         match self {
-            What::Kill(name) => rig.kill(name),
-            What::Pause(name) => rig.pause(name),
-            What::Fill(name) => rig.fill(name, true),
-            What::Replace(name) => rig.replace(name),
-            What::Cut { from, to, one_way } => rig.cut(from, to, *one_way, true),
-            What::Delay { from, to, ms } => {
+            FaultAction::Kill(name) => rig.kill(name),
+            FaultAction::Pause(name) => rig.pause(name),
+            FaultAction::Fill(name) => rig.fill(name, true),
+            FaultAction::Replace(name) => rig.replace(name),
+            FaultAction::Cut { from, to, one_way } => rig.cut(from, to, *one_way, true),
+            FaultAction::Delay { from, to, ms } => {
                 rig.delay(from, to, *ms);
                 Ok(())
             }
-            What::Reset { from, to } => {
+            FaultAction::Reset { from, to } => {
                 rig.reset(from, to);
                 Ok(())
             }
@@ -91,27 +127,28 @@
 
     fn end(&self, rig: &mut Rig) -> Result<(), TestbedError> {
         match self {
-            What::Kill(name) => rig.start_again(name),
-            What::Pause(name) => rig.resume(name),
-            What::Fill(name) => rig.fill(name, false),
-            What::Cut { from, to, .. } => rig.cut(from, to, false, false),
-            What::Delay { from, to, .. } => {
+            FaultAction::Kill(name) => rig.start_again(name),
+            FaultAction::Pause(name) => rig.resume(name),
+            FaultAction::Fill(name) => rig.fill(name, false),
+            FaultAction::Cut { from, to, .. } => rig.cut(from, to, false, false),
+            FaultAction::Delay { from, to, .. } => {
                 rig.delay(from, to, 0);
                 Ok(())
             }
-            What::Replace(_) | What::Reset { .. } => Ok(()),
+            FaultAction::Replace(_) | FaultAction::Reset { .. } => Ok(()),
         }
     }
 }
 
 /// A seed's faults, in the order of their beginning.
-pub fn draw(seed: u64, for_s: f64, coordinators: &[String], workers: &[String]) -> Vec<Fault> {
+#[must_use]
+pub fn draw(seed: u64, length_s: f64, coordinators: &[String], workers: &[String]) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut faults: Vec<Fault> = Vec::new();
-    let mut at_s = 0.0;
+    let mut begin_s = 0.0;
     loop {
-        at_s += -EVERY_S * (1.0 - rng.random::<f64>()).ln();
-        if at_s >= for_s {
+        begin_s += -EVERY_S * (1.0 - rng.random::<f64>()).ln();
+        if begin_s >= length_s {
             return faults;
         }
         let mut one = |of: &[String]| of.choose(&mut rng).cloned().unwrap_or_default();
@@ -120,27 +157,27 @@
         let peer = if rng.random_bool(0.5) && other != coordinator { other } else { worker.clone() };
         let (from, to) =
             if rng.random_bool(0.5) { (coordinator.clone(), peer) } else { (peer, coordinator.clone()) };
-        let at_ms = (at_s * 1000.0) as u64;
+        let at_ms = (begin_s * 1000.0) as u64;
         let for_ms = rng.random_range(200..6000);
-        let what = match rng.random_range(0..100) {
-            0..=19 => What::Kill(anyone),
-            20..=39 => What::Pause(anyone),
-            40..=49 => What::Fill(coordinator),
-            50..=74 => What::Cut { from, to, one_way: rng.random_bool(0.5) },
-            75..=84 => What::Delay { from, to, ms: rng.random_range(5..400) },
-            85..=92 => What::Reset { from, to },
-            _ => What::Replace(worker),
+        let action = match rng.random_range(0..100) {
+            0..=19 => FaultAction::Kill(anyone),
+            20..=39 => FaultAction::Pause(anyone),
+            40..=49 => FaultAction::Fill(coordinator),
+            50..=74 => FaultAction::Cut { from, to, one_way: rng.random_bool(0.5) },
+            75..=84 => FaultAction::Delay { from, to, ms: rng.random_range(5..400) },
+            85..=92 => FaultAction::Reset { from, to },
+            _ => FaultAction::Replace(worker),
         };
         // A replacement waits for its successor: nothing else may happen to that worker meanwhile.
-        let names: Vec<String> = what.names().into_iter().map(str::to_owned).collect();
-        let alone = matches!(what, What::Replace(_));
+        let names: Vec<String> = action.names().into_iter().map(str::to_owned).collect();
+        let alone = matches!(action, FaultAction::Replace(_));
         let beside = faults.iter().any(|f| {
             let close = f.at_ms + f.for_ms + 2000 > at_ms
-                && f.what.names().iter().any(|n| names.iter().any(|o| o == n));
-            close && (alone || matches!(f.what, What::Replace(_)))
+                && f.action.names().iter().any(|n| names.iter().any(|o| o == n));
+            close && (alone || matches!(f.action, FaultAction::Replace(_)))
         });
         if !beside {
-            faults.push(Fault { at_ms, for_ms: if alone { 2000 } else { for_ms }, what });
+            faults.push(Fault { at_ms, for_ms: if alone { 2000 } else { for_ms }, action });
         }
     }
 }
@@ -148,7 +185,9 @@
 /// What came of one schedule.
 #[derive(Default)]
 pub struct CampaignReport {
+    /// A line for each guarantee that was broken.
     pub wrong: Vec<String>,
+    /// The log of the tasks' calls.
     pub acts: Vec<ActLine>,
     /// How long the fleet took, once nothing failed any more (seconds).
     pub recovery_s: f64,
@@ -174,7 +213,7 @@
     for (at_ms, begins, fault) in steps {
         std::thread::sleep(Duration::from_millis(at_ms).saturating_sub(start.elapsed()));
         // One that overlaps another may have nothing to do.
-        let _ = if begins { fault.what.begin(&mut rig) } else { fault.what.end(&mut rig) };
+        let _ = if begins { fault.action.begin(&mut rig) } else { fault.action.end(&mut rig) };
     }
     // Of two faults on one process the first to end may have left what the second had begun.
     let names: Vec<String> = rig.coordinators().into_iter().chain(rig.workers()).collect();
@@ -199,14 +238,14 @@
         }
     }
     lived.acts = rig.acts();
-    lived.wrong.extend(judge(&lived.acts));
+    lived.wrong.extend(find_violations(&lived.acts));
     Ok(lived)
 }
 
 /// Waits until each task was acted for so many times more.
-fn acted(rig: &Rig, before: &[ActLine], more: usize, patience: Duration) -> bool {
+fn acted(rig: &Rig, before: &[ActLine], more: usize, timeout: Duration) -> bool {
     let count = |acts: &[ActLine], task: &str| acts.iter().filter(|a| a.accepted && a.task == task).count();
-    let until = Instant::now() + patience;
+    let until = Instant::now() + timeout;
     loop {
         let now = rig.acts();
         if TASKS.iter().all(|task| count(&now, task) >= count(before, task) + more) {
@@ -264,16 +303,16 @@
             let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             let names = |kind: char, n: usize| (1..=n).map(|n| format!("{kind}{n}")).collect::<Vec<_>>();
             let faults = draw(seed, faults_s, &names('c', 5), &names('w', 8));
-            let lived = live(&own, programs, &faults)?;
+            let report = live(&own, programs, &faults)?;
             let mut shortest = Vec::new();
-            if !lived.wrong.is_empty() {
+            if !report.wrong.is_empty() {
                 let kept = folder.join(format!("broken-{seed}"));
                 let _ = std::fs::rename(&own, kept);
                 shortest = shrink(faults.clone(), |fewer| {
                     live(&own, programs, fewer).is_ok_and(|again| !again.wrong.is_empty())
                 });
             }
-            lives.push((seed, faults.len(), lived, shortest));
+            lives.push((seed, faults.len(), report, shortest));
         }
         let _ = std::fs::remove_dir_all(&own);
         Ok(lives)
@@ -300,8 +339,8 @@
         recovery.push(lived.recovery_s);
         if !lived.wrong.is_empty() {
             broken += 1;
-            let lines: Vec<String> = shortest.iter().map(Fault::to_string).collect();
-            text += &format!("\nseed {seed}: {}\n  {}", lived.wrong.join("; "), lines.join("\n  "));
+            let schedule: Vec<String> = shortest.iter().map(Fault::to_string).collect();
+            let _ = write!(text, "\nseed {seed}: {}\n  {}", lived.wrong.join("; "), schedule.join("\n  "));
         }
     }
     recovery.sort_by(f64::total_cmp);
--- a/testbed/src/fleet/process_campaign/tests.rs
+++ b/testbed/src/fleet/process_campaign/tests.rs
@@ -10,7 +10,7 @@
     let faults = some();
     assert_eq!(faults, some());
     let kinds: std::collections::HashSet<_> =
-        faults.iter().map(|f| std::mem::discriminant(&f.what)).collect();
+        faults.iter().map(|f| std::mem::discriminant(&f.action)).collect();
     assert_eq!(kinds.len(), 7, "{faults:#?}");
 }
 
--- a/testbed/src/fleet/relay.rs
+++ b/testbed/src/fleet/relay.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// How often a held direction looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(4);
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
 
 #[derive(Default)]
 struct Shared {
@@ -26,33 +26,41 @@
 
 /// One relay, for what `from` dials to reach `to`.
 pub struct Relay {
+    /// Who dials.
     pub from: String,
+    /// Whom it dials.
     pub to: String,
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Relay {
+    /// Starts a relay without a target.
+    ///
+    /// # Errors
+    /// The system has no free port.
     pub fn start(from: &str, to: &str) -> Result<Relay, TestbedError> {
-        let door = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("relay"))?;
-        let address = door.local_addr().map_err(TestbedError::component("relay"))?;
-        door.set_nonblocking(true).map_err(TestbedError::component("relay"))?;
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("relay"))?;
+        let address = listener.local_addr().map_err(TestbedError::component("relay"))?;
+        listener.set_nonblocking(true).map_err(TestbedError::component("relay"))?;
         let shared = Arc::new(Shared::default());
         let own = shared.clone();
         thread::spawn(move || {
             while !own.over.load(Ordering::Relaxed) {
-                match door.accept() {
+                match listener.accept() {
                     Ok((stream, _)) => {
                         let own = own.clone();
                         thread::spawn(move || lead(&own, &stream));
                     }
-                    Err(_) => thread::sleep(LOOK),
+                    Err(_) => thread::sleep(POLL_INTERVAL),
                 }
             }
         });
         Ok(Relay { from: from.to_owned(), to: to.to_owned(), address, shared })
     }
 
+    /// Leads new connections there, or nowhere.
     pub fn aim(&self, target: Option<SocketAddr>) {
         *lock(&self.shared.target) = target;
     }
@@ -66,6 +74,7 @@
         }
     }
 
+    /// Delays each piece by so long, each way.
     pub fn set_delay_ms(&self, delay_ms: u64) {
         self.shared.delay_ms.store(delay_ms, Ordering::Relaxed);
     }
@@ -90,7 +99,7 @@
         if shared.over.load(Ordering::Relaxed) {
             return;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     let target = *lock(&shared.target);
     let Some(Ok(far)) = target.map(|t| TcpStream::connect_timeout(&t, Duration::from_secs(1))) else {
@@ -112,7 +121,7 @@
         || !shared.over.load(Ordering::Relaxed) && shared.generation.load(Ordering::Relaxed) == generation;
     let hold = || {
         while shared.cut[way].load(Ordering::Relaxed) && sound() {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     };
     while sound() {
--- a/testbed/src/fleet/rig/configuration.rs
+++ b/testbed/src/fleet/rig/configuration.rs
@@ -3,6 +3,7 @@
 use super::Rig;
 use crate::error::TestbedError;
 use serde_json::{json, Value};
+use std::fmt::Write as _;
 use std::net::SocketAddr;
 
 /// An address at which nobody listens.
@@ -16,26 +17,27 @@
         let mut text = format!(
             "fleet = {:?}\nname = {name:?}\nfolder = {:?}\nlisten = \"127.0.0.1:0\"\nepoch = 1\nwrite_overdue_ms = {}\n",
             self.file.fleet,
-            self.folder.join(name),
+            self.folder.join(name).display().to_string(),
             self.file.write_overdue_ms
         );
         if let Some(part) = self.file.calls_part {
-            text += &format!("overload = {{ calls_part = {part:?} }}\n");
+            let _ = writeln!(text, "overload = {{ calls_part = {part:?} }}");
         }
         if self.file.older.iter().any(|older| older == name) {
             text += "version = 1\n";
         }
         for (n, peer) in self.coordinators().iter().enumerate() {
-            let address = match peer == name {
-                // Never dialled: this one's own place in the list.
-                true => SocketAddr::from(([127, 0, 0, 1], 1 + n as u16)),
-                false => self.relay(name, peer)?,
+            let address = if peer == name {
+                SocketAddr::from(([127, 0, 0, 1], 1 + n as u16))
+            } else {
+                self.relay(name, peer)?
             };
-            text += &format!("[[coordinator]]\nname = {peer:?}\naddress = \"{address}\"\n");
+            let _ = write!(text, "[[coordinator]]\nname = {peer:?}\naddress = \"{address}\"\n");
         }
         text += "[[task]]\nname = \"totals\"\nttl_ms = 3000\n";
         for task in &self.file.tasks {
-            text += &format!("[[task]]\nname = {:?}\nttl_ms = {}\npause_ms = 500\n", task.name, task.ttl_ms);
+            let _ =
+                write!(text, "[[task]]\nname = {:?}\nttl_ms = {}\npause_ms = 500\n", task.name, task.ttl_ms);
         }
         Ok(text)
     }
@@ -56,18 +58,19 @@
     pub(super) fn operator_file(&self, name: &str, number: usize) -> Result<String, TestbedError> {
         let mut text = format!("[fleet]\nname = {:?}\ncoordinators = [", self.file.fleet);
         for to in self.coordinators() {
-            text += &format!("\"{}\", ", self.relay(name, &to)?);
+            let _ = write!(text, "\"{}\", ", self.relay(name, &to)?);
         }
         text += "]\n";
         if !self.file.zones.is_empty() {
-            text += &format!("zone = {:?}\n", self.file.zones[number % self.file.zones.len()]);
+            let _ = writeln!(text, "zone = {:?}", self.file.zones[number % self.file.zones.len()]);
         }
         if self.file.calls_part.is_some() {
             text += "overload = { on = true }\n";
         }
         let acts = self.relay(name, "acts")?;
         for task in &self.file.tasks {
-            text += &format!(
+            let _ = write!(
+                text,
                 "[[fleet.task]]\nname = {:?}\nperiod_s = {:?}\naddress = \"{}\"\npath = \"/{}\"\ndeadline_ms = {}\nsafe = {}\n",
                 task.name, task.period_s, acts, task.name, task.deadline_ms, task.safe
             );
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -102,21 +102,25 @@
     }
 
     /// A class that the workers serve.
+    #[must_use]
     pub fn class(&self, name: &str) -> Option<&ClassModel> {
         self.site.class.iter().find(|c| c.name == name)
     }
 
     /// The names of all coordinators.
+    #[must_use]
     pub fn coordinators(&self) -> Vec<String> {
         (1..=self.file.coordinators).map(|n| format!("c{n}")).collect()
     }
 
     /// The names of all workers.
+    #[must_use]
     pub fn workers(&self) -> Vec<String> {
         (1..=self.file.workers).map(|n| format!("w{n}")).collect()
     }
 
     /// Where a coordinator listens, or a worker's console.
+    #[must_use]
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let process = self.processes.iter().find(|p| p.name == name && p.alive)?;
         if name.starts_with('c') {
@@ -127,26 +131,31 @@
     }
 
     /// Where a worker listens for clients.
+    #[must_use]
     pub fn door(&self, name: &str) -> Option<SocketAddr> {
         self.processes.iter().find(|p| p.name == name)?.listen
     }
 
     /// All coordinators that run.
+    #[must_use]
     pub fn asked(&self) -> Vec<SocketAddr> {
         self.coordinators().iter().filter_map(|name| self.address(name)).collect()
     }
 
     /// The calls that the tasks' stand-in has logged.
+    #[must_use]
     pub fn acts(&self) -> Vec<task_log::ActLine> {
         task_log::read(&self.folder.join(TASK_LOG))
     }
 
     /// A process's number.
+    #[must_use]
     pub fn pid(&self, name: &str) -> Option<u32> {
         self.processes.iter().find(|p| p.name == name).map(|p| p.child.id())
     }
 
     /// The line for each process that `fleet` prints.
+    #[must_use]
     pub fn lines(&self) -> Vec<String> {
         let text = |a: Option<SocketAddr>| a.map_or_else(|| "-".to_owned(), |a| a.to_string());
         let line = |p: &Process| {
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -195,9 +195,10 @@
         if self.process(name)?.alive {
             return Err(TestbedError::Running { name: name.to_owned() });
         }
-        match name.starts_with('c') {
-            true => self.start_coordinator(name)?,
-            false => self.start_worker(name)?,
+        if name.starts_with('c') {
+            self.start_coordinator(name)?;
+        } else {
+            self.start_worker(name)?;
         }
         self.write_json()
     }
--- a/testbed/src/fleet/rig/relays.rs
+++ b/testbed/src/fleet/rig/relays.rs
@@ -42,6 +42,7 @@
     }
 
     /// Where this worker dials the coordinators, all of them.
+    #[must_use]
     pub fn links(&self, worker: &str) -> Vec<SocketAddr> {
         self.coordinators().iter().filter_map(|c| self.relay(worker, c).ok()).collect()
     }
--- a/testbed/src/fleet/service.rs
+++ b/testbed/src/fleet/service.rs
@@ -14,7 +14,7 @@
 struct State {
     call_ms: u64,
     down: bool,
-    in_hand: usize,
+    in_flight: usize,
     most: usize,
     made: u64,
 }
@@ -22,21 +22,24 @@
 /// One service; it ends with the process.
 #[derive(Clone)]
 pub struct Service {
+    /// Where it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Service {
+    /// Starts a service whose calls take so long (milliseconds).
+    ///
     /// # Errors
-    /// The system's.
+    /// The system has no free port.
     pub fn start(call_ms: u64) -> Result<Service, TestbedError> {
-        let door = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("service"))?;
-        let address = door.local_addr().map_err(TestbedError::component("service"))?;
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("service"))?;
+        let address = listener.local_addr().map_err(TestbedError::component("service"))?;
         let state = Arc::new(Mutex::new(State { call_ms, ..State::default() }));
         let service = Service { address, state };
         let own = service.clone();
         thread::spawn(move || {
-            for stream in door.incoming().map_while(Result::ok) {
+            for stream in listener.incoming().map_while(Result::ok) {
                 let own = own.clone();
                 thread::spawn(move || own.serve(stream));
             }
@@ -51,25 +54,24 @@
             let state = {
                 let mut state = lock(&self.state);
                 state.made += 1;
-                state.in_hand += 1;
-                state.most = state.most.max(state.in_hand);
+                state.in_flight += 1;
+                state.most = state.most.max(state.in_flight);
                 *state
             };
-            let reply = match state.down {
-                true => &b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"[..],
-                false => {
-                    thread::sleep(Duration::from_millis(state.call_ms));
-                    &b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n!"[..]
-                }
+            let reply = if state.down {
+                &b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"[..]
+            } else {
+                thread::sleep(Duration::from_millis(state.call_ms));
+                &b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n!"[..]
             };
-            lock(&self.state).in_hand -= 1;
+            lock(&self.state).in_flight -= 1;
             if reader.get_mut().write_all(reply).is_err() {
                 return;
             }
         }
     }
 
-    /// Every call is turned away from now on, or answered again.
+    /// Every call is rejected from now on, or answered again.
     pub fn set_down(&self, down: bool) {
         lock(&self.state).down = down;
     }
@@ -79,7 +81,8 @@
         lock(&self.state).call_ms = call_ms;
     }
 
-    /// Calls made so far, and the most that it had in hand at once.
+    /// Calls made so far, and the most that it had in flight at once.
+    #[must_use]
     pub fn counts(&self) -> (u64, usize) {
         let state = lock(&self.state);
         (state.made, state.most)
--- a/testbed/src/fleet/session_load.rs
+++ b/testbed/src/fleet/session_load.rs
@@ -24,6 +24,7 @@
 
 impl SessionLoad {
     /// So many sessions of a fleet; each would carry out `wants` once a day, and does nothing when its turn comes.
+    #[must_use]
     pub fn new(count: usize, fleet: &str, coordinators: &[SocketAddr], wants: &[&str]) -> SessionLoad {
         let schedule = |name: &&str| Schedule {
             name: (*name).to_owned(),
@@ -57,6 +58,8 @@
         }
     }
 
+    /// The time since the sessions were made (seconds).
+    #[must_use]
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
@@ -74,11 +77,14 @@
         (up, down)
     }
 
+    /// Whether every session is connected.
+    #[must_use]
     pub fn all_linked(&self) -> bool {
         self.sessions.iter().all(|s| s.member.is_connected())
     }
 
     /// Who may act for a task now.
+    #[must_use]
     pub fn holders(&self, task: &str) -> Vec<usize> {
         let now = self.now();
         let may = |s: &Session| s.member.may_act(now, task, 0.0).is_some();
@@ -86,10 +92,12 @@
     }
 
     /// How often anybody was told that it holds something.
+    #[must_use]
     pub fn grants(&self) -> u64 {
         self.sessions.iter().map(|s| s.grants).sum()
     }
 
+    /// Stops a session: it neither reads nor writes, and keeps its link.
     pub fn stop(&mut self, n: usize) {
         self.stopped[n] = true;
     }
--- a/testbed/src/fleet/task_log.rs
+++ b/testbed/src/fleet/task_log.rs
@@ -13,17 +13,24 @@
 use std::time::{Duration, Instant};
 
 /// Periods of a task that are remembered.
-const PERIODS_MOST: usize = 10_000;
+const MAX_PERIODS: usize = 10_000;
 
 /// One line of `acts.jsonl`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ActLine {
+    /// The task.
     pub task: String,
+    /// The fencing token of the call.
     pub token: u64,
+    /// Who made the call.
     pub holder: String,
+    /// When it began (milliseconds).
     pub begin_ms: u64,
+    /// When it ended (milliseconds).
     pub end_ms: u64,
+    /// It was carried out.
     pub accepted: bool,
+    /// The period that it was for.
     pub period: u64,
 }
 
@@ -34,7 +41,7 @@
     done: BTreeSet<u64>,
 }
 
-struct Site {
+struct Resource {
     start: Instant,
     work: Duration,
     tasks: Mutex<HashMap<String, Task>>,
@@ -42,12 +49,15 @@
     fenced: bool,
 }
 
-/// Starts it; where it listens. Without `fenced` it takes every token: the counter-proof.
+/// Starts it; where it listens. Without `fenced` it accepts every token: the counter-proof.
+///
+/// # Errors
+/// There is no free port, or the log can't be written.
 pub fn start(path: &Path, work_ms: u64, fenced: bool) -> Result<SocketAddr, TestbedError> {
-    let door = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("acts"))?;
-    let address = door.local_addr().map_err(TestbedError::component("acts"))?;
+    let listener = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("acts"))?;
+    let address = listener.local_addr().map_err(TestbedError::component("acts"))?;
     let file = std::fs::File::create(path).map_err(TestbedError::file(path))?;
-    let site = Arc::new(Site {
+    let resource = Arc::new(Resource {
         start: Instant::now(),
         work: Duration::from_millis(work_ms),
         tasks: Mutex::default(),
@@ -55,15 +65,15 @@
         fenced,
     });
     thread::spawn(move || {
-        for stream in door.incoming().map_while(Result::ok) {
-            let site = site.clone();
-            thread::spawn(move || site.serve(&stream));
+        for stream in listener.incoming().map_while(Result::ok) {
+            let resource = resource.clone();
+            thread::spawn(move || resource.serve(&stream));
         }
     });
     Ok(address)
 }
 
-impl Site {
+impl Resource {
     fn serve(&self, mut stream: &TcpStream) {
         let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
         let mut fields = HashMap::new();
@@ -113,7 +123,7 @@
             let last = !self.fenced || known.highest == token;
             if last {
                 known.done.insert(period);
-                if known.done.len() > PERIODS_MOST {
+                if known.done.len() > MAX_PERIODS {
                     known.done.pop_first();
                 }
             }
@@ -139,14 +149,16 @@
     }
 }
 
-/// All acts so far.
+/// All calls so far.
+#[must_use]
 pub fn read(path: &Path) -> Vec<ActLine> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
 }
 
-/// What is wrong with these acts: accepted ones overlap, a token goes down, a period is acted twice.
-pub fn judge(acts: &[ActLine]) -> Vec<String> {
+/// What is wrong with these calls: accepted ones overlap, a token goes down, a period is carried out twice.
+#[must_use]
+pub fn find_violations(acts: &[ActLine]) -> Vec<String> {
     let mut wrong = Vec::new();
     let mut by_task: HashMap<&str, Vec<&ActLine>> = HashMap::new();
     acts.iter().filter(|a| a.accepted).for_each(|a| by_task.entry(&a.task).or_default().push(a));
--- a/testbed/src/fleet/task_log/tests.rs
+++ b/testbed/src/fleet/task_log/tests.rs
@@ -11,13 +11,13 @@
         accepted: true,
         period,
     };
-    assert!(judge(&[act(1, 0, 10, 1), act(1, 10, 20, 2), act(3, 20, 30, 3)]).is_empty());
+    assert!(find_violations(&[act(1, 0, 10, 1), act(1, 10, 20, 2), act(3, 20, 30, 3)]).is_empty());
     for (acts, kind) in [
         ([act(1, 0, 10, 1), act(2, 9, 20, 2)], "overlap"),
         ([act(2, 0, 10, 1), act(1, 10, 20, 2)], "goes down"),
         ([act(1, 0, 10, 2), act(2, 10, 20, 2)], "comes in the period"),
     ] {
-        let wrong = judge(&acts);
+        let wrong = find_violations(&acts);
         assert!(wrong.len() == 1 && wrong[0].contains(kind), "{wrong:?}");
     }
 }
--- a/testbed/src/fleet/virtual_fleet/event_loop.rs
+++ b/testbed/src/fleet/virtual_fleet/event_loop.rs
@@ -103,7 +103,7 @@
 
     fn tick_coordinator(&mut self, coordinator: usize, incarnation: u64) {
         if self.coordinators[coordinator].incarnation == incarnation {
-            self.with_coordinator(coordinator, |machine, now| machine.tick(now));
+            self.with_coordinator(coordinator, fleet_coordinator::coordinator::Coordinator::tick);
             self.connect_peers(coordinator);
             let next = self.now + COORDINATOR_TICK_S;
             self.schedule(next, Event::TickCoordinator { coordinator, incarnation });
--- a/testbed/src/fleet/virtual_fleet/network.rs
+++ b/testbed/src/fleet/virtual_fleet/network.rs
@@ -51,7 +51,7 @@
         let node = self.worker_node(worker);
         let runs = self.coordinators[coordinator].machine.is_some();
         if !runs || self.is_cut(node, coordinator) || self.is_cut(coordinator, node) {
-            return self.with_worker(worker, |member, now| member.disconnected(now));
+            return self.with_worker(worker, port_worker::fleet::FleetMember::disconnected);
         }
         self.workers[worker].link = Some(Link { number: link, coordinator });
         let state = WorkerLink { worker, up: LinkDirection::default(), down: LinkDirection::default() };
@@ -64,7 +64,7 @@
     pub fn break_link(&mut self, worker: usize, link: u64) {
         if self.workers[worker].is_linked_by(link) {
             self.close_link(worker, link);
-            self.with_worker(worker, |member, now| member.disconnected(now));
+            self.with_worker(worker, port_worker::fleet::FleetMember::disconnected);
         }
     }
 
@@ -135,7 +135,7 @@
             unreadable = machine.receive(now, number, &bytes[LENGTH_BYTES..]).is_err();
         });
         if unreadable {
-            self.violation("a coordinator could not read a worker's frame".to_owned());
+            self.violation("a coordinator could not read a worker's frame");
         }
     }
 
--- a/testbed/src/fleet/virtual_fleet/review.rs
+++ b/testbed/src/fleet/virtual_fleet/review.rs
@@ -17,7 +17,7 @@
 
 impl World {
     /// Notes that a guarantee was broken; the run ends.
-    pub fn violation(&mut self, what: String) {
+    pub fn violation(&mut self, what: &str) {
         let at = self.now;
         self.verdict.violations.push(format!("{at:.3} s: {what}"));
     }
@@ -28,7 +28,7 @@
             let quiet = self.now - self.tasks[task].last_done;
             if quiet > MAX_QUIET_S {
                 let name = task_name(task);
-                self.violation(format!("{name}: nobody has acted for {quiet:.1} s after the faults"));
+                self.violation(&format!("{name}: nobody has acted for {quiet:.1} s after the faults"));
             }
         }
     }
@@ -67,7 +67,7 @@
             }
         }
         if let Some(found) = found {
-            self.violation(found);
+            self.violation(&found);
         }
     }
 
@@ -94,7 +94,7 @@
             return self.schedule(answered_at, Event::CallEnded { worker, incarnation, task, outcome });
         }
         if let Some(RunningCall { token: other_token, worker: other }) = record.running {
-            return self.violation(format!(
+            return self.violation(&format!(
                 "{}: w{worker} acts under {token} while w{other} does under {other_token}",
                 task_name(task)
             ));
@@ -121,7 +121,7 @@
             record.done.pop_first();
         }
         if call.period < before && !is_idempotent(call.task) || token < token_before {
-            return self.violation(format!(
+            return self.violation(&format!(
                 "{}: period {} under {token} after {before} under {token_before}",
                 task_name(call.task),
                 call.period
--- a/testbed/src/floods.rs
+++ b/testbed/src/floods.rs
@@ -10,11 +10,15 @@
 use std::time::{Duration, Instant};
 
 /// Before a closed connection is opened anew.
-const AGAIN: Duration = Duration::from_millis(10);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(10);
 /// How long a flooder waits for room to write before it looks whether the play is over.
-const STUCK: Duration = Duration::from_millis(20);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(20);
+/// An indexed field (RFC 7541, section 6.1): the first entry of the connection's own table.
+const FIRST_OWN_ENTRY: u8 = 0x80 + 62;
 /// Bytes that are written at a time.
 const PIECE: usize = 16 * 1024;
+/// Bytes that are read at a time.
+const READ_BYTES: usize = 64 * 1024;
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 // Frame types of RFC 9113, section 6; PRIORITY is that of RFC 7540.
@@ -35,13 +39,17 @@
 pub enum Flood {
     /// Streams that are opened and reset.
     Resets,
+    /// SETTINGS frames.
     Settings,
+    /// PING frames.
     Pings,
     /// Pings whose answers are never read.
     UnreadPings,
     /// DATA without a byte, on one stream that never ends.
     EmptyData,
+    /// PRIORITY frames.
     Priorities,
+    /// `WINDOW_UPDATE` frames.
     WindowUpdates,
     /// One header block that never ends.
     Continuations,
@@ -58,7 +66,9 @@
 /// What a flood came to.
 #[derive(Clone, Debug, Default)]
 pub struct Flooded {
+    /// Connections that were opened.
     pub connections: u64,
+    /// Bytes that were written.
     pub bytes: u64,
     /// Connections that the worker ended.
     pub ended: u64,
@@ -78,10 +88,16 @@
             while !over.load(Ordering::Relaxed) {
                 if let Ok(stream) = TcpStream::connect(to) {
                     came_to.connections += 1;
-                    let ended = Flooder { stream, over: &over, bytes: &mut came_to.bytes }.run(flood, number);
+                    let ended = Flooder {
+                        stream,
+                        over: &over,
+                        bytes: &mut came_to.bytes,
+                        unread: vec![0; READ_BYTES],
+                    }
+                    .run(flood, number);
                     came_to.ended += u64::from(ended.is_err());
                 }
-                thread::sleep(AGAIN);
+                thread::sleep(RECONNECT_PAUSE);
             }
             came_to
         };
@@ -94,14 +110,16 @@
     stream: TcpStream,
     over: &'a AtomicBool,
     bytes: &'a mut u64,
+    /// Where what the worker sends goes.
+    unread: Vec<u8>,
 }
 
 impl Flooder<'_> {
     /// `Ok` when the play is over, an error when the worker has closed the connection.
     fn run(&mut self, flood: Flood, number: usize) -> std::io::Result<()> {
         self.stream.set_nodelay(true)?;
-        self.stream.set_write_timeout(Some(STUCK))?;
-        self.stream.set_read_timeout(Some(STUCK))?;
+        self.stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
+        self.stream.set_read_timeout(Some(WRITE_TIMEOUT))?;
         if flood == Flood::Silence {
             if number % 2 == 0 {
                 self.write(&hello(0xffff))?;
@@ -142,9 +160,9 @@
         Ok(())
     }
 
-    /// Drops what the worker has said.
+    /// Drops what the worker has sent.
     fn read_once(&mut self) -> std::io::Result<()> {
-        match self.stream.read(&mut [0; 64 * 1024]) {
+        match self.stream.read(&mut self.unread) {
             Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => Ok(()),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(()),
@@ -220,7 +238,7 @@
         Flood::Continuations => frame(CONTINUATION, 0, 1, &literal("x-more", "y", false)),
         Flood::HeaderBombs => {
             // The table's first own entry, over and over.
-            let block = [head("GET", "/check"), vec![0x80 | 62; PIECE - 100]].concat();
+            let block = [head("GET", "/check"), vec![FIRST_OWN_ENTRY; PIECE - 100]].concat();
             frame(HEADERS, END_HEADERS | END_STREAM, 2 * n + 3, &block)
         }
         Flood::LongHeaders => {
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -14,41 +14,56 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
 
-/// How often a limit is looked at (seconds).
+/// How often a limit is reviewed (seconds).
 const TICK_S: f64 = 0.025;
-/// What all of them may set (slots).
-const MOST: usize = 96;
+/// The highest limit that any of them may set (slots).
+const MAX_SLOTS: usize = 96;
+
+/// Whether work waits for the limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Demand {
+    /// More work waits than the limit lets run.
+    Saturating,
+    /// Little work comes, and the limit holds nothing back.
+    Low,
+}
 
 /// A way to set the limit.
 pub trait Limit {
-    fn advance(&mut self, dt: f64, on_cores: usize, bound: bool);
-    fn ended(&mut self, class: usize, length: f64);
-    fn look(&mut self, now: f64, on_cores: usize);
+    /// So much time has passed (seconds) with these runs on the cores.
+    fn advance(&mut self, dt: f64, on_cores: usize, demand: Demand);
+    /// A run has ended after so long (seconds).
+    fn run_ended(&mut self, class: usize, length: f64);
+    /// Evaluates the limit, which some ways do at intervals alone.
+    fn review(&mut self, now: f64, on_cores: usize);
+    /// The limit (runs).
     fn limit(&self) -> usize;
 }
 
+/// A limit that never changes.
 struct Fixed(usize);
 
 impl Limit for Fixed {
-    fn advance(&mut self, _: f64, _: usize, _: bool) {}
-    fn ended(&mut self, _: usize, _: f64) {}
-    fn look(&mut self, _: f64, _: usize) {}
+    fn advance(&mut self, _: f64, _: usize, _: Demand) {}
+    fn run_ended(&mut self, _: usize, _: f64) {}
+    fn review(&mut self, _: f64, _: usize) {}
     fn limit(&self) -> usize {
         self.0
     }
 }
 
+/// The worker's own limit.
 struct Own(SlotLimit);
 
 impl Limit for Own {
-    fn advance(&mut self, dt: f64, on_cores: usize, bound: bool) {
-        self.0.advance(dt, on_cores, bound);
+    fn advance(&mut self, dt: f64, on_cores: usize, demand: Demand) {
+        self.0.advance(dt, on_cores, demand == Demand::Saturating);
     }
-    fn ended(&mut self, class: usize, length: f64) {
+    fn run_ended(&mut self, class: usize, length: f64) {
         self.0.run_ended(class, length);
     }
-    fn look(&mut self, _: f64, on_cores: usize) {
-        self.0.review(on_cores, MOST);
+    fn review(&mut self, _: f64, on_cores: usize) {
+        self.0.review(on_cores, MAX_SLOTS);
     }
     fn limit(&self) -> usize {
         self.0.slots()
@@ -58,7 +73,7 @@
 /// Peak rate over 10 s times least time over 10 s, with gains of 1.25, 0.75 and six times 1 in turn, and a rest at the
 /// least limit for 0.2 s where the least time is 10 s old.
 struct Bbr {
-    least: usize,
+    min_slots: usize,
     now: f64,
     bins: VecDeque<(f64, f64)>,
     bin: (f64, f64),
@@ -69,17 +84,17 @@
 }
 
 impl Limit for Bbr {
-    fn advance(&mut self, dt: f64, _: usize, _: bool) {
+    fn advance(&mut self, dt: f64, _: usize, _: Demand) {
         self.now += dt;
         self.bin.0 += dt;
     }
-    fn ended(&mut self, _: usize, length: f64) {
+    fn run_ended(&mut self, _: usize, length: f64) {
         self.bin.1 += 1.0;
         if length <= self.shortest.0 {
             self.shortest = (length, self.now);
         }
     }
-    fn look(&mut self, now: f64, _: usize) {
+    fn review(&mut self, now: f64, _: usize) {
         if self.bin.0 < 0.5 {
             return;
         }
@@ -94,9 +109,9 @@
         let rate = self.bins.iter().map(|b| b.1).fold(0.0, f64::max);
         let product = if self.shortest.0.is_finite() { rate * self.shortest.0 * gain } else { 0.0 };
         self.limit = if now < self.rest_until {
-            self.least
+            self.min_slots
         } else {
-            (product.ceil() as usize).clamp(self.least, MOST)
+            (product.ceil() as usize).clamp(self.min_slots, MAX_SLOTS)
         };
     }
     fn limit(&self) -> usize {
@@ -107,25 +122,25 @@
 /// Queue = limit x (1 - least / time): up by log10 of the limit under 3 of those, down by it over 6, a doubling of the
 /// step under one; the least time is taken anew now and then.
 struct Vegas {
-    least: usize,
+    min_slots: usize,
     limit: f64,
     shortest: f64,
     ends: u32,
-    bound: bool,
+    limited: bool,
 }
 
 impl Limit for Vegas {
-    fn advance(&mut self, _: f64, on_cores: usize, _: bool) {
-        self.bound = on_cores as f64 * 2.0 >= self.limit;
+    fn advance(&mut self, _: f64, on_cores: usize, _: Demand) {
+        self.limited = on_cores as f64 * 2.0 >= self.limit;
     }
-    fn ended(&mut self, _: usize, length: f64) {
+    fn run_ended(&mut self, _: usize, length: f64) {
         self.ends += 1;
         // A probe: after 30 times the limit's ends the next time is the new least.
         if f64::from(self.ends) > 30.0 * self.limit {
             (self.shortest, self.ends) = (length, 0);
         }
         self.shortest = self.shortest.min(length);
-        if !self.bound {
+        if !self.limited {
             return;
         }
         let step = self.limit.log10().max(1.0);
@@ -137,9 +152,9 @@
         } else if queue > 6.0 * step {
             self.limit -= step;
         }
-        self.limit = self.limit.clamp(self.least as f64, MOST as f64);
+        self.limit = self.limit.clamp(self.min_slots as f64, MAX_SLOTS as f64);
     }
-    fn look(&mut self, _: f64, _: usize) {}
+    fn review(&mut self, _: f64, _: usize) {}
     fn limit(&self) -> usize {
         self.limit as usize
     }
@@ -148,31 +163,31 @@
 /// Gradient = 1.5 x long mean (600 ends) over the time, within 0.5 and 1; limit = 0.8 x limit + 0.2 x (limit x gradient
 /// + 4).
 struct Gradient2 {
-    least: usize,
+    min_slots: usize,
     limit: f64,
     long: f64,
     ends: f64,
-    bound: bool,
+    limited: bool,
 }
 
 impl Limit for Gradient2 {
-    fn advance(&mut self, _: f64, on_cores: usize, _: bool) {
-        self.bound = on_cores as f64 * 2.0 >= self.limit;
+    fn advance(&mut self, _: f64, on_cores: usize, _: Demand) {
+        self.limited = on_cores as f64 * 2.0 >= self.limit;
     }
-    fn ended(&mut self, _: usize, length: f64) {
+    fn run_ended(&mut self, _: usize, length: f64) {
         self.ends += 1.0;
         let weight = if self.ends < 10.0 { 1.0 / self.ends } else { 2.0 / 601.0 };
         self.long += (length - self.long) * weight;
         if self.long / length > 2.0 {
             self.long *= 0.95;
         }
-        if self.bound {
+        if self.limited {
             let gradient = (1.5 * self.long / length).clamp(0.5, 1.0);
             let next = self.limit * gradient + 4.0;
-            self.limit = (self.limit * 0.8 + next * 0.2).clamp(self.least as f64, MOST as f64);
+            self.limit = (self.limit * 0.8 + next * 0.2).clamp(self.min_slots as f64, MAX_SLOTS as f64);
         }
     }
-    fn look(&mut self, _: f64, _: usize) {}
+    fn review(&mut self, _: f64, _: usize) {}
     fn limit(&self) -> usize {
         self.limit as usize
     }
@@ -187,7 +202,7 @@
     measuring: bool,
     measured_at: f64,
     lengths: Vec<f64>,
-    looked: f64,
+    reviewed: f64,
 }
 
 impl Envoy {
@@ -199,11 +214,11 @@
 }
 
 impl Limit for Envoy {
-    fn advance(&mut self, _: f64, _: usize, _: bool) {}
-    fn ended(&mut self, _: usize, length: f64) {
+    fn advance(&mut self, _: f64, _: usize, _: Demand) {}
+    fn run_ended(&mut self, _: usize, length: f64) {
         self.lengths.push(length);
     }
-    fn look(&mut self, now: f64, _: usize) {
+    fn review(&mut self, now: f64, _: usize) {
         if self.measuring {
             if self.lengths.len() >= 50 {
                 self.least_s = self.percentile();
@@ -213,14 +228,14 @@
         } else if now - self.measured_at >= 60.0 {
             (self.before, self.limit, self.measuring) = (self.limit, 3.0, true);
             self.lengths.clear();
-        } else if now - self.looked >= 0.1 {
-            self.looked = now;
+        } else if now - self.reviewed >= 0.1 {
+            self.reviewed = now;
             if self.lengths.is_empty() {
                 return;
             }
             let gradient = (self.least_s * 1.25 / self.percentile().max(1e-6)).clamp(0.5, 2.0);
             let next = self.limit * gradient;
-            self.limit = (next + next.sqrt()).clamp(3.0, MOST as f64);
+            self.limit = (next + next.sqrt()).clamp(3.0, MAX_SLOTS as f64);
             self.lengths.clear();
         }
     }
@@ -229,13 +244,13 @@
     }
 }
 
-const WAYS: [&str; 6] = ["fixed", "bbr", "vegas", "gradient2", "envoy", "pools"];
+const LIMITS: [&str; 6] = ["fixed", "bbr", "vegas", "gradient2", "envoy", "pools"];
 
-fn way(name: &str, least: usize) -> Box<dyn Limit> {
+fn new_limit(name: &str, least: usize) -> Box<dyn Limit> {
     let start = least as f64;
     match name {
         "bbr" => Box::new(Bbr {
-            least,
+            min_slots: least,
             now: 0.0,
             bins: VecDeque::new(),
             bin: (0.0, 0.0),
@@ -244,8 +259,16 @@
             phase: 0,
             limit: least,
         }),
-        "vegas" => Box::new(Vegas { least, limit: start, shortest: f64::INFINITY, ends: 0, bound: false }),
-        "gradient2" => Box::new(Gradient2 { least, limit: start, long: 0.0, ends: 0.0, bound: false }),
+        "vegas" => Box::new(Vegas {
+            min_slots: least,
+            limit: start,
+            shortest: f64::INFINITY,
+            ends: 0,
+            limited: false,
+        }),
+        "gradient2" => {
+            Box::new(Gradient2 { min_slots: least, limit: start, long: 0.0, ends: 0.0, limited: false })
+        }
         "envoy" => Box::new(Envoy {
             limit: 3.0,
             before: start,
@@ -253,12 +276,12 @@
             measuring: true,
             measured_at: 0.0,
             lengths: Vec::new(),
-            looked: 0.0,
+            reviewed: 0.0,
         }),
         "pools" => {
             let bounds = LimitSettings {
                 min_slots: least,
-                max_slots: MOST,
+                max_slots: MAX_SLOTS,
                 window_s: 10.0,
                 review_s: 0.5,
                 min_samples: 16.0,
@@ -281,19 +304,19 @@
     length_s: f64,
 }
 
-/// What one loop came to.
+/// What came of one loop.
 #[derive(Default)]
-struct Loop {
+struct LoopResult {
     /// Work done over what the cores can do at most, without a crowd.
     throughput: f64,
     mean_limit: f64,
     /// Runs a core, the highest mean of 3 s.
     crowd: f64,
     /// After the end of the slow time: how long until the throughput of a second is nine tenths of the most.
-    back_s: f64,
+    recovery_s: f64,
 }
 
-fn play(scenario: &Scenario, name: &str, seed: u64) -> Loop {
+fn play(scenario: &Scenario, name: &str, seed: u64) -> LoopResult {
     let model = ExecutorModel {
         cores: scenario.cores,
         speed: 1.0,
@@ -311,7 +334,7 @@
     let mut executor = Executor::new(model, slows);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let spread = (1.0f64 + 0.49).ln().sqrt();
-    let mut limit = way(name, 6);
+    let mut limit = new_limit(name, 6);
     let mut open: BTreeMap<String, (usize, f64, f64)> = BTreeMap::new();
     let (mut now, mut number, mut done, mut best, mut limits) = (0.0, 0u64, 0.0, 0.0, (0.0, 0.0));
     let mut seconds: BTreeMap<u64, f64> = BTreeMap::new();
@@ -333,15 +356,16 @@
         for (at, notice) in executor.advance(now) {
             let Notice::Exit { job: id, .. } = notice else { continue };
             let Some((class, started, work_s)) = open.remove(&id) else { continue };
-            limit.ended(class, at - started);
+            limit.run_ended(class, at - started);
             *seconds.entry(now as u64).or_default() += work_s;
             if !calm {
                 done += work_s;
             }
         }
-        limit.advance(TICK_S / 16.0, on_cores, !calm);
+        let demand = if calm { Demand::Low } else { Demand::Saturating };
+        limit.advance(TICK_S / 16.0, on_cores, demand);
         if number > 0 && ((now / TICK_S) as u64) != (((now - TICK_S / 16.0) / TICK_S) as u64) {
-            limit.look(now, executor.on_cores());
+            limit.review(now, executor.on_cores());
         }
         if !calm {
             let slow = scenario.slow.iter().find(|(at, for_s, _)| (*at..at + for_s).contains(&now));
@@ -354,15 +378,16 @@
     let from = scenario.slow.map_or(0.0, |(at, for_s, _)| at + for_s);
     let good = |second: &u64| seconds.get(second).copied().unwrap_or(0.0) >= 0.9 * f64::from(scenario.cores);
     let back = (from as u64..scenario.length_s as u64).find(good);
-    Loop {
+    LoopResult {
         throughput: done / best,
         mean_limit: limits.0 / f64::max(limits.1, 1.0),
         crowd: executor.crowd_mean(3.0),
-        back_s: back.map_or(f64::INFINITY, |s| s as f64 + 1.0 - from),
+        recovery_s: back.map_or(f64::INFINITY, |s| s as f64 + 1.0 - from),
     }
 }
 
 /// A table of all ways in all scenarios over so many seeds, with intervals of 95%.
+#[must_use]
 pub fn compare(seeds: u64) -> String {
     let scenario =
         |name, cores, work_s, slow, calm, length_s| Scenario { name, cores, work_s, slow, calm, length_s };
@@ -379,12 +404,13 @@
         "| scenario | limit | throughput | mean limit | crowd a core | back after s |\n| --- | --- | --- | --- | --- | --- |\n",
     );
     for s in &scenarios {
-        for name in WAYS {
-            let loops: Vec<Loop> = (1..=seeds).map(|seed| play(s, name, seed)).collect();
-            let mean = |of: fn(&Loop) -> f64| interval(&loops.iter().map(of).collect::<Vec<_>>());
+        for name in LIMITS {
+            let loops: Vec<LoopResult> = (1..=seeds).map(|seed| play(s, name, seed)).collect();
+            let mean = |of: fn(&LoopResult) -> f64| interval(&loops.iter().map(of).collect::<Vec<_>>());
             let ((t, th), (l, lh), (c, _)) =
                 (mean(|x| x.throughput), mean(|x| x.mean_limit), mean(|x| x.crowd));
-            let back = if s.slow.is_some() { format!("{:.1}", mean(|x| x.back_s).0) } else { "-".to_owned() };
+            let back =
+                if s.slow.is_some() { format!("{:.1}", mean(|x| x.recovery_s).0) } else { "-".to_owned() };
             let _ = writeln!(
                 text,
                 "| {} | {name} | {t:.3} +- {th:.3} | {l:.1} +- {lh:.1} | {c:.2} | {back} |",
--- a/testbed/src/loopback/attempt.rs
+++ b/testbed/src/loopback/attempt.rs
@@ -40,6 +40,7 @@
 }
 
 /// The platform's header fields of one attempt; the first has the number 1.
+#[must_use]
 pub fn platform_fields(
     request: &PlannedRequest,
     class: &ClassModel,
@@ -65,3 +66,15 @@
     }
     fields
 }
+
+/// The same as lines of HTTP/1.1, each with its line end.
+#[must_use]
+pub fn platform_header_lines(
+    request: &PlannedRequest,
+    class: &ClassModel,
+    attempt: u32,
+    left_s: f64,
+) -> String {
+    let fields = platform_fields(request, class, attempt, left_s);
+    fields.iter().fold(String::new(), |lines, (name, value)| lines + name + ": " + value + "\r\n")
+}
--- a/testbed/src/loopback/executor_server.rs
+++ b/testbed/src/loopback/executor_server.rs
@@ -124,7 +124,9 @@
                 self.send(&json!({"type": "WELCOME", "state": state, "took": took}).to_string());
                 let after = command["n"].as_u64().unwrap_or(0) as usize;
                 let missed: Vec<String> = self.notices.iter().skip(after).cloned().collect();
-                missed.iter().for_each(|line| self.send(line));
+                for line in &missed {
+                    self.send(line);
+                }
             }
             "EXEC" => {
                 let body = STANDARD.decode(command["data"].as_str().unwrap_or("")).unwrap_or_default();
--- a/testbed/src/loopback/http1_callers.rs
+++ b/testbed/src/loopback/http1_callers.rs
@@ -1,6 +1,6 @@
 //! Callers over HTTP/1.1: a thread for each request in flight.
 
-use super::attempt::{platform_fields, time_left_s, AttemptResponse, RESPONSE_GRACE_S};
+use super::attempt::{platform_header_lines, time_left_s, AttemptResponse, RESPONSE_GRACE_S};
 use super::http1_message::{header, read_message};
 use super::{Clock, RequestEnds};
 use crate::callers::{next_retry, PlannedRequest};
@@ -125,10 +125,7 @@
 
 fn request_bytes(request: &PlannedRequest, class: &ClassModel, attempt: u32, left_s: f64) -> Vec<u8> {
     let body = request.work.body();
-    let fields: String = platform_fields(request, class, attempt, left_s)
-        .into_iter()
-        .map(|(name, value)| format!("{name}: {value}\r\n"))
-        .collect();
+    let fields = platform_header_lines(request, class, attempt, left_s);
     let head = format!(
         "POST /do/{} HTTP/1.1\r\nHost: lab\r\n{fields}Content-Length: {}\r\n\r\n",
         class.name,
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -13,7 +13,7 @@
 mod records_server;
 mod worker_process;
 
-pub use attempt::platform_fields;
+pub use attempt::platform_header_lines;
 pub use clock::Clock;
 pub use executor_server::serve_executor;
 pub use http1_message::read_message;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,6 +1,6 @@
-//! The lab's command line.
+//! The command line.
 
-use clap::{Parser, Subcommand};
+use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,11 +19,11 @@
 #[command(name = "testbed", about = "Plays experiments on honeypost")]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    subcommand: Subcommand,
 }
 
-#[derive(Subcommand)]
-enum What {
+#[derive(clap::Subcommand)]
+enum Subcommand {
     /// Plays an experiment on loopback, with a real worker.
     Run {
         file: PathBuf,
@@ -107,7 +107,8 @@
         programs: PathBuf,
     },
     /// Plays the same requests to a worker with `[fleet]` and without, while its coordinators are well, dead or flapping.
-    FleetHarm {
+    #[command(alias = "fleet-harm")]
+    FleetOverhead {
         #[arg(long, default_value_t = 6)]
         seeds: u64,
         #[arg(long, default_value_t = 6.0)]
@@ -115,7 +116,7 @@
         /// Coordinators that are well, and no console: for the processor time alone.
         #[arg(long)]
         well_alone: bool,
-        #[arg(long, default_value = "target/fleet-harm")]
+        #[arg(long, default_value = "target/fleet-overhead")]
         folder: PathBuf,
         #[arg(long, default_value = "target/release")]
         programs: PathBuf,
@@ -150,10 +151,10 @@
 
 /// `true` if all that the experiment expects holds.
 fn start() -> Result<bool, TestbedError> {
-    let (file, worker, json, seeds) = match Arguments::parse().what {
-        What::Run { file, worker, json, seeds } => (file, Some(worker), json, seeds),
-        What::Sim { file, json, seeds } => (file, None, json, seeds),
-        What::Fleet { file, folder, for_s, programs } => {
+    let (file, worker, json, seeds) = match Arguments::parse().subcommand {
+        Subcommand::Run { file, worker, json, seeds } => (file, Some(worker), json, seeds),
+        Subcommand::Sim { file, json, seeds } => (file, None, json, seeds),
+        Subcommand::Fleet { file, folder, for_s, programs } => {
             let file = FleetFile::read(&file)?;
             let programs = Programs::beside(&programs)?;
             let over = Arc::new(AtomicBool::new(false));
@@ -169,23 +170,23 @@
             rig::serve(file, &folder, programs, &over)?;
             return Ok(true);
         }
-        What::Fault { folder, words } => return rig::ask_fault(&folder, &words).map(|()| true),
-        What::Campaign { from, seeds, coordinators, workers } => {
+        Subcommand::Fault { folder, words } => return rig::ask_fault(&folder, &words).map(|()| true),
+        Subcommand::Campaign { from, seeds, coordinators, workers } => {
             let shape = Shape { coordinators, workers, ..Shape::default() };
             let summary = virtual_fleet::campaign(&shape, from, seeds);
             println!("{}", summary.text);
             return Ok(summary.passed);
         }
-        What::ProcessCampaign { from, for_s, faults_s, beside, folder, programs } => {
+        Subcommand::ProcessCampaign { from, for_s, faults_s, beside, folder, programs } => {
             let programs = Programs::beside(&programs)?;
             let (text, good) = process_campaign::campaign(&folder, &programs, from, for_s, faults_s, beside)?;
             println!("{text}");
             return Ok(good);
         }
-        What::FleetCost { takeovers, sessions, for_s, takers, folder, programs } => {
+        Subcommand::FleetCost { takeovers, sessions, for_s, takers, folder, programs } => {
             let programs = Programs::beside(&programs)?;
             if !sessions.is_empty() {
-                println!("{}", fleet_cost::sessions(&folder, programs.clone(), &sessions, for_s)?);
+                println!("{}", fleet_cost::sessions(&folder, &programs, &sessions, for_s)?);
             }
             if takers > 0 {
                 let grants = fleet_cost::grants(&folder.join("grants"), programs.clone(), takers, for_s)?;
@@ -197,18 +198,18 @@
             println!("{}", fleet_cost::takeovers(&folder.join("takeovers"), programs, takeovers)?);
             return Ok(true);
         }
-        What::FleetHarm { seeds, length_s, well_alone, folder, programs } => {
+        Subcommand::FleetOverhead { seeds, length_s, well_alone, folder, programs } => {
             let programs = Programs::beside(&programs)?;
             println!("{}", overhead::compare(&folder, programs, seeds, length_s, well_alone)?);
             return Ok(true);
         }
-        What::Storm { workers, seeds } => {
+        Subcommand::Storm { workers, seeds } => {
             let modes =
                 [FleetMode::Alone, FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen];
             println!("{}", overload_storm::compare(workers, seeds, &modes)?);
             return Ok(true);
         }
-        What::Limits { seeds } => {
+        Subcommand::Limits { seeds } => {
             println!("{}", limits::compare(seeds));
             return Ok(true);
         }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -211,6 +211,7 @@
 }
 
 /// Mean and half-width of a 95% interval (t, two-sided) over seeds; infinitely wide for one seed.
+#[must_use]
 pub fn interval(values: &[f64]) -> (f64, f64) {
     // Quantiles of Student's t for 1 to 10 degrees of freedom; beyond, the normal one is near enough.
     const T: [f64; 10] = [12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
@@ -242,6 +243,7 @@
 }
 
 /// The bounds of an experiment, a line each, and whether all hold. A mean over all seeds is held against them.
+#[must_use]
 pub fn verdict(experiment: &Experiment, plays: &[Play]) -> (String, bool) {
     let (mut text, mut good) = (String::new(), true);
     for x in &experiment.expect {
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -188,15 +188,15 @@
         }
     }
 
-    fn answered(&mut self, now: f64, ticket: u64, answer: Response) {
+    fn responded(&mut self, now: f64, ticket: u64, response: &Response) {
         let Some((number, tries)) = self.open.remove(&ticket) else { return };
-        let (end, advice) = match answer {
+        let (end, advice) = match response {
             Response::Served(_) => {
                 let degraded = self.degraded.remove(&number).unwrap_or(false);
                 self.ends[number] = Some(RequestEnd::Served { at: now, degraded });
                 return;
             }
-            Response::Rejected { retry_after_s, .. } => (RequestEnd::Rejected, retry_after_s),
+            Response::Rejected { retry_after_s, .. } => (RequestEnd::Rejected, *retry_after_s),
             _ => (RequestEnd::Failed, 0.0),
         };
         // A client that retries has not ended; its end is that of the last attempt.
@@ -210,7 +210,7 @@
         let mut commands = VecDeque::from(commands);
         while let Some(command) = commands.pop_front() {
             match command {
-                Command::Respond(ticket, answer) => self.answered(now, ticket.0, answer),
+                Command::Respond(ticket, response) => self.responded(now, ticket.0, &response),
                 Command::Run { name, body, .. } => {
                     self.executor.start(&name, Work::read(&body));
                 }
--- a/testbed/tests/command_line.rs
+++ b/testbed/tests/command_line.rs
@@ -1,5 +1,6 @@
 //! The command line: help texts, exit statuses, and the lines on stderr.
 
+use std::fmt::Write;
 use std::fs;
 use std::process::{Command, Output};
 
@@ -15,7 +16,7 @@
     "campaign",
     "process-campaign",
     "fleet-cost",
-    "fleet-harm",
+    "fleet-overhead",
     "storm",
     "sim",
 ];
@@ -40,12 +41,20 @@
         let output = run(&arguments);
         assert_eq!(output.status.code(), Some(0), "{arguments:?}");
         assert!(output.stderr.is_empty(), "{arguments:?}");
-        text.push_str(&format!("$ {NAME} {}\n", arguments.join(" ")));
+        let _ = writeln!(text, "$ {NAME} {}", arguments.join(" "));
         text.push_str(std::str::from_utf8(&output.stdout).unwrap());
     }
     assert_eq!(text, include_str!("fixtures/help.txt"));
 }
 
+/// The subcommand's name until the second reading; scripts may still use it.
+#[test]
+fn former_name_of_fleet_overhead_is_an_alias() {
+    let (former, present) = (run(&["fleet-harm", "--help"]), run(&["fleet-overhead", "--help"]));
+    assert_eq!(former.status.code(), Some(0));
+    assert_eq!(former.stdout, present.stdout);
+}
+
 #[test]
 fn missing_argument_is_a_usage_error() {
     let usage = |missing: &str, usage: &str| {
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -8,7 +8,7 @@
 use std::sync::Once;
 use std::time::{Duration, Instant};
 use testbed::fleet::rig::{call, get, FleetFile, Programs, Rig};
-use testbed::fleet::task_log::{judge, ActLine};
+use testbed::fleet::task_log::{find_violations, ActLine};
 
 const FLEET: &str =
     "fleet = \"story\"\ncoordinators = 3\nworkers = 6\nzones = [\"east\", \"west\"]\nwork_ms = 30\n\
@@ -152,7 +152,9 @@
     }
 
     pub fn wait_all(&self, more: usize) {
-        TASKS.iter().for_each(|task| self.wait_acts(task, more));
+        for task in TASKS {
+            self.wait_acts(task, more);
+        }
     }
 
     fn ask(&self, what: &OperatorQuery) -> Option<Value> {
@@ -244,7 +246,7 @@
     /// The judge: accepted acts never overlap, tokens never go down, each period once.
     pub fn judge(&self) {
         let acts = self.rig.acts();
-        let wrong = judge(&acts);
+        let wrong = find_violations(&acts);
         assert!(wrong.is_empty(), "{wrong:#?}\n{}", self.told());
         assert!(acts.iter().filter(|a| a.accepted).count() > 8, "hardly anything was acted");
     }
--- a/testbed/tests/fleet/log_lines.rs
+++ b/testbed/tests/fleet/log_lines.rs
@@ -68,14 +68,16 @@
     fleet.wait("one leader", |_| fleet.status(&leader).filter(|s| s["leads"] == false));
     fleet.wait_acts("report", 2);
     // Workers that shut down give their leases back.
-    workers.iter().for_each(|worker| fleet.rig.terminate(worker).unwrap());
+    for worker in &workers {
+        fleet.rig.terminate(worker).unwrap();
+    }
 
     let worker = masked_lines(&fleet, &workers);
     let coordinator = masked_lines(&fleet, &coordinators);
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(FIXTURE);
     if std::env::var_os(UPDATE_VARIABLE).is_some() {
         let list = |kind: &str, lines: &BTreeSet<String>| {
-            lines.iter().map(|line| format!("{kind} {line}\n")).collect::<String>()
+            lines.iter().fold(String::new(), |text, line| text + kind + " " + line + "\n")
         };
         let text = list("coordinator", &coordinator) + &list("worker", &worker);
         std::fs::write(path, text).unwrap();
--- a/testbed/tests/fleet/stories.rs
+++ b/testbed/tests/fleet/stories.rs
@@ -30,9 +30,9 @@
     fleet.rig.kill(&leader).unwrap();
     fleet.rig.kill(&follower).unwrap();
     // A time to live, and what the call itself may take.
-    std::thread::sleep(Duration::from_millis(2000));
+    std::thread::sleep(Duration::from_secs(2));
     let before = fleet.rig.acts().len();
-    std::thread::sleep(Duration::from_millis(1000));
+    std::thread::sleep(Duration::from_secs(1));
     assert_eq!(fleet.rig.acts().len(), before, "somebody acts without a quorum");
     fleet.all_serve();
     let asked = ask_leader(&fleet.rig.asked(), "story", &OperatorQuery::Leases, Duration::from_millis(300));
@@ -138,8 +138,12 @@
     let mut fleet = Fleet::of_five();
     let leader = fleet.leader();
     let full: Vec<String> = fleet.rig.coordinators().into_iter().filter(|c| *c != leader).take(2).collect();
-    full.iter().for_each(|c| fleet.rig.fill(c, true).unwrap());
-    full.iter().for_each(|c| drop(fleet.wait_standing(c, "aside")));
+    for c in &full {
+        fleet.rig.fill(c, true).unwrap();
+    }
+    for c in &full {
+        drop(fleet.wait_standing(c, "aside"));
+    }
     fleet.wait_all(3);
     fleet.rig.fill(&leader, true).unwrap();
     fleet.wait_standing(&leader, "aside");
@@ -149,7 +153,7 @@
     // Past every time to live: what could be renewed before is over.
     std::thread::sleep(Duration::from_millis(3500));
     let before = fleet.rig.acts().len();
-    std::thread::sleep(Duration::from_millis(1000));
+    std::thread::sleep(Duration::from_secs(1));
     assert_eq!(fleet.rig.acts().len(), before, "somebody acts without a quorum");
     // Room on one of the three is enough.
     fleet.rig.fill(&full[0], false).unwrap();
@@ -206,8 +210,12 @@
     let mut fleet = Fleet::start();
     let before: Vec<u64> = TASKS.iter().map(|t| fleet.accepted(t).pop().unwrap().token).collect();
     let all = fleet.rig.coordinators();
-    all.iter().for_each(|c| fleet.rig.kill(c).unwrap());
-    all.iter().for_each(|c| fleet.rig.start_again(c).unwrap());
+    for c in &all {
+        fleet.rig.kill(c).unwrap();
+    }
+    for c in &all {
+        fleet.rig.start_again(c).unwrap();
+    }
     fleet.wait_all(3);
     for (task, token) in TASKS.iter().zip(before) {
         assert!(fleet.accepted(task).pop().unwrap().token >= token, "{task}: the token went down");
@@ -330,7 +338,9 @@
     let names: Vec<String> = fleet.rig.coordinators().into_iter().chain(fleet.rig.workers()).collect();
     for _ in 0..5 {
         for c in fleet.rig.coordinators() {
-            names.iter().for_each(|name| fleet.rig.reset(name, &c));
+            for name in &names {
+                fleet.rig.reset(name, &c);
+            }
         }
         fleet.wait_acts("refresh", 1);
     }
@@ -392,6 +402,9 @@
     let mut fleet = Fleet::with("", false);
     late_act(&mut fleet);
     fleet.wait("what the judge finds", |rig| {
-        testbed::fleet::task_log::judge(&rig.acts()).iter().any(|w| w.contains("goes down")).then_some(())
+        testbed::fleet::task_log::find_violations(&rig.acts())
+            .iter()
+            .any(|w| w.contains("goes down"))
+            .then_some(())
     });
 }
