--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Whether an AJP frontend answers a CPing.
+/// Whether an AJP frontend answers a `CPing`.
 fn cping(stream: &mut std::net::TcpStream) -> bool {
     let mut answer = [0; 5];
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -76,9 +76,9 @@
 #[test]
 fn operator_frontends_are_handed_off_with_their_sockets() {
     let shared = SharedListener::bind();
-    let (_kept, ajp) = reserve_address();
-    let (_also, http2) = reserve_address();
-    drop((_kept, _also));
+    let (ajp_socket, ajp) = reserve_address();
+    let (http2_socket, http2) = reserve_address();
+    drop((ajp_socket, http2_socket));
     let operator = format!(
         "[ajp]\nlisten = \"{ajp}\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n[http2]\nlisten = \"{http2}\"\n"
     );
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -37,7 +37,7 @@
         wants: 2.0,
         weight: 3.5,
         circuit_open: true,
-        lends: 1.015625,
+        lends: 1.015_625,
     }
 }
 
@@ -52,7 +52,7 @@
         call_share: 0.5,
         circuit_open: true,
         is_prober: true,
-        slice: 0.234375,
+        slice: 0.234_375,
     }
 }
 
--- a/tests/stored_forms/main.rs
+++ b/tests/stored_forms/main.rs
@@ -9,6 +9,8 @@
 mod hand_off;
 mod learned;
 
+use std::fmt::Write;
+
 /// The non-empty lines of a fixture.
 fn fixture_lines(name: &str) -> Vec<String> {
     let path = format!("{}/tests/fixtures/stored_forms/{name}", env!("CARGO_MANIFEST_DIR"));
@@ -24,7 +26,10 @@
 }
 
 fn hex_of(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    bytes.iter().fold(String::new(), |mut hex, byte| {
+        let _ = write!(hex, "{byte:02x}");
+        hex
+    })
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -19,7 +19,7 @@
 
 impl Draws {
     fn unit(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
     fn below(&mut self, n: usize) -> usize {
@@ -73,19 +73,18 @@
     }
 }
 
-/// What the executor and the records service have in hand.
+/// What is in flight at the executor and at the records service.
 #[derive(Default)]
-struct Below {
+struct InFlight {
     running: Vec<RequestId>,
     calling: Vec<RequestId>,
     sharing: Vec<RequestId>,
 }
 
-impl Below {
-    fn obey(&mut self, action: &Action) {
+impl InFlight {
+    fn apply(&mut self, action: &Action) {
         match action {
-            Action::Start(id) => self.running.push(*id),
-            Action::SkipCall(id) => self.running.push(*id),
+            Action::Start(id) | Action::SkipCall(id) => self.running.push(*id),
             Action::Call { id, .. } => self.calling.push(*id),
             Action::ShareResponse(id) => self.sharing.push(*id),
             _ => {}
@@ -106,7 +105,7 @@
 
 /// Plays one trace: a line for each block of steps, with the number of actions and their digest (FNV-1a, 64 bits).
 fn play(seed: u64, set: Settings) -> String {
-    let (mut draws, mut below, mut now) = (Draws(seed), Below::default(), 0.0);
+    let (mut draws, mut in_flight, mut now) = (Draws(seed), InFlight::default(), 0.0);
     let (tenants, mut text) = (set.tenants.len(), String::new());
     let mut out = Vec::new();
     let mut controller = Controller::new(set, now, &mut out);
@@ -118,8 +117,8 @@
         now += draws.unit() * 0.02;
         let event = if now - woken >= 0.025 {
             woken = now;
-            let busy = (below.running.len() as f64 / 6.0).min(1.0);
-            let runnable = (step % 5 > 0).then_some(below.running.len() as f64);
+            let busy = (in_flight.running.len() as f64 / 6.0).min(1.0);
+            let runnable = (step % 5 > 0).then_some(in_flight.running.len() as f64);
             Event::Woken(Gauges { cores_busy: (step % 7 > 0).then_some(busy), runnable, connections: None })
         } else if step == STEPS - 300 {
             Event::Shutdown { ago_s: 0.0, in_s: 3.2 }
@@ -148,18 +147,18 @@
             })
         } else if draws.unit() < 0.02 && id > 0 {
             Event::CallerGone(RequestId(id - draws.below(30.min(id as usize)) as u64))
-        } else if draws.unit() < 0.4 && !below.calling.is_empty() {
-            let id = below.calling.swap_remove(draws.below(below.calling.len()));
+        } else if draws.unit() < 0.4 && !in_flight.calling.is_empty() {
+            let id = in_flight.calling.swap_remove(draws.below(in_flight.calling.len()));
             let outcome = outcome(&mut draws);
             if outcome == Outcome::Ok {
-                below.running.push(id);
+                in_flight.running.push(id);
             }
             Event::CallEnded { id, outcome }
-        } else if draws.unit() < 0.3 && !below.sharing.is_empty() {
-            let id = below.sharing.remove(0);
+        } else if draws.unit() < 0.3 && !in_flight.sharing.is_empty() {
+            let id = in_flight.sharing.remove(0);
             Event::RunEnded { id, outcome: Outcome::Ok }
-        } else if !below.running.is_empty() {
-            let id = below.running.swap_remove(draws.below(below.running.len()));
+        } else if !in_flight.running.is_empty() {
+            let id = in_flight.running.swap_remove(draws.below(in_flight.running.len()));
             if draws.unit() < 0.5 {
                 Event::AtCall(id)
             } else {
@@ -171,7 +170,7 @@
         controller.handle(now, event, &mut out);
         let released = controller.take_released();
         for action in out.drain(..) {
-            below.obey(&action);
+            in_flight.apply(&action);
             count += 1;
             for byte in recorded_form(&action).bytes() {
                 digest = (digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
@@ -201,7 +200,7 @@
     }
 }
 
-fn hold_against(name: &str, seed: u64, set: Settings) {
+fn assert_matches_trace(name: &str, seed: u64, set: Settings) {
     let path = format!("{}/tests/traces/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let played = play(seed, set);
     if std::env::var_os("HONEYPOST_RECORD_TRACES").is_some() {
@@ -216,15 +215,15 @@
 
 #[test]
 fn a_warm_worker_with_calls_decides_as_recorded() {
-    hold_against("calls", 11, settings(5.0, 60.0, Preemption::Never, false));
+    assert_matches_trace("calls", 11, settings(5.0, 60.0, Preemption::Never, false));
 }
 
 #[test]
 fn a_cold_worker_without_marked_retries_decides_as_recorded() {
-    hold_against("cold", 12, settings(0.6, 0.0, Preemption::Never, true));
+    assert_matches_trace("cold", 12, settings(0.6, 0.0, Preemption::Never, true));
 }
 
 #[test]
 fn a_worker_that_can_stop_runs_decides_as_recorded() {
-    hold_against("halting", 13, settings(0.0, 25.0, Preemption::Discard, false));
+    assert_matches_trace("halting", 13, settings(0.0, 25.0, Preemption::Discard, false));
 }
