--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -32,7 +32,7 @@
 }
 
 fn last_act(rig: &Rig) -> (String, u64) {
-    let act = rig.acts().into_iter().rfind(|a| a.accepted);
+    let act = rig.task_calls().into_iter().rfind(|a| a.accepted);
     act.map_or_else(|| (String::new(), 0), |a| (a.holder, a.end_ms))
 }
 
@@ -68,7 +68,7 @@
         })?;
         if kills {
             killed.push(took);
-            rig.start_again(&holder)?;
+            rig.restart(&holder)?;
         } else {
             cut.push(took);
             for c in rig.coordinators() {
@@ -78,7 +78,7 @@
         // The one that came back is in session again before the next.
         std::thread::sleep(Duration::from_millis(1500));
     }
-    let wrong = super::task_log::find_violations(&rig.acts());
+    let wrong = super::task_log::find_violations(&rig.task_calls());
     if !wrong.is_empty() {
         return Err(TestbedError::GuaranteeBroken(wrong));
     }
@@ -237,7 +237,7 @@
     for &count in counts {
         let file = FleetFile::decode("fleet = \"cost\"\ncoordinators = 3\nworkers = 1\n")?;
         let rig = Rig::start(file, &folder.join(format!("sessions-{count}")), programs.clone())?;
-        let all: Vec<SocketAddr> = rig.asked();
+        let all: Vec<SocketAddr> = rig.coordinator_addresses();
         wait("a leader", || {
             matches!(
                 ask_leader(&all, "cost", &OperatorQuery::Leases, Duration::ZERO),
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -46,7 +46,7 @@
         match self {
             State::Well => Ok(()),
             State::Flapping => names.iter().try_for_each(|c| rig.cut("w1", c, false, false)),
-            State::Killed => names.iter().try_for_each(|c| rig.start_again(c)),
+            State::Killed => names.iter().try_for_each(|c| rig.restart(c)),
             State::Stopped => names.iter().try_for_each(|c| rig.resume(c)),
         }
     }
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -2,7 +2,7 @@
 //! calls is reviewed, and a schedule that breaks something is made shorter while it still does.
 
 use super::rig::{get, FleetFile, Programs, Rig};
-use super::task_log::{find_violations, ActLine};
+use super::task_log::{find_violations, TaskCall};
 use crate::error::TestbedError;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -127,7 +127,7 @@
 
     fn end(&self, rig: &mut Rig) -> Result<(), TestbedError> {
         match self {
-            FaultAction::Kill(name) => rig.start_again(name),
+            FaultAction::Kill(name) => rig.restart(name),
             FaultAction::Pause(name) => rig.resume(name),
             FaultAction::Fill(name) => rig.fill(name, false),
             FaultAction::Cut { from, to, .. } => rig.cut(from, to, false, false),
@@ -188,7 +188,7 @@
     /// A line for each guarantee that was broken.
     pub wrong: Vec<String>,
     /// The log of the tasks' calls.
-    pub acts: Vec<ActLine>,
+    pub acts: Vec<TaskCall>,
     /// How long the fleet took, once nothing failed any more (seconds).
     pub recovery_s: f64,
 }
@@ -201,7 +201,7 @@
     let _ = std::fs::remove_dir_all(folder);
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs.clone())?;
     let mut lived = CampaignReport::default();
-    if !acted(&rig, &rig.acts(), 2, RECOVERY) {
+    if !acted(&rig, &rig.task_calls(), 2, RECOVERY) {
         lived.wrong.push("nobody acted before the faults".to_owned());
     }
     let mut steps: Vec<(u64, bool, &Fault)> = Vec::new();
@@ -219,17 +219,17 @@
     let names: Vec<String> = rig.coordinators().into_iter().chain(rig.workers()).collect();
     for name in &names {
         let _ = rig.resume(name);
-        let _ = rig.start_again(name);
+        let _ = rig.restart(name);
         let _ = rig.fill(name, false);
     }
-    let (before, healed) = (rig.acts(), Instant::now());
+    let (before, healed) = (rig.task_calls(), Instant::now());
     if !acted(&rig, &before, 3, RECOVERY) {
         lived.wrong.push(format!("a task is not acted for {RECOVERY:?} after the last fault"));
     }
     lived.recovery_s = healed.elapsed().as_secs_f64();
     for name in rig.workers() {
         // As text: the report shows the error as a quoted line.
-        let reply = match rig.door(&name) {
+        let reply = match rig.listen_address(&name) {
             Some(address) => get(address, "/check").map_err(|fault| fault.to_string()),
             None => Err("no door".to_owned()),
         };
@@ -237,17 +237,17 @@
             lived.wrong.push(format!("{name} does not serve: {reply:?}"));
         }
     }
-    lived.acts = rig.acts();
+    lived.acts = rig.task_calls();
     lived.wrong.extend(find_violations(&lived.acts));
     Ok(lived)
 }
 
 /// Waits until each task was acted for so many times more.
-fn acted(rig: &Rig, before: &[ActLine], more: usize, timeout: Duration) -> bool {
-    let count = |acts: &[ActLine], task: &str| acts.iter().filter(|a| a.accepted && a.task == task).count();
+fn acted(rig: &Rig, before: &[TaskCall], more: usize, timeout: Duration) -> bool {
+    let count = |acts: &[TaskCall], task: &str| acts.iter().filter(|a| a.accepted && a.task == task).count();
     let until = Instant::now() + timeout;
     loop {
-        let now = rig.acts();
+        let now = rig.task_calls();
         if TASKS.iter().all(|task| count(&now, task) >= count(before, task) + more) {
             return true;
         }
--- a/testbed/src/fleet/rig/faults_command.rs
+++ b/testbed/src/fleet/rig/faults_command.rs
@@ -30,7 +30,7 @@
             ["pause", name] => self.pause(name),
             ["resume", name] => self.resume(name),
             ["kill", name] => self.kill(name),
-            ["start", name] => self.start_again(name),
+            ["start", name] => self.restart(name),
             ["fill", name] => self.fill(name, true),
             ["free", name] => self.fill(name, false),
             other => Err(TestbedError::UnknownFault { words: other.join(" ") }),
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -16,7 +16,7 @@
 
 use super::relay::Relay;
 use super::service::Service;
-use super::task_log;
+use super::task_log::{self, Fencing};
 use crate::error::TestbedError;
 use crate::experiment::{ClassModel, Experiment};
 use crate::loopback::Clock;
@@ -61,10 +61,10 @@
     /// # Errors
     /// What did not come up, and why.
     pub fn start(file: FleetFile, folder: &Path, programs: Programs) -> Result<Rig, TestbedError> {
-        Rig::start_with(file, folder, programs, true)
+        Rig::start_with(file, folder, programs, Fencing::Enforced)
     }
 
-    /// The same, with a stand-in that may take every token.
+    /// The same, with a resource that may accept every token.
     ///
     /// # Errors
     /// As above.
@@ -72,10 +72,10 @@
         file: FleetFile,
         folder: &Path,
         programs: Programs,
-        fenced: bool,
+        fencing: Fencing,
     ) -> Result<Rig, TestbedError> {
         std::fs::create_dir_all(folder).map_err(TestbedError::file(folder))?;
-        let acts = task_log::start(&folder.join(TASK_LOG), file.work_ms, fenced)?;
+        let acts = task_log::start(&folder.join(TASK_LOG), file.work_ms, fencing)?;
         let mut rig = Rig {
             relays: Vec::new(),
             processes: Vec::new(),
@@ -132,19 +132,19 @@
 
     /// Where a worker listens for clients.
     #[must_use]
-    pub fn door(&self, name: &str) -> Option<SocketAddr> {
+    pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
         self.processes.iter().find(|p| p.name == name)?.listen
     }
 
     /// All coordinators that run.
     #[must_use]
-    pub fn asked(&self) -> Vec<SocketAddr> {
+    pub fn coordinator_addresses(&self) -> Vec<SocketAddr> {
         self.coordinators().iter().filter_map(|name| self.address(name)).collect()
     }
 
     /// The calls that the tasks' stand-in has logged.
     #[must_use]
-    pub fn acts(&self) -> Vec<task_log::ActLine> {
+    pub fn task_calls(&self) -> Vec<task_log::TaskCall> {
         task_log::read(&self.folder.join(TASK_LOG))
     }
 
@@ -175,7 +175,7 @@
             };
             self.processes.iter().filter(|p| p.name.starts_with(kind)).map(row).collect()
         };
-        let asked: Vec<String> = self.asked().iter().map(SocketAddr::to_string).collect();
+        let asked: Vec<String> = self.coordinator_addresses().iter().map(SocketAddr::to_string).collect();
         let whole = json!({
             "coordinators": of('c'), "workers": of('w'), "acts": TASK_LOG,
             "fleet": format!("--fleet {} --coordinators {}", self.file.fleet, asked.join(",")),
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     /// It runs, or does not come up.
-    pub fn start_again(&mut self, name: &str) -> Result<(), TestbedError> {
+    pub fn restart(&mut self, name: &str) -> Result<(), TestbedError> {
         if self.process(name)?.alive {
             return Err(TestbedError::Running { name: name.to_owned() });
         }
--- a/testbed/src/fleet/task_log.rs
+++ b/testbed/src/fleet/task_log.rs
@@ -15,9 +15,18 @@
 /// Periods of a task that are remembered.
 const MAX_PERIODS: usize = 10_000;
 
+/// Whether the resource rejects calls under tokens that are older than one it has seen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Fencing {
+    /// It does.
+    Enforced,
+    /// It accepts every token: the counter-proof.
+    Disabled,
+}
+
 /// One line of `acts.jsonl`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct ActLine {
+pub struct TaskCall {
     /// The task.
     pub task: String,
     /// The fencing token of the call.
@@ -46,14 +55,14 @@
     work: Duration,
     tasks: Mutex<HashMap<String, Task>>,
     lines: Mutex<std::fs::File>,
-    fenced: bool,
+    fencing: Fencing,
 }
 
-/// Starts it; where it listens. Without `fenced` it accepts every token: the counter-proof.
+/// Starts the resource; where it listens.
 ///
 /// # Errors
 /// There is no free port, or the log can't be written.
-pub fn start(path: &Path, work_ms: u64, fenced: bool) -> Result<SocketAddr, TestbedError> {
+pub fn start(path: &Path, work_ms: u64, fencing: Fencing) -> Result<SocketAddr, TestbedError> {
     let listener = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("acts"))?;
     let address = listener.local_addr().map_err(TestbedError::component("acts"))?;
     let file = std::fs::File::create(path).map_err(TestbedError::file(path))?;
@@ -62,7 +71,7 @@
         work: Duration::from_millis(work_ms),
         tasks: Mutex::default(),
         lines: Mutex::new(file),
-        fenced,
+        fencing,
     });
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -102,7 +111,7 @@
         let may = {
             let mut tasks = lock(&self.tasks);
             let known = tasks.entry(task.clone()).or_default();
-            let stale = self.fenced && token < known.highest;
+            let stale = self.fencing == Fencing::Enforced && token < known.highest;
             known.highest = known.highest.max(token);
             if stale {
                 Err("409 Conflict")
@@ -120,7 +129,7 @@
             let mut tasks = lock(&self.tasks);
             let known = tasks.entry(task.clone()).or_default();
             // Somebody with a higher token has come meanwhile: this act is broken off.
-            let last = !self.fenced || known.highest == token;
+            let last = self.fencing == Fencing::Disabled || known.highest == token;
             if last {
                 known.done.insert(period);
                 if known.done.len() > MAX_PERIODS {
@@ -129,7 +138,7 @@
             }
             last
         };
-        let line = ActLine {
+        let line = TaskCall {
             task,
             token,
             holder: text("task-holder"),
@@ -151,16 +160,16 @@
 
 /// All calls so far.
 #[must_use]
-pub fn read(path: &Path) -> Vec<ActLine> {
+pub fn read(path: &Path) -> Vec<TaskCall> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
 }
 
 /// What is wrong with these calls: accepted ones overlap, a token goes down, a period is carried out twice.
 #[must_use]
-pub fn find_violations(acts: &[ActLine]) -> Vec<String> {
+pub fn find_violations(acts: &[TaskCall]) -> Vec<String> {
     let mut wrong = Vec::new();
-    let mut by_task: HashMap<&str, Vec<&ActLine>> = HashMap::new();
+    let mut by_task: HashMap<&str, Vec<&TaskCall>> = HashMap::new();
     acts.iter().filter(|a| a.accepted).for_each(|a| by_task.entry(&a.task).or_default().push(a));
     for (task, mut acts) in by_task {
         acts.sort_by_key(|a| (a.begin_ms, a.end_ms));
--- a/testbed/src/fleet/task_log/tests.rs
+++ b/testbed/src/fleet/task_log/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn review_finds_each_kind_of_violation() {
-    let act = |token, begin_ms, end_ms, period| ActLine {
+    let act = |token, begin_ms, end_ms, period| TaskCall {
         task: "t".into(),
         token,
         holder: "w".into(),
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -1,4 +1,4 @@
-//! The vocabulary of the stories: start a fleet, wait for what is expected, and judge at the end.
+//! A fleet of real processes under test: start it, wait for conditions, and review the task calls at the end.
 
 use fleet_coordinator::client::{ask, ask_leader, QueryOutcome};
 use port_worker::fleet::frame::{OperatorQuery, ServerMessage};
@@ -8,7 +8,7 @@
 use std::sync::Once;
 use std::time::{Duration, Instant};
 use testbed::fleet::rig::{call, get, FleetFile, Programs, Rig};
-use testbed::fleet::task_log::{find_violations, ActLine};
+use testbed::fleet::task_log::{find_violations, Fencing, TaskCall};
 
 const FLEET: &str =
     "fleet = \"story\"\ncoordinators = 3\nworkers = 6\nzones = [\"east\", \"west\"]\nwork_ms = 30\n\
@@ -17,11 +17,11 @@
 
 /// Both tasks.
 pub const TASKS: [&str; 2] = ["report", "refresh"];
-/// What a story waits for comes within this, on a slow machine too.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// How long a test waits for any one condition; far more than a slow machine needs.
+const TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A fleet, and where its files are.
-pub struct Fleet {
+/// A fleet that runs, and where its files are.
+pub struct FleetUnderTest {
     pub rig: Rig,
     folder: PathBuf,
 }
@@ -43,72 +43,76 @@
     Programs::beside(&target).unwrap()
 }
 
-impl Fleet {
-    pub fn start() -> Fleet {
-        Fleet::with("", true)
+impl FleetUnderTest {
+    /// Three coordinators, six workers and two tasks, each of which has been carried out.
+    pub fn start() -> FleetUnderTest {
+        FleetUnderTest::start_with_fencing(Fencing::Enforced)
     }
 
-    /// With more at the top of the file, and a stand-in that may take every token.
-    pub fn with(more: &str, fenced: bool) -> Fleet {
-        let fleet = Fleet::bare(more, fenced);
-        fleet.wait_all(2);
+    /// With a resource that accepts every token: the counter-proof.
+    pub fn start_without_fencing() -> FleetUnderTest {
+        FleetUnderTest::start_with_fencing(Fencing::Disabled)
+    }
+
+    fn start_with_fencing(fencing: Fencing) -> FleetUnderTest {
+        let fleet = FleetUnderTest::start_processes(FLEET, fencing);
+        fleet.wait_all_tasks(2);
         fleet
     }
 
     /// With five coordinators.
-    pub fn of_five() -> Fleet {
-        let fleet = Fleet::of(&FLEET.replace("coordinators = 3", "coordinators = 5"), true);
-        fleet.wait_all(2);
+    pub fn start_with_five_coordinators() -> FleetUnderTest {
+        let fleet = FleetUnderTest::start_processes(
+            &FLEET.replace("coordinators = 3", "coordinators = 5"),
+            Fencing::Enforced,
+        );
+        fleet.wait_all_tasks(2);
         fleet
     }
 
     /// With a task that none of its workers carries out.
-    pub fn wanted() -> Fleet {
+    pub fn start_with_a_free_lease() -> FleetUnderTest {
         let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 1\n\
             [[task]]\nname = \"wanted\"\nperiod_s = 1000.0\nttl_ms = 2000\nsafe = true\n";
-        let mut fleet = Fleet::of(file, true);
+        let mut fleet = FleetUnderTest::start_processes(file, Fencing::Enforced);
         fleet.rig.kill("w1").unwrap();
         fleet.leader();
         fleet
     }
 
     /// With two workers, of which one carries out the only task.
-    pub fn of_two_workers() -> Fleet {
+    pub fn start_with_two_workers() -> FleetUnderTest {
         let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 2\n\
             [[task]]\nname = \"report\"\nperiod_s = 0.4\nttl_ms = 3000\ndeadline_ms = 300\nsafe = true\n";
-        let fleet = Fleet::of(file, true);
-        fleet.wait_acts("report", 1);
+        let fleet = FleetUnderTest::start_processes(file, Fencing::Enforced);
+        fleet.wait_task_calls("report", 1);
         fleet
     }
 
-    /// Four workers in two zones that handle overload as one, with four calls in hand each at the service below.
-    pub fn overloaded() -> Fleet {
+    /// Four workers in two zones that handle overload as one, with four calls in flight each at the downstream service.
+    pub fn start_with_overload_control() -> FleetUnderTest {
         let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 4\nzones = [\"east\", \"west\"]\ncalls_part = 4.0\n";
-        let fleet = Fleet::of(file, true);
+        let fleet = FleetUnderTest::start_processes(file, Fencing::Enforced);
         for name in fleet.rig.workers() {
-            fleet.wait(&format!("{name} hears of all four"), |_| {
-                fleet.figure(&name, "fleet.overload.of_workers").filter(|of| *of == 4.0)
+            fleet.wait(&format!("{name} knows of all four"), |_| {
+                fleet.metric(&name, "fleet.overload.of_workers").filter(|of| *of == 4.0)
             });
         }
         fleet
     }
 
     /// In which one coordinator understands version 1 alone.
-    pub fn mixed() -> Fleet {
-        Fleet::bare("older = [\"c3\"]\n", true)
-    }
-
-    fn bare(more: &str, fenced: bool) -> Fleet {
-        Fleet::of(&format!("{more}{FLEET}"), fenced)
+    pub fn start_with_mixed_versions() -> FleetUnderTest {
+        FleetUnderTest::start_processes(&format!("older = [\"c3\"]\n{FLEET}"), Fencing::Enforced)
     }
 
-    fn of(file: &str, fenced: bool) -> Fleet {
+    fn start_processes(file: &str, fencing: Fencing) -> FleetUnderTest {
         static NUMBER: AtomicU64 = AtomicU64::new(1);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("testbed-fleet-{}-{number}", std::process::id()));
         let file = FleetFile::decode(file).unwrap();
-        let rig = Rig::start_with(file, &folder, programs(), fenced).unwrap();
-        Fleet { rig, folder }
+        let rig = Rig::start_with(file, &folder, programs(), fencing).unwrap();
+        FleetUnderTest { rig, folder }
     }
 
     /// What a process has logged so far.
@@ -118,18 +122,18 @@
 
     /// Waits until something is so.
     pub fn wait<T>(&self, what: &str, mut look: impl FnMut(&Rig) -> Option<T>) -> T {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             if let Some(seen) = look(&self.rig) {
                 return seen;
             }
-            assert!(Instant::now() < until, "{what}: not within {PATIENCE:?}\n{}", self.told());
+            assert!(Instant::now() < until, "{what}: not within {TIMEOUT:?}\n{}", self.log_tails());
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// The ends of all logs, for whoever reads why a story failed.
-    fn told(&self) -> String {
+    /// The ends of all logs, for the message of a test that fails.
+    fn log_tails(&self) -> String {
         let names = self.rig.coordinators().into_iter().chain(self.rig.workers());
         names.fold(String::new(), |all, name| {
             let log = self.log(&name);
@@ -139,35 +143,35 @@
         })
     }
 
-    pub fn accepted(&self, task: &str) -> Vec<ActLine> {
-        self.rig.acts().into_iter().filter(|a| a.accepted && a.task == task).collect()
+    pub fn accepted_calls(&self, task: &str) -> Vec<TaskCall> {
+        self.rig.task_calls().into_iter().filter(|a| a.accepted && a.task == task).collect()
     }
 
     /// Waits for so many more acts of a task than there are now.
-    pub fn wait_acts(&self, task: &str, more: usize) {
-        let before = self.accepted(task).len();
+    pub fn wait_task_calls(&self, task: &str, more: usize) {
+        let before = self.accepted_calls(task).len();
         self.wait(&format!("{more} more acts of {task}"), |_| {
-            (self.accepted(task).len() >= before + more).then_some(())
+            (self.accepted_calls(task).len() >= before + more).then_some(())
         });
     }
 
-    pub fn wait_all(&self, more: usize) {
+    pub fn wait_all_tasks(&self, more: usize) {
         for task in TASKS {
-            self.wait_acts(task, more);
+            self.wait_task_calls(task, more);
         }
     }
 
-    fn ask(&self, what: &OperatorQuery) -> Option<Value> {
-        match ask_leader(&self.rig.asked(), "story", what, Duration::from_secs(1)) {
+    fn query(&self, what: &OperatorQuery) -> Option<Value> {
+        match ask_leader(&self.rig.coordinator_addresses(), "story", what, Duration::from_secs(1)) {
             QueryOutcome::Answer(answer) => Some(answer),
             _ => None,
         }
     }
 
     /// Who holds a task, once somebody does.
-    pub fn holder(&self, task: &str) -> String {
+    pub fn lease_holder(&self, task: &str) -> String {
         self.wait(&format!("a holder of {task}"), |_| {
-            let leases = self.ask(&OperatorQuery::Leases)?;
+            let leases = self.query(&OperatorQuery::Leases)?;
             let lease = leases.as_array()?.iter().find(|l| l["task"] == task)?;
             lease["holder"].as_str().map(str::to_owned)
         })
@@ -194,7 +198,7 @@
         self.rig.coordinators().into_iter().find(|c| *c != leader).unwrap()
     }
 
-    pub fn wait_standing(&self, name: &str, standing: &str) -> String {
+    pub fn wait_member_status(&self, name: &str, standing: &str) -> String {
         self.wait(&format!("{name} {standing}"), |_| {
             let status = self.status(name).filter(|s| s["standing"] == standing)?;
             Some(status["why"].as_str().unwrap_or("").to_owned())
@@ -202,7 +206,7 @@
     }
 
     /// Waits until the fleet knows that this coordinator's disk has held the log beyond `end`.
-    pub fn wait_kept(&self, name: &str, end: u64) {
+    pub fn wait_persisted(&self, name: &str, end: u64) {
         self.wait(&format!("the log knows how far {name} is"), |_| {
             let status = self.status(&self.leader())?;
             let number = status["members"].as_object()?.iter().find(|(_, n)| *n == name)?.0.clone();
@@ -211,22 +215,23 @@
     }
 
     /// What this worker calls is held back on its way, or goes on.
-    pub fn hold_acts(&mut self, name: &str, held: bool) {
+    pub fn hold_task_calls(&mut self, name: &str, held: bool) {
         self.rig.cut(name, "acts", true, held).unwrap();
     }
 
     /// Waits until another than `old` holds the task.
     pub fn wait_other_holder(&self, task: &str, old: &str) -> String {
         self.wait(&format!("another holder of {task} than {old}"), |_| {
-            let last = self.accepted(task).pop()?;
+            let last = self.accepted_calls(task).pop()?;
             (last.holder != old).then_some(last.holder)
         })
     }
 
     /// Every worker lets clients in, whatever its coordinators do.
-    pub fn all_serve(&self) {
+    pub fn assert_all_serve(&self) {
         for name in self.rig.workers() {
-            let reply = self.wait(&format!("{name}'s health"), |rig| get(rig.door(&name)?, "/check").ok());
+            let reply =
+                self.wait(&format!("{name}'s health"), |rig| get(rig.listen_address(&name)?, "/check").ok());
             assert!(reply.starts_with("HTTP/1.1 200"), "{name}: {reply}");
         }
     }
@@ -238,21 +243,21 @@
     }
 
     /// A figure at a worker's console.
-    pub fn figure(&self, name: &str, figure: &str) -> Option<f64> {
+    pub fn metric(&self, name: &str, figure: &str) -> Option<f64> {
         let text = get(self.rig.address(name)?, "/-/metrics").ok()?;
         text.lines().find_map(|l| l.strip_prefix(figure)?.strip_prefix('=')?.parse().ok())
     }
 
-    /// The judge: accepted acts never overlap, tokens never go down, each period once.
-    pub fn judge(&self) {
-        let acts = self.rig.acts();
+    /// Accepted task calls never overlap, tokens never go down, and each period is carried out once.
+    pub fn assert_no_violations(&self) {
+        let acts = self.rig.task_calls();
         let wrong = find_violations(&acts);
-        assert!(wrong.is_empty(), "{wrong:#?}\n{}", self.told());
-        assert!(acts.iter().filter(|a| a.accepted).count() > 8, "hardly anything was acted");
+        assert!(wrong.is_empty(), "{wrong:#?}\n{}", self.log_tails());
+        assert!(acts.iter().filter(|a| a.accepted).count() > 8, "hardly any task was carried out");
     }
 }
 
-impl Drop for Fleet {
+impl Drop for FleetUnderTest {
     fn drop(&mut self) {
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.folder);
--- /dev/null
+++ b/testbed/tests/fleet/leases.rs
@@ -0,0 +1,164 @@
+//! Leases of workers that are killed, suspended, cut off, drained or hot restarted.
+
+use super::common::FleetUnderTest;
+use std::time::{Duration, Instant};
+use testbed::fleet::session_load::SessionLoad;
+
+#[test]
+fn lease_of_a_killed_holder_moves_to_another_worker() {
+    let mut fleet = FleetUnderTest::start();
+    let holder = fleet.lease_holder("report");
+    fleet.rig.kill(&holder).unwrap();
+    fleet.wait_other_holder("report", &holder);
+    fleet.rig.restart(&holder).unwrap();
+    fleet.wait_all_tasks(3);
+    fleet.assert_no_violations();
+}
+
+#[test]
+fn holder_suspended_beyond_its_lease_does_not_act_when_resumed() {
+    let mut fleet = FleetUnderTest::start();
+    let holder = fleet.lease_holder("report");
+    let token = fleet.accepted_calls("report").pop().unwrap().token;
+    fleet.rig.pause(&holder).unwrap();
+    fleet.wait_other_holder("report", &holder);
+    fleet.rig.resume(&holder).unwrap();
+    fleet.wait_all_tasks(4);
+    // What it had on its way when it was stopped may come late: it is refused.
+    let late = |a: &&testbed::fleet::task_log::TaskCall| a.accepted && a.token == token;
+    let acts = fleet.accepted_calls("report");
+    let first_after = acts.iter().find(|a| a.token > token).unwrap().begin_ms;
+    assert!(!acts.iter().filter(late).any(|a| a.begin_ms > first_after), "it acted on");
+    fleet.assert_no_violations();
+}
+
+#[test]
+fn lease_of_a_partitioned_holder_moves_to_another_worker() {
+    let mut fleet = FleetUnderTest::start();
+    let all = fleet.rig.coordinators();
+    // Renewals arrive and answers don't; the other way round; neither.
+    for way in ["down", "up", "both"] {
+        let holder = fleet.lease_holder("refresh");
+        for c in &all {
+            match way {
+                "down" => fleet.rig.cut(c, &holder, true, true).unwrap(),
+                "up" => fleet.rig.cut(&holder, c, true, true).unwrap(),
+                _ => fleet.rig.cut(&holder, c, false, true).unwrap(),
+            }
+        }
+        fleet.wait_other_holder("refresh", &holder);
+        fleet.assert_all_serve();
+        for c in &all {
+            fleet.rig.cut(&holder, c, false, false).unwrap();
+        }
+        fleet.wait_task_calls("refresh", 2);
+    }
+    fleet.assert_no_violations();
+}
+
+#[test]
+fn free_lease_is_granted_to_one_of_three_hundred_waiting_sessions() {
+    let fleet = FleetUnderTest::start_with_a_free_lease();
+    let mut crowd = SessionLoad::new(300, "story", &fleet.rig.coordinator_addresses(), &["wanted"]);
+    let wait = |crowd: &mut SessionLoad, what: &str, so: &dyn Fn(&SessionLoad) -> bool| {
+        let until = Instant::now() + Duration::from_secs(40);
+        while !so(crowd) {
+            crowd.turn();
+            let holders = crowd.holders("wanted");
+            assert!(holders.len() <= 1, "{holders:?}");
+            assert!(Instant::now() < until, "{what}");
+            std::thread::sleep(Duration::from_millis(2));
+        }
+    };
+    wait(&mut crowd, "all in session", &SessionLoad::all_linked);
+    let mut before = None;
+    for change in 1..=3 {
+        wait(&mut crowd, "another holder", &|crowd| {
+            crowd.holders("wanted").first().is_some_and(|holder| Some(*holder) != before)
+        });
+        assert_eq!(crowd.grants(), change, "one is told, not all that wait");
+        before = crowd.holders("wanted").first().copied();
+        crowd.stop(before.unwrap());
+    }
+}
+
+#[test]
+fn hot_restarted_holder_passes_its_lease_to_its_successor() {
+    let mut fleet = FleetUnderTest::start();
+    let holder = fleet.lease_holder("report");
+    let token = fleet.accepted_calls("report").pop().unwrap().token;
+    fleet.rig.replace(&holder).unwrap();
+    fleet.wait("acts of its successor", |_| {
+        fleet.accepted_calls("report").pop().filter(|a| a.token > token && a.holder == holder)
+    });
+    fleet.wait_all_tasks(2);
+    fleet.assert_no_violations();
+}
+
+#[test]
+fn drained_or_terminated_holder_releases_its_leases() {
+    let mut fleet = FleetUnderTest::start();
+    let holder = fleet.lease_holder("report");
+    fleet.drain(&holder, true);
+    let next = fleet.wait_other_holder("report", &holder);
+    assert_eq!(fleet.metric(&holder, "fleet.lease.report.token"), None);
+    fleet.drain(&holder, false);
+    let begun = Instant::now();
+    fleet.rig.terminate(&next).unwrap();
+    fleet.wait_other_holder("report", &next);
+    // Given back, not lapsed: it takes far less than the worker's own notice and a time to live.
+    assert!(begun.elapsed() < Duration::from_secs(20));
+    fleet.rig.restart(&next).unwrap();
+    fleet.wait_all_tasks(2);
+    fleet.assert_no_violations();
+}
+
+#[test]
+fn every_console_shows_fleet_totals_and_their_age() {
+    let fleet = FleetUnderTest::start();
+    for name in fleet.rig.workers() {
+        fleet.wait(&format!("totals of six at {name}"), |_| {
+            let (of, age) =
+                (fleet.metric(&name, "fleet.totals.workers")?, fleet.metric(&name, "fleet.totals.age_s")?);
+            (of == 6.0 && age < 10.0).then_some(())
+        });
+    }
+}
+
+/// A call is held back on its way while its holder is stopped and another acts; then it arrives.
+fn delay_task_call(fleet: &mut FleetUnderTest) -> (String, u64) {
+    let holder = fleet.lease_holder("report");
+    let token = fleet.accepted_calls("report").pop().unwrap().token;
+    fleet.hold_task_calls(&holder, true);
+    // Longer than a period: a call is on its way.
+    std::thread::sleep(Duration::from_millis(700));
+    fleet.rig.pause(&holder).unwrap();
+    fleet.wait_other_holder("report", &holder);
+    fleet.hold_task_calls(&holder, false);
+    fleet.rig.resume(&holder).unwrap();
+    (holder, token)
+}
+
+#[test]
+fn delayed_call_with_an_old_token_is_rejected() {
+    let mut fleet = FleetUnderTest::start();
+    let (_, token) = delay_task_call(&mut fleet);
+    fleet.wait("the late call, refused", |rig| {
+        rig.task_calls().into_iter().find(|a| a.task == "report" && a.token == token && !a.accepted)
+    });
+    fleet.wait_all_tasks(2);
+    fleet.assert_no_violations();
+}
+
+/// The counter-proof for the stand-in's fence: with every token taken, the same judge finds a stopped holder's late act.
+#[test]
+fn late_call_without_fencing_is_found_by_the_review() {
+    let mut fleet = FleetUnderTest::start_without_fencing();
+    delay_task_call(&mut fleet);
+    fleet.wait("what the judge finds", |rig| {
+        testbed::fleet::task_log::find_violations(&rig.task_calls())
+            .iter()
+            .any(|w| w.contains("goes down"))
+            .then_some(())
+    });
+}
--- a/testbed/tests/fleet/log_lines.rs
+++ b/testbed/tests/fleet/log_lines.rs
@@ -7,7 +7,7 @@
 //! `UPDATE_OUTPUT_FIXTURES=1` and read the difference: a line that not every run has is taken out again. Such a run fails:
 //! nothing is compared in it.
 
-use super::common::Fleet;
+use super::common::FleetUnderTest;
 use std::collections::BTreeSet;
 use std::path::Path;
 
@@ -35,13 +35,13 @@
     masked + rest
 }
 
-fn masked_lines(fleet: &Fleet, names: &[String]) -> BTreeSet<String> {
+fn masked_lines(fleet: &FleetUnderTest, names: &[String]) -> BTreeSet<String> {
     let logs: Vec<String> = names.iter().map(|name| fleet.log(name)).collect();
     logs.iter().flat_map(|log| log.lines()).map(mask_line).collect()
 }
 
 /// Cuts every link between this process and these coordinators, or joins them again.
-fn cut(fleet: &mut Fleet, name: &str, coordinators: &[String], cut: bool) {
+fn cut(fleet: &mut FleetUnderTest, name: &str, coordinators: &[String], cut: bool) {
     for coordinator in coordinators {
         fleet.rig.cut(name, coordinator, false, cut).unwrap();
     }
@@ -49,10 +49,10 @@
 
 #[test]
 fn lease_and_leader_changes_log_the_recorded_lines() {
-    let mut fleet = Fleet::of_two_workers();
+    let mut fleet = FleetUnderTest::start_with_two_workers();
     let (coordinators, workers) = (fleet.rig.coordinators(), fleet.rig.workers());
     // The holder is cut off until the other worker holds its lease.
-    let holder = fleet.holder("report");
+    let holder = fleet.lease_holder("report");
     cut(&mut fleet, &holder, &coordinators, true);
     fleet.wait_other_holder("report", &holder);
     cut(&mut fleet, &holder, &coordinators, false);
@@ -66,7 +66,7 @@
     });
     cut(&mut fleet, &leader, &others, false);
     fleet.wait("one leader", |_| fleet.status(&leader).filter(|s| s["leads"] == false));
-    fleet.wait_acts("report", 2);
+    fleet.wait_task_calls("report", 2);
     // Workers that shut down give their leases back.
     for worker in &workers {
         fleet.rig.terminate(worker).unwrap();
--- a/testbed/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -1,33 +1,38 @@
 //! Overload handled by the fleet as one, told with processes: the judge is the service's own count of calls, and the
 //! routers' of answers.
 
-use super::common::Fleet;
+use super::common::FleetUnderTest;
 use std::time::{Duration, Instant};
 use testbed::fleet::routers::Routers;
 
 /// Requests of a class to all workers, by weights.
-fn send(fleet: &Fleet, class: &str, weights: [usize; 4], per_s: f64) -> Routers {
-    let doors: Vec<_> =
-        fleet.rig.workers().iter().zip(weights).filter_map(|(w, n)| Some((fleet.rig.door(w)?, n))).collect();
+fn send(fleet: &FleetUnderTest, class: &str, weights: [usize; 4], per_s: f64) -> Routers {
+    let doors: Vec<_> = fleet
+        .rig
+        .workers()
+        .iter()
+        .zip(weights)
+        .filter_map(|(w, n)| Some((fleet.rig.listen_address(w)?, n)))
+        .collect();
     Routers::start(&doors, fleet.rig.class(class).unwrap(), per_s)
 }
 
 /// Waits until a figure is so at every worker.
-fn wait_all(fleet: &Fleet, figure: &str, is: f64) {
+fn wait_all(fleet: &FleetUnderTest, figure: &str, is: f64) {
     for name in fleet.rig.workers() {
         fleet.wait(&format!("{figure} is {is} at {name}"), |_| {
-            fleet.figure(&name, &format!("fleet.overload.{figure}")).filter(|f| *f == is)
+            fleet.metric(&name, &format!("fleet.overload.{figure}")).filter(|f| *f == is)
         });
     }
 }
 
-fn made(fleet: &Fleet) -> u64 {
+fn made(fleet: &FleetUnderTest) -> u64 {
     fleet.rig.service.as_ref().unwrap().counts().0
 }
 
 #[test]
 fn unavailable_service_is_probed_by_one_worker_per_zone_and_reopens_when_back() {
-    let fleet = Fleet::overloaded();
+    let fleet = FleetUnderTest::start_with_overload_control();
     let service = fleet.rig.service.clone().unwrap();
     let routers = send(&fleet, "eligibility", [1; 4], 120.0);
     fleet.wait("calls", |_| (made(&fleet) > 50).then_some(()));
@@ -35,7 +40,7 @@
     wait_all(&fleet, "given_up", 1.0);
     fleet.wait("a worker a zone that tries it", |_| {
         let trials =
-            fleet.rig.workers().iter().filter_map(|w| fleet.figure(w, "fleet.overload.trial")).sum::<f64>();
+            fleet.rig.workers().iter().filter_map(|w| fleet.metric(w, "fleet.overload.trial")).sum::<f64>();
         (trials == 2.0).then_some(())
     });
     let (before, start) = (made(&fleet), Instant::now());
@@ -53,7 +58,7 @@
 
 #[test]
 fn leader_killed_while_the_service_is_down_keeps_calls_suspended() {
-    let mut fleet = Fleet::overloaded();
+    let mut fleet = FleetUnderTest::start_with_overload_control();
     let service = fleet.rig.service.clone().unwrap();
     let routers = send(&fleet, "eligibility", [1; 4], 120.0);
     fleet.wait("calls", |_| (made(&fleet) > 50).then_some(()));
@@ -75,15 +80,15 @@
 
 #[test]
 fn busy_worker_uses_idle_workers_capacity_and_never_exceeds_the_total() {
-    let mut fleet = Fleet::overloaded();
+    let mut fleet = FleetUnderTest::start_with_overload_control();
     let service = fleet.rig.service.clone().unwrap();
     // Calls of 100 ms: four in hand are 40 a second, and the first is asked for three times that.
     service.set_call_ms(100);
     let routers = send(&fleet, "eligibility", [9, 1, 1, 1], 120.0);
-    fleet.wait("a slice", |_| fleet.figure("w1", "fleet.overload.calls_slice").filter(|slice| *slice >= 1.0));
+    fleet.wait("a slice", |_| fleet.metric("w1", "fleet.overload.calls_slice").filter(|slice| *slice >= 1.0));
     for name in ["w2", "w3", "w4"] {
         fleet.wait(&format!("a loan of {name}"), |_| {
-            fleet.figure(name, "fleet.overload.calls_lent").filter(|lent| *lent > 0.0)
+            fleet.metric(name, "fleet.overload.calls_lent").filter(|lent| *lent > 0.0)
         });
     }
     // The borrower stops with its slice and goes on; the leader dies with all slices given.
@@ -98,8 +103,8 @@
             .coordinators()
             .iter()
             .any(|c| *c != leader && fleet.status(c).is_some_and(|s| s["leads"] == true));
-        let slice = fleet.figure("w1", "fleet.overload.calls_slice").filter(|slice| *slice >= 1.0);
-        slice.filter(|_| led && fleet.figure("w1", "fleet.overload.fresh") == Some(1.0))
+        let slice = fleet.metric("w1", "fleet.overload.calls_slice").filter(|slice| *slice >= 1.0);
+        slice.filter(|_| led && fleet.metric("w1", "fleet.overload.fresh") == Some(1.0))
     });
     std::thread::sleep(Duration::from_secs(1));
     let answers = routers.end();
