--- a/testbed/src/fleet/overload_storm/reports.rs
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -35,7 +35,7 @@
 }
 
 /// The report of a worker that lies.
-fn false_report(report: LoadReport) -> LoadReport {
+fn false_report(report: &LoadReport) -> LoadReport {
     LoadReport {
         arrivals: vec![1e6; 3],
         retries: 1e6,
@@ -45,7 +45,7 @@
         wanted_calls: 1e6,
         weight: 1e6,
         lent_calls: 1e6,
-        ..report
+        ..report.clone()
     }
 }
 
@@ -79,7 +79,7 @@
         worker.reports += 1;
         let mut report = worker.client.report(now, worker.reports, &sample);
         if shape.mode == FleetMode::Liar && number == LIAR {
-            report = false_report(report);
+            report = false_report(&report);
         }
         let arrives_at = now + shape.late_s / 2.0;
         self.up.push_back(ReportInFlight { arrives_at, worker: number, report });
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -16,7 +16,7 @@
 
 use super::relay::Relay;
 use super::service::Service;
-use super::task_log;
+use super::task_log::{self, Fencing};
 use crate::error::TestbedError;
 use crate::experiment::{ClassModel, Experiment};
 use crate::loopback::Clock;
@@ -61,10 +61,10 @@
     /// # Errors
     /// What did not come up, and why.
     pub fn start(file: FleetFile, folder: &Path, programs: Programs) -> Result<Rig, TestbedError> {
-        Rig::start_with(file, folder, programs, true)
+        Rig::start_with(file, folder, programs, Fencing::Enforced)
     }
 
-    /// The same, with a stand-in that may take every token.
+    /// The same, with a resource that may accept every token.
     ///
     /// # Errors
     /// As above.
@@ -72,10 +72,10 @@
         file: FleetFile,
         folder: &Path,
         programs: Programs,
-        fenced: bool,
+        fencing: Fencing,
     ) -> Result<Rig, TestbedError> {
         std::fs::create_dir_all(folder).map_err(TestbedError::file(folder))?;
-        let acts = task_log::start(&folder.join(TASK_LOG), file.work_ms, fenced)?;
+        let acts = task_log::start(&folder.join(TASK_LOG), file.work_ms, fencing)?;
         let mut rig = Rig {
             relays: Vec::new(),
             processes: Vec::new(),
@@ -102,21 +102,25 @@
     }
 
     /// A class that the workers serve.
+    #[must_use]
     pub fn class(&self, name: &str) -> Option<&ClassModel> {
         self.site.class.iter().find(|c| c.name == name)
     }
 
     /// The names of all coordinators.
+    #[must_use]
     pub fn coordinators(&self) -> Vec<String> {
         (1..=self.file.coordinators).map(|n| format!("c{n}")).collect()
     }
 
     /// The names of all workers.
+    #[must_use]
     pub fn workers(&self) -> Vec<String> {
         (1..=self.file.workers).map(|n| format!("w{n}")).collect()
     }
 
     /// Where a coordinator listens, or a worker's console.
+    #[must_use]
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let process = self.processes.iter().find(|p| p.name == name && p.alive)?;
         if name.starts_with('c') {
@@ -127,26 +131,31 @@
     }
 
     /// Where a worker listens for clients.
-    pub fn door(&self, name: &str) -> Option<SocketAddr> {
+    #[must_use]
+    pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
         self.processes.iter().find(|p| p.name == name)?.listen
     }
 
     /// All coordinators that run.
-    pub fn asked(&self) -> Vec<SocketAddr> {
+    #[must_use]
+    pub fn coordinator_addresses(&self) -> Vec<SocketAddr> {
         self.coordinators().iter().filter_map(|name| self.address(name)).collect()
     }
 
     /// The calls that the tasks' stand-in has logged.
-    pub fn acts(&self) -> Vec<task_log::ActLine> {
+    #[must_use]
+    pub fn task_calls(&self) -> Vec<task_log::TaskCall> {
         task_log::read(&self.folder.join(TASK_LOG))
     }
 
     /// A process's number.
+    #[must_use]
     pub fn pid(&self, name: &str) -> Option<u32> {
         self.processes.iter().find(|p| p.name == name).map(|p| p.child.id())
     }
 
     /// The line for each process that `fleet` prints.
+    #[must_use]
     pub fn lines(&self) -> Vec<String> {
         let text = |a: Option<SocketAddr>| a.map_or_else(|| "-".to_owned(), |a| a.to_string());
         let line = |p: &Process| {
@@ -166,7 +175,7 @@
             };
             self.processes.iter().filter(|p| p.name.starts_with(kind)).map(row).collect()
         };
-        let asked: Vec<String> = self.asked().iter().map(SocketAddr::to_string).collect();
+        let asked: Vec<String> = self.coordinator_addresses().iter().map(SocketAddr::to_string).collect();
         let whole = json!({
             "coordinators": of('c'), "workers": of('w'), "acts": TASK_LOG,
             "fleet": format!("--fleet {} --coordinators {}", self.file.fleet, asked.join(",")),
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -191,13 +191,14 @@
     ///
     /// # Errors
     /// It runs, or does not come up.
-    pub fn start_again(&mut self, name: &str) -> Result<(), TestbedError> {
+    pub fn restart(&mut self, name: &str) -> Result<(), TestbedError> {
         if self.process(name)?.alive {
             return Err(TestbedError::Running { name: name.to_owned() });
         }
-        match name.starts_with('c') {
-            true => self.start_coordinator(name)?,
-            false => self.start_worker(name)?,
+        if name.starts_with('c') {
+            self.start_coordinator(name)?;
+        } else {
+            self.start_worker(name)?;
         }
         self.write_json()
     }
--- a/testbed/src/fleet/task_log.rs
+++ b/testbed/src/fleet/task_log.rs
@@ -13,17 +13,33 @@
 use std::time::{Duration, Instant};
 
 /// Periods of a task that are remembered.
-const PERIODS_MOST: usize = 10_000;
+const MAX_PERIODS: usize = 10_000;
+
+/// Whether the resource rejects calls under tokens that are older than one it has seen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Fencing {
+    /// It does.
+    Enforced,
+    /// It accepts every token: the counter-proof.
+    Disabled,
+}
 
 /// One line of `acts.jsonl`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct ActLine {
+pub struct TaskCall {
+    /// The task.
     pub task: String,
+    /// The fencing token of the call.
     pub token: u64,
+    /// Who made the call.
     pub holder: String,
+    /// When it began (milliseconds).
     pub begin_ms: u64,
+    /// When it ended (milliseconds).
     pub end_ms: u64,
+    /// It was carried out.
     pub accepted: bool,
+    /// The period that it was for.
     pub period: u64,
 }
 
@@ -34,36 +50,39 @@
     done: BTreeSet<u64>,
 }
 
-struct Site {
+struct Resource {
     start: Instant,
     work: Duration,
     tasks: Mutex<HashMap<String, Task>>,
     lines: Mutex<std::fs::File>,
-    fenced: bool,
+    fencing: Fencing,
 }
 
-/// Starts it; where it listens. Without `fenced` it takes every token: the counter-proof.
-pub fn start(path: &Path, work_ms: u64, fenced: bool) -> Result<SocketAddr, TestbedError> {
-    let door = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("acts"))?;
-    let address = door.local_addr().map_err(TestbedError::component("acts"))?;
+/// Starts the resource; where it listens.
+///
+/// # Errors
+/// There is no free port, or the log can't be written.
+pub fn start(path: &Path, work_ms: u64, fencing: Fencing) -> Result<SocketAddr, TestbedError> {
+    let listener = TcpListener::bind("127.0.0.1:0").map_err(TestbedError::component("acts"))?;
+    let address = listener.local_addr().map_err(TestbedError::component("acts"))?;
     let file = std::fs::File::create(path).map_err(TestbedError::file(path))?;
-    let site = Arc::new(Site {
+    let resource = Arc::new(Resource {
         start: Instant::now(),
         work: Duration::from_millis(work_ms),
         tasks: Mutex::default(),
         lines: Mutex::new(file),
-        fenced,
+        fencing,
     });
     thread::spawn(move || {
-        for stream in door.incoming().map_while(Result::ok) {
-            let site = site.clone();
-            thread::spawn(move || site.serve(&stream));
+        for stream in listener.incoming().map_while(Result::ok) {
+            let resource = resource.clone();
+            thread::spawn(move || resource.serve(&stream));
         }
     });
     Ok(address)
 }
 
-impl Site {
+impl Resource {
     fn serve(&self, mut stream: &TcpStream) {
         let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
         let mut fields = HashMap::new();
@@ -92,7 +111,7 @@
         let may = {
             let mut tasks = lock(&self.tasks);
             let known = tasks.entry(task.clone()).or_default();
-            let stale = self.fenced && token < known.highest;
+            let stale = self.fencing == Fencing::Enforced && token < known.highest;
             known.highest = known.highest.max(token);
             if stale {
                 Err("409 Conflict")
@@ -110,16 +129,16 @@
             let mut tasks = lock(&self.tasks);
             let known = tasks.entry(task.clone()).or_default();
             // Somebody with a higher token has come meanwhile: this act is broken off.
-            let last = !self.fenced || known.highest == token;
+            let last = self.fencing == Fencing::Disabled || known.highest == token;
             if last {
                 known.done.insert(period);
-                if known.done.len() > PERIODS_MOST {
+                if known.done.len() > MAX_PERIODS {
                     known.done.pop_first();
                 }
             }
             last
         };
-        let line = ActLine {
+        let line = TaskCall {
             task,
             token,
             holder: text("task-holder"),
@@ -139,16 +158,18 @@
     }
 }
 
-/// All acts so far.
-pub fn read(path: &Path) -> Vec<ActLine> {
+/// All calls so far.
+#[must_use]
+pub fn read(path: &Path) -> Vec<TaskCall> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
 }
 
-/// What is wrong with these acts: accepted ones overlap, a token goes down, a period is acted twice.
-pub fn judge(acts: &[ActLine]) -> Vec<String> {
+/// What is wrong with these calls: accepted ones overlap, a token goes down, a period is carried out twice.
+#[must_use]
+pub fn find_violations(acts: &[TaskCall]) -> Vec<String> {
     let mut wrong = Vec::new();
-    let mut by_task: HashMap<&str, Vec<&ActLine>> = HashMap::new();
+    let mut by_task: HashMap<&str, Vec<&TaskCall>> = HashMap::new();
     acts.iter().filter(|a| a.accepted).for_each(|a| by_task.entry(&a.task).or_default().push(a));
     for (task, mut acts) in by_task {
         acts.sort_by_key(|a| (a.begin_ms, a.end_ms));
--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -5,6 +5,7 @@
 mod frontend;
 
 use port_worker::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way};
+use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use test_support::{Reply, RequestBuilder, WorkerProgram, TIMEOUT};
--- a/tests/output_pins/main.rs
+++ b/tests/output_pins/main.rs
@@ -9,6 +9,7 @@
 mod simulator_adapter;
 mod startup;
 
+use std::fmt::Write;
 use std::path::PathBuf;
 use std::process::Output;
 use test_support::{unique_request_id, WorkerProgram};
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -103,11 +103,8 @@
 
 /// What the holder of a lease sends about it.
 fn lease_requests() -> Vec<ClientMessage> {
-    let end = |outcome, period| ClientMessage::EndPeriod {
-        lease: lease("nightly-report", 7),
-        period,
-        outcome,
-    };
+    let end =
+        |outcome, period| ClientMessage::EndPeriod { lease: lease("nightly-report", 7), period, outcome };
     vec![
         ClientMessage::ReleaseLease { lease: lease("totals", 7), failed: false, pass_on: false },
         ClientMessage::ReleaseLease { lease: lease("totals", 7), failed: true, pass_on: true },
--- a/tests/stored_forms/main.rs
+++ b/tests/stored_forms/main.rs
@@ -5,12 +5,12 @@
 //! A `.jsonl` file holds the payload of one frame a line, in the order of the module's values; a `.hex` file holds whole
 //! frames with their headers.
 
-use std::fmt::Write;
-
 mod fleet;
 mod hand_off;
 mod learned;
 
+use std::fmt::Write;
+
 /// The non-empty lines of a fixture.
 fn fixture_lines(name: &str) -> Vec<String> {
     let path = format!("{}/tests/fixtures/stored_forms/{name}", env!("CARGO_MANIFEST_DIR"));
