--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -21,6 +21,11 @@
 /// The longest time for which a shedding level is pinned (seconds), so that a forgotten one ends.
 const MAX_PIN_S: f64 = 3600.0;
 
+/// Why a level can't be pinned.
+#[derive(Debug, thiserror::Error)]
+#[error("expected [overload], a share of 0 to 1, and 0 to {MAX_PIN_S} s")]
+struct PinRejected;
+
 /// A query that waits for a quorum to confirm this leader.
 pub(super) struct PendingQuery {
     number: u64,
@@ -82,7 +87,9 @@
                 let leader = self.leader_state.overload();
                 Ok(leader.map_or(Value::Null, |leader| to_value(&OverloadAnswer::new(now, leader))))
             }
-            OperatorQuery::Pin { tier, share, for_s } => self.pin_level(now, *tier, *share, *for_s),
+            OperatorQuery::Pin { tier, share, for_s } => {
+                self.pin_level(now, *tier, *share, *for_s).map_err(|error| error.to_string())
+            }
             OperatorQuery::Replace { coordinator } => {
                 let result = self.replica.replace(now, coordinator);
                 result
@@ -150,10 +157,10 @@
         })
     }
 
-    fn pin_level(&mut self, now: f64, tier: usize, share: f32, for_s: f64) -> Result<Value, String> {
+    fn pin_level(&mut self, now: f64, tier: usize, share: f32, for_s: f64) -> Result<Value, PinRejected> {
         let is_valid = (0.0..=1.0).contains(&share) && (0.0..=MAX_PIN_S).contains(&for_s);
         let Some(leader) = self.leader_state.overload_mut().filter(|_| is_valid) else {
-            return Err(format!("expected [overload], a share of 0 to 1, and 0 to {MAX_PIN_S} s"));
+            return Err(PinRejected);
         };
         let level = SheddingLevel { tier: tier.min(MAX_TIERS), share };
         leader.pin(level, now + for_s);
--- a/testbed/src/fleet/virtual_fleet/mod.rs
+++ b/testbed/src/fleet/virtual_fleet/mod.rs
@@ -2,12 +2,12 @@
 //! double and reorder frames, disks that fail and lose power, processes that are paused, die and come back. A seed is a
 //! run.
 //!
-//! [`review`] stands outside and sees true time: whether two workers believe at one moment that they hold a task, what
+//! `review` stands outside and sees true time: whether two workers believe at one moment that they hold a task, what
 //! the resource that is called accepted, and whether tasks are held again once the faults are over.
 //!
-//! Dependencies point one way: [`process_state`], [`links`] and [`task_record`] hold state; [`world`] joins them with the
-//! queue of events; [`processes`], [`network`], [`disks`], [`faults`] and [`review`] add what happens to the world;
-//! [`event_loop`] plays a run, and [`campaign`] many.
+//! Dependencies point one way: `process_state`, `links` and `task_record` hold state; `world` joins them with the
+//! queue of events; `processes`, `network`, `disks`, `faults` and `review` add what happens to the world;
+//! `event_loop` plays a run, and `campaign` many.
 
 mod campaign;
 mod disks;
