--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -1,4 +1,4 @@
-//! A model of the executor: runs share cores, crowd each other, slow down for a while, warm up, and stand at calls.
+//! A model of the executor: runs share cores, slow each other beyond a number, slow down for a while, warm up, and wait for calls.
 
 use crate::experiment::{ExecutorModel, Slow};
 use std::collections::{BTreeMap, BTreeSet};
@@ -119,14 +119,14 @@
         m.speed * warmth / slow.map_or(1.0, |s| s.times)
     }
 
-    /// Work done a second by each run: cores are shared evenly, and past the knee a crowd costs throughput.
+    /// Work done a second by each run: cores are shared evenly, and past the knee concurrency costs throughput.
     fn rate(&self, at: f64) -> f64 {
         let (n, cores) = (self.runs.len() as f64, self.model.cores as f64);
         if n == 0.0 {
             return 0.0;
         }
-        let crowd = (n / (cores * self.model.knee) - 1.0).max(0.0);
-        self.speed(at) * (cores / n).min(1.0) / (1.0 + self.model.thrash * crowd)
+        let excess = (n / (cores * self.model.knee) - 1.0).max(0.0);
+        self.speed(at) * (cores / n).min(1.0) / (1.0 + self.model.thrash * excess)
     }
 
     /// Plays up to a time; what comes to an end or to a call on the way is told in order.
@@ -199,7 +199,7 @@
 
     /// The highest mean of runs on the cores over this time, for each core.
     #[must_use]
-    pub fn crowd_mean(&self, over_s: f64) -> f64 {
+    pub fn peak_mean_concurrency(&self, over_s: f64) -> f64 {
         let n = ((over_s * 10.0) as usize).max(1);
         let windows = self.tenths.windows(n.min(self.tenths.len().max(1)));
         windows.map(|w| w.iter().sum::<f64>() / over_s).fold(0.0, f64::max) / self.model.cores as f64
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -244,20 +244,20 @@
                 QueryOutcome::Answer(_)
             )
         })?;
-        let mut crowd = SessionLoad::new(count, "cost", &all, &[]);
-        while !crowd.all_linked() {
-            crowd.turn();
-            if crowd.now() > TIMEOUT.as_secs_f64() {
+        let mut sessions_load = SessionLoad::new(count, "cost", &all, &[]);
+        while !sessions_load.all_linked() {
+            sessions_load.turn();
+            if sessions_load.now() > TIMEOUT.as_secs_f64() {
                 return Err(TestbedError::SessionsNotEstablished { count });
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        let opened = crowd.now();
+        let opened = sessions_load.now();
         let pid = leader(&rig).and_then(|c| rig.pid(&c)).ok_or(TestbedError::Missing("leader"))?;
         let (cpu, begun) = (cpu_of_all_threads_s(pid), Instant::now());
         let (mut up, mut down) = (0, 0);
         while begun.elapsed().as_secs_f64() < for_s {
-            let (u, d) = crowd.turn();
+            let (u, d) = sessions_load.turn();
             (up, down) = (up + u, down + d);
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/testbed/src/fleet/rig/faults_command.rs
+++ b/testbed/src/fleet/rig/faults_command.rs
@@ -49,14 +49,14 @@
     programs: Programs,
     over: &AtomicBool,
 ) -> Result<(), TestbedError> {
-    let door = TcpListener::bind("127.0.0.1:0")?;
-    door.set_nonblocking(true)?;
+    let listener = TcpListener::bind("127.0.0.1:0")?;
+    listener.set_nonblocking(true)?;
     let mut rig = Rig::start(file, folder, programs)?;
-    rig.control = door.local_addr().ok();
+    rig.control = listener.local_addr().ok();
     rig.write_json()?;
     rig.lines().iter().for_each(|line| println!("{line}"));
     while !over.load(Ordering::Relaxed) {
-        let Ok((stream, _)) = door.accept() else {
+        let Ok((stream, _)) = listener.accept() else {
             thread::sleep(POLL_INTERVAL);
             continue;
         };
--- a/testbed/src/fleet/rig/fleet_file.rs
+++ b/testbed/src/fleet/rig/fleet_file.rs
@@ -20,7 +20,7 @@
     /// After how long a coordinator counts a write as overdue (milliseconds).
     #[serde(default = "default_overdue_ms")]
     pub write_overdue_ms: u64,
-    /// How long each call of a task takes at the stand-in (milliseconds).
+    /// How long each call of a task takes at the resource (milliseconds).
     #[serde(default = "default_work_ms")]
     pub work_ms: u64,
     /// The tasks that all workers are given.
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes on loopback, with a relay between any two of them that speak, and the faults that stories
-//! are told in. Dropping it ends every process that it started, by its number, and removes nothing but what it made.
+//! A fleet of real processes on loopback, with a relay between any two of them that speak, and the faults that tests
+//! put between them. Dropping it ends every process that it started, by its number, and removes nothing but what it made.
 
 mod calls;
 mod configuration;
@@ -27,11 +27,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// How long a call at the shared service takes (milliseconds), until a story says otherwise.
+/// How long a call at the shared service takes (milliseconds), until a test says otherwise.
 const CALL_MS: u64 = 10;
 /// The classes that the workers of a fleet serve.
 const SITE: &str = include_str!("../../../experiments/console.toml");
-/// The file in which the stand-in logs the tasks' calls.
+/// The file in which the resource logs the tasks' calls.
 const TASK_LOG: &str = "acts.jsonl";
 
 /// A fleet that runs.
@@ -142,7 +142,7 @@
         self.coordinators().iter().filter_map(|name| self.address(name)).collect()
     }
 
-    /// The calls that the tasks' stand-in has logged.
+    /// The calls that the tasks' resource has logged.
     #[must_use]
     pub fn task_calls(&self) -> Vec<task_log::TaskCall> {
         task_log::read(&self.folder.join(TASK_LOG))
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -221,7 +221,7 @@
         Err(TestbedError::DidNotEnd { name: name.to_owned() })
     }
 
-    /// A second process takes the worker's place while it serves; the first is told to leave when the second is ready.
+    /// A second process takes the worker's place while it serves; the first is terminated when the second is ready.
     ///
     /// # Errors
     /// The second did not get ready.
--- a/testbed/src/fleet/rig/relays.rs
+++ b/testbed/src/fleet/rig/relays.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 impl Rig {
-    /// Starts a relay for each two processes that speak; `acts` is the stand-in that tasks call.
+    /// Starts a relay for each two processes that speak; `acts` is the resource that tasks call.
     pub(super) fn start_relays(&mut self, acts: SocketAddr) -> Result<(), TestbedError> {
         let coordinators = self.coordinators();
         let workers = self.workers();
--- a/testbed/src/fleet/service.rs
+++ b/testbed/src/fleet/service.rs
@@ -1,5 +1,5 @@
-//! The stand-in for the records service that all workers of a fleet share: it answers after a while, slows or turns all
-//! away when told, and counts what it has in hand by its own clock.
+//! The records service that all workers of a fleet share: it replies after a while, slows or rejects all calls on command,
+//! and counts its calls in flight by its own clock.
 
 use crate::error::TestbedError;
 use crate::loopback::read_message;
--- a/testbed/src/fleet/task_log.rs
+++ b/testbed/src/fleet/task_log.rs
@@ -1,4 +1,4 @@
-//! The stand-in for what fleet-wide tasks act upon. It takes an act only under a token as high as any it has seen, breaks
+//! The resource that fleet-wide tasks call. It accepts a call only under a token as high as any it has seen, breaks
 //! off one that is under way under a lower token, and writes a line for each act that it was asked for, by its one clock.
 
 use crate::error::TestbedError;
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -307,11 +307,11 @@
 /// What came of one loop.
 #[derive(Default)]
 struct LoopResult {
-    /// Work done over what the cores can do at most, without a crowd.
+    /// Work done over what the cores can do at most, without excess concurrency.
     throughput: f64,
     mean_limit: f64,
     /// Runs a core, the highest mean of 3 s.
-    crowd: f64,
+    concurrency: f64,
     /// After the end of the slow time: how long until the throughput of a second is nine tenths of the most.
     recovery_s: f64,
 }
@@ -381,7 +381,7 @@
     LoopResult {
         throughput: done / best,
         mean_limit: limits.0 / f64::max(limits.1, 1.0),
-        crowd: executor.crowd_mean(3.0),
+        concurrency: executor.peak_mean_concurrency(3.0),
         recovery_s: back.map_or(f64::INFINITY, |s| s as f64 + 1.0 - from),
     }
 }
@@ -408,7 +408,7 @@
             let loops: Vec<LoopResult> = (1..=seeds).map(|seed| play(s, name, seed)).collect();
             let mean = |of: fn(&LoopResult) -> f64| interval(&loops.iter().map(of).collect::<Vec<_>>());
             let ((t, th), (l, lh), (c, _)) =
-                (mean(|x| x.throughput), mean(|x| x.mean_limit), mean(|x| x.crowd));
+                (mean(|x| x.throughput), mean(|x| x.mean_limit), mean(|x| x.concurrency));
             let back =
                 if s.slow.is_some() { format!("{:.1}", mean(|x| x.recovery_s).0) } else { "-".to_owned() };
             let _ = writeln!(
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -119,7 +119,7 @@
         play.flood_ended += came_to.ended;
         play.flood_mb += came_to.bytes as f64 / 1e6;
     }
-    play.crowd_of_bound = executor.crowd_mean(CROWD_S) / CROWD_BOUND;
+    play.crowd_of_bound = executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = executor.most_on_cores;
     play.memory_growth = memory_after / memory.max(1.0);
     play.cpu_ms = (cpu_after - cpu_before) / requests.len().max(1) as f64;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -65,7 +65,7 @@
     pub worth: f64,
     /// The same, weighted by work.
     pub worth_by_work: f64,
-    /// The crowd rule's mean against its bound.
+    /// The mean concurrency against the survivable one.
     pub crowd_of_bound: f64,
     /// The most runs on the cores at once.
     pub most_on_cores: usize,
--- a/testbed/src/records.rs
+++ b/testbed/src/records.rs
@@ -24,8 +24,8 @@
 
     /// Takes a call; tells when it will be answered.
     pub fn call(&mut self, now: f64, id: &str) -> f64 {
-        let crowd = ((self.calls.len() + 1) as f64 / self.model.slots as f64 - 1.0).max(0.0);
-        let took = self.model.call_ms / 1000.0 * (1.0 + self.model.thrash * crowd);
+        let excess = ((self.calls.len() + 1) as f64 / self.model.slots as f64 - 1.0).max(0.0);
+        let took = self.model.call_ms / 1000.0 * (1.0 + self.model.thrash * excess);
         let stall = self.stalls.iter().find(|s| (s.at_s..s.at_s + s.for_s).contains(&now));
         let at = stall.map_or(now, |s| s.at_s + s.for_s) + took;
         self.next += 1;
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -73,7 +73,7 @@
     world.carry_out(0.0, out);
     world.run(experiment.length_s + AFTER_S);
     let mut play = Play::of(experiment, &variant.name, seed, &requests, &world.ends);
-    play.crowd_of_bound = world.executor.crowd_mean(CROWD_S) / CROWD_BOUND;
+    play.crowd_of_bound = world.executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = world.executor.most_on_cores;
     play.reserve_kept = world.reserve_kept;
     play.limits = world.limits;
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -59,26 +59,26 @@
 #[test]
 fn free_lease_is_granted_to_one_of_three_hundred_waiting_sessions() {
     let fleet = FleetUnderTest::start_with_a_free_lease();
-    let mut crowd = SessionLoad::new(300, "story", &fleet.rig.coordinator_addresses(), &["wanted"]);
-    let wait = |crowd: &mut SessionLoad, what: &str, so: &dyn Fn(&SessionLoad) -> bool| {
+    let mut sessions = SessionLoad::new(300, "story", &fleet.rig.coordinator_addresses(), &["wanted"]);
+    let wait = |sessions: &mut SessionLoad, what: &str, so: &dyn Fn(&SessionLoad) -> bool| {
         let until = Instant::now() + Duration::from_secs(40);
-        while !so(crowd) {
-            crowd.turn();
-            let holders = crowd.holders("wanted");
+        while !so(sessions) {
+            sessions.turn();
+            let holders = sessions.holders("wanted");
             assert!(holders.len() <= 1, "{holders:?}");
             assert!(Instant::now() < until, "{what}");
             std::thread::sleep(Duration::from_millis(2));
         }
     };
-    wait(&mut crowd, "all in session", &SessionLoad::all_linked);
+    wait(&mut sessions, "all in session", &SessionLoad::all_linked);
     let mut before = None;
     for change in 1..=3 {
-        wait(&mut crowd, "another holder", &|crowd| {
-            crowd.holders("wanted").first().is_some_and(|holder| Some(*holder) != before)
+        wait(&mut sessions, "another holder", &|sessions| {
+            sessions.holders("wanted").first().is_some_and(|holder| Some(*holder) != before)
         });
-        assert_eq!(crowd.grants(), change, "one is told, not all that wait");
-        before = crowd.holders("wanted").first().copied();
-        crowd.stop(before.unwrap());
+        assert_eq!(sessions.grants(), change, "one is granted it, not all that wait");
+        before = sessions.holders("wanted").first().copied();
+        sessions.stop(before.unwrap());
     }
 }
 
@@ -150,12 +150,12 @@
     fleet.assert_no_violations();
 }
 
-/// The counter-proof for the stand-in's fence: with every token taken, the same judge finds a stopped holder's late act.
+/// The counter-proof for fencing: where every token is accepted, the same review finds a suspended holder's late call.
 #[test]
 fn late_call_without_fencing_is_found_by_the_review() {
     let mut fleet = FleetUnderTest::start_without_fencing();
     delay_task_call(&mut fleet);
-    fleet.wait("what the judge finds", |rig| {
+    fleet.wait("the violation", |rig| {
         testbed::fleet::task_log::find_violations(&rig.task_calls())
             .iter()
             .any(|w| w.contains("goes down"))
--- a/testbed/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -1,4 +1,4 @@
-//! Overload handled by the fleet as one, told with processes: the judge is the service's own count of calls, and the
+//! Overload handled by the fleet as one, by real processes: what counts is the service's own count of calls, and the
 //! routers' of answers.
 
 use super::common::FleetUnderTest;
@@ -82,7 +82,7 @@
 fn busy_worker_uses_idle_workers_capacity_and_never_exceeds_the_total() {
     let mut fleet = FleetUnderTest::start_with_overload_control();
     let service = fleet.rig.service.clone().unwrap();
-    // Calls of 100 ms: four in hand are 40 a second, and the first is asked for three times that.
+    // Calls of 100 ms: four in flight are 40 a second, and the first is asked for three times that.
     service.set_call_ms(100);
     let routers = send(&fleet, "eligibility", [9, 1, 1, 1], 120.0);
     fleet.wait("a slice", |_| fleet.metric("w1", "fleet.overload.calls_slice").filter(|slice| *slice >= 1.0));
--- a/testbed/tests/fleet_virtual.rs
+++ b/testbed/tests/fleet_virtual.rs
@@ -1,4 +1,4 @@
-//! Fleets in virtual time: what must always hold, and that the judge finds each guard missing when it is taken away.
+//! Fleets in virtual time: what must always hold, and that the review finds each safety check missing when it is removed.
 
 use testbed::fleet::virtual_fleet::{play, Shape, Weakness};
 
--- a/tests/ajp/backend.rs
+++ b/tests/ajp/backend.rs
@@ -1,14 +1,16 @@
 //! Runs at AJP servers.
 
-use crate::{forward, order, Ajp, FRONT, WORKER};
+use crate::{forward, order, Ajp, FRONTEND, WORKER};
 use port_worker::net::upstreams::ajp_codec::{self, ToContainer, Way};
 use std::net::{SocketAddr, TcpListener};
 use test_support::{accept_link, reserve_address, Client, RequestBuilder, WorkerUnderTest};
 
 /// A worker whose runs go to an AJP server at this listener.
 fn with_server(at: SocketAddr) -> WorkerUnderTest {
-    WORKER
-        .start_with(|_| {}, Some(&format!("{FRONT}\n[backend]\nservers = [\"{at}\"]\nsecret = \"below\"\n")))
+    WORKER.start_with(
+        |_| {},
+        Some(&format!("{FRONTEND}\n[backend]\nservers = [\"{at}\"]\nsecret = \"below\"\n")),
+    )
 }
 
 /// Reads a request with its body as an AJP server does, after pings.
--- a/tests/ajp/directory.rs
+++ b/tests/ajp/directory.rs
@@ -1,6 +1,6 @@
 //! The directory, in which the tenants of portals are looked up.
 
-use crate::{forward, Ajp, FRONT, WORKER};
+use crate::{forward, Ajp, FRONTEND, WORKER};
 use bytes::BytesMut;
 use ldap3_proto::proto::*;
 use ldap3_proto::LdapCodec;
@@ -12,7 +12,7 @@
 use test_support::{accept_link, WorkerUnderTest};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A stand-in for an LDAP server, on one connection.
+/// A scripted LDAP server, on one connection.
 struct Ldap {
     stream: TcpStream,
     bytes: BytesMut,
@@ -81,7 +81,7 @@
 ) -> WorkerUnderTest {
     let at = directory.local_addr().unwrap();
     let text = format!(
-        "{FRONT}\n[directory]\naddress = \"{at}\"\nbind_dn = \"cn=worker\"\nbind_password = \"pw\"\n\
+        "{FRONTEND}\n[directory]\naddress = \"{at}\"\nbind_dn = \"cn=worker\"\nbind_password = \"pw\"\n\
          base = \"ou=portals\"\nidentity = \"remote-user\"\nidentity_attribute = \"uid\"\n\
          tenant_attribute = \"o\"\n{more}\n"
     );
@@ -146,7 +146,7 @@
     executor.expect_no_command(&worker);
 }
 
-/// The stop comes while the directory is asked: the portal is told to come back, before the process ends.
+/// The shutdown comes during a lookup: the portal gets a Retry-After before the process ends.
 #[test]
 fn request_waiting_for_a_silent_directory_is_answered_at_shutdown() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -1,13 +1,13 @@
 //! Requests of portals at the AJP frontend.
 
-use crate::{forward, order, Ajp, FRONT, WORKER};
+use crate::{forward, order, Ajp, FRONTEND, WORKER};
 use port_worker::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way};
 use serde_json::json;
 use test_support::{encode, unix_ms, Client};
 
 #[test]
 fn portal_connection_serves_pings_and_bodies_in_chunks() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
     for (body, pieces) in [("hello", 1), ("hello", 2), ("unmeasured", 3)] {
@@ -45,7 +45,7 @@
 
 #[test]
 fn attempts_with_one_key_share_one_run_over_ajp_and_http() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let (mut portal, mut router) = (Ajp::connect(worker.ajp.unwrap()), Client::connect(worker.http));
     let f = forward("/portal/order", "k1");
@@ -73,7 +73,7 @@
 
 #[test]
 fn connection_lost_in_mid_body_runs_nothing_and_after_it_retains_the_result() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
     portal.send(&forward("/portal/order", "k1"), b"he");
@@ -87,7 +87,7 @@
     executor.send_exit(&exec["job"], "PASS", "placed");
     let mut router = Client::connect(worker.http);
     assert_eq!(router.request(&order("k2")).body, b"placed");
-    // The key of the half request is free: it never reached the core.
+    // The key of the half request is free: it was never dispatched.
     router.send(&order("k1"));
     let exec = executor.expect_command("EXEC");
     executor.send_exit(&exec["job"], "PASS", "now");
@@ -97,7 +97,7 @@
 #[test]
 fn invalid_ajp_requests_are_rejected_and_never_dispatched() {
     let rules = "[[ajp.tenant]]\nserver_name = \"portal.example\"\ntenant = \"acme\"\n";
-    let mut worker = WORKER.start_with(|_| {}, Some(&format!("{FRONT}{rules}")));
+    let mut worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}{rules}")));
     let mut executor = worker.accept_link();
     let at = worker.ajp.unwrap();
     let good = forward("/portal/order", "k");
@@ -137,7 +137,7 @@
 
 #[test]
 fn failure_timeout_and_rejection_get_distinct_statuses() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
     portal.send(&forward("/portal/look", ""), b"hello");
@@ -152,18 +152,18 @@
     assert_eq!(portal.read_response().0.status, 504);
     assert!(unix_ms() <= sent + 5000, "answered by the class's time, not by its own");
     // Nothing ends: what can't be started in time any more is refused, with word when to come back.
-    let mut crowd: Vec<Ajp> = (0..40).map(|_| Ajp::connect(worker.ajp.unwrap())).collect();
-    for p in &mut crowd {
+    let mut portals: Vec<Ajp> = (0..40).map(|_| Ajp::connect(worker.ajp.unwrap())).collect();
+    for p in &mut portals {
         p.send(&forward("/portal/look", ""), b"hello");
     }
-    let reply = crowd.pop().unwrap().read_response().0;
+    let reply = portals.pop().unwrap().read_response().0;
     assert_eq!(reply.status, 503);
     assert!(reply.header("Retry-After").unwrap().parse::<u64>().unwrap() >= 1);
 }
 
 #[test]
 fn shutdown_answers_portals_and_closes_their_connections() {
-    let mut worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
     portal.send(&forward("/portal/order", "k"), b"hello");
--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -13,7 +13,7 @@
 /// The program under test.
 const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
-const FRONT: &str = r#"
+const FRONTEND: &str = r#"
 [ajp]
 listen = "127.0.0.1:0"
 secret = "s3cret"
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -1,4 +1,4 @@
-//! Stories of the operators' console: a started worker, its scripted peers, and calls on its second address.
+//! The operators' console of a started worker with scripted peers.
 
 use serde_json::json;
 use std::io::Write;
@@ -138,7 +138,7 @@
     assert!(worker.exits_successfully());
 }
 
-/// The oldest that has not asked goes for the next, so that holders keep nobody out; and no crowd of clients takes
+/// The oldest idle connection is closed for the next, so that idle ones keep nobody out; and no flood of clients takes
 /// the console's descriptors.
 #[test]
 fn console_answers_beside_idle_connections_and_a_flood_of_clients() {
--- a/tests/failures/health.rs
+++ b/tests/failures/health.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// A worker that reads too late reads only requests that their callers have given up.
+/// A worker that reads too late reads only requests that their callers have abandoned.
 #[test]
 fn a_worker_that_reads_too_late_is_delisted_until_it_has_caught_up() {
     let mut worker = Harness::new(Settings { signal: Signal::Weight, ..settings() });
--- a/tests/http/connections.rs
+++ b/tests/http/connections.rs
@@ -108,7 +108,7 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => busy.push(client),
             closed => break closed,
         }
-        assert!(busy.len() < 60, "nobody is turned away");
+        assert!(busy.len() < 60, "no connection is rejected");
     };
     assert!(matches!(turned_away, Ok(0) | Err(_)), "{turned_away:?}");
     assert!(busy.len() >= 4, "{} are held", busy.len());
--- a/tests/http/executor_link.rs
+++ b/tests/http/executor_link.rs
@@ -40,7 +40,7 @@
     let mut client = Client::connect(worker.http);
     let until = Instant::now() + TIMEOUT;
     loop {
-        assert!(Instant::now() < until, "this machine is too slow for the story");
+        assert!(Instant::now() < until, "this machine is too slow for the test");
         let before = Instant::now();
         client.send(&RequestBuilder::new("look"));
         let lost = executor.expect_command("EXEC");
@@ -49,7 +49,7 @@
         executor = Executor::accept(&worker.executor);
         assert_eq!(executor.expect_command("JOIN")["n"], n);
         executor.last_notice = n;
-        // A command that was old when the link broke is not in doubt: then the story begins anew.
+        // A command that was old when the link broke is not indeterminate: then the test begins anew.
         let in_doubt = before.elapsed() < Duration::from_millis(100);
         if in_doubt {
             assert_eq!(executor.expect_command("EXEC"), lost);
--- a/tests/http/lifecycle.rs
+++ b/tests/http/lifecycle.rs
@@ -37,7 +37,7 @@
     let reply = during.read_response();
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     std::thread::sleep(Duration::from_millis(1300));
-    // A part of a request is there, so that this connection stays open when the door closes.
+    // A part of a request is there, so that this connection stays open when the listeners close.
     let mut late = Client::connect(worker.http);
     let text = RequestBuilder::new("look").text();
     late.write(&text[..20]);
@@ -110,7 +110,7 @@
     moved.started.extend([jobs[1].clone(), order.clone()]);
     moved.welcome();
     worker.wait_load_report("ready");
-    // The call in hand ends where it was placed; what was held starts over the new link.
+    // The call in flight ends where it was made; what was queued starts over the new link.
     below.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
     assert_eq!(moved.expect_command("RETURN")["data"], encode("a"));
     moved.send_exit(&jobs[0], "PASS", "one");
--- a/tests/http2/conformance.rs
+++ b/tests/http2/conformance.rs
@@ -184,7 +184,7 @@
 
 #[test]
 fn protocol_violations_end_as_their_rfc_section_requires() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     for case in cases() {
         let mut peer = Peer::connect(&worker, &[]);
@@ -221,7 +221,7 @@
 /// Sections 6.9.1 and 6.9.2: the window is the settings' as soon as the client has acknowledged them.
 #[test]
 fn data_beyond_the_stream_window_resets_the_stream_and_is_not_dispatched() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut peer = Peer::connect(&worker, &[]);
     // Reading the settings acknowledges them, and the ping's answer shows that this has been seen.
@@ -236,7 +236,7 @@
 
 #[test]
 fn request_in_single_bytes_is_run_once() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let block = Peer::block(&Peer::head("look", None));
     let whole = [
--- a/tests/http2/keep_alive.rs
+++ b/tests/http2/keep_alive.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn idle_connection_gets_goaway_and_a_crossing_request_is_served() {
-    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONT}idle_s = 1\n")));
+    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}idle_s = 1\n")));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.ack_pings = false;
     peer.send_request(1, "look", None, "hello");
@@ -26,7 +26,7 @@
 
 #[test]
 fn idle_client_that_answers_no_ping_is_closed() {
-    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONT}ping_s = 0.5\n")));
+    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}ping_s = 0.5\n")));
     let (mut executor, mut alive) = (worker.accept_link(), Peer::connect(&worker, &[]));
     let mut dead = Peer::connect(&worker, &[]);
     dead.ack_pings = false;
--- a/tests/http2/limits.rs
+++ b/tests/http2/limits.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn reset_and_continuation_floods_are_disconnected_and_others_are_served() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     // Rapid reset: streams opened and reset without end.
     let mut peer = Peer::connect(&worker, &[]);
@@ -65,7 +65,7 @@
 /// PING is answered, so a client that sent nothing else could keep the worker's core to itself for as long as it liked.
 #[test]
 fn no_op_frame_flood_is_throttled_then_disconnected_and_requests_are_not() {
-    let mut worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut asks) = (worker.accept_link(), Peer::connect(&worker, &[]));
     let mut flood = Peer::connect(&worker, &[]);
     flood.send_request(1, "look", None, "hello");
@@ -95,7 +95,7 @@
 
 #[test]
 fn forty_streams_of_one_connection_do_not_starve_other_clients() {
-    let worker = WORKER.start_with(|c| c["settings"]["domain"]["nCores"] = json!(64), Some(FRONT));
+    let worker = WORKER.start_with(|c| c["settings"]["domain"]["nCores"] = json!(64), Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     for n in 0..40 {
         peer.send_request(2 * n + 1, "look", None, "hello");
@@ -117,7 +117,7 @@
 fn idle_connections_print_their_memory() {
     const CONNECTIONS: usize = 400;
     let wide = |c: &mut Value| c["limits"] = json!({"cores": 1.0, "memory_mb": 192, "sockets": 1024});
-    let worker = WORKER.start_with(wide, Some(FRONT));
+    let worker = WORKER.start_with(wide, Some(FRONTEND));
     let _executor = worker.accept_link();
     let rest = || std::thread::sleep(std::time::Duration::from_millis(1500));
     let before = worker.resident_kb();
@@ -142,7 +142,7 @@
 
 #[test]
 fn five_hundred_silent_connections_do_not_starve_other_clients() {
-    let worker = WORKER.start_with(|c| c["limits"]["sockets"] = json!(256), Some(FRONT));
+    let worker = WORKER.start_with(|c| c["limits"]["sockets"] = json!(256), Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut router = Client::connect(worker.http);
     assert_eq!(router.check_health(), 200);
@@ -169,28 +169,28 @@
 #[test]
 fn response_backlog_limit_disconnects_the_client_with_the_largest_backlog() {
     let cores = |c: &mut Value| c["settings"]["domain"]["nCores"] = json!(64);
-    let mut worker = WORKER.start_with(cores, Some(&format!("{FRONT}waiting_kb = 64\n")));
+    let mut worker = WORKER.start_with(cores, Some(&format!("{FRONTEND}waiting_kb = 64\n")));
     let mut executor = worker.accept_link();
     // Windows of 0: nothing of an answer's body may be sent.
-    let (mut hoards, mut patient) = (Peer::connect(&worker, &[(4, 0)]), Peer::connect(&worker, &[(4, 0)]));
-    patient.send_request(1, "look", None, "hello");
+    let (mut largest, mut smaller) = (Peer::connect(&worker, &[(4, 0)]), Peer::connect(&worker, &[(4, 0)]));
+    smaller.send_request(1, "look", None, "hello");
     let job = starts(&mut executor, "look");
     executor.send_exit(&job, "PASS", &"y".repeat(4000));
     for n in 0..20 {
-        hoards.send_request(2 * n + 1, "look", None, "hello");
+        largest.send_request(2 * n + 1, "look", None, "hello");
         let job = starts(&mut executor, "look");
         executor.send_exit(&job, "PASS", &"x".repeat(4000));
     }
-    assert_eq!(hoards.goaway().1, ENHANCE_YOUR_CALM);
-    assert!(hoards.is_closed());
+    assert_eq!(largest.goaway().1, ENHANCE_YOUR_CALM);
+    assert!(largest.is_closed());
     worker.wait_log("too much waits for clients");
-    patient.window(1, 4000);
-    assert_eq!(patient.read_response(1).body.len(), 4000);
+    smaller.window(1, 4000);
+    assert_eq!(smaller.read_response(1).body.len(), 4000);
 }
 
 #[test]
 fn connection_limit_evicts_idle_connections_and_keeps_busy_ones() {
-    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONT}connections = 2\n")));
+    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}connections = 2\n")));
     let mut executor = worker.accept_link();
     let mut ask = |peer: &mut Peer, stream: u32| {
         peer.send_request(stream, "look", None, "hello");
@@ -218,7 +218,7 @@
 /// waits for that and is not closed.
 #[test]
 fn new_connection_waits_until_unread_frames_of_an_idle_one_are_processed() {
-    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONT}connections = 2\n")));
+    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}connections = 2\n")));
     let mut executor = worker.accept_link();
     let (mut rests, mut busy) = (Peer::connect(&worker, &[]), Peer::connect(&worker, &[]));
     let mut jobs = Vec::new();
--- a/tests/http2/peer.rs
+++ b/tests/http2/peer.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use test_support::{unique_request_id, unix_ms, WorkerUnderTest, TIMEOUT};
 
-pub const FRONT: &str = "[http2]\nlisten = \"127.0.0.1:0\"\n";
+pub const FRONTEND: &str = "[http2]\nlisten = \"127.0.0.1:0\"\n";
 pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 // Frame types, flags and error codes of RFC 9113, sections 6 and 7.
@@ -99,7 +99,7 @@
     }
 
     pub fn frame(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) {
-        // A peer that has been told to go may find the connection closed: what it then reads tells the story.
+        // After a GOAWAY the connection may be closed: the test sees that when it reads.
         let _ = self.stream.write_all(&Peer::bytes(kind, flags, stream, payload));
     }
 
--- a/tests/http2/requests.rs
+++ b/tests/http2/requests.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn attempts_with_one_key_share_one_run_across_all_frontends() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.send_request(1, "order", Some("k1"), "hello");
     let job = starts(&mut executor, "order");
@@ -31,7 +31,7 @@
 #[test]
 fn stream_reset_after_the_start_retains_the_result_for_a_retry() {
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/portal/order\"\nclass = \"order\"\n";
-    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONT}{ajp}")));
+    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}{ajp}")));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.send_request(1, "order", Some("k1"), "hello");
     let job = starts(&mut executor, "order");
@@ -72,7 +72,7 @@
 
 #[test]
 fn stream_reset_before_the_start_frees_its_queue_place() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     for (stream, key) in [(1, "k1"), (3, "k2"), (5, "k3"), (7, "k4")] {
         peer.send_request(stream, "order", Some(key), "hello");
@@ -93,7 +93,7 @@
 #[test]
 fn rejection_carries_the_same_retry_advice_as_over_http1() {
     let pools = "[pools]\n[[pools.pool]]\nname = \"orders\"\nclasses = [\"order\"]\nqueue = 1\n";
-    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONT}{pools}")));
+    let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}{pools}")));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     for stream in [1, 3, 5, 7] {
         peer.send_request(stream, "order", Some(&format!("k{stream}")), "hello");
@@ -122,7 +122,7 @@
 
 #[test]
 fn http1_client_gets_a_readable_505() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let _executor = worker.accept_link();
     let mut client = Client::connect(worker.http2.unwrap());
     client.write("GET /check HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -138,7 +138,7 @@
 
 #[test]
 fn response_waits_for_windows_that_open_a_byte_at_a_time() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     // SETTINGS_INITIAL_WINDOW_SIZE of 0.
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[(4, 0)]));
     peer.send_request(1, "look", None, "hello");
@@ -171,7 +171,7 @@
 
 #[test]
 fn oversized_body_is_rejected_without_reading_all_of_it() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     let block = Peer::block(&Peer::head("look", None));
     peer.frame(HEADERS, END_HEADERS, 1, &block);
@@ -187,7 +187,7 @@
 
 #[test]
 fn malformed_requests_are_never_dispatched() {
-    let worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let good = Peer::head("look", None);
     let without = |name: &str| good.iter().filter(|(n, _)| n != name).cloned().collect::<Vec<_>>();
--- a/tests/http2/shutdown.rs
+++ b/tests/http2/shutdown.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn shutdown_sends_goaway_twice_answers_open_streams_and_closes() {
-    let mut worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     let mut idle = Peer::connect(&worker, &[]);
     idle.frame(PING, 0, 0, b"whatever");
@@ -38,7 +38,7 @@
 /// A drain by console changed health alone, and clients that kept their connection never heard of it.
 #[test]
 fn console_drain_sends_goaway_to_idle_clients_and_serves_crossing_requests() {
-    let worker = WORKER.start_with(|c| c["console"] = json!("127.0.0.1:0"), Some(FRONT));
+    let worker = WORKER.start_with(|c| c["console"] = json!("127.0.0.1:0"), Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     let mut ask = |peer: &mut Peer, stream: u32| {
         peer.send_request(stream, "look", None, "hello");
@@ -68,7 +68,7 @@
 
 #[test]
 fn second_shutdown_notice_changes_nothing() {
-    let mut worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.send_request(1, "order", Some("k1"), "hello");
     let job = starts(&mut executor, "order");
@@ -76,7 +76,7 @@
     assert_eq!(peer.goaway(), (0x7fff_ffff, NO_ERROR));
     assert_eq!(peer.goaway(), (1, NO_ERROR));
     worker.terminate();
-    // A stream that is opened after the last goodbye is none, and nothing of it runs.
+    // A stream that is opened after the last GOAWAY is none, and nothing of it runs.
     peer.send_request(3, "look", None, "hello");
     executor.send_exit(&job, "PASS", "placed");
     assert_eq!(peer.read_response(1).body, b"placed");
@@ -88,7 +88,7 @@
 
 #[test]
 fn shutdown_completes_partial_headers_and_responses_behind_closed_windows() {
-    let mut worker = WORKER.start_with(|_| {}, Some(FRONT));
+    let mut worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut half, mut shut) =
         (worker.accept_link(), Peer::connect(&worker, &[]), Peer::connect(&worker, &[(4, 0)]));
     shut.send_request(1, "look", None, "hello");
@@ -111,12 +111,12 @@
     assert!(worker.exits_successfully());
 }
 
-/// A stop so short that the module has no time to give up: the streams are answered all the same, each in the way of
+/// A shutdown so short that the controller has no time to abandon runs: the streams are answered all the same, each in the way of
 /// what is known of it.
 #[test]
 fn streams_are_answered_before_the_exit_however_short_the_shutdown() {
     for stop_ms in [120, 1, 0] {
-        let mut worker = WORKER.start_with(|c| c["stop_ms"] = json!(stop_ms), Some(FRONT));
+        let mut worker = WORKER.start_with(|c| c["stop_ms"] = json!(stop_ms), Some(FRONTEND));
         let mut executor = worker.accept_link();
         executor.gauges = [1.0, 4.0, 0.1, 3.0];
         let mut peer = Peer::connect(&worker, &[]);
--- a/tests/output_pins/startup.rs
+++ b/tests/output_pins/startup.rs
@@ -176,7 +176,7 @@
     transcript.check("worker_operator_file_errors.txt");
 }
 
-/// A worker with nothing to do is told to end.
+/// An idle worker is sent SIGTERM.
 #[test]
 fn sigterm_output_matches_the_fixture() {
     let folder = Folder::new();
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Class pools on a real worker over loopback: one story for each hard case. All waits are for conditions.
+//! Class pools on a real worker over loopback: one test for each hard case. All waits are for conditions.
 
 use serde_json::{json, Value};
 use std::process::Stdio;
@@ -106,11 +106,11 @@
 
 #[test]
 fn runs_stuck_at_calls_leave_capacity_to_the_other_pool() {
-    // What stands at a call holds no slot: without pools such runs would fill the crowd that the cores survive.
-    let crowd = |c: &mut Value| c["settings"]["contract"]["fallMultiple"] = json!(3.0);
+    // A run at a call holds no slot: without pools such runs would use up the survivable concurrency.
+    let survivable = |c: &mut Value| c["settings"]["contract"]["fallMultiple"] = json!(3.0);
     let pools = "[pools]\n[[pools.pool]]\nname = \"stuck\"\nclasses = [\"look\"]\nguarantee = 0.5\n\
         [[pools.pool]]\nname = \"orders\"\nclasses = [\"order\"]\nguarantee = 0.5\n";
-    let mut worker = WORKER.start_with(crowd, Some(pools));
+    let mut worker = WORKER.start_with(survivable, Some(pools));
     let mut executor = worker.accept_link();
     let mut records = Vec::new();
     let mut stuck = Vec::new();
@@ -142,7 +142,7 @@
     assert!(worker.exits_successfully());
 }
 
-/// What these stories ask of the scripted executor beyond the others.
+/// What these tests need of the scripted executor beyond the others.
 trait Orders {
     /// Two orders start and end while nothing else may start.
     fn quiet_orders(&mut self, worker: &WorkerUnderTest);
--- a/tests/stored_forms/main.rs
+++ b/tests/stored_forms/main.rs
@@ -2,7 +2,7 @@
 //! by the program at commit c001dc7; tests only read them. A fixture that no longer fits means that a new program can't
 //! talk to one in service: mend the program, not the fixture.
 //!
-//! A `.jsonl` file holds the payload of one frame a line, in the order of the module's values; a `.hex` file holds whole
+//! A `.jsonl` file holds the payload of one frame a line, in the order of the test module's values; a `.hex` file holds whole
 //! frames with their headers.
 
 mod fleet;
