--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -66,7 +66,7 @@
         let mut accepted = 0;
         while let Accepted::Stream(stream) = acceptor.accept(accepted) {
             accepted += 1;
-            let number = poll.fresh();
+            let number = poll.next_id();
             let id = LinkId(number);
             let buffer_bytes = MAX_CLIENT_FRAME_BYTES + FRAME_HEADER_BYTES;
             let link = stream
@@ -116,7 +116,7 @@
         receive: impl FnOnce(&[u8]) -> Result<(), E>,
     ) -> Taken<E> {
         let Some(inbound) = self.open_link(id) else { return Taken::Nothing };
-        inbound.link.set_room(limit + FRAME_HEADER_BYTES);
+        inbound.link.set_max_unread_bytes(limit + FRAME_HEADER_BYTES);
         let taken = match next_frame(inbound.link.data(), limit) {
             Err(error) => return Taken::TooLong(error.to_string()),
             Ok(None) => Taken::Nothing,
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -120,7 +120,7 @@
             return;
         }
         self.connect_started_at = now;
-        let number = poll.fresh();
+        let number = poll.next_id();
         let link = Link::connect(poll, self.address, Source::Coordinator(number), MAX_PEER_FRAME_BYTES);
         self.connection =
             link.ok().map(|link| Connection { id: LinkId(number), link, stage: Stage::Connecting });
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -192,7 +192,7 @@
         }
         let identity = pending.identity.take();
         let timeout_s = pending.fields.time_left(pending.class, &turn.context.catalog, turn.clock);
-        connection.set_state(turn.clock.now(), ConnectionState::Asked);
+        connection.set_state(turn.clock.now(), ConnectionState::AwaitingResponse);
         match identity {
             Some(identity) => turn.lookups.push(Lookup { ticket: Ticket(id), identity, timeout_s }),
             None => self.dispatch(id, turn),
@@ -247,7 +247,7 @@
     /// The directory's results would come too late: clients get a response with Retry-After.
     fn respond_all(&mut self, turn: &mut FrontendTurn<'_>) {
         let waits_for_directory = |connection: &Connection<Memory>| {
-            connection.state == ConnectionState::Asked && connection.memory.0.is_some()
+            connection.state == ConnectionState::AwaitingResponse && connection.memory.0.is_some()
         };
         for id in self.connections.ids_where(waits_for_directory) {
             self.complete_lookup(Ticket(id), LookupResult::Unavailable, turn);
@@ -272,7 +272,7 @@
 
     fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
-        if connection.state != ConnectionState::Asked {
+        if connection.state != ConnectionState::AwaitingResponse {
             return;
         }
         write_response(connection, now, response.into(), context);
--- a/src/net/frontends/ajp/response.rs
+++ b/src/net/frontends/ajp/response.rs
@@ -69,7 +69,7 @@
     context: &FrontendContext,
 ) {
     connection.close |= context.availability.closes_connections();
-    connection.set_state(now, ConnectionState::Answering);
+    connection.set_state(now, ConnectionState::Responding);
     let body_length = response.body.as_ref().map_or(0, |body| body.len());
     let mut headers = vec![("Content-Length", body_length.to_string())];
     headers.extend(response.headers);
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -124,7 +124,7 @@
 
     /// Adds an accepted connection; one that can't be polled is closed.
     fn register(&mut self, now: f64, stream: TcpStream) {
-        let id = self.poll.fresh();
+        let id = self.poll.next_id();
         if stream.set_nonblocking(true).is_err() {
             return;
         }
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -24,9 +24,9 @@
     /// A part of a request has come.
     Reading,
     /// A response is pending at the dispatcher, or a lookup at the directory before it.
-    Asked,
+    AwaitingResponse,
     /// The response is being written.
-    Answering,
+    Responding,
     /// The writing side has ended: what still comes is discarded until the peer closes.
     Closing,
     /// Another process has it, or is about to.
@@ -86,7 +86,7 @@
 
     /// Writes what can be written, and takes the state transitions that every protocol shares.
     pub fn advance(&mut self, now: f64) -> NextStep {
-        use ConnectionState::{Answering, Asked, Closing, HandedOff, Idle, Reading};
+        use ConnectionState::{AwaitingResponse, Closing, HandedOff, Idle, Reading, Responding};
         for _ in 0..MAX_STEPS_PER_TURN {
             if self.link.flush().is_err() {
                 return NextStep::Close;
@@ -94,11 +94,11 @@
             match self.state {
                 // One request at a time: what comes meanwhile waits in the buffer, then with the system. Only reading
                 // shows a reset, and the dispatcher need not go on for a client that is gone.
-                Asked if self.link.fill() == Filled::Broken => return NextStep::Close,
-                Asked | HandedOff => return NextStep::Wait,
-                Answering if self.link.queued() > 0 => return NextStep::Wait,
-                Answering if self.close => self.half_close(now),
-                Answering => self.set_state(now, Idle),
+                AwaitingResponse if self.link.fill() == Filled::Broken => return NextStep::Close,
+                AwaitingResponse | HandedOff => return NextStep::Wait,
+                Responding if self.link.queued() > 0 => return NextStep::Wait,
+                Responding if self.close => self.half_close(now),
+                Responding => self.set_state(now, Idle),
                 Closing => return self.discard_input(now),
                 Idle | Reading => return NextStep::Read,
             }
@@ -109,12 +109,13 @@
     /// Takes no further request: what is queued is written, then the connection is closed.
     pub fn finish(&mut self, now: f64) {
         self.close = true;
-        self.set_state(now, ConnectionState::Answering);
+        self.set_state(now, ConnectionState::Responding);
     }
 
     /// Enters a state, and counts a request that has come complete.
     pub fn set_state(&mut self, now: f64, state: ConnectionState) {
-        let request_complete = matches!(state, ConnectionState::Asked | ConnectionState::Answering);
+        let request_complete =
+            matches!(state, ConnectionState::AwaitingResponse | ConnectionState::Responding);
         if self.state == ConnectionState::Reading && request_complete {
             self.requests_read += 1;
         }
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -21,26 +21,31 @@
 }
 
 impl<P: Default> Connections<P> {
-    /// Goes on with a connection that was detached; with `asked` its request is in flight.
-    pub fn reattach(&mut self, now: f64, id: u64, asked: bool) {
+    /// Goes on with a connection that was detached; with `request_in_flight` its request is in flight.
+    pub fn reattach(&mut self, now: f64, id: u64, request_in_flight: bool) {
         let detached = self.by_id.get_mut(&id).filter(|c| c.state == ConnectionState::HandedOff);
         let Some(connection) = detached else { return };
         // Not a new request: `set_state` is for those alone.
-        connection.state = resumed_state(&connection.link, asked);
+        connection.state = resumed_state(&connection.link, request_in_flight);
         connection.state_since = now;
         self.touched.push(id);
     }
 
-    /// Takes over a connection from another process, in non-blocking mode; with `asked` its request is in flight.
+    /// Takes over a connection from another process, in non-blocking mode; with `request_in_flight` its request is in flight.
     /// `None` where its socket can't be polled.
-    pub fn adopt(&mut self, now: f64, detached: DetachedConnection<P>, asked: bool) -> Option<u64> {
-        let id = self.poll.fresh();
+    pub fn adopt(
+        &mut self,
+        now: f64,
+        detached: DetachedConnection<P>,
+        request_in_flight: bool,
+    ) -> Option<u64> {
+        let id = self.poll.next_id();
         let stream = TcpStream::from(detached.stream);
         let mut link =
             Link::new(&self.poll, stream, Source::Client(self.kind, id), self.max_unread_bytes).ok()?;
         link.put_back(&detached.unread);
         let mut connection = Connection::new(link, now, detached.memory);
-        connection.state = resumed_state(&connection.link, asked);
+        connection.state = resumed_state(&connection.link, request_in_flight);
         connection.requests_read = detached.requests_read;
         connection.close = detached.close;
         connection.has_unseen_bytes = !connection.link.data().is_empty();
@@ -69,9 +74,9 @@
 }
 
 /// The state in which a connection from another process goes on.
-fn resumed_state(link: &Link, asked: bool) -> ConnectionState {
-    if asked {
-        ConnectionState::Asked
+fn resumed_state(link: &Link, request_in_flight: bool) -> ConnectionState {
+    if request_in_flight {
+        ConnectionState::AwaitingResponse
     } else if link.data().is_empty() {
         ConnectionState::Idle
     } else {
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -154,7 +154,11 @@
 
     /// Closes a broken connection, and notifies the dispatcher where its request is in flight.
     pub fn disconnected(&mut self, id: u64, inputs: &mut Vec<Input>) {
-        if self.by_id.remove(&id).is_some_and(|connection| connection.state == ConnectionState::Asked) {
+        if self
+            .by_id
+            .remove(&id)
+            .is_some_and(|connection| connection.state == ConnectionState::AwaitingResponse)
+        {
             inputs.push(Input::ClientDisconnected(Ticket(id)));
         }
     }
--- a/src/net/frontends/connections/sweeping.rs
+++ b/src/net/frontends/connections/sweeping.rs
@@ -38,9 +38,9 @@
                     closing || in_state_s >= idle_s
                 }
                 ConnectionState::Reading => request_age_s >= REQUEST_TIMEOUT_S,
-                ConnectionState::Asked | ConnectionState::HandedOff => false,
+                ConnectionState::AwaitingResponse | ConnectionState::HandedOff => false,
                 // The peer reads nothing, so there is nothing that a half-close could bring to it.
-                ConnectionState::Answering => return in_state_s < RESPONSE_TIMEOUT_S,
+                ConnectionState::Responding => return in_state_s < RESPONSE_TIMEOUT_S,
                 ConnectionState::Closing => return connection.keep_lingering(now),
             };
             let past_grace = request_age_s >= REQUEST_TIMEOUT_S + REQUEST_TIMEOUT_GRACE_S;
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -121,11 +121,11 @@
 
     fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         let Some(connection) = self.connections.get_mut(ticket.0) else { return };
-        if connection.state != ConnectionState::Asked {
+        if connection.state != ConnectionState::AwaitingResponse {
             return;
         }
         connection.close |= context.availability.shutting_down;
-        connection.set_state(now, ConnectionState::Answering);
+        connection.set_state(now, ConnectionState::Responding);
         let mapped = map_response(response);
         let mut extra = String::new();
         if let Some(ms) = mapped.pushback_ms {
@@ -178,21 +178,21 @@
             connection.link.consume(length);
             connection.close = !keep_alive || context.availability.shutting_down;
             connection.link.push(responses::check_response(context, connection.close));
-            connection.set_state(now, ConnectionState::Answering);
+            connection.set_state(now, ConnectionState::Responding);
             Progress::Continue
         }
         Parsed::Complete { request, length, keep_alive } => {
             connection.link.consume(length);
             connection.close = !keep_alive;
             connection.memory = false;
-            connection.set_state(now, ConnectionState::Asked);
+            connection.set_state(now, ConnectionState::AwaitingResponse);
             inputs.push(Input::Arrived(*request));
             Progress::Wait
         }
         Parsed::Invalid(error) => {
             connection.close = true;
             connection.link.push(responses::error_response(&error, context));
-            connection.set_state(now, ConnectionState::Answering);
+            connection.set_state(now, ConnectionState::Responding);
             Progress::Continue
         }
     }
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -50,7 +50,7 @@
             clock: turn.clock,
             context: turn.context,
             max_streams: MAX_STREAMS_PER_ROUND,
-            next_ticket: &|| poll.fresh(),
+            next_ticket: &|| poll.next_id(),
         });
         self.overhead.credit(output.request_bytes);
         self.overhead.revoke_credit(output.reset_bytes);
@@ -115,7 +115,7 @@
     /// Reads from a connection, polls its session, writes what that produced, and hands on its requests.
     pub(super) fn process_connection(&mut self, id: u64, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if connection.state == ConnectionState::Closing || connection.state == ConnectionState::Answering {
+        if connection.state == ConnectionState::Closing || connection.state == ConnectionState::Responding {
             return self.process_ending(id, turn);
         }
         if connection.link.flush().is_err() {
@@ -236,7 +236,7 @@
 ) -> Option<Exchange> {
     let link = &mut connection.link;
     let active = connection.memory.active.as_deref_mut()?;
-    let available = link.data().len().min(active.session.pipe().room()).min(MAX_BYTES_PER_POLL);
+    let available = link.data().len().min(active.session.pipe().free_bytes()).min(MAX_BYTES_PER_POLL);
     let decision = decide_read(active, available, pressure, turn);
     let read_bytes = decision.read_bytes();
     feed(&active.session, link, read_bytes, filled);
@@ -303,13 +303,16 @@
         connection.memory.sent_bytes = connection.link.sent;
         connection.memory.send_progress_at = now;
     }
-    if exchange.accepted && connection.state != ConnectionState::Asked {
+    if exchange.accepted && connection.state != ConnectionState::AwaitingResponse {
         // By way of reading: a connection that has sent a request is not among the silent ones, which are closed first
         // when descriptors run out.
         connection.set_state(now, ConnectionState::Reading);
-        connection.set_state(now, ConnectionState::Asked);
+        connection.set_state(now, ConnectionState::AwaitingResponse);
     }
-    if !exchange.has_streams && connection.link.queued() == 0 && connection.state == ConnectionState::Asked {
+    if !exchange.has_streams
+        && connection.link.queued() == 0
+        && connection.state == ConnectionState::AwaitingResponse
+    {
         connection.set_state(now, ConnectionState::Idle);
     }
 }
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -106,7 +106,7 @@
         let cx = &mut Context::from_waker(&waker);
         let _ = Pin::new(&mut self.connection).poll(cx);
         self.towards_server.extend(self.wire.drain());
-        let length = max_bytes.min(self.towards_server.len()).min(self.session.pipe().room());
+        let length = max_bytes.min(self.towards_server.len()).min(self.session.pipe().free_bytes());
         self.session.pipe().feed(&self.towards_server[..length]);
         self.towards_server.drain(..length);
         if !self.session_ended {
@@ -132,7 +132,7 @@
             self.session_ended = output.ended;
         }
         self.towards_client.extend(self.session.pipe().drain());
-        let length = max_bytes.min(self.towards_client.len()).min(self.wire.room());
+        let length = max_bytes.min(self.towards_client.len()).min(self.wire.free_bytes());
         self.wire.feed(&self.towards_client[..length]);
         self.towards_client.drain(..length);
         let _ = Pin::new(&mut self.connection).poll(cx);
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -25,7 +25,7 @@
     /// Closes clients that take nothing of what waits for them.
     fn close_stalled(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let stalled = self.connections.ids_where(|connection| {
-            connection.state == ConnectionState::Asked
+            connection.state == ConnectionState::AwaitingResponse
                 && connection.link.queued() > 0
                 && connection.memory.send_stalled_s(now) > MAX_SEND_STALL_S
         });
--- a/src/net/frontends/http2/transport.rs
+++ b/src/net/frontends/http2/transport.rs
@@ -27,7 +27,7 @@
 
 impl Pipe {
     /// How many more bytes may be fed to the codec now.
-    pub fn room(&self) -> usize {
+    pub fn free_bytes(&self) -> usize {
         MAX_INPUT_BYTES.saturating_sub(self.0.borrow().input.len())
     }
 
@@ -36,7 +36,7 @@
         self.0.borrow().input.len()
     }
 
-    /// Hands bytes to the codec; the caller keeps within [`Pipe::room`].
+    /// Hands bytes to the codec; the caller keeps within [`Pipe::free_bytes`].
     pub fn feed(&self, bytes: &[u8]) {
         self.0.borrow_mut().input.extend(bytes);
     }
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -52,7 +52,7 @@
     _watch: Watch,
     input: Vec<u8>,
     start: usize,
-    room: usize,
+    max_unread_bytes: usize,
     output: VecDeque<Chunk>,
     written: usize,
     queued: usize,
@@ -64,11 +64,11 @@
 }
 
 impl Link {
-    /// Takes a stream in non-blocking mode; at most `room` unread bytes are buffered.
+    /// Takes a stream in non-blocking mode; at most `max_unread_bytes` unread bytes are buffered.
     ///
     /// # Errors
     /// No descriptor is left in the budget.
-    pub fn new(poll: &Poll, stream: TcpStream, source: Source, room: usize) -> io::Result<Link> {
+    pub fn new(poll: &Poll, stream: TcpStream, source: Source, max_unread_bytes: usize) -> io::Result<Link> {
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
         let watch = poll.watch(stream.clone(), source)?;
@@ -77,7 +77,7 @@
             _watch: watch,
             input: Vec::new(),
             start: 0,
-            room,
+            max_unread_bytes,
             output: VecDeque::new(),
             written: 0,
             queued: 0,
@@ -93,8 +93,13 @@
     ///
     /// # Errors
     /// No descriptor is left, or the system refuses at once.
-    pub fn connect(poll: &Poll, to: std::net::SocketAddr, source: Source, room: usize) -> io::Result<Link> {
-        if !poll.room() {
+    pub fn connect(
+        poll: &Poll,
+        to: std::net::SocketAddr,
+        source: Source,
+        max_unread_bytes: usize,
+    ) -> io::Result<Link> {
+        if !poll.has_capacity() {
             return Err(io::Error::from_raw_os_error(poll::EMFILE));
         }
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
@@ -105,7 +110,7 @@
                 if e.kind() == io::ErrorKind::WouldBlock || e.raw_os_error() == Some(poll::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
-        let mut link = Link::new(poll, socket.into(), source, room)?;
+        let mut link = Link::new(poll, socket.into(), source, max_unread_bytes)?;
         link.readable = false;
         link.writable = false;
         Ok(link)
@@ -133,13 +138,13 @@
 
     /// Reads what is there, up to the limit of the buffer; the rest waits, and so does the peer.
     pub fn fill(&mut self) -> Filled {
-        while self.readable && !self.ended && self.data().len() < self.room {
+        while self.readable && !self.ended && self.data().len() < self.max_unread_bytes {
             if self.start > 0 {
                 self.input.drain(..self.start);
                 self.start = 0;
             }
             let len = self.input.len();
-            let target = self.room.min(len + READ_BYTES);
+            let target = self.max_unread_bytes.min(len + READ_BYTES);
             self.input.resize(target, 0);
             let got = (&*self.stream).read(&mut self.input[len..]);
             self.input.truncate(len + got.as_ref().map_or(0, |n| *n));
@@ -178,8 +183,8 @@
     }
 
     /// Sets how many unread bytes are buffered at most.
-    pub fn set_room(&mut self, room: usize) {
-        self.room = room;
+    pub fn set_max_unread_bytes(&mut self, max_unread_bytes: usize) {
+        self.max_unread_bytes = max_unread_bytes;
     }
 
     /// Whether more may be there to be read.
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -71,7 +71,7 @@
 
     /// The same loop with a budget of its own: a listener and so many clients, whatever the others hold.
     #[must_use]
-    pub fn apart(&self, clients: usize) -> Poll {
+    pub fn with_own_budget(&self, clients: usize) -> Poll {
         let budget = RESERVED_FOR_UPSTREAMS + 1 + clients;
         Poll::with_budget(self.handle.clone(), budget, self.last_number.clone())
     }
@@ -84,12 +84,12 @@
 
     /// Whether the budget allows one more socket.
     #[must_use]
-    pub fn room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.available.get() > self.other_process.get()
     }
 
     /// Another process holds this many descriptors that count against the budget.
-    pub fn set_beside(&self, held: usize) {
+    pub fn set_other_process_usage(&self, held: usize) {
         self.other_process.set(held);
     }
 
@@ -101,13 +101,13 @@
 
     /// Whether the budget allows one more client.
     #[must_use]
-    pub fn room_for_caller(&self) -> bool {
+    pub fn has_capacity_for_client(&self) -> bool {
         self.available.get() > RESERVED_FOR_UPSTREAMS + self.other_process.get()
     }
 
     /// A number that no other connection, call or search has had.
     #[must_use]
-    pub fn fresh(&self) -> u64 {
+    pub fn next_id(&self) -> u64 {
         self.last_number.set(self.last_number.get() + 1);
         self.last_number.get()
     }
@@ -229,7 +229,7 @@
         if taken >= MAX_ACCEPTS_PER_TURN {
             return Accepted::Pause;
         }
-        if !self.poll.room_for_caller() {
+        if !self.poll.has_capacity_for_client() {
             return Accepted::Full;
         }
         loop {
--- a/src/net/io/source.rs
+++ b/src/net/io/source.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// The owner of a watched socket; numbers come from [`Poll::fresh`](super::poll::Poll::fresh).
+/// The owner of a watched socket; numbers come from [`Poll::next_id`](super::poll::Poll::next_id).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
     /// The listening socket of a frontend.
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -63,7 +63,7 @@
     /// # Errors
     /// The system can't listen there.
     pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> Result<Console, ListenError> {
-        let own = poll.apart(console_calls(sockets));
+        let own = poll.with_own_budget(console_calls(sockets));
         let mut connections = Connections::closed(&own, FrontendKind::Console, MAX_HEAD_BYTES);
         connections.open(None, address)?;
         connections.prefer_newest();
@@ -97,7 +97,7 @@
             Ok(None) if filled != Filled::Open => self.connections.close(id),
             Ok(None) => {}
             Ok(Some(call)) => {
-                c.set_state(now, ConnectionState::Asked);
+                c.set_state(now, ConnectionState::AwaitingResponse);
                 calls.push((id, call));
             }
             Err(reply) => self.answer(id, now, &reply),
@@ -110,8 +110,8 @@
         // Bytes beyond the head belong to no call.
         c.link.consume(c.link.data().len());
         c.close = true;
-        c.link.push(words(reply));
-        c.set_state(now, ConnectionState::Answering);
+        c.link.push(encode(reply));
+        c.set_state(now, ConnectionState::Responding);
         if c.advance(now) == NextStep::Close {
             self.connections.close(id);
         }
@@ -143,7 +143,7 @@
     Ok(Some(call))
 }
 
-fn words(reply: &Reply) -> Vec<u8> {
+fn encode(reply: &Reply) -> Vec<u8> {
     let reason = match reply.code {
         200 => "OK",
         400 => "Bad Request",
@@ -165,12 +165,12 @@
     text.into_bytes()
 }
 
-/// The figures, a line each: all classes from the start on, zeros included.
+/// The metrics, a line each: all classes from the start on, zeros included.
 #[must_use]
-pub fn figures(known: &Catalog, figures: &Metrics, concurrent: usize) -> String {
+pub fn metrics_text(catalog: &Catalog, metrics: &Metrics, pending_responses: usize) -> String {
     let mut text = String::new();
-    for (class, counts) in figures.classes().iter().enumerate() {
-        let name = known.class_name(class);
+    for (class, counts) in metrics.classes().iter().enumerate() {
+        let name = catalog.class_name(class);
         for (what, n) in [
             ("success", counts.success),
             ("overload", counts.overload),
@@ -180,7 +180,7 @@
             let _ = writeln!(text, "svc.replies.{name}.{what}={n}");
         }
     }
-    let _ = writeln!(text, "svc.concurrent={concurrent}");
+    let _ = writeln!(text, "svc.concurrent={pending_responses}");
     text
 }
 
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -56,7 +56,7 @@
     }
 
     /// The fleet's metrics for operators, a line each.
-    pub(in crate::net) fn fleet_figures(&self) -> String {
+    pub(in crate::net) fn fleet_metrics(&self) -> String {
         let Some(fleet) = &self.upstreams.coordinators else { return String::new() };
         let mut text = String::new();
         for (name, value) in fleet.member.metrics(fleet.now()) {
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -60,7 +60,7 @@
     pub(in crate::net) fn new(poll: &Poll, folder: &Path) -> Links {
         Links {
             path: folder.join(SOCKET_NAME),
-            poll: poll.apart(MAX_LINKS),
+            poll: poll.with_own_budget(MAX_LINKS),
             listener: None,
             accept_pending: false,
             predecessor: None,
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -76,7 +76,7 @@
 impl PeerLink {
     pub(super) fn new(poll: &Poll, stream: UnixStream) -> io::Result<PeerLink> {
         stream.set_nonblocking(true)?;
-        let number = poll.fresh();
+        let number = poll.next_id();
         let stream = Rc::new(stream);
         let watch = poll.watch(stream.clone(), Source::HotRestartPeer(number))?;
         Ok(PeerLink {
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -60,7 +60,7 @@
 
     pub(super) fn on_predecessor_disconnected(&mut self, now: f64, inputs: &mut Vec<Input>) {
         HotRestartEvent::PeerExited(Peer::Predecessor).emit();
-        self.poll.set_beside(0);
+        self.poll.set_other_process_usage(0);
         self.on_hot_restart_event(now, Event::PredecessorDisconnected, inputs);
         inputs.push(Input::PredecessorGone);
         if self.owns_listeners() {
@@ -151,7 +151,7 @@
 
     fn set_predecessor_usage(&mut self, usage: Usage, inputs: &mut Vec<Input>) {
         let Usage { on_cores, downstream_calls, memory_kb, sockets } = usage;
-        self.poll.set_beside(sockets);
+        self.poll.set_other_process_usage(sockets);
         let usage = ResourceUsage { on_cores, downstream_calls, memory_kb };
         inputs.push(Input::PredecessorUsage(usage));
     }
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -2,7 +2,7 @@
 
 use crate::log::LogEvent;
 use crate::net::events::LifecycleEvent;
-use crate::net::lifecycle::console::{self, Call};
+use crate::net::lifecycle::console::{self, Call, Reply};
 use crate::net::Worker;
 
 impl Worker {
@@ -20,55 +20,54 @@
         paused
     }
 
-    pub(in crate::net) fn handle_operator_call(&mut self, call: Call) -> console::Reply {
-        let linked = self.upstreams.can_run();
+    fn handle_operator_call(&mut self, call: Call) -> Reply {
         match call {
-            Call::Ready if self.context.availability.shutting_down => console::Reply::new(503, "leaving\n"),
-            Call::Ready if !self.owns_listeners() => {
-                let given = self.has_handed_off();
-                console::Reply::new(
-                    503,
-                    if given { "handed over\n" } else { "waiting for the process before\n" },
-                )
-            }
-            Call::Ready if self.dispatcher.is_none() || !linked => {
-                console::Reply::new(503, "no link to the executor\n")
-            }
-            Call::Ready => console::Reply::new(200, "ready\n"),
-            Call::Metrics => {
-                let (counts, concurrent) = self
-                    .dispatcher
-                    .as_ref()
-                    .map_or((&self.early_metrics, 0), |core| (core.metrics(), core.pending_responses()));
-                let figures = console::figures(&self.context.catalog, counts, concurrent);
-                console::Reply::new(200, figures + &self.fleet_figures())
-            }
+            Call::Ready => self.readiness(),
+            Call::Metrics => Reply::new(200, self.metrics_text()),
             Call::Drain => {
                 self.set_draining(true);
-                console::Reply::new(200, "draining\n")
+                Reply::new(200, "draining\n")
             }
             Call::Resume => {
                 self.set_draining(false);
-                console::Reply::new(
-                    200,
-                    if self.context.availability.shutting_down {
-                        "leaving all the same\n"
-                    } else {
-                        "serving\n"
-                    },
-                )
+                let shutting_down = self.context.availability.shutting_down;
+                Reply::new(200, if shutting_down { "leaving all the same\n" } else { "serving\n" })
             }
         }
     }
 
+    /// Whether this process can serve. The reasons are the words of the operators' pages.
+    fn readiness(&self) -> Reply {
+        let can_run = self.dispatcher.is_some() && self.upstreams.can_run();
+        if self.context.availability.shutting_down {
+            Reply::new(503, "leaving\n")
+        } else if self.has_handed_off() {
+            Reply::new(503, "handed over\n")
+        } else if !self.owns_listeners() {
+            Reply::new(503, "waiting for the process before\n")
+        } else if can_run {
+            Reply::new(200, "ready\n")
+        } else {
+            Reply::new(503, "no link to the executor\n")
+        }
+    }
+
+    fn metrics_text(&self) -> String {
+        let (metrics, pending_responses) = match &self.dispatcher {
+            Some(dispatcher) => (dispatcher.metrics(), dispatcher.pending_responses()),
+            None => (&self.early_metrics, 0),
+        };
+        console::metrics_text(&self.context.catalog, metrics, pending_responses) + &self.fleet_metrics()
+    }
+
     /// Begins or ends a drain: health checks and load reports change immediately, admission does not.
-    pub(in crate::net) fn set_draining(&mut self, on: bool) {
-        if self.forward_drain(on) {
+    pub(in crate::net) fn set_draining(&mut self, draining: bool) {
+        if self.forward_drain(draining) {
             return;
         }
-        if self.context.availability.draining != on {
-            self.context.availability.draining = on;
-            LifecycleEvent::DrainChanged { draining: on }.emit();
+        if self.context.availability.draining != draining {
+            self.context.availability.draining = draining;
+            LifecycleEvent::DrainChanged { draining }.emit();
             self.report_load(false);
         }
     }
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -106,7 +106,7 @@
 
     /// Whether there is something to process without an event of the poll.
     #[must_use]
-    pub fn pending(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.touched.is_empty() || !self.never_ran.is_empty()
     }
 
@@ -141,7 +141,7 @@
         if connection.used {
             connection.link.push(ajp_codec::write_cping());
         }
-        run.timer_number = self.poll.fresh();
+        run.timer_number = self.poll.next_id();
         wheel.set(now, PONG_TIMEOUT_S, Timer::Run(run.timer_number));
         connection.run = Some(run);
         self.touched.push(id);
@@ -161,7 +161,7 @@
         let servers: &[SocketAddr] = &self.settings.servers;
         let address = *servers.get(self.next_server % servers.len().max(1))?;
         self.next_server = self.next_server.wrapping_add(1);
-        let id = self.poll.fresh();
+        let id = self.poll.next_id();
         let link = Link::connect(&self.poll, address, Source::AjpServer(id), 2 * MAX_PACKET_BYTES).ok()?;
         let connection = Connection { link, connected: false, used: false, run: None, idle_since: now };
         self.connections.insert(id, connection);
@@ -264,7 +264,7 @@
             remote_user: None,
             secret: self.settings.secret.as_deref().map(str::as_bytes),
         };
-        run.timer_number = self.poll.fresh();
+        run.timer_number = self.poll.next_id();
         run.sent_before = Some(connection.link.sent + connection.link.queued() as u64);
         let timeout_s = (run.deadline - turn.now).max(0.0) + OVERTIME_S;
         turn.wheel.set(turn.now, timeout_s, Timer::Run(run.timer_number));
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -170,7 +170,7 @@
     }
 
     fn connect(&mut self, now: f64, address: SocketAddr) {
-        let id = self.poll.fresh();
+        let id = self.poll.next_id();
         let room = MAX_SERVER_FRAME_BYTES + FRAME_HEAD_BYTES;
         match Link::connect(&self.poll, address, Source::Coordinator(id), room) {
             Ok(link) => self.connection = Some(CoordinatorConnection { id, link, connected: false }),
@@ -203,7 +203,7 @@
     fn start_call(&mut self, now: f64, call: &ScheduledCall) {
         let config = self.member.config();
         let Some(task) = config.tasks.get(call.task) else { return };
-        let id = self.poll.fresh();
+        let id = self.poll.next_id();
         let started = CallInFlight::start(&self.poll, id, now, task, &config.name, call);
         match started {
             Ok(started) => self.calls.push(started),
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -140,7 +140,7 @@
             return self.results.push((lookup.ticket, LookupResult::Unavailable));
         }
         let timeout_s = self.settings.timeout_ms / 1000.0;
-        let timer_number = self.poll.fresh();
+        let timer_number = self.poll.next_id();
         wheel.set(now, timeout_s.min(lookup.timeout_s.max(0.0)), Timer::Search(timer_number));
         let already_searched = self.waiting.iter().any(|waiting| waiting.identity == identity);
         self.waiting.push(WaitingLookup {
@@ -157,7 +157,7 @@
     }
 
     fn connect(&mut self, now: f64) {
-        self.link_id = self.poll.fresh();
+        self.link_id = self.poll.next_id();
         self.link_state = LinkState::Connecting;
         self.link_has_served = false;
         let source = Source::Directory(self.link_id);
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -118,7 +118,7 @@
 
     /// Whether a link is established.
     #[must_use]
-    pub fn linked(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.link.is_some()
     }
 
@@ -131,7 +131,7 @@
 
     /// How long until the next attempt to connect; `None` while there is a link or an attempt.
     #[must_use]
-    pub fn relink_in(&self, now: f64) -> Option<f64> {
+    pub fn reconnect_in(&self, now: f64) -> Option<f64> {
         self.reconnect_at.map(|at| (at - now).max(0.0))
     }
 
@@ -220,7 +220,7 @@
     }
 
     fn connect(&mut self, now: f64) {
-        let number = self.poll.fresh();
+        let number = self.poll.next_id();
         match Link::connect(&self.poll, self.address, Source::Executor(number), MAX_LINE_BYTES) {
             Ok(link) => {
                 self.next_link = Some(NumberedLink { number, link });
@@ -290,7 +290,7 @@
     }
 
     /// Asks for the gauges, unless commands wait to be written: then the executor is not reading.
-    pub fn ask_gauges(&mut self) {
+    pub fn request_gauges(&mut self) {
         let idle = self.link.as_mut().filter(|connection| connection.link.queued() == 0);
         if let Some(NumberedLink { link, .. }) = idle {
             link.push(Command::Meter { r#ref: GAUGES_REFERENCE }.to_line());
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -97,7 +97,7 @@
 
     /// Whether a call waits to be written: the loop reports nothing of one on an idle connection.
     #[must_use]
-    pub fn pending(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.touched.is_empty()
     }
 
@@ -114,7 +114,7 @@
         wheel: &mut Wheel,
     ) {
         self.abandon(&name);
-        let number = self.poll.fresh();
+        let number = self.poll.next_id();
         let idle =
             if is_retryable { take_idle(&mut self.connections, now, QUIET_S, MAX_IDLE_S) } else { None };
         let Some(id) = idle.or_else(|| self.open(now)) else {
@@ -137,13 +137,13 @@
     }
 
     fn refuse(&mut self, now: f64, name: Rc<str>, wheel: &mut Wheel) {
-        let number = self.poll.fresh();
+        let number = self.poll.next_id();
         self.refused.insert(number, name);
         wheel.set(now, REFUSED_PAUSE_S, Timer::Call(number));
     }
 
     fn open(&mut self, now: f64) -> Option<u64> {
-        let id = self.poll.fresh();
+        let id = self.poll.next_id();
         let link = Link::connect(&self.poll, self.address, Source::Records(id), MAX_REPLY_BYTES).ok()?;
         let connection =
             Connection { link, address: self.address, connected: false, call: None, idle_since: now };
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -66,10 +66,10 @@
     service.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
     let ended = (0..1000).find_map(|_| turn(&mut events, &mut records, &mut wheel).pop());
     assert!(matches!(ended, Some(Input::CallEnded { outcome: Outcome::Ok, .. })), "{ended:?}");
-    assert!(!records.pending());
+    assert!(!records.has_pending());
     // Now without another wait of the loop.
     records.call(1.0, "r2".into(), Rc::from(*b"second"), 5.0, true, &mut wheel);
-    assert!(records.pending());
+    assert!(records.has_pending());
     records.gather(1.0, &mut Vec::new(), &mut wheel);
     let n = service.read(&mut bytes).unwrap();
     assert!(bytes[..n].ends_with(b"second"));
--- a/src/net/upstreams/registry.rs
+++ b/src/net/upstreams/registry.rs
@@ -5,7 +5,7 @@
 
 /// How often a report is due (seconds). A worker is delisted 3 s after its last one. A quarter of the reports may be
 /// lost: all of those within 3 s are then lost once in 10^9 times.
-pub const BEAT_S: f64 = 0.2;
+pub const HEARTBEAT_INTERVAL_S: f64 = 0.2;
 
 /// The registry, and what was reported last.
 pub struct Registry {
--- a/src/net/upstreams/set.rs
+++ b/src/net/upstreams/set.rs
@@ -84,7 +84,7 @@
     /// Whether requests can be handed to something that runs them.
     #[must_use]
     pub fn can_run(&self) -> bool {
-        self.ajp_backend.is_some() || self.executor.linked()
+        self.ajp_backend.is_some() || self.executor.is_connected()
     }
 
     /// When the link to the executor is to be connected anew, where it is lost and in use (seconds from now).
@@ -93,14 +93,14 @@
         if self.ajp_backend.is_some() {
             return None;
         }
-        self.executor.relink_in(now)
+        self.executor.reconnect_in(now)
     }
 
     /// Whether a connection is to be processed without an event of the poll.
     #[must_use]
     pub fn has_pending(&self) -> bool {
-        self.ajp_backend.as_ref().is_some_and(AjpBackend::pending)
-            || self.records.as_ref().is_some_and(Records::pending)
+        self.ajp_backend.as_ref().is_some_and(AjpBackend::has_pending)
+            || self.records.as_ref().is_some_and(Records::has_pending)
     }
 
     /// Closes connections that have been idle for long.
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -40,7 +40,7 @@
             self.execute(now, command, &mut Vec::new());
         }
         self.wheel.set(now, 0.0, Timer::Heartbeat);
-        self.upstreams.executor.ask_gauges();
+        self.upstreams.executor.request_gauges();
         self.on_hot_restart_event(now, Event::ReadyToServe, inputs);
     }
 
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -7,7 +7,7 @@
 use crate::net::io::poll::Gathered;
 use crate::net::io::source::{ReadySource, Source};
 use crate::net::io::timer_wheel::Timer;
-use crate::net::upstreams::registry::BEAT_S;
+use crate::net::upstreams::registry::HEARTBEAT_INTERVAL_S;
 
 /// Rounds of one turn at most: requests that lie behind answered ones, and outcomes of commands that were just carried out.
 const MAX_ROUNDS: usize = 8;
@@ -139,7 +139,7 @@
         match timer {
             Timer::Wake => {
                 inputs.push(Input::Woken(self.upstreams.executor.gauges(now)));
-                self.upstreams.executor.ask_gauges();
+                self.upstreams.executor.request_gauges();
             }
             Timer::Call(number) => {
                 if let Some(records) = &mut self.upstreams.records {
@@ -158,7 +158,7 @@
             }
             Timer::Heartbeat => {
                 self.report_load(true);
-                self.wheel.set(now, BEAT_S, Timer::Heartbeat);
+                self.wheel.set(now, HEARTBEAT_INTERVAL_S, Timer::Heartbeat);
             }
             Timer::Sweep => {
                 self.loop_state.sweep_due = true;
