--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -42,7 +42,7 @@
     fn check_coordinators(&self) -> Result<(), ConfigError> {
         let count = self.coordinators.len();
         check_range("coordinator", count as u64, 1, MAX_COORDINATORS as u64)?;
-        if count % 2 == 0 {
+        if count.is_multiple_of(2) {
             return Err(ConfigError::EvenCoordinators { found: count });
         }
         if !self.coordinators.iter().any(|coordinator| coordinator.name == self.name) {
--- a/fleet-coordinator/src/leader_state/releasing.rs
+++ b/fleet-coordinator/src/leader_state/releasing.rs
@@ -22,7 +22,7 @@
     pub fn on_release(&mut self, now: f64, link: LinkId, request: ReleaseRequest, state: &LeaseStateMachine) {
         let ReleaseRequest { lease, failed, hand_over } = request;
         let Some(session) = self.session(link) else { return };
-        if !state.lease(&lease).is_some_and(|current| current.session == session) {
+        if state.lease(&lease).is_none_or(|current| current.session != session) {
             return;
         }
         self.lease_clock.start_release(now, lease.token);
--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -83,7 +83,7 @@
         let first_seen = now + seconds(lease.max_ttl_ms);
         let expires_at = *self.expires_at.entry(lease.token).or_insert(first_seen);
         let proposed_at = self.releasing_since.get(&lease.token);
-        let expired = now >= expires_at && proposed_at.map_or(true, |at| now - at > retry_s);
+        let expired = now >= expires_at && proposed_at.is_none_or(|at| now - at > retry_s);
         if expired {
             self.start_release(now, lease.token);
         }
--- a/src/admission/fleet_overload.rs
+++ b/src/admission/fleet_overload.rs
@@ -52,7 +52,7 @@
 
     /// Whether a downstream call may be made now.
     pub(super) fn may_call(&self, is_idempotent: bool) -> bool {
-        self.policy.as_ref().map_or(true, |policy| policy.may_call(is_idempotent))
+        self.policy.as_ref().is_none_or(|policy| policy.may_call(is_idempotent))
     }
 
     /// A downstream call has been made.
--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -140,7 +140,7 @@
 
     /// Whether two classes wait for the same run slots.
     pub(super) fn are_shared(&self, class: usize, other: usize) -> bool {
-        self.pools.as_ref().map_or(true, |pools| pools.share_pool(other, class))
+        self.pools.as_ref().is_none_or(|pools| pools.share_pool(other, class))
     }
 
     /// Runs a second: slots over the time on the cores, waits for calls apart. With pools, on the slots on which the
--- a/src/config/ajp.rs
+++ b/src/config/ajp.rs
@@ -61,9 +61,9 @@
     #[must_use]
     pub fn tenant_of(&self, user: Option<&str>, server: &str) -> Option<&str> {
         let matches = |rule: &&TenantRule| {
-            let user_matches = rule.remote_user.as_ref().map_or(true, |name| Some(name.as_str()) == user);
+            let user_matches = rule.remote_user.as_ref().is_none_or(|name| Some(name.as_str()) == user);
             let server_matches =
-                rule.server_name.as_ref().map_or(true, |name| name.eq_ignore_ascii_case(server));
+                rule.server_name.as_ref().is_none_or(|name| name.eq_ignore_ascii_case(server));
             user_matches && server_matches
         };
         self.tenants.iter().find(matches).map(|rule| rule.tenant.as_str())
--- a/src/fleet/overload/level/tests.rs
+++ b/src/fleet/overload/level/tests.rs
@@ -13,7 +13,7 @@
     for_s: f64,
     sums: impl Fn(f64) -> LoadSums,
 ) -> Vec<(f64, LevelChange)> {
-    let times = (0..).map(|n| from + 0.5 * n as f64).take_while(|t| *t < from + for_s);
+    let times = (0..).map(|n| from + 0.5 * f64::from(n)).take_while(|t| *t < from + for_s);
     times.filter_map(|now| levels.evaluate(now, &sums(now)).map(|change| (now, change))).collect()
 }
 
@@ -56,7 +56,7 @@
 fn no_lower_rank_is_admitted_where_a_higher_one_is_shed() {
     for depth in 0..=MAX_TIERS * 4 {
         let level = SheddingLevel::from_depth(depth as f64 / 4.0);
-        let ranks = (0..MAX_TIERS).flat_map(|tier| (0..8).map(move |n| (tier, n as f64 / 8.0)));
+        let ranks = (0..MAX_TIERS).flat_map(|tier| (0..8).map(move |n| (tier, f64::from(n) / 8.0)));
         let admitted: Vec<bool> = ranks.map(|(tier, rank)| level.admits(tier, rank)).collect();
         assert!(admitted.windows(2).all(|w| w[0] >= w[1]), "{level:?}: {admitted:?}");
     }
--- a/src/fleet/overload/service/tests.rs
+++ b/src/fleet/overload/service/tests.rs
@@ -17,7 +17,7 @@
 
 /// Evaluates twice a second for so long; the share of calls after each.
 fn evaluate(service: &mut DownstreamService, from: f64, for_s: f64, zone: &str, sums: &LoadSums) -> Vec<f64> {
-    let times = (0..).map(|n| from + 0.5 * n as f64).take_while(|t| *t < from + for_s);
+    let times = (0..).map(|n| from + 0.5 * f64::from(n)).take_while(|t| *t < from + for_s);
     times
         .map(|now| {
             service.evaluate(now, zone, sums);
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -99,7 +99,7 @@
     pub fn sums(&mut self, now: f64, zone: Option<&str>) -> LoadSums {
         self.reports.retain(|_, report| now - report.received_at < REMOVE_AFTER_S);
         let live: Vec<&LatestReport> = self.reports.values().filter(|report| report.is_live(now)).collect();
-        let is_included = |report: &&&LatestReport| zone.map_or(true, |zone| report.zone == zone);
+        let is_included = |report: &&&LatestReport| zone.is_none_or(|zone| report.zone == zone);
         let included: Vec<&LatestReport> = live.iter().filter(is_included).copied().collect();
         let sum = |value: fn(&LoadReport) -> f32| bounded_sum(&live, &included, value);
         LoadSums {
--- a/src/hot_restart/tests/process_chain.rs
+++ b/src/hot_restart/tests/process_chain.rs
@@ -124,7 +124,7 @@
         // A process that owns the listeners can be found, and has no successor.
         let last = self.chain.last();
         let found = last.is_some_and(|p| p.alive && p.ownership.is_owner());
-        let alone = last.map_or(true, |p| !p.alive) && !self.chain.iter().any(|p| p.alive);
+        let alone = last.is_none_or(|p| !p.alive) && !self.chain.iter().any(|p| p.alive);
         if !found && !alone || self.chain.len() >= 5 {
             return;
         }
--- a/src/interface/learned.rs
+++ b/src/interface/learned.rs
@@ -155,7 +155,7 @@
     #[must_use]
     pub fn is_sound(&self) -> bool {
         self.numbers().all(|number| number.is_finite() && number >= 0.0)
-            && self.call_budget_s.map_or(true, f64::is_finite)
+            && self.call_budget_s.is_none_or(f64::is_finite)
             && self.run_lengths.iter().all(|run_length| run_length.ended > 0.0)
             && self.baseline_run_s > 0.0
             && self.call_limit > 0.0
--- a/src/net/frontends/http2/session/request.rs
+++ b/src/net/frontends/http2/session/request.rs
@@ -81,7 +81,7 @@
         if name == CONTENT_LENGTH {
             // The codec checks it against the data; here it spares reading a body that is too long anyway.
             let length = value.to_str().ok().and_then(|v| v.parse::<usize>().ok());
-            if length.map_or(true, |bytes| bytes > MAX_BODY_BYTES) {
+            if length.is_none_or(|bytes| bytes > MAX_BODY_BYTES) {
                 return Err(HttpError::new(413, "the body is too long"));
             }
         } else if let Err(FieldError::Field(name)) = fields.note(name.as_str(), value.as_bytes()) {
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -29,7 +29,7 @@
             fleet.member.leave(replaced);
         }
         // A new process that does not own the listeners yet takes no leases beside the old one.
-        let owns_listeners = self.hot_restart.as_ref().map_or(true, |r| r.ownership.is_owner());
+        let owns_listeners = self.hot_restart.as_ref().is_none_or(|r| r.ownership.is_owner());
         let serves = owns_listeners && self.dispatcher.is_some();
         fleet.member.set_accepting_tasks(fleet_now, serves && !self.context.availability.draining);
         if fleet.member.load_report_due(fleet_now) {
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -49,7 +49,7 @@
     /// Whether no response is pending and the successor has been sent everything.
     fn has_handed_off_everything(&self) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
-        let idle = self.dispatcher.as_ref().map_or(true, Dispatcher::is_idle);
+        let idle = self.dispatcher.as_ref().is_none_or(Dispatcher::is_idle);
         // Without a successor nobody takes idle connections.
         let frontends_done = if hot_restart.links.has_successor() {
             self.frontends.all_handed_off()
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -81,7 +81,7 @@
 impl Worker {
     /// Whether clients are accepted.
     pub(in crate::net) fn owns_listeners(&self) -> bool {
-        self.hot_restart.as_ref().map_or(true, |r| r.ownership.is_owner())
+        self.hot_restart.as_ref().is_none_or(|r| r.ownership.is_owner())
     }
 
     /// Whether a successor owns the listeners, or has been sent everything for it.
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -181,7 +181,7 @@
     fn is_valid_request(&self, request: &QueuedRequest) -> bool {
         let settings = &self.configuration.platform.settings;
         let known_class = request.class < settings.profiles.len();
-        let known_tenant = request.tenant.map_or(true, |tenant| tenant < settings.tenants.len());
+        let known_tenant = request.tenant.is_none_or(|tenant| tenant < settings.tenants.len());
         let numbers = [request.memory_kb, request.arrived_at_ms, request.deadline_ms];
         known_class && known_tenant && numbers.iter().all(|n| n.is_finite() && *n >= 0.0)
     }
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -284,7 +284,7 @@
         let Some(connection) = self.connections.remove(&id) else { return };
         let Some(run) = connection.run else { return };
         UpstreamEvent::AjpBackendFailed(error).emit();
-        if run.sent_before.map_or(true, |sent_before| connection.link.sent <= sent_before) {
+        if run.sent_before.is_none_or(|sent_before| connection.link.sent <= sent_before) {
             return self.place(turn.now, run, turn.wheel);
         }
         turn.inputs.push(Input::RunEnded { name: run.name, outcome: Outcome::Interrupted, result: None });
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -103,7 +103,7 @@
 
     fn report_limit(&mut self, now: f64, limit: &SlotLimit) {
         // A calibration is over within a window or two: the executor is taken to be worth what it was.
-        let due = self.limit_reported_at.map_or(true, |at| is_due(now, at));
+        let due = self.limit_reported_at.is_none_or(|at| is_due(now, at));
         if !due || limit.cause() == PoolLimitCause::Calibration {
             return;
         }
--- a/tests/admission_properties.rs
+++ b/tests/admission_properties.rs
@@ -150,7 +150,7 @@
             }
             Action::Publish(level) => {
                 let told = self.set.signal == Signal::Weight;
-                assert!(told && *level >= 0.0 && level.is_finite())
+                assert!(told && *level >= 0.0 && level.is_finite());
             }
             _ => {}
         }
@@ -184,7 +184,7 @@
             if self.in_hand.len() > (dep.window_s / STEP_S) as usize {
                 self.in_hand.pop_front();
             }
-            let mean = self.in_hand.iter().sum::<u32>() as f64 * STEP_S / dep.window_s;
+            let mean = f64::from(self.in_hand.iter().sum::<u32>()) * STEP_S / dep.window_s;
             assert!(mean <= dep.share + 1e-9, "mean of calls: {mean} of {}", dep.share);
         }
     }
--- a/tests/ajp/directory.rs
+++ b/tests/ajp/directory.rs
@@ -88,7 +88,7 @@
     WORKER.start_with(change, Some(&text))
 }
 
-fn by<'a>(user: &'a str) -> Forward<'a> {
+fn by(user: &str) -> Forward<'_> {
     Forward { remote_user: Some(user), ..forward("/portal/look", "") }
 }
 
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -201,7 +201,7 @@
 #[test]
 fn environment_console_address_overrides_the_file_and_is_logged() {
     let mut worker = WORKER.start_with_environment(&[("ROUTER_CONSOLE", "127.0.0.1:0")], |c| {
-        c["console"] = json!("127.0.0.1:9")
+        c["console"] = json!("127.0.0.1:9");
     });
     worker.wait_log("console_address_overridden configured=127.0.0.1:9");
     assert_eq!(worker.console_request("GET", "/-/metrics").0, 200);
--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Whether an AJP frontend answers a CPing.
+/// Whether an AJP frontend answers a `CPing`.
 fn cping(stream: &mut std::net::TcpStream) -> bool {
     let mut answer = [0; 5];
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
--- a/tests/hot_restart/main.rs
+++ b/tests/hot_restart/main.rs
@@ -52,11 +52,11 @@
     }
 }
 
-fn order<'a>(key: &'a str) -> RequestBuilder<'a> {
+fn order(key: &str) -> RequestBuilder<'_> {
     RequestBuilder::new("order").key(key)
 }
 
-fn retry<'a>(key: &'a str) -> RequestBuilder<'a> {
+fn retry(key: &str) -> RequestBuilder<'_> {
     order(key).retry()
 }
 
--- a/tests/http2/conformance.rs
+++ b/tests/http2/conformance.rs
@@ -15,7 +15,7 @@
 enum Comes {
     Goaway(&'static [u32]),
     Reset(&'static [u32]),
-    /// The end of the connection with PROTOCOL_ERROR, where the section asks for this code: the codec has but one word
+    /// The end of the connection with `PROTOCOL_ERROR`, where the section asks for this code: the codec has but one word
     /// for frames and blocks that it can't read, and for data on a stream that is over (docs/design/02-http2.md).
     Instead(u32),
     Nothing,
--- a/tests/log_events.rs
+++ b/tests/log_events.rs
@@ -134,10 +134,7 @@
             "{event} has the levels {levels:?}"
         );
         let occurring = events.get(&event).cloned().unwrap_or_default();
-        assert!(
-            levels.is_subset(&occurring),
-            "{event}: {PAGE} has {levels:?}, the sources have {occurring:?}"
-        );
+        assert_eq!(levels, occurring, "{event}: the levels of {PAGE} and of the sources");
     }
 }
 
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -80,7 +80,10 @@
         assert!(!fleet.overload_enabled());
         let plan = fleet.membership(&config());
         assert_eq!([&plan.fleet, &plan.name, &plan.zone], ["polderlijn", "n1", "east"]);
-        assert_eq!(plan.coordinators.iter().map(|c| c.port()).collect::<Vec<_>>(), [7101, 7102, 7103]);
+        assert_eq!(
+            plan.coordinators.iter().map(std::net::SocketAddr::port).collect::<Vec<_>>(),
+            [7101, 7102, 7103]
+        );
         assert_eq!(plan.drift, 0.1);
         assert!(plan.computes_totals);
         let [task] = &plan.tasks[..] else { panic!("one task, not {:?}", plan.tasks) };
@@ -120,7 +123,7 @@
     assert_eq!(ajp.tenant_of(None, "portal.example"), None);
 
     let backend = operator.backend.unwrap();
-    assert_eq!(backend.servers.iter().map(|s| s.port()).collect::<Vec<_>>(), [8010, 8011]);
+    assert_eq!(backend.servers.iter().map(std::net::SocketAddr::port).collect::<Vec<_>>(), [8010, 8011]);
     assert_eq!((backend.secret.as_deref(), backend.server_name.as_str()), (Some("two"), "porting.internal"));
     assert_eq!(backend.uri_of("port-submit"), "/porting/submit");
     assert_eq!(backend.uri_of("eligibility"), "/do/eligibility");
