--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -153,7 +153,9 @@
     assert!(unix_ms() <= sent + 5000, "answered by the class's time, not by its own");
     // Nothing ends: what can't be started in time any more is refused, with word when to come back.
     let mut crowd: Vec<Ajp> = (0..40).map(|_| Ajp::connect(worker.ajp.unwrap())).collect();
-    crowd.iter_mut().for_each(|p| p.send(&forward("/portal/look", ""), b"hello"));
+    for portal in &mut crowd {
+        portal.send(&forward("/portal/look", ""), b"hello");
+    }
     let reply = crowd.pop().unwrap().read_response().0;
     assert_eq!(reply.status, 503);
     assert!(reply.header("Retry-After").unwrap().parse::<u64>().unwrap() >= 1);
--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -5,6 +5,7 @@
 mod frontend;
 
 use port_worker::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way};
+use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use test_support::{Reply, RequestBuilder, WorkerProgram, TIMEOUT};
@@ -69,7 +70,7 @@
                 ToWebServer::Headers { status, headers } => {
                     reply.status = status;
                     for (name, value) in headers {
-                        reply.head += &format!("{name}: {}\n", String::from_utf8_lossy(value));
+                        writeln!(reply.head, "{name}: {}", String::from_utf8_lossy(value)).unwrap();
                     }
                 }
                 ToWebServer::Chunk(bytes) => reply.body.extend(bytes),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -2,6 +2,8 @@
 //! `tests/fixtures/configuration` and must go on being read with the same meaning, as `examples/config.json` of today
 //! is. Tests never write there.
 
+#![expect(clippy::float_cmp, reason = "numbers of the file are passed through, and must come out exactly")]
+
 use port_worker::config::{read_gauges, Config};
 use port_worker::{Idempotency, Preemption, Settings, Signal};
 
--- a/tests/crossings/closing.rs
+++ b/tests/crossings/closing.rs
@@ -20,7 +20,9 @@
     assert_eq!(worker.check_health(), 200);
     worker.suspend();
     let mut late: Vec<Client> = (0..20).map(|_| Client::connect(worker.http)).collect();
-    late.iter_mut().for_each(|c| c.write("GET /check HTTP/1.1\r\n\r\n"));
+    for client in &mut late {
+        client.write("GET /check HTTP/1.1\r\n\r\n");
+    }
     resting[0].write("GET /check HTTP/1.1\r\n\r\n");
     worker.resume();
     assert_eq!(resting[0].read_response().status, 200);
@@ -102,7 +104,7 @@
         sender.set_write_timeout(Some(TIMEOUT)).unwrap();
         sender.write_all(b"NONSENSE\r\n\r\n").unwrap();
     }
-    let bytes = [b'x'; 64 * 1024];
+    let bytes = vec![b'x'; 64 * 1024];
     let begun = Instant::now();
     // Each is closed although it never stops sending.
     for sender in &mut senders {
@@ -121,13 +123,13 @@
     let worker = WORKER.start_with(|_| {}, Some(front));
     let _executor = worker.accept_link();
     let mut portal = Client::connect(worker.ajp.unwrap());
-    let ping = port_worker::net::upstreams::ajp_codec::write_cping();
-    portal.reader.get_ref().write_all(&ping).unwrap();
+    let cping = port_worker::net::upstreams::ajp_codec::write_cping();
+    portal.reader.get_ref().write_all(&cping).unwrap();
     let mut waits = [0; 1];
     assert_eq!(portal.reader.get_ref().peek(&mut waits).unwrap(), 1);
     portal.reader.get_ref().write_all(&vec![b'x'; 256 * 1024]).unwrap();
-    let mut pong = [0; 5];
-    portal.reader.read_exact(&mut pong).unwrap();
-    assert_eq!(pong, [b'A', b'B', 0, 1, 9]);
+    let mut reply = [0; 5];
+    portal.reader.read_exact(&mut reply).unwrap();
+    assert_eq!(reply, [b'A', b'B', 0, 1, 9]);
     assert_eq!(end_of(&mut portal), End::Closed);
 }
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -18,7 +18,9 @@
     worker.suspend();
     let_pass(Duration::from_millis(1100));
     let mut queue: Vec<Client> = (0..600).map(|_| Client::connect(worker.http)).collect();
-    queue.iter_mut().for_each(|c| c.send(&RequestBuilder::new("look")));
+    for client in &mut queue {
+        client.send(&RequestBuilder::new("look"));
+    }
     worker.resume();
     for client in &mut queue {
         let reply = client.read_response();
--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -76,9 +76,9 @@
 #[test]
 fn operator_frontends_are_handed_off_with_their_sockets() {
     let shared = SharedListener::bind();
-    let (_kept, ajp) = reserve_address();
-    let (_also, http2) = reserve_address();
-    drop((_kept, _also));
+    let (reserved_ajp, ajp) = reserve_address();
+    let (reserved_http2, http2) = reserve_address();
+    drop((reserved_ajp, reserved_http2));
     let operator = format!(
         "[ajp]\nlisten = \"{ajp}\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n[http2]\nlisten = \"{http2}\"\n"
     );
--- a/tests/http2/conformance.rs
+++ b/tests/http2/conformance.rs
@@ -37,6 +37,7 @@
     [&id.to_be_bytes()[..], &value.to_be_bytes()[..]].concat()
 }
 
+#[expect(clippy::too_many_lines, reason = "a table of cases in the order of the RFCs' sections")]
 fn cases() -> Vec<Case> {
     use Comes::*;
     let head = || Peer::block(&Peer::head("nonsense", None));
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -14,12 +14,12 @@
 const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
 
 /// Replaces each run of characters that `continues` after `mark`.
-fn mask_after(line: &str, mark: &str, mask: &str, continues: fn(char) -> bool) -> String {
+fn mask_after(line: &str, mark: &str, replacement: &str, continues: fn(char) -> bool) -> String {
     let mut parts = line.split(mark);
     let mut masked = parts.next().unwrap_or_default().to_owned();
     for part in parts {
         masked.push_str(mark);
-        masked.push_str(mask);
+        masked.push_str(replacement);
         masked.push_str(part.trim_start_matches(continues));
     }
     masked
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -73,6 +73,7 @@
 }
 
 #[test]
+#[expect(clippy::float_cmp, reason = "the drift is 10 percent divided by 100, which is exactly this number")]
 fn fleet_file_is_decoded() {
     for operator in then_and_now("fleet.toml") {
         assert_eq!(blocks(&operator), ["fleet"]);
--- a/tests/output_pins/main.rs
+++ b/tests/output_pins/main.rs
@@ -9,6 +9,7 @@
 mod simulator_adapter;
 mod startup;
 
+use std::fmt::Write;
 use std::path::PathBuf;
 use std::process::Output;
 use test_support::{unique_request_id, WorkerProgram};
@@ -38,14 +39,14 @@
         if !self.text.is_empty() {
             self.text.push('\n');
         }
-        self.text.push_str(&format!("== {title}\n"));
+        writeln!(self.text, "== {title}").unwrap();
     }
 
     /// Adds bytes of the wire, a line each, with what is not printable escaped: line ends can be read in the fixture.
     fn wire(&mut self, title: &str, bytes: &[u8]) {
         self.title(title);
         for line in bytes.split_inclusive(|byte| *byte == b'\n') {
-            self.text.push_str(&format!("{}\n", line.escape_ascii()));
+            writeln!(self.text, "{}", line.escape_ascii()).unwrap();
         }
     }
 
@@ -53,7 +54,7 @@
     fn ended(&mut self, title: &str, status: Option<i32>, stdout: &str, stderr: &str) {
         self.title(title);
         let status = status.map_or("none".to_owned(), |code| code.to_string());
-        self.text.push_str(&format!("status {status}\nstdout {stdout:?}\nstderr\n{stderr}"));
+        write!(self.text, "status {status}\nstdout {stdout:?}\nstderr\n{stderr}").unwrap();
     }
 
     /// Compares all of it with the fixture.
@@ -100,14 +101,14 @@
 
 /// Replaces the value after each `mark` up to the end of its line.
 fn mask_after(text: &str, mark: &str) -> String {
-    let mask = |line: &str| match line.split_once(mark) {
+    let mask_line = |line: &str| match line.split_once(mark) {
         Some((before, value)) => {
             let end = if value.ends_with("\r\n") { "\r\n" } else { "\n" };
             format!("{before}{mark}<varies>{end}")
         }
         None => line.to_owned(),
     };
-    text.split_inclusive('\n').map(mask).collect()
+    text.split_inclusive('\n').map(mask_line).collect()
 }
 
 /// Adds a failed start to the transcript, with the folder's and the program's name masked.
--- a/tests/output_pins/startup.rs
+++ b/tests/output_pins/startup.rs
@@ -96,19 +96,11 @@
     transcript.check("worker_configuration_errors.txt");
 }
 
-#[test]
-fn operator_file_errors_match_the_fixture() {
-    let mut transcript = Transcript::default();
-    let folder = Folder::new();
-    let good = folder.write("good.json", &good_config().to_string());
+/// Files that can't be read, or whose `[ajp]` or `[http2]` can't, by title.
+fn frontend_errors() -> Vec<(&'static str, String)> {
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p\"\nclass = \"look\"\n";
     let http2 = "[http2]\nlisten = \"127.0.0.1:0\"\n";
-    let fleet = "[fleet]\nname = \"f\"\ncoordinators = [\"127.0.0.1:1\"]\n";
-    let task = "[[fleet.task]]\nname = \"t\"\nperiod_s = 60.0\naddress = \"127.0.0.1:1\"\nsafe = true\n";
-    let backend = "[backend]\nservers = [\"127.0.0.1:1\"]\n";
-    let directory = "[directory]\naddress = \"127.0.0.1:1\"\nbase = \"o=x\"\nidentity = \"remote-user\"\n\
-        identity_attribute = \"uid\"\ntenant_attribute = \"o\"\n";
-    let cases = [
+    vec![
         ("broken TOML", "[ajp".to_owned()),
         ("broken TOML on the second line", "[ajp]\nlisten = \n".to_owned()),
         ("unknown block", "[nonsense]\n".to_owned()),
@@ -129,6 +121,12 @@
         ("[http2] idle_s out of range", format!("{http2}idle_s = 0.5\n")),
         ("[http2] ping_s out of range", format!("{http2}ping_s = -1.0\n")),
         ("[http2] negative streams", format!("{http2}streams = -1\n")),
+    ]
+}
+
+/// Files whose `[pools]` can't be used, by title.
+fn pool_errors() -> Vec<(&'static str, String)> {
+    vec![
         ("[pools] unknown key", POOLS.replacen("[pools]\n", "[pools]\nwindow = 5\n", 1)),
         ("[pools] no pool", "[pools]\n".to_owned()),
         ("[pools] least_slots out of range", POOLS.replacen("[pools]\n", "[pools]\nleast_slots = 0\n", 1)),
@@ -149,6 +147,17 @@
             "[pools] reserve for an unknown pool",
             POOLS.replacen("[pools]\n", "[pools]\nreserve = { pool = \"odd\", slots = 1 }\n", 1),
         ),
+    ]
+}
+
+/// Files whose `[fleet]`, `[backend]` or `[directory]` can't be used, by title.
+fn upstream_errors() -> Vec<(&'static str, String)> {
+    let fleet = "[fleet]\nname = \"f\"\ncoordinators = [\"127.0.0.1:1\"]\n";
+    let task = "[[fleet.task]]\nname = \"t\"\nperiod_s = 60.0\naddress = \"127.0.0.1:1\"\nsafe = true\n";
+    let backend = "[backend]\nservers = [\"127.0.0.1:1\"]\n";
+    let directory = "[directory]\naddress = \"127.0.0.1:1\"\nbase = \"o=x\"\nidentity = \"remote-user\"\n\
+        identity_attribute = \"uid\"\ntenant_attribute = \"o\"\n";
+    vec![
         ("[fleet] unknown key", format!("{fleet}colour = 1\n")),
         ("[fleet] bad name", fleet.replace("\"f\"", "\"f f\"")),
         ("[fleet] no coordinators", fleet.replace("\"127.0.0.1:1\"", "")),
@@ -167,7 +176,15 @@
         ("[directory] timeout_ms out of range", format!("{directory}timeout_ms = 0.0\n")),
         ("[directory] cache_s out of range", format!("{directory}cache_s = -1.0\n")),
         ("[directory] empty attribute", directory.replace("\"uid\"", "\"\"")),
-    ];
+    ]
+}
+
+#[test]
+fn operator_file_errors_match_the_fixture() {
+    let mut transcript = Transcript::default();
+    let folder = Folder::new();
+    let good = folder.write("good.json", &good_config().to_string());
+    let cases = [frontend_errors(), pool_errors(), upstream_errors()].concat();
     for (title, text) in cases {
         let path = folder.write("operator.toml", &text);
         let ended = run_worker(Some(&good), &["--operator", &path]);
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -153,7 +153,9 @@
     fn quiet_orders(&mut self, worker: &WorkerUnderTest) {
         let mut clients = orders(worker, 100..102);
         let jobs = [starts(self, "order"), starts(self, "order")];
-        jobs.iter().for_each(|job| self.send_exit(job, "PASS", "done"));
+        for job in &jobs {
+            self.send_exit(job, "PASS", "done");
+        }
         assert!(clients.iter_mut().all(|c| c.read_response().status == 200));
     }
 }
@@ -361,11 +363,15 @@
         looks.push(starts(&mut executor, "look"));
     }
     // And back: all of it is served.
-    looks.iter().for_each(|job| executor.send_exit(job, "PASS", "seen"));
+    for job in &looks {
+        executor.send_exit(job, "PASS", "seen");
+    }
     for _ in 0..7 {
         executor.send_exit(&jobs.remove(0), "PASS", "done");
         jobs.push(starts(&mut executor, "order"));
     }
-    jobs.iter().for_each(|job| executor.send_exit(job, "PASS", "done"));
+    for job in &jobs {
+        executor.send_exit(job, "PASS", "done");
+    }
     assert!(clients.iter_mut().all(|c| c.read_response().status == 200));
 }
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -37,7 +37,7 @@
         wanted_calls: 2.0,
         weight: 3.5,
         circuit_open: true,
-        lent_calls: 1.015625,
+        lent_calls: 1.015_625,
     }
 }
 
@@ -52,13 +52,13 @@
         call_share: 0.5,
         circuit_open: true,
         is_prober: true,
-        slice: 0.234375,
+        slice: 0.234_375,
     }
 }
 
-/// Every kind that is sent to a coordinator, with its optional fields absent and present.
-fn requests() -> Vec<ClientMessage> {
-    let keep = ClientMessage::Heartbeat {
+/// Registrations and heartbeats, with their optional fields absent and present.
+fn session_requests() -> Vec<ClientMessage> {
+    let least = ClientMessage::Heartbeat {
         seq: 1,
         wants: vec![],
         leases: vec![],
@@ -66,12 +66,6 @@
         totals: None,
         load: None,
     };
-    let ask = |what| ClientMessage::Query { fleet: "polderlijn".to_owned(), what };
-    let end = |ending, period| ClientMessage::EndPeriod {
-        lease: lease("nightly-report", 7),
-        period,
-        outcome: ending,
-    };
     vec![
         ClientMessage::Hello {
             fleet: "polderlijn".to_owned(),
@@ -87,7 +81,7 @@
             zone: "east".to_owned(),
             process: u64::MAX,
         },
-        keep,
+        least,
         ClientMessage::Heartbeat {
             seq: 2,
             wants: vec!["totals".to_owned(), "nightly-report".to_owned()],
@@ -104,6 +98,14 @@
             totals: Some(FleetTotals::default()),
             load: Some(LoadReport::default()),
         },
+    ]
+}
+
+/// What the holder of a lease sends about it.
+fn lease_requests() -> Vec<ClientMessage> {
+    let end =
+        |outcome, period| ClientMessage::EndPeriod { lease: lease("nightly-report", 7), period, outcome };
+    vec![
         ClientMessage::ReleaseLease { lease: lease("totals", 7), failed: false, pass_on: false },
         ClientMessage::ReleaseLease { lease: lease("totals", 7), failed: true, pass_on: true },
         ClientMessage::BeginPeriod {
@@ -121,7 +123,13 @@
         end(CallOutcome::Done, 29_000_000),
         end(CallOutcome::NotDone, 29_000_001),
         end(CallOutcome::Unknown, 29_000_002),
-        ClientMessage::Goodbye,
+    ]
+}
+
+/// Every kind of query that an operator sends.
+fn operator_queries() -> Vec<ClientMessage> {
+    let ask = |what| ClientMessage::Query { fleet: "polderlijn".to_owned(), what };
+    vec![
         ask(OperatorQuery::Status),
         ask(OperatorQuery::Members),
         ask(OperatorQuery::Leases),
@@ -129,10 +137,19 @@
         ask(OperatorQuery::Overload),
         ask(OperatorQuery::Pin { tier: 1, share: 0.5, for_s: 60.0 }),
         ask(OperatorQuery::Replace { coordinator: "c2".to_owned() }),
-        ClientMessage::Unknown,
     ]
 }
 
+/// Every kind that is sent to a coordinator.
+fn requests() -> Vec<ClientMessage> {
+    let mut requests = session_requests();
+    requests.extend(lease_requests());
+    requests.push(ClientMessage::Goodbye);
+    requests.extend(operator_queries());
+    requests.push(ClientMessage::Unknown);
+    requests
+}
+
 /// Every kind that a coordinator sends, with its optional fields absent and present.
 fn responses() -> Vec<ServerMessage> {
     let kept = ServerMessage::HeartbeatAck {
--- a/tests/stored_forms/main.rs
+++ b/tests/stored_forms/main.rs
@@ -5,6 +5,8 @@
 //! A `.jsonl` file holds the payload of one frame a line, in the order of the module's values; a `.hex` file holds whole
 //! frames with their headers.
 
+use std::fmt::Write;
+
 mod fleet;
 mod hand_off;
 mod learned;
@@ -24,7 +26,11 @@
 }
 
 fn hex_of(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    let mut hex = String::with_capacity(2 * bytes.len());
+    for byte in bytes {
+        write!(hex, "{byte:02x}").unwrap();
+    }
+    hex
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
