--- a/src/fleet/overload/capacity_leases/tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -12,6 +12,8 @@
 const BASE_CALLS: f64 = 4.0;
 /// Clocks differ by as much as the drift allows for, in the direction that harms.
 const DRIFT: f64 = 0.1;
+const FAST_CLOCK: f64 = 1.0 + DRIFT / 2.0;
+const SLOW_CLOCK: f64 = 1.0 - DRIFT / 2.0;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -72,97 +74,155 @@
     }
 }
 
+/// A worker, and the messages between it and its leader.
 struct Worker {
     client: CapacityClient,
+    /// The index of the leader that its link is to.
     leader: usize,
+    /// The number of its latest report.
     number: u64,
     /// Reports on their way to the leader, by number.
-    up: VecDeque<(u64, CapacityReport)>,
+    reports: VecDeque<(u64, CapacityReport)>,
     /// Numbers of reports that wait for the quorum, and when they were received.
     received: VecDeque<(u64, f64)>,
     /// Answers on their way to the worker, by the number of their report.
-    down: VecDeque<(u64, SliceGrant)>,
+    grants: VecDeque<(u64, SliceGrant)>,
 }
 
-/// Plays the steps; the first total of calls that may be in flight beyond the sum of the base allocations.
-fn first_excess(steps: &[Step], removed: RemovedGuard) -> Option<f64> {
-    let (leaders_rate, workers_rate) = (1.0 + DRIFT / 2.0, 1.0 - DRIFT / 2.0);
-    // Lenders' clocks are fast: their promises end early; borrowers' are slow, and so hold on for long.
-    let rate = |w: usize| if w == 0 { 1.0 + DRIFT / 2.0 } else { workers_rate };
-    let drift = if removed == RemovedGuard::NoDrift { 0.0 } else { DRIFT };
-    let new = |w: usize, now: f64, long_running: bool| {
-        let began = if long_running { now * rate(w) - 100.0 } else { now * rate(w) };
-        CapacityClient::new(began, BASE_CALLS, drift)
-    };
-    let mut now = 1000.0;
-    let mut leaders = vec![CapacityLeaseServer::new(now * leaders_rate, BASE_CALLS)];
-    let mut workers: Vec<Worker> = (0..WORKERS)
-        .map(|w| Worker {
-            client: new(w, now, true),
+impl Worker {
+    fn new(client: CapacityClient) -> Worker {
+        Worker {
+            client,
             leader: 0,
             number: 0,
-            up: VecDeque::new(),
+            reports: VecDeque::new(),
             received: VecDeque::new(),
-            down: VecDeque::new(),
-        })
-        .collect();
-    for step in steps {
-        let leaders_now = now * leaders_rate;
-        let newest = leaders.len() - 1;
+            grants: VecDeque::new(),
+        }
+    }
+}
+
+/// Leaders and workers whose clocks differ, without one of their guards.
+struct World {
+    removed: RemovedGuard,
+    now: f64,
+    /// In the order of their terms.
+    leaders: Vec<CapacityLeaseServer>,
+    workers: Vec<Worker>,
+}
+
+impl World {
+    fn new(removed: RemovedGuard) -> World {
+        let mut world = World { removed, now: 1000.0, leaders: Vec::new(), workers: Vec::new() };
+        world.leaders.push(CapacityLeaseServer::new(world.leaders_now(), BASE_CALLS));
+        for w in 0..WORKERS {
+            world.workers.push(Worker::new(world.client(w, true)));
+        }
+        world
+    }
+
+    /// The client of a worker's process, which has run for long or starts now.
+    fn client(&self, w: usize, long_running: bool) -> CapacityClient {
+        let now = self.workers_now(w);
+        let began = if long_running { now - 100.0 } else { now };
+        let drift = if self.removed == RemovedGuard::NoDrift { 0.0 } else { DRIFT };
+        CapacityClient::new(began, BASE_CALLS, drift)
+    }
+
+    fn leaders_now(&self) -> f64 {
+        self.now * FAST_CLOCK
+    }
+
+    /// Lenders' clocks are fast: their promises end early; borrowers' are slow, and so hold on for long.
+    fn workers_now(&self, w: usize) -> f64 {
+        self.now * if w == 0 { FAST_CLOCK } else { SLOW_CLOCK }
+    }
+
+    fn step(&mut self, step: &Step) {
         match *step {
-            Step::Elapse(s) => now += s,
-            Step::Report(w, spare) => {
-                let worker = &mut workers[w];
-                worker.number += 1;
-                let offer = worker.client.report(now * rate(w), worker.number, spare);
-                worker.up.push_back((worker.number, report_of(offer, spare)));
-            }
-            Step::Arrive(w) => {
-                let worker = &mut workers[w];
-                let Some((number, mut report)) = worker.up.pop_front() else { continue };
-                if removed == RemovedGuard::AnyDigest {
-                    let holder = leaders[worker.leader].holders.get(&(w as u64));
-                    let newest_digest = holder.and_then(|holder| holder.sent_digests.back());
-                    report.last_digest = newest_digest.map_or(0, |digest| digest.number);
-                }
-                leaders[worker.leader].receive_report(leaders_now, w as u64, report);
-                worker.received.push_back((number, leaders_now));
-            }
-            Step::Answer(w) => {
-                let worker = &mut workers[w];
-                // An earlier leader has no quorum.
-                if worker.leader == newest {
-                    if let Some((number, received_at)) = worker.received.pop_front() {
-                        let grant = leaders[newest].grant(leaders_now, received_at, w as u64);
-                        worker.down.push_back((number, grant));
-                    }
-                }
-            }
+            Step::Elapse(seconds) => self.now += seconds,
+            Step::Report(w, spare) => self.report(w, spare),
+            Step::Arrive(w) => self.arrive(w),
+            Step::Answer(w) => self.answer(w),
             Step::Deliver(w) => {
-                let worker = &mut workers[w];
-                if let Some((number, grant)) = worker.down.pop_front() {
+                let worker = &mut self.workers[w];
+                if let Some((number, grant)) = worker.grants.pop_front() {
                     worker.client.receive(number, grant);
                 }
             }
-            Step::Reconnect(w) | Step::Restart(w) => {
-                let worker = &mut workers[w];
-                worker.up.clear();
-                worker.received.clear();
-                worker.down.clear();
-                // The session goes on over another link, the process does not survive a restart.
-                worker.leader = newest;
-                match step {
-                    Step::Restart(_) => worker.client = new(w, now, removed == RemovedGuard::FullAllocation),
-                    _ => worker.client.reconnected(),
-                }
+            Step::Reconnect(w) => {
+                self.relink(w);
+                self.workers[w].client.reconnected();
+            }
+            Step::Restart(w) => {
+                self.relink(w);
+                self.workers[w].client = self.client(w, self.removed == RemovedGuard::FullAllocation);
             }
             Step::NewLeader => {
-                let from = if removed == RemovedGuard::NoWait { leaders_now } else { leaders_now + SLICE_S };
-                leaders.push(CapacityLeaseServer::granting_from(from, BASE_CALLS));
+                let now = self.leaders_now();
+                let from = if self.removed == RemovedGuard::NoWait { now } else { now + SLICE_S };
+                self.leaders.push(CapacityLeaseServer::granting_from(from, BASE_CALLS));
             }
         }
-        let in_flight: f64 =
-            workers.iter().enumerate().map(|(w, worker)| worker.client.max_in_flight(now * rate(w))).sum();
+    }
+
+    fn report(&mut self, w: usize, spare: f64) {
+        let now = self.workers_now(w);
+        let worker = &mut self.workers[w];
+        worker.number += 1;
+        let offer = worker.client.report(now, worker.number, spare);
+        worker.reports.push_back((worker.number, report_of(offer, spare)));
+    }
+
+    fn arrive(&mut self, w: usize) {
+        let now = self.leaders_now();
+        let worker = &mut self.workers[w];
+        let leader = &mut self.leaders[worker.leader];
+        let Some((number, mut report)) = worker.reports.pop_front() else { return };
+        if self.removed == RemovedGuard::AnyDigest {
+            let holder = leader.holders.get(&(w as u64));
+            let newest_digest = holder.and_then(|holder| holder.sent_digests.back());
+            report.last_digest = newest_digest.map_or(0, |digest| digest.number);
+        }
+        leader.receive_report(now, w as u64, report);
+        worker.received.push_back((number, now));
+    }
+
+    fn answer(&mut self, w: usize) {
+        let now = self.leaders_now();
+        let newest = self.leaders.len() - 1;
+        let worker = &mut self.workers[w];
+        // An earlier leader has no quorum.
+        if worker.leader == newest {
+            if let Some((number, received_at)) = worker.received.pop_front() {
+                let grant = self.leaders[newest].grant(now, received_at, w as u64);
+                worker.grants.push_back((number, grant));
+            }
+        }
+    }
+
+    /// A worker's link is lost with all that was under way on it, and the next one is to the newest leader.
+    fn relink(&mut self, w: usize) {
+        let worker = &mut self.workers[w];
+        worker.reports.clear();
+        worker.received.clear();
+        worker.grants.clear();
+        worker.leader = self.leaders.len() - 1;
+    }
+
+    /// The calls that may be in flight from all workers.
+    fn max_in_flight(&self) -> f64 {
+        let calls = |(w, worker): (usize, &Worker)| worker.client.max_in_flight(self.workers_now(w));
+        self.workers.iter().enumerate().map(calls).sum()
+    }
+}
+
+/// Plays the steps; the first total of calls that may be in flight beyond the sum of the base allocations.
+fn first_excess(steps: &[Step], removed: RemovedGuard) -> Option<f64> {
+    let mut world = World::new(removed);
+    for step in steps {
+        world.step(step);
+        let in_flight = world.max_in_flight();
         if in_flight > BASE_CALLS * WORKERS as f64 + 1e-9 {
             return Some(in_flight);
         }
