--- a/src/dispatch/tests/crossings/world.rs
+++ b/src/dispatch/tests/crossings/world.rs
@@ -54,6 +54,11 @@
 }
 
 impl SentRequest {
+    /// Whether its client waits for a response.
+    pub(super) fn is_pending(&self) -> bool {
+        self.waits && self.response.is_none()
+    }
+
     /// Whether its run may still go on: one without a message for that long counts as lost.
     fn may_run(&self, now: f64) -> bool {
         self.run.is_open() && now <= self.due + SILENT_RUN_S
@@ -134,6 +139,16 @@
         format!("r{i}").into()
     }
 
+    /// The request that has this name.
+    fn index(name: &str) -> usize {
+        name[1..].parse().unwrap()
+    }
+
+    /// What a run or a call returns.
+    fn result_body() -> Rc<[u8]> {
+        Rc::from(*b"!")
+    }
+
     fn window_s(&self, class: usize) -> f64 {
         self.classes[class].window_s
     }
@@ -154,65 +169,74 @@
         Ok(())
     }
 
+    /// Asserts that a command was allowed, and notes what it means for its request.
     fn check(&mut self, command: Command) -> Result<(), TestCaseError> {
-        let now = self.harness.now;
         match command {
-            Command::Respond(ticket, response) => {
-                let i = ticket.0 as usize;
-                prop_assert!(self.sent[i].response.is_none(), "r{i} gets two responses");
-                prop_assert!(self.sent[i].waits, "r{i} gets a response, and its caller has gone");
-                let late = now - self.sent[i].due;
-                prop_assert!(self.stalled || late <= 0.1, "r{i} gets its response {late} s late");
-                if let Response::Rejected { .. } = response {
-                    let class = self.sent[i].class;
-                    let ran = !matches!(self.sent[i].run, Run::None | Run::Never);
-                    prop_assert!(!ran || self.classes[class].effect == Idempotency::Idempotent, "r{i} ran");
-                    let covers = |s: &SentRequest| {
-                        s.may_run(now) || self.sent[i].arrived <= s.arrived + self.window_s(class)
-                    };
-                    let earlier = self.runs_of(i).find(|(_, s)| covers(s)).map(|(j, _)| j);
-                    let story = earlier.map(|j| (now, &self.sent[i], j, &self.sent[j]));
-                    prop_assert!(story.is_none(), "r{i} is rejected, and its key has run: {story:?}");
-                }
-                if let Response::Served(_) = response {
-                    let ran = self.sent[i].run == Run::Ended || self.runs_of(i).next().is_some();
-                    prop_assert!(ran, "r{i} is served, and nothing ran");
-                }
-                self.sent[i].response = Some(response);
-            }
-            Command::Run { name, .. } => {
-                let i: usize = name[1..].parse().unwrap();
-                if self.sent[i].run != Run::None {
-                    // Commanded again after a break.
-                    prop_assert_eq!(self.sent[i].run, Run::Commanded);
-                    return Ok(());
-                }
-                prop_assert!(
-                    self.sent[i].response.is_none() && self.sent[i].waits,
-                    "r{i} runs, and no response is pending"
-                );
-                let (arrived, window_s) = (self.sent[i].arrived, self.window_s(self.sent[i].class));
-                let covers = |s: &SentRequest| {
-                    s.may_run(now) || s.arrived <= arrived && arrived <= s.arrived + window_s
-                };
-                let earlier = self.runs_of(i).find(|(_, s)| covers(s)).map(|(j, _)| j);
-                let story = earlier.map(|j| (now, &self.sent[i], j, &self.sent[j]));
-                prop_assert!(story.is_none(), "r{i} runs, and its key has run: {story:?}");
-                let late = self.notice.is_some_and(|at| arrived > at + self.grace_s);
-                prop_assert!(!late, "r{i} arrived after the grace, and runs");
-                self.sent[i].run = Run::Commanded;
-            }
+            Command::Respond(ticket, response) => self.check_response(ticket.0 as usize, response),
+            Command::Run { name, .. } => self.check_run(World::index(&name)),
             Command::Call { name, .. } => {
-                let i: usize = name[1..].parse().unwrap();
+                let i = World::index(&name);
                 prop_assert_eq!(self.sent[i].run, Run::AtCall, "r{} calls", i);
                 self.sent[i].run = Run::Calling;
+                Ok(())
             }
             Command::SkipCall { name, .. } => {
-                let i: usize = name[1..].parse().unwrap();
-                self.sent[i].run = Run::Began;
+                self.sent[World::index(&name)].run = Run::Began;
+                Ok(())
             }
-            _ => {}
+            _ => Ok(()),
+        }
+    }
+
+    /// There is one response for each request, in time, and it fits what has run.
+    fn check_response(&mut self, i: usize, response: Response) -> Result<(), TestCaseError> {
+        prop_assert!(self.sent[i].response.is_none(), "r{i} gets two responses");
+        prop_assert!(self.sent[i].waits, "r{i} gets a response, and its caller has gone");
+        let late = self.harness.now - self.sent[i].due;
+        prop_assert!(self.stalled || late <= 0.1, "r{i} gets its response {late} s late");
+        if let Response::Rejected { .. } = response {
+            self.check_rejection(i)?;
+        }
+        if let Response::Served(_) = response {
+            let ran = self.sent[i].run == Run::Ended || self.runs_of(i).next().is_some();
+            prop_assert!(ran, "r{i} is served, and nothing ran");
         }
+        self.sent[i].response = Some(response);
+        Ok(())
+    }
+
+    /// A rejected request may be sent again: neither it nor its key has run, unless it is idempotent.
+    fn check_rejection(&self, i: usize) -> Result<(), TestCaseError> {
+        let now = self.harness.now;
+        let class = self.sent[i].class;
+        let ran = !matches!(self.sent[i].run, Run::None | Run::Never);
+        prop_assert!(!ran || self.classes[class].effect == Idempotency::Idempotent, "r{i} ran");
+        let covers =
+            |s: &SentRequest| s.may_run(now) || self.sent[i].arrived <= s.arrived + self.window_s(class);
+        let earlier = self.runs_of(i).find(|(_, s)| covers(s)).map(|(j, _)| j);
+        let story = earlier.map(|j| (now, &self.sent[i], j, &self.sent[j]));
+        prop_assert!(story.is_none(), "r{i} is rejected, and its key has run: {story:?}");
+        Ok(())
+    }
+
+    /// A run has a client that waits for it, is the only one of its key, and didn't arrive after the grace.
+    fn check_run(&mut self, i: usize) -> Result<(), TestCaseError> {
+        let now = self.harness.now;
+        if self.sent[i].run != Run::None {
+            // Commanded again after a break.
+            prop_assert_eq!(self.sent[i].run, Run::Commanded);
+            return Ok(());
+        }
+        prop_assert!(self.sent[i].is_pending(), "r{i} runs, and no response is pending");
+        let (arrived, window_s) = (self.sent[i].arrived, self.window_s(self.sent[i].class));
+        let covers =
+            |s: &SentRequest| s.may_run(now) || s.arrived <= arrived && arrived <= s.arrived + window_s;
+        let earlier = self.runs_of(i).find(|(_, s)| covers(s)).map(|(j, _)| j);
+        let story = earlier.map(|j| (now, &self.sent[i], j, &self.sent[j]));
+        prop_assert!(story.is_none(), "r{i} runs, and its key has run: {story:?}");
+        let late = self.notice.is_some_and(|at| arrived > at + self.grace_s);
+        prop_assert!(!late, "r{i} arrived after the grace, and runs");
+        self.sent[i].run = Run::Commanded;
         Ok(())
     }
 
@@ -222,102 +246,135 @@
         (0..n).map(|k| (from + k) % n.max(1)).find(|i| condition(&self.sent[*i]))
     }
 
+    /// Carries out a step. Most kinds have no effect where nothing fits them; rare ones are drawn by `which` too.
     pub(super) fn step(&mut self, Step { kind, which, way, ms }: Step) -> Result<(), TestCaseError> {
-        let reply = || Some(Rc::from(*b"!"));
         match kind {
-            0..=4 => {
-                let class = which % self.classes.len();
-                let keyed = self.classes[class].effect == Idempotency::Keyed;
-                let key = keyed.then_some(way % 3);
-                let read_delay_s = [0.0, 0.0, 0.0, 0.03, 0.4, 2.0, 7.0][usize::from(way % 7)];
-                let deadline_s = self.classes[class].deadline_s;
-                let i = self.sent.len();
-                let now = self.harness.now;
-                // It lay unread, or was read and the process stalled.
-                let (read_at, lay_s) =
-                    if which % 2 == 0 { (None, read_delay_s) } else { (Some(now - read_delay_s), 0.0) };
-                let time_left_s = deadline_s - lay_s;
-                let arrived = now - read_delay_s;
-                let due = (arrived + deadline_s).max(now);
-                let (waits, response, run) = (true, None, Run::None);
-                self.sent.push(SentRequest { class, key, arrived, due, waits, response, run });
-                let key = key.map(|k| Rc::from(format!("k{k}").as_str()));
-                let ticket = Ticket(i as u64);
-                let request = Request {
-                    ticket,
-                    class,
-                    key,
-                    read_at,
-                    read_delay_s: lay_s,
-                    time_left_s,
-                    retry: way > 2,
-                    ..request(i as u64, "")
-                };
-                self.input(Input::Arrived(request))?;
-            }
-            5 | 6 => {
-                let Some(i) = self.find(which, |s| s.run.is_open()) else { return Ok(()) };
-                let never = way == 3 && self.sent[i].run == Run::Commanded;
-                let outcome = match way {
-                    0 | 1 => Outcome::Ok,
-                    _ if never => Outcome::NotStarted,
-                    2 => Outcome::Error,
-                    _ => Outcome::Cancelled,
-                };
-                self.sent[i].run = if never { Run::Never } else { Run::Ended };
-                self.input(Input::RunEnded { name: World::name(i), outcome, result: reply() })?;
-            }
-            7 => {
-                let Some(i) = self.find(which, |s| matches!(s.run, Run::Commanded | Run::Began)) else {
-                    return Ok(());
-                };
-                self.sent[i].run = Run::AtCall;
-                self.input(Input::AtCall { name: World::name(i), body: Rc::from([]), sequence: 1 })?;
-            }
-            8 => {
-                let Some(i) = self.find(which, |s| s.run == Run::Calling) else { return Ok(()) };
-                let outcomes = [Outcome::Ok, Outcome::Error, Outcome::TimedOut, Outcome::Unreachable];
-                let outcome = outcomes[usize::from(way % 4)];
-                self.sent[i].run = if outcome == Outcome::Ok { Run::Began } else { Run::AtCall };
-                self.input(Input::CallEnded { name: World::name(i), outcome, reply: reply() })?;
-            }
-            9 => {
-                let Some(i) = self.find(which, |s| s.waits && s.response.is_none()) else { return Ok(()) };
-                self.sent[i].waits = false;
-                self.input(Input::ClientDisconnected(Ticket(i as u64)))?;
-            }
+            0..=4 => self.send(which, way),
+            5 | 6 => self.end_run(which, way),
+            7 => self.reach_call(which),
+            8 => self.end_call(which, way),
+            9 => self.disconnect_client(which),
             10 if way < 2 => {
                 let now = self.harness.now;
-                self.input(Input::CommandsLost { from: now - 0.3, to: now })?;
-            }
-            10 if way == 2 && which % 8 == 0 => {
-                for s in self.sent.iter_mut().filter(|s| s.run.is_open()) {
-                    s.run = Run::Ended;
-                }
-                self.input(Input::RunsLost)?;
+                self.input(Input::CommandsLost { from: now - 0.3, to: now })
             }
+            10 if way == 2 && which % 8 == 0 => self.lose_runs(),
             11 if way == 0 && which % 16 == 0 && self.notice.is_none() => {
-                let notice = self.harness.now;
-                self.notice = Some(notice);
-                // A stall between the notice and the dispatcher.
-                self.stalled = true;
-                self.harness.now += f64::from(ms) / 400.0;
-                self.input(Input::Shutdown { noticed_at: notice, stop_at: notice + STOP_S })?;
-            }
-            11 if way == 1 && which % 8 == 0 && self.notice.is_some() => {
-                self.input(Input::RespondAll)?;
-                let pending = self.find(0, |s| s.waits && s.response.is_none());
-                prop_assert!(pending.is_none(), "r{pending:?} has no response after RespondAll");
+                self.shut_down(f64::from(ms) / 400.0)
             }
+            11 if way == 1 && which % 8 == 0 && self.notice.is_some() => self.respond_all(),
             12 if which % 8 == 0 => {
-                self.stalled = true;
-                self.harness.now += f64::from(ms) / 20.0;
+                self.stall(f64::from(ms) / 20.0);
+                Ok(())
             }
-            _ => self.pass(f64::from(ms) / 1000.0)?,
+            _ => self.pass(f64::from(ms) / 1000.0),
+        }
+    }
+
+    /// A client sends a request, which is dispatched immediately or after a delay.
+    fn send(&mut self, which: usize, way: u8) -> Result<(), TestCaseError> {
+        let class = which % self.classes.len();
+        let keyed = self.classes[class].effect == Idempotency::Keyed;
+        let key = keyed.then_some(way % 3);
+        let delay_s = [0.0, 0.0, 0.0, 0.03, 0.4, 2.0, 7.0][usize::from(way % 7)];
+        let deadline_s = self.classes[class].deadline_s;
+        let now = self.harness.now;
+        // It lay unread, or was read and the process stalled.
+        let (read_at, read_delay_s) =
+            if which.is_multiple_of(2) { (None, delay_s) } else { (Some(now - delay_s), 0.0) };
+        let arrived = now - delay_s;
+        let number = self.sent.len() as u64;
+        self.sent.push(SentRequest {
+            class,
+            key,
+            arrived,
+            due: (arrived + deadline_s).max(now),
+            waits: true,
+            response: None,
+            run: Run::None,
+        });
+        self.input(Input::Arrived(Request {
+            ticket: Ticket(number),
+            class,
+            key: key.map(|key| Rc::from(format!("k{key}").as_str())),
+            read_at,
+            read_delay_s,
+            time_left_s: deadline_s - read_delay_s,
+            retry: way > 2,
+            ..request(number, "")
+        }))
+    }
+
+    /// The executor reports the end of a run, or that it never began.
+    fn end_run(&mut self, which: usize, way: u8) -> Result<(), TestCaseError> {
+        let Some(i) = self.find(which, |s| s.run.is_open()) else { return Ok(()) };
+        let never = way == 3 && self.sent[i].run == Run::Commanded;
+        let outcome = match way {
+            0 | 1 => Outcome::Ok,
+            _ if never => Outcome::NotStarted,
+            2 => Outcome::Error,
+            _ => Outcome::Cancelled,
+        };
+        self.sent[i].run = if never { Run::Never } else { Run::Ended };
+        self.input(Input::RunEnded { name: World::name(i), outcome, result: Some(World::result_body()) })
+    }
+
+    /// A run comes to its downstream call.
+    fn reach_call(&mut self, which: usize) -> Result<(), TestCaseError> {
+        let Some(i) = self.find(which, |s| matches!(s.run, Run::Commanded | Run::Began)) else {
+            return Ok(());
+        };
+        self.sent[i].run = Run::AtCall;
+        self.input(Input::AtCall { name: World::name(i), body: Rc::from([]), sequence: 1 })
+    }
+
+    /// A downstream call ends.
+    fn end_call(&mut self, which: usize, way: u8) -> Result<(), TestCaseError> {
+        let Some(i) = self.find(which, |s| s.run == Run::Calling) else { return Ok(()) };
+        let outcomes = [Outcome::Ok, Outcome::Error, Outcome::TimedOut, Outcome::Unreachable];
+        let outcome = outcomes[usize::from(way % 4)];
+        self.sent[i].run = if outcome == Outcome::Ok { Run::Began } else { Run::AtCall };
+        self.input(Input::CallEnded { name: World::name(i), outcome, reply: Some(World::result_body()) })
+    }
+
+    /// A client that waits for its response disconnects.
+    fn disconnect_client(&mut self, which: usize) -> Result<(), TestCaseError> {
+        let Some(i) = self.find(which, SentRequest::is_pending) else { return Ok(()) };
+        self.sent[i].waits = false;
+        self.input(Input::ClientDisconnected(Ticket(i as u64)))
+    }
+
+    /// The executor has lost all runs.
+    fn lose_runs(&mut self) -> Result<(), TestCaseError> {
+        for s in self.sent.iter_mut().filter(|s| s.run.is_open()) {
+            s.run = Run::Ended;
         }
+        self.input(Input::RunsLost)
+    }
+
+    /// The shutdown notice comes, and reaches the dispatcher after a stall.
+    fn shut_down(&mut self, stall_s: f64) -> Result<(), TestCaseError> {
+        let notice = self.harness.now;
+        self.notice = Some(notice);
+        self.stall(stall_s);
+        self.input(Input::Shutdown { noticed_at: notice, stop_at: notice + STOP_S })
+    }
+
+    /// The stop is near: whatever is pending gets its response.
+    fn respond_all(&mut self) -> Result<(), TestCaseError> {
+        self.input(Input::RespondAll)?;
+        let pending = self.find(0, SentRequest::is_pending);
+        prop_assert!(pending.is_none(), "r{pending:?} has no response after RespondAll");
         Ok(())
     }
 
+    /// Time passes in which the process doesn't run.
+    fn stall(&mut self, seconds: f64) {
+        self.stalled = true;
+        self.harness.now += seconds;
+    }
+
+    /// Time passes, and the dispatcher is woken again and again.
     pub(super) fn pass(&mut self, seconds: f64) -> Result<(), TestCaseError> {
         let until = self.harness.now + seconds;
         while self.harness.now < until {
