--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -16,32 +16,35 @@
 const BLOCK: usize = 400;
 
 /// A fixed generator (Knuth's MMIX constants): a library's could change its draws between versions.
-struct Draws(u64);
+struct RandomSource(u64);
 
-impl Draws {
+impl RandomSource {
+    /// A number from 0 up to, but without, 1.
     fn unit(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
-    fn below(&mut self, n: usize) -> usize {
-        ((self.unit() * n as f64) as usize).min(n - 1)
+
+    /// A number below this one.
+    fn below(&mut self, end: usize) -> usize {
+        ((self.unit() * end as f64) as usize).min(end - 1)
     }
 }
 
-fn class(weight: f64, objective_s: f64, effect: Idempotency) -> Class {
+fn class(weight: f64, late_weight: f64, objective_s: f64, effect: Idempotency) -> Class {
     Class {
         weight,
         objective_s,
         deadline_s: objective_s * 2.5,
         effect,
         window_s: 9.0,
-        late_weight: if weight == 2.0 { 0.2 } else { 0.0 },
+        late_weight,
         calls: true,
         skipped_call_weight: if effect == Idempotency::Idempotent { 0.6 } else { 0.0 },
     }
 }
 
-fn settings(share: f64, quota: f64, preemption: Preemption, cold: bool) -> Settings {
+fn settings(call_share: f64, quota_per_s: f64, preemption: Preemption, cold: bool) -> Settings {
     Settings {
         seed: 1,
         cores: 6,
@@ -63,30 +66,36 @@
         marks_retries: !cold,
         preemption,
         signal: Signal::Weight,
-        dependency: (share > 0.0).then_some(Dependency { share, window_s: 5.0, linger_s: 0.2 }),
+        dependency: (call_share > 0.0).then_some(Dependency {
+            share: call_share,
+            window_s: 5.0,
+            linger_s: 0.2,
+        }),
         classes: vec![
-            class(1.0, 1.9, Idempotency::Idempotent),
-            class(2.0, 1.9, Idempotency::Idempotent),
-            class(5.0, 1.3, Idempotency::Keyed),
+            class(1.0, 0.0, 1.9, Idempotency::Idempotent),
+            class(2.0, 0.2, 1.9, Idempotency::Idempotent),
+            class(5.0, 0.0, 1.3, Idempotency::Keyed),
         ],
-        tenants: if quota > 0.0 { vec![Tenant { quota_per_s: quota }; 3] } else { Vec::new() },
+        tenants: if quota_per_s > 0.0 { vec![Tenant { quota_per_s }; 3] } else { Vec::new() },
         ..Settings::default()
     }
 }
 
-/// What the executor and the records service have in hand.
+/// Requests that something outside the controller has in hand.
 #[derive(Default)]
-struct Below {
+struct InFlight {
+    /// The executor runs them.
     running: Vec<RequestId>,
+    /// The records service has a call of theirs.
     calling: Vec<RequestId>,
+    /// They wait for the response of an earlier attempt.
     sharing: Vec<RequestId>,
 }
 
-impl Below {
-    fn obey(&mut self, action: &Action) {
+impl InFlight {
+    fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Start(id) => self.running.push(*id),
-            Action::SkipCall(id) => self.running.push(*id),
+            Action::Start(id) | Action::SkipCall(id) => self.running.push(*id),
             Action::Call { id, .. } => self.calling.push(*id),
             Action::ShareResponse(id) => self.sharing.push(*id),
             _ => {}
@@ -94,8 +103,8 @@
     }
 }
 
-fn outcome(draws: &mut Draws) -> Outcome {
-    match draws.below(60) {
+fn random_outcome(random: &mut RandomSource) -> Outcome {
+    match random.below(60) {
         0 => Outcome::Error,
         1 => Outcome::Rejected,
         2 => Outcome::TimedOut,
@@ -105,85 +114,164 @@
     }
 }
 
-/// Plays one trace: a line for each block of steps, with the number of actions and their digest (FNV-1a, 64 bits).
-fn play(seed: u64, set: Settings) -> String {
-    let (mut draws, mut below, mut now) = (Draws(seed), Below::default(), 0.0);
-    let (tenants, mut text) = (set.tenants.len(), String::new());
-    let mut out = Vec::new();
-    let mut controller = Controller::new(set, now, &mut out);
-    let (mut id, mut known, mut count, mut digest) = (0, Vec::new(), 0, 0xcbf2_9ce4_8422_2325u64);
-    let mut woken = 0.0;
-    for step in 0..STEPS {
+/// The digest of all actions so far (FNV-1a, 64 bits), and their number.
+struct ActionDigest {
+    actions: u64,
+    hash: u64,
+}
+
+impl ActionDigest {
+    fn new() -> ActionDigest {
+        ActionDigest { actions: 0, hash: 0xcbf2_9ce4_8422_2325 }
+    }
+
+    fn add_action(&mut self, action: &Action) {
+        self.actions += 1;
+        for byte in recorded_form(action).bytes() {
+            self.add(u64::from(byte));
+        }
+    }
+
+    fn add(&mut self, value: u64) {
+        self.hash = (self.hash ^ value).wrapping_mul(0x100_0000_01b3);
+    }
+}
+
+/// The random but fixed course of events.
+struct Course {
+    random: RandomSource,
+    tenants: usize,
+    now_s: f64,
+    woken_s: f64,
+    /// The number of the latest request.
+    latest: u64,
+    /// The latest first attempts with a key.
+    keyed_attempts: Vec<RequestId>,
+    in_flight: InFlight,
+}
+
+impl Course {
+    /// The event of this step, if it has one.
+    fn next_event(&mut self, step: usize) -> Option<Event> {
         // Calm, busy, flooded and back, so that all bounds are met and left again.
         let load = [0.2, 0.5, 0.9, 0.6][step / 1500 % 4];
-        now += draws.unit() * 0.02;
-        let event = if now - woken >= 0.025 {
-            woken = now;
-            let busy = (below.running.len() as f64 / 6.0).min(1.0);
-            let runnable = (step % 5 > 0).then_some(below.running.len() as f64);
-            Event::Woken(Gauges { cores_busy: (step % 7 > 0).then_some(busy), runnable, connections: None })
+        self.now_s += self.random.unit() * 0.02;
+        if self.now_s - self.woken_s >= 0.025 {
+            self.woken_s = self.now_s;
+            Some(self.woken(step))
         } else if step == STEPS - 300 {
-            Event::Shutdown { ago_s: 0.0, in_s: 3.2 }
-        } else if draws.unit() < load {
-            id += 1;
-            let class = [0, 0, 0, 0, 1, 1, 1, 1, 2][draws.below(9)];
-            let again = class == 2 && !known.is_empty() && draws.unit() < 0.3;
-            let retry_of = again.then(|| known[draws.below(known.len())]);
-            if class == 2 && !again {
-                known.push(RequestId(id));
-                if known.len() > 12 {
-                    known.remove(0);
-                }
-            }
-            Event::Arrived(Arrival {
-                id: RequestId(id),
-                class,
-                tenant: (tenants > 0).then(|| draws.below(tenants + 2).min(tenants - 1)),
-                caller: 1,
-                kb: 14.0 + draws.unit() * 30.0,
-                read_delay_s: draws.unit() * 0.01,
-                time_left_s: Some(2.0 + draws.unit() * 2.0),
-                estimate_s: Some(0.05 + draws.unit() * 0.5),
-                retry_of,
-                retry: again || draws.unit() < 0.05,
-            })
-        } else if draws.unit() < 0.02 && id > 0 {
-            Event::CallerGone(RequestId(id - draws.below(30.min(id as usize)) as u64))
-        } else if draws.unit() < 0.4 && !below.calling.is_empty() {
-            let id = below.calling.swap_remove(draws.below(below.calling.len()));
-            let outcome = outcome(&mut draws);
-            if outcome == Outcome::Ok {
-                below.running.push(id);
-            }
-            Event::CallEnded { id, outcome }
-        } else if draws.unit() < 0.3 && !below.sharing.is_empty() {
-            let id = below.sharing.remove(0);
-            Event::RunEnded { id, outcome: Outcome::Ok }
-        } else if !below.running.is_empty() {
-            let id = below.running.swap_remove(draws.below(below.running.len()));
-            if draws.unit() < 0.5 {
-                Event::AtCall(id)
-            } else {
-                Event::RunEnded { id, outcome: outcome(&mut draws) }
-            }
+            Some(Event::Shutdown { ago_s: 0.0, in_s: 3.2 })
+        } else if self.random.unit() < load {
+            Some(self.arrival())
+        } else if self.random.unit() < 0.02 && self.latest > 0 {
+            let back = self.random.below(30.min(self.latest as usize)) as u64;
+            Some(Event::CallerGone(RequestId(self.latest - back)))
+        } else if self.random.unit() < 0.4 && !self.in_flight.calling.is_empty() {
+            Some(self.call_end())
+        } else if self.random.unit() < 0.3 && !self.in_flight.sharing.is_empty() {
+            let id = self.in_flight.sharing.remove(0);
+            Some(Event::RunEnded { id, outcome: Outcome::Ok })
+        } else if !self.in_flight.running.is_empty() {
+            Some(self.run_end_or_call())
+        } else {
+            None
+        }
+    }
+
+    /// A wake-up with gauges, some of which are missing now and then.
+    fn woken(&self, step: usize) -> Event {
+        let running = self.in_flight.running.len() as f64;
+        Event::Woken(Gauges {
+            cores_busy: (!step.is_multiple_of(7)).then_some((running / 6.0).min(1.0)),
+            runnable: (!step.is_multiple_of(5)).then_some(running),
+            connections: None,
+        })
+    }
+
+    fn arrival(&mut self) -> Event {
+        self.latest += 1;
+        let id = RequestId(self.latest);
+        let class = [0, 0, 0, 0, 1, 1, 1, 1, 2][self.random.below(9)];
+        let retry_of = if class == 2 { self.keyed_attempt(id) } else { None };
+        let tenants = self.tenants;
+        Event::Arrived(Arrival {
+            id,
+            class,
+            tenant: (tenants > 0).then(|| self.random.below(tenants + 2).min(tenants - 1)),
+            caller: 1,
+            kb: 14.0 + self.random.unit() * 30.0,
+            read_delay_s: self.random.unit() * 0.01,
+            time_left_s: Some(2.0 + self.random.unit() * 2.0),
+            estimate_s: Some(0.05 + self.random.unit() * 0.5),
+            retry_of,
+            retry: retry_of.is_some() || self.random.unit() < 0.05,
+        })
+    }
+
+    /// The earlier attempt that a request with a key retries; without one it is a first attempt itself.
+    fn keyed_attempt(&mut self, id: RequestId) -> Option<RequestId> {
+        if !self.keyed_attempts.is_empty() && self.random.unit() < 0.3 {
+            return Some(self.keyed_attempts[self.random.below(self.keyed_attempts.len())]);
+        }
+        self.keyed_attempts.push(id);
+        if self.keyed_attempts.len() > 12 {
+            self.keyed_attempts.remove(0);
+        }
+        None
+    }
+
+    fn call_end(&mut self) -> Event {
+        let calling = &mut self.in_flight.calling;
+        let id = calling.swap_remove(self.random.below(calling.len()));
+        let outcome = random_outcome(&mut self.random);
+        if outcome == Outcome::Ok {
+            self.in_flight.running.push(id);
+        }
+        Event::CallEnded { id, outcome }
+    }
+
+    fn run_end_or_call(&mut self) -> Event {
+        let running = &mut self.in_flight.running;
+        let id = running.swap_remove(self.random.below(running.len()));
+        if self.random.unit() < 0.5 {
+            Event::AtCall(id)
         } else {
-            continue;
-        };
-        controller.handle(now, event, &mut out);
+            Event::RunEnded { id, outcome: random_outcome(&mut self.random) }
+        }
+    }
+}
+
+/// Plays one trace: a line for each block of steps, with its last step, the time, and the number and digest of the
+/// actions so far.
+fn play(seed: u64, settings: Settings) -> String {
+    let mut course = Course {
+        random: RandomSource(seed),
+        tenants: settings.tenants.len(),
+        now_s: 0.0,
+        woken_s: 0.0,
+        latest: 0,
+        keyed_attempts: Vec::new(),
+        in_flight: InFlight::default(),
+    };
+    let mut actions = Vec::new();
+    let mut controller = Controller::new(settings, course.now_s, &mut actions);
+    let mut digest = ActionDigest::new();
+    let mut trace = String::new();
+    for step in 0..STEPS {
+        let Some(event) = course.next_event(step) else { continue };
+        controller.handle(course.now_s, event, &mut actions);
         let released = controller.take_released();
-        for action in out.drain(..) {
-            below.obey(&action);
-            count += 1;
-            for byte in recorded_form(&action).bytes() {
-                digest = (digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
-            }
+        for action in actions.drain(..) {
+            course.in_flight.carry_out(&action);
+            digest.add_action(&action);
         }
-        digest = (digest ^ released.len() as u64).wrapping_mul(0x100_0000_01b3);
+        digest.add(released.len() as u64);
         if step % BLOCK == BLOCK - 1 {
-            let _ = writeln!(text, "{step} {now:.6} {count} {digest:016x}");
+            let ActionDigest { actions, hash } = digest;
+            writeln!(trace, "{step} {:.6} {actions} {hash:016x}", course.now_s).unwrap();
         }
     }
-    text
+    trace
 }
 
 /// An action as the digests were recorded: the names that its variants and fields had then.
@@ -212,9 +300,10 @@
     }
 }
 
-fn hold_against(name: &str, seed: u64, set: Settings) {
+/// Plays a trace, and asserts that it equals the recorded one of this name.
+fn assert_as_recorded(name: &str, seed: u64, settings: Settings) {
     let path = format!("{}/tests/traces/{name}.txt", env!("CARGO_MANIFEST_DIR"));
-    let played = play(seed, set);
+    let played = play(seed, settings);
     if std::env::var_os("HONEYPOST_RECORD_TRACES").is_some() {
         std::fs::write(&path, &played).unwrap();
     }
@@ -227,15 +316,15 @@
 
 #[test]
 fn a_warm_worker_with_calls_decides_as_recorded() {
-    hold_against("calls", 11, settings(5.0, 60.0, Preemption::Never, false));
+    assert_as_recorded("calls", 11, settings(5.0, 60.0, Preemption::Never, false));
 }
 
 #[test]
 fn a_cold_worker_without_marked_retries_decides_as_recorded() {
-    hold_against("cold", 12, settings(0.6, 0.0, Preemption::Never, true));
+    assert_as_recorded("cold", 12, settings(0.6, 0.0, Preemption::Never, true));
 }
 
 #[test]
 fn a_worker_that_can_stop_runs_decides_as_recorded() {
-    hold_against("halting", 13, settings(0.0, 25.0, Preemption::Discard, false));
+    assert_as_recorded("halting", 13, settings(0.0, 25.0, Preemption::Discard, false));
 }
