--- /dev/null
+++ b/tests/admission_properties/worker_model.rs
@@ -0,0 +1,131 @@
+//! What a worker and its executor know of their requests: the state that the rules are checked against.
+
+use port_worker::{Class, Idempotency, RequestId, Settings};
+use std::collections::{BTreeMap, VecDeque};
+
+/// How far a request has come. Times are those of the play.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(crate) enum RequestState {
+    /// It waits to be started.
+    Queued,
+    /// It waits for the response of an earlier attempt with its key.
+    SharingResponse,
+    /// It runs, and needs the processor for this long still.
+    Running { left_s: f64 },
+    /// Its run waits until it may make a downstream call.
+    AtCall { left_s: f64 },
+    /// Its run waits for the reply of its downstream call, until then at the latest.
+    Calling { left_s: f64, until_s: f64 },
+}
+
+/// A request from its arrival to the end of its run.
+pub(crate) struct TrackedRequest {
+    pub(crate) state: RequestState,
+    pub(crate) class: usize,
+    pub(crate) kb: f64,
+    pub(crate) arrived_s: f64,
+    /// Nobody waits for it afterwards.
+    pub(crate) deadline_s: f64,
+    pub(crate) key: u64,
+    /// It has its response, or its caller is gone.
+    pub(crate) responded: bool,
+    pub(crate) started: bool,
+    /// A downstream call of it may have had its effect.
+    pub(crate) call_may_have_taken_effect: bool,
+}
+
+impl TrackedRequest {
+    /// Whether it waits in the worker, and the executor knows nothing of it.
+    pub(crate) fn is_waiting(&self) -> bool {
+        matches!(self.state, RequestState::Queued | RequestState::SharingResponse)
+    }
+
+    pub(crate) fn is_running(&self) -> bool {
+        matches!(self.state, RequestState::Running { .. })
+    }
+
+    pub(crate) fn is_calling(&self) -> bool {
+        matches!(self.state, RequestState::Calling { .. })
+    }
+}
+
+/// An entry of the idempotency table.
+pub(crate) struct RetainedKey {
+    /// The attempt that later attempts are linked to.
+    pub(crate) id: RequestId,
+    pub(crate) until_s: f64,
+}
+
+/// The worker that carries out the controller's actions.
+pub(crate) struct WorkerModel {
+    pub(crate) settings: Settings,
+    pub(crate) now_s: f64,
+    pub(crate) requests: BTreeMap<RequestId, TrackedRequest>,
+    pub(crate) retained_keys: BTreeMap<u64, RetainedKey>,
+    pub(crate) key_of: BTreeMap<RequestId, u64>,
+    /// By key: when the attempts arrived that were started.
+    pub(crate) started_attempts: BTreeMap<u64, Vec<f64>>,
+    pub(crate) shutdown_notice_s: Option<f64>,
+    /// Requests that have their response, or whose caller is gone.
+    pub(crate) responses: u64,
+    /// Runs that succeeded for a caller who still waited.
+    pub(crate) served: u64,
+    /// Each action, with the time at which it was carried out.
+    pub(crate) log: Vec<String>,
+    /// Requests that ended in this step, before the controller could know of it.
+    pub(crate) ended_in_step: Vec<RequestId>,
+    /// Requests that were to be started after they had ended.
+    pub(crate) started_after_end: Vec<RequestId>,
+    /// Runs that were preempted in the step before.
+    pub(crate) preempted: Vec<RequestId>,
+    /// Abandoned calls that still occupy the dependency: until when.
+    pub(crate) lingering_calls: Vec<f64>,
+    /// Calls that occupied the dependency, for each of the latest steps.
+    pub(crate) calls_by_step: VecDeque<u32>,
+}
+
+impl WorkerModel {
+    pub(crate) fn new(settings: Settings) -> WorkerModel {
+        WorkerModel {
+            settings,
+            now_s: 0.0,
+            requests: BTreeMap::new(),
+            retained_keys: BTreeMap::new(),
+            key_of: BTreeMap::new(),
+            started_attempts: BTreeMap::new(),
+            shutdown_notice_s: None,
+            responses: 0,
+            served: 0,
+            log: Vec::new(),
+            ended_in_step: Vec::new(),
+            started_after_end: Vec::new(),
+            preempted: Vec::new(),
+            lingering_calls: Vec::new(),
+            calls_by_step: VecDeque::new(),
+        }
+    }
+
+    pub(crate) fn class_of(&self, request: &TrackedRequest) -> &Class {
+        &self.settings.classes[request.class]
+    }
+
+    pub(crate) fn is_idempotent(&self, request: &TrackedRequest) -> bool {
+        self.class_of(request).effect == Idempotency::Idempotent
+    }
+
+    /// The attempt that the idempotency table has under this key at this time.
+    pub(crate) fn retained_attempt(&self, key: u64, at_s: f64) -> Option<RequestId> {
+        self.retained_keys.get(&key).filter(|retained| retained.until_s > at_s).map(|retained| retained.id)
+    }
+
+    /// The request with this identifier, which is in flight.
+    pub(crate) fn request(&mut self, id: RequestId) -> &mut TrackedRequest {
+        self.requests.get_mut(&id).unwrap_or_else(|| panic!("{id:?} is not in flight"))
+    }
+
+    /// Forgets a request that ended before the controller could know of it.
+    pub(crate) fn end(&mut self, id: RequestId) {
+        self.requests.remove(&id);
+        self.ended_in_step.push(id);
+    }
+}
