--- a/tests/admission_properties/rules.rs
+++ b/tests/admission_properties/rules.rs
@@ -43,7 +43,8 @@
                 assert!(self.settings.signal == Signal::Weight, "a weight where none is published");
                 assert!(*weight >= 0.0 && weight.is_finite(), "a weight of {weight}");
             }
-            _ => {}
+            // The play wakes the controller; the others ask nothing of a worker's requests.
+            Action::WakeIn(_) | Action::Health(_) | Action::Log(_) => {}
         }
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,5 +1,5 @@
-//! The decision module without class pools, held against traces recorded before it knew of any: each event of a
-//! random but fixed course of days, and each action that came back, digested in blocks.
+//! The admission controller without class pools, compared with traces that were recorded before there were any: the
+//! actions that it returns to a random but fixed course of events, digested in blocks of steps.
 //!
 //! `HONEYPOST_RECORD_TRACES=1 cargo test --test traces` writes them anew; only a change that is meant to change
 //! decisions on the platform may do that.
@@ -11,8 +11,9 @@
 };
 use std::fmt::Write;
 
-/// Steps of one trace, and steps digested in one line of it.
+/// Steps of one trace.
 const STEPS: usize = 24_000;
+/// Steps for each line of a trace.
 const BLOCK: usize = 400;
 
 /// A fixed generator (Knuth's MMIX constants): a library's could change its draws between versions.
@@ -81,7 +82,7 @@
     }
 }
 
-/// Requests that something outside the controller has in hand.
+/// Requests that the executor, the records service or an earlier attempt has yet to answer.
 #[derive(Default)]
 struct InFlight {
     /// The executor runs them.
