--- a/tests/crossings/closing.rs
+++ b/tests/crossings/closing.rs
@@ -128,8 +128,8 @@
     let mut waits = [0; 1];
     assert_eq!(portal.reader.get_ref().peek(&mut waits).unwrap(), 1);
     portal.reader.get_ref().write_all(&vec![b'x'; 256 * 1024]).unwrap();
-    let mut cpong = [0; 5];
-    portal.reader.read_exact(&mut cpong).unwrap();
-    assert_eq!(cpong, [b'A', b'B', 0, 1, 9]);
+    let mut reply = [0; 5];
+    portal.reader.read_exact(&mut reply).unwrap();
+    assert_eq!(reply, [b'A', b'B', 0, 1, 9]);
     assert_eq!(end_of(&mut portal), End::Closed);
 }
