--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -121,7 +121,7 @@
 
     /// Work done a second by each run: cores are shared evenly, and past the knee concurrency costs throughput.
     fn rate(&self, at: f64) -> f64 {
-        let (n, cores) = (self.runs.len() as f64, self.model.cores as f64);
+        let (n, cores) = (self.runs.len() as f64, f64::from(self.model.cores));
         if n == 0.0 {
             return 0.0;
         }
@@ -140,7 +140,7 @@
             let step = (end - self.now).clamp(1e-7, 0.01).min(to - self.now);
             self.now += step;
             let n = self.runs.len();
-            self.busy_s += step * (n as f64).min(self.model.cores as f64);
+            self.busy_s += step * (n as f64).min(f64::from(self.model.cores));
             let tenth = (self.now * 10.0) as usize;
             if self.tenths.len() <= tenth {
                 self.tenths.resize(tenth + 1, 0.0);
@@ -202,6 +202,6 @@
     pub fn peak_mean_concurrency(&self, over_s: f64) -> f64 {
         let n = ((over_s * 10.0) as usize).max(1);
         let windows = self.tenths.windows(n.min(self.tenths.len().max(1)));
-        windows.map(|w| w.iter().sum::<f64>() / over_s).fold(0.0, f64::max) / self.model.cores as f64
+        windows.map(|w| w.iter().sum::<f64>() / over_s).fold(0.0, f64::max) / f64::from(self.model.cores)
     }
 }
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -22,16 +22,17 @@
 use crate::console::{self, Calls};
 use crate::error::TestbedError;
 use crate::experiment::{Experiment, Variant};
-use crate::floods;
+use crate::floods::{self, Flooded};
 use crate::measure::{LimitChange, Play, PoolResult, RequestEnd, CROWD_BOUND, CROWD_S};
 use crate::sync::lock;
 use listener::bind_listener;
 use records_server::serve_records;
 use serde_json::{json, Value};
-use std::net::UdpSocket;
+use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
+use std::thread::JoinHandle;
 use std::time::Duration;
 use worker_process::WorkerProcess;
 
@@ -57,15 +58,7 @@
     let (records_listener, records_at) = bind_listener()?;
     let registry = UdpSocket::bind("127.0.0.1:0")?;
     let registry_at = registry.local_addr()?;
-    let mut config = experiment.config(
-        "127.0.0.1:0",
-        &executor_at.to_string(),
-        &records_at.to_string(),
-        &registry_at.to_string(),
-    );
-    if variant.console_every_ms.is_some() {
-        config["console"] = json!("127.0.0.1:0");
-    }
+    let config = worker_config(experiment, variant, [executor_at, records_at, registry_at]);
     let clock = Clock::from_now_in(START_DELAY);
     let executor = serve_executor(executor_listener, experiment, clock, &over);
     serve_records(records_listener, experiment, clock, &over);
@@ -80,15 +73,13 @@
         console.map(|(at, every_ms)| console::watch(at, every_ms, variant.console_holders, &called));
     let rest_kb = worker_process.resident_kb();
     let peak = floods::watch_memory(worker_process.resident(), &called);
-    let mut flooders = Vec::new();
-    if let Some(flood) = variant.flood {
-        flooders = floods::start(
-            flood,
-            variant.flood_connections,
-            worker_process.address("frontend=http2 address=")?,
-            &called,
-        );
-    }
+    let flooders = match variant.flood {
+        Some(flood) => {
+            let address = worker_process.address("frontend=http2 address=")?;
+            floods::start(flood, variant.flood_connections, address, &called)
+        }
+        None => Vec::new(),
+    };
     clock.sleep_until(0.0);
     let ends = Arc::new(Mutex::new(vec![None; requests.len()]));
     let callers = match variant.http2_streams {
@@ -115,23 +106,44 @@
     let executor = executor.join().map_err(|_| TestbedError::ThreadFailed { owner: "the executor" })?;
     let mut play = Play::of(experiment, &variant.name, seed, &requests, &lock(&ends));
     play.console = [calls.p50_ms, calls.p99_ms, calls.most_ms];
-    (play.console_made, play.console_bad) = (calls.made, calls.bad);
+    play.console_made = calls.made;
+    play.console_bad = calls.bad;
     play.memory_over_mb = (peak.join().unwrap_or(f64::INFINITY) - rest_kb) / 1024.0;
-    for flooder in flooders {
-        let came_to = flooder.join().map_err(|_| TestbedError::ThreadFailed { owner: "a flooder" })?;
-        play.flood_connections += came_to.connections;
-        play.flood_ended += came_to.ended;
-        play.flood_mb += came_to.bytes as f64 / 1e6;
-    }
+    add_floods(&mut play, flooders)?;
     play.crowd_of_bound = executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = executor.most_on_cores;
     play.memory_growth = memory_after / memory.max(1.0);
     play.cpu_ms = (cpu_after - cpu_before) / requests.len().max(1) as f64;
+    read_log(&lines, &mut play);
+    Ok(play)
+}
+
+/// The configuration of the worker; `peers` are the executor, the records service and the registry.
+fn worker_config(experiment: &Experiment, variant: &Variant, peers: [SocketAddr; 3]) -> Value {
+    let [executor, records, registry] = peers.map(|address| address.to_string());
+    let mut config = experiment.config("127.0.0.1:0", &executor, &records, &registry);
+    if variant.console_every_ms.is_some() {
+        config["console"] = json!("127.0.0.1:0");
+    }
+    config
+}
+
+fn add_floods(play: &mut Play, flooders: Vec<JoinHandle<Flooded>>) -> Result<(), TestbedError> {
+    for flooder in flooders {
+        let flood = flooder.join().map_err(|_| TestbedError::ThreadFailed { owner: "a flooder" })?;
+        play.flood_connections += flood.connections;
+        play.flood_ended += flood.ended;
+        play.flood_mb += flood.bytes as f64 / 1e6;
+    }
+    Ok(())
+}
+
+/// Takes what the worker's log says of its pools; times count from the first line.
+fn read_log(lines: &[String], play: &mut Play) {
     let started_at = lines.first().and_then(|line| seconds_of_day(line)).unwrap_or(0.0);
-    for line in &lines {
-        read_log_line(line, started_at, &mut play);
+    for line in lines {
+        read_log_line(line, started_at, play);
     }
-    Ok(play)
 }
 
 /// Takes what the worker's log says of its pools.
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -274,70 +274,95 @@
     );
     for variant in &experiment.variant {
         let own: Vec<&Play> = plays.iter().filter(|p| p.variant == variant.name).collect();
-        let n = own.len().max(1) as f64;
-        for class in 0..experiment.class.len() {
-            let mean =
-                |of: &dyn Fn(&ClassResult) -> f64| own.iter().map(|p| of(&p.classes[class])).sum::<f64>() / n;
-            let asked = mean(&|c| c.asked as f64).max(1e-9);
-            let part = |of: fn(&ClassResult) -> u64| 100.0 * mean(&|c| of(c) as f64) / asked;
-            let _ = writeln!(
-                text,
-                "| {} | {} | {asked:.0} | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.0} | {:.0} |",
-                variant.name,
-                experiment.class[class].name,
-                part(|c| c.in_aim),
-                part(|c| c.late),
-                part(|c| c.degraded),
-                part(|c| c.rejected),
-                part(|c| c.failed),
-                mean(&|c| c.p50_ms),
-                mean(&|c| c.p99_ms)
-            );
-        }
-        let names = own.first().map_or(Vec::new(), |p| p.pools.iter().map(|q| &q.name).collect());
-        for (pool, name) in names.into_iter().enumerate() {
-            let mean = |of: fn(&PoolResult) -> u64| {
-                own.iter().filter_map(|p| p.pools.get(pool)).map(|q| of(q) as f64).sum::<f64>() / n
-            };
-            let (started, rejected) = (mean(|q| q.started), mean(|q| q.rejected));
-            let _ = writeln!(
-                text,
-                "| {} | pool {name} | started {started:.0} | turned away {rejected:.0} | | | | | | |",
-                variant.name
-            );
-        }
-        let mean = |of: &dyn Fn(&Play) -> f64| interval(&own.iter().map(|p| of(p)).collect::<Vec<_>>());
-        let ((worth, w), (by_work, b)) = (mean(&|p| p.worth), mean(&|p| p.worth_by_work));
-        let (crowd, cpu) = (mean(&|p| p.crowd_of_bound).0, mean(&|p| p.cpu_ms).0);
+        add_class_rows(&mut text, experiment, &variant.name, &own);
+        add_pool_rows(&mut text, &variant.name, &own);
+        add_total_row(&mut text, &variant.name, &own);
+        add_flood_row(&mut text, &variant.name, &own);
+        add_console_row(&mut text, &variant.name, &own);
+    }
+    text
+}
+
+/// The mean of a figure over plays, and half its confidence interval.
+fn mean_of(plays: &[&Play], figure: &dyn Fn(&Play) -> f64) -> (f64, f64) {
+    interval(&plays.iter().map(|play| figure(play)).collect::<Vec<_>>())
+}
+
+fn add_class_rows(text: &mut String, experiment: &Experiment, variant: &str, own: &[&Play]) {
+    let n = own.len().max(1) as f64;
+    for class in 0..experiment.class.len() {
+        let mean =
+            |of: &dyn Fn(&ClassResult) -> f64| own.iter().map(|p| of(&p.classes[class])).sum::<f64>() / n;
+        let asked = mean(&|c| c.asked as f64).max(1e-9);
+        let part = |of: fn(&ClassResult) -> u64| 100.0 * mean(&|c| of(c) as f64) / asked;
+        let _ = writeln!(
+            text,
+            "| {} | {} | {asked:.0} | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.0} | {:.0} |",
+            variant,
+            experiment.class[class].name,
+            part(|c| c.in_aim),
+            part(|c| c.late),
+            part(|c| c.degraded),
+            part(|c| c.rejected),
+            part(|c| c.failed),
+            mean(&|c| c.p50_ms),
+            mean(&|c| c.p99_ms)
+        );
+    }
+}
+
+fn add_pool_rows(text: &mut String, variant: &str, own: &[&Play]) {
+    let n = own.len().max(1) as f64;
+    let names = own.first().map_or(Vec::new(), |p| p.pools.iter().map(|q| &q.name).collect());
+    for (pool, name) in names.into_iter().enumerate() {
+        let mean = |of: fn(&PoolResult) -> u64| {
+            own.iter().filter_map(|p| p.pools.get(pool)).map(|q| of(q) as f64).sum::<f64>() / n
+        };
+        let (started, rejected) = (mean(|q| q.started), mean(|q| q.rejected));
         let _ = writeln!(
             text,
-            "| {} | all | | worth {worth:.4} +- {w:.4} | by work {by_work:.4} +- {b:.4} | crowd {crowd:.3} of bound | \
-             cpu {cpu:.3} ms | | | |",
-            variant.name
+            "| {variant} | pool {name} | started {started:.0} | turned away {rejected:.0} | | | | | | |"
         );
-        let flooded: u64 = own.iter().map(|p| p.flood_connections).sum();
-        if flooded > 0 {
-            let ended: u64 = own.iter().map(|p| p.flood_ended).sum();
-            let over = own.iter().map(|p| p.memory_over_mb).fold(0.0, f64::max);
-            let _ = writeln!(
+    }
+}
+
+fn add_total_row(text: &mut String, variant: &str, own: &[&Play]) {
+    let (worth, w) = mean_of(own, &|p| p.worth);
+    let (by_work, b) = mean_of(own, &|p| p.worth_by_work);
+    let (crowd, _) = mean_of(own, &|p| p.crowd_of_bound);
+    let (cpu, _) = mean_of(own, &|p| p.cpu_ms);
+    let _ = writeln!(
+            text,
+            "| {variant} | all | | worth {worth:.4} +- {w:.4} | by work {by_work:.4} +- {b:.4} | crowd {crowd:.3} of bound | \
+             cpu {cpu:.3} ms | | | |"
+        );
+}
+
+fn add_flood_row(text: &mut String, variant: &str, own: &[&Play]) {
+    let flooded: u64 = own.iter().map(|p| p.flood_connections).sum();
+    if flooded > 0 {
+        let ended: u64 = own.iter().map(|p| p.flood_ended).sum();
+        let over = own.iter().map(|p| p.memory_over_mb).fold(0.0, f64::max);
+        let _ = writeln!(
                 text,
                 "| {} | flood | connections {flooded} | ended {ended} | {:.1} MB a play | memory over rest, most \
                  {over:.2} MB | | | | |",
-                variant.name,
-                mean(&|p| p.flood_mb).0
+                variant,
+                mean_of(own, &|p| p.flood_mb).0
             );
-        }
-        let made: u64 = own.iter().map(|p| p.console_made).sum();
-        if made > 0 {
-            let most = own.iter().map(|p| p.console[2]).fold(0.0, f64::max);
-            let (p50, p99) = (mean(&|p| p.console[0]).0, mean(&|p| p.console[1]).0);
-            let bad: u64 = own.iter().map(|p| p.console_bad).sum();
-            let _ = writeln!(
+    }
+}
+
+fn add_console_row(text: &mut String, variant: &str, own: &[&Play]) {
+    let made: u64 = own.iter().map(|p| p.console_made).sum();
+    if made > 0 {
+        let most = own.iter().map(|p| p.console[2]).fold(0.0, f64::max);
+        let (p50, _) = mean_of(own, &|p| p.console[0]);
+        let (p99, _) = mean_of(own, &|p| p.console[1]);
+        let bad: u64 = own.iter().map(|p| p.console_bad).sum();
+        let _ = writeln!(
                 text,
-                "| {} | console | calls {made} | bad {bad} | p50 {p50:.2} ms | p99 {p99:.2} ms | most {most:.2} ms | | | |",
-                variant.name
+                "| {variant} | console | calls {made} | bad {bad} | p50 {p50:.2} ms | p99 {p99:.2} ms | most {most:.2} ms | | | |"
             );
-        }
     }
-    text
 }
