--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -36,7 +36,7 @@
 
 impl Dispatcher {
     pub(super) fn accept_arrival(&mut self, request: Request, effects: &mut Effects<'_>) {
-        // The executor's messages name requests: two of one name could not be told apart.
+        // The executor's messages name requests: two of one name could not be distinguished.
         if self.is_in_flight(&request.name) || self.running_in_predecessor.contains(&request.name) {
             return self.respond_without_controller(&request, Response::Conflict, effects);
         }
--- a/src/net/frontends/http2/session_admission.rs
+++ b/src/net/frontends/http2/session_admission.rs
@@ -3,7 +3,7 @@
 //! A session takes many times the memory of a connection without one, and anybody can have one for a preface. So
 //! connections that have not sent a request share a bounded number of slots. One releases its slot with its first
 //! request, or when it is closed. Where all slots are taken, connections wait in the order in which they came, and
-//! whoever has had a slot for [`MIN_SLOT_S`] without a request is evicted for the first of them. Where nobody waits,
+//! a client that has had a slot for [`MIN_SLOT_S`] without a request is evicted for the first of them. Where nobody waits,
 //! nobody is evicted.
 
 use std::collections::VecDeque;
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Lets a successor connect from here on, in the place of whoever could be found before.
+    /// Lets a successor connect from here on: this process replaces any earlier one at the socket.
     pub(super) fn listen_for_successor(&mut self) -> io::Result<()> {
         let new_path = self.path.with_extension(format!("{}", std::process::id()));
         // What a process of the same number has left behind.
--- a/src/net/lifecycle/shutdown/timeline.rs
+++ b/src/net/lifecycle/shutdown/timeline.rs
@@ -22,7 +22,7 @@
     pub accept_until: f64,
     /// All answers are given, and half requests are waited for no more.
     pub answer_by: f64,
-    /// The process exits, whoever is still connected.
+    /// The process exits, whatever connections are left.
     pub exit_by: f64,
     /// SIGKILL.
     pub kill_at: f64,
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// What the worker lends the backend for a turn.
+/// The parts of the worker that the backend uses in one turn of the loop.
 struct Turn<'a> {
     now: f64,
     inputs: &'a mut Vec<Input>,
