--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -29,7 +29,7 @@
             fleet.member.leave(replaced);
         }
         // A new process that does not own the listeners yet takes no leases beside the old one.
-        let owns_listeners = self.hot_restart.as_ref().map_or(true, |r| r.ownership.is_owner());
+        let owns_listeners = self.hot_restart.as_ref().is_none_or(|r| r.ownership.is_owner());
         let serves = owns_listeners && self.dispatcher.is_some();
         fleet.member.set_accepting_tasks(fleet_now, serves && !self.context.availability.draining);
         if fleet.member.load_report_due(fleet_now) {
@@ -56,7 +56,7 @@
     }
 
     /// The fleet's metrics for operators, a line each.
-    pub(in crate::net) fn fleet_figures(&self) -> String {
+    pub(in crate::net) fn fleet_metrics(&self) -> String {
         let Some(fleet) = &self.upstreams.coordinators else { return String::new() };
         let mut text = String::new();
         for (name, value) in fleet.member.metrics(fleet.now()) {
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -153,8 +153,8 @@
     assert!(unix_ms() <= sent + 5000, "answered by the class's time, not by its own");
     // Nothing ends: what can't be started in time any more is refused, with word when to come back.
     let mut portals: Vec<Ajp> = (0..40).map(|_| Ajp::connect(worker.ajp.unwrap())).collect();
-    for portal in &mut portals {
-        portal.send(&forward("/portal/look", ""), b"hello");
+    for p in &mut portals {
+        p.send(&forward("/portal/look", ""), b"hello");
     }
     let reply = portals.pop().unwrap().read_response().0;
     assert_eq!(reply.status, 503);
