--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use clap::Parser;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -155,19 +155,7 @@
         Subcommand::Run { file, worker, json, seeds } => (file, Some(worker), json, seeds),
         Subcommand::Sim { file, json, seeds } => (file, None, json, seeds),
         Subcommand::Fleet { file, folder, for_s, programs } => {
-            let file = FleetFile::read(&file)?;
-            let programs = Programs::beside(&programs)?;
-            let over = Arc::new(AtomicBool::new(false));
-            let told = over.clone();
-            ctrlc::set_handler(move || told.store(true, Ordering::Relaxed))?;
-            if let Some(for_s) = for_s {
-                let timed = over.clone();
-                std::thread::spawn(move || {
-                    std::thread::sleep(Duration::from_secs_f64(for_s.clamp(0.0, 86_400.0)));
-                    timed.store(true, Ordering::Relaxed);
-                });
-            }
-            rig::serve(file, &folder, programs, &over)?;
+            run_fleet(&file, &folder, for_s, &programs)?;
             return Ok(true);
         }
         Subcommand::Fault { folder, words } => return rig::ask_fault(&folder, &words).map(|()| true),
@@ -214,7 +202,35 @@
             return Ok(true);
         }
     };
-    let mut experiment = Experiment::read(&file)?;
+    play_experiment(&file, worker.as_deref(), json.as_deref(), seeds)
+}
+
+/// Runs a fleet of processes until Ctrl-C, or for so long (seconds).
+fn run_fleet(file: &Path, folder: &Path, for_s: Option<f64>, programs: &Path) -> Result<(), TestbedError> {
+    let file = FleetFile::read(file)?;
+    let programs = Programs::beside(programs)?;
+    let over = Arc::new(AtomicBool::new(false));
+    let told = over.clone();
+    ctrlc::set_handler(move || told.store(true, Ordering::Relaxed))?;
+    if let Some(for_s) = for_s {
+        let timed = over.clone();
+        std::thread::spawn(move || {
+            std::thread::sleep(Duration::from_secs_f64(for_s.clamp(0.0, 86_400.0)));
+            timed.store(true, Ordering::Relaxed);
+        });
+    }
+    rig::serve(file, folder, programs, &over)
+}
+
+/// Plays each variant with each seed, on loopback with this worker or in virtual time, and prints the results; `true` if all
+/// that the experiment expects holds.
+fn play_experiment(
+    file: &Path,
+    worker: Option<&Path>,
+    json: Option<&Path>,
+    seeds: Vec<u64>,
+) -> Result<bool, TestbedError> {
+    let mut experiment = Experiment::read(file)?;
     if !seeds.is_empty() {
         experiment.seeds = seeds;
     }
@@ -226,7 +242,7 @@
             variants.reverse();
         }
         for variant in variants {
-            plays.push(match &worker {
+            plays.push(match worker {
                 Some(worker) => loopback::play(&experiment, variant, seed, worker)?,
                 None => virtual_time::play(&experiment, variant, seed)?,
             });
@@ -236,7 +252,7 @@
     println!("{}\n{verdict}", measure::table(&experiment, &plays));
     if let Some(path) = json {
         let text = serde_json::to_string_pretty(&plays)?;
-        std::fs::write(&path, text).map_err(TestbedError::file(&path))?;
+        std::fs::write(path, text).map_err(TestbedError::file(path))?;
     }
     Ok(good)
 }
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -20,6 +20,11 @@
 /// How long a test waits for any one condition; far more than a slow machine needs.
 const TIMEOUT: Duration = Duration::from_secs(40);
 
+/// Whether a metric has exactly this value.
+pub fn is_exactly(value: f64, expected: f64) -> bool {
+    value.total_cmp(&expected).is_eq()
+}
+
 /// A fleet that runs, and where its files are.
 pub struct FleetUnderTest {
     pub rig: Rig,
@@ -95,7 +100,7 @@
         let fleet = FleetUnderTest::start_processes(file, Fencing::Enforced);
         for name in fleet.rig.workers() {
             fleet.wait(&format!("{name} knows of all four"), |_| {
-                fleet.metric(&name, "fleet.overload.of_workers").filter(|of| *of == 4.0)
+                fleet.metric(&name, "fleet.overload.of_workers").filter(|of| is_exactly(*of, 4.0))
             });
         }
         fleet
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -1,6 +1,6 @@
 //! Leases of workers that are killed, suspended, cut off, drained or hot restarted.
 
-use super::common::FleetUnderTest;
+use super::common::{is_exactly, FleetUnderTest};
 use std::time::{Duration, Instant};
 use testbed::fleet::session_load::SessionLoad;
 
@@ -120,7 +120,7 @@
         fleet.wait(&format!("totals of six at {name}"), |_| {
             let (of, age) =
                 (fleet.metric(&name, "fleet.totals.workers")?, fleet.metric(&name, "fleet.totals.age_s")?);
-            (of == 6.0 && age < 10.0).then_some(())
+            (is_exactly(of, 6.0) && age < 10.0).then_some(())
         });
     }
 }
--- a/testbed/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -1,7 +1,7 @@
 //! Overload handled by the fleet as one, by real processes: what counts is the service's own count of calls, and the
 //! routers' of answers.
 
-use super::common::FleetUnderTest;
+use super::common::{is_exactly, FleetUnderTest};
 use std::time::{Duration, Instant};
 use testbed::fleet::routers::Routers;
 
@@ -21,7 +21,7 @@
 fn wait_all(fleet: &FleetUnderTest, figure: &str, is: f64) {
     for name in fleet.rig.workers() {
         fleet.wait(&format!("{figure} is {is} at {name}"), |_| {
-            fleet.metric(&name, &format!("fleet.overload.{figure}")).filter(|f| *f == is)
+            fleet.metric(&name, &format!("fleet.overload.{figure}")).filter(|value| is_exactly(*value, is))
         });
     }
 }
@@ -41,7 +41,7 @@
     fleet.wait("a worker a zone that tries it", |_| {
         let trials =
             fleet.rig.workers().iter().filter_map(|w| fleet.metric(w, "fleet.overload.trial")).sum::<f64>();
-        (trials == 2.0).then_some(())
+        is_exactly(trials, 2.0).then_some(())
     });
     let (before, start) = (made(&fleet), Instant::now());
     std::thread::sleep(Duration::from_secs(3));
