--- a/tests/failures/health.rs
+++ b/tests/failures/health.rs
@@ -1,4 +1,4 @@
-//! Sickness, hangs and lagging reads.
+//! Failing runs, hangs and lagging reads.
 
 use crate::harness::{rejected, settings, Harness};
 use port_worker::{Action, Arrival, Event, Gauges, Outcome, RequestId, Settings, Signal};
