--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -295,6 +295,16 @@
     /// Something that a measurement needs is not there.
     #[error("no {0}")]
     Missing(&'static str),
+    /// `fleetctl` ended without success.
+    #[error("fleetctl {arguments} ended with {status}: {message}")]
+    Fleetctl {
+        /// Its arguments, without those that name the fleet.
+        arguments: String,
+        /// How it ended.
+        status: ExitStatus,
+        /// What it printed on stderr.
+        message: String,
+    },
     /// A coordinator closed a link that is needed.
     #[error("the coordinator closed the link")]
     LinkClosed,
--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -1,5 +1,6 @@
 //! Fleets: coordinators and workers with faults between them, in virtual time and as real processes.
 
+pub mod compatibility;
 pub mod measure;
 pub mod overhead;
 pub mod overload_storm;
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -101,6 +101,11 @@
         Ok(rig)
     }
 
+    /// Sets the programs that are started from now on. Processes that run are not affected.
+    pub fn set_programs(&mut self, programs: Programs) {
+        self.programs = programs;
+    }
+
     /// A class that the workers serve.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<&ClassModel> {
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 use testbed::error::TestbedError;
 use testbed::experiment::Experiment;
+use testbed::fleet::compatibility::{self, Build};
 use testbed::fleet::measure as fleet_cost;
 use testbed::fleet::overload_storm::{self, FleetMode};
 use testbed::fleet::rig::{self, FleetFile, Programs};
@@ -128,6 +129,20 @@
         #[arg(long, default_value_t = 5)]
         seeds: u64,
     },
+    /// Checks that the programs of another build work together with this build's: settings, hot restart, a fleet of both.
+    Compatibility {
+        /// Folder with the other build's programs.
+        old: PathBuf,
+        /// Folder with the settings files that both builds read.
+        #[arg(long, default_value = "deploy")]
+        deploy: PathBuf,
+        /// Folder for the files of the processes; it is emptied first.
+        #[arg(long, default_value = "target/compatibility")]
+        folder: PathBuf,
+        /// Folder with this build's programs.
+        #[arg(long, default_value = "target/release")]
+        programs: PathBuf,
+    },
     /// Plays it in virtual time, round the worker's own core.
     Sim {
         file: PathBuf,
@@ -197,6 +212,9 @@
             println!("{}", overload_storm::compare(workers, seeds, &modes)?);
             return Ok(true);
         }
+        Subcommand::Compatibility { old, deploy, folder, programs } => {
+            return check_compatibility(&old, &programs, &deploy, &folder);
+        }
         Subcommand::Limits { seeds } => {
             println!("{}", limits::compare(seeds));
             return Ok(true);
@@ -205,6 +223,18 @@
     play_experiment(&file, worker.as_deref(), json.as_deref(), seeds)
 }
 
+/// Prints the result of each check between the programs of two builds; `true` if all passed.
+fn check_compatibility(old: &Path, new: &Path, deploy: &Path, folder: &Path) -> Result<bool, TestbedError> {
+    let (old, new) = (Build::find("old", old)?, Build::find("new", new)?);
+    let results = compatibility::check_all(&old, &new, deploy, folder)?;
+    for result in &results {
+        println!("{result}");
+    }
+    let passed = results.iter().filter(|result| result.passed).count();
+    println!("{passed} of {} checks passed", results.len());
+    Ok(passed == results.len())
+}
+
 /// Runs a fleet of processes until Ctrl-C, or for so long (seconds).
 fn run_fleet(file: &Path, folder: &Path, for_s: Option<f64>, programs: &Path) -> Result<(), TestbedError> {
     let file = FleetFile::read(file)?;
--- a/testbed/tests/command_line.rs
+++ b/testbed/tests/command_line.rs
@@ -8,7 +8,7 @@
 const PATH: &str = env!("CARGO_BIN_EXE_testbed");
 const NAME: &str = "testbed";
 
-const SUBCOMMANDS: [&str; 10] = [
+const SUBCOMMANDS: [&str; 11] = [
     "run",
     "limits",
     "fleet",
@@ -18,6 +18,7 @@
     "fleet-cost",
     "fleet-overhead",
     "storm",
+    "compatibility",
     "sim",
 ];
 const UNUSABLE: i32 = 2;
