--- a/test-support/src/settings.rs
+++ b/test-support/src/settings.rs
@@ -8,8 +8,8 @@
 pub fn settings() -> Value {
     json!({
         "profiles": [
-            {"name": "look", "credit": 1.0, "aimS": 4.0, "deadlineS": 8.0, "effect": "safe", "windowS": 5.0},
-            {"name": "order", "credit": 5.0, "aimS": 4.0, "deadlineS": 8.0, "effect": "keyed", "windowS": 30.0}
+            {"name": "look", "credit": 1.0, "targetS": 4.0, "deadlineS": 8.0, "effect": "safe", "windowS": 5.0},
+            {"name": "order", "credit": 5.0, "targetS": 4.0, "deadlineS": 8.0, "effect": "keyed", "windowS": 30.0}
         ],
         "tenants": [{"name": "acme", "quotaPerS": 1000.0, "share": 1.0}],
         "domain": {
