--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -208,7 +208,7 @@
             Input::Woken(gauges) => effects.events.push_back(Event::Woken(gauges)),
             Input::Pools(plan) => effects.events.push_back(Event::Pools(plan)),
             Input::IdempotencyUpdate(update) => self.apply_key_update(&update, effects),
-            Input::PredecessorGone => self.on_predecessor_gone(effects),
+            Input::PredecessorExited => self.on_predecessor_gone(effects),
             Input::PredecessorUsage(usage) => self.set_predecessor_usage(usage, effects),
             Input::LearnedState(learned) => on_learned_state(learned, effects),
         }
--- a/src/dispatch/messages.rs
+++ b/src/dispatch/messages.rs
@@ -131,7 +131,7 @@
     /// The predecessor's state of a key that may have run.
     IdempotencyUpdate(IdempotencyUpdate),
     /// The predecessor has ended: what it reported about open keys is final, and it uses nothing any more.
-    PredecessorGone,
+    PredecessorExited,
     /// What the predecessor uses now of the resources that both processes count as their own.
     PredecessorUsage(ResourceUsage),
     /// The learned state of the predecessor's controller, to be adopted.
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -153,7 +153,7 @@
         for ticket in self.predecessor.dispatcher.in_flight.by_ticket.keys() {
             self.responses.insert(ticket.0, 1);
         }
-        self.input(Role::Successor, Input::PredecessorGone);
+        self.input(Role::Successor, Input::PredecessorExited);
     }
 }
 
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -62,7 +62,7 @@
         HotRestartEvent::PeerExited(Peer::Predecessor).emit();
         self.poll.set_other_process_usage(0);
         self.on_hot_restart_event(now, Event::PredecessorDisconnected, inputs);
-        inputs.push(Input::PredecessorGone);
+        inputs.push(Input::PredecessorExited);
         if self.owns_listeners() {
             // Its addresses are free now.
             self.open_operator_frontends();
