--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -58,7 +58,7 @@
 
     /// Adopts the predecessor's fingerprint key and the names of the requests that run there. To be called before any key
     /// is in the table, since fingerprints under another key do not match.
-    pub fn succeed(&mut self, fingerprint_key: FingerprintKey, running: Vec<Rc<str>>) {
+    pub fn inherit_from_predecessor(&mut self, fingerprint_key: FingerprintKey, running: Vec<Rc<str>>) {
         self.fingerprint_key = fingerprint_key;
         self.running_in_predecessor = running.into_iter().collect();
     }
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -123,7 +123,7 @@
         let now = self.predecessor.now;
         let handed_off = self.predecessor.dispatcher.hand_off(now, |_| true, &mut out);
         self.record(Role::Predecessor, out);
-        self.successor.dispatcher.succeed(handed_off.fingerprint_key, handed_off.running);
+        self.successor.dispatcher.inherit_from_predecessor(handed_off.fingerprint_key, handed_off.running);
         self.input(Role::Successor, Input::LearnedState(handed_off.learned));
         for update in handed_off.keys {
             self.input(Role::Successor, Input::IdempotencyUpdate(update));
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -142,7 +142,7 @@
 
     fn adopt_predecessor_state(&mut self, state: PredecessorState, inputs: &mut Vec<Input>) {
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.succeed(state.fingerprint_key, state.running);
+            dispatcher.inherit_from_predecessor(state.fingerprint_key, state.running);
         }
         inputs.push(Input::LearnedState(state.learned));
         // Whoever asked this process for a drain while it waited means it all the same.
