--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -25,5 +25,5 @@
 
 pub use dispatcher::Dispatcher;
 pub use messages::{Command, DispatchEvent, Input, Request, Response, Ticket};
-pub use request_handoff::{HandedOff, HandedOffRequest};
+pub use request_handoff::{HandOffState, HandedOffRequest};
 pub use resource_usage::ResourceUsage;
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -37,7 +37,7 @@
 
 /// All that a dispatcher hands off to its successor.
 #[derive(Debug)]
-pub struct HandedOff {
+pub struct HandOffState {
     /// The key of body fingerprints.
     pub fingerprint_key: FingerprintKey,
     /// What the controller has learned.
@@ -90,11 +90,11 @@
         now: f64,
         can_hand_off: impl Fn(Ticket) -> bool,
         out: &mut Vec<Command>,
-    ) -> HandedOff {
+    ) -> HandOffState {
         let requests = self.hand_off_requests(&can_hand_off, &mut Effects::new(now, out));
         self.updated_keys.clear();
         self.handed_off = true;
-        HandedOff {
+        HandOffState {
             fingerprint_key: self.fingerprint_key,
             learned: self.learned_without(&requests),
             running: self
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{loop_zero_unix_ms, to_connection, to_key_state, to_queued_request};
 use crate::dispatch::idempotency::IdempotencyUpdate;
-use crate::dispatch::{Command, HandedOff, HandedOffRequest, Input, ResourceUsage};
+use crate::dispatch::{Command, HandOffState, HandedOffRequest, Input, ResourceUsage};
 use crate::hot_restart::frame::{Frame, Usage, VERSION};
 use crate::hot_restart::{Event, IndeterminateKeys};
 use crate::log::LogEvent;
@@ -119,7 +119,7 @@
         }
     }
 
-    fn hand_off_dispatcher(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<HandedOff> {
+    fn hand_off_dispatcher(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<HandOffState> {
         let dispatcher = self.dispatcher.as_mut()?;
         let connections = &self.frontends.http1.connections;
         let handed_off = dispatcher.hand_off(now, |ticket| connections.owns(ticket.0), commands);
@@ -127,7 +127,7 @@
         Some(handed_off)
     }
 
-    fn send_handed_off(&mut self, now: f64, handed_off: HandedOff, inputs: &mut Vec<Input>) {
+    fn send_handed_off(&mut self, now: f64, handed_off: HandOffState, inputs: &mut Vec<Input>) {
         let zero_unix_ms = loop_zero_unix_ms(&self.clock);
         self.send_to_successor(&Frame::State {
             fingerprint_key: handed_off.fingerprint_key,
