--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -1,24 +1,24 @@
-//! Carries out the controller's actions: on the table of requests, or as commands to the event loop.
+//! Executes the admission controller's actions, either on the dispatcher's own tables or as commands to the event loop.
 
 use super::effects::Effects;
 use super::in_flight::{LastCommand, RequestKey, RunState, SentCommand};
 use super::{Command, DispatchEvent, Dispatcher, Response};
 use crate::interface::{Action, Event, Outcome, RequestId};
 
-/// A failure within this time before the deadline is reported as [`Response::DeadlineExceeded`] (seconds).
-const NEAR_DEADLINE_S: f64 = 0.2;
+/// A request that fails less than this time before its deadline gets [`Response::DeadlineExceeded`] (seconds).
+const DEADLINE_EXCEEDED_MARGIN_S: f64 = 0.2;
 
 impl Dispatcher {
-    /// Carries out all actions that the controller has returned, in order.
-    pub(super) fn carry_out_actions(&mut self, effects: &mut Effects<'_>) {
+    /// Executes all actions that the controller has returned, in order.
+    pub(super) fn execute_actions(&mut self, effects: &mut Effects<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.carry_out(action, effects);
+            self.execute_action(action, effects);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action, effects: &mut Effects<'_>) {
+    fn execute_action(&mut self, action: Action, effects: &mut Effects<'_>) {
         match action {
             Action::Start(id) => self.start(id, effects),
             Action::Reject { id, retry_after_s, stop_retrying } => {
@@ -31,7 +31,7 @@
             Action::ShareResponse(id) => self.share_response(id, effects),
             Action::Call { id, until_s } => self.call(id, until_s, effects),
             Action::SkipCall(id) => self.skip_call(id, effects),
-            // No backend of this program can stop a run, and the settings say so to the controller.
+            // No backend supports preemption, and the settings tell the controller so.
             Action::Preempt(_) => {}
             Action::Health(healthy) => effects.commands.push(Command::Health(healthy)),
             Action::Publish(weight) => effects.commands.push(Command::Publish(weight)),
@@ -42,7 +42,7 @@
 
     fn start(&mut self, id: RequestId, effects: &mut Effects<'_>) {
         let Some(in_flight) = self.in_flight.get_mut(id).filter(|r| !r.responded) else {
-            // It was handed off to another process in this turn, or responded to because the process ends.
+            // The request was handed off in this turn, or got its response because the process is exiting.
             effects.events.push_back(Event::RunEnded { id, outcome: Outcome::NotStarted });
             return;
         };
@@ -54,7 +54,8 @@
 
     fn fail(&mut self, id: RequestId, effects: &mut Effects<'_>) {
         let now = effects.now;
-        let near_deadline = self.in_flight.get(id).is_some_and(|r| now + NEAR_DEADLINE_S >= r.deadline);
+        let near_deadline =
+            self.in_flight.get(id).is_some_and(|r| now + DEADLINE_EXCEEDED_MARGIN_S >= r.deadline);
         let response = if near_deadline { Response::DeadlineExceeded } else { Response::Failed };
         self.respond(id, response, effects);
         self.release(id);
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Does nothing if the request has been released together with its response.
+    /// Does nothing if the request was already released with its response.
     fn release_key(&mut self, id: RequestId) {
         if let Some(key) = self.in_flight.get(id).and_then(|r| r.idempotency_key().cloned()) {
             self.keys.release(&key, id);
--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrival of a request: it is put in flight and reported to the controller, or responded to without it.
+//! Arrival of requests: a request is added to the table and reported to the controller, or responded to immediately.
 
 use super::effects::Effects;
 use super::idempotency::{IdempotencyKey, MatchedAttempt};
@@ -6,19 +6,20 @@
 use super::{Command, Dispatcher, Request, Response};
 use crate::interface::{Arrival, Event};
 
-/// When a request reached the machine, and when its caller stops waiting.
+/// Arrival time of a request and the time it has left.
 struct ArrivalTimes {
-    /// When it arrived (loop's clock, seconds).
+    /// When it arrived at the machine (event loop's clock, seconds).
     arrived: f64,
-    /// How long it has lain unread or unhandled (seconds).
+    /// Time between its arrival and now (seconds).
     read_delay_s: f64,
     /// How long its caller still waits (seconds).
     time_left_s: f64,
 }
 
 impl ArrivalTimes {
-    /// The times of a request that is handled at `now`. The process may have stalled since it read the request; without
-    /// that time a late retry would fall within its window, and a late arrival within the grace of a shutdown.
+    /// Returns the times of a request that is handled at `now`. Includes the time since the request was read, during
+    /// which the process may have stalled: the arrival time decides whether a retry falls within the window of its key
+    /// and whether a request arrived within the grace of a shutdown.
     fn of(request: &Request, now: f64) -> ArrivalTimes {
         let since_read_s = request.read_at.map_or(0.0, |at| (now - at).max(0.0));
         let read_delay_s = request.read_delay_s + since_read_s;
@@ -27,7 +28,7 @@
     }
 }
 
-/// A request with an idempotency key, and the attempt that it repeats, if there is one.
+/// The idempotency key of a request, and the earlier attempt that it matches, if there is one.
 struct KeyedAttempt {
     key: IdempotencyKey,
     body_fingerprint: u64,
@@ -36,7 +37,7 @@
 
 impl Dispatcher {
     pub(super) fn accept_arrival(&mut self, request: Request, effects: &mut Effects<'_>) {
-        // The executor's messages name requests: two of one name could not be distinguished.
+        // The executor's messages identify requests by name, so names in flight must be unique.
         if self.is_in_flight(&request.name) || self.running_in_predecessor.contains(&request.name) {
             return self.respond_without_controller(&request, Response::Conflict, effects);
         }
@@ -47,7 +48,7 @@
                 return self.respond_without_controller(&request, response, effects);
             }
         }
-        self.put_in_flight(request, keyed, &times, effects);
+        self.add_in_flight(request, keyed, &times, effects);
     }
 
     fn keyed_attempt(&self, request: &Request, arrived: f64) -> Option<KeyedAttempt> {
@@ -58,7 +59,8 @@
         Some(KeyedAttempt { key, body_fingerprint, matched })
     }
 
-    /// The response to an attempt that must not be admitted, since its key could run twice or serve the wrong request.
+    /// Returns the response to an attempt that must not be admitted, because its key could run twice or it could be
+    /// served with another request's result.
     fn response_to_unsafe_attempt(
         &self,
         attempt: &KeyedAttempt,
@@ -66,25 +68,27 @@
         times: &ArrivalTimes,
     ) -> Option<Response> {
         let is_new = attempt.matched.is_none();
-        // Guards the one run of a key. Not a rejection either, since the key may have had its run.
+        // The key may have run in another process. Admitting the attempt could run it twice, and a rejection would
+        // claim that it has not run.
         let may_be_retry = request.retry || !self.marks_retries;
         if is_new && self.indeterminate_keys.covers(times.arrived, may_be_retry) {
             return Some(Response::Failed);
         }
-        // It lay unread for longer than keys are retained: another attempt may have run and left the table.
+        // It was unread for longer than keys are retained, so the entry of an earlier run may already have been
+        // removed.
         if times.read_delay_s >= self.keys.late_reading_s() {
             return Some(Response::DeadlineExceeded);
         }
         if is_new && self.keys.is_full() {
             return Some(Response::not_started());
         }
-        // All attempts of one request carry the same body, so this is another request under the same key. Its caller must
-        // not be served with the first one's result.
+        // All attempts of a request carry the same body, so this is a different request under the same key. It must not
+        // be served with the first request's result.
         let other_body = |matched: &MatchedAttempt| matched.body_fingerprint != attempt.body_fingerprint;
         attempt.matched.as_ref().is_some_and(other_body).then_some(Response::Conflict)
     }
 
-    fn put_in_flight(
+    fn add_in_flight(
         &mut self,
         request: Request,
         keyed: Option<KeyedAttempt>,
@@ -111,7 +115,7 @@
         self.in_flight.insert(id, InFlight::new(request, times.arrived, deadline, key));
     }
 
-    /// Responds to a request that is not reported to the controller.
+    /// Responds to a request without reporting it to the controller.
     fn respond_without_controller(
         &mut self,
         request: &Request,
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -1,4 +1,4 @@
-//! How requests end: responses are given, idempotency keys completed, and requests leave the table.
+//! Completion of requests: sends responses, completes idempotency keys and removes requests from the table.
 
 use super::effects::Effects;
 use super::idempotency::{IdempotencyKey, KeyProgress};
@@ -8,27 +8,27 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// How long after its deadline a run keeps its slot without a message from its backend (seconds).
-pub(super) const SILENT_RUN_S: f64 = 10.0;
-/// Retry-After of a request whose run could not be started (seconds).
+/// A run without a message from its backend keeps its slot for this long after its deadline (seconds).
+pub(super) const SILENT_RUN_TIMEOUT_S: f64 = 10.0;
+/// Retry-After for requests whose run could not be started (seconds).
 pub(super) const NOT_STARTED_RETRY_AFTER_S: f64 = 1.0;
 
 impl Response {
-    /// The response to a request that provably has not run. Its caller may retry.
+    /// Returns the response to a request that certainly has not run. The caller may retry.
     pub(super) fn not_started() -> Response {
         Response::Rejected { retry_after_s: NOT_STARTED_RETRY_AFTER_S, stop_retrying: false }
     }
 }
 
-/// What an attempt gets that shares the run of another one.
+/// Response and outcome of an attempt that shares another attempt's run.
 struct SharedOutcome {
     response: Response,
-    /// The outcome that the controller records for it.
+    /// Outcome that is reported to the controller.
     outcome: Outcome,
 }
 
 impl KeyProgress {
-    /// What an attempt gets whose key has ended so.
+    /// Returns the response and outcome for attempts whose key has ended in this state.
     fn shared_outcome(&self) -> SharedOutcome {
         match self {
             KeyProgress::Served(Some(result)) => {
@@ -40,14 +40,15 @@
 }
 
 impl Dispatcher {
-    /// Gives the response, unless one was given.
+    /// Sends the response, unless the request already has one.
     pub(super) fn respond(&mut self, id: RequestId, response: Response, effects: &mut Effects<'_>) {
         let Some(in_flight) = self.in_flight.mark_responded(id) else { return };
         self.metrics.record_response(in_flight.request.class, &response);
         effects.commands.push(Command::Respond(in_flight.request.ticket, response));
     }
 
-    /// A run has ended, in whatever way: its request and the attempts that wait for its key get their response.
+    /// Completes a run that has ended with any outcome: responds to its request and to the attempts that wait for its
+    /// key.
     pub(super) fn complete_run(
         &mut self,
         id: RequestId,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The run of a key has ended, here or in another process: the attempts that wait for it get the same response.
+    /// Completes a key whose run has ended here or in another process: the waiting attempts get the same response.
     pub(super) fn complete_key(
         &mut self,
         key: &IdempotencyKey,
@@ -85,7 +86,7 @@
         self.complete_all(attempts, &response, outcome, effects);
     }
 
-    /// Responds to these requests, removes them, and reports to the controller that they have ended with this outcome.
+    /// Responds to these requests, removes them and reports this outcome to the controller.
     pub(super) fn complete_all(
         &mut self,
         ids: Vec<RequestId>,
@@ -112,8 +113,8 @@
         effects.events.push_back(Event::RunEnded { id, outcome });
     }
 
-    /// A run that provably never began is no run: its request and the attempts that wait for its key get the response,
-    /// and the key is free for a later attempt.
+    /// Completes a request whose run certainly never started: it and the attempts that wait for its key get the
+    /// response, and the key is released for a later attempt.
     pub(super) fn complete_never_ran(
         &mut self,
         id: RequestId,
@@ -132,14 +133,15 @@
         self.complete_all(completed, response, Outcome::NotStarted, effects);
     }
 
-    /// Responds to an attempt with the outcome of the run that it shares, now or when that run ends.
+    /// Responds to an attempt with the outcome of the run that it shares, immediately or when that run ends.
     pub(super) fn share_response(&mut self, id: RequestId, effects: &mut Effects<'_>) {
         let Some(progress) = self.shared_progress(id) else { return };
         let SharedOutcome { response, outcome } = progress.shared_outcome();
         self.complete_shared(id, response, outcome, effects);
     }
 
-    /// How the run ended whose response this attempt shares; `None` if the attempt now waits for its end.
+    /// Returns how the run that this attempt shares has ended; `None` if it is still open and the attempt now waits for
+    /// it.
     fn shared_progress(&mut self, id: RequestId) -> Option<KeyProgress> {
         let Some(in_flight) = self.in_flight.get(id) else { return Some(KeyProgress::Failed) };
         let Some(key) = in_flight.idempotency_key() else { return Some(KeyProgress::Failed) };
@@ -155,8 +157,8 @@
         Some(entry.progress.clone())
     }
 
-    /// Gives all pending responses: what may have run has failed, and the rest is rejected. For a process that is
-    /// stopped before the controller could decide on each request.
+    /// Sends all pending responses: requests that may have run fail, the others are rejected. Used when the process is
+    /// stopped before the controller can decide on each request.
     pub(super) fn respond_to_all(&mut self, effects: &mut Effects<'_>) {
         let sharing: HashSet<RequestId> = self.keys.waiting_attempts().collect();
         for id in self.in_flight.ids_where(|_, r| !r.responded) {
@@ -171,25 +173,25 @@
         }
     }
 
-    /// Ends all runs as failed, since the backend has lost them.
+    /// Completes all runs as failed, because the backend has lost them.
     pub(super) fn fail_all_runs(&mut self, effects: &mut Effects<'_>) {
         for id in self.in_flight.ids_where(|_, r| r.has_started()) {
             self.complete_run(id, Outcome::Error, None, effects);
         }
     }
 
-    /// Ends runs whose backend has been silent for [`SILENT_RUN_S`] after their deadline. Guards the run slots, which
-    /// they would hold for ever.
+    /// Ends runs that are past their deadline by more than [`SILENT_RUN_TIMEOUT_S`]. They would otherwise occupy their
+    /// run slots for ever.
     pub(super) fn end_silent_runs(&mut self, effects: &mut Effects<'_>) {
         let now = effects.now;
-        let is_silent = |r: &InFlight| r.has_started() && now > r.deadline + SILENT_RUN_S;
+        let is_silent = |r: &InFlight| r.has_started() && now > r.deadline + SILENT_RUN_TIMEOUT_S;
         for id in self.in_flight.ids_where(|_, r| is_silent(r)) {
             self.complete_run(id, Outcome::Cancelled, None, effects);
         }
         self.run_controller(effects);
     }
 
-    /// A request that has its response and never ran leaves the table, and its key with it; a run goes on to its end.
+    /// Removes a request that has its response and has not started, and releases its key. A started run continues.
     pub(super) fn release(&mut self, id: RequestId) {
         let Some(in_flight) = self.in_flight.get(id).filter(|r| !r.has_started()) else { return };
         if let Some(key) = in_flight.idempotency_key().cloned() {
@@ -202,7 +204,7 @@
         self.in_flight.remove(id);
     }
 
-    /// Releases the requests that nobody waits for. After the controller knows of them.
+    /// Releases the abandoned requests. Must be called after the controller has been told about them.
     pub(super) fn release_abandoned(&mut self) {
         while let Some(id) = self.abandoned.pop() {
             self.release(id);
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of one worker: its state, and one short function for each input.
+//! The [`Dispatcher`]: its state, and the handling of each input.
 
 use super::effects::Effects;
 use super::idempotency::{IdempotencyKey, IdempotencyTable};
@@ -15,56 +15,55 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// How often expired keys and silent runs are searched for (seconds).
+/// Interval between searches for expired keys and silent runs (seconds).
 const SWEEP_INTERVAL_S: f64 = 1.0;
-/// Result capacity that entitles the table to one more key (bytes). Bounds the memory that callers can fill with keys.
+/// The table accepts one key per this much result capacity (bytes). Bounds the memory that callers can fill with keys.
 const RESULT_BYTES_PER_KEY: usize = 1024;
-/// Number of keys that the table accepts however small its result capacity is.
+/// Lower bound on the number of keys that the table accepts, whatever its result capacity.
 const MIN_KEYS: usize = 256;
 
-/// The dispatcher of one worker: it owns the controller, the requests in flight and the idempotency keys.
+/// The dispatcher of one worker. Owns the admission controller, the requests in flight and the idempotency keys.
 ///
-/// Each request that goes in with [`Input::Arrived`] comes out with one [`Command::Respond`], unless its client
-/// disconnects first or it is handed off to a successor.
+/// Each [`Input::Arrived`] leads to exactly one [`Command::Respond`], unless the client disconnects first or the
+/// request is handed off to a successor.
 pub struct Dispatcher {
     pub(super) controller: Controller,
     pub(super) in_flight: InFlightTable,
     pub(super) keys: IdempotencyTable,
-    /// The key of body fingerprints; the same in a process and its successor.
+    /// Hash key of body fingerprints; a successor uses the same one.
     pub(super) fingerprint_key: FingerprintKey,
     last_id: RequestId,
-    /// The controller's actions for the event at hand; empty between events, kept for its capacity.
+    /// The controller's actions for the current event. Empty between events; kept to reuse its allocation.
     pub(super) actions: Vec<Action>,
-    /// When expired keys and silent runs were last searched for (loop's clock, seconds).
-    swept_at: f64,
-    /// The settings of the classes, by number.
+    /// When expired keys and silent runs were last searched for (event loop's clock, seconds).
+    last_sweep_at: f64,
+    /// Settings of the classes, by index.
     pub(super) classes: Vec<Class>,
-    /// Replies to runs that may have been lost with a link.
+    /// Replies that may have been lost with a connection to a backend.
     pub(super) unconfirmed_replies: UnconfirmedReplies,
-    /// Requests that nobody waits for any more and that have not started; released once the controller knows.
+    /// Requests that have not started and whose client no longer waits. Released after the controller has been told.
     pub(super) abandoned: Vec<RequestId>,
-    /// How requests have ended so far.
     pub(super) metrics: Metrics,
-    /// How much more memory a request takes while it runs than while it is queued.
+    /// Ratio of the memory that a request takes while it runs to what it takes while queued.
     pub(super) run_factor: f64,
     /// Whether callers mark retries as such.
     pub(super) marks_retries: bool,
-    /// Which of the keys that are not in the table may have run elsewhere.
+    /// Determines which keys outside the table may have run in another process.
     pub(super) indeterminate_keys: IndeterminateKeys,
-    /// Names of requests that run in the predecessor.
+    /// Names of the requests that run in the predecessor.
     pub(super) running_in_predecessor: HashSet<Rc<str>>,
-    /// What the predecessor uses of the shared resources.
+    /// The predecessor's use of the shared resources.
     pub(super) predecessor_usage: ResourceUsage,
-    /// Whether a successor has taken over and is to be sent updates about keys.
+    /// Whether a successor has taken over and must be sent key updates.
     pub(super) handed_off: bool,
-    /// Keys that have changed since the last update was sent.
+    /// Keys that have changed since updates were last sent.
     pub(super) updated_keys: Vec<IdempotencyKey>,
 }
 
 impl Dispatcher {
-    /// A dispatcher for a worker that started at `born` (loop's clock, seconds) and retains results of up to
-    /// `result_bytes` bytes together. The controller's first commands are appended to `out`.
-    pub fn new(settings: Settings, born: f64, result_bytes: usize, out: &mut Vec<Command>) -> Self {
+    /// Creates the dispatcher of a worker that started at `started_at` (event loop's clock, seconds). It retains up to
+    /// `result_bytes` bytes of results in total. The controller's first commands are appended to `out`.
+    pub fn new(settings: Settings, started_at: f64, result_bytes: usize, out: &mut Vec<Command>) -> Self {
         let mut actions = Vec::new();
         let classes = settings.classes.clone();
         let longest_deadline_s = classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
@@ -73,13 +72,13 @@
         let marks_retries = settings.marks_retries;
         let fingerprint_key = FingerprintKey(settings.seed, !settings.seed);
         let mut dispatcher = Dispatcher {
-            controller: Controller::new(settings, born, &mut actions),
+            controller: Controller::new(settings, started_at, &mut actions),
             in_flight: InFlightTable::default(),
             keys: IdempotencyTable::new(result_bytes, max_keys, longest_deadline_s),
             fingerprint_key,
             last_id: RequestId(0),
             actions,
-            swept_at: born,
+            last_sweep_at: started_at,
             metrics: Metrics::new(classes.len()),
             classes,
             unconfirmed_replies: UnconfirmedReplies::default(),
@@ -92,22 +91,22 @@
             handed_off: false,
             updated_keys: Vec::new(),
         };
-        dispatcher.carry_out_actions(&mut Effects::new(born, out));
+        dispatcher.execute_actions(&mut Effects::new(started_at, out));
         dispatcher
     }
 
-    /// The state of the class pools; `None` without pools.
+    /// Returns the state of the class pools; `None` if there are no pools.
     #[must_use]
     pub fn pools(&self) -> Option<PoolsState> {
         self.controller.pools().map(Pools::state)
     }
 
-    /// This worker's part in the fleet's overload control; `None` outside a fleet.
+    /// Returns the worker's policy for fleet-wide overload control; `None` outside a fleet.
     pub fn overload(&mut self) -> Option<&mut OverloadPolicy> {
         self.controller.overload_policy_mut()
     }
 
-    /// The load since the last sample, to be reported to the fleet; `None` outside a fleet.
+    /// Returns the load since the last sample, for the report to the fleet; `None` outside a fleet.
     pub fn fleet_load_sample(&mut self, now: f64) -> Option<LoadSample> {
         let totals = self.metrics.classes().iter();
         let (served, rejected) =
@@ -115,43 +114,43 @@
         Some(self.controller.overload_policy_mut()?.take_sample(now, served, rejected))
     }
 
-    /// The metrics of the fleet's overload control, by name; empty outside a fleet.
+    /// Returns the names and values of the overload-control metrics; empty outside a fleet.
     #[must_use]
     pub fn overload_metrics(&self) -> Vec<(&'static str, String)> {
         self.controller.overload_policy().map(OverloadPolicy::metrics).unwrap_or_default()
     }
 
-    /// How requests have ended so far, by class.
+    /// Returns the counters of requests and runs, by class.
     #[must_use]
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Adds what was counted before there was a dispatcher.
+    /// Adds counts from before the dispatcher was created.
     pub fn add_metrics(&mut self, earlier: &Metrics) {
         self.metrics.add(earlier);
     }
 
-    /// The number of requests whose response has not been given.
+    /// Returns the number of requests whose response is pending.
     #[must_use]
     pub fn pending_responses(&self) -> usize {
         self.in_flight.pending_responses()
     }
 
-    /// Whether a request of this name is in flight. A second one would get [`Response::Conflict`].
+    /// Returns whether a request with this name is in flight. A second one would get [`Response::Conflict`].
     #[must_use]
     pub fn is_in_flight(&self, name: &str) -> bool {
         self.in_flight.id_of(name).is_some()
     }
 
-    /// When a request in flight reached the machine (loop's clock, seconds); for tests and logs.
+    /// Returns when a request in flight arrived at the machine (event loop's clock, seconds); for tests and logs.
     #[must_use]
     pub fn arrival_of(&self, name: &str) -> Option<f64> {
         let id = self.in_flight.id_of(name)?;
         self.in_flight.get(id).map(|r| r.arrived)
     }
 
-    /// Handles all inputs of one turn of the event loop, in order, and appends the commands that result.
+    /// Processes the inputs of one turn of the event loop, in order, and appends the resulting commands to `out`.
     pub fn handle(&mut self, now: f64, inputs: impl IntoIterator<Item = Input>, out: &mut Vec<Command>) {
         let mut effects = Effects::new(now, out);
         for input in inputs {
@@ -160,27 +159,27 @@
             self.release_abandoned();
         }
         self.resend_unconfirmed_replies(&mut effects);
-        if now - self.swept_at >= SWEEP_INTERVAL_S {
-            self.swept_at = now;
+        if now - self.last_sweep_at >= SWEEP_INTERVAL_S {
+            self.last_sweep_at = now;
             self.keys.remove_expired(now);
             self.end_silent_runs(&mut effects);
         }
         self.send_key_updates(effects.commands);
-        // Only requests that have ended everywhere leave the controller; their numbers are never used again.
+        // Discarded: the controller releases only requests that have fully ended, and their IDs are never reused.
         self.controller.take_released();
     }
 
-    /// A number that no request and no key has had.
+    /// Returns an ID that no request or key has used before.
     pub(super) fn next_id(&mut self) -> RequestId {
         self.last_id.0 += 1;
         self.last_id
     }
 
-    /// Reports to the controller what has happened, and carries out what it decides, until no event is left.
+    /// Passes events to the controller and executes its actions until no event is left.
     pub(super) fn run_controller(&mut self, effects: &mut Effects<'_>) {
         while let Some(event) = effects.events.pop_front() {
             self.controller.handle(effects.now, event, &mut self.actions);
-            self.carry_out_actions(effects);
+            self.execute_actions(effects);
         }
     }
 
@@ -193,8 +192,8 @@
             }
             Input::CallEnded { name, outcome, reply } => self.on_call_ended(name, outcome, reply, effects),
             Input::NeverRan { name } => self.on_never_ran(&name, &Response::not_started(), effects),
-            // To the controller it is a start that came too late: a request that a peer invented must not count as a
-            // failed run, which would make this worker unhealthy.
+            // The controller treats this as a start that came too late. It must not count as a failed run: a peer that
+            // sends invented requests would make this worker unhealthy.
             Input::UnknownRequest { name } => self.on_never_ran(&name, &Response::Failed, effects),
             Input::CommandsLost { from, to } => self.resend_lost_commands(from..to, effects),
             Input::ClientDisconnected(ticket) => self.on_client_disconnected(ticket, effects),
@@ -208,7 +207,7 @@
             Input::Woken(gauges) => effects.events.push_back(Event::Woken(gauges)),
             Input::Pools(plan) => effects.events.push_back(Event::Pools(plan)),
             Input::IdempotencyUpdate(update) => self.apply_key_update(&update, effects),
-            Input::PredecessorExited => self.on_predecessor_gone(effects),
+            Input::PredecessorExited => self.on_predecessor_exited(effects),
             Input::PredecessorUsage(usage) => self.set_predecessor_usage(usage, effects),
             Input::LearnedState(learned) => on_learned_state(learned, effects),
         }
@@ -222,8 +221,8 @@
         effects: &mut Effects<'_>,
     ) {
         let Some(id) = self.in_flight.id_of(name) else { return };
-        // The backend started nothing, since the request was over. Where its run was commanded twice, the first command
-        // may have had its run all the same, and the key must stay retained.
+        // The backend started nothing, because the request was already over. If the run was commanded twice, the first
+        // command may still have started one, so the key must be retained.
         let commanded_once = self.in_flight.get(id).is_some_and(InFlight::run_commanded_once);
         if outcome == Outcome::NotStarted && commanded_once {
             self.complete_never_ran(id, &Response::not_started(), effects);
@@ -269,7 +268,7 @@
     fn on_client_disconnected(&mut self, ticket: Ticket, effects: &mut Effects<'_>) {
         let Some((id, in_flight)) = self.in_flight.mark_disconnected(ticket) else { return };
         self.metrics.record_disconnect(in_flight.request.class);
-        // A run goes on, and its result is retained for the next attempt.
+        // A started run continues, and its result is retained for the next attempt.
         if !in_flight.has_started() {
             effects.events.push_back(Event::CallerGone(id));
             self.abandoned.push(id);
--- a/src/dispatch/effects.rs
+++ b/src/dispatch/effects.rs
@@ -1,21 +1,21 @@
-//! The events and commands that inputs give rise to, on their way to the controller and to the event loop.
+//! Buffers for the events and commands that inputs cause, before the controller and the event loop get them.
 
 use super::Command;
 use crate::interface::Event;
 use std::collections::VecDeque;
 
-/// What one turn of the dispatcher has caused and not yet carried out.
+/// Events and commands of one turn of the dispatcher.
 pub(super) struct Effects<'a> {
-    /// When the inputs are handled (loop's clock, seconds).
+    /// Current time (event loop's clock, seconds).
     pub(super) now: f64,
-    /// Events that the controller has not been given yet, oldest first.
+    /// Events that the controller has not processed yet, oldest first.
     pub(super) events: VecDeque<Event>,
-    /// What the event loop is to do, in order; those of earlier turns may stand before them.
+    /// Commands to the event loop, in order; may already contain commands of earlier turns.
     pub(super) commands: &'a mut Vec<Command>,
 }
 
 impl<'a> Effects<'a> {
-    /// No event and no command yet; commands are appended to `commands`.
+    /// Creates an empty event queue; commands are appended to `commands`.
     pub(super) fn new(now: f64, commands: &'a mut Vec<Command>) -> Self {
         Effects { now, events: VecDeque::new(), commands }
     }
--- a/src/dispatch/idempotency/entry.rs
+++ b/src/dispatch/idempotency/entry.rs
@@ -1,4 +1,4 @@
-//! The entry of one idempotency key in the table: its current holder, and the run before that one.
+//! The table entry of one idempotency key: its current run and the previous one.
 
 use super::key::KeyProgress;
 use crate::interface::RequestId;
@@ -6,37 +6,37 @@
 /// The state of one key.
 #[derive(Debug)]
 pub struct Entry {
-    /// The request that runs, or ran, for this key.
+    /// The request that runs or has run for this key.
     pub holder: RequestId,
-    /// Fingerprint of the body of the holder and of its retries.
+    /// Fingerprint of the body of the holder and its retries.
     pub(super) body_fingerprint: u64,
-    /// How far its run has come.
+    /// Progress of the holder's run.
     pub progress: KeyProgress,
     /// When its window ends.
     pub(super) expires_at: f64,
-    /// Its run was begun by another process, which reports how it ends.
+    /// Whether the run was started by another process, which reports its end.
     pub(super) in_other_process: bool,
-    /// Attempts that share the holder's run and wait for its end.
+    /// Attempts that share the holder's run and wait for it to end.
     pub waiting_attempts: Vec<RequestId>,
-    /// The run of the holder before this one. It covers every attempt that arrived before the end of its window, so that
-    /// no older run need be kept.
+    /// The run of the previous holder. It covers every attempt that arrived before the end of its window, so no older
+    /// run needs to be kept.
     pub(super) previous: Option<PreviousRun>,
 }
 
 impl Entry {
-    /// Whether another process has begun its run and not reported the end.
+    /// Returns whether another process has started the run and has not reported its end.
     #[must_use]
     pub fn is_open_in_other_process(&self) -> bool {
         self.in_other_process && self.progress == KeyProgress::Open
     }
 
-    /// The previous run, if an attempt that arrived at `arrived` falls within its window.
+    /// Returns the previous run if its window covers an attempt that arrived at `arrived`.
     pub(super) fn previous_for(&self, arrived: f64) -> Option<&PreviousRun> {
         self.previous.as_ref().filter(|previous| arrived <= previous.expires_at)
     }
 
-    /// Makes the ended run the previous one, and returns the previous run that it replaces.
-    pub(super) fn set_run_aside(&mut self) -> Option<PreviousRun> {
+    /// Makes the ended run the previous run, opens a new one, and returns the previous run that it replaces.
+    pub(super) fn replace_previous_run(&mut self) -> Option<PreviousRun> {
         let previous = PreviousRun {
             holder: self.holder,
             body_fingerprint: self.body_fingerprint,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A run whose window is over, and whose key has a new holder.
+/// A run whose window has ended and whose key has a new holder.
 #[derive(Clone, Debug)]
 pub(super) struct PreviousRun {
     pub(super) holder: RequestId,
@@ -60,7 +60,7 @@
 }
 
 impl PreviousRun {
-    /// The entry of its key once the new holder is released.
+    /// Restores this run as the entry of its key, after the new holder was released.
     pub(super) fn into_entry(self) -> Entry {
         Entry {
             holder: self.holder,
--- a/src/dispatch/idempotency/key.rs
+++ b/src/dispatch/idempotency/key.rs
@@ -1,31 +1,31 @@
-//! Idempotency keys, and how far the run of each has come.
+//! Idempotency keys and the progress of their runs.
 
 use std::rc::Rc;
 
-/// An idempotency key. It is unique within its class and tenant.
+/// An idempotency key, scoped to its class and tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
-    /// The number of the class.
+    /// Index of the class.
     pub class: usize,
-    /// The number of the tenant.
+    /// Index of the tenant.
     pub tenant: Option<usize>,
     /// The key as the caller sent it.
     pub key: Rc<str>,
 }
 
-/// How far the run of a key has come.
+/// Progress of a key's run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyProgress {
-    /// It has not ended.
+    /// The run has not ended.
     Open,
-    /// It succeeded; the result is absent where it could not be retained.
+    /// The run succeeded; `None` if the result could not be retained.
     Served(Option<Rc<[u8]>>),
-    /// It failed, or its outcome is unknown.
+    /// The run failed, or its outcome is unknown.
     Failed,
 }
 
 impl KeyProgress {
-    /// The size of the retained result; 0 without one.
+    /// Returns the size of the retained result; 0 if there is none.
     pub(super) fn result_bytes(&self) -> usize {
         match self {
             KeyProgress::Served(Some(result)) => result.len(),
@@ -34,15 +34,15 @@
     }
 }
 
-/// The state of a key that may have run, as one process reports it to another.
+/// The state of a key whose request may have run, as one process reports it to the other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdempotencyUpdate {
-    /// Which key.
+    /// The key.
     pub key: IdempotencyKey,
-    /// Fingerprint of the body that came with it.
+    /// Fingerprint of the request body that came with the key.
     pub body_fingerprint: u64,
-    /// When its window ends (loop's clock, seconds).
+    /// When its window ends (event loop's clock, seconds).
     pub expires_at: f64,
-    /// How far its run has come; `None` if the run provably never began.
+    /// Progress of its run; `None` if the run certainly never started.
     pub progress: Option<KeyProgress>,
 }
--- a/src/dispatch/idempotency/mod.rs
+++ b/src/dispatch/idempotency/mod.rs
@@ -1,11 +1,12 @@
-//! Idempotency keys: which request runs for a key, how long attempts with the key share that run, and its result.
+//! Idempotency keys: the request that runs for each key, the window in which later attempts share that run, and its
+//! result.
 //!
-//! An attempt belongs to a window by when it reached the machine. It may be read later, and attempts may be read in another
-//! order than they arrived in. Therefore an entry is retained for a while after its window, and an entry whose window is
-//! over keeps that run as its previous one when a later attempt becomes the holder: attempts of the old window that are
-//! read afterwards share the previous run, whether or not the new holder ever runs.
+//! The time at which an attempt arrived at the machine determines the window that it belongs to. Attempts may be read
+//! later than they arrived, and in a different order. Therefore an entry is retained for some time after its window.
+//! When an attempt of a later window becomes the holder of the key, the entry keeps the old run as its previous run:
+//! attempts of the old window that are read afterwards share the previous run, whether or not the new holder ever runs.
 //!
-//! All times are on the loop's clock (seconds).
+//! All times are on the event loop's clock (seconds).
 
 mod entry;
 mod key;
--- a/src/dispatch/idempotency/table.rs
+++ b/src/dispatch/idempotency/table.rs
@@ -5,44 +5,45 @@
 use crate::interface::RequestId;
 use std::collections::{HashMap, VecDeque};
 
-/// The least time for which an entry is retained after its window, for attempts that arrived within the window and are
-/// read late (seconds). Callers that wait for longer extend it.
+/// Minimum time for which an entry is retained after its window, for attempts that arrived within the window but are
+/// read late (seconds). Longer deadlines of callers extend it.
 const MIN_LATE_READING_S: f64 = 6.0;
-/// The capacity of a collection is shrunk to this many times the number of its elements.
+/// Collections are shrunk to this multiple of their length.
 const SHRINK_FACTOR: usize = 4;
 
-/// The run that an attempt shares.
+/// The earlier attempt whose run an attempt shares.
 #[derive(Debug, PartialEq)]
 pub struct MatchedAttempt {
-    /// The request that runs, or ran.
+    /// The request that runs or has run.
     pub holder: RequestId,
-    /// Fingerprint of the body that came with the key.
+    /// Fingerprint of its body.
     pub body_fingerprint: u64,
 }
 
-/// A key whose run has not ended, and the request that stands for that run.
+/// A key whose run has not ended.
 #[derive(Debug, PartialEq)]
 pub struct OpenKey {
-    /// Which key.
+    /// The key.
     pub key: IdempotencyKey,
-    /// The holder of the key.
+    /// The request that holds the key.
     pub holder: RequestId,
 }
 
-/// All keys, with bounds on their number and on the bytes of retained results.
+/// All idempotency keys, with limits on their number and on the total size of retained results.
 pub struct IdempotencyTable {
     entries: HashMap<IdempotencyKey, Entry>,
-    /// Keys with a retained result, oldest first; some may have left the table since.
+    /// Keys with a retained result, oldest first. May contain keys that have been removed from the table since.
     served: VecDeque<IdempotencyKey>,
     pub(super) result_bytes: usize,
     max_result_bytes: usize,
     max_keys: usize,
+    /// How long a key is retained after its window, for attempts that are read late (seconds).
     late_reading_s: f64,
 }
 
 impl IdempotencyTable {
-    /// An empty table that holds up to `max_keys` keys, and results of up to `max_result_bytes` bytes together. Callers
-    /// wait for `longest_deadline_s` at most.
+    /// Creates an empty table for up to `max_keys` keys and `max_result_bytes` bytes of results in total.
+    /// `longest_deadline_s` is the longest time for which callers wait.
     #[must_use]
     pub fn new(max_result_bytes: usize, max_keys: usize, longest_deadline_s: f64) -> Self {
         IdempotencyTable {
@@ -55,32 +56,33 @@
         }
     }
 
-    /// Whether the table accepts no further key. No key is evicted for a new one, since its request could then run twice.
+    /// Returns whether the table accepts no more keys. Keys are not evicted for new ones, because their requests could
+    /// then run twice.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.max_keys
     }
 
-    /// How long a key is retained after its window, for attempts that are read late (seconds).
+    /// Returns how long a key is retained after its window, for attempts that are read late (seconds).
     #[must_use]
     pub fn late_reading_s(&self) -> f64 {
         self.late_reading_s
     }
 
-    /// The number of keys.
+    /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no key.
+    /// Returns whether the table has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The run that an attempt with this key shares, by when the attempt reached the machine. A key whose run is still
-    /// open matches however late the attempt is. Guards against a second run beside one that hangs.
+    /// Returns the earlier attempt whose run is shared by an attempt with this key that arrived at `arrived`. A key
+    /// whose run is still open matches at any time, so that no second run starts beside one that hangs.
     #[must_use]
     pub fn matching_attempt(&self, key: &IdempotencyKey, arrived: f64) -> Option<MatchedAttempt> {
         let entry = self.entries.get(key)?;
@@ -92,18 +94,18 @@
         matches.then_some(MatchedAttempt { holder: entry.holder, body_fingerprint: entry.body_fingerprint })
     }
 
-    /// How the previous run ended, if it is the one that an attempt which arrived at `arrived` shares.
+    /// Returns how the previous run ended, if that is the run which an attempt that arrived at `arrived` shares.
     #[must_use]
     pub fn previous_progress(&self, key: &IdempotencyKey, arrived: f64) -> Option<KeyProgress> {
         Some(self.entries.get(key)?.previous_for(arrived)?.progress.clone())
     }
 
-    /// The entry of a key.
+    /// Returns the entry of a key.
     pub fn get_mut(&mut self, key: &IdempotencyKey) -> Option<&mut Entry> {
         self.entries.get_mut(key)
     }
 
-    /// Records a request as the holder of its key until `expires_at`, or extends its window.
+    /// Makes a request the holder of its key until `expires_at`, or extends the window of the current holder.
     pub fn retain(
         &mut self,
         key: &IdempotencyKey,
@@ -121,7 +123,7 @@
             previous: None,
         });
         if entry.holder != holder && entry.progress != KeyProgress::Open {
-            let dropped = entry.set_run_aside();
+            let dropped = entry.replace_previous_run();
             self.result_bytes -= dropped.map_or(0, |run| run.progress.result_bytes());
         }
         entry.holder = holder;
@@ -129,7 +131,7 @@
         entry.expires_at = expires_at;
     }
 
-    /// The state of a key, to be reported to another process.
+    /// Returns the state of a key, to be reported to the other process.
     #[must_use]
     pub fn update_for(&self, key: &IdempotencyKey) -> IdempotencyUpdate {
         let entry = self.entries.get(key);
@@ -141,17 +143,17 @@
         }
     }
 
-    /// All keys, in no particular order.
+    /// Iterates over all keys in arbitrary order.
     pub fn keys(&self) -> impl Iterator<Item = &IdempotencyKey> {
         self.entries.keys()
     }
 
-    /// Attempts that wait for the end of a run.
+    /// Iterates over the attempts that wait for a run to end.
     pub fn waiting_attempts(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.entries.values().flat_map(|e| e.waiting_attempts.iter().copied())
     }
 
-    /// Keys whose run another process has begun and not reported the end of, by holder.
+    /// Returns the keys whose run another process has started and not yet reported as ended, sorted by holder.
     #[must_use]
     pub fn open_in_other_process(&self) -> Vec<OpenKey> {
         let open = self.entries.iter().filter(|(_, entry)| entry.is_open_in_other_process());
@@ -161,7 +163,7 @@
         open
     }
 
-    /// Adopts a key of another process under a holder that no request here has. A key that is known here stays as it is.
+    /// Adds a key of the other process. `holder` must be an ID that no request here uses. A known key is not changed.
     pub fn adopt(&mut self, update: &IdempotencyUpdate, holder: RequestId) {
         let is_new = !self.entries.contains_key(&update.key);
         let Some(progress) = update.progress.clone().filter(|_| is_new) else { return };
@@ -172,8 +174,8 @@
         self.complete(&update.key, holder, progress);
     }
 
-    /// Removes the key of a request that never ran; the previous run, if there is one, becomes the key's run again. An
-    /// entry whose run has ended stays, since without its result a second run would be admitted within the window.
+    /// Removes the key of a request that never ran; the previous run, if there is one, is restored. Does nothing if the
+    /// run has ended: without the entry, a second run would be admitted within the window.
     pub fn release(&mut self, key: &IdempotencyKey, holder: RequestId) {
         let is_open = |entry: &&mut Entry| entry.holder == holder && entry.progress == KeyProgress::Open;
         let Some(entry) = self.entries.get_mut(key).filter(is_open) else { return };
@@ -203,7 +205,7 @@
         waiting_attempts
     }
 
-    /// Drops the oldest results while they exceed the memory limit. Their keys stay, so that nothing runs twice.
+    /// Drops the oldest results until the rest fits the limit. Their keys stay, so that no request runs twice.
     fn drop_oldest_results(&mut self) {
         while self.result_bytes > self.max_result_bytes {
             let Some(oldest) = self.served.pop_front() else { break };
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Drops the oldest result of a key, if there is one.
+    /// Drops the oldest result of a key, if it has one.
     fn drop_result(&mut self, key: &IdempotencyKey) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         let previous = entry.previous.iter_mut().map(|run| &mut run.progress);
@@ -227,11 +229,11 @@
         self.result_bytes -= entry.progress.result_bytes() + previous_bytes;
     }
 
-    /// Drops keys and runs that no attempt can match any more.
+    /// Removes keys and previous runs that no attempt can match any more.
     pub fn remove_expired(&mut self, now: f64) {
         self.remove_expired_keys(now);
         self.remove_expired_previous_runs(now);
-        // A key may be listed here more often than it has results; then its newer result is dropped a little early.
+        // A key may be listed more often than it has results; its newer result is then dropped earlier than its turn.
         let entries = &self.entries;
         self.served.retain(|key| entries.contains_key(key));
         self.served.shrink_to(SHRINK_FACTOR * self.served.len());
--- a/src/dispatch/idempotency/tests.rs
+++ b/src/dispatch/idempotency/tests.rs
@@ -49,7 +49,8 @@
     assert_eq!(keys.matching_attempt(&other, 1.0).map(|m| m.holder), None);
 }
 
-/// An attempt of the old window ran a second time, or was rejected, because a later one was read before it.
+/// Guards against an attempt of an old window that runs a second time or is rejected, because an attempt of a later
+/// window was read before it.
 #[test]
 fn a_previous_run_is_matched_within_its_window_while_another_holder_has_the_key_and_after() {
     let mut keys = IdempotencyTable::new(100, 9, 0.0);
@@ -68,7 +69,7 @@
         (keys.matching_attempt(&key("a"), 9.9), keys.matching_attempt(&key("a"), 10.1)),
         (matched(1, 5), None)
     );
-    // Another one does, and the previous run goes when no attempt of its window can be read any more.
+    // Another holder runs; the previous run is removed once no attempt of its window can be read any more.
     keys.retain(&key("a"), RequestId(3), 7, 22.0);
     keys.complete(&key("a"), RequestId(3), served(b"anew"));
     assert_eq!(keys.result_bytes, 8);
--- a/src/dispatch/in_flight.rs
+++ b/src/dispatch/in_flight.rs
@@ -1,6 +1,6 @@
-//! The table of requests in flight, by number, by name and by the ticket of a pending response.
+//! The table of requests in flight, indexed by ID, by name and by the ticket of the pending response.
 //!
-//! All times are on the loop's clock (seconds).
+//! All times are on the event loop's clock (seconds).
 
 use super::idempotency::IdempotencyKey;
 use super::{Command, Request, Ticket};
@@ -8,31 +8,31 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A command for a run that its backend has not confirmed by any message.
+/// A command for a run that the backend has not confirmed yet; any message about the run confirms it.
 pub(super) enum LastCommand {
-    /// To start it.
+    /// Start the run.
     Run,
-    /// To go on with the reply to its downstream call.
+    /// Resume the run with the reply to its downstream call.
     Resume {
-        /// The reply.
+        /// Reply to the call.
         reply: Rc<[u8]>,
         /// Sequence number of the call within the run.
         sequence: u64,
     },
-    /// To go on without the reply to its downstream call.
+    /// Resume the run without its downstream call.
     SkipCall {
         /// Sequence number of the call within the run.
         sequence: u64,
     },
 }
 
-/// A command, and when it was given.
+/// A command and the time at which it was issued.
 pub(super) struct SentCommand {
     pub(super) at: f64,
     pub(super) command: LastCommand,
 }
 
-/// A downstream call that a run has reached and that has not been answered or skipped.
+/// A downstream call that a run has reached and that has been neither answered nor skipped.
 #[derive(Clone)]
 pub(super) struct PendingCall {
     pub(super) body: Rc<[u8]>,
@@ -43,11 +43,11 @@
 /// Whether the run of a request has been commanded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunState {
-    /// Not yet.
+    /// Not commanded.
     NotStarted,
-    /// Once.
+    /// Commanded once.
     Started,
-    /// A second time, since the first command may have been lost.
+    /// Commanded a second time, because the first command may have been lost.
     StartedAgain,
 }
 
@@ -57,27 +57,26 @@
     pub(super) body_fingerprint: u64,
 }
 
-/// A request that has been read and has not ended everywhere.
+/// A request that has been read and whose response or run is still outstanding.
 pub(super) struct InFlight {
     pub(super) request: Request,
-    /// When it reached the machine.
+    /// When it arrived at the machine.
     pub(super) arrived: f64,
     /// When its caller stops waiting.
     pub(super) deadline: f64,
-    /// Its response was given, or nobody waits for it.
+    /// Whether its response has been sent or is no longer needed.
     pub(super) responded: bool,
     pub(super) run: RunState,
-    /// Its idempotency key, if it carries one.
     pub(super) key: Option<RequestKey>,
     pub(super) pending_call: Option<PendingCall>,
-    /// Its downstream call is in flight.
+    /// Whether its downstream call is in flight.
     pub(super) calling: bool,
-    /// The last command for its run; `None` once its backend has sent a message about the run.
+    /// The last command for its run; `None` once the backend has sent a message about the run.
     pub(super) last_command: Option<SentCommand>,
 }
 
 impl InFlight {
-    /// A request that has just been read and that the controller has not decided on.
+    /// Creates the entry of a request that has just been read and that the controller has not decided on.
     pub(super) fn new(request: Request, arrived: f64, deadline: f64, key: Option<RequestKey>) -> InFlight {
         InFlight {
             request,
@@ -92,23 +91,23 @@
         }
     }
 
-    /// Its idempotency key, if it carries one.
+    /// Returns the request's idempotency key, if it carries one.
     pub(super) fn idempotency_key(&self) -> Option<&IdempotencyKey> {
         self.key.as_ref().map(|request_key| &request_key.key)
     }
 
-    /// Whether its run has been commanded.
+    /// Returns whether its run has been commanded.
     pub(super) fn has_started(&self) -> bool {
         self.run != RunState::NotStarted
     }
 
-    /// Whether its run was commanded exactly once, and its backend has not confirmed that.
+    /// Returns whether its run was commanded exactly once and the backend has not confirmed the command.
     pub(super) fn run_commanded_once(&self) -> bool {
         let is_unconfirmed = matches!(self.last_command, Some(SentCommand { command: LastCommand::Run, .. }));
         self.run == RunState::Started && is_unconfirmed
     }
 
-    /// The command that starts its run.
+    /// Returns the command that starts its run.
     pub(super) fn run_command(&self) -> Command {
         Command::Run {
             name: self.request.name.clone(),
@@ -118,14 +117,14 @@
         }
     }
 
-    /// The command that lets its run go on without a call; it becomes the last command.
+    /// Returns the command to resume its run without a call, and records it as the last command.
     pub(super) fn skip_command(&mut self, sequence: u64, now: f64) -> Command {
         self.last_command = Some(SentCommand { at: now, command: LastCommand::SkipCall { sequence } });
         Command::SkipCall { name: self.request.name.clone(), sequence }
     }
 
-    /// The command that sends its last reply again, unless its run has gone on since.
-    pub(super) fn repeat_reply(&mut self, now: f64) -> Option<Command> {
+    /// Returns the command to resend its last reply; `None` if the run has made progress since.
+    pub(super) fn resend_reply(&mut self, now: f64) -> Option<Command> {
         let sent = self.last_command.as_mut()?;
         let LastCommand::Resume { reply, .. } = &sent.command else { return None };
         sent.at = now;
@@ -138,7 +137,7 @@
 pub(super) struct InFlightTable {
     requests: HashMap<RequestId, InFlight>,
     by_name: HashMap<Rc<str>, RequestId>,
-    /// Pending responses, by where they go.
+    /// Requests whose response is pending, by ticket.
     pub(super) by_ticket: HashMap<Ticket, RequestId>,
     pending_responses: usize,
 }
@@ -186,7 +185,7 @@
         Some((id, self.requests.get_mut(&id)?))
     }
 
-    /// The requests that satisfy the condition, oldest first.
+    /// Returns the IDs of the requests that satisfy the condition, oldest first.
     pub(super) fn ids_where(&self, condition: impl Fn(RequestId, &InFlight) -> bool) -> Vec<RequestId> {
         let matching = self.requests.iter().filter(|(id, in_flight)| condition(**id, in_flight));
         let mut ids: Vec<RequestId> = matching.map(|(id, _)| *id).collect();
@@ -194,12 +193,12 @@
         ids
     }
 
-    /// The number of requests whose response has not been given.
+    /// Returns the number of requests whose response is pending.
     pub(super) fn pending_responses(&self) -> usize {
         self.pending_responses
     }
 
-    /// Marks a request as responded to and returns it; `None` if it had its response or is not in the table.
+    /// Marks a request as responded to and returns it; `None` if it already was or is not in the table.
     pub(super) fn mark_responded(&mut self, id: RequestId) -> Option<&InFlight> {
         let in_flight = self.requests.get_mut(&id).filter(|r| !r.responded)?;
         in_flight.responded = true;
@@ -208,8 +207,8 @@
         Some(in_flight)
     }
 
-    /// Marks the request whose response this ticket stands for as abandoned by its client. Looks it up by ticket
-    /// without a search, since floods of connection resets come this way.
+    /// Marks the request with this ticket as abandoned by its client. Uses an index rather than a search, because
+    /// floods of connection resets call this.
     pub(super) fn mark_disconnected(&mut self, ticket: Ticket) -> Option<(RequestId, &InFlight)> {
         let id = self.by_ticket.remove(&ticket)?;
         let in_flight = self.requests.get_mut(&id)?;
--- a/src/dispatch/lost_commands.rs
+++ b/src/dispatch/lost_commands.rs
@@ -1,4 +1,4 @@
-//! Recovery of commands that may have been lost when a link to a backend broke.
+//! Resends commands that may have been lost with the connection to a backend.
 
 use super::effects::Effects;
 use super::in_flight::{InFlight, LastCommand, RunState, SentCommand};
@@ -6,16 +6,19 @@
 use crate::interface::RequestId;
 use std::ops::Range;
 
-/// A reply that may have been lost is sent again only after this share of a latency objective without a message about
-/// its run: a run that got it would by then have ended or reached its next call, which the reply must not answer.
+/// A reply that may have been lost is resent after this share of the class's latency objective, unless a message about
+/// its run arrives first. A run that received the reply would have ended or reached its next call by then, and the
+/// resent reply must not be taken for the reply to that next call.
 const RESEND_REPLY_OBJECTIVE_SHARE: f64 = 0.4;
 
 impl Dispatcher {
-    /// Repeats each command that was given within `lost` (loop's clock, seconds) and not confirmed since.
+    /// Resends each command that was issued within `lost` (event loop's clock, seconds) and has not been confirmed
+    /// since.
     ///
-    /// Guards the run slots, which lost runs would hold. Repeating is safe: a backend ignores a second start of a run
-    /// that goes on or is over, and a skip names its call by sequence number. A reply names no call: where the class
-    /// allows it the call is skipped instead, and else the reply is sent again once its run must be waiting for it.
+    /// Without this, runs whose commands were lost would occupy their run slots. Resending is safe: backends ignore a
+    /// second start of a run that is in progress or has ended, and a skip identifies its call by sequence number. A
+    /// reply does not identify its call. Therefore the call is skipped instead if the class allows that; otherwise the
+    /// reply is resent once the run must still be waiting for it.
     pub(super) fn resend_lost_commands(&mut self, lost: Range<f64>, effects: &mut Effects<'_>) {
         let may_be_lost = |r: &InFlight| r.last_command.as_ref().is_some_and(|sent| lost.contains(&sent.at));
         for id in self.in_flight.ids_where(|_, r| may_be_lost(r)) {
@@ -46,11 +49,11 @@
         }
     }
 
-    /// Sends the unconfirmed replies again whose runs have been silent for long enough.
+    /// Resends the unconfirmed replies that are due.
     pub(super) fn resend_unconfirmed_replies(&mut self, effects: &mut Effects<'_>) {
         for id in self.unconfirmed_replies.take_due(effects.now) {
             if let Some(waiting) = self.in_flight.get_mut(id) {
-                effects.commands.extend(waiting.repeat_reply(effects.now));
+                effects.commands.extend(waiting.resend_reply(effects.now));
             }
         }
     }
--- a/src/dispatch/messages.rs
+++ b/src/dispatch/messages.rs
@@ -1,203 +1,206 @@
-//! What the frontends, the backends and the event loop exchange with the [`Dispatcher`](super::Dispatcher).
+//! Inputs and commands: the messages that frontends, backends and the event loop exchange with the
+//! [`Dispatcher`](super::Dispatcher).
 
 use super::idempotency::IdempotencyUpdate;
 use super::ResourceUsage;
 use crate::interface::{AdmissionEvent, Gauges, LearnedState, Outcome, PoolPlan};
 use std::rc::Rc;
 
-/// Where a response is to be delivered. The frontend that made it gets it back unread.
+/// Identifies the destination of a response. Opaque to the dispatcher; issued by the frontend and returned to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
-/// A request as a frontend hands it over: complete, validated, and entitled to exactly one response.
+/// A complete, validated request from a frontend. It gets exactly one response.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Where the response goes.
+    /// Destination of the response.
     pub ticket: Ticket,
-    /// Its name towards backends; never used twice.
+    /// Name of the request in messages to and from backends; unique.
     pub name: Rc<str>,
-    /// The number of its class.
+    /// Index of its class.
     pub class: usize,
-    /// The number of its tenant.
+    /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// Which caller sent it.
+    /// Identifies the caller.
     pub caller: u64,
-    /// Its memory while queued (KB).
+    /// Memory it takes while queued (KB).
     pub memory_kb: f64,
-    /// When it was read (loop's clock, seconds), from which the next two fields count; absent if that is now.
+    /// When it was read (event loop's clock, seconds); `None` means now. `read_delay_s` and `time_left_s` are relative
+    /// to this time.
     pub read_at: Option<f64>,
-    /// How long it had lain unread then (seconds).
+    /// Time between its arrival and `read_at` (seconds).
     pub read_delay_s: f64,
-    /// How long its caller waits from then on (seconds).
+    /// How long its caller waits after `read_at` (seconds).
     pub time_left_s: f64,
-    /// What it is expected to take, where it carries a hint (seconds).
+    /// Expected run time, if the request carries a hint (seconds).
     pub estimate_s: Option<f64>,
-    /// Its idempotency key.
+    /// Its idempotency key, if it carries one.
     pub key: Option<Rc<str>>,
-    /// Whether it is marked as a retry.
+    /// Whether the caller marked it as a retry.
     pub retry: bool,
-    /// Its body, as the backend gets it.
+    /// Body that is passed to the backend.
     pub body: Rc<[u8]>,
 }
 
 /// The one response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// It ran to its end, with this result.
+    /// The run succeeded with this result.
     Served(Rc<[u8]>),
-    /// It was shed and did not run.
+    /// The request was shed and did not run.
     Rejected {
-        /// Retry-After (seconds).
+        /// Value of Retry-After (seconds).
         retry_after_s: f64,
-        /// Other workers would reject it too: the caller should not retry at all.
+        /// Other workers would reject it too, so the caller should not retry.
         stop_retrying: bool,
     },
-    /// It failed, or its outcome is unknown.
+    /// The request failed, or its outcome is unknown.
     Failed,
-    /// Its deadline passed before it completed.
+    /// The deadline passed before the request completed.
     DeadlineExceeded,
-    /// Its name or its idempotency key belongs to another request, which stays as it is.
+    /// The name or idempotency key is in use by another request, which is not affected.
     Conflict,
 }
 
-/// What the frontends, the backends and the other process report to the dispatcher. An input that names a request which is no longer in flight is ignored.
+/// An event reported to the dispatcher by a frontend, a backend or the other process of a hot restart. Inputs for
+/// requests that are no longer in flight are ignored.
 #[derive(Debug)]
 pub enum Input {
     /// A frontend has read a request.
     Arrived(Request),
-    /// A backend has ended a run.
+    /// A run has ended at the backend.
     RunEnded {
-        /// Whose run.
+        /// Name of the request.
         name: Rc<str>,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
-        /// Comes with [`Outcome::Ok`].
+        /// Result of the run; set if the outcome is [`Outcome::Ok`].
         result: Option<Rc<[u8]>>,
     },
     /// A run has reached a downstream call.
     AtCall {
-        /// Whose run.
+        /// Name of the request.
         name: Rc<str>,
-        /// The body of the call.
+        /// Body of the call.
         body: Rc<[u8]>,
-        /// Sequence number of the call within its run; it goes back with [`Command::SkipCall`].
+        /// Sequence number of the call within its run; [`Command::SkipCall`] refers to it.
         sequence: u64,
     },
     /// A downstream call has ended.
     CallEnded {
-        /// Whose call.
+        /// Name of the request whose run made the call.
         name: Rc<str>,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// Comes with [`Outcome::Ok`].
+        /// Reply to the call; set if the outcome is [`Outcome::Ok`].
         reply: Option<Rc<[u8]>>,
     },
-    /// A backend proves that a run which it was given never began and never will.
+    /// The backend guarantees that a commanded run has not started and never will.
     NeverRan {
-        /// Whose run.
+        /// Name of the request.
         name: Rc<str>,
     },
-    /// A backend does not know the request that it was to run: it never ran, and never will.
+    /// The backend does not know the request that it was told to run: the request has not run and never will.
     UnknownRequest {
-        /// The request's name.
+        /// Name of the request.
         name: Rc<str>,
     },
-    /// A link to a backend broke and stands again. Commands given in `from..to` may have been lost with it (loop's
-    /// clock, seconds); all notices received before the break have been handed over.
+    /// The connection to a backend was lost and has been re-established. Commands issued in `from..to` may have been
+    /// lost (event loop's clock, seconds). All messages received on the old connection have already been passed in.
     CommandsLost {
-        /// The first instant in question.
+        /// Start of the interval, inclusive.
         from: f64,
-        /// The instant after the last one.
+        /// End of the interval, exclusive.
         to: f64,
     },
-    /// The backend has lost all runs: none of them will end by itself.
+    /// The backend has lost all its runs and will not report their end.
     RunsLost,
-    /// The connection that this response was to go to has closed.
+    /// The client connection for this response has closed.
     ClientDisconnected(Ticket),
-    /// The shutdown notice. Its fields are points in time and not durations, because the process may stall before it
-    /// handles them (loop's clock, seconds).
+    /// The shutdown notice. Its fields are points in time rather than durations, because the process may stall before
+    /// it handles the input (event loop's clock, seconds).
     Shutdown {
-        /// When the notice came.
+        /// When the notice was received.
         noticed_at: f64,
-        /// When the process is stopped.
+        /// When the process will be stopped.
         stop_at: f64,
     },
-    /// The process is about to end: every pending response is given now.
+    /// The process is about to exit: send every pending response now.
     RespondAll,
-    /// A wake-up that the controller asked for.
+    /// The wake-up timer set by [`Command::WakeIn`] has expired.
     Woken(Gauges),
-    /// The operator's class pools have changed; `None` turns them off.
+    /// The operator has changed the class pools; `None` disables them.
     Pools(Option<PoolPlan>),
-    /// The predecessor's state of a key that may have run.
+    /// The predecessor's state of an idempotency key whose request may have run.
     IdempotencyUpdate(IdempotencyUpdate),
-    /// The predecessor has ended: what it reported about open keys is final, and it uses nothing any more.
+    /// The predecessor has exited: its last reports about open keys are final, and it holds no shared resources.
     PredecessorExited,
-    /// What the predecessor uses now of the resources that both processes count as their own.
+    /// The predecessor's current use of the resources that both processes share.
     PredecessorUsage(ResourceUsage),
-    /// The learned state of the predecessor's controller, to be adopted.
+    /// The learned state of the predecessor's controller; the controller here starts from it.
     LearnedState(LearnedState),
 }
 
-/// What the dispatcher reports to operators.
+/// An event that the dispatcher reports to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchEvent {
     /// An event of the admission controller.
     Admission(AdmissionEvent),
-    /// The learned state of the predecessor's controller is out of range and was not adopted.
+    /// The learned state of the predecessor's controller was out of range and has been ignored.
     LearnedStateRejected,
 }
 
-/// What the event loop is to do. Commands are carried out in the order in which they are given.
+/// An operation for the event loop to execute. Commands are executed in the order in which they were issued.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Deliver a response.
+    /// Send a response.
     Respond(Ticket, Response),
-    /// Have a backend run a request.
+    /// Start the run of a request at a backend.
     Run {
-        /// The request's name.
+        /// Name of the request.
         name: Rc<str>,
-        /// The number of its class.
+        /// Index of its class.
         class: usize,
-        /// Its body.
+        /// Body of the request.
         body: Rc<[u8]>,
-        /// When its caller stops waiting (loop's clock, seconds).
+        /// When its caller stops waiting (event loop's clock, seconds).
         deadline: f64,
     },
     /// Make the downstream call that a run has reached.
     Call {
-        /// Whose call.
+        /// Name of the request whose run makes the call.
         name: Rc<str>,
-        /// Its body.
+        /// Body of the call.
         body: Rc<[u8]>,
-        /// How long the call may take (seconds).
+        /// Time limit for the call (seconds).
         timeout_s: f64,
-        /// The call may be repeated when its outcome is indeterminate.
+        /// Whether the call may be repeated when its outcome is indeterminate.
         is_retryable: bool,
     },
-    /// Cancel a downstream call, since its run has ended.
+    /// Cancel the downstream call of a run that has ended.
     CancelCall(Rc<str>),
-    /// Let a run go on with the reply to its call.
+    /// Resume a run with the reply to its downstream call.
     Resume {
-        /// Whose run.
+        /// Name of the request.
         name: Rc<str>,
-        /// The reply.
+        /// Reply to the call.
         reply: Rc<[u8]>,
     },
-    /// Let a run go on without its call.
+    /// Resume a run without its downstream call.
     SkipCall {
-        /// Whose run.
+        /// Name of the request.
         name: Rc<str>,
-        /// The sequence number that came with [`Input::AtCall`].
+        /// Sequence number of the call, from [`Input::AtCall`].
         sequence: u64,
     },
-    /// Answer health checks as healthy (`true`) or unhealthy from now on.
+    /// Set the result of health checks: healthy (`true`) or unhealthy.
     Health(bool),
-    /// Set the weight that is published with responses and load reports.
+    /// Set the load-balancing weight that is sent with responses and load reports.
     Publish(f64),
-    /// Send [`Input::Woken`] after this time (seconds).
+    /// Pass in [`Input::Woken`] after this time (seconds).
     WakeIn(f64),
     /// Report an event to operators.
     Log(DispatchEvent),
-    /// Send the successor an update about a key.
+    /// Send the successor the new state of an idempotency key.
     IdempotencyUpdate(IdempotencyUpdate),
 }
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -1,50 +1,50 @@
-//! Counters that operators read: how requests ended and how many runs were dispatched, by class.
+//! Per-class counters of ended requests and dispatched runs, for operators.
 //!
-//! The dispatcher counts where it responds and where it starts a run, so that every frontend is counted alike and each
-//! request once. Counts begin with the process. Requests in flight are not counted here:
-//! [`Dispatcher::pending_responses`](super::Dispatcher::pending_responses) returns their number.
+//! The dispatcher updates them when it responds and when it starts a run, so that each request is counted once,
+//! whichever frontend it came from. They start at zero with the process. Requests in flight are not counted here; see
+//! [`Dispatcher::pending_responses`](super::Dispatcher::pending_responses).
 
 use super::Response;
 
-/// How the requests of one class have ended so far, and how many of its runs began.
+/// Counters of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Served with a result.
+    /// Requests that were served with a result.
     pub success: u64,
-    /// Rejected: nothing ran for them.
+    /// Requests that were rejected without a run.
     pub overload: u64,
-    /// Failed, whatever the cause; also those whose client disconnected before their end.
+    /// Requests that failed for any reason, including those whose client disconnected before they ended.
     pub error: u64,
-    /// Runs dispatched to a backend. One that is commanded again after a broken link is the same run.
+    /// Runs dispatched to a backend. A run whose command is resent after a lost connection is counted once.
     pub dispatches: u64,
 }
 
 impl ClassCounters {
-    /// Requests that have ended.
+    /// Returns the number of requests that have ended.
     #[must_use]
     pub fn ended(&self) -> u64 {
         self.success + self.overload + self.error
     }
 }
 
-/// The counters of all classes, by number.
+/// The counters of all classes, by class index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics(Vec<ClassCounters>);
 
 impl Metrics {
-    /// The counters of `classes` classes, all zero.
+    /// Creates the counters of `classes` classes, all zero.
     #[must_use]
     pub fn new(classes: usize) -> Metrics {
         Metrics(vec![ClassCounters::default(); classes])
     }
 
-    /// The counters, by the number of the class.
+    /// Returns the counters by class index.
     #[must_use]
     pub fn classes(&self) -> &[ClassCounters] {
         &self.0
     }
 
-    /// Counts a request that has ended with this response.
+    /// Counts a request that ended with this response.
     pub fn record_response(&mut self, class: usize, response: &Response) {
         let Some(counts) = self.0.get_mut(class) else { return };
         match response {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Counts a request whose client has disconnected before its end.
+    /// Counts a request whose client disconnected before it ended.
     pub fn record_disconnect(&mut self, class: usize) {
         if let Some(counts) = self.0.get_mut(class) {
             counts.error += 1;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Adds what was counted before there was a dispatcher.
+    /// Adds counts from before the dispatcher was created.
     pub fn add(&mut self, earlier: &Metrics) {
         for (counts, more) in self.0.iter_mut().zip(&earlier.0) {
             counts.success += more.success;
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,9 +1,10 @@
-//! The bookkeeping between frontends, the admission controller and backends: requests, attempts and outcomes.
+//! Request dispatch: tracks requests, attempts and outcomes between the frontends, the admission controller and the
+//! backends.
 //!
-//! Nothing here knows a wire format, a socket or a clock. The time is passed in, [`Input`]s go in one by one, and
-//! [`Command`]s come out in the order in which they are to be carried out. The [`Dispatcher`] guarantees that each
-//! request gets one response, that an idempotency key runs once, and that a downstream call is cancelled when its run
-//! ends.
+//! This module does no I/O and reads no clock; it is independent of wire formats. The caller passes in the current time
+//! and one [`Input`] at a time, and executes the resulting [`Command`]s in order. The [`Dispatcher`] guarantees that
+//! each request gets exactly one response, that an idempotency key runs at most once per window, and that a downstream
+//! call is cancelled when its run ends.
 #![warn(missing_docs)]
 
 mod actions;
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -1,7 +1,7 @@
-//! The dispatcher's part in a hot restart: requests that have not started are handed off to the successor, runs stay
-//! where they are, and the successor is sent updates about idempotency keys.
+//! Hot restart of the dispatcher. Requests that have not started are handed off to the successor, started runs stay in
+//! this process, and the successor is sent updates about idempotency keys.
 //!
-//! All times are on the loop's clock (seconds). The caller converts them to Unix time for another process.
+//! All times are on the event loop's clock (seconds). The caller converts them to Unix time for the other process.
 
 use super::effects::Effects;
 use super::idempotency::{Entry, IdempotencyKey, IdempotencyUpdate, KeyProgress};
@@ -11,19 +11,19 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// A request that has not been started, with its times (loop's clock, seconds).
+/// A request that has not started, with its times (event loop's clock, seconds).
 #[derive(Clone, Debug)]
 pub struct HandedOffRequest {
     /// The request, as it was read.
     pub request: Request,
-    /// When it reached the machine.
+    /// When it arrived at the machine.
     pub arrived: f64,
     /// When its caller stops waiting.
     pub deadline: f64,
 }
 
 impl HandedOffRequest {
-    /// The request as a frontend would hand it over at `now`.
+    /// Returns the request as a frontend would pass it in at `now`.
     #[must_use]
     pub fn at(&self, now: f64) -> Request {
         Request {
@@ -35,41 +35,41 @@
     }
 }
 
-/// All that a dispatcher hands off to its successor.
+/// State that a dispatcher hands off to its successor.
 #[derive(Debug)]
 pub struct HandOffState {
-    /// The key of body fingerprints.
+    /// Hash key of body fingerprints.
     pub fingerprint_key: FingerprintKey,
-    /// What the controller has learned.
+    /// Learned state of the controller.
     pub learned: LearnedState,
-    /// Names of requests that run here.
+    /// Names of the requests that run in this process.
     pub running: Vec<Rc<str>>,
-    /// All keys that may have run.
+    /// State of all keys whose request may have run.
     pub keys: Vec<IdempotencyUpdate>,
-    /// Requests that have not been started, in the order in which they were read.
+    /// Requests that have not started, in the order in which they were read.
     pub requests: Vec<HandedOffRequest>,
 }
 
 impl Dispatcher {
-    /// Sets which of the keys that are not in the table may have run elsewhere.
+    /// Sets which keys outside the table may have run in another process.
     pub fn set_indeterminate_keys(&mut self, indeterminate_keys: IndeterminateKeys) {
         self.indeterminate_keys = indeterminate_keys;
     }
 
-    /// Adopts the predecessor's fingerprint key and the names of the requests that run there. To be called before any key
-    /// is in the table, since fingerprints under another key do not match.
+    /// Takes over the predecessor's fingerprint key and the names of the requests that run there. Must be called while
+    /// the table of idempotency keys is empty, because fingerprints under different hash keys do not match.
     pub fn inherit_from_predecessor(&mut self, fingerprint_key: FingerprintKey, running: Vec<Rc<str>>) {
         self.fingerprint_key = fingerprint_key;
         self.running_in_predecessor = running.into_iter().collect();
     }
 
-    /// Whether no request is in flight: no response is pending, and nothing runs.
+    /// Returns whether no request is in flight, that is, no response is pending and no run is in progress.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// What this process and its predecessor use together.
+    /// Returns the combined resource usage of this process and its predecessor.
     #[must_use]
     pub fn usage(&self) -> ResourceUsage {
         let mut usage = self.predecessor_usage;
@@ -83,8 +83,8 @@
         usage
     }
 
-    /// Hands off the requests that have not been started and whose response another process can deliver, by
-    /// `can_hand_off`. Runs stay here with the attempts that wait for them.
+    /// Hands off the requests that have not started and whose response another process can send, as `can_hand_off`
+    /// decides. Started runs stay here, together with the attempts that wait for them.
     pub fn hand_off(
         &mut self,
         now: f64,
@@ -116,7 +116,7 @@
         let waiting: HashSet<RequestId> = self.keys.waiting_attempts().collect();
         let mut handed_off = Vec::new();
         for id in self.in_flight.ids_where(|id, _| !waiting.contains(&id)) {
-            // Handing off the requests before it may have freed capacity, and so have started this one.
+            // Handing off earlier requests may have freed capacity and started this one.
             let not_started = self.in_flight.get(id).filter(|r| !r.has_started() && !r.responded);
             let Some(in_flight) = not_started.filter(|r| can_hand_off(r.request.ticket)) else { continue };
             let request = in_flight.request.clone();
@@ -133,8 +133,8 @@
         handed_off
     }
 
-    /// What the controller has learned, with the tenants' quota of these requests refunded: the successor decides on
-    /// them and charges it again.
+    /// Returns the controller's learned state with these requests refunded to their tenants' quotas, because the
+    /// successor decides on them and charges them again.
     fn learned_without(&self, requests: &[HandedOffRequest]) -> LearnedState {
         let mut learned = self.controller.learned();
         for tenant in requests.iter().filter_map(|r| r.request.tenant) {
@@ -146,23 +146,23 @@
         learned
     }
 
-    /// Ends the hand-off: there is no successor any more, and no key update is sent.
+    /// Ends the hand-off after the successor has exited; key updates are no longer sent.
     pub fn end_hand_off(&mut self) {
         self.handed_off = false;
         self.updated_keys.clear();
     }
 
-    /// Sends the successor, if there is one, an update for each key that has changed.
+    /// Sends the successor, if there is one, an update for each changed key.
     pub(super) fn send_key_updates(&mut self, commands: &mut Vec<Command>) {
         let keys = &self.keys;
         let handed_off = self.handed_off;
-        // Drained and not taken, so that the list keeps its capacity.
+        // `drain` keeps the list's allocation, unlike `mem::take`.
         let updated = self.updated_keys.drain(..).filter(|_| handed_off);
         commands.extend(updated.map(|key| Command::IdempotencyUpdate(keys.update_for(&key))));
     }
 
-    /// Applies the predecessor's update about a key. A key that is not in the table is adopted. For one whose run the
-    /// predecessor began, an end completes the attempts that wait for it here.
+    /// Applies the predecessor's update about a key. An unknown key is added to the table. If the predecessor started
+    /// the key's run and reports its end, the attempts that wait for it here are completed.
     pub(super) fn apply_key_update(&mut self, update: &IdempotencyUpdate, effects: &mut Effects<'_>) {
         let Some(entry) = self.keys.get_mut(&update.key) else {
             let holder = self.next_id();
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Releases a key whose run the predecessor has proved never to have begun.
+    /// Releases a key whose run certainly never started in the predecessor.
     fn complete_never_ran_elsewhere(
         &mut self,
         key: &IdempotencyKey,
@@ -195,9 +195,9 @@
         self.complete_all(attempts, &Response::not_started(), Outcome::NotStarted, effects);
     }
 
-    /// Completes the keys that were open in the predecessor as failed: it has ended, and whether they had their effect
-    /// can't be known any more.
-    pub(super) fn on_predecessor_gone(&mut self, effects: &mut Effects<'_>) {
+    /// Completes the keys that were open in the predecessor as failed: it has exited, and whether their runs had an
+    /// effect can no longer be determined.
+    pub(super) fn on_predecessor_exited(&mut self, effects: &mut Effects<'_>) {
         self.running_in_predecessor = HashSet::new();
         self.set_predecessor_usage(ResourceUsage::default(), effects);
         for open in self.keys.open_in_other_process() {
--- a/src/dispatch/tests/crossings.rs
+++ b/src/dispatch/tests/crossings.rs
@@ -1,10 +1,10 @@
-//! Random histories under random settings: each request gets one response, and each key runs once.
+//! Property test: random histories under random settings give each request one response and run each key once.
 
-mod world;
+mod simulation;
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use world::{ClassSpec, Step, WorkerSpec, World, EFFECTS};
+use simulation::{ClassSpec, Simulation, Step, WorkerSpec, EFFECTS};
 
 #[test]
 fn random_histories_under_random_settings_give_each_request_one_response_and_each_key_one_run() {
@@ -19,7 +19,7 @@
         },
     );
     let step = (0..16u8, 0..64usize, 0..7u8, 1..120u32);
-    let step = step.prop_map(|(kind, which, way, ms)| Step { kind, which, way, ms });
+    let step = step.prop_map(|(kind, selector, variant, ms)| Step { kind, selector, variant, ms });
     let share = prop_oneof![Just(0.0), 0.1..1.0f64, 1.0..8.0f64];
     let window = prop_oneof![Just(0.0), Just(5.0)];
     let memory = prop_oneof![10.0..400.0f64, Just(1e6)];
@@ -35,16 +35,16 @@
             max_retry_after_s: w.5,
             grace_s: w.6,
         });
-    let world = (proptest::collection::vec(class, 1..5), worker, proptest::collection::vec(step, 1..300));
-    let ran = TestRunner::new_with_rng(config, rng).run(&world, |(classes, worker, steps)| {
-        let mut world = World::new(classes, &worker);
+    let inputs = (proptest::collection::vec(class, 1..5), worker, proptest::collection::vec(step, 1..300));
+    let ran = TestRunner::new_with_rng(config, rng).run(&inputs, |(classes, worker, steps)| {
+        let mut simulation = Simulation::new(classes, &worker);
         for step in steps {
-            world.step(step)?;
+            simulation.step(step)?;
         }
-        world.pass(20.0)?;
-        let pending = world.find(0, |s| s.waits && s.response.is_none());
+        simulation.advance(20.0)?;
+        let pending = simulation.find(0, |s| s.is_connected && s.response.is_none());
         prop_assert!(pending.is_none(), "r{pending:?} has no response");
-        prop_assert_eq!(world.harness.dispatcher.pending_responses(), 0);
+        prop_assert_eq!(simulation.harness.dispatcher.pending_responses(), 0);
         Ok(())
     });
     if let Err(e) = ran {
--- a/src/dispatch/tests/metrics.rs
+++ b/src/dispatch/tests/metrics.rs
@@ -1,10 +1,10 @@
-//! The counters that operators read, under random histories.
+//! Property test: the operators' counters under random histories.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Received = served + rejected + failed + in flight, at any instant, whatever happens in whatever order.
+/// Checks after every step that the received requests equal served + rejected + failed + in flight.
 #[test]
 fn each_request_is_counted_once_at_any_instant() {
     let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
@@ -16,11 +16,12 @@
         let (mut h, mut received, mut started) = (Harness::new(), 0, 0);
         for (what, number, which, ms) in steps {
             h.now += f64::from(ms) / 1000.0;
-            let some: Rc<str> = format!("r{number}").into();
+            let any_name: Rc<str> = format!("r{number}").into();
             let outcome = [Outcome::Ok, Outcome::Error, Outcome::NotStarted, Outcome::Cancelled][which];
             let body: Rc<[u8]> = Rc::from(*b"!");
             let out = match what {
-                // Names are repeated while they are in flight, keys often, now and then with another body.
+                // Generates names that are already in flight, repeated keys, and sometimes another body for the same
+                // key.
                 0..=3 => {
                     received += 1;
                     let mut request = request(number, ["", "a", "b", "c"][which]);
@@ -32,13 +33,13 @@
                     h.input(Input::Arrived(request))
                 }
                 4 => h.input(Input::ClientDisconnected(Ticket(number))),
-                5 => h.input(Input::NeverRan { name: some }),
+                5 => h.input(Input::NeverRan { name: any_name }),
                 6 => h.input(Input::RunsLost),
                 7 => h.input(Input::CommandsLost { from: h.now - 0.1, to: h.now + 0.1 }),
                 8 => h.input(Input::Woken(Gauges::default())),
-                _ => h.input(Input::RunEnded { name: some, outcome, result: Some(body) }),
+                _ => h.input(Input::RunEnded { name: any_name, outcome, result: Some(body) }),
             };
-            // What is commanded again after a break is the same run.
+            // Commands that are resent after a lost connection belong to the same run.
             started += if what == 7 { 0 } else { runs(&out) as u64 };
             let counts = h.dispatcher.metrics().classes();
             let ended: u64 = counts.iter().map(crate::dispatch::metrics::ClassCounters::ended).sum();
@@ -46,7 +47,7 @@
             prop_assert_eq!(h.dispatcher.pending_responses(), h.dispatcher.in_flight.by_ticket.len());
             prop_assert_eq!(started, counts.iter().map(|c| c.dispatches).sum::<u64>());
         }
-        h.pass(12.0);
+        h.advance(12.0);
         prop_assert_eq!(h.dispatcher.pending_responses(), 0);
         Ok(())
     });
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -1,10 +1,10 @@
-//! The dispatcher alone: single scenarios, and random histories.
+//! Tests of the dispatcher without I/O: single scenarios and random histories.
 
 mod crossings;
 mod metrics;
 mod request_handoff;
 
-use super::completion::{NOT_STARTED_RETRY_AFTER_S, SILENT_RUN_S};
+use super::completion::{NOT_STARTED_RETRY_AFTER_S, SILENT_RUN_TIMEOUT_S};
 use super::*;
 use crate::interface::{
     Class, Dependency, Gauges, Idempotency, LearnedState, Outcome, Settings, Tenant, Traffic,
@@ -12,7 +12,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A dispatcher, its clock, and what it wants done.
+/// A dispatcher with a simulated clock and its commands.
 struct Harness {
     dispatcher: Dispatcher,
     now: f64,
@@ -86,7 +86,7 @@
         self.input(Input::RunEnded { name: format!("r{number}").into(), outcome, result })
     }
 
-    fn pass(&mut self, seconds: f64) -> Vec<Command> {
+    fn advance(&mut self, seconds: f64) -> Vec<Command> {
         let until = self.now + seconds;
         let mut all = Vec::new();
         while self.now < until {
@@ -113,7 +113,7 @@
 #[test]
 fn retries_of_a_key_share_one_run_before_during_and_after_it() {
     let mut h = Harness::new();
-    // Both slots are taken: the key's first attempt is queued, its retry is matched to it there.
+    // Both run slots are occupied: the first attempt is queued, and its retry is matched to it.
     h.arrive(1, "");
     h.arrive(2, "");
     assert_eq!(runs(&h.arrive(3, "k")) + runs(&h.arrive(4, "k")), 0);
@@ -123,7 +123,7 @@
     assert_eq!(responses(&out), vec![(3, served(b"done")), (4, served(b"done")), (5, served(b"done"))]);
     h.now = 9.9;
     assert_eq!(responses(&h.arrive(6, "k")), vec![(6, served(b"done"))]);
-    // A retry that reached the machine within the window and was read after it.
+    // A retry that arrived within the window and is read after it.
     h.now = 11.0;
     let out = h.input(Input::Arrived(Request { read_delay_s: 1.5, time_left_s: 1.5, ..request(7, "k") }));
     assert_eq!((runs(&out), responses(&out)), (0, vec![(7, served(b"done"))]));
@@ -135,7 +135,7 @@
 fn a_run_past_its_deadline_gets_one_response_and_its_result_is_retained() {
     let mut h = Harness::new();
     h.arrive(1, "k");
-    assert_eq!(responses(&h.pass(3.2)), vec![(1, Response::DeadlineExceeded)]);
+    assert_eq!(responses(&h.advance(3.2)), vec![(1, Response::DeadlineExceeded)]);
     assert_eq!(responses(&h.end(1, Outcome::Ok, b"late")), vec![]);
     assert_eq!(responses(&h.arrive(2, "k")), vec![(2, served(b"late"))]);
 }
@@ -177,7 +177,7 @@
     assert_eq!(responses(&h.end(1, Outcome::Ok, b"x")), vec![(1, served(b"x"))]);
 }
 
-/// Faulty clients were served with the result of the request whose key they used.
+/// Guards against serving a faulty client, which reuses another request's key, with that request's result.
 #[test]
 fn a_known_key_with_another_body_conflicts_and_the_first_goes_on() {
     let other = |number| Input::Arrived(Request { body: Rc::from(*b"other"), ..request(number, "k") });
@@ -191,7 +191,8 @@
     assert_eq!(h.dispatcher.pending_responses(), 0);
 }
 
-/// Lost commands held their run slots until long after the deadline.
+/// Guards against runs that occupy their slots until long after the deadline, because their commands were lost with a
+/// connection.
 #[test]
 fn lost_commands_are_sent_again_and_a_reply_never_answers_the_next_call() {
     let mut h = Harness::new();
@@ -208,27 +209,28 @@
         reply: Some(Rc::from(*b"!")),
     };
     let commands_lost = |from, to| Input::CommandsLost { from, to };
-    // Both commands to run may be lost, but one run has been heard of since.
+    // Both run commands may be lost, but a message has confirmed one of them since.
     h.input(at_call(1, 7));
     let out = h.input(commands_lost(-0.1, 0.1));
     assert!(matches!(&out[..], [Command::Run { name, body, .. }] if &**name == "r2" && **body == *b"body"));
     assert_eq!(h.input(commands_lost(0.1, 0.2)), vec![]);
-    // Where a call may be skipped, that is done instead of sending its reply again.
+    // If the call may be skipped, it is skipped instead of resending its reply.
     h.input(reply(1));
     assert!(h
         .input(commands_lost(-0.1, 0.1))
         .contains(&Command::SkipCall { name: "r1".into(), sequence: 7 }));
-    // Else the reply is sent again when its run has been silent for long, and not once the run has gone on.
+    // Otherwise the reply is resent after a period without messages about the run, and not if the run has made
+    // progress.
     h.input(at_call(2, 8));
     h.input(reply(2));
     assert!(!h.input(commands_lost(-0.1, 0.1)).iter().any(|c| matches!(c, Command::Resume { .. })));
-    let out = h.pass(1.0);
+    let out = h.advance(1.0);
     assert!(out.iter().any(|c| matches!(c, Command::Resume { name, .. } if &**name == "r2")), "{out:?}");
     h.input(at_call(2, 9));
     h.input(reply(2));
     h.input(commands_lost(0.9, 1.1));
     h.input(at_call(2, 10));
-    assert!(!h.pass(1.0).iter().any(|c| matches!(c, Command::Resume { .. })));
+    assert!(!h.advance(1.0).iter().any(|c| matches!(c, Command::Resume { .. })));
 }
 
 #[test]
@@ -242,7 +244,7 @@
     assert_eq!(runs(&h.arrive(3, "k")), 0);
 }
 
-/// Invented requests counted as failed runs, and the worker considered itself unhealthy.
+/// Guards against requests invented by a peer that count as failed runs and make the worker unhealthy.
 #[test]
 fn requests_that_the_backend_does_not_know_are_no_sign_of_bad_health() {
     let mut h = Harness::new();
@@ -277,17 +279,17 @@
     let mut h = Harness::new();
     h.arrive(1, "");
     h.arrive(2, "");
-    h.pass(3.0 + SILENT_RUN_S + 2.0);
-    let out = [h.arrive(3, ""), h.pass(1.0)].concat();
+    h.advance(3.0 + SILENT_RUN_TIMEOUT_S + 2.0);
+    let out = [h.arrive(3, ""), h.advance(1.0)].concat();
     assert!(runs(&out) == 1, "{out:?}");
 }
 
-/// Whatever happens in whatever order: one response for each request, and one run for each key and window.
+/// Sends random inputs in random order: each request gets one response, and each key has one run per window.
 #[test]
 fn every_request_gets_one_response_and_every_key_one_run() {
     for seed in 0..20u64 {
         let (mut h, mut random_state) = (Harness::new(), seed.wrapping_mul(77) + 5);
-        let mut roll = |n: u64| {
+        let mut next_random = |n: u64| {
             random_state =
                 random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             (random_state >> 33) % n
@@ -296,20 +298,20 @@
         let (mut count, mut keys) = (0, HashMap::new());
         for _ in 0..1500 {
             h.now += 0.004;
-            let some: Rc<str> = format!("r{}", roll(count + 1)).into();
+            let any_name: Rc<str> = format!("r{}", next_random(count + 1)).into();
             let reply = || Some(Rc::from(*b"!"));
             let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Cancelled, Outcome::Interrupted];
-            let outcome = outcomes[roll(4) as usize];
-            let out = match roll(8) {
+            let outcome = outcomes[next_random(4) as usize];
+            let out = match next_random(8) {
                 0..=2 if h.now < 4.0 => {
-                    let key = ["", "a", "b", "c"][roll(4) as usize];
+                    let key = ["", "a", "b", "c"][next_random(4) as usize];
                     keys.insert(format!("r{count}"), key);
                     count += 1;
                     h.arrive(count - 1, key)
                 }
-                3 => h.input(Input::AtCall { name: some, body: Rc::from([]), sequence: 1 }),
-                4 => h.input(Input::CallEnded { name: some, outcome, reply: reply() }),
-                5 => h.input(Input::RunEnded { name: some, outcome, result: reply() }),
+                3 => h.input(Input::AtCall { name: any_name, body: Rc::from([]), sequence: 1 }),
+                4 => h.input(Input::CallEnded { name: any_name, outcome, reply: reply() }),
+                5 => h.input(Input::RunEnded { name: any_name, outcome, result: reply() }),
                 _ => h.input(Input::Woken(Gauges::default())),
             };
             for command in &out {
@@ -322,7 +324,7 @@
                 }
             }
         }
-        for (ticket, _) in responses(&h.pass(5.0)) {
+        for (ticket, _) in responses(&h.advance(5.0)) {
             *seen.entry(ticket).or_insert(0) += 1;
         }
         assert_eq!(h.dispatcher.pending_responses(), 0, "seed {seed}");
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -1,46 +1,46 @@
-//! A dispatcher and its successor at one executor.
+//! Hot restart: a dispatcher and its successor with the same executor.
 
 use super::*;
 use crate::dispatch::idempotency::IdempotencyUpdate;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// What the predecessor reports to the successor, in order.
+/// A report of the predecessor to the successor.
 enum Report {
     Key(IdempotencyUpdate),
     Usage(ResourceUsage),
 }
 
-/// Which process of the pair.
+/// Identifies a process of the pair.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Role {
     Predecessor,
     Successor,
 }
 
-/// A run at the executor: the key of its request, and who began it.
+/// A run at the executor: the key of its request, and the process that started it.
 struct ExecutorRun {
     key: String,
-    began_by: Role,
+    started_by: Role,
 }
 
-struct Pair {
+struct ProcessPair {
     predecessor: Harness,
     successor: Harness,
     handed_off: bool,
     predecessor_alive: bool,
     reports: VecDeque<Report>,
-    /// Runs by the name of their request.
+    /// Runs in progress, by request name.
     runs: HashMap<Rc<str>, ExecutorRun>,
-    /// Runs of a key that may have had their effect.
+    /// Number of runs of each key that may have had an effect.
     runs_by_key: HashMap<String, u32>,
     keys: HashMap<u64, String>,
     responses: HashMap<u64, u32>,
 }
 
-impl Pair {
-    fn new() -> Pair {
-        Pair {
+impl ProcessPair {
+    fn new() -> ProcessPair {
+        ProcessPair {
             predecessor: Harness::new(),
             successor: Harness::new(),
             handed_off: false,
@@ -53,7 +53,7 @@
         }
     }
 
-    fn pass(&mut self, seconds: f64) {
+    fn advance(&mut self, seconds: f64) {
         self.predecessor.now += seconds;
         self.successor.now = self.predecessor.now;
         self.input(Role::Predecessor, Input::Woken(Gauges::default()));
@@ -84,7 +84,7 @@
                     if !key.is_empty() {
                         *self.runs_by_key.entry(key.clone()).or_default() += 1;
                     }
-                    self.runs.insert(name, ExecutorRun { key, began_by: role });
+                    self.runs.insert(name, ExecutorRun { key, started_by: role });
                 }
                 Command::IdempotencyUpdate(update) if role == Role::Predecessor => {
                     self.reports.push_back(Report::Key(update));
@@ -105,14 +105,14 @@
         let mut names: Vec<_> = self.runs.keys().cloned().collect();
         names.sort();
         let Some(name) = names.get(which % names.len().max(1)).cloned() else { return };
-        let ExecutorRun { key, began_by } = self.runs.remove(&name).unwrap();
-        let is_heard = began_by == Role::Successor || self.predecessor_alive;
-        // Nothing was started: it was no run.
-        if outcome == Outcome::NotStarted && !key.is_empty() && is_heard {
+        let ExecutorRun { key, started_by } = self.runs.remove(&name).unwrap();
+        let end_is_reported = started_by == Role::Successor || self.predecessor_alive;
+        // Nothing was started, so it does not count as a run.
+        if outcome == Outcome::NotStarted && !key.is_empty() && end_is_reported {
             *self.runs_by_key.get_mut(&key).unwrap() -= 1;
         }
         let result = (outcome == Outcome::Ok).then(|| Rc::from(*b"done"));
-        self.input(began_by, Input::RunEnded { name, outcome, result });
+        self.input(started_by, Input::RunEnded { name, outcome, result });
     }
 
     fn hand_off(&mut self) {
@@ -144,7 +144,8 @@
         true
     }
 
-    /// The predecessor is killed: its last reports arrive, its runs go on unnoticed, its responses are lost.
+    /// Kills the predecessor: its last reports still arrive, its runs continue without anyone waiting for them, and its
+    /// pending responses are lost.
     fn kill_predecessor(&mut self) {
         if !self.handed_off || !std::mem::replace(&mut self.predecessor_alive, false) {
             return;
@@ -164,10 +165,10 @@
     let step = (0..20u8, 0..12usize, 0..4usize, 1..30u32);
     let steps = proptest::collection::vec(step, 20..250);
     let ran = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
-        let mut pair = Pair::new();
+        let mut pair = ProcessPair::new();
         let (mut count, hand_off_at, predecessor_dies) = (0, steps.len() / 3, steps[0].0 < 8);
         for (i, (what, which, key, ms)) in steps.iter().enumerate() {
-            pair.pass(f64::from(*ms) / 1000.0);
+            pair.advance(f64::from(*ms) / 1000.0);
             if i == hand_off_at {
                 pair.hand_off();
             }
@@ -190,7 +191,7 @@
         }
         pair.hand_off();
         for i in 0..400 {
-            pair.pass(0.05);
+            pair.advance(0.05);
             if i % 2 == 0 {
                 pair.end(0, Outcome::Ok);
             }
@@ -210,7 +211,7 @@
 
 #[test]
 fn queued_requests_are_handed_off_and_run_in_the_successor() {
-    let mut pair = Pair::new();
+    let mut pair = ProcessPair::new();
     for number in 1..=3 {
         pair.arrive(number, "");
     }
@@ -221,9 +222,9 @@
         (pair.predecessor.dispatcher.pending_responses(), pair.successor.dispatcher.pending_responses()),
         (2, 2)
     );
-    // Both count the predecessor's runs.
+    // Both processes count the predecessor's runs.
     assert_eq!(pair.runs.len(), 2);
-    // A third process would receive the usage of both.
+    // The usage that a third process would receive includes both processes.
     assert_eq!(
         (pair.predecessor.dispatcher.usage().on_cores, pair.successor.dispatcher.usage().on_cores),
         (2, 2)
@@ -231,7 +232,7 @@
     pair.end(0, Outcome::Ok);
     pair.end(0, Outcome::Ok);
     while pair.receive_report() {}
-    assert_eq!(pair.runs.values().filter(|run| run.began_by == Role::Successor).count(), 2);
+    assert_eq!(pair.runs.values().filter(|run| run.started_by == Role::Successor).count(), 2);
     assert!(pair.predecessor.dispatcher.is_idle());
 }
 
@@ -254,14 +255,15 @@
 
 #[test]
 fn a_name_that_runs_in_the_predecessor_conflicts() {
-    let mut pair = Pair::new();
+    let mut pair = ProcessPair::new();
     pair.arrive(1, "");
     pair.hand_off();
     let out = pair.successor.input(Input::Arrived(Request { ticket: Ticket(9), ..request(1, "") }));
     assert_eq!(out, vec![Command::Respond(Ticket(9), Response::Conflict)]);
 }
 
-/// Retries waited until their own deadline for an end that had come.
+/// Guards against retries in the successor that wait until their deadline although the predecessor has reported the end
+/// of the run.
 #[test]
 fn the_end_of_a_key_in_the_predecessor_reaches_its_retries_immediately() {
     for (outcome, answer) in [
@@ -269,22 +271,25 @@
         (Outcome::Error, Response::Failed),
         (Outcome::NotStarted, Response::not_started()),
     ] {
-        let mut pair = Pair::new();
+        let mut pair = ProcessPair::new();
         pair.arrive(1, "k");
         pair.hand_off();
         pair.arrive(2, "k");
         assert!(pair.successor.dispatcher.is_in_flight("r2") && pair.reports.is_empty());
         pair.end(0, outcome);
-        let Some(Report::Key(update)) = pair.reports.pop_front() else { panic!("no report of the key") };
+        let Some(Report::Key(update)) = pair.reports.pop_front() else {
+            panic!("the predecessor did not report the key")
+        };
         let out = pair.successor.input(Input::IdempotencyUpdate(update));
         assert_eq!(responses(&out), vec![(2, answer)], "{outcome:?}");
-        // Only what never ran may run again.
+        // The key may run again only if it never ran.
         let again = pair.successor.arrive(3, "k");
         assert_eq!(runs(&again), usize::from(outcome == Outcome::NotStarted));
     }
 }
 
-/// Each hot restart refilled every tenant's bucket, and the successor did not know of a flood of retries.
+/// Guards against a hot restart that refills the tenants' token buckets or loses the count of recent retries, so that
+/// the successor does not recognize a flood of them.
 #[test]
 fn a_tenant_over_its_quota_gains_nothing_by_a_hot_restart() {
     let of_tenant = |number| Request { tenant: Some(0), retry: true, ..request(number, "") };
@@ -297,7 +302,7 @@
         old.input(Input::Arrived(of_tenant(number)));
         old.end(number, Outcome::Error, b"");
     }
-    // Two that run are charged here; two that wait are charged where they are decided on next.
+    // Two requests run and are charged here; the two queued ones are charged by the successor.
     (3..=6).for_each(|number| drop(old.input(Input::Arrived(of_tenant(number)))));
     let handed_off = hand_off(&mut old);
     assert_eq!((whole, handed_off.requests.len()), (6.0, 2));
@@ -308,7 +313,7 @@
     let mut new = with_quota();
     new.input(Input::LearnedState(handed_off.learned));
     assert_eq!(hand_off(&mut new).learned.traffic, Traffic { tenants, arrivals_per_s, recent });
-    // A successor with other limits takes no more than its own.
+    // A successor caps the tokens at its own quota.
     new.dispatcher.end_hand_off();
     let more = Traffic { tenants: vec![(1e6, 0.0).into()], ..Traffic::default() };
     new.input(Input::LearnedState(LearnedState { traffic: more, ..hand_off(&mut with_quota()).learned }));
@@ -331,7 +336,7 @@
     let mut new = Harness::new();
     new.input(Input::LearnedState(learned.clone()));
     assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, learned);
-    // What can't have been measured is ignored.
+    // Values that can't result from a measurement are ignored.
     let mut new = Harness::new();
     let before = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned;
     new.dispatcher.end_hand_off();
--- a/src/dispatch/unconfirmed_replies.rs
+++ b/src/dispatch/unconfirmed_replies.rs
@@ -1,25 +1,25 @@
-//! Replies to downstream calls that may have been lost with a link, and when each is to be sent again.
+//! Replies to downstream calls that may have been lost with a connection, and when to resend them.
 
 use crate::interface::RequestId;
 
-/// A reply that may not have reached its run.
+/// A reply that its run may not have received.
 struct UnconfirmedReply {
     id: RequestId,
-    /// When it is to be sent again (loop's clock, seconds).
+    /// When to resend it (event loop's clock, seconds).
     resend_at: f64,
 }
 
-/// The unconfirmed replies of a dispatcher, in the order in which they were added.
+/// All unconfirmed replies, in insertion order.
 #[derive(Default)]
 pub(super) struct UnconfirmedReplies(Vec<UnconfirmedReply>);
 
 impl UnconfirmedReplies {
-    /// Adds the last reply to the run of a request, to be sent again at `resend_at` (loop's clock, seconds).
+    /// Schedules the last reply to the run of a request to be resent at `resend_at` (event loop's clock, seconds).
     pub(super) fn push(&mut self, id: RequestId, resend_at: f64) {
         self.0.push(UnconfirmedReply { id, resend_at });
     }
 
-    /// Removes the replies that are to be sent again by now, and returns their requests.
+    /// Removes the replies that are due at `now` and returns the IDs of their requests.
     pub(super) fn take_due(&mut self, now: f64) -> Vec<RequestId> {
         let mut due = Vec::new();
         self.0.retain(|unconfirmed| {
