--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -42,7 +42,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        let reply = adapter.answer(&line).map_err(|source| ServeError::Line { number, source })?;
+        let reply = adapter.handle_line(&line).map_err(|source| ServeError::Line { number, source })?;
         output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(ServeError::Reply)?;
     }
     Ok(())
--- a/src/simulator_adapter/mod.rs
+++ b/src/simulator_adapter/mod.rs
@@ -30,7 +30,7 @@
     /// # Errors
     /// A line that is no batch, or an event that can't be delivered; the message names its place. Events before it have been
     /// delivered.
-    pub fn answer(&mut self, line: &str) -> Result<String, AdapterError> {
+    pub fn handle_line(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::Batch)?;
         if !batch.now.is_finite() {
             return Err(AdapterError::Clock);
