--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,13 +1,13 @@
-//! Hosts controllers behind the simulator's line protocol on standard input and output.
+//! Runs admission controllers for the simulator, with its line protocol on standard input and output.
 
 use port_worker::simulator_adapter::{AdapterError, SimulatorAdapter};
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The exit status after input that can't be answered.
-const UNUSABLE: u8 = 2;
+/// Exit status after invalid input or an I/O error.
+const EXIT_FAILED: u8 = 2;
 
-/// Why the program ends.
+/// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[error("line {number}: {source}")]
@@ -23,12 +23,12 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
 
-/// Answers line by line until the input ends; empty lines are skipped.
+/// Processes input lines until the end of the input; skips empty lines.
 fn serve() -> Result<(), ServeError> {
     let mut adapter = SimulatorAdapter::default();
     let mut input = io::stdin().lock();
--- a/src/simulator_adapter/error.rs
+++ b/src/simulator_adapter/error.rs
@@ -1,23 +1,23 @@
-//! Errors in a line of the simulator.
+//! Errors in the simulator's input.
 
-/// A line that can't be handled.
+/// An input line that can't be processed.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum AdapterError {
-    /// The line is not a batch.
+    /// The line is not a valid batch.
     #[error("malformed batch: {0}")]
     Batch(#[source] serde_json::Error),
-    /// The time of the batch is not finite.
+    /// The batch's time is not finite.
     #[error("clockS is not a finite number")]
     Clock,
     /// An item of the batch can't be delivered.
     #[error("worker {worker} item {item}: {source}")]
     Item {
-        /// The number of the instance.
+        /// ID of the instance.
         worker: u64,
-        /// The position of the item in the instance's list, from 0.
+        /// Zero-based position of the item in the instance's list.
         item: usize,
-        /// The error.
+        /// Cause of the error.
         source: ItemError,
     },
     /// The reply can't be encoded.
@@ -32,19 +32,19 @@
     /// The item is malformed, or of an unknown kind.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The end of an instance that does not exist.
+    /// `Stop` for an instance that does not exist.
     #[error("Stop for an instance that does not exist")]
-    StopWithoutInstance,
-    /// An event of an instance that does not exist.
+    StopUnknownInstance,
+    /// An event for an instance that does not exist.
     #[error("an event for an instance that does not exist")]
-    NoInstance,
-    /// A request of an unknown class.
+    UnknownInstance,
+    /// A request with an unknown class.
     #[error("Req: no class {0}")]
-    NoClass(usize),
-    /// A request of an unknown tenant.
+    UnknownClass(usize),
+    /// A request with an unknown tenant.
     #[error("Req: no tenant {0}")]
-    NoTenant(usize),
-    /// The item starts or ends an instance, and is no event of a running one.
+    UnknownTenant(usize),
+    /// The item starts or stops an instance, so it is not an event of a running one.
     #[error("not an event of a running instance")]
     NotAnEvent,
 }
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -1,4 +1,4 @@
-//! One controller of the simulator: its events are decoded, named by number, and delivered.
+//! One controller instance: decodes its events, replaces request names by IDs and delivers them.
 
 use super::error::ItemError;
 use super::messages::{Outbox, WireAction, WireEvent, WireRequest};
@@ -7,22 +7,22 @@
 use crate::config::{read_gauges, Options};
 use crate::interface::{Action, Arrival, Event};
 
-/// A controller, and the names and numbers that the simulator uses for it.
+/// A controller, with what is needed to translate the simulator's messages.
 pub(super) struct Instance {
     controller: Controller,
     names: RequestNames,
-    /// The names of the gauges, in the order in which their values come.
+    /// Names of the gauges, in the order of their values in the messages.
     gauges: Vec<String>,
-    /// The number of classes.
+    /// Number of classes.
     classes: usize,
-    /// The number of tenants.
+    /// Number of tenants.
     tenants: usize,
-    /// Requests carry the time that is left to them.
+    /// Whether requests carry their remaining time.
     passes_deadline: bool,
 }
 
 impl Instance {
-    /// Starts a controller with these settings at `now`; its first actions are appended to `out`.
+    /// Starts a controller with these settings at `now`. Its first actions are appended to `out`.
     pub(super) fn start(now: f64, seed: u64, options: &Options, out: &mut Vec<Action>) -> Instance {
         Instance {
             controller: Controller::new(options.settings(seed), now, out),
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Delivers an event to the controller; its actions are appended to `out`.
+    /// Delivers an event to the controller. The resulting actions are appended to `out`.
     ///
     /// # Errors
-    /// The event names a class or tenant that does not exist, or is none of a running instance.
+    /// Returns an error if the class or tenant does not exist, or if the item is not an event of a running instance.
     pub(super) fn deliver(
         &mut self,
         now: f64,
@@ -49,14 +49,14 @@
         Ok(())
     }
 
-    /// The message with these actions of this instance; `None` if there is nothing to send.
+    /// Returns the message with these actions; `None` if there is nothing to send.
     pub(super) fn outbox(&self, worker_id: u64, actions: &[Action]) -> Option<Outbox<'_>> {
         let actions: Vec<WireAction> =
             actions.iter().filter_map(|action| WireAction::from_action(&self.names, action)).collect();
         (!actions.is_empty()).then_some(Outbox { worker_id, actions })
     }
 
-    /// Removes the names of requests that the controller has released.
+    /// Removes the names of the requests that the controller has released.
     pub(super) fn release_names(&mut self) {
         for id in self.controller.take_released() {
             self.names.release(id);
@@ -82,12 +82,12 @@
 
     fn decode_request(&mut self, request: WireRequest) -> Result<Arrival, ItemError> {
         if request.class >= self.classes {
-            return Err(ItemError::NoClass(request.class));
+            return Err(ItemError::UnknownClass(request.class));
         }
-        // Settings without tenants are used with requests that name some: then the numbers mean nothing.
+        // The settings may contain no tenants although requests carry tenant numbers; these are ignored then.
         let tenant = request.tenant.filter(|_| self.tenants > 0);
         if let Some(unknown) = tenant.filter(|tenant| *tenant >= self.tenants) {
-            return Err(ItemError::NoTenant(unknown));
+            return Err(ItemError::UnknownTenant(unknown));
         }
         let retry_of = match &request.retry_of {
             Some(serde_json::Value::String(name)) => Some(self.names.find(name)),
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -1,18 +1,18 @@
-//! The messages of the simulator's line protocol. Their names are the simulator's; they are mapped to those of the code
-//! here, and in `instance.rs` for events.
+//! Messages of the simulator's line protocol. The simulator defines the names of messages and fields. They are mapped
+//! to the names used in this code here and, for events, in `instance.rs`.
 
 use super::request_names::RequestNames;
 use crate::config::Options;
 use crate::interface::{Action, Outcome, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// The token of the only timer that is set: the controller keeps its own list of what is due.
+/// Token of the timer. A single timer suffices, because the controller keeps its own list of due times.
 const TIMER_TOKEN: &str = "wake";
 
-/// A line of input: the events of all instances up to one time.
+/// An input line: the events of all instances at one time.
 #[derive(Deserialize)]
 pub(super) struct Batch<'a> {
-    /// The simulator's clock (seconds).
+    /// Time on the simulator's clock (seconds).
     #[serde(rename = "clockS")]
     pub(super) now: f64,
     #[serde(borrow)]
@@ -28,7 +28,7 @@
     pub(super) items: Vec<&'a serde_json::value::RawValue>,
 }
 
-/// An event, or the start or end of an instance.
+/// An event of an instance, or its start or stop.
 #[derive(Deserialize)]
 #[serde(tag = "cmd", rename_all_fields = "camelCase")]
 pub(super) enum WireEvent {
@@ -38,7 +38,7 @@
         seed: u64,
         options: Box<Options>,
     },
-    /// The instance ends.
+    /// The instance stops.
     Stop,
     /// A request was read.
     Req(WireRequest),
@@ -50,9 +50,9 @@
     AtCall { req: String },
     /// A downstream call has ended.
     DepReply { req: String, disposition: WireOutcome },
-    /// The shutdown notice: the instance is stopped after this time (seconds).
+    /// The shutdown notice: the instance will be stopped after `remaining_s` seconds.
     Sigterm { remaining_s: f64 },
-    /// A timer has expired; comes with the gauges in the order of the settings.
+    /// The timer has expired. Contains the values of the gauges, in the order of the settings.
     DeadlineHit {
         #[serde(default, rename = "gauge")]
         gauges: Vec<f64>,
@@ -63,39 +63,39 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct WireRequest {
-    /// Its name.
+    /// Name of the request.
     #[serde(rename = "req")]
     pub(super) name: String,
-    /// The number of its class.
+    /// Index of its class.
     #[serde(rename = "tierClass")]
     pub(super) class: usize,
-    /// Its memory while queued (KB).
+    /// Memory it takes while queued (KB).
     #[serde(rename = "kb")]
     pub(super) memory_kb: f64,
-    /// How long it lay unread (seconds).
+    /// Time between its arrival and being read (seconds).
     #[serde(default, rename = "queuedForS")]
     pub(super) read_delay_s: f64,
-    /// How long its caller still waits (seconds); 0 if that is unknown.
+    /// How long its caller still waits (seconds); 0 if unknown.
     #[serde(default, rename = "remainingS")]
     pub(super) time_left_s: f64,
-    /// What it is expected to take, where it carries a hint (seconds).
+    /// Expected run time, if the request carries a hint (seconds).
     #[serde(rename = "sizeHintS")]
     pub(super) estimate_s: Option<f64>,
-    /// The name of the request that it repeats; other values than text mean none.
+    /// Name of the request that it retries. Values that are not strings are ignored.
     #[serde(rename = "earlier")]
     pub(super) retry_of: Option<serde_json::Value>,
-    /// The number of its tenant.
+    /// Index of its tenant.
     #[serde(rename = "owner")]
     pub(super) tenant: Option<usize>,
-    /// Whether it is marked as a retry.
+    /// Whether the caller marked it as a retry.
     #[serde(default)]
     pub(super) is_retry: bool,
-    /// Which caller sent it.
+    /// Identifies the caller.
     #[serde(default, rename = "who")]
     pub(super) caller: u64,
 }
 
-/// How a run or a downstream call ended.
+/// Outcome of a run or a downstream call.
 #[derive(Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub(super) enum WireOutcome {
@@ -109,7 +109,7 @@
     TooLate,
 }
 
-/// A line of output: the actions of all instances.
+/// An output line: the actions of all instances.
 #[derive(Serialize)]
 pub(super) struct Reply<'a> {
     pub(super) workers: Vec<Outbox<'a>>,
@@ -124,7 +124,7 @@
     pub(super) actions: Vec<WireAction<'a>>,
 }
 
-/// An action. `req` is the name of the request that it is about.
+/// An action of the controller. `req` is the name of the request that it concerns.
 #[derive(Serialize)]
 #[serde(tag = "cmd", rename_all_fields = "camelCase")]
 pub(super) enum WireAction<'a> {
@@ -172,7 +172,8 @@
 }
 
 impl<'a> WireAction<'a> {
-    /// The message for an action. `None` for a request that the simulator no longer names, on which nothing can act.
+    /// Returns the message for an action; `None` if the action's request no longer has a name, so that the simulator
+    /// could not act on it.
     pub(super) fn from_action(names: &'a RequestNames, action: &Action) -> Option<WireAction<'a>> {
         let name = |id: &RequestId| names.name(*id);
         Some(match action {
--- a/src/simulator_adapter/mod.rs
+++ b/src/simulator_adapter/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter: hosts controllers behind the simulator's line protocol. Each line of input is a batch of events,
-//! each line of output the actions that they cause. Nothing is decided here.
+//! Adapter between the simulator's line protocol and admission controllers. Each input line is a batch of events; each
+//! output line contains the resulting actions. The adapter itself makes no admission decisions.
 
 mod error;
 mod instance;
@@ -12,24 +12,24 @@
 use messages::{Batch, Inbox, Reply, WireEvent};
 use std::collections::BTreeMap;
 
-/// The actions of one instance for one batch.
+/// The actions of one instance in response to one batch.
 struct InstanceActions {
     worker_id: u64,
     actions: Vec<Action>,
 }
 
-/// All instances of this process, by their numbers.
+/// All controller instances of this process, by worker ID.
 #[derive(Default)]
 pub struct SimulatorAdapter {
     instances: BTreeMap<u64, Instance>,
 }
 
 impl SimulatorAdapter {
-    /// Handles one line of input, and returns the line of output with its line break.
+    /// Processes one input line and returns the output line, including the line break.
     ///
     /// # Errors
-    /// A line that is no batch, or an event that can't be delivered; the message names its place. Events before it have been
-    /// delivered.
+    /// Returns an error if the line is not a valid batch, or if an event can't be delivered; the message gives its
+    /// position. Earlier events of the batch have already been delivered.
     pub fn handle_line(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::Batch)?;
         if !batch.now.is_finite() {
@@ -70,17 +70,17 @@
     ) -> Result<(), ItemError> {
         match serde_json::from_str(raw)? {
             WireEvent::Provision { seed, options } => {
-                // Actions of an earlier instance of this number are void.
+                // Discards the actions of an earlier instance with the same ID.
                 out.clear();
                 self.instances.insert(worker_id, Instance::start(now, seed, &options, out));
                 Ok(())
             }
             WireEvent::Stop => {
                 out.clear();
-                self.instances.remove(&worker_id).map(drop).ok_or(ItemError::StopWithoutInstance)
+                self.instances.remove(&worker_id).map(drop).ok_or(ItemError::StopUnknownInstance)
             }
             event => {
-                let instance = self.instances.get_mut(&worker_id).ok_or(ItemError::NoInstance)?;
+                let instance = self.instances.get_mut(&worker_id).ok_or(ItemError::UnknownInstance)?;
                 instance.deliver(now, event, out)
             }
         }
--- a/src/simulator_adapter/request_names.rs
+++ b/src/simulator_adapter/request_names.rs
@@ -1,9 +1,9 @@
-//! The names of requests on the wire, and the controller's numbers for them.
+//! Maps request names in the simulator's messages to the controller's request IDs.
 
 use crate::interface::RequestId;
 use std::collections::HashMap;
 
-/// The names of one instance's requests.
+/// Names and IDs of one instance's requests.
 #[derive(Default)]
 pub(super) struct RequestNames {
     ids: HashMap<String, RequestId>,
@@ -12,7 +12,7 @@
 }
 
 impl RequestNames {
-    /// The number of a name. A name without one gets the next number.
+    /// Returns the ID of a name, and assigns the next ID to a new name.
     pub(super) fn insert(&mut self, name: String) -> RequestId {
         if let Some(&id) = self.ids.get(&name) {
             return id;
@@ -23,17 +23,17 @@
         self.last_id
     }
 
-    /// The number of a name. An unknown name gets number 0, which no request has.
+    /// Returns the ID of a name; 0, which no request has, if the name is unknown.
     pub(super) fn find(&self, name: &str) -> RequestId {
         self.ids.get(name).copied().unwrap_or_default()
     }
 
-    /// The name of a number.
+    /// Returns the name of a request.
     pub(super) fn name(&self, id: RequestId) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 
-    /// Removes a request that no later event or action names.
+    /// Removes a request that no later event or action refers to.
     pub(super) fn release(&mut self, id: RequestId) {
         if let Some(name) = self.names.remove(&id) {
             self.ids.remove(&name);
