--- a/src/log/events/mod.rs
+++ b/src/log/events/mod.rs
@@ -1,4 +1,4 @@
-//! Names, levels and fields of the events that decision code reports. The shell's own events stand beside it, in
+//! Names, levels and fields of the events that decision code reports. Events of the I/O code are defined in
 //! `net/events` and in the coordinator's `events`.
 
 mod admission;
--- a/src/log/events/overload.rs
+++ b/src/log/events/overload.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// An open level has neither tier nor share.
+/// Omits the tier and the share if the level is open, that is, if no tier is shed.
 fn emit_level(change: &LevelChange) {
     let is_open = change.level.is_open();
     let tier = (!is_open).then_some(change.level.tier);
--- a/src/log/layer.rs
+++ b/src/log/layer.rs
@@ -1,6 +1,6 @@
-//! The `tracing` layer that writes the log.
+//! The `tracing` layer that writes log lines to standard error.
 
-use super::limiter::{LineLimiter, Verdict};
+use super::limiter::{Decision, LineLimiter};
 use super::line::Line;
 use super::FOLDED;
 use std::io::Write;
@@ -12,7 +12,7 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The log that [`install`] has set up.
+/// Handle of the log that [`install`] set up.
 #[derive(Clone)]
 pub struct LogHandle {
     output: Arc<Output>,
@@ -29,7 +29,7 @@
         LogHandle { output: Arc::new(output) }
     }
 
-    /// Reports how many lines were left out in a second that is over. To be called from time to time.
+    /// Logs how many lines were suppressed in a past second, if any. Must be called periodically.
     pub fn report_suppressed(&self) {
         let suppressed = self.output.limiter().take_suppressed(self.output.now_s());
         if let Some(lines) = suppressed {
@@ -45,13 +45,13 @@
         self.started.elapsed().as_secs_f64()
     }
 
-    /// A panic in between leaves counts that are good enough to go on with.
+    /// Ignores a poisoned lock: a panic can leave the counts slightly off, which is acceptable.
     fn limiter(&self) -> MutexGuard<'_, LineLimiter<Identifier>> {
         self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A line that can't be written, as to a full disk, must not end the process.
+/// Ignores write errors: a full disk, for example, must not end the process.
 fn write(line: Line) {
     let _ = std::io::stderr().lock().write_all(line.finish().as_bytes());
 }
@@ -60,12 +60,12 @@
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let metadata = event.metadata();
         let now_s = self.output.now_s();
-        let verdict = if metadata.target() == FOLDED {
+        let decision = if metadata.target() == FOLDED {
             self.output.limiter().admit_folded(now_s, metadata.callsite())
         } else {
             self.output.limiter().admit(now_s)
         };
-        let Verdict::Write { occurrences } = verdict else { return };
+        let Decision::Write { occurrences } = decision else { return };
         let mut line = Line::new(*metadata.level(), metadata.name());
         event.record(&mut line);
         if occurrences > 1 {
@@ -75,10 +75,10 @@
     }
 }
 
-/// Sets up the log of this process: events of this program's own crates, down to `INFO`, or as `filter` says. What
-/// libraries report is left out, since peers can cause it with every request.
+/// Sets up the log of this process. Without a filter it contains the events of this program's own crates at level
+/// `INFO` and above. Events of libraries are excluded, because peers can cause them with every request.
 ///
-/// Does nothing but return a handle where a log has been set up already.
+/// If a log has already been set up, only returns a handle.
 #[must_use]
 pub fn install(filter: Option<Targets>) -> LogHandle {
     let own_crates = || {
--- a/src/log/limiter.rs
+++ b/src/log/limiter.rs
@@ -1,38 +1,38 @@
-//! Which lines are written: peers must not be able to fill a disk.
+//! Rate limit for log lines, so that peers can't fill the disk by causing events.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Most lines a second.
+/// Maximum number of lines per second.
 pub(super) const MAX_LINES_PER_S: u32 = 20;
-/// Shortest time between two lines of a folded event (seconds).
+/// Minimum interval between two lines of a folded event (seconds).
 pub(super) const FOLD_INTERVAL_S: f64 = 10.0;
 
-/// What becomes of an event.
+/// Whether an event is written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// It is written. It stands for this many occurrences, itself included.
+pub(super) enum Decision {
+    /// Write one line for this many occurrences, including the current one.
     Write { occurrences: u32 },
-    /// It is not written.
+    /// Write nothing.
     Drop,
 }
 
-/// Occurrences of one folded event.
+/// State of one folded event.
 #[derive(Debug)]
 struct FoldedEvent {
     written_at_s: f64,
-    /// Occurrences since it was written.
+    /// Occurrences since the last line.
     occurrences: u32,
 }
 
-/// Counts lines by the second, and occurrences of folded events by their key. The keys are places in the code, so their
-/// number is bounded.
+/// Counts lines per second, and occurrences of folded events per key. Keys identify call sites, so their number is
+/// bounded.
 #[derive(Debug)]
 pub(super) struct LineLimiter<K> {
     second: u64,
     lines: u32,
     suppressed: u32,
-    /// The second in which lines were last left out.
+    /// The second in which lines were last suppressed.
     suppressed_in: Option<u64>,
     folded: HashMap<K, FoldedEvent>,
 }
@@ -42,25 +42,25 @@
         LineLimiter { second: 0, lines: 0, suppressed: 0, suppressed_in: None, folded: HashMap::new() }
     }
 
-    /// Decides on an event at this time (seconds since the start).
-    pub(super) fn admit(&mut self, now_s: f64) -> Verdict {
+    /// Decides whether to write an event that occurs at `now_s` (seconds since the start of the process).
+    pub(super) fn admit(&mut self, now_s: f64) -> Decision {
         self.admit_line(now_s, 1)
     }
 
-    /// Decides on an event whose repeats are folded.
-    pub(super) fn admit_folded(&mut self, now_s: f64, key: K) -> Verdict {
+    /// Decides whether to write an event whose repeats are folded into one line.
+    pub(super) fn admit_folded(&mut self, now_s: f64, key: K) -> Decision {
         let never_written = FoldedEvent { written_at_s: f64::NEG_INFINITY, occurrences: 0 };
         let event = self.folded.entry(key).or_insert(never_written);
         event.occurrences += 1;
         if now_s - event.written_at_s < FOLD_INTERVAL_S {
-            return Verdict::Drop;
+            return Decision::Drop;
         }
         let occurrences = std::mem::take(&mut event.occurrences);
         event.written_at_s = now_s;
         self.admit_line(now_s, occurrences)
     }
 
-    /// Takes the number of lines that were left out in a second that is over.
+    /// Returns the number of suppressed lines and resets it; `None` if it is 0 or the second is not over yet.
     pub(super) fn take_suppressed(&mut self, now_s: f64) -> Option<u32> {
         if self.suppressed_in == Some(now_s as u64) {
             return None;
@@ -69,18 +69,18 @@
         (suppressed > 0).then_some(suppressed)
     }
 
-    fn admit_line(&mut self, now_s: f64, occurrences: u32) -> Verdict {
+    fn admit_line(&mut self, now_s: f64, occurrences: u32) -> Decision {
         if now_s as u64 != self.second {
             self.second = now_s as u64;
             self.lines = 0;
         }
         self.lines += 1;
         if self.lines <= MAX_LINES_PER_S {
-            Verdict::Write { occurrences }
+            Decision::Write { occurrences }
         } else {
             self.suppressed += 1;
             self.suppressed_in = Some(self.second);
-            Verdict::Drop
+            Decision::Drop
         }
     }
 }
--- a/src/log/line.rs
+++ b/src/log/line.rs
@@ -1,4 +1,4 @@
-//! The text of one line of the log.
+//! Formatting of one log line.
 
 use std::fmt::{self, Write};
 use tracing::field::{Field, Visit};
@@ -6,19 +6,19 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::{FormatTime, SystemTime};
 
-/// Longest value of a field (bytes); what goes beyond it is cut. Only the state of all pools is longer than a peer's text
-/// may be, and the program makes that itself.
+/// Maximum length of a field value (bytes); longer values are truncated. It exceeds [`MAX_PEER_TEXT_BYTES`] for the
+/// state of all pools, which this program generates itself.
 pub(super) const MAX_VALUE_BYTES: usize = 16 * 1024;
-/// Longest text of a peer in a value (bytes).
+/// Maximum length of a peer's text in a field value (bytes).
 const MAX_PEER_TEXT_BYTES: usize = 200;
 
-/// A peer's text, cut to the length that a line may show of it.
+/// Truncates a peer's text to the length that is allowed in the log.
 #[must_use]
 pub fn excerpt(text: &str) -> &str {
-    cut(text, MAX_PEER_TEXT_BYTES)
+    truncate(text, MAX_PEER_TEXT_BYTES)
 }
 
-fn cut(text: &str, max_bytes: usize) -> &str {
+fn truncate(text: &str, max_bytes: usize) -> &str {
     let mut end = max_bytes.min(text.len());
     while !text.is_char_boundary(end) {
         end -= 1;
@@ -26,26 +26,26 @@
     &text[..end]
 }
 
-/// One line, without its end.
+/// A log line without its line break.
 pub(super) struct Line {
     text: String,
 }
 
 impl Line {
-    /// A line with the time, the level and the name of an event.
+    /// Starts a line with the current time, the level and the name of an event.
     pub(super) fn new(level: Level, name: &str) -> Line {
         let mut text = String::new();
-        // A clock that can't be formatted must not cost the line.
+        // The line is written without the time if formatting it fails.
         let _ = SystemTime.format_time(&mut Writer::new(&mut text));
         let mut line = Line { text };
         line.append(format_args!(" {level} {name}"));
         line
     }
 
-    /// Adds a field. Text that is more than one plain word is quoted as in JSON.
+    /// Appends a field. Values that are not a single plain word are quoted as in JSON.
     pub(super) fn push(&mut self, key: &str, value: fmt::Arguments<'_>) {
         let value = value.to_string();
-        let value = cut(&value, MAX_VALUE_BYTES);
+        let value = truncate(&value, MAX_VALUE_BYTES);
         self.append(format_args!(" {key}="));
         if is_plain(value) {
             self.text.push_str(value);
@@ -62,7 +62,7 @@
                     self.text.push('\\');
                     self.text.push(character);
                 }
-                // Control characters could end the line or drive a terminal.
+                // Unescaped control characters could break the line or act on a terminal.
                 _ if character.is_control() => {
                     self.append(format_args!("\\u{:04x}", u32::from(character)));
                 }
@@ -72,14 +72,14 @@
         self.text.push('"');
     }
 
-    /// The line with its end.
+    /// Returns the line with its line break.
     pub(super) fn finish(mut self) -> String {
         self.text.push('\n');
         self.text
     }
 
     fn append(&mut self, text: fmt::Arguments<'_>) {
-        // Writing to a string can't fail.
+        // Writing to a string does not fail.
         let _ = self.text.write_fmt(text);
     }
 }
@@ -90,14 +90,14 @@
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        // An event without fields carries an empty message.
+        // Skips the message: `tracing` adds an empty one to events without fields.
         if field.name() != "message" {
             self.push(field.name(), format_args!("{value:?}"));
         }
     }
 }
 
-/// Whether a value needs no quotes.
+/// Returns whether a value can be written without quotes.
 fn is_plain(value: &str) -> bool {
     let is_word = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'"' | b'\\' | b'=');
     !value.is_empty() && value.bytes().all(is_word)
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -1,18 +1,17 @@
-//! The log of the port worker and of the coordinators: one line on standard error for each event, as
+//! Logging for the port worker and the coordinators: one line on standard error for each event, in the form
 //! `TIME LEVEL event key=value ...`.
 //!
-//! Parts of the program report typed events; [`LogEvent::emit`] gives each its name, level and fields by way of
-//! `tracing`, and the layer that [`install`] sets up writes the lines. `docs/operators/log.md` is the table of all
-//! events.
+//! The program reports typed events. [`LogEvent::emit`] passes each to `tracing` with its name, level and fields, and
+//! the layer that [`install`] sets up writes the lines. `docs/operators/log.md` lists all events.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `events` | name, level and fields of the events that decision code reports |
-//! | `layer` | writes a line for each event of this program's crates |
-//! | `line` | the text of one line: fields, quoting, length |
-//! | `limiter` | how many lines a second are written, and which repeats are folded |
+//! | `events` | names, levels and fields of the events that decision code reports |
+//! | `layer` | `tracing` layer that writes a line for each event of this program's crates |
+//! | `line` | formatting of a line: fields, quoting, maximum length |
+//! | `limiter` | rate limit, and folding of repeated events |
 //!
-//! Levels: `ERROR`, an operator must act; `WARN`, an operator may have to; `INFO`, part of service.
+//! Levels: `ERROR`, an operator must act; `WARN`, an operator may have to act; `INFO`, normal operation.
 
 #![warn(missing_docs)]
 
@@ -24,13 +23,13 @@
 pub use layer::{install, LogHandle};
 pub use line::excerpt;
 
-/// Target of events that peers can cause over and over: repeats are folded into one line with a count. A `tracing` target
-/// and not a field, so that it is known before any field is formatted.
+/// Target of events that peers can cause repeatedly. Repeats are folded into one line with a count. This is a `tracing`
+/// target rather than a field, so that it is known before any field is formatted.
 pub const FOLDED: &str = "port_worker::folded";
 
-/// An event that operators see in the log.
+/// An event that is written to the log.
 pub trait LogEvent {
-    /// Writes the event under its name, with its level and fields.
+    /// Writes the event with its name, level and fields.
     fn emit(&self);
 }
 
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -1,9 +1,9 @@
 use super::excerpt;
-use super::limiter::{LineLimiter, Verdict, FOLD_INTERVAL_S, MAX_LINES_PER_S};
+use super::limiter::{Decision, LineLimiter, FOLD_INTERVAL_S, MAX_LINES_PER_S};
 use super::line::{Line, MAX_VALUE_BYTES};
 use tracing::Level;
 
-/// The fields of a line: what follows the time, the level and the name.
+/// Formats a line with one field and returns what follows the time, the level and the name.
 fn fields(key: &str, value: &str) -> String {
     let mut line = Line::new(Level::INFO, "event");
     line.push(key, format_args!("{value}"));
@@ -43,14 +43,14 @@
 fn lines_beyond_the_limit_are_left_out_and_counted() {
     let mut limiter: LineLimiter<&str> = LineLimiter::new();
     for _ in 0..MAX_LINES_PER_S {
-        assert_eq!(limiter.admit(5.0), Verdict::Write { occurrences: 1 });
+        assert_eq!(limiter.admit(5.0), Decision::Write { occurrences: 1 });
     }
-    assert_eq!(limiter.admit(5.5), Verdict::Drop);
-    assert_eq!(limiter.admit(5.9), Verdict::Drop);
+    assert_eq!(limiter.admit(5.5), Decision::Drop);
+    assert_eq!(limiter.admit(5.9), Decision::Drop);
     assert_eq!(limiter.take_suppressed(5.9), None);
     assert_eq!(limiter.take_suppressed(6.0), Some(2));
     assert_eq!(limiter.take_suppressed(7.0), None);
-    assert_eq!(limiter.admit(7.0), Verdict::Write { occurrences: 1 });
+    assert_eq!(limiter.admit(7.0), Decision::Write { occurrences: 1 });
 }
 
 #[test]
@@ -59,17 +59,17 @@
     for _ in 0..=MAX_LINES_PER_S {
         limiter.admit(5.0);
     }
-    assert_eq!(limiter.admit(6.0), Verdict::Write { occurrences: 1 });
+    assert_eq!(limiter.admit(6.0), Decision::Write { occurrences: 1 });
     assert_eq!(limiter.take_suppressed(6.1), Some(1));
 }
 
 #[test]
 fn repeats_of_a_folded_event_become_one_line_with_their_count() {
     let mut limiter = LineLimiter::new();
-    assert_eq!(limiter.admit_folded(1.0, "noise"), Verdict::Write { occurrences: 1 });
-    assert_eq!(limiter.admit_folded(2.0, "noise"), Verdict::Drop);
-    assert_eq!(limiter.admit_folded(2.0, "other"), Verdict::Write { occurrences: 1 });
-    assert_eq!(limiter.admit_folded(3.0, "noise"), Verdict::Drop);
+    assert_eq!(limiter.admit_folded(1.0, "noise"), Decision::Write { occurrences: 1 });
+    assert_eq!(limiter.admit_folded(2.0, "noise"), Decision::Drop);
+    assert_eq!(limiter.admit_folded(2.0, "other"), Decision::Write { occurrences: 1 });
+    assert_eq!(limiter.admit_folded(3.0, "noise"), Decision::Drop);
     let next = 1.0 + FOLD_INTERVAL_S;
-    assert_eq!(limiter.admit_folded(next, "noise"), Verdict::Write { occurrences: 3 });
+    assert_eq!(limiter.admit_folded(next, "noise"), Decision::Write { occurrences: 3 });
 }
