--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -8,8 +8,8 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// A run without a message from its backend keeps its slot for this long after its deadline (seconds).
-pub(super) const SILENT_RUN_TIMEOUT_S: f64 = 10.0;
+/// A run whose end the backend does not report keeps its run slot for this long after its deadline (seconds).
+pub(super) const OVERDUE_RUN_TIMEOUT_S: f64 = 10.0;
 /// Retry-After for requests whose run could not be started (seconds).
 pub(super) const NOT_STARTED_RETRY_AFTER_S: f64 = 1.0;
 
@@ -180,12 +180,12 @@
         }
     }
 
-    /// Ends runs that are past their deadline by more than [`SILENT_RUN_TIMEOUT_S`]. They would otherwise occupy their
-    /// run slots for ever.
-    pub(super) fn end_silent_runs(&mut self, effects: &mut Effects<'_>) {
+    /// Ends runs that are past their deadline by more than [`OVERDUE_RUN_TIMEOUT_S`]. If the backend never reported
+    /// their end, they would otherwise occupy their run slots indefinitely.
+    pub(super) fn end_overdue_runs(&mut self, effects: &mut Effects<'_>) {
         let now = effects.now;
-        let is_silent = |r: &InFlight| r.has_started() && now > r.deadline + SILENT_RUN_TIMEOUT_S;
-        for id in self.in_flight.ids_where(|_, r| is_silent(r)) {
+        let is_overdue = |r: &InFlight| r.has_started() && now > r.deadline + OVERDUE_RUN_TIMEOUT_S;
+        for id in self.in_flight.ids_where(|_, r| is_overdue(r)) {
             self.complete_run(id, Outcome::Cancelled, None, effects);
         }
         self.run_controller(effects);
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -15,7 +15,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Interval between searches for expired keys and silent runs (seconds).
+/// Interval between searches for expired keys and overdue runs (seconds).
 const SWEEP_INTERVAL_S: f64 = 1.0;
 /// The table accepts one key per this much result capacity (bytes). Bounds the memory that callers can fill with keys.
 const RESULT_BYTES_PER_KEY: usize = 1024;
@@ -35,7 +35,7 @@
     last_id: RequestId,
     /// The controller's actions for the current event. Empty between events; kept to reuse its allocation.
     pub(super) actions: Vec<Action>,
-    /// When expired keys and silent runs were last searched for (event loop's clock, seconds).
+    /// When expired keys and overdue runs were last searched for (event loop's clock, seconds).
     last_sweep_at: f64,
     /// Settings of the classes, by index.
     pub(super) classes: Vec<Class>,
@@ -162,7 +162,7 @@
         if now - self.last_sweep_at >= SWEEP_INTERVAL_S {
             self.last_sweep_at = now;
             self.keys.remove_expired(now);
-            self.end_silent_runs(&mut effects);
+            self.end_overdue_runs(&mut effects);
         }
         self.send_key_updates(effects.commands);
         // Discarded: the controller releases only requests that have fully ended, and their IDs are never reused.
--- a/src/dispatch/tests/crossings/simulation.rs
+++ b/src/dispatch/tests/crossings/simulation.rs
@@ -59,9 +59,10 @@
         self.is_connected && self.response.is_none()
     }
 
-    /// Returns whether its run may still be in progress; the dispatcher gives up runs after [`SILENT_RUN_TIMEOUT_S`].
+    /// Returns whether its run may still be in progress; the dispatcher ends it [`OVERDUE_RUN_TIMEOUT_S`] after its
+    /// deadline.
     fn may_run(&self, now: f64) -> bool {
-        self.run.is_open() && now <= self.deadline + SILENT_RUN_TIMEOUT_S
+        self.run.is_open() && now <= self.deadline + OVERDUE_RUN_TIMEOUT_S
     }
 }
 
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -4,7 +4,7 @@
 mod metrics;
 mod request_handoff;
 
-use super::completion::{NOT_STARTED_RETRY_AFTER_S, SILENT_RUN_TIMEOUT_S};
+use super::completion::{NOT_STARTED_RETRY_AFTER_S, OVERDUE_RUN_TIMEOUT_S};
 use super::*;
 use crate::interface::{
     Class, Dependency, Gauges, Idempotency, LearnedState, Outcome, Settings, Tenant, Traffic,
@@ -279,7 +279,7 @@
     let mut h = Harness::new();
     h.arrive(1, "");
     h.arrive(2, "");
-    h.advance(3.0 + SILENT_RUN_TIMEOUT_S + 2.0);
+    h.advance(3.0 + OVERDUE_RUN_TIMEOUT_S + 2.0);
     let out = [h.arrive(3, ""), h.advance(1.0)].concat();
     assert!(runs(&out) == 1, "{out:?}");
 }
