--- a/src/log/layer.rs
+++ b/src/log/layer.rs
@@ -75,8 +75,9 @@
     }
 }
 
-/// Sets up the log of this process. Without a filter it contains the events of this program's own crates at level
-/// `INFO` and above. Events of libraries are excluded, because peers can cause them with every request.
+/// Sets up the log of this process. `filter` selects the events that it contains; the default is the events of this
+/// program's own crates at level `INFO` and above. Events of libraries are excluded, because peers can cause them with
+/// every request.
 ///
 /// If a log has already been set up, only returns a handle.
 #[must_use]
--- a/src/log/limiter.rs
+++ b/src/log/limiter.rs
@@ -42,7 +42,7 @@
         LineLimiter { second: 0, lines: 0, suppressed: 0, suppressed_in: None, folded: HashMap::new() }
     }
 
-    /// Decides whether to write an event that occurs at `now_s` (seconds since the start of the process).
+    /// Decides whether to write an event that occurs at `now_s` (seconds since the log was set up).
     pub(super) fn admit(&mut self, now_s: f64) -> Decision {
         self.admit_line(now_s, 1)
     }
--- a/src/simulator_adapter/error.rs
+++ b/src/simulator_adapter/error.rs
@@ -15,7 +15,7 @@
     Item {
         /// ID of the instance.
         worker: u64,
-        /// Zero-based position of the item in the instance's list.
+        /// Position of the item in the instance's list, counted from 0.
         item: usize,
         /// Cause of the error.
         source: ItemError,
