--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -62,7 +62,7 @@
         HotRestartEvent::PeerExited(Peer::Predecessor).emit();
         self.poll.set_other_process_usage(0);
         self.on_hot_restart_event(now, Event::PredecessorDisconnected, inputs);
-        inputs.push(Input::PredecessorGone);
+        inputs.push(Input::PredecessorExited);
         if self.owns_listeners() {
             // Its addresses are free now.
             self.open_operator_frontends();
@@ -142,7 +142,7 @@
 
     fn adopt_predecessor_state(&mut self, state: PredecessorState, inputs: &mut Vec<Input>) {
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.succeed(state.fingerprint_key, state.running);
+            dispatcher.inherit_from_predecessor(state.fingerprint_key, state.running);
         }
         inputs.push(Input::LearnedState(state.learned));
         // Whoever asked this process for a drain while it waited means it all the same.
