--- a/src/config/files.rs
+++ b/src/config/files.rs
@@ -1,6 +1,6 @@
 //! The files and addresses that a worker's environment names, from which its configuration is read.
 
-use super::{Config, ConfigError, Operator};
+use super::{Config, ConfigError, OperatorSettings};
 use std::io::Read;
 
 /// The longest configuration or operator's file that is read (bytes).
@@ -41,9 +41,9 @@
     ///
     /// # Errors
     /// A file that can't be read or used.
-    pub fn operator(&self, config: &Config) -> Result<Operator, ConfigError> {
-        let Some(path) = &self.operator else { return Ok(Operator::default()) };
-        Operator::decode(&read(path)?, config).map_err(|fault| fault.in_file(path))
+    pub fn operator(&self, config: &Config) -> Result<OperatorSettings, ConfigError> {
+        let Some(path) = &self.operator else { return Ok(OperatorSettings::default()) };
+        OperatorSettings::decode(&read(path)?, config).map_err(|fault| fault.in_file(path))
     }
 }
 
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -1,5 +1,5 @@
 use super::super::tests::VALID;
-use super::super::{Config, Operator};
+use super::super::{Config, OperatorSettings};
 
 const FLEET: &str = "[fleet]\nname = \"polder\"\ncoordinators = [\"127.0.0.1:1\"]\n";
 const TASK: &str = "[[fleet.task]]\nname = \"t\"\nperiod_s = 5.0\naddress = \"127.0.0.1:2\"\nsafe = true\n";
@@ -8,7 +8,7 @@
 fn invalid_fleet_settings_are_rejected_in_one_line_with_key_found_and_expected() {
     let config = Config::decode(VALID).unwrap();
     let valid = format!("{FLEET}{TASK}");
-    let plan = Operator::decode(&valid, &config).unwrap().fleet.unwrap().membership(&config);
+    let plan = OperatorSettings::decode(&valid, &config).unwrap().fleet.unwrap().membership(&config);
     assert_eq!((plan.drift, plan.computes_totals, plan.tasks[0].deadline_s), (0.1, true, 0.5));
     for (text, expected) in [
         (valid.replace("\"polder\"", "\"a b\""), "fleet.name is \"a b\"; expected letters"),
@@ -20,10 +20,10 @@
         (valid.replace("safe = true", "save = true"), "line 8: unknown field `save`"),
         (valid.replace("5.0", "nan"), "fleet.task t.period_s is NaN"),
     ] {
-        let error = Operator::decode(&text, &config).expect_err(expected).to_string();
+        let error = OperatorSettings::decode(&text, &config).expect_err(expected).to_string();
         assert!(error.starts_with(expected) && !error.contains('\n'), "{error}, not {expected}");
     }
     let shown = include_str!("../../../deploy/fleet.toml");
     let config = Config::decode(include_str!("../../../examples/config.json")).unwrap();
-    assert!(Operator::decode(shown, &config).unwrap().fleet.is_some());
+    assert!(OperatorSettings::decode(shown, &config).unwrap().fleet.is_some());
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -8,7 +8,7 @@
 /// The operator's file. A subsystem whose block is absent is off.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// The AJP frontend.
     pub ajp: Option<AjpSettings>,
     /// AJP servers that run requests.
@@ -23,13 +23,13 @@
     pub fleet: Option<FleetSettings>,
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Decodes the file and checks it against the platform's settings.
     ///
     /// # Errors
     /// Text that is not TOML, unknown blocks and keys, and values that can't be used.
-    pub fn decode(text: &str, config: &Config) -> Result<Operator, ConfigError> {
-        let operator: Operator = toml::from_str(text).map_err(|fault| located(text, &fault))?;
+    pub fn decode(text: &str, config: &Config) -> Result<OperatorSettings, ConfigError> {
+        let operator: OperatorSettings = toml::from_str(text).map_err(|fault| located(text, &fault))?;
         operator.check(config)?;
         Ok(operator)
     }
@@ -58,7 +58,7 @@
 
     /// The blocks that differ from `other` and that a running worker can't apply.
     #[must_use]
-    pub fn fixed_changes(&self, other: &Operator) -> Vec<&'static str> {
+    pub fn fixed_changes(&self, other: &OperatorSettings) -> Vec<&'static str> {
         let differs = [
             ("[ajp]", self.ajp != other.ajp),
             ("[backend]", self.backend != other.backend),
--- a/src/config/operator/tests.rs
+++ b/src/config/operator/tests.rs
@@ -5,7 +5,7 @@
 fn an_operators_file_is_checked_against_the_platforms_settings() {
     let config = Config::decode(VALID).unwrap();
     let valid = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p/\"\nclass = \"a\"\n";
-    let ajp = Operator::decode(valid, &config).unwrap().ajp.unwrap();
+    let ajp = OperatorSettings::decode(valid, &config).unwrap().ajp.unwrap();
     assert_eq!((ajp.class_of("/p/x"), ajp.class_of("/p"), ajp.class_of("/px")), (Some("a"), Some("a"), None));
     for (text, named) in [
         (valid.replace("\"a\"", "\"b\""), "class"),
@@ -23,10 +23,10 @@
         ("[http2]\nlisten = \"here\"\n".to_owned(), "line 2"),
         ("[ajp".to_owned(), "line 1"),
     ] {
-        let error = Operator::decode(&text, &config).unwrap_err().to_string();
+        let error = OperatorSettings::decode(&text, &config).unwrap_err().to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{error}");
     }
-    assert!(Operator::decode("", &config).unwrap().ajp.is_none());
+    assert!(OperatorSettings::decode("", &config).unwrap().ajp.is_none());
 }
 
 #[test]
@@ -52,7 +52,7 @@
         (format!("{pools}guaranty = 0.5\n"), "guaranty", 5),
         ("[http2]\nlisten = \"127.0.0.1:0\"\nstream = 5\n".to_owned(), "stream", 3),
     ] {
-        let error = Operator::decode(&text, &config).expect_err(unknown).to_string();
+        let error = OperatorSettings::decode(&text, &config).expect_err(unknown).to_string();
         let expected = format!("line {line}: unknown field `{unknown}`");
         assert!(error.starts_with(&expected) && !error.contains('\n'), "{expected}: {error}");
     }
@@ -62,18 +62,19 @@
 fn the_shipped_ajp_and_http2_files_are_valid() {
     let config = Config::decode(include_str!("../../../examples/config.json")).unwrap();
     let text = include_str!("../../../deploy/ajp.toml");
-    let operator = Operator::decode(text, &config).unwrap();
+    let operator = OperatorSettings::decode(text, &config).unwrap();
     assert!(operator.ajp.is_some() && operator.backend.is_none() && operator.directory.is_none());
-    let http2 = Operator::decode(include_str!("../../../deploy/http2.toml"), &config).unwrap().http2.unwrap();
+    let http2 =
+        OperatorSettings::decode(include_str!("../../../deploy/http2.toml"), &config).unwrap().http2.unwrap();
     // The shipped file spells out the defaults.
-    let plain = Operator::decode("[http2]\nlisten = \"127.0.0.1:7002\"\n", &config).unwrap().http2;
+    let plain = OperatorSettings::decode("[http2]\nlisten = \"127.0.0.1:7002\"\n", &config).unwrap().http2;
     assert_eq!(Some(http2), plain);
     // The blocks that are commented out are valid as well.
     let on: String = text
         .lines()
         .map(|l| l.strip_prefix('#').filter(|r| !r.starts_with(' ')).unwrap_or(l))
         .fold(String::new(), |all, line| all + line + "\n");
-    let operator = Operator::decode(&on, &config).unwrap();
+    let operator = OperatorSettings::decode(&on, &config).unwrap();
     assert_eq!(operator.backend.unwrap().uri_of("port-submit"), "/porting/submit");
     assert_eq!(operator.directory.unwrap().identity, crate::config::Identity::RemoteUser);
 }
--- a/src/config/pools/tests.rs
+++ b/src/config/pools/tests.rs
@@ -1,4 +1,4 @@
-use super::super::{Config, Operator};
+use super::super::{Config, OperatorSettings};
 use crate::interface::PoolReserve;
 
 fn config() -> Config {
@@ -12,14 +12,16 @@
 #[test]
 fn a_class_that_no_pool_names_belongs_to_the_pool_rest() {
     let config = config();
-    let plan = Operator::decode(VALID, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
+    let plan =
+        OperatorSettings::decode(VALID, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
     let names: Vec<&str> = plan.pools.iter().map(|p| p.name.as_str()).collect();
     assert_eq!((names, plan.pool_of), (vec!["cheap", "orders", "rest"], vec![0, 2, 1]));
     let reserve = PoolReserve { pool: 0, slots: 1 };
     assert_eq!((plan.reserve, plan.min_slots, plan.max_slots), (Some(reserve), 6, 12));
     // The rest may be set up by name, without classes.
     let text = format!("{VALID}[[pools.pool]]\nname = \"rest\"\nclasses = []\nguarantee = 0.1\n");
-    let plan = Operator::decode(&text, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
+    let plan =
+        OperatorSettings::decode(&text, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
     assert_eq!((plan.pools.len(), plan.pools[2].guarantee), (3, 0.1));
 }
 
@@ -52,7 +54,7 @@
     ] {
         let text = VALID.replacen(from, to, 1);
         assert_ne!(text, VALID, "{from}");
-        let error = Operator::decode(&text, &config).expect_err(named).to_string();
+        let error = OperatorSettings::decode(&text, &config).expect_err(named).to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{named}: {error}");
     }
 }
@@ -60,7 +62,7 @@
 #[test]
 fn the_shipped_pools_file_is_valid() {
     let config = config();
-    let operator = Operator::decode(include_str!("../../../deploy/pools.toml"), &config).unwrap();
+    let operator = OperatorSettings::decode(include_str!("../../../deploy/pools.toml"), &config).unwrap();
     let plan = operator.pools.unwrap().plan(&config.settings).unwrap();
     assert!(plan.reserve.is_some() && plan.pools.len() == 3);
 }
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -2,7 +2,7 @@
 //! bytes and a graceful shutdown, each accepted stream ends exactly once, and none is left over. Seeds are fixed.
 
 use super::{NoopWaker, PollInput, Session};
-use crate::config::{Config, Http2Settings, Operator};
+use crate::config::{Config, Http2Settings, OperatorSettings};
 use crate::dispatch::{Response, Ticket};
 use crate::net::frontends::http2::transport::Pipe;
 use crate::net::frontends::request_fields::Catalog;
@@ -58,7 +58,7 @@
 fn settings() -> (Http2Settings, Config) {
     let config = Config::decode(include_str!("../../../../../examples/config.json")).unwrap();
     let text = "[http2]\nlisten = \"127.0.0.1:0\"\nstreams = 5\n";
-    (Operator::decode(text, &config).unwrap().http2.unwrap(), config)
+    (OperatorSettings::decode(text, &config).unwrap().http2.unwrap(), config)
 }
 
 impl Harness {
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -20,7 +20,7 @@
 mod start;
 mod turn;
 
-use crate::config::{Config, Files, Operator};
+use crate::config::{Config, Files, OperatorSettings};
 use crate::dispatch::metrics::Metrics;
 use crate::dispatch::Dispatcher;
 use crate::interface::Settings;
@@ -66,7 +66,7 @@
     /// The platform's configuration.
     pub(in crate::net) platform: Config,
     /// The operator's file.
-    pub(in crate::net) operator: Operator,
+    pub(in crate::net) operator: OperatorSettings,
     /// The controller's settings, made of both.
     pub(in crate::net) settings: Settings,
 }
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -1,7 +1,7 @@
 //! Builds a worker from its configuration and the operator's file.
 
 use super::{Configuration, LoopState, Worker, SWEEP_S};
-use crate::config::{Config, Files, FleetSettings, Operator};
+use crate::config::{Config, Files, FleetSettings, OperatorSettings};
 use crate::dispatch::metrics::Metrics;
 use crate::fleet::MembershipConfig;
 use crate::interface::Settings;
@@ -73,7 +73,7 @@
 }
 
 /// The platform's settings with what the operator's file adds to them.
-fn controller_settings(config: &Config, operator: &Operator) -> Result<Settings, WorkerError> {
+fn controller_settings(config: &Config, operator: &OperatorSettings) -> Result<Settings, WorkerError> {
     let mut settings = config.settings.settings(config.seed_number());
     // Retained keys and results lie in this process's own memory: the platform books none for them.
     settings.key_entry_kb = 0.0;
@@ -115,7 +115,7 @@
     Ok(Some(console))
 }
 
-fn ajp_frontend(platform: &Config, operator: &Operator, poll: &Poll) -> Option<AjpFrontend> {
+fn ajp_frontend(platform: &Config, operator: &OperatorSettings, poll: &Poll) -> Option<AjpFrontend> {
     let settings = operator.ajp.clone()?;
     let identity = operator.directory.as_ref().map(|directory| directory.identity);
     Some(AjpFrontend::closed(poll, settings, identity, platform.seed_number()))
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -7,7 +7,7 @@
 use crate::experiment::{Experiment, Variant};
 use crate::measure::{LimitChange, Play, PoolResult, RequestEnd, CROWD_BOUND, CROWD_S};
 use crate::records::Records;
-use port_worker::config::{Config, Operator};
+use port_worker::config::{Config, OperatorSettings};
 use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
 use port_worker::pools::PoolState;
 use port_worker::{Gauges, Outcome};
@@ -46,7 +46,7 @@
 pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<Play, TestbedError> {
     let nowhere = "127.0.0.1:1";
     let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
-    let operator = Operator::decode(&variant.operator, &config)?;
+    let operator = OperatorSettings::decode(&variant.operator, &config)?;
     let mut settings = config.settings.settings(1);
     settings.key_entry_kb = 0.0;
     settings.pools = operator.pools.as_ref().map(|p| p.plan(&config.settings)).transpose()?;
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -1,7 +1,7 @@
 //! Pins operators' TOML files: what came with the program at commit c001dc7 stands under `tests/fixtures/operator_files`
 //! and must go on being read with the same meaning, as the files in `deploy/` of today are. Tests never write there.
 
-use port_worker::config::{Config, Identity, Operator};
+use port_worker::config::{Config, Identity, OperatorSettings};
 use port_worker::PoolReserve;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,17 +15,17 @@
     Config::decode(&text_of("tests/fixtures/configuration/example.json")).unwrap()
 }
 
-fn decoded(text: &str) -> Operator {
-    Operator::decode(text, &config()).unwrap()
+fn decoded(text: &str) -> OperatorSettings {
+    OperatorSettings::decode(text, &config()).unwrap()
 }
 
 /// The file as it came with the program, and as it comes with it today.
-fn then_and_now(name: &str) -> [Operator; 2] {
+fn then_and_now(name: &str) -> [OperatorSettings; 2] {
     ["tests/fixtures/operator_files", "deploy"].map(|folder| decoded(&text_of(&format!("{folder}/{name}"))))
 }
 
 /// The names of the blocks that this file switches on.
-fn blocks(operator: &Operator) -> Vec<&'static str> {
+fn blocks(operator: &OperatorSettings) -> Vec<&'static str> {
     let on = [
         ("ajp", operator.ajp.is_some()),
         ("backend", operator.backend.is_some()),
@@ -209,10 +209,10 @@
     let text = text_of("tests/fixtures/operator_files/every_key.toml");
     for header in text.lines().filter(|line| line.starts_with('[') && *line != "[backend.paths]") {
         let wrong = text.replacen(header, &format!("{header}\nmisspelt = 1"), 1);
-        let error = Operator::decode(&wrong, &config()).expect_err(header).to_string();
+        let error = OperatorSettings::decode(&wrong, &config()).expect_err(header).to_string();
         assert!(error.contains("unknown field `misspelt`"), "{header}: {error}");
     }
-    let error = Operator::decode("[misspelt]\n", &config()).unwrap_err().to_string();
+    let error = OperatorSettings::decode("[misspelt]\n", &config()).unwrap_err().to_string();
     assert!(error.contains("unknown field `misspelt`"), "{error}");
 }
 
