--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -7,7 +7,7 @@
 /// not read here are ignored; missing ones have the default of their type.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Options {
+pub struct PlatformSettings {
     /// The classes of requests; a class's number is its place in this list.
     pub profiles: Vec<Profile>,
     /// The tenants; a tenant's number is its place in this list.
@@ -180,7 +180,7 @@
     }
 }
 
-impl Options {
+impl PlatformSettings {
     /// The controller's settings.
     #[must_use]
     pub fn settings(&self, seed: u64) -> Settings {
--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -2,7 +2,7 @@
 
 mod assignment;
 
-use super::{ConfigError, Options};
+use super::{ConfigError, PlatformSettings};
 use crate::interface::{PoolItem, PoolPlan, PoolReserve};
 use assignment::Assignment;
 use serde::Deserialize;
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// The first setting that is invalid.
-    pub fn plan(&self, settings: &Options) -> Result<PoolPlan, ConfigError> {
+    pub fn plan(&self, settings: &PlatformSettings) -> Result<PoolPlan, ConfigError> {
         let cores = settings.domain.n_cores.max(1) as usize;
         let least_slots = self.least_slots.unwrap_or(cores);
         let most_slots = self.most_slots.unwrap_or(least_slots.max(cores * DEFAULT_SLOTS_PER_CORE));
--- a/src/config/pools/assignment.rs
+++ b/src/config/pools/assignment.rs
@@ -1,7 +1,7 @@
 //! The assignment of classes to pools.
 
 use super::{default_ceiling, default_queue, default_weight, PoolBlock, REST};
-use crate::config::{ConfigError, Options};
+use crate::config::{ConfigError, PlatformSettings};
 use crate::interface::PoolItem;
 
 /// The longest name of a pool (bytes).
@@ -9,7 +9,7 @@
 
 /// The pools that have been read so far, and the assignment of classes to them.
 pub(super) struct Assignment<'a> {
-    settings: &'a Options,
+    settings: &'a PlatformSettings,
     pub(super) pools: Vec<PoolItem>,
     /// The number of the pool of each class, by class.
     pub(super) pool_of: Vec<Option<usize>>,
@@ -17,7 +17,7 @@
 
 impl<'a> Assignment<'a> {
     /// No pool yet, for the classes of these settings.
-    pub(super) fn new(settings: &'a Options) -> Self {
+    pub(super) fn new(settings: &'a PlatformSettings) -> Self {
         Assignment { settings, pools: Vec::new(), pool_of: vec![None; settings.profiles.len()] }
     }
 
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -1,6 +1,6 @@
 //! A port worker's configuration: its addresses, its limits and the platform's settings.
 
-use super::{ConfigError, Options};
+use super::{ConfigError, PlatformSettings};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     #[serde(default)]
     pub limits: ProcessLimits,
     /// The platform's settings.
-    pub settings: Options,
+    pub settings: PlatformSettings,
 }
 
 fn default_stop_ms() -> f64 {
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -1,7 +1,7 @@
 //! The platform's request headers, the same for every frontend: collected, checked, and made into the
 //! dispatcher's [`Request`].
 
-use crate::config::Options;
+use crate::config::PlatformSettings;
 use crate::dispatch::{Request, Ticket};
 use crate::interface::{Class, Idempotency, Settings};
 use crate::net::Clock;
@@ -44,7 +44,7 @@
 impl Catalog {
     /// Indexes the classes and tenants in the order of the settings.
     #[must_use]
-    pub fn new(options: &Options, settings: &Settings) -> Catalog {
+    pub fn new(options: &PlatformSettings, settings: &Settings) -> Catalog {
         let index_by_name = |names: Vec<&String>| {
             names.into_iter().enumerate().map(|(index, name)| (name.clone(), index)).collect()
         };
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -4,7 +4,7 @@
 use super::messages::{Outbox, WireAction, WireEvent, WireRequest};
 use super::request_names::RequestNames;
 use crate::admission::Controller;
-use crate::config::{read_gauges, Options};
+use crate::config::{read_gauges, PlatformSettings};
 use crate::interface::{Action, Arrival, Event};
 
 /// A controller, and the names and numbers that the simulator uses for it.
@@ -23,7 +23,7 @@
 
 impl Instance {
     /// Starts a controller with these settings at `now`; its first actions are appended to `out`.
-    pub(super) fn start(now: f64, seed: u64, options: &Options, out: &mut Vec<Action>) -> Instance {
+    pub(super) fn start(now: f64, seed: u64, options: &PlatformSettings, out: &mut Vec<Action>) -> Instance {
         Instance {
             controller: Controller::new(options.settings(seed), now, out),
             names: RequestNames::default(),
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -2,7 +2,7 @@
 //! here, and in `instance.rs` for events.
 
 use super::request_names::RequestNames;
-use crate::config::Options;
+use crate::config::PlatformSettings;
 use crate::interface::{Action, Outcome, RequestId};
 use serde::{Deserialize, Serialize};
 
@@ -36,7 +36,7 @@
     Provision {
         #[serde(rename = "prng")]
         seed: u64,
-        options: Box<Options>,
+        options: Box<PlatformSettings>,
     },
     /// The instance ends.
     Stop,
