--- a/src/config/files.rs
+++ b/src/config/files.rs
@@ -8,7 +8,7 @@
 
 /// The files and addresses named by the environment and the command line.
 #[derive(Clone, Debug, Default)]
-pub struct Files {
+pub struct StartupOptions {
     /// The path of the configuration.
     pub config: String,
     /// The path of the operator's file.
@@ -21,7 +21,7 @@
     pub folder: Option<String>,
 }
 
-impl Files {
+impl StartupOptions {
     /// Reads and checks the configuration.
     ///
     /// # Errors
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,7 +19,7 @@
 pub use backend::BackendSettings;
 pub use directory::{DirectorySettings, Identity};
 pub use error::ConfigError;
-pub use files::Files;
+pub use files::StartupOptions;
 pub use fleet::{FleetSettings, TaskSettings};
 pub use http2::Http2Settings;
 pub use operator::OperatorSettings;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,6 @@
 //! Starts one port worker from the configuration that the platform names.
 
-use port_worker::config::Files;
+use port_worker::config::StartupOptions;
 use port_worker::log;
 use port_worker::net::{self, WorkerError};
 use std::process::ExitCode;
@@ -36,7 +36,7 @@
     let socket = set_variable("ROUTER_SOCKET_FD");
     let folder = set_variable("TMPDIR");
     let log = log::install(None);
-    net::run(Files { config, operator, console, socket, folder }, log)?;
+    net::run(StartupOptions { config, operator, console, socket, folder }, log)?;
     Ok(())
 }
 
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: signals, the one timer, and a turn of the worker whenever something is ready or due.
 
 use super::{Worker, STALL_S};
-use crate::config::Files;
+use crate::config::StartupOptions;
 use crate::log::LogHandle;
 use crate::net::error::WorkerError;
 use crate::net::io::poll::{Gathered, Poll};
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// A configuration that can't be used, an address that can't be listened on, or a failing event loop.
-pub fn run(files: Files, log: LogHandle) -> Result<(), WorkerError> {
+pub fn run(files: StartupOptions, log: LogHandle) -> Result<(), WorkerError> {
     let mut events: EventLoop<Gathered> = EventLoop::try_new().map_err(WorkerError::EventLoop)?;
     let handle = events.handle();
     // Before anything else: from here on a shutdown notice is read in turn and does not kill the process.
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -20,7 +20,7 @@
 mod start;
 mod turn;
 
-use crate::config::{Config, Files, OperatorSettings};
+use crate::config::{Config, OperatorSettings, StartupOptions};
 use crate::dispatch::metrics::Metrics;
 use crate::dispatch::Dispatcher;
 use crate::interface::Settings;
@@ -62,7 +62,7 @@
 
 /// What the worker was set up with, and the files that a reload reads again.
 pub struct Configuration {
-    pub(in crate::net) files: Files,
+    pub(in crate::net) files: StartupOptions,
     /// The platform's configuration.
     pub(in crate::net) platform: Config,
     /// The operator's file.
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -1,7 +1,7 @@
 //! Builds a worker from its configuration and the operator's file.
 
 use super::{Configuration, LoopState, Worker, SWEEP_S};
-use crate::config::{Config, Files, FleetSettings, OperatorSettings};
+use crate::config::{Config, FleetSettings, OperatorSettings, StartupOptions};
 use crate::dispatch::metrics::Metrics;
 use crate::fleet::MembershipConfig;
 use crate::interface::Settings;
@@ -34,7 +34,7 @@
 impl Worker {
     /// A worker whose sockets listen, unless another process has them.
     pub(super) fn new(
-        files: Files,
+        files: StartupOptions,
         platform: Config,
         poll: &Poll,
         log: LogHandle,
@@ -121,7 +121,7 @@
     Some(AjpFrontend::closed(poll, settings, identity, platform.seed_number()))
 }
 
-fn inherited_socket(files: &Files) -> Result<Option<Rc<TcpListener>>, WorkerError> {
+fn inherited_socket(files: &StartupOptions) -> Result<Option<Rc<TcpListener>>, WorkerError> {
     let Some(number) = files.socket.as_deref() else { return Ok(None) };
     Ok(Some(inherited_listener(number)?))
 }
