--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -58,7 +58,7 @@
 
     /// The blocks that differ from `other` and that a running worker can't apply.
     #[must_use]
-    pub fn fixed_changes(&self, other: &OperatorSettings) -> Vec<&'static str> {
+    pub fn changes_requiring_restart(&self, other: &OperatorSettings) -> Vec<&'static str> {
         let differs = [
             ("[ajp]", self.ajp != other.ajp),
             ("[backend]", self.backend != other.backend),
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -164,7 +164,7 @@
 
     /// The names of the keys that differ from `old` and that a running worker can't apply.
     #[must_use]
-    pub fn fixed_changes(&self, old: &Config) -> Vec<&'static str> {
+    pub fn changes_requiring_restart(&self, old: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != old.name),
             ("listen", self.listen != old.listen),
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -17,7 +17,7 @@
                 return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
             }
         };
-        let fixed = next.fixed_changes(&self.configuration.platform);
+        let fixed = next.changes_requiring_restart(&self.configuration.platform);
         if !fixed.is_empty() {
             let file = ConfigFile::Configuration;
             LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
@@ -51,7 +51,7 @@
                 return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
             }
         };
-        let fixed = next.fixed_changes(&self.configuration.operator);
+        let fixed = next.changes_requiring_restart(&self.configuration.operator);
         if !fixed.is_empty() {
             let file = ConfigFile::Operator;
             LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
