--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -61,7 +61,7 @@
             return;
         };
         if let Some(pools) = &mut self.pools {
-            pools.replan(plan);
+            pools.apply_plan(plan);
             return;
         }
         let mut pools = Pools::new(plan, &run_lengths.means_s(), self.survivable.at(now));
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -75,7 +75,7 @@
 
     /// Takes up another plan while runs are in flight. Counts are kept by class, so none is lost; what the
     /// limit has learned stays, and a pool that keeps its name keeps its credit.
-    pub fn replan(&mut self, plan: PoolPlan) {
+    pub fn apply_plan(&mut self, plan: PoolPlan) {
         let account_of = |name: &str| {
             let index = self.plan.pools.iter().position(|pool| pool.name == name);
             index.map(|index| self.accounts[index].clone()).unwrap_or_default()
--- a/src/pools/tests/division.rs
+++ b/src/pools/tests/division.rs
@@ -65,7 +65,7 @@
     let mut w = PoolsHarness::new(wide.clone(), 2);
     w.saturate(&[1], 1.0, 5.0);
     assert_eq!(w.on_cores(1), 9);
-    w.pools.replan(PoolPlan { min_slots: 3, max_slots: 3, ..wide });
+    w.pools.apply_plan(PoolPlan { min_slots: 3, max_slots: 3, ..wide });
     assert_eq!((w.settle(5.0).len(), w.on_cores(1), w.pools.limit()), (0, 9, 3));
     w.arrive(0);
     assert_eq!(w.settle(5.0), vec![0]);
--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -75,7 +75,7 @@
                         w.pools.moved(class, Some(Place::Queued), None);
                     }
                     // Fewer slots, other pools: what runs goes on and stays counted.
-                    Step::Replan(plan) => w.pools.replan(fit(plan)),
+                    Step::Replan(plan) => w.pools.apply_plan(fit(plan)),
                     _ => {}
                 }
                 w.settle(length);
--- a/src/pools/tests/report.rs
+++ b/src/pools/tests/report.rs
@@ -12,7 +12,7 @@
         w.saturate(&[0, 1], 0.025, 0.1);
         w.pools.count_rejection(1);
         if turn == 2000 {
-            w.pools.replan(plan(items.clone(), None, 2, 3));
+            w.pools.apply_plan(plan(items.clone(), None, 2, 3));
         }
         w.pools.review(w.now, 1000);
         events.extend(w.pools.take_events().into_iter().map(|event| (w.now, event)));
