--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -24,7 +24,7 @@
 pub use http2::Http2Settings;
 pub use operator::OperatorSettings;
 pub use platform::{read_gauges, Clients, Contract, Domain, Limits, PlatformSettings, Profile, TenantItem};
-pub use process::{console_calls, Config, ProcessLimits, RESERVED_SOCKETS};
+pub use process::{max_console_calls, Config, ProcessLimits, RESERVED_SOCKETS};
 
 #[cfg(test)]
 mod tests;
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -72,7 +72,7 @@
 /// Most concurrent calls at the console, by the limit on descriptors: a small share of those of clients, and enough that
 /// clients which hold calls open can't exclude the next one for long.
 #[must_use]
-pub fn console_calls(sockets: usize) -> usize {
+pub fn max_console_calls(sockets: usize) -> usize {
     (sockets.saturating_sub(RESERVED_SOCKETS) / CONSOLE_SHARE).clamp(MIN_CONSOLE_CALLS, MAX_CONSOLE_CALLS)
 }
 
@@ -80,7 +80,7 @@
     /// Descriptors for clients and upstreams: the limit less those that are reserved.
     #[must_use]
     pub fn socket_budget(&self) -> usize {
-        let console = self.console.map_or(0, |_| console_calls(self.limits.sockets) + 1);
+        let console = self.console.map_or(0, |_| max_console_calls(self.limits.sockets) + 1);
         self.limits.sockets - RESERVED_SOCKETS - console
     }
 
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -4,7 +4,7 @@
 //! without a complete call is closed for the next one, so that callers who hold connections open can't exhaust it
 //! either.
 
-use crate::config::console_calls;
+use crate::config::max_console_calls;
 use crate::dispatch::metrics::Metrics;
 use crate::net::frontends::connections::{ConnectionState, Connections, NextStep};
 use crate::net::frontends::request_fields::Catalog;
@@ -63,7 +63,7 @@
     /// # Errors
     /// The system can't listen there.
     pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> Result<Console, ListenError> {
-        let own = poll.with_own_budget(console_calls(sockets));
+        let own = poll.with_own_budget(max_console_calls(sockets));
         let mut connections = Connections::closed(&own, FrontendKind::Console, MAX_HEAD_BYTES);
         connections.open(None, address)?;
         connections.prefer_newest();
