--- a/src/config/backend.rs
+++ b/src/config/backend.rs
@@ -28,7 +28,7 @@
 impl BackendSettings {
     /// The path at the servers for a class.
     #[must_use]
-    pub fn uri_of(&self, class: &str) -> String {
+    pub fn path_of(&self, class: &str) -> String {
         self.paths.get(class).cloned().unwrap_or_else(|| format!("/do/{class}"))
     }
 
--- a/src/config/operator/tests.rs
+++ b/src/config/operator/tests.rs
@@ -75,6 +75,6 @@
         .map(|l| l.strip_prefix('#').filter(|r| !r.starts_with(' ')).unwrap_or(l))
         .fold(String::new(), |all, line| all + line + "\n");
     let operator = OperatorSettings::decode(&on, &config).unwrap();
-    assert_eq!(operator.backend.unwrap().uri_of("port-submit"), "/porting/submit");
+    assert_eq!(operator.backend.unwrap().path_of("port-submit"), "/porting/submit");
     assert_eq!(operator.directory.unwrap().identity, crate::config::Identity::RemoteUser);
 }
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -255,7 +255,7 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Some(run) = &mut connection.run else { return };
         let length = run.body.len().to_string();
-        let uri = self.settings.uri_of(catalog.class_name(run.class));
+        let uri = self.settings.path_of(catalog.class_name(run.class));
         let forward = Forward {
             method: "POST",
             uri: &uri,
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -124,8 +124,8 @@
     let backend = operator.backend.unwrap();
     assert_eq!(backend.servers.iter().map(SocketAddr::port).collect::<Vec<_>>(), [8010, 8011]);
     assert_eq!((backend.secret.as_deref(), backend.server_name.as_str()), (Some("two"), "porting.internal"));
-    assert_eq!(backend.uri_of("port-submit"), "/porting/submit");
-    assert_eq!(backend.uri_of("eligibility"), "/do/eligibility");
+    assert_eq!(backend.path_of("port-submit"), "/porting/submit");
+    assert_eq!(backend.path_of("eligibility"), "/do/eligibility");
 
     let directory = operator.directory.unwrap();
     assert_eq!(directory.address.port(), 389);
@@ -176,7 +176,7 @@
 
     let backend = operator.backend.unwrap();
     assert_eq!((backend.secret.as_deref(), backend.server_name.as_str()), (None, "localhost"));
-    assert_eq!(backend.uri_of("port-submit"), "/do/port-submit");
+    assert_eq!(backend.path_of("port-submit"), "/do/port-submit");
 
     let directory = operator.directory.unwrap();
     assert_eq!([&directory.bind_dn, &directory.bind_password], ["", ""]);
