--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -140,7 +140,7 @@
 
     /// Whether two classes wait for the same run slots.
     pub(super) fn are_shared(&self, class: usize, other: usize) -> bool {
-        self.pools.as_ref().is_none_or(|pools| pools.share_pool(other, class))
+        self.pools.as_ref().is_none_or(|pools| pools.in_same_pool(other, class))
     }
 
     /// Runs a second: slots over the time on the cores, waits for calls apart. With pools, on the slots on which the
@@ -148,7 +148,7 @@
     pub(super) fn service_rate(&self, class: usize, run_lengths: &RunLengths) -> f64 {
         match &self.pools {
             Some(pools) => {
-                pools.expected_slots(class) / run_lengths.mean_s_of(|other| pools.share_pool(other, class))
+                pools.expected_slots(class) / run_lengths.mean_s_of(|other| pools.in_same_pool(other, class))
             }
             None => self.limit.runs() as f64 / run_lengths.mean_s(),
         }
--- a/src/pools/slots.rs
+++ b/src/pools/slots.rs
@@ -13,7 +13,7 @@
 
     /// Whether two classes share a pool.
     #[must_use]
-    pub fn share_pool(&self, a: usize, b: usize) -> bool {
+    pub fn in_same_pool(&self, a: usize, b: usize) -> bool {
         self.pool_of(a) == self.pool_of(b)
     }
 
