--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -66,7 +66,7 @@
         }
         let mut pools = Pools::new(plan, &run_lengths.means_s(), self.survivable.at(now));
         for (_, request) in requests.iter() {
-            pools.moved(request.class, None, request.state.place());
+            pools.record_transition(request.class, None, request.state.place());
         }
         self.pools = Some(pools);
     }
@@ -81,7 +81,7 @@
     /// A request has gone to another state.
     pub(super) fn request_moved(&mut self, transition: &Transition) {
         if let Some(pools) = &mut self.pools {
-            pools.moved(transition.class, transition.from, transition.to);
+            pools.record_transition(transition.class, transition.from, transition.to);
         }
     }
 
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The admission controller uses them as one of its limits: [`Pools::choose`] returns the request that may start
 //! next, [`Pools::expected_slots`] the slots on which an arrival of a class can count, [`Pools::is_queue_full`]
-//! whether its queue is at capacity. The controller passes in every change of a request's place ([`Pools::moved`]),
+//! whether its queue is at capacity. The controller passes in every change of a request's place ([`Pools::record_transition`]),
 //! every ended run ([`Pools::run_ended`]) and the time ([`Pools::advance`]). Nothing here reads a clock, draws at
 //! random or does input or output.
 //!
@@ -93,7 +93,7 @@
     }
 
     /// A request of this class has gone from one place to another; `None` is a place that does not count.
-    pub fn moved(&mut self, class: usize, from: Option<Place>, to: Option<Place>) {
+    pub fn record_transition(&mut self, class: usize, from: Option<Place>, to: Option<Place>) {
         let pool = self.pool_of(class);
         let (Some(of_class), Some(of_pool)) = (self.classes.get_mut(class), self.counts.get_mut(pool)) else {
             return;
--- a/src/pools/tests/division.rs
+++ b/src/pools/tests/division.rs
@@ -84,7 +84,7 @@
         w.arrive(0);
         w.settle(10.0);
         for Run { class, .. } in std::mem::take(&mut w.running) {
-            w.pools.moved(class, Some(Place::OnCores), Some(Place::AtCall));
+            w.pools.record_transition(class, Some(Place::OnCores), Some(Place::AtCall));
             w.at_calls.push(Run { ends_at: f64::INFINITY, class });
         }
     }
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -76,7 +76,7 @@
     pub(super) fn arrive(&mut self, class: usize) {
         self.next += 1;
         self.queued[class].push(self.next);
-        self.pools.moved(class, None, Some(Place::Queued));
+        self.pools.record_transition(class, None, Some(Place::Queued));
     }
 
     pub(super) fn advance(&mut self, dt: f64) {
@@ -90,11 +90,11 @@
     /// Ends what is due, then starts what may start; each start is checked against the rules.
     pub(super) fn settle(&mut self, length: f64) -> Vec<usize> {
         for Run { class, .. } in take_ended(&mut self.running, self.now) {
-            self.pools.moved(class, Some(Place::OnCores), None);
+            self.pools.record_transition(class, Some(Place::OnCores), None);
             self.pools.run_ended(class, length);
         }
         for Run { class, .. } in take_ended(&mut self.at_calls, self.now) {
-            self.pools.moved(class, Some(Place::AtCall), Some(Place::OnCores));
+            self.pools.record_transition(class, Some(Place::AtCall), Some(Place::OnCores));
             self.running.push(Run { ends_at: self.now + length, class });
         }
         let mut started = Vec::new();
@@ -104,7 +104,7 @@
             let own = self.pools.on_cores(pool) < self.pools.reserve_of(pool);
             assert!(own || self.pools.free() > 0, "a start without a slot");
             assert!(own || self.pools.used(pool) < self.pools.ceiling(pool), "a start above the ceiling");
-            self.pools.moved(class, Some(Place::Queued), Some(Place::OnCores));
+            self.pools.record_transition(class, Some(Place::Queued), Some(Place::OnCores));
             self.running.push(Run { ends_at: self.now + length, class });
             started.push(class);
         }
--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -67,12 +67,12 @@
                     Step::Pass(dt) => w.advance(dt),
                     Step::ToCall(n) if !w.running.is_empty() => {
                         let Run { class, .. } = w.running.remove(n % w.running.len());
-                        w.pools.moved(class, Some(Place::OnCores), Some(Place::AtCall));
+                        w.pools.record_transition(class, Some(Place::OnCores), Some(Place::AtCall));
                         w.at_calls.push(Run { ends_at: w.now + 0.3, class });
                     }
                     Step::CallerGone(class) if !w.queued[class].is_empty() => {
                         w.queued[class].pop();
-                        w.pools.moved(class, Some(Place::Queued), None);
+                        w.pools.record_transition(class, Some(Place::Queued), None);
                     }
                     // Fewer slots, other pools: what runs goes on and stays counted.
                     Step::Replan(plan) => w.pools.apply_plan(fit(plan)),
