--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -85,7 +85,7 @@
             let wants = self.accounts[*pool].wants_slot && !permitted[*pool];
             wants && self.reserve_is_free(*pool) && self.own_runs_left(*pool) > 0
         };
-        self.reserve_kept += self.indices().filter(waits).count() as u64;
+        self.idle_reserve_waits += self.indices().filter(waits).count() as u64;
     }
 
     /// By pool: whether it may start a run now.
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -51,7 +51,7 @@
     /// More would run if the limit let them.
     limit_reached: bool,
     /// How often a request of the reserve's pool was left waiting with a reserved slot free.
-    reserve_kept: u64,
+    idle_reserve_waits: u64,
     report: report::Report,
 }
 
@@ -68,7 +68,7 @@
             plan,
             survivable_runs,
             limit_reached: false,
-            reserve_kept: 0,
+            idle_reserve_waits: 0,
             report: report::Report::default(),
         }
     }
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -25,7 +25,8 @@
     #[serde(rename = "usual_run_s")]
     pub baseline_run_s: f64,
     /// How often a request of the reserve's pool was left waiting with a reserved slot free.
-    pub reserve_kept: u64,
+    #[serde(rename = "reserve_kept")]
+    pub idle_reserve_waits: u64,
     /// Pools by number.
     pub pools: Vec<PoolState>,
 }
@@ -172,7 +173,7 @@
             rate_per_s: measured.rate_per_s,
             run_s: measured.run_s,
             baseline_run_s: measured.baseline_s,
-            reserve_kept: self.reserve_kept,
+            idle_reserve_waits: self.idle_reserve_waits,
             pools: self.indices().map(state_of).collect(),
         }
     }
--- a/src/pools/tests/division.rs
+++ b/src/pools/tests/division.rs
@@ -55,7 +55,7 @@
         w.arrive(0);
     }
     assert_eq!(w.settle(0.1), vec![0, 0]);
-    assert_eq!(w.pools.state().reserve_kept, 0);
+    assert_eq!(w.pools.state().idle_reserve_waits, 0);
 }
 
 #[test]
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -161,7 +161,7 @@
                 let cause = state.cause.to_owned();
                 self.limits.push(LimitChange { at: now, slots: state.limit_slots, cause });
             }
-            self.reserve_kept = state.reserve_kept;
+            self.reserve_kept = state.idle_reserve_waits;
         }
         Gauges { cores_busy: Some(busy), runnable: Some(self.executor.on_cores() as f64), connections: None }
     }
