--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -1,16 +1,16 @@
-//! Which queued request starts next.
+//! Selection of the queued request to start next.
 
 use super::{Pools, EPSILON};
 
-/// The first request of a pool that could start.
+/// The first queued request of a pool.
 #[derive(Clone, Copy)]
-struct FirstStartable<T> {
+struct Candidate<T> {
     /// Its position among all queued requests.
     position: usize,
     request: T,
 }
 
-/// Common slots that a pool claims, for its guarantee and for its credit.
+/// The common slots to which a pool is entitled beyond those in use, by its guarantee and its credit.
 #[derive(Clone, Copy)]
 struct Claim {
     pool: usize,
@@ -18,8 +18,9 @@
 }
 
 impl Pools {
-    /// The request that may start next, of those that could: `queued` gives them with their classes, highest
-    /// tier and oldest first. `survivable_runs` is the number of runs that the executor survives for certain.
+    /// Returns the request to start next, if any may start. `queued` yields the queued requests with their classes,
+    /// ordered by tier (highest first), then by age (oldest first). `survivable_runs` is the number of concurrent runs
+    /// that the executor survives for certain.
     pub fn choose<T: Copy>(
         &mut self,
         queued: impl Iterator<Item = (T, usize)>,
@@ -33,67 +34,67 @@
             }
             return None;
         }
-        if self.free() == 0 && !self.can_start_on_reserve() {
-            // Nothing can start, whichever request is first: no need to look for it.
+        if self.free_common_slots() == 0 && !self.can_start_on_reserve() {
+            // Nothing can start, so the queue need not be searched.
             self.limit_reached = true;
             for (account, counts) in self.accounts.iter_mut().zip(&self.counts) {
                 account.wants_slot = counts.queued > 0;
             }
             return None;
         }
-        let firsts = self.first_startable(queued);
-        for (account, first) in self.accounts.iter_mut().zip(&firsts) {
+        let candidates = self.candidates_by_pool(queued);
+        for (account, first) in self.accounts.iter_mut().zip(&candidates) {
             account.wants_slot = first.is_some();
         }
-        self.limit_reached = self.free() == 0 && firsts.iter().any(Option::is_some);
+        self.limit_reached = self.free_common_slots() == 0 && candidates.iter().any(Option::is_some);
         let permitted = self.permitted();
-        self.count_idle_reserve(&permitted);
-        let startable = self.indices().filter(|pool| permitted[*pool]).filter_map(|pool| firsts[pool]);
+        self.count_idle_reserve_waits(&permitted);
+        let startable = self.indices().filter(|pool| permitted[*pool]).filter_map(|pool| candidates[pool]);
         startable.min_by_key(|first| first.position).map(|first| first.request)
     }
 
-    /// Whether the reserve is free and its pool has a request queued.
+    /// Whether a reserved slot is free and the pool that owns the reserve has a queued request.
     fn can_start_on_reserve(&self) -> bool {
         let Some(reserve) = self.plan.reserve else { return false };
         self.reserve_is_free(reserve.pool) && self.queued(reserve.pool) > 0
     }
 
-    /// By pool: the first of its requests that could start.
-    fn first_startable<T: Copy>(
+    /// Returns the first queued request of each pool, indexed by pool.
+    fn candidates_by_pool<T: Copy>(
         &self,
         queued: impl Iterator<Item = (T, usize)>,
-    ) -> Vec<Option<FirstStartable<T>>> {
-        let mut firsts: Vec<Option<FirstStartable<T>>> = vec![None; self.plan.pools.len()];
+    ) -> Vec<Option<Candidate<T>>> {
+        let mut candidates: Vec<Option<Candidate<T>>> = vec![None; self.plan.pools.len()];
         let mut missing = self.indices().filter(|pool| self.queued(*pool) > 0).count();
         for (position, (request, class)) in queued.enumerate() {
             if missing == 0 {
                 break;
             }
-            let first = &mut firsts[self.pool_of(class)];
+            let first = &mut candidates[self.pool_of(class)];
             if first.is_none() {
-                *first = Some(FirstStartable { position, request });
+                *first = Some(Candidate { position, request });
                 missing -= 1;
             }
         }
-        firsts
+        candidates
     }
 
-    /// Counts pools whose request waits although a slot of their reserve is free. A pool whose own runs at calls fill its
-    /// part of the survivable runs is not counted: it waits for its own runs.
-    fn count_idle_reserve(&mut self, permitted: &[bool]) {
+    /// Counts pools whose request waits although one of their reserved slots is free. A pool that has used up its own
+    /// survivable runs, for example with runs at calls, is not counted: it waits for its own runs.
+    fn count_idle_reserve_waits(&mut self, permitted: &[bool]) {
         let waits = |pool: &usize| {
             let wants = self.accounts[*pool].wants_slot && !permitted[*pool];
-            wants && self.reserve_is_free(*pool) && self.own_runs_left(*pool) > 0
+            wants && self.reserve_is_free(*pool) && self.remaining_own_runs(*pool) > 0
         };
         self.idle_reserve_waits += self.indices().filter(waits).count() as u64;
     }
 
-    /// By pool: whether it may start a run now.
+    /// Whether each pool may start a run now, indexed by pool.
     fn permitted(&self) -> Vec<bool> {
-        // The reserve stands open even where a limit that fell leaves no common slot.
-        let takes_reserve = |pool| self.can_start(pool) && self.reserve_is_free(pool);
-        let mut permitted: Vec<bool> = self.indices().map(takes_reserve).collect();
-        let mut free = self.free();
+        // The reserve stays usable even if the limit has fallen so far that no common slot is free.
+        let can_use_reserve = |pool| self.can_start(pool) && self.reserve_is_free(pool);
+        let mut permitted: Vec<bool> = self.indices().map(can_use_reserve).collect();
+        let mut free = self.free_common_slots();
         if free == 0 {
             return permitted;
         }
@@ -103,33 +104,33 @@
                 return permitted;
             }
             permitted[claim.pool] = true;
-            // More than one of a pool may start before the next choice; its claim covers so many.
+            // Earmark as many slots as the claim covers: several requests of the pool may start before the next choice.
             let claimed = (claim.slots.ceil() as usize).min(self.queued(claim.pool)).max(1);
             free = free.saturating_sub(claimed);
         }
         if free > 0 {
-            for pool in self.pools_for_unclaimed(mean_run_s) {
+            for pool in self.pools_for_unclaimed_slots(mean_run_s) {
                 permitted[pool] = true;
             }
         }
         permitted
     }
 
-    /// Whether a pool has a request to start, and the run is survived.
+    /// Whether a pool has a request to start and the number of runs stays survivable.
     fn can_start(&self, pool: usize) -> bool {
         self.accounts[pool].wants_slot && self.has_room_for_run(pool)
     }
 
     fn can_use_common(&self, pool: usize) -> bool {
-        self.can_start(pool) && self.used(pool) < self.ceiling(pool)
+        self.can_start(pool) && self.common_in_use(pool) < self.ceiling(pool)
     }
 
     fn claim(&self, pool: usize, mean_run_s: f64) -> Claim {
         let credit = self.accounts[pool].credit_slot_s / mean_run_s;
-        Claim { pool, slots: self.guarantee(pool) + credit - self.used(pool) as f64 }
+        Claim { pool, slots: self.guarantee(pool) + credit - self.common_in_use(pool) as f64 }
     }
 
-    /// The claims on common slots, the largest first.
+    /// Returns the claims on common slots, largest first.
     fn claims(&self, mean_run_s: f64) -> Vec<Claim> {
         let pools = self.indices().filter(|pool| self.can_use_common(*pool));
         let claims = pools.map(|pool| self.claim(pool, mean_run_s));
@@ -138,23 +139,24 @@
         claims
     }
 
-    /// The pools that may use what nobody claims: those under their part by weight; where none is, all that want
-    /// some.
-    fn pools_for_unclaimed(&self, mean_run_s: f64) -> Vec<usize> {
+    /// Returns the pools that may use unclaimed slots: those below their fair share, or all that want slots if none is
+    /// below it.
+    fn pools_for_unclaimed_slots(&self, mean_run_s: f64) -> Vec<usize> {
         let pools = self.indices().filter(|pool| self.can_use_common(*pool));
         let others: Vec<usize> =
             pools.filter(|pool| self.claim(*pool, mean_run_s).slots <= EPSILON).collect();
-        let under: Vec<usize> = others.iter().copied().filter(|pool| self.is_under_part(*pool)).collect();
-        if under.is_empty() {
+        let below_share: Vec<usize> =
+            others.iter().copied().filter(|pool| self.is_below_fair_share(*pool)).collect();
+        if below_share.is_empty() {
             others
         } else {
-            under
+            below_share
         }
     }
 
-    /// Whether one more run leaves a pool within its part, by weight, of what no guarantee claims.
-    fn is_under_part(&self, pool: usize) -> bool {
-        let part = self.part(pool, |other| self.accounts[other].wants_slot);
-        self.used(pool) as f64 + 0.5 <= part
+    /// Whether a pool is at least half a slot below its fair share, so that one more run does not exceed it when rounded.
+    fn is_below_fair_share(&self, pool: usize) -> bool {
+        let share = self.fair_share(pool, |other| self.accounts[other].wants_slot);
+        self.common_in_use(pool) as f64 + 0.5 <= share
     }
 }
--- a/src/pools/counts.rs
+++ b/src/pools/counts.rs
@@ -1,19 +1,19 @@
-//! Counts of requests by where they are.
+//! Numbers of requests by place: queued, on the cores or at a downstream call.
 
 use std::ops::AddAssign;
 
-/// Where a request is, as far as pools count it.
+/// The place of a request, for the accounting of pools.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// It waits for a run slot.
+    /// Waiting for a run slot.
     Queued,
-    /// It runs on the cores: this takes a slot.
+    /// Running on the cores. Occupies a run slot.
     OnCores,
-    /// Its run waits for a downstream call or is in one: off the cores, to which it will come back.
+    /// Started, and waiting for or making a downstream call. Occupies no slot, but will return to the cores.
     AtCall,
 }
 
-/// Requests of a class, of a pool, or of all pools.
+/// Request counts of a class, of a pool, or of all pools.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Counts {
     pub(super) queued: usize,
@@ -22,23 +22,23 @@
 }
 
 impl Counts {
-    /// Runs that have started and not ended.
-    pub(super) fn started(&self) -> usize {
+    /// Number of runs that have started and not ended.
+    pub(super) fn runs_in_progress(&self) -> usize {
         self.on_cores + self.at_call
     }
 
-    /// Moves one request; `None` is a place that does not count.
-    pub(super) fn move_one(&mut self, from: Option<Place>, to: Option<Place>) {
+    /// Counts one request that moved; `None` stands for a place that is not counted.
+    pub(super) fn record_transition(&mut self, from: Option<Place>, to: Option<Place>) {
         if let Some(place) = from {
-            let count = self.at(place);
+            let count = self.count_mut(place);
             *count = count.saturating_sub(1);
         }
         if let Some(place) = to {
-            *self.at(place) += 1;
+            *self.count_mut(place) += 1;
         }
     }
 
-    fn at(&mut self, place: Place) -> &mut usize {
+    fn count_mut(&mut self, place: Place) -> &mut usize {
         match place {
             Place::Queued => &mut self.queued,
             Place::OnCores => &mut self.on_cores,
--- a/src/pools/limit/baseline.rs
+++ b/src/pools/limit/baseline.rs
@@ -1,28 +1,28 @@
-//! The baseline of run lengths: how long the runs of a class take without contention.
+//! Baseline run lengths: the mean length of the runs of each class without contention.
 
 use super::run_totals::RunTotals;
 
-/// A baseline is the mean of so many ended runs.
+/// Number of ended runs over which a baseline is averaged.
 pub(super) const BASELINE_RUNS: f64 = 64.0;
-/// Ended runs of a class before its own baseline counts.
+/// Number of ended runs of a class from which its baseline is used as evidence.
 const MIN_KNOWN_RUNS: f64 = 4.0;
-/// A class without ended runs has this weight in the mean.
+/// Weight in the mean of a class without ended runs (runs).
 const MIN_MEAN_WEIGHT: f64 = 0.1;
 
-/// A slowdown is smoothed by this share a window.
+/// Smoothing factor of the slowdown, per window.
 const SLOWDOWN_GAIN: f64 = 0.4;
-/// A smoothed slowdown under this proves the baselines too long, whatever the contention. One window is noise (a sixth
-/// of the mean for sixteen runs), and would make them sink for good.
+/// A smoothed slowdown below this shows that the baselines are too long, whatever the contention. A single window is too
+/// noisy (its error is a sixth of the mean for sixteen runs) and would shorten the baselines permanently.
 const MIN_SMOOTHED_SLOWDOWN: f64 = 0.82;
 
 /// The baseline of one class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Baseline {
     pub(super) length_s: f64,
-    /// The ended runs that it stands on, up to what counts.
+    /// Number of ended runs behind it, at most [`BASELINE_RUNS`].
     pub(super) runs: f64,
-    /// It stems from windows without contention; else contention may have a part in it, and the first such
-    /// window replaces it.
+    /// Whether it was measured without contention. If not, contention may have lengthened it, and the first window without
+    /// contention replaces it.
     pub(super) uncontended: bool,
 }
 
@@ -32,7 +32,7 @@
         (self.runs >= MIN_KNOWN_RUNS).then_some(self.length_s)
     }
 
-    fn learn(&mut self, totals: RunTotals, uncontended: bool) {
+    fn update(&mut self, totals: RunTotals, uncontended: bool) {
         if totals.runs == 0.0 {
             return;
         }
@@ -43,7 +43,7 @@
         } else if uncontended || !self.uncontended {
             totals.runs / (self.runs + totals.runs)
         } else {
-            // Runs that are longer under contention are so because of it.
+            // Contention lengthens runs, so these say nothing about an uncontended baseline.
             return;
         };
         self.length_s += (mean_s - self.length_s) * share;
@@ -60,10 +60,11 @@
 }
 
 impl Baselines {
-    /// First guesses (seconds).
-    pub(super) fn new(lengths_s: &[f64]) -> Self {
-        let guess = |length_s: &f64| Baseline { length_s: length_s.max(1e-6), runs: 0.0, uncontended: false };
-        Baselines { by_class: lengths_s.iter().map(guess).collect(), smoothed_slowdown: 1.0 }
+    /// Creates baselines from initial estimates, by class (seconds).
+    pub(super) fn new(initial_lengths_s: &[f64]) -> Self {
+        let initial =
+            |length_s: &f64| Baseline { length_s: length_s.max(1e-6), runs: 0.0, uncontended: false };
+        Baselines { by_class: initial_lengths_s.iter().map(initial).collect(), smoothed_slowdown: 1.0 }
     }
 
     pub(super) fn get(&self, class: usize) -> Option<&Baseline> {
@@ -74,7 +75,7 @@
         self.by_class.iter()
     }
 
-    /// The mean over all classes, by ended runs (seconds).
+    /// Mean over all classes, weighted by ended runs (seconds).
     pub(super) fn mean_s(&self) -> f64 {
         let mut sum = 0.0;
         let mut weights = 0.0;
@@ -90,14 +91,14 @@
         }
     }
 
-    /// Learns from the ended runs of a window, by class.
-    pub(super) fn learn(&mut self, ended: &[RunTotals], uncontended: bool) {
+    /// Updates the baselines with the ended runs of a window, by class.
+    pub(super) fn update(&mut self, ended: &[RunTotals], uncontended: bool) {
         for (baseline, totals) in self.by_class.iter_mut().zip(ended) {
-            baseline.learn(*totals, uncontended);
+            baseline.update(*totals, uncontended);
         }
     }
 
-    /// Shortens all baselines when runs have been shorter than them for several windows.
+    /// Shortens all baselines if runs have been shorter than these over several windows.
     pub(super) fn correct(&mut self, slowdown: f64) {
         self.smoothed_slowdown += (slowdown - self.smoothed_slowdown) * SLOWDOWN_GAIN;
         if self.smoothed_slowdown >= MIN_SMOOTHED_SLOWDOWN {
@@ -109,8 +110,8 @@
         self.smoothed_slowdown = 1.0;
     }
 
-    /// Lets the next windows change the baselines, whatever the contention in them.
-    pub(super) fn reopen(&mut self) {
+    /// Marks the baselines as measured under contention, so that windows with contention update them too.
+    pub(super) fn mark_contended(&mut self) {
         for baseline in &mut self.by_class {
             baseline.uncontended = false;
         }
--- a/src/pools/limit/calibration.rs
+++ b/src/pools/limit/calibration.rs
@@ -1,29 +1,29 @@
-//! Calibration: a phase of few runs, in which the baseline of run lengths is measured (BBR's `PROBE_RTT`;
-//! Cardwell et al. 2016).
+//! Calibration: a period of low concurrency in which baseline run lengths are measured, like `PROBE_RTT` of BBR
+//! (Cardwell et al. 2016).
 
 use crate::interface::PoolLimitCause;
 
-/// Each phase before the measurement lasts so many reviews at most.
+/// Longest duration of each phase before the measurement, in review intervals.
 const MAX_PHASE_REVIEWS: f64 = 4.0;
-/// Runs settle for so many mean runs.
+/// Duration of the settling phase, in mean run lengths.
 const SETTLE_RUNS: f64 = 2.0;
 
 /// The phases of a calibration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Earlier runs leave the cores. The last of them are the longest: their ends would distort the mean.
+    /// Runs from before the calibration end. The last of them are the longest and would distort the mean.
     Draining,
-    /// The first few runs end, and others begin at different times: of runs that all began together only the
-    /// short ones would have ended.
+    /// The first runs of the calibration end, so that their successors start at different times. Of runs that started
+    /// together, only the short ones would have ended within the measurement.
     Settling,
-    /// Lengths are measured.
+    /// Run lengths are measured.
     Measuring,
 }
 
 /// A calibration in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Calibration {
-    /// The limit to come back to, and its cause.
+    /// The limit to restore afterwards, and its cause.
     pub(super) resume_limit: usize,
     pub(super) resume_cause: PoolLimitCause,
     pub(super) phase: Phase,
@@ -36,7 +36,7 @@
         Calibration { resume_limit, resume_cause, phase: Phase::Draining, phase_s: 0.0 }
     }
 
-    /// Time passes; `drained` means that no more runs are on the cores than the lower bound of the limit.
+    /// Advances time. `drained` tells that no more runs than the lower bound of the limit are on the cores.
     pub(super) fn advance(&mut self, elapsed_s: f64, drained: bool, mean_run_s: f64, review_s: f64) {
         self.phase_s += elapsed_s;
         let overdue = self.phase_s >= MAX_PHASE_REVIEWS * review_s;
--- a/src/pools/limit/mod.rs
+++ b/src/pools/limit/mod.rs
@@ -1,18 +1,18 @@
-//! How many runs at once the executor is worth: a limit that follows measured throughput.
+//! Adaptive concurrency limit: the number of run slots follows the measured throughput of the executor.
 //!
-//! Little's law in slots: over a review window, `N` runs were on the cores in the mean, and those that ended took
-//! `slowdown` times their baseline length; so the cores did the work of `N / slowdown` slots at full speed. That rate,
-//! smoothed, is the capacity; the limit is the capacity and a little more, so that a rise can show (TCP Vegas' alpha;
-//! Brakmo and Peterson 1995).
+//! By Little's law, if `N` runs were on the cores on average over a review window and the runs that ended took `slowdown`
+//! times their baseline length, the executor did the work of `N / slowdown` slots at full speed. The capacity is this rate,
+//! smoothed. The limit is the capacity plus some headroom, in which an increase of throughput can show (like alpha of TCP
+//! Vegas; Brakmo and Peterson 1995).
 //!
-//! The baseline length of a class is measured only without contention, that is while no more runs than the lower bound
-//! of the limit are on the cores, or by runs that are shorter still. Where that does not happen by itself for four
-//! windows, the limit goes under its lower bound for a calibration. A windowed minimum over noisy lengths would take
-//! all contention for a gain (docs/design/01-class-pools.md has the figures).
+//! The baseline run length of a class is measured only without contention, that is while no more runs than the lower bound
+//! of the limit are on the cores, or by runs that are shorter still. If no such window has occurred for four windows, the
+//! limit is lowered below its lower bound for a calibration. A minimum over a window of noisy lengths would not do: it
+//! would count all contention as gained throughput (docs/design/01-class-pools.md has the figures).
 //!
-//! Runs that take longer than their number explains mean that the executor has slowed: the limit falls to its lower
-//! bound at once, what was learned of the capacity is kept, and the limit doubles its way back when runs are as long as
-//! their baseline again.
+//! Runs that take longer than the number of concurrent runs explains show that the executor has slowed down. The limit
+//! then falls to its lower bound immediately and the learned capacity is kept. Once runs are as long as their baseline
+//! again, the limit doubles in each review until it is back.
 
 mod baseline;
 mod calibration;
@@ -20,9 +20,9 @@
 mod run_totals;
 mod settings;
 mod slot_limit;
-mod verdict;
 mod window;
+mod window_assessment;
 
 pub use settings::LimitSettings;
 pub use slot_limit::SlotLimit;
-pub use window::Measured;
+pub use window::Measurements;
--- a/src/pools/limit/run_totals.rs
+++ b/src/pools/limit/run_totals.rs
@@ -1,6 +1,6 @@
-//! Sums over ended runs.
+//! Totals of ended runs.
 
-/// Ended runs and their time on the cores.
+/// Number of ended runs and their total time on the cores.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RunTotals {
     pub(super) length_s: f64,
@@ -8,7 +8,7 @@
 }
 
 impl RunTotals {
-    /// Counts a run of this length (seconds).
+    /// Adds a run of this length (seconds).
     pub(super) fn add(&mut self, length_s: f64) {
         self.length_s += length_s;
         self.runs += 1.0;
--- a/src/pools/limit/settings.rs
+++ b/src/pools/limit/settings.rs
@@ -1,18 +1,18 @@
-//! Bounds and pace of the limit.
+//! Settings of the limit.
 
-/// Bounds and pace of the limit; see [`crate::interface::PoolPlan`].
+/// Bounds and review interval of the limit; see [`crate::interface::PoolPlan`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitSettings {
     /// Lower bound of the limit.
     pub min_slots: usize,
     /// Upper bound of the limit.
     pub max_slots: usize,
-    /// How long measurements are believed (seconds).
+    /// How long measurements are used (seconds).
     pub window_s: f64,
-    /// How often the limit is reviewed (seconds).
+    /// Interval at which the limit is reviewed (seconds).
     pub review_s: f64,
-    /// Ended runs that a review needs.
+    /// Least number of ended runs for a review.
     pub min_samples: f64,
-    /// Runs that take so many times what their number explains mean that the executor has slowed.
+    /// Ratio of measured to expected run length above which the executor counts as slowed down.
     pub slow_ratio: f64,
 }
--- a/src/pools/limit/window.rs
+++ b/src/pools/limit/window.rs
@@ -1,32 +1,32 @@
-//! The evidence of one review window.
+//! Measurements of one review window.
 
 use super::run_totals::RunTotals;
 
-/// What was measured since the last review.
+/// Totals since the last review.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReviewWindow {
     pub(super) span_s: f64,
-    /// Time on the cores of all that ran.
+    /// Total time of all runs on the cores.
     pub(super) core_time_s: f64,
-    /// For how long more would have run if the limit had let them.
+    /// Time for which requests waited because of the limit.
     pub(super) limit_reached_s: f64,
-    /// Ended runs, by their length.
+    /// Totals of ended runs.
     ended: RunTotals,
-    /// What ended runs take by their baselines, and the sum of the squares.
+    /// Sum of the baseline lengths of ended runs, and the sum of their squares.
     pub(super) ended_baseline_s: f64,
     ended_baseline_squared: f64,
-    /// Ended runs, by class.
+    /// Totals of ended runs, by class.
     pub(super) ended_by_class: Vec<RunTotals>,
 }
 
-/// The measurements of a window, for the log and the status.
+/// Measurements of a window, for the log and the status.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Measured {
-    /// Ended runs a second.
+pub struct Measurements {
+    /// Ended runs per second.
     pub rate_per_s: f64,
     /// Mean length of ended runs (seconds).
     pub run_s: f64,
-    /// What those runs take by their baselines (seconds).
+    /// Mean baseline length of those runs (seconds).
     pub baseline_s: f64,
     /// Mean number of runs on the cores.
     pub on_cores: f64,
@@ -37,7 +37,7 @@
         ReviewWindow { ended_by_class: vec![RunTotals::default(); classes], ..ReviewWindow::default() }
     }
 
-    /// Time passes with so many runs on the cores.
+    /// Advances time with this number of runs on the cores.
     pub(super) fn advance(&mut self, elapsed_s: f64, on_cores: usize, limit_reached: bool) {
         self.span_s += elapsed_s;
         self.core_time_s += on_cores as f64 * elapsed_s;
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Counts an ended run. A run of a class without a known baseline is no evidence of the speed.
+    /// Counts an ended run. If the baseline of its class is not known, its own length is taken, so that it is no
+    /// evidence of a slowdown.
     pub(super) fn run_ended(&mut self, class: usize, length_s: f64, known_baseline_s: Option<f64>) {
         let Some(of_class) = self.ended_by_class.get_mut(class) else { return };
         of_class.add(length_s);
@@ -56,8 +57,8 @@
         self.ended.add(length_s);
     }
 
-    /// How many runs of one length would be as much evidence as those that ended (Kish's effective sample size): among
-    /// many short runs the few long ones decide the sum of lengths.
+    /// Kish's effective sample size: the number of runs of equal length that would be as much evidence as those that
+    /// ended. Among many short runs, a few long ones dominate the sum of lengths.
     pub(super) fn effective_samples(&self) -> f64 {
         if self.ended_baseline_squared > 0.0 {
             self.ended_baseline_s.powi(2) / self.ended_baseline_squared
@@ -66,7 +67,7 @@
         }
     }
 
-    /// How many times their baseline ended runs took.
+    /// Ratio of the length of the ended runs to their baselines.
     pub(super) fn slowdown(&self) -> f64 {
         if self.ended_baseline_s > 0.0 {
             self.ended.length_s / self.ended_baseline_s
@@ -75,18 +76,18 @@
         }
     }
 
-    /// The mean number of runs on the cores.
+    /// Mean number of runs on the cores.
     pub(super) fn mean_on_cores(&self) -> f64 {
         self.core_time_s / self.span_s
     }
 
-    /// The measurements of the window, if it has lasted.
-    pub(super) fn measured(&self) -> Option<Measured> {
+    /// The measurements of the window; `None` if no time has passed in it.
+    pub(super) fn measurements(&self) -> Option<Measurements> {
         if self.span_s <= 0.0 {
             return None;
         }
         let ended = self.ended.runs;
-        Some(Measured {
+        Some(Measurements {
             rate_per_s: ended / self.span_s,
             run_s: if ended > 0.0 { self.ended.length_s / ended } else { 0.0 },
             baseline_s: if ended > 0.0 { self.ended_baseline_s / ended } else { 0.0 },
--- a/src/pools/limit/verdict.rs
+++ b/src/pools/limit/window_assessment.rs
@@ -1,40 +1,40 @@
-//! What a closed review window shows.
+//! Assessment of a closed review window.
 
 use super::settings::LimitSettings;
 use super::window::ReviewWindow;
 
-/// The limit counts as reached in a window when it was so for this share of it.
+/// Share of a window for which the limit must have been reached for the window to count as at the limit.
 const LIMIT_REACHED_SHARE: f64 = 0.5;
-/// A window is uncontended with so many runs more than the lower bound on the cores, in the mean.
+/// Mean number of runs above the lower bound of the limit up to which a window counts as uncontended.
 const UNCONTENDED_MARGIN: f64 = 0.5;
 
-/// How long runs took, against what their number explains.
+/// Measured run lengths, compared with those expected from the number of concurrent runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Speed {
-    /// Too few runs have ended to go by.
+    /// Too few runs have ended to tell.
     Unknown,
-    /// As long as their number explains.
+    /// As long as expected.
     Normal,
-    /// Longer than their number explains.
+    /// Longer than expected.
     Slow,
 }
 
-/// What a closed window shows.
+/// The assessment of a closed window.
 #[derive(Clone, Copy)]
-pub(super) struct Verdict {
+pub(super) struct WindowAssessment {
     pub(super) speed: Speed,
-    /// The mean number of runs on the cores.
+    /// Mean number of runs on the cores.
     pub(super) on_cores: f64,
-    /// How many times their baseline ended runs took.
+    /// Ratio of the length of the ended runs to their baselines.
     pub(super) slowdown: f64,
-    /// More would have run if the limit had let them.
+    /// Whether requests waited because of the limit.
     pub(super) limit_reached: bool,
-    /// No more runs were on the cores than the lower bound of the limit.
+    /// Whether no more runs than the lower bound of the limit were on the cores.
     pub(super) uncontended: bool,
 }
 
-impl Verdict {
-    /// Judges a window. `is_first` marks one in which only short runs can have ended: its lengths are no baselines.
+impl WindowAssessment {
+    /// Assesses a window. `is_first` marks one in which only short runs can have ended, so that it yields no baselines.
     pub(super) fn new(
         window: &ReviewWindow,
         settings: &LimitSettings,
@@ -52,7 +52,7 @@
         } else {
             Speed::Normal
         };
-        Verdict {
+        WindowAssessment {
             speed,
             on_cores,
             slowdown,
@@ -62,7 +62,7 @@
     }
 }
 
-/// How many times their baseline runs take with so many on the cores, by the capacity alone.
+/// Expected ratio of run length to baseline with this number of runs on the cores, by the capacity alone.
 pub(super) fn expected_slowdown(on_cores: f64, capacity: f64) -> f64 {
     (on_cores / capacity).max(1.0)
 }
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -1,16 +1,16 @@
-//! Class pools: who may have a run slot when slots are short, and how many slots there are.
+//! Class pools: the number of run slots, and their division among classes of requests.
 //!
-//! The admission controller uses them as one of its limits: [`Pools::choose`] returns the request that may start
-//! next, [`Pools::expected_slots`] the slots on which an arrival of a class can count, [`Pools::is_queue_full`]
-//! whether its queue is at capacity. The controller passes in every change of a request's place ([`Pools::record_transition`]),
-//! every ended run ([`Pools::run_ended`]) and the time ([`Pools::advance`]). Nothing here reads a clock, draws at
-//! random or does input or output.
+//! The admission controller uses them as one of its limits: [`Pools::choose`] returns the request to start next,
+//! [`Pools::expected_slots`] the number of slots that an arrival of a class can expect, [`Pools::is_queue_full`] whether
+//! its queue is at capacity. The controller reports every change of a request's place ([`Pools::record_transition`]),
+//! every ended run ([`Pools::run_ended`]) and the passage of time ([`Pools::advance`]). Nothing here reads a clock, draws
+//! random numbers or performs I/O.
 //!
-//! Slots are divided so: the reserve belongs to one pool, and no other pool ever uses it; the rest are common. Of the
-//! common slots each pool has its guarantee whenever it wants it; what it does not want is lent to others. A pool that
-//! wants its guarantee and does not get it, since running work can't be stopped, gets a credit of the slot seconds that
-//! it missed, and goes first until the credit is used up. What no guarantee claims is divided by weight among the pools
-//! that want some. Among pools that may start, the highest tier's oldest request goes first.
+//! The reserve belongs to one pool and is never used by another; the remaining slots are common. Each pool gets its
+//! guarantee of the common slots whenever it wants them, and lends what it does not want. Running work can't be stopped,
+//! so a pool may have to wait for slots of its guarantee: the slot seconds that it misses are its credit, and it takes
+//! precedence until the credit is used up. Slots that no guarantee claims are divided by weight among the pools that want
+//! them. Among the pools that may start a run, the oldest request of the highest tier starts first.
 #![warn(missing_docs)]
 
 mod choice;
@@ -30,41 +30,41 @@
 use credit::Account;
 use limit::{LimitSettings, SlotLimit};
 
-/// Rounding of slot counts.
+/// Tolerance for rounding errors in fractional slot counts.
 const EPSILON: f64 = 1e-9;
 
 /// The pools of one worker.
 #[derive(Clone, Debug)]
 pub struct Pools {
     plan: PoolPlan,
-    /// By class, which a new plan leaves as they are.
+    /// By class. Unlike the pools, the classes are the same in every plan.
     classes: Vec<Counts>,
-    /// By pool: sums over its classes.
+    /// By pool: the sums over its classes.
     counts: Vec<Counts>,
     /// The sum over all classes.
     all: Counts,
     /// By pool.
     accounts: Vec<Account>,
     limit: SlotLimit,
-    /// The runs that the executor survives for certain, as of the last call.
+    /// Number of concurrent runs that the executor survives for certain, as of the last call.
     survivable_runs: usize,
-    /// More would run if the limit let them.
+    /// Whether requests wait only because of the limit.
     limit_reached: bool,
-    /// How often a request of the reserve's pool was left waiting with a reserved slot free.
+    /// How often a request of the pool that owns the reserve waited although a reserved slot was free.
     idle_reserve_waits: u64,
     report: report::Report,
 }
 
 impl Pools {
-    /// Pools without requests; `lengths_s` are first guesses of the classes' run lengths (seconds).
+    /// Creates pools without requests. `initial_lengths_s` are initial estimates of the run lengths, by class (seconds).
     #[must_use]
-    pub fn new(plan: PoolPlan, lengths_s: &[f64], survivable_runs: usize) -> Pools {
+    pub fn new(plan: PoolPlan, initial_lengths_s: &[f64], survivable_runs: usize) -> Pools {
         Pools {
-            classes: vec![Counts::default(); lengths_s.len()],
+            classes: vec![Counts::default(); initial_lengths_s.len()],
             counts: vec![Counts::default(); plan.pools.len()],
             all: Counts::default(),
             accounts: vec![Account::default(); plan.pools.len()],
-            limit: SlotLimit::new(limit_settings(&plan), lengths_s),
+            limit: SlotLimit::new(limit_settings(&plan), initial_lengths_s),
             plan,
             survivable_runs,
             limit_reached: false,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Takes up another plan while runs are in flight. Counts are kept by class, so none is lost; what the
-    /// limit has learned stays, and a pool that keeps its name keeps its credit.
+    /// Replaces the plan, also while runs are in progress. Requests are counted by class, so no count is lost. The limit
+    /// keeps what it has learned, and a pool of the same name keeps its credit and counters.
     pub fn apply_plan(&mut self, plan: PoolPlan) {
         let account_of = |name: &str| {
             let index = self.plan.pools.iter().position(|pool| pool.name == name);
@@ -92,21 +92,21 @@
         self.report.limit_changed(before);
     }
 
-    /// A request of this class has gone from one place to another; `None` is a place that does not count.
+    /// Records that a request of this class changed its place; `None` stands for a place that is not counted.
     pub fn record_transition(&mut self, class: usize, from: Option<Place>, to: Option<Place>) {
         let pool = self.pool_of(class);
         let (Some(of_class), Some(of_pool)) = (self.classes.get_mut(class), self.counts.get_mut(pool)) else {
             return;
         };
-        of_class.move_one(from, to);
-        of_pool.move_one(from, to);
-        self.all.move_one(from, to);
+        of_class.record_transition(from, to);
+        of_pool.record_transition(from, to);
+        self.all.record_transition(from, to);
         if (from, to) == (Some(Place::Queued), Some(Place::OnCores)) {
             self.accounts[pool].started += 1;
         }
     }
 
-    /// A run of this class has ended after so long on the cores (seconds).
+    /// Records the end of a run of this class; `length_s` is its time on the cores (seconds).
     pub fn run_ended(&mut self, class: usize, length_s: f64) {
         self.limit.run_ended(class, length_s);
     }
@@ -117,7 +117,7 @@
         self.accounts[pool].rejected += 1;
     }
 
-    /// Reviews the limit; to be called with each wake-up.
+    /// Reviews the limit. To be called at each wake-up.
     pub fn review(&mut self, now: f64, survivable_runs: usize) {
         self.survivable_runs = survivable_runs;
         let before = self.limit();
@@ -130,7 +130,7 @@
         self.report.update(now, &self.limit, &self.plan, &queues);
     }
 
-    /// Events since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<AdmissionEvent> {
         self.report.take()
     }
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -1,11 +1,11 @@
-//! What operators see of the pools: events for the log, and the state as one value for a status command.
+//! Reporting of the pools to operators: events for the log, and the state as one value for a status command.
 
 use super::limit::SlotLimit;
 use super::Pools;
 use crate::interface::{AdmissionEvent, PoolItem, PoolLimitCause, PoolLimitChange, PoolPlan};
 use serde::Serialize;
 
-/// Shortest time between two events of a kind about one pool (seconds).
+/// Shortest interval between two events of the same kind about the same pool (seconds).
 const EVENT_INTERVAL_S: f64 = 1.0;
 
 /// The state of all pools. Slots are run slots on the cores; times are seconds.
@@ -15,44 +15,44 @@
     pub limit_slots: usize,
     /// What set the limit.
     pub cause: &'static str,
-    /// Slots at full speed that the executor is worth.
+    /// Estimated capacity of the executor (slots at full speed).
     pub capacity_slots: f64,
-    /// Ended runs a second, in the last review window.
+    /// Ended runs per second in the last review window.
     pub rate_per_s: f64,
     /// The mean length of those runs.
     pub run_s: f64,
-    /// The length that they have without contention.
+    /// The mean length of those runs by their baselines, that is without contention.
     #[serde(rename = "usual_run_s")]
     pub baseline_run_s: f64,
-    /// How often a request of the reserve's pool was left waiting with a reserved slot free.
+    /// How often a request of the pool that owns the reserve waited although a reserved slot was free.
     #[serde(rename = "reserve_kept")]
     pub idle_reserve_waits: u64,
-    /// Pools by number.
+    /// The pools, by index.
     pub pools: Vec<PoolState>,
 }
 
 /// The state of one pool.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PoolState {
-    /// The name in the operator's file.
+    /// Its name in the operator's file.
     pub name: String,
     /// Queued requests.
     #[serde(rename = "held")]
     pub queued: usize,
     /// Runs on the cores.
     pub on_cores: usize,
-    /// Runs that wait for a downstream call or are in one.
+    /// Runs waiting for or making a downstream call.
     pub at_calls: usize,
-    /// Common slots that the pool has whenever it wants them.
+    /// Common slots that the pool gets whenever it wants them.
     pub guarantee_slots: f64,
-    /// Common slots that it uses at most.
+    /// Largest number of common slots that it may use.
     pub ceiling_slots: usize,
-    /// Slots that only this pool uses.
+    /// Slots that only this pool may use.
     pub reserve_slots: usize,
-    /// Common slots beyond the guarantee.
+    /// Common slots in use beyond the guarantee.
     pub borrowed_slots: f64,
-    /// Slot seconds that the pool missed and may make up for; below 0 it had more than its guarantee while others
-    /// went short.
+    /// Slot seconds that the pool missed and may still use. Negative (a debt) if it used more than its guarantee while
+    /// others got less than theirs.
     #[serde(rename = "owed_slot_s")]
     pub credit_slot_s: f64,
     /// Started runs.
@@ -69,31 +69,31 @@
     pub(super) rejected: u64,
 }
 
-/// When a pool's rejections were last reported, and how many there were by then.
+/// The last report of a pool's rejections: its time, and the total by then.
 #[derive(Clone, Copy, Debug)]
 struct ReportedRejections {
     at: f64,
     rejected: u64,
 }
 
-/// Events that wait to be taken.
+/// Pending events, and what was last reported.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Report {
     events: Vec<AdmissionEvent>,
-    /// The limit before the changes that no event reports yet.
-    limit_before: Option<usize>,
+    /// The limit before the changes that have not been reported yet.
+    previous_limit: Option<usize>,
     limit_reported_at: Option<f64>,
     /// By pool.
     rejections: Vec<ReportedRejections>,
 }
 
 impl Report {
-    /// Notes that the limit has changed from this one.
+    /// Records that the limit has changed; `before` is its previous value.
     pub(super) fn limit_changed(&mut self, before: usize) {
-        self.limit_before.get_or_insert(before);
+        self.previous_limit.get_or_insert(before);
     }
 
-    /// Adds the events that are due.
+    /// Adds the events that are due at `now`.
     pub(super) fn update(&mut self, now: f64, limit: &SlotLimit, plan: &PoolPlan, queues: &[QueueCounts]) {
         self.report_limit(now, limit);
         self.rejections.resize(queues.len(), ReportedRejections { at: f64::NEG_INFINITY, rejected: 0 });
@@ -103,29 +103,31 @@
     }
 
     fn report_limit(&mut self, now: f64, limit: &SlotLimit) {
-        // A calibration is over within a window or two: the executor is taken to be worth what it was.
+        // A calibration lasts a window or two and leaves the estimated capacity as it was: not worth an event.
         let due = self.limit_reported_at.is_none_or(|at| is_due(now, at));
         if !due || limit.cause() == PoolLimitCause::Calibration {
             return;
         }
-        let Some(before) = self.limit_before.take().filter(|before| *before != limit.slots()) else { return };
-        let measured = limit.measured();
+        let Some(before) = self.previous_limit.take().filter(|before| *before != limit.slots()) else {
+            return;
+        };
+        let measurements = limit.measurements();
         self.limit_reported_at = Some(now);
         self.events.push(AdmissionEvent::PoolLimitChanged(PoolLimitChange {
             limit: limit.slots(),
             previous: before,
             cause: limit.cause(),
             capacity: limit.capacity(),
-            rate_per_s: measured.rate_per_s,
-            run_s: measured.run_s,
-            baseline_run_s: measured.baseline_s,
-            on_cores: measured.on_cores,
+            rate_per_s: measurements.rate_per_s,
+            run_s: measurements.run_s,
+            baseline_run_s: measurements.baseline_s,
+            on_cores: measurements.on_cores,
         }));
     }
 
     fn report_rejections(&mut self, now: f64, pool: usize, item: &PoolItem, queue: QueueCounts) {
         let reported = &mut self.rejections[pool];
-        // A new plan may have begun the count anew.
+        // A new plan may have reset the count.
         reported.rejected = reported.rejected.min(queue.rejected);
         if queue.rejected > reported.rejected && is_due(now, reported.at) {
             self.events.push(AdmissionEvent::PoolRequestsRejected {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Takes the events.
+    /// Removes and returns the pending events.
     pub(super) fn take(&mut self) -> Vec<AdmissionEvent> {
         std::mem::take(&mut self.events)
     }
@@ -149,10 +151,10 @@
 }
 
 impl Pools {
-    /// The state of the limit and of each pool.
+    /// Returns the state of the limit and of each pool.
     #[must_use]
     pub fn state(&self) -> PoolsState {
-        let measured = self.limit.measured();
+        let measurements = self.limit.measurements();
         let state_of = |pool: usize| PoolState {
             name: self.plan.pools[pool].name.clone(),
             queued: self.queued(pool),
@@ -160,8 +162,8 @@
             at_calls: self.counts[pool].at_call,
             guarantee_slots: self.guarantee(pool),
             ceiling_slots: self.ceiling(pool),
-            reserve_slots: self.reserve_of(pool),
-            borrowed_slots: (self.used(pool) as f64 - self.guarantee(pool)).max(0.0),
+            reserve_slots: self.reserved_slots(pool),
+            borrowed_slots: (self.common_in_use(pool) as f64 - self.guarantee(pool)).max(0.0),
             credit_slot_s: self.accounts[pool].credit_slot_s,
             started: self.accounts[pool].started,
             rejected: self.accounts[pool].rejected,
@@ -170,9 +172,9 @@
             limit_slots: self.limit(),
             cause: self.limit.cause().as_str(),
             capacity_slots: self.limit.capacity(),
-            rate_per_s: measured.rate_per_s,
-            run_s: measured.run_s,
-            baseline_run_s: measured.baseline_s,
+            rate_per_s: measurements.rate_per_s,
+            run_s: measurements.run_s,
+            baseline_run_s: measurements.baseline_s,
             idle_reserve_waits: self.idle_reserve_waits,
             pools: self.indices().map(state_of).collect(),
         }
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -1,14 +1,14 @@
-//! Plans of pools, and pools with requests that arrive, run and end.
+//! Pool plans for tests, and a harness in which requests arrive, run and end.
 
 use crate::interface::{PoolItem, PoolPlan, PoolReserve};
 use crate::pools::{Place, Pools};
 
-pub(super) fn item(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolItem {
+pub(super) fn pool_item(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolItem {
     PoolItem { name: name.to_owned(), guarantee, ceiling, weight, queue: 50 }
 }
 
-/// A reserve of so many slots.
-pub(super) fn reserved(pool: usize, slots: usize) -> PoolReserve {
+/// A reserve of this number of slots.
+pub(super) fn reserve(pool: usize, slots: usize) -> PoolReserve {
     PoolReserve { pool, slots }
 }
 
@@ -38,24 +38,24 @@
     pub(super) class: usize,
 }
 
-/// Takes the runs that have ended.
+/// Removes and returns the runs that have ended.
 fn take_ended(runs: &mut Vec<Run>, now: f64) -> Vec<Run> {
     let (ended, left) = runs.iter().partition(|run| run.ends_at <= now);
     *runs = left;
     ended
 }
 
-/// What the admission controller does for the pools: classes are tiers, the first the highest, and requests are queued
-/// in the order of their numbers.
+/// Plays the part of the admission controller. Each class is a tier, the first one the highest, and requests are queued in
+/// the order of their ids.
 pub(super) struct PoolsHarness {
     pub(super) pools: Pools,
     pub(super) now: f64,
-    pub(super) next: u64,
+    pub(super) next_id: u64,
     pub(super) queued: Vec<Vec<u64>>,
     pub(super) running: Vec<Run>,
     pub(super) at_calls: Vec<Run>,
     pub(super) survivable_runs: usize,
-    /// Slot seconds by class.
+    /// Slot seconds used, by class.
     pub(super) served: Vec<f64>,
 }
 
@@ -64,7 +64,7 @@
         PoolsHarness {
             pools: Pools::new(plan, &vec![1.0; classes], 1000),
             now: 0.0,
-            next: 0,
+            next_id: 0,
             queued: vec![Vec::new(); classes],
             running: Vec::new(),
             at_calls: Vec::new(),
@@ -74,8 +74,8 @@
     }
 
     pub(super) fn arrive(&mut self, class: usize) {
-        self.next += 1;
-        self.queued[class].push(self.next);
+        self.next_id += 1;
+        self.queued[class].push(self.next_id);
         self.pools.record_transition(class, None, Some(Place::Queued));
     }
 
@@ -87,7 +87,7 @@
         self.pools.advance(dt);
     }
 
-    /// Ends what is due, then starts what may start; each start is checked against the rules.
+    /// Ends the runs that are due, then starts those that may start, and checks each start against the rules.
     pub(super) fn settle(&mut self, length: f64) -> Vec<usize> {
         for Run { class, .. } in take_ended(&mut self.running, self.now) {
             self.pools.record_transition(class, Some(Place::OnCores), None);
@@ -101,14 +101,17 @@
         while let Some(class) = self.choose() {
             self.queued[class].remove(0);
             let pool = self.pools.pool_of(class);
-            let own = self.pools.on_cores(pool) < self.pools.reserve_of(pool);
-            assert!(own || self.pools.free() > 0, "a start without a slot");
-            assert!(own || self.pools.used(pool) < self.pools.ceiling(pool), "a start above the ceiling");
+            let own = self.pools.on_cores(pool) < self.pools.reserved_slots(pool);
+            assert!(own || self.pools.free_common_slots() > 0, "a run started without a free slot");
+            assert!(
+                own || self.pools.common_in_use(pool) < self.pools.ceiling(pool),
+                "a run started above the ceiling of its pool"
+            );
             self.pools.record_transition(class, Some(Place::Queued), Some(Place::OnCores));
             self.running.push(Run { ends_at: self.now + length, class });
             started.push(class);
         }
-        self.assert_no_request_waits_beside_a_free_slot();
+        self.assert_no_request_waits_with_a_free_slot();
         started
     }
 
@@ -118,17 +121,18 @@
         self.pools.choose(queued, self.survivable_runs)
     }
 
-    /// A free slot that a pool may take, and a request of it that waits, never stand side by side.
-    pub(super) fn assert_no_request_waits_beside_a_free_slot(&self) {
+    /// No pool has a queued request while a slot that it may use is free.
+    pub(super) fn assert_no_request_waits_with_a_free_slot(&self) {
         for pool in self.pools.indices().filter(|p| self.pools.queued(*p) > 0) {
-            let own = self.pools.on_cores(pool) < self.pools.reserve_of(pool);
-            let common = self.pools.free() > 0 && self.pools.used(pool) < self.pools.ceiling(pool);
+            let own = self.pools.on_cores(pool) < self.pools.reserved_slots(pool);
+            let common = self.pools.free_common_slots() > 0
+                && self.pools.common_in_use(pool) < self.pools.ceiling(pool);
             let has_room = self.pools.has_room_for_run(pool);
-            assert!(!has_room || !own && !common, "pool {pool} waits with a slot free");
+            assert!(!has_room || !own && !common, "pool {pool} has a queued request and a free slot");
         }
     }
 
-    /// Keeps requests of these classes waiting for so long; all runs take `length`.
+    /// Keeps requests of these classes queued for this time; all runs take `length`.
     pub(super) fn saturate(&mut self, classes: &[usize], for_s: f64, length: f64) {
         let until = self.now + for_s;
         while self.now < until {
--- a/src/pools/tests/mod.rs
+++ b/src/pools/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the pools: properties over random courses of events, the division of slots, the limit and its reports.
+//! Tests of the pools: properties over random sequences of events, the division of slots, the limit, and reporting.
 //! Seeds are fixed.
 
 mod division;
--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Properties over random courses of events.
+//! Properties over random sequences of events.
 
-use super::harness::{item, plan, PoolsHarness, Run};
+use super::harness::{plan, pool_item, PoolsHarness, Run};
 use crate::interface::{PoolPlan, PoolReserve};
 use crate::pools::{Counts, Place};
 use proptest::collection::vec;
@@ -12,16 +12,21 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// Pools with guarantees that add up to 1 at most, one class each, perhaps a reserve, a fixed limit.
+/// Pools of one class each, with guarantees that add up to 1 at most, an optional reserve and a fixed limit.
 fn plans() -> impl Strategy<Value = PoolPlan> {
     let pool = (0.0..1.0f64, 0.0..1.0f64, 0.1..5.0f64);
     (vec(pool, 2..5), 0.0..1.0f64, 0usize..4, 0usize..4, 0usize..9).prop_map(
         |(pools, sum, of, slots, more)| {
             let all: f64 = pools.iter().map(|p| p.0).sum::<f64>().max(1e-9);
             let of = of % pools.len();
-            let items = pools.iter().enumerate().map(|(i, (g, c, w))| {
+            let items = pools.iter().enumerate().map(|(i, (g, c, harness))| {
                 let guarantee = g / all * sum;
-                item(&format!("p{i}"), guarantee, (guarantee + c * (1.0 - guarantee)).clamp(0.01, 1.0), *w)
+                pool_item(
+                    &format!("p{i}"),
+                    guarantee,
+                    (guarantee + c * (1.0 - guarantee)).clamp(0.01, 1.0),
+                    *harness,
+                )
             });
             let limit = slots + 1 + more;
             plan(items.collect(), (slots > 0).then_some(PoolReserve { pool: of, slots }), limit, limit)
@@ -32,18 +37,18 @@
 #[derive(Clone, Debug)]
 enum Step {
     Arrive(usize),
-    Pass(f64),
+    Advance(f64),
     ToCall(usize),
-    CallerGone(usize),
+    Cancel(usize),
     Replan(PoolPlan),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         8 => (0usize..4).prop_map(Step::Arrive),
-        8 => (0.0..0.4f64).prop_map(Step::Pass),
+        8 => (0.0..0.4f64).prop_map(Step::Advance),
         2 => (0usize..16).prop_map(Step::ToCall),
-        1 => (0usize..4).prop_map(Step::CallerGone),
+        1 => (0usize..4).prop_map(Step::Cancel),
         1 => plans().prop_map(Step::Replan),
     ];
     vec(step, 1..250)
@@ -55,49 +60,53 @@
     runner(256)
         .run(&cases, |(first, steps, length, survivable_runs)| {
             let classes = 4;
-            let fit = |mut plan: PoolPlan| {
+            let with_classes = |mut plan: PoolPlan| {
                 plan.pool_of = (0..classes).map(|c| c % plan.pools.len()).collect();
                 plan
             };
-            let mut w = PoolsHarness::new(fit(first), classes);
-            w.survivable_runs = survivable_runs;
+            let mut harness = PoolsHarness::new(with_classes(first), classes);
+            harness.survivable_runs = survivable_runs;
             for step in steps {
                 match step {
-                    Step::Arrive(class) => w.arrive(class),
-                    Step::Pass(dt) => w.advance(dt),
-                    Step::ToCall(n) if !w.running.is_empty() => {
-                        let Run { class, .. } = w.running.remove(n % w.running.len());
-                        w.pools.record_transition(class, Some(Place::OnCores), Some(Place::AtCall));
-                        w.at_calls.push(Run { ends_at: w.now + 0.3, class });
+                    Step::Arrive(class) => harness.arrive(class),
+                    Step::Advance(dt) => harness.advance(dt),
+                    Step::ToCall(n) if !harness.running.is_empty() => {
+                        let Run { class, .. } = harness.running.remove(n % harness.running.len());
+                        harness.pools.record_transition(class, Some(Place::OnCores), Some(Place::AtCall));
+                        harness.at_calls.push(Run { ends_at: harness.now + 0.3, class });
                     }
-                    Step::CallerGone(class) if !w.queued[class].is_empty() => {
-                        w.queued[class].pop();
-                        w.pools.record_transition(class, Some(Place::Queued), None);
+                    Step::Cancel(class) if !harness.queued[class].is_empty() => {
+                        harness.queued[class].pop();
+                        harness.pools.record_transition(class, Some(Place::Queued), None);
                     }
-                    // Fewer slots, other pools: what runs goes on and stays counted.
-                    Step::Replan(plan) => w.pools.apply_plan(fit(plan)),
+                    // Slots and pools change, and runs in progress continue and stay counted.
+                    Step::Replan(plan) => harness.pools.apply_plan(with_classes(plan)),
                     _ => {}
                 }
-                w.settle(length);
-                let counted: usize = w.pools.all.on_cores;
-                assert_eq!(counted, w.running.len());
-                assert!(w
+                harness.settle(length);
+                let counted: usize = harness.pools.all.on_cores;
+                assert_eq!(counted, harness.running.len());
+                assert!(harness
                     .pools
                     .indices()
-                    .all(|p| w.pools.expected_slots(p).is_finite() && w.pools.expected_slots(p) > 0.0));
+                    .all(|p| harness.pools.expected_slots(p).is_finite()
+                        && harness.pools.expected_slots(p) > 0.0));
             }
-            // All that is queued is served in the end: nobody is forgotten.
-            let waits = |w: &PoolsHarness| {
-                w.queued.iter().map(Vec::len).sum::<usize>() + w.running.len() + w.at_calls.len()
+            // Every queued request is served in the end.
+            let unfinished = |harness: &PoolsHarness| {
+                harness.queued.iter().map(Vec::len).sum::<usize>()
+                    + harness.running.len()
+                    + harness.at_calls.len()
             };
-            let mut turns = 0;
-            while waits(&w) > 0 {
-                w.advance(length / 2.0 + 0.1);
-                w.settle(length);
-                turns += 1;
-                assert!(turns < 4000, "something is never served");
+            let mut rounds = 0;
+            while unfinished(&harness) > 0 {
+                harness.advance(length / 2.0 + 0.1);
+                harness.settle(length);
+                rounds += 1;
+                assert!(rounds < 4000, "a request is never served");
             }
-            let counts = w.pools.classes.iter().chain(&w.pools.counts).chain([&w.pools.all]);
+            let counts =
+                harness.pools.classes.iter().chain(&harness.pools.counts).chain([&harness.pools.all]);
             assert!(counts.into_iter().all(|c| *c == Counts::default()));
             Ok(())
         })
@@ -110,21 +119,25 @@
     runner(96)
         .run(&cases, |(plan, before, length)| {
             let n = plan.pools.len();
-            let mut w = PoolsHarness::new(plan, n);
-            // Whatever happened before: some pools wanted slots, and others had lent theirs.
+            let mut harness = PoolsHarness::new(plan, n);
+            // Random history: some pools wanted slots, others lent theirs.
             for (wanting, for_s) in before {
                 let classes: Vec<usize> = (0..n).filter(|c| wanting[*c]).collect();
-                w.saturate(&classes, for_s * length, length);
+                harness.saturate(&classes, for_s * length, length);
             }
             let all: Vec<usize> = (0..n).collect();
-            let served = w.served.clone();
-            w.saturate(&all, 10.0 * length, length);
+            let served = harness.served.clone();
+            harness.saturate(&all, 10.0 * length, length);
             for (pool, before) in served.iter().enumerate() {
-                let got = (w.served[pool] - before) / (10.0 * length);
-                // A pool that wants all: its guarantee and its reserve, but for one run of one slot in ten,
-                // since slots are whole and so are runs. A ceiling of less than a slot is one.
-                let due = w.pools.guarantee(pool) + w.pools.reserve_of(pool) as f64;
-                assert!(got >= due - 0.15, "pool {pool} got {got:.3} of {due:.3} slots: {:?}", w.pools.plan);
+                let got = (harness.served[pool] - before) / (10.0 * length);
+                // A saturated pool gets its guarantee and its reserve, less the time of one run on one slot in ten, since
+                // slots and runs are indivisible. A ceiling below one slot counts as one.
+                let entitled = harness.pools.guarantee(pool) + harness.pools.reserved_slots(pool) as f64;
+                assert!(
+                    got >= entitled - 0.15,
+                    "pool {pool} got {got:.3} of {entitled:.3} slots: {:?}",
+                    harness.pools.plan
+                );
             }
             Ok(())
         })
