--- a/src/hot_restart/frame/codec.rs
+++ b/src/hot_restart/frame/codec.rs
@@ -1,30 +1,30 @@
-//! Frames as bytes.
+//! Encoding and decoding of frames.
 
 use super::Frame;
 
-/// The longest JSON object that is accepted (bytes): far more than a half-read request or a retained result needs.
+/// The longest JSON object that is accepted (bytes), far more than a partially read request or a retained result needs.
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// Length and descriptor mark before the object (bytes).
+/// Size of the header: length and descriptor flag (bytes).
 pub const HEADER_BYTES: usize = 5;
 
 /// Why bytes are not a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The header announces an object that is too long.
-    #[error("a frame of {length} bytes, {MAX_FRAME_BYTES} at most")]
+    #[error("frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")]
     TooLong {
         /// The announced length (bytes).
         length: usize,
     },
-    /// The object is not JSON, or no frame of this version.
-    #[error("a frame can't be read: {0}")]
+    /// The object is not JSON, or not a frame of this version.
+    #[error("malformed frame: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// The header says the opposite of what the object needs about a descriptor.
-    #[error("a frame's mark does not fit it")]
-    DescriptorMark,
+    /// The descriptor flag of the header does not match the type of the frame.
+    #[error("the descriptor flag of the frame does not match its type")]
+    DescriptorMismatch,
 }
 
-/// Compares messages, since `serde_json::Error` has no equality.
+/// Compares the messages, since `serde_json::Error` does not implement `PartialEq`.
 impl PartialEq for FrameError {
     fn eq(&self, other: &FrameError) -> bool {
         self.to_string() == other.to_string()
@@ -32,17 +32,17 @@
 }
 
 impl Frame {
-    /// Whether a descriptor comes with it.
+    /// Whether a file descriptor accompanies the frame.
     #[must_use]
     pub fn carries_descriptor(&self) -> bool {
         matches!(self, Frame::Connection(_) | Frame::Listener { .. })
     }
 
-    /// The frame as bytes on the link.
+    /// Encodes the frame as it is sent on the link.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEADER_BYTES];
-        // Writing to memory can't fail, nor can these types: numbers that are not finite are written as null.
+        // Neither writing to memory nor serializing these types can fail: numbers that are not finite become null.
         let _ = serde_json::to_writer(&mut bytes, self);
         let length = (bytes.len() - HEADER_BYTES) as u32;
         bytes[..4].copy_from_slice(&length.to_be_bytes());
@@ -50,11 +50,11 @@
         bytes
     }
 
-    /// Decodes the first frame in the buffer and returns it with its length (bytes); `None` while it is incomplete.
+    /// Decodes the first frame in the buffer and returns it with its total length (bytes), or `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// The bytes are not a frame, however many more may come.
+    /// The bytes are not the beginning of a frame, whatever follows.
     pub fn decode(data: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
         let Some(header) = data.get(..HEADER_BYTES) else { return Ok(None) };
         let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
@@ -65,7 +65,7 @@
         let Some(object) = data.get(HEADER_BYTES..end) else { return Ok(None) };
         let frame: Frame = serde_json::from_slice(object).map_err(FrameError::Malformed)?;
         if frame.carries_descriptor() != (header[4] == 1) {
-            return Err(FrameError::DescriptorMark);
+            return Err(FrameError::DescriptorMismatch);
         }
         Ok(Some((frame, end)))
     }
--- a/src/hot_restart/frame/messages.rs
+++ b/src/hot_restart/frame/messages.rs
@@ -1,4 +1,4 @@
-//! The messages on the link.
+//! The messages on the link between a process and its successor.
 
 use crate::hot_restart::FingerprintKey;
 use crate::interface::LearnedState;
@@ -7,9 +7,10 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// The version of these frames. Processes of different versions can't talk to each other.
+/// The version of the protocol. Processes with different versions can't communicate.
 pub const VERSION: u32 = 1;
-/// Bytes that are sent in base64.
+
+/// Bytes that are sent as base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bytes(pub Rc<[u8]>);
 
@@ -26,7 +27,7 @@
     }
 }
 
-/// The resources that the predecessor uses of those that both processes share.
+/// The predecessor's use of the resources that both processes share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// Runs on the cores.
@@ -34,34 +35,34 @@
     /// Calls in flight to the records service.
     #[serde(rename = "calling")]
     pub downstream_calls: usize,
-    /// Memory of queued and running requests, by the executor's accounting (KB).
+    /// Memory of queued and running requests, as the executor accounts for it (KB).
     #[serde(rename = "kb")]
     pub memory_kb: f64,
     /// File descriptors.
     pub sockets: usize,
 }
 
-/// How far the run of a key has come.
+/// The outcome of a key's run, if it has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "KeyEnd")]
 pub enum KeyOutcome {
-    /// It has not ended.
+    /// The run has not ended.
     Open,
-    /// It succeeded, with the result where it could be retained.
+    /// The run succeeded; the result is included if it could be retained.
     Served(Option<Bytes>),
-    /// It failed, or its outcome is unknown.
+    /// The run failed, or its outcome is indeterminate.
     Failed,
-    /// It provably never began.
+    /// The run provably never began.
     #[serde(rename = "Never")]
     NeverRan,
 }
 
-/// An idempotency key. Both processes number classes and tenants alike.
+/// An idempotency key. Both processes use the same indices of classes and tenants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Key {
-    /// The number of the class.
+    /// The index of the class.
     pub class: usize,
-    /// The number of the tenant.
+    /// The index of the tenant.
     pub tenant: Option<usize>,
     /// The key as the caller sent it.
     pub key: Rc<str>,
@@ -70,15 +71,15 @@
 /// A key that may have run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyState {
-    /// Which key.
+    /// The key.
     pub key: Key,
-    /// Fingerprint of the body that came with it.
+    /// Fingerprint of the body of its request.
     #[serde(rename = "print")]
     pub body_fingerprint: u64,
     /// When its window ends (Unix milliseconds).
     #[serde(rename = "until_ms")]
     pub expires_at_ms: f64,
-    /// How far its run has come.
+    /// The outcome of its run, if it has ended.
     #[serde(rename = "end")]
     pub outcome: KeyOutcome,
 }
@@ -86,24 +87,24 @@
 /// A request that has been read and has not been started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueuedRequest {
-    /// Its name towards backends.
+    /// Its name, as sent to backends.
     pub name: Rc<str>,
-    /// The number of its class.
+    /// The index of its class.
     pub class: usize,
-    /// The number of its tenant.
+    /// The index of its tenant.
     pub tenant: Option<usize>,
-    /// Which caller sent it.
+    /// The caller that sent it.
     pub caller: u64,
     /// Its memory while queued (KB).
     #[serde(rename = "kb")]
     pub memory_kb: f64,
-    /// When it reached the machine (Unix milliseconds).
+    /// When it arrived at the machine (Unix milliseconds).
     #[serde(rename = "arrived_ms")]
     pub arrived_at_ms: f64,
     /// When its caller stops waiting (Unix milliseconds).
     #[serde(rename = "due_ms")]
     pub deadline_ms: f64,
-    /// What it is expected to take, where it carries a hint (seconds).
+    /// Its expected run length, if it carries a hint (seconds).
     #[serde(rename = "size_s")]
     pub estimate_s: Option<f64>,
     /// Its idempotency key.
@@ -114,36 +115,36 @@
     pub body: Bytes,
 }
 
-/// A connection of the HTTP frontend; its descriptor comes with the frame.
+/// A connection of the HTTP frontend; its file descriptor accompanies the frame.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandedOffConnection {
-    /// What has been read of its next request.
+    /// The part of its next request that has been read.
     pub unread: Bytes,
-    /// `100 Continue` has been sent for the next request.
+    /// Whether `100 Continue` has been sent for the next request.
     pub continued: bool,
-    /// Requests that came in completely so far.
+    /// Number of requests that have been read completely.
     #[serde(rename = "asked")]
     pub requests_read: u32,
-    /// To be closed after the next response.
+    /// Whether it is to be closed after the next response.
     #[serde(rename = "close")]
     pub close_after_response: bool,
-    /// The request that waits for its response.
+    /// The request whose response is pending.
     #[serde(rename = "held")]
     pub queued_request: Option<QueuedRequest>,
 }
 
-/// One message.
+/// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The successor's first message: its identity, and its numbering of classes and tenants.
+    /// The successor's first message: its identity and its indices of classes and tenants.
     Hello {
-        /// The version of its frames.
+        /// The version of its protocol.
         version: u32,
         /// The worker's name.
         name: String,
-        /// Class names, by number.
+        /// Class names, by index.
         classes: Vec<String>,
-        /// Tenant names, by number.
+        /// Tenant names, by index.
         tenants: Vec<String>,
     },
     /// The predecessor accepts [`Frame::Hello`]: the processes are compatible.
@@ -151,42 +152,42 @@
     /// The predecessor rejects [`Frame::Hello`]: the processes are incompatible.
     #[serde(rename = "Stranger")]
     Incompatible {
-        /// The cause, for the log.
+        /// The reason, for the log.
         #[serde(rename = "why")]
         reason: String,
     },
     /// The successor is ready to serve and requests the listeners.
     #[serde(rename = "Take")]
     RequestListeners,
-    /// The first frame of the hand-off: the predecessor's state that is neither a key nor a connection.
+    /// The first frame of the hand-off: the predecessor's state except for its keys and connections.
     State {
         /// The key of body fingerprints.
         #[serde(rename = "prints")]
         fingerprint_key: FingerprintKey,
-        /// Operators have begun a drain.
+        /// Whether operators have begun a drain.
         draining: bool,
-        /// The learned state of its controller.
+        /// The learned state of its admission controller.
         learned: LearnedState,
-        /// Names of requests that run there.
+        /// Names of the requests that run in the predecessor.
         running: Vec<Rc<str>>,
     },
-    /// The state of a key that may have run: all keys during the hand-off, then each that changes.
+    /// The state of a key that may have run. Sent for all keys during the hand-off, then whenever a key changes.
     Key(KeyState),
-    /// The resources that the predecessor uses now.
+    /// The resources that the predecessor currently uses.
     Usage(Usage),
     /// A connection that is handed off, with its descriptor.
     #[serde(rename = "Passed")]
     Connection(HandedOffConnection),
     /// A listening socket of an operator's frontend, with its descriptor.
     Listener {
-        /// The block of the operator's file that sets the frontend up.
+        /// The block of the operator's file that configures the frontend.
         #[serde(rename = "front")]
         frontend: String,
     },
     /// The last frame of the hand-off: all of the state has been sent.
     #[serde(rename = "Done")]
     StateComplete,
-    /// The successor has all of the state and owns the listeners.
+    /// The successor has received all of the state and owns the listeners.
     #[serde(rename = "Opened")]
     TakeoverConfirmed,
     /// Operators have begun (`true`) or ended (`false`) a drain at the predecessor's console.
--- a/src/hot_restart/frame/mod.rs
+++ b/src/hot_restart/frame/mod.rs
@@ -1,8 +1,8 @@
 //! The frames on the link between a process and its successor.
 //!
-//! A frame is four bytes of length (big-endian), one byte that says whether a file descriptor comes with it, and one JSON
-//! object of that length. Unknown fields are ignored, so that another version of the program may send more. The names on
-//! the wire are older than those in the code and stay: `serde` attributes map them.
+//! A frame consists of a length of four bytes (big-endian), one byte that tells whether a file descriptor accompanies the
+//! frame, and a JSON object of that length. Unknown fields are ignored, so that another version of the program may send
+//! additional ones. Names on the wire are fixed; `serde` attributes map them where the names in the code differ.
 
 mod codec;
 mod messages;
--- a/src/hot_restart/frame/tests.rs
+++ b/src/hot_restart/frame/tests.rs
@@ -69,13 +69,13 @@
 #[test]
 fn damaged_frames_are_errors_and_not_incomplete() {
     let bytes = Frame::RequestListeners.encode();
-    let mut long = bytes.clone();
-    long[0] = 0xff;
-    let mut marked = bytes.clone();
-    marked[4] = 1;
-    let mut spoilt = bytes.clone();
-    spoilt[HEADER_BYTES] = b'!';
-    for damaged in [long, marked, spoilt] {
+    let mut too_long = bytes.clone();
+    too_long[0] = 0xff;
+    let mut flagged = bytes.clone();
+    flagged[4] = 1;
+    let mut malformed = bytes.clone();
+    malformed[HEADER_BYTES] = b'!';
+    for damaged in [too_long, flagged, malformed] {
         assert!(Frame::decode(&damaged).is_err(), "{damaged:?}");
     }
 }
--- a/src/hot_restart/messages.rs
+++ b/src/hot_restart/messages.rs
@@ -1,63 +1,63 @@
-//! The events of a hot restart, and the effects by which a process responds to them.
+//! The events of a hot restart, and the effects with which the state machine responds.
 
 use super::IndeterminateKeys;
 
-/// An event at a process that owns, or is to own, the listeners.
+/// An event at a process that owns the listeners or is to own them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// No other process was found.
     NoPredecessor,
-    /// Another process has ended without a takeover: its socket file exists, and nobody listens on it.
+    /// The previous process ended without a takeover: its socket file exists, but no process listens on it.
     PredecessorDead,
-    /// A link to the predecessor is established.
+    /// The link to the predecessor is established.
     PredecessorConnected,
     /// This process is ready to serve.
     ReadyToServe,
     /// The predecessor accepts this process as its successor.
     HelloAccepted,
-    /// The predecessor is of another kind or version, or what it sends can't be read.
+    /// The predecessor is another program or another version, or it sent data that can't be decoded.
     Incompatible,
     /// All of the predecessor's state has been received.
     StateReceived,
-    /// The link to the predecessor has ended.
+    /// The link to the predecessor was closed.
     PredecessorDisconnected,
     /// A successor requests the listeners.
     ListenersRequested,
     /// The successor has received all of the state and owns the listeners.
     TakeoverConfirmed,
-    /// The link to the successor has ended.
+    /// The link to the successor was closed.
     SuccessorDisconnected,
-    /// The shutdown notice has come.
+    /// The shutdown notice has arrived.
     ShutdownNotice,
     /// Time has passed.
     Tick,
 }
 
-/// What the process is to do, as the response to an event.
+/// An action that the process must take in response to an event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the predecessor the hello.
+    /// Send the hello to the predecessor.
     SendHello,
     /// Request the listeners from the predecessor.
     RequestListeners,
     /// Confirm to the predecessor that this process owns the listeners.
     ConfirmTakeover,
-    /// Discard the received state, and replace the link by one without messages, whose end shows the end of the
-    /// predecessor.
+    /// Discard the received state, and replace the link by one that carries no messages and only shows when the predecessor
+    /// ends.
     WatchPredecessor,
     /// Discard the received state.
     DiscardState,
-    /// Act on the received state.
+    /// Apply the received state.
     AdoptState,
-    /// Accept clients.
+    /// Start to accept clients.
     OpenListeners,
-    /// Set which of the keys that are not known here may have run elsewhere.
+    /// Set which of the unknown keys may have run in another process.
     SetIndeterminateKeys(IndeterminateKeys),
-    /// Accept no clients, and hand off everything that has not started.
+    /// Stop accepting clients, and hand off all requests that have not started.
     HandOff,
-    /// Drop what was handed off: it belongs to the successor.
+    /// Release what was handed off; the successor owns it.
     ReleaseHandedOff,
-    /// Take back what was handed off, and accept clients.
+    /// Take back what was handed off, and accept clients again.
     Reclaim,
     /// Exit as soon as no response is pending.
     ExitWhenIdle,
--- a/src/hot_restart/ownership.rs
+++ b/src/hot_restart/ownership.rs
@@ -2,44 +2,44 @@
 
 use super::{Effect, Event, IndeterminateKeys};
 
-/// How long a successor waits for the predecessor's answer, first from the connection on and then from the request for the
-/// listeners on (seconds). The platform requires a new process to be ready within 6 s, which both waits and the start of
-/// the executor have to fit into.
+/// How long a successor waits for an answer of the predecessor, once after connecting and once after requesting the
+/// listeners (seconds). The platform requires a new process to be ready within 6 s, which has to cover both waits and the
+/// start of the executor.
 pub const PREDECESSOR_TIMEOUT_S: f64 = 1.5;
 
-/// How far a successor has come with its predecessor.
+/// Progress of a successor's handshake with its predecessor.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Handshake {
-    /// Since when the predecessor's answer is awaited: the connection, or the request for the listeners (loop's clock,
-    /// seconds). Absent while there is no connection.
+    /// When this process began to wait for the predecessor's answer, that is when it connected or requested the listeners
+    /// (event loop's clock, seconds). `None` while there is no connection.
     waiting_since: Option<f64>,
-    /// The predecessor has accepted this process as its successor.
+    /// Whether the predecessor has accepted this process as its successor.
     hello_accepted: bool,
-    /// The listeners have been requested.
+    /// Whether the listeners have been requested.
     listeners_requested: bool,
 }
 
 /// The role of this process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Not yet the owner.
+    /// It does not own the listeners yet.
     Waiting(Handshake),
-    /// The owner.
+    /// It owns the listeners.
     Owner,
-    /// The successor has been sent everything and has not confirmed it.
+    /// Everything has been sent to the successor, which has not confirmed the takeover yet.
     HandedOff,
-    /// The successor is the owner.
+    /// The successor owns the listeners.
     Released,
 }
 
-/// What is known of the predecessor, before and after this process becomes the owner.
+/// What is known about the predecessor, before and after this process becomes the owner.
 #[derive(Clone, Copy, Debug, Default)]
 struct Predecessor {
-    /// A link to it is established.
+    /// Whether a link to it is established.
     is_connected: bool,
-    /// Its state may still arrive, though this process already is the owner.
-    state_may_come_late: bool,
-    /// It is alive, and which keys it runs is not known here.
+    /// Whether its state may still arrive although this process is already the owner.
+    awaiting_late_state: bool,
+    /// Whether it is alive and its keys are unknown to this process.
     keys_unknown: bool,
 }
 
@@ -50,12 +50,13 @@
     predecessor: Predecessor,
     ready_to_serve: bool,
     shutting_down: bool,
-    /// The longest window of a key (seconds).
+    /// The longest window of any idempotency key (seconds).
     longest_window_s: f64,
 }
 
 impl ListenerOwnership {
-    /// A process that has not looked for a predecessor yet. Keys have a window of `longest_window_s` at most.
+    /// Creates the state machine of a process that has not looked for a predecessor yet. `longest_window_s` is the longest
+    /// window of any idempotency key.
     #[must_use]
     pub fn new(longest_window_s: f64) -> ListenerOwnership {
         ListenerOwnership {
@@ -73,7 +74,7 @@
         self.state == State::Owner
     }
 
-    /// Whether a successor owns the listeners or has been sent everything for it.
+    /// Whether everything has been sent to a successor, whether or not it has confirmed the takeover.
     #[must_use]
     pub fn has_handed_off(&self) -> bool {
         matches!(self.state, State::HandedOff | State::Released)
@@ -91,7 +92,7 @@
         self.predecessor.is_connected
     }
 
-    /// Handles an event at `now` (loop's clock, seconds), and appends the effects in the order in which they are to be
+    /// Handles an event at `now` (event loop's clock, seconds) and appends the effects in the order in which they must be
     /// carried out.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Effect>) {
         match event {
@@ -119,7 +120,7 @@
 
     fn on_predecessor_dead(&mut self, now: f64, out: &mut Vec<Effect>) {
         if self.is_waiting() {
-            out.push(self.distrust_retries(now));
+            out.push(self.indeterminate_retries(now));
             self.become_owner(out);
         }
     }
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Only a process that waits drops the link to an incompatible predecessor. After the takeover the end of that link has
-    /// to mean the end of the predecessor.
+    /// Drops the link to an incompatible predecessor, but only before the takeover: afterwards the end of the link must mean
+    /// the end of the predecessor.
     fn on_incompatible(&mut self, out: &mut Vec<Effect>) {
         if self.is_waiting() {
             self.predecessor.keys_unknown = true;
@@ -154,7 +155,7 @@
             out.push(Effect::SetIndeterminateKeys(IndeterminateKeys::All));
             self.become_owner(out);
         } else {
-            self.predecessor.state_may_come_late = false;
+            self.predecessor.awaiting_late_state = false;
         }
     }
 
@@ -163,9 +164,9 @@
             out.push(Effect::ConfirmTakeover);
             out.push(Effect::AdoptState);
             self.become_owner(out);
-        } else if self.predecessor.state_may_come_late {
-            // The predecessor answered after the timeout; its state is complete all the same.
-            self.predecessor.state_may_come_late = false;
+        } else if self.predecessor.awaiting_late_state {
+            // The predecessor answered after the timeout, but its state is complete.
+            self.predecessor.awaiting_late_state = false;
             self.predecessor.keys_unknown = false;
             out.push(Effect::SetIndeterminateKeys(IndeterminateKeys::None));
             out.push(Effect::AdoptState);
@@ -176,14 +177,14 @@
         self.predecessor.is_connected = false;
         if self.is_waiting() {
             out.push(Effect::DiscardState);
-            out.push(self.distrust_retries(now));
+            out.push(self.indeterminate_retries(now));
             self.become_owner(out);
             return;
         }
-        self.predecessor.state_may_come_late = false;
+        self.predecessor.awaiting_late_state = false;
         if std::mem::take(&mut self.predecessor.keys_unknown) {
             out.push(Effect::DiscardState);
-            out.push(self.distrust_retries(now));
+            out.push(self.indeterminate_retries(now));
         }
     }
 
@@ -211,9 +212,9 @@
                 self.state = State::Owner;
                 out.push(Effect::Reclaim);
             }
-            // The successor has ended, and with it the knowledge of what it ran.
+            // The successor has ended, so it is not known which keys it ran.
             State::Released if !self.shutting_down => {
-                out.push(self.distrust_retries(now));
+                out.push(self.indeterminate_retries(now));
                 self.become_owner(out);
             }
             _ => {}
@@ -222,8 +223,8 @@
 
     fn on_shutdown_notice(&mut self, out: &mut Vec<Effect>) {
         self.shutting_down = true;
-        // A successor that waits has no pending response and has not acted on what it was sent: the predecessor reclaims
-        // that.
+        // A successor that does not own the listeners yet has no pending response and has not applied the state that it
+        // received, so the predecessor can reclaim everything.
         if let State::Waiting(Handshake { waiting_since: Some(_), .. }) = self.state {
             self.predecessor.is_connected = false;
             self.state = State::Released;
@@ -237,19 +238,19 @@
         let State::Waiting(handshake) = self.state else { return };
         let Some(since) = handshake.waiting_since else { return };
         if self.ready_to_serve && now - since >= PREDECESSOR_TIMEOUT_S {
-            self.take_over_from_silent_predecessor(handshake, out);
+            self.take_over_from_unresponsive_predecessor(handshake, out);
         }
     }
 
-    /// Becomes the owner although the predecessor is connected and does not answer. Should it recover, it first receives
-    /// these messages, and so hands off everything before it accepts another client.
-    fn take_over_from_silent_predecessor(&mut self, handshake: Handshake, out: &mut Vec<Effect>) {
+    /// Becomes the owner although the connected predecessor does not answer. If it recovers, it receives these messages
+    /// first, and so hands off everything before it accepts another client.
+    fn take_over_from_unresponsive_predecessor(&mut self, handshake: Handshake, out: &mut Vec<Effect>) {
         if !handshake.listeners_requested {
             out.push(Effect::RequestListeners);
         }
         out.push(Effect::ConfirmTakeover);
         out.push(Effect::SetIndeterminateKeys(IndeterminateKeys::All));
-        self.predecessor.state_may_come_late = true;
+        self.predecessor.awaiting_late_state = true;
         self.predecessor.keys_unknown = true;
         self.become_owner(out);
     }
@@ -278,8 +279,9 @@
         matches!(self.state, State::Waiting(_))
     }
 
-    /// A process that has ended may have run keys that are not known here. Retries of them arrive within the longest window.
-    fn distrust_retries(&self, now: f64) -> Effect {
+    /// Marks the unknown keys of retries as indeterminate for the longest window: a process that has ended may have run
+    /// them, and their retries arrive within that window.
+    fn indeterminate_retries(&self, now: f64) -> Effect {
         Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(now + self.longest_window_s))
     }
 }
--- a/src/hot_restart/tests.rs
+++ b/src/hot_restart/tests.rs
@@ -1,4 +1,4 @@
-//! One process alone: its effects for sequences of events.
+//! The effects of a single process for sequences of events.
 
 mod process_chain;
 
@@ -23,7 +23,7 @@
     let mut new = ListenerOwnership::new(WINDOW_S);
     assert_eq!(effects(&mut new, 0.0, Event::PredecessorConnected), [Effect::SendHello]);
     assert_eq!(effects(&mut new, 0.1, Event::HelloAccepted), []);
-    // The executor is slow to come up: the predecessor goes on serving, however long that takes.
+    // The executor takes long to start: the predecessor continues to serve meanwhile.
     assert_eq!(effects(&mut new, 60.0, Event::Tick), []);
     assert_eq!(effects(&mut new, 60.0, Event::ReadyToServe), [Effect::RequestListeners]);
     assert_eq!(effects(&mut new, 60.0 + PREDECESSOR_TIMEOUT_S / 2.0, Event::Tick), []);
@@ -45,8 +45,8 @@
     assert!(old.is_owner());
     effects(&mut old, 3.0, Event::ListenersRequested);
     assert_eq!(effects(&mut old, 4.0, Event::TakeoverConfirmed), [Effect::ReleaseHandedOff]);
-    let distrust = Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(5.0 + WINDOW_S));
-    assert_eq!(effects(&mut old, 5.0, Event::SuccessorDisconnected), [distrust, Effect::OpenListeners]);
+    let indeterminate = Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(5.0 + WINDOW_S));
+    assert_eq!(effects(&mut old, 5.0, Event::SuccessorDisconnected), [indeterminate, Effect::OpenListeners]);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!(effects(&mut old, 2.0, Event::ShutdownNotice), [Effect::ExitWhenIdle]);
     assert_eq!(effects(&mut old, 3.0, Event::SuccessorDisconnected), []);
     assert!(!old.is_owner());
-    // The notice came first, and the successor while it drained.
+    // The shutdown notice arrived first, and the successor connected during the drain.
     let mut old = owner();
     assert_eq!(effects(&mut old, 1.0, Event::ShutdownNotice), []);
     assert_eq!(effects(&mut old, 1.0, Event::ListenersRequested), [Effect::HandOff]);
@@ -100,13 +100,13 @@
         [Effect::SetIndeterminateKeys(IndeterminateKeys::None), Effect::AdoptState]
     );
     assert_eq!(effects(&mut new, 6.0, Event::PredecessorDisconnected), []);
-    // Or it dies without a message.
+    // The predecessor dies without having sent a message.
     let mut new = ListenerOwnership::new(WINDOW_S);
     effects(&mut new, 0.0, Event::PredecessorConnected);
     effects(&mut new, 0.1, Event::ReadyToServe);
     effects(&mut new, PREDECESSOR_TIMEOUT_S, Event::Tick);
-    let distrust = Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(9.0 + WINDOW_S));
-    assert_eq!(effects(&mut new, 9.0, Event::PredecessorDisconnected), [Effect::DiscardState, distrust]);
+    let indeterminate = Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(9.0 + WINDOW_S));
+    assert_eq!(effects(&mut new, 9.0, Event::PredecessorDisconnected), [Effect::DiscardState, indeterminate]);
 }
 
 #[test]
@@ -122,9 +122,9 @@
             Effect::OpenListeners
         ]
     );
-    let distrust = Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(5.0 + WINDOW_S));
-    assert_eq!(effects(&mut new, 5.0, Event::PredecessorDisconnected), [Effect::DiscardState, distrust]);
-    // After the takeover a damaged frame changes nothing: the link's end must mean the process's end.
+    let indeterminate = Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(5.0 + WINDOW_S));
+    assert_eq!(effects(&mut new, 5.0, Event::PredecessorDisconnected), [Effect::DiscardState, indeterminate]);
+    // After the takeover a damaged frame has no effect: the end of the link must mean the end of the process.
     let mut new = ListenerOwnership::new(WINDOW_S);
     for event in
         [Event::PredecessorConnected, Event::HelloAccepted, Event::ReadyToServe, Event::StateReceived]
@@ -143,7 +143,11 @@
         found,
         [Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(13.0)), Effect::OpenListeners]
     );
-    let distrust = IndeterminateKeys::RetriesUntil(13.0);
-    assert!(distrust.covers(13.0, true) && !distrust.covers(13.1, true) && !distrust.covers(5.0, false));
+    let indeterminate = IndeterminateKeys::RetriesUntil(13.0);
+    assert!(
+        indeterminate.covers(13.0, true)
+            && !indeterminate.covers(13.1, true)
+            && !indeterminate.covers(5.0, false)
+    );
     assert!(IndeterminateKeys::All.covers(99.0, false) && !IndeterminateKeys::None.covers(0.0, true));
 }
--- a/src/hot_restart/tests/process_chain.rs
+++ b/src/hot_restart/tests/process_chain.rs
@@ -1,5 +1,5 @@
-//! A chain of processes, each the successor of the one before, over links that deliver in order and break with their
-//! process.
+//! A simulated chain of processes, each the successor of the previous one. Links deliver messages in order and are closed
+//! when a process ends.
 
 use super::*;
 use proptest::prelude::*;
@@ -16,31 +16,31 @@
     Disconnected,
 }
 
-/// One process of a chain: the next one in it is its successor.
+/// One process of the chain; the next one is its successor.
 struct Process {
     ownership: ListenerOwnership,
     alive: bool,
     hung: bool,
-    /// Requests that it acts on.
+    /// Requests that it processes.
     requests: BTreeSet<u64>,
-    /// Requests that it has handed off and that are not confirmed.
+    /// Requests that it has handed off, whose takeover is not confirmed.
     handed_off: BTreeSet<u64>,
-    /// Requests that it was sent and may not act on yet.
+    /// Requests that it has received but must not process yet.
     staged: Vec<u64>,
     from_predecessor: VecDeque<Message>,
     from_successor: VecDeque<Message>,
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: f64,
     chain: Vec<Process>,
-    next: u64,
-    /// Requests whose process died.
-    lost_with_process: BTreeSet<u64>,
+    next_request: u64,
+    /// Requests of processes that died.
+    requests_of_dead_processes: BTreeSet<u64>,
 }
 
-impl World {
+impl Simulation {
     fn notify(&mut self, i: usize, event: Event) {
         let mut out = Vec::new();
         self.chain[i].ownership.handle(self.now, event, &mut out);
@@ -78,9 +78,9 @@
                 self.chain[i].requests.extend(staged);
             }
             Effect::HandOff => {
-                let held = std::mem::take(&mut self.chain[i].requests);
-                self.chain[i].handed_off = held.clone();
-                self.send_to_successor(i, Message::State(held.into_iter().collect()));
+                let requests = std::mem::take(&mut self.chain[i].requests);
+                self.chain[i].handed_off = requests.clone();
+                self.send_to_successor(i, Message::State(requests.into_iter().collect()));
             }
             Effect::ReleaseHandedOff => self.chain[i].handed_off.clear(),
             Effect::Reclaim => {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The next message on one of its links; `false` if there is none, or it can't receive.
+    /// Handles the next message on one of its links. Returns `false` if there is none or the process can't receive.
     fn receive(&mut self, i: usize) -> bool {
         let p = &mut self.chain[i];
         if !p.alive || p.hung {
@@ -121,11 +121,11 @@
     }
 
     fn start(&mut self) {
-        // A process that owns the listeners can be found, and has no successor.
+        // Only the last process can be found, and only if it owns the listeners.
         let last = self.chain.last();
-        let found = last.is_some_and(|p| p.alive && p.ownership.is_owner());
-        let alone = last.is_none_or(|p| !p.alive) && !self.chain.iter().any(|p| p.alive);
-        if !found && !alone || self.chain.len() >= 5 {
+        let has_predecessor = last.is_some_and(|p| p.alive && p.ownership.is_owner());
+        let none_alive = last.is_none_or(|p| !p.alive) && !self.chain.iter().any(|p| p.alive);
+        if !has_predecessor && !none_alive || self.chain.len() >= 5 {
             return;
         }
         let (ownership, empty) = (ListenerOwnership::new(WINDOW_S), BTreeSet::new());
@@ -140,7 +140,7 @@
             from_successor: VecDeque::new(),
         });
         let i = self.chain.len() - 1;
-        self.notify(i, if found { Event::PredecessorConnected } else { Event::NoPredecessor });
+        self.notify(i, if has_predecessor { Event::PredecessorConnected } else { Event::NoPredecessor });
     }
 
     fn kill(&mut self, i: usize) {
@@ -149,9 +149,9 @@
             return;
         }
         let (requests, handed_off) = (std::mem::take(&mut p.requests), std::mem::take(&mut p.handed_off));
-        self.lost_with_process.extend(requests);
-        // What was handed off is its successor's if that has received it.
-        self.lost_with_process.extend(handed_off);
+        self.requests_of_dead_processes.extend(requests);
+        // Requests that were handed off belong to the successor if it has received them.
+        self.requests_of_dead_processes.extend(handed_off);
         self.send_to_predecessor(i, Message::Disconnected);
         self.send_to_successor(i, Message::Disconnected);
     }
@@ -172,79 +172,79 @@
     }
 }
 
-/// Whatever starts, dies, hangs and recovers in whatever order: one process owns the listeners, one process owns each
-/// request, and a request is only lost with a process that had it.
+/// Processes start, die, hang and recover in random order. At most one process owns the listeners, at most one owns each
+/// request, and a request is lost only if its process dies.
 #[test]
 fn at_most_one_process_owns_the_listeners_and_each_request_has_one_owner() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let steps = proptest::collection::vec((0..16u8, 0..5usize), 1..120);
-    let ran = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
-        let mut world = World::default();
-        world.start();
-        for (what, which) in steps {
-            let i = which.min(world.chain.len() - 1);
-            match what {
-                0 => world.start(),
-                1 => world.kill(i),
-                2 => world.chain[i].hung = true,
+    let result = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
+        let mut simulation = Simulation::default();
+        simulation.start();
+        for (action, index) in steps {
+            let i = index.min(simulation.chain.len() - 1);
+            match action {
+                0 => simulation.start(),
+                1 => simulation.kill(i),
+                2 => simulation.chain[i].hung = true,
                 3 | 4 => {
-                    // A process that recovers first receives what was sent meanwhile.
-                    world.chain[i].hung = false;
-                    while world.receive(i) {}
+                    // A process that recovers first receives the messages sent in the meantime.
+                    simulation.chain[i].hung = false;
+                    while simulation.receive(i) {}
                 }
                 5 => {
-                    let waits = |o: &ListenerOwnership| !o.is_owner() && !o.has_handed_off();
-                    let waited = waits(&world.chain[i].ownership);
-                    world.notify_if_alive(i, Event::ShutdownNotice);
-                    // No response is pending there, so that it exits immediately.
-                    if waited && world.chain[i].ownership.has_handed_off() {
-                        world.kill(i);
+                    let is_successor = |o: &ListenerOwnership| !o.is_owner() && !o.has_handed_off();
+                    let was_successor = is_successor(&simulation.chain[i].ownership);
+                    simulation.notify_if_alive(i, Event::ShutdownNotice);
+                    // It has no pending response, so it exits immediately.
+                    if was_successor && simulation.chain[i].ownership.has_handed_off() {
+                        simulation.kill(i);
                     }
                 }
-                6 | 7 => world.notify_if_alive(i, Event::ReadyToServe),
+                6 | 7 => simulation.notify_if_alive(i, Event::ReadyToServe),
                 8 => {
-                    // Processes that do not hang have received everything by then; messages take far less than that.
-                    while (0..world.chain.len()).any(|i| world.receive(i)) {}
-                    world.now += 0.4;
-                    (0..world.chain.len()).for_each(|i| world.notify_if_alive(i, Event::Tick));
+                    // Processes that do not hang receive everything first: messages take far less time than the step.
+                    while (0..simulation.chain.len()).any(|i| simulation.receive(i)) {}
+                    simulation.now += 0.4;
+                    (0..simulation.chain.len()).for_each(|i| simulation.notify_if_alive(i, Event::Tick));
                 }
                 9 | 10 => {
-                    let p = &mut world.chain[i];
+                    let p = &mut simulation.chain[i];
                     if p.alive && !p.hung && p.ownership.is_owner() {
-                        p.requests.insert(world.next);
-                        world.next += 1;
+                        p.requests.insert(simulation.next_request);
+                        simulation.next_request += 1;
                     }
                 }
-                _ => drop(world.receive(i)),
+                _ => drop(simulation.receive(i)),
             }
-            world.check()?;
+            simulation.check()?;
         }
-        // All recover, can serve, receive everything, and wait long enough.
+        // All processes recover, become ready, receive everything and wait long enough.
         for _ in 0..40 {
-            world.now += 0.2;
-            for i in 0..world.chain.len() {
-                world.chain[i].hung = false;
-                while world.receive(i) {}
-                world.notify_if_alive(i, Event::ReadyToServe);
-                world.notify_if_alive(i, Event::Tick);
+            simulation.now += 0.2;
+            for i in 0..simulation.chain.len() {
+                simulation.chain[i].hung = false;
+                while simulation.receive(i) {}
+                simulation.notify_if_alive(i, Event::ReadyToServe);
+                simulation.notify_if_alive(i, Event::Tick);
             }
-            world.check()?;
+            simulation.check()?;
         }
-        let held: BTreeSet<u64> =
-            world.chain.iter().filter(|p| p.alive).flat_map(|p| p.requests.iter().copied()).collect();
-        for request in 0..world.next {
+        let owned: BTreeSet<u64> =
+            simulation.chain.iter().filter(|p| p.alive).flat_map(|p| p.requests.iter().copied()).collect();
+        for request in 0..simulation.next_request {
             prop_assert!(
-                held.contains(&request) || world.lost_with_process.contains(&request),
+                owned.contains(&request) || simulation.requests_of_dead_processes.contains(&request),
                 "{} is lost",
                 request
             );
         }
-        let last = world.chain.last().filter(|p| p.alive);
+        let last = simulation.chain.last().filter(|p| p.alive);
         if last.is_some() {
-            prop_assert_eq!(world.owners(), 1);
+            prop_assert_eq!(simulation.owners(), 1);
         }
         Ok(())
     });
-    ran.unwrap();
+    result.unwrap();
 }
