--- a/src/config/ajp.rs
+++ b/src/config/ajp.rs
@@ -8,56 +8,56 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AjpSettings {
-    /// The address on which it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// The secret that every request must carry, if set.
+    /// The secret that every request must carry, if any.
     pub secret: Option<String>,
-    /// Which paths belong to which class.
+    /// The mapping of paths to classes.
     #[serde(default, rename = "route")]
     pub routes: Vec<Route>,
-    /// Which requests belong to which tenant.
+    /// The mapping of requests to tenants.
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<TenantRule>,
 }
 
-/// Requests for this path, and for what lies below it, are of this class.
+/// Assigns requests for a path and its subpaths to a class.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The path; it begins with a slash.
+    /// The path, beginning with a slash.
     pub path: String,
-    /// The class by its name in the settings.
+    /// The name of the class in the settings.
     pub class: String,
 }
 
-/// Requests of this user, or for this server name, are this tenant's.
+/// Assigns requests of a user or for a server name to a tenant. If both are given, both must match.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct TenantRule {
     /// The authenticated user.
     pub remote_user: Option<String>,
-    /// The server name, compared without regard to case.
+    /// The server name, case-insensitive.
     pub server_name: Option<String>,
-    /// The tenant by its name in the settings.
+    /// The name of the tenant in the settings.
     pub tenant: String,
 }
 
 impl AjpSettings {
-    /// The class of a path: that of the longest route that it equals or lies below.
+    /// The class of a path: that of the longest route that matches it or a parent of it.
     #[must_use]
     pub fn class_of(&self, path: &str) -> Option<&str> {
-        let below = |route: &&Route| {
+        let covers_path = |route: &&Route| {
             path.strip_prefix(route.path.trim_end_matches('/'))
                 .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
         };
         self.routes
             .iter()
-            .filter(below)
+            .filter(covers_path)
             .max_by_key(|route| route.path.len())
             .map(|route| route.class.as_str())
     }
 
-    /// The tenant of the first rule whose conditions all hold.
+    /// The tenant of the first rule that matches.
     #[must_use]
     pub fn tenant_of(&self, user: Option<&str>, server: &str) -> Option<&str> {
         let matches = |rule: &&TenantRule| {
--- a/src/config/backend.rs
+++ b/src/config/backend.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct BackendSettings {
-    /// The servers.
+    /// The addresses of the servers.
     pub servers: Vec<SocketAddr>,
-    /// The secret that they expect, if any.
+    /// The secret that the servers expect, if any.
     pub secret: Option<String>,
     /// The server name that is sent with each request.
     #[serde(default = "default_server_name")]
     pub server_name: String,
-    /// By class: the path at the servers, `/do/CLASS` where none is given.
+    /// The path at the servers, by class; `/do/CLASS` for classes that are not listed.
     #[serde(default)]
     pub paths: HashMap<String, String>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl BackendSettings {
-    /// The path at the servers for a class.
+    /// The path of a class at the servers.
     #[must_use]
     pub fn path_of(&self, class: &str) -> String {
         self.paths.get(class).cloned().unwrap_or_else(|| format!("/do/{class}"))
--- a/src/config/directory.rs
+++ b/src/config/directory.rs
@@ -20,13 +20,13 @@
 pub struct DirectorySettings {
     /// The address of the directory.
     pub address: SocketAddr,
-    /// The name to bind with; empty for an anonymous bind.
+    /// The DN to bind as; empty for an anonymous bind.
     #[serde(default)]
     pub bind_dn: String,
     /// The password to bind with.
     #[serde(default)]
     pub bind_password: String,
-    /// The entry below which portals are searched.
+    /// The base DN of the search for portals.
     pub base: String,
     /// The part of a request that identifies the portal.
     pub identity: Identity,
@@ -34,13 +34,13 @@
     pub identity_attribute: String,
     /// The attribute that holds the tenant's name.
     pub tenant_attribute: String,
-    /// The timeout of a search (milliseconds).
+    /// Timeout of a search (milliseconds).
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
     /// How long a result is cached (seconds).
     #[serde(default = "default_cache_s")]
     pub cache_s: f64,
-    /// Most cached results.
+    /// Largest number of cached results.
     #[serde(default = "default_cache_entries")]
     pub cache_entries: usize,
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -3,8 +3,8 @@
 use super::fleet::FleetConfigError;
 use std::io;
 
-/// A configuration or an operator's file that can't be used. Its message is one line with the key, the value found and the
-/// value expected.
+/// An invalid configuration or operator's file. Its message is one line with the key, the value found and the value
+/// expected.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigError {
@@ -16,31 +16,31 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The file was read and can't be used.
+    /// The content of the file is invalid.
     #[error("{path}: {source}")]
     InFile {
         /// The file.
         path: String,
-        /// The fault in it.
+        /// The error in it.
         source: Box<ConfigError>,
     },
-    /// The configuration is not JSON, or a key has another type.
+    /// The configuration is not JSON, lacks a key, or a value has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The operator's file is not TOML, has an unknown key, or a key has another type.
+    /// The operator's file is not TOML, lacks a key, has an unknown one, or a value has the wrong type.
     #[error("line {line}: {message}")]
     Toml {
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: usize,
         /// What the parser found and expected.
         message: String,
     },
-    /// A value does not meet its requirement.
+    /// A value does not meet a requirement.
     #[error("{key} must be {expected}")]
     Requirement {
         /// The key.
         key: &'static str,
-        /// What was expected.
+        /// The requirement.
         expected: String,
     },
     /// A value is out of its range.
@@ -50,7 +50,7 @@
         key: String,
         /// The value.
         found: String,
-        /// The least value, and where it comes from.
+        /// The least value, with its origin if that is another key.
         min: String,
         /// The largest value.
         max: String,
@@ -67,70 +67,70 @@
         /// The largest value.
         max: f64,
     },
-    /// A name refers to nothing.
+    /// A name refers to a class, tenant or pool that does not exist.
     #[error("{key}: there is no {kind} {name:?}")]
     UnknownName {
-        /// The key that has the name.
+        /// The key with the name.
         key: String,
-        /// What was looked for: a class, a tenant or a pool.
+        /// The kind of object: class, tenant or pool.
         kind: &'static str,
         /// The name.
         name: String,
     },
     /// The settings have no class.
-    #[error("settings.profiles names no class")]
+    #[error("settings.profiles is empty; expected at least one class")]
     NoClasses,
-    /// A class or tenant has no name or one that another has.
-    #[error("settings.{list}: the name {name:?} is empty or taken")]
-    NameTaken {
+    /// The name of a class or tenant is empty or not unique.
+    #[error("settings.{list}: the name {name:?} is empty or not unique")]
+    EmptyOrDuplicateName {
         /// The list in the settings.
         list: &'static str,
         /// The name.
         name: String,
     },
-    /// A class lacks a deadline or a latency objective.
-    #[error("settings.profiles: {class} needs deadlineS and targetS above 0")]
+    /// The deadline or latency objective of a class is missing or not positive.
+    #[error("settings.profiles {class:?}: deadlineS and targetS must be above 0")]
     ClassTimes {
         /// The class.
         class: String,
     },
-    /// A class has an effect that is not known.
-    #[error("settings.profiles: {class} has the unknown effect {effect:?}")]
+    /// The effect of a class is unknown.
+    #[error("settings.profiles {class:?}: effect is {effect:?}; expected safe, keyed or unsafe")]
     UnknownEffect {
         /// The class.
         class: String,
         /// The effect.
         effect: String,
     },
-    /// `$ROUTER_CONSOLE` is no address.
+    /// `$ROUTER_CONSOLE` is not an address.
     #[error("ROUTER_CONSOLE: expected an address such as 10.0.0.4:7002, found {found:?}")]
     ConsoleAddress {
         /// Its value.
         found: String,
     },
     /// `[ajp]` has no routes.
-    #[error("ajp: no [[ajp.route]] maps a path to a class")]
+    #[error("ajp: there is no [[ajp.route]]; expected at least one")]
     NoRoutes,
     /// A route's path is relative.
-    #[error("ajp.route {path:?}: a path begins with /")]
+    #[error("ajp.route: path is {path:?}; expected a path that begins with /")]
     RelativePath {
         /// The path.
         path: String,
     },
-    /// A tenant rule matches everything.
-    #[error("ajp.tenant: a rule needs remote_user or server_name")]
+    /// A tenant rule has no condition, so it would match every request.
+    #[error("ajp.tenant: a rule must have remote_user or server_name")]
     EmptyTenantRule,
     /// The secret of the AJP frontend is empty.
-    #[error("ajp.secret is empty; leave it out to take requests without one")]
+    #[error("ajp.secret is empty; omit it to accept requests without a secret")]
     EmptySecret,
     /// `[backend]` has no servers.
-    #[error("backend.servers names no server")]
+    #[error("backend.servers is empty; expected at least one address")]
     NoServers,
-    /// A time of `[directory]` is out of its range.
-    #[error("directory: timeout_ms must be above 0 and cache_s not below")]
+    /// A timeout or cache duration of `[directory]` is out of its range.
+    #[error("directory: timeout_ms must be above 0 and cache_s must be 0 or more")]
     DirectoryTimes,
-    /// An attribute of `[directory]` has no name.
-    #[error("directory: an attribute's name is empty")]
+    /// The name of an attribute of `[directory]` is empty.
+    #[error("directory: identity_attribute and tenant_attribute must not be empty")]
     EmptyAttribute,
     /// `[pools]` has no pool.
     #[error("pools: there is no [[pools.pool]]; expected at least one")]
@@ -138,31 +138,31 @@
     /// There are too many pools.
     #[error("pools.pool: there are {found} pools; expected at most {max}")]
     TooManyPools {
-        /// How many there are.
+        /// The number of pools.
         found: usize,
-        /// How many there may be.
+        /// The largest number of pools.
         max: usize,
     },
-    /// A pool's name can't be used.
-    #[error("pools.pool {pool:?}: name is not usable; expected one word of up to 64 bytes without \"=\"")]
+    /// The name of a pool is invalid.
+    #[error("pools.pool {pool:?}: name is invalid; expected one word of up to 64 bytes without \"=\"")]
     PoolName {
         /// The name.
         pool: String,
     },
-    /// Two pools have one name.
-    #[error("pools.pool {pool:?}: name is taken by a pool above; expected names that differ")]
-    PoolNameTaken {
+    /// Two pools have the same name.
+    #[error("pools.pool {pool:?}: name is already used by another pool; expected unique names")]
+    DuplicatePoolName {
         /// The name.
         pool: String,
     },
-    /// A pool names no class.
-    #[error("pools.pool {pool:?}: classes is empty; expected the name of a class")]
+    /// A pool has no classes.
+    #[error("pools.pool {pool:?}: classes is empty; expected at least one class")]
     PoolWithoutClasses {
         /// The pool.
         pool: String,
     },
-    /// Two pools name one class.
-    #[error("pools.pool {pool:?}: classes: {class:?} is in the pool {other:?} already")]
+    /// A class is in two pools.
+    #[error("pools.pool {pool:?}: class {class:?} is already in pool {other:?}")]
     ClassInTwoPools {
         /// The later pool.
         pool: String,
@@ -171,10 +171,8 @@
         /// The earlier pool.
         other: String,
     },
-    /// A pool's guarantee is above its ceiling.
-    #[error(
-        "pools.pool {pool:?}: guarantee {guarantee} is above the ceiling {ceiling}; expected at most that"
-    )]
+    /// The guarantee of a pool is above its ceiling.
+    #[error("pools.pool {pool:?}: guarantee is {guarantee}; expected at most the ceiling, {ceiling}")]
     GuaranteeAboveCeiling {
         /// The pool.
         pool: String,
@@ -183,38 +181,38 @@
         /// Its ceiling.
         ceiling: f64,
     },
-    /// All guarantees together are more than everything.
+    /// The sum of all guarantees is above 1.
     #[error("pools.pool: the guarantees add up to {sum:.3}; expected at most 1")]
     GuaranteesAboveOne {
         /// Their sum.
         sum: f64,
     },
-    /// The pool of the remaining classes has none.
-    #[error("pools.pool {pool:?}: no class is left over for it")]
-    NoClassLeft {
+    /// The pool for the remaining classes would have none.
+    #[error("pools.pool {pool:?}: classes is empty, and every class is in another pool")]
+    NoRemainingClass {
         /// The pool.
         pool: String,
     },
-    /// The reserve takes no slot or too many.
+    /// The number of reserved slots is out of its range.
     #[error(
-        "pools.reserve.slots is {slots}; expected 1 to {}: the least limit, {least_slots}, must leave a slot for the \
-         others{}",
-        .least_slots - 1,
-        if *.least_slots == 1 { " (set least_slots to 2 or more, or leave out the reserve)" } else { "" }
+        "pools.reserve.slots is {slots}; expected 1 to {}: the lower bound of the limit is {min_slots}, and one slot must \
+         be left for other pools{}",
+        .min_slots - 1,
+        if *.min_slots == 1 { " (set least_slots to 2 or more, or omit the reserve)" } else { "" }
     )]
     ReserveSlots {
-        /// The reserve.
+        /// The number of reserved slots.
         slots: usize,
-        /// The least limit on runs.
-        least_slots: usize,
+        /// The lower bound of the limit on runs.
+        min_slots: usize,
     },
-    /// `[fleet]` can't be used.
+    /// `[fleet]` is invalid.
     #[error(transparent)]
     Fleet(#[from] FleetConfigError),
 }
 
 impl ConfigError {
-    /// The same error, with its file.
+    /// Adds the path of the file to the error.
     pub(super) fn in_file(self, path: &str) -> ConfigError {
         ConfigError::InFile { path: path.to_owned(), source: Box::new(self) }
     }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Most coordinators of a fleet.
+/// Largest number of coordinators of a fleet.
 const MAX_COORDINATORS: usize = 9;
 /// Largest clock drift that can be set (percent).
 const MAX_DRIFT_PERCENT: f64 = 50.0;
@@ -27,28 +27,28 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// Name of the fleet.
+    /// The name of the fleet.
     pub name: String,
-    /// Zone that this worker runs in.
+    /// The zone that this worker runs in.
     #[serde(default = "default_zone")]
     pub zone: String,
-    /// Addresses of the coordinators.
+    /// The addresses of the coordinators.
     pub coordinators: Vec<SocketAddr>,
-    /// How far the clocks of a worker and a coordinator may drift apart, both together (percent).
+    /// Largest relative drift between the clocks of a worker and a coordinator (percent).
     #[serde(default = "default_drift_percent")]
     pub drift_percent: f64,
-    /// Whether this worker is a candidate for computing the fleet's totals.
+    /// Whether this worker is a candidate to compute the fleet's totals.
     #[serde(default = "default_totals", rename = "totals")]
     pub computes_totals: bool,
-    /// Tasks for which this worker is a candidate.
+    /// The tasks for which this worker is a candidate.
     #[serde(default, rename = "task")]
     pub tasks: Vec<TaskSettings>,
-    /// Participation in fleet-wide overload control.
+    /// Its participation in fleet-wide overload control.
     pub overload: Option<OverloadSettings>,
 }
 
-/// A worker's participation in fleet-wide overload control. The settings of the control itself are in the coordinators' file,
-/// the same for all workers.
+/// A worker's participation in fleet-wide overload control. The settings of the overload control itself are the same for all
+/// workers, and are in the coordinators' file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadSettings {
@@ -56,23 +56,23 @@
     pub on: bool,
 }
 
-/// A call that one worker makes for the fleet, once a period.
+/// A call that one worker makes on behalf of the fleet once per period.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct TaskSettings {
-    /// Name of the task.
+    /// The name of the task.
     pub name: String,
-    /// Length of a period (seconds).
+    /// The length of a period (seconds).
     pub period_s: f64,
-    /// Address that is called.
+    /// The address to call.
     pub address: SocketAddr,
-    /// Path of the request.
+    /// The path of the request.
     #[serde(default = "default_path")]
     pub path: String,
-    /// How long a call may take (milliseconds).
+    /// The deadline of a call (milliseconds).
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: f64,
-    /// Whether a call with an indeterminate outcome may be made again in its period.
+    /// Whether a call with an indeterminate outcome may be retried within its period.
     #[serde(rename = "safe")]
     pub idempotent: bool,
 }
@@ -104,7 +104,7 @@
         let coordinators = self.coordinators.len() as f64;
         check_range("coordinators", coordinators, 1.0, MAX_COORDINATORS as f64)?;
         check_range("drift_percent", self.drift_percent, 0.0, MAX_DRIFT_PERCENT)?;
-        // The fleet's totals are one of its tasks.
+        // The fleet's totals count as one task.
         check_range("task", self.tasks.len() as f64, 0.0, (MAX_TASKS - 1) as f64)?;
         for task in &self.tasks {
             self.check_task(task)?;
@@ -134,8 +134,8 @@
         self.overload.as_ref().is_some_and(|overload| overload.on)
     }
 
-    /// The membership's configuration, without overload control: that needs the worker's base allocation, which comes from
-    /// the platform's settings.
+    /// Creates the configuration of the membership, without overload control: this needs the worker's base allocation, which
+    /// depends on the platform's settings.
     #[must_use]
     pub fn membership(&self, config: &Config) -> MembershipConfig {
         MembershipConfig {
--- a/src/config/fleet/error.rs
+++ b/src/config/fleet/error.rs
@@ -11,33 +11,33 @@
         "fleet.{key} is {found:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
     )]
     InvalidName {
-        /// The key, without the block.
+        /// The key within the block.
         key: &'static str,
         /// The name.
         found: String,
     },
-    /// A number, or a number of entries, is out of its range.
+    /// A number, or the number of entries of a list, is out of its range.
     #[error("fleet.{key} is {found}; expected {min} to {max}")]
     OutOfRange {
-        /// The key, without the block.
+        /// The key within the block.
         key: String,
-        /// The number.
+        /// The value found.
         found: f64,
-        /// The least that is accepted.
+        /// The least value.
         min: f64,
-        /// The most that is accepted.
+        /// The largest value.
         max: f64,
     },
-    /// Two tasks have the same name, or one has the name of the totals' task.
+    /// Two tasks have the same name, or a task has the name that is reserved for the totals.
     #[error("fleet.task.name is {name:?}, which is taken")]
     DuplicateTask {
         /// The name.
         name: String,
     },
-    /// A path is not absolute, or has characters that can't stand in a request line.
-    #[error("fleet.task {task}.path is {found:?}; a path begins with /")]
+    /// A path does not begin with a slash, or has characters that are not allowed in a request line.
+    #[error("fleet.task {task}.path is {found:?}; expected / followed by printable ASCII without spaces")]
     InvalidPath {
-        /// Name of the task.
+        /// The name of the task.
         task: String,
         /// The path.
         found: String,
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -23,7 +23,7 @@
         let error = OperatorSettings::decode(&text, &config).expect_err(expected).to_string();
         assert!(error.starts_with(expected) && !error.contains('\n'), "{error}, not {expected}");
     }
-    let shown = include_str!("../../../deploy/fleet.toml");
+    let shipped = include_str!("../../../deploy/fleet.toml");
     let config = Config::decode(include_str!("../../../examples/config.json")).unwrap();
-    assert!(OperatorSettings::decode(shown, &config).unwrap().fleet.is_some());
+    assert!(OperatorSettings::decode(shipped, &config).unwrap().fleet.is_some());
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,30 +1,32 @@
-//! Configuration: the platform's settings, a port worker's configuration, and the operator's file for subsystems beside the
-//! platform.
+//! Configuration: the platform's settings, the configuration of a port worker, and the operator's file, which configures
+//! subsystems in addition to those of the platform.
 //!
-//! The names of keys are the platform's and the operators'; serde attributes map them to the names of the code here.
+//! The platform and operators determine the names of keys; serde attributes map these to the names in the code.
 
 pub mod ajp;
 pub mod backend;
 pub mod directory;
 pub mod error;
-pub mod files;
 pub mod fleet;
 pub mod http2;
 pub mod operator;
 pub mod platform;
 pub mod pools;
 pub mod process;
+pub mod startup_options;
 
 pub use ajp::{AjpSettings, Route, TenantRule};
 pub use backend::BackendSettings;
 pub use directory::{DirectorySettings, Identity};
 pub use error::ConfigError;
-pub use files::StartupOptions;
 pub use fleet::{FleetSettings, TaskSettings};
 pub use http2::Http2Settings;
 pub use operator::OperatorSettings;
-pub use platform::{read_gauges, Clients, Contract, Domain, Limits, PlatformSettings, Profile, TenantItem};
+pub use platform::{
+    read_gauges, ClassSettings, Clients, Contract, Domain, Limits, PlatformSettings, TenantSettings,
+};
 pub use process::{max_console_calls, Config, ProcessLimits, RESERVED_SOCKETS};
+pub use startup_options::StartupOptions;
 
 #[cfg(test)]
 mod tests;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,19 +1,19 @@
-//! The operator's file: subsystems beside the platform, in TOML, checked against the platform's settings.
+//! The operator's file: a TOML file that configures subsystems in addition to those of the platform.
 
 use super::fleet::FleetSettings;
 use super::pools::PoolSettings;
 use super::{AjpSettings, BackendSettings, Config, ConfigError, DirectorySettings, Http2Settings};
 use serde::Deserialize;
 
-/// The operator's file. A subsystem whose block is absent is off.
+/// The operator's file. A subsystem without a block is disabled.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
     /// The AJP frontend.
     pub ajp: Option<AjpSettings>,
-    /// AJP servers that run requests.
+    /// AJP servers that run requests instead of the executor.
     pub backend: Option<BackendSettings>,
-    /// The LDAP directory of tenants.
+    /// The LDAP directory that maps portals to tenants.
     pub directory: Option<DirectorySettings>,
     /// Class pools.
     pub pools: Option<PoolSettings>,
@@ -24,12 +24,12 @@
 }
 
 impl OperatorSettings {
-    /// Decodes the file and checks it against the platform's settings.
+    /// Decodes the file and checks it against the worker's configuration.
     ///
     /// # Errors
-    /// Text that is not TOML, unknown blocks and keys, and values that can't be used.
+    /// The text is not TOML, a block or key is unknown, or a value is invalid.
     pub fn decode(text: &str, config: &Config) -> Result<OperatorSettings, ConfigError> {
-        let operator: OperatorSettings = toml::from_str(text).map_err(|fault| located(text, &fault))?;
+        let operator: OperatorSettings = toml::from_str(text).map_err(|error| toml_error(text, &error))?;
         operator.check(config)?;
         Ok(operator)
     }
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// The blocks that differ from `other` and that a running worker can't apply.
+    /// Returns the blocks that differ from `other` and take effect only with a restart.
     #[must_use]
     pub fn changes_requiring_restart(&self, other: &OperatorSettings) -> Vec<&'static str> {
         let differs = [
@@ -70,11 +70,11 @@
     }
 }
 
-/// The error for a parser's fault, with its line.
-fn located(text: &str, fault: &toml::de::Error) -> ConfigError {
-    let at = fault.span().map_or(0, |span| span.start.min(text.len()));
+/// Converts an error of the parser, and finds its line.
+fn toml_error(text: &str, error: &toml::de::Error) -> ConfigError {
+    let at = error.span().map_or(0, |span| span.start.min(text.len()));
     let line = text.as_bytes()[..at].split(|byte| *byte == b'\n').count();
-    ConfigError::Toml { line, message: fault.message().replace('\n', " ") }
+    ConfigError::Toml { line, message: error.message().replace('\n', " ") }
 }
 
 #[cfg(test)]
--- a/src/config/operator/tests.rs
+++ b/src/config/operator/tests.rs
@@ -7,7 +7,7 @@
     let valid = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p/\"\nclass = \"a\"\n";
     let ajp = OperatorSettings::decode(valid, &config).unwrap().ajp.unwrap();
     assert_eq!((ajp.class_of("/p/x"), ajp.class_of("/p"), ajp.class_of("/px")), (Some("a"), Some("a"), None));
-    for (text, named) in [
+    for (text, expected) in [
         (valid.replace("\"a\"", "\"b\""), "class"),
         (valid.replace("[[ajp.route]]", "[[ajp.other]]"), "route"),
         (format!("{valid}[[ajp.tenant]]\nremote_user = \"u\"\ntenant = \"t\"\n"), "tenant"),
@@ -24,7 +24,7 @@
         ("[ajp".to_owned(), "line 1"),
     ] {
         let error = OperatorSettings::decode(&text, &config).unwrap_err().to_string();
-        assert!(error.contains(named) && !error.contains('\n'), "{error}");
+        assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
     assert!(OperatorSettings::decode("", &config).unwrap().ajp.is_none());
 }
@@ -39,7 +39,7 @@
     let pools = "[pools]\n[[pools.pool]]\nname = \"p\"\nclasses = [\"a\"]\n";
     for (text, unknown, line) in [
         ("[nonsense]\n".to_owned(), "nonsense", 1),
-        // A misspelt secret would leave the frontend without one.
+        // If this key were ignored, the frontend would not require a secret.
         (ajp.replace("[[", "secrt = \"x\"\n[["), "secrt", 3),
         (format!("{ajp}clas = \"a\"\n"), "clas", 6),
         (format!("{ajp}[[ajp.tenant]]\nremote_usr = \"u\"\ntenant = \"t\"\n"), "remote_usr", 7),
@@ -66,15 +66,15 @@
     assert!(operator.ajp.is_some() && operator.backend.is_none() && operator.directory.is_none());
     let http2 =
         OperatorSettings::decode(include_str!("../../../deploy/http2.toml"), &config).unwrap().http2.unwrap();
-    // The shipped file spells out the defaults.
-    let plain = OperatorSettings::decode("[http2]\nlisten = \"127.0.0.1:7002\"\n", &config).unwrap().http2;
-    assert_eq!(Some(http2), plain);
-    // The blocks that are commented out are valid as well.
-    let on: String = text
+    // The shipped file gives the defaults explicitly.
+    let defaults = OperatorSettings::decode("[http2]\nlisten = \"127.0.0.1:7002\"\n", &config).unwrap().http2;
+    assert_eq!(Some(http2), defaults);
+    // The blocks that are commented out must be valid, too.
+    let uncommented: String = text
         .lines()
         .map(|l| l.strip_prefix('#').filter(|r| !r.starts_with(' ')).unwrap_or(l))
         .fold(String::new(), |all, line| all + line + "\n");
-    let operator = OperatorSettings::decode(&on, &config).unwrap();
+    let operator = OperatorSettings::decode(&uncommented, &config).unwrap();
     assert_eq!(operator.backend.unwrap().path_of("port-submit"), "/porting/submit");
     assert_eq!(operator.directory.unwrap().identity, crate::config::Identity::RemoteUser);
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,50 +1,50 @@
-//! The platform's settings object, and its mapping to the controller's settings.
+//! The platform's settings object, and its conversion to the settings of the admission controller.
 
 use crate::interface::{Class, Dependency, Gauges, Idempotency, Preemption, Settings, Signal, Tenant};
 use serde::Deserialize;
 
-/// The settings object, the same in the simulator's first message and in a port worker's configuration. Keys that are
-/// not read here are ignored; missing ones have the default of their type.
+/// The settings object, used both in the simulator's first message and in the configuration of a port worker. Unknown keys
+/// are ignored; missing ones get the default of their type.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct PlatformSettings {
-    /// The classes of requests; a class's number is its place in this list.
-    pub profiles: Vec<Profile>,
-    /// The tenants; a tenant's number is its place in this list.
-    pub tenants: Vec<TenantItem>,
+    /// The classes of requests. The index of a class is its position in this list.
+    pub profiles: Vec<ClassSettings>,
+    /// The tenants. The index of a tenant is its position in this list.
+    pub tenants: Vec<TenantSettings>,
     /// The machine, its executor and its downstream dependency.
     pub domain: Domain,
     /// Guarantees to callers, and the load that the machine survives.
     pub contract: Contract,
-    /// Limits on answers.
+    /// Limits on responses.
     pub limits: Limits,
     /// The behaviour of callers.
     pub clients: Clients,
-    /// The weight of a request beyond its tenant's quota, as a share of its class's.
+    /// The weight of a request beyond its tenant's quota, as a share of its class's weight.
     #[serde(rename = "overShareWorth")]
     pub over_quota_weight: f64,
-    /// Workers in the fleet.
+    /// Number of workers in the fleet.
     pub servers: u32,
-    /// How often events are delivered (seconds).
+    /// Interval at which events are delivered (seconds).
     pub period_s: f64,
 }
 
 /// A class of requests.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Profile {
+pub struct ClassSettings {
     /// Its name on the wire.
     pub name: String,
-    /// The priority weight of one answer within the latency objective.
+    /// The priority weight of a response within the latency objective.
     #[serde(rename = "credit")]
     pub weight: f64,
-    /// The share of the weight that a later answer keeps.
+    /// The share of the weight that a later response keeps.
     #[serde(rename = "lateWorth")]
     pub late_weight: f64,
     /// The latency objective (seconds).
     #[serde(rename = "targetS")]
     pub objective_s: f64,
-    /// How long a client waits (seconds).
+    /// How long a client waits for a response (seconds).
     pub deadline_s: f64,
     /// `safe`, `keyed` or `unsafe`.
     pub effect: String,
@@ -55,10 +55,10 @@
 /// A tenant.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
-pub struct TenantItem {
+pub struct TenantSettings {
     /// Its name on the wire.
     pub name: String,
-    /// Its quota over the whole fleet (requests a second).
+    /// Its quota over the whole fleet (requests per second).
     pub quota_per_s: f64,
 }
 
@@ -66,16 +66,16 @@
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Domain {
-    /// By class: whether its runs call the downstream dependency.
+    /// Whether runs call the downstream dependency, by class.
     pub class_calls: Vec<bool>,
-    /// The worker starts cold.
+    /// Whether the worker starts cold.
     pub cold: bool,
-    /// By class: the share of the weight that an answer without its downstream call keeps; 0 forbids skipping it.
+    /// The share of the weight that a response without its downstream call keeps, by class; 0 forbids skipping the call.
     #[serde(rename = "degradedWorth")]
     pub skipped_call_weights: Vec<f64>,
     /// The time over which the downstream share is averaged (seconds).
     pub dep_window_s: f64,
-    /// `one_for_all` where all workers share one downstream dependency.
+    /// `one_for_all` if all workers share one downstream dependency.
     pub depends_on: String,
     /// Memory of a retained idempotency key (KB).
     #[serde(rename = "entryKb")]
@@ -88,21 +88,21 @@
     pub heap_kb: f64,
     /// How long callers keep idle connections (seconds).
     pub idle_s: f64,
-    /// Cores.
+    /// Number of cores.
     pub n_cores: u32,
-    /// Names of the gauges that the executor reports, in their order.
+    /// Names of the gauges that the executor reports, in this order.
     pub own_stats: Vec<String>,
-    /// Requests carry the time that is left to them.
+    /// Whether requests carry their remaining time.
     pub passes_deadline: bool,
-    /// Callers are notified of bad health.
+    /// Whether callers are notified when the worker is not healthy.
     pub readiness: bool,
-    /// Memory of a running request as a multiple of a queued one's.
+    /// Memory of a running request, as a multiple of that of a queued one.
     pub run_factor: f64,
-    /// Callers.
+    /// Number of callers.
     pub senders: u32,
     /// The meaning of the published value: `floor`, `weight`, or none.
     pub signal: String,
-    /// How long an abandoned call stays at the dependency at most (seconds).
+    /// Longest time for which an abandoned call stays at the dependency (seconds).
     pub stays_for_s: f64,
 }
 
@@ -110,29 +110,29 @@
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Contract {
-    /// The share of its speed that a cold worker starts with.
+    /// The speed of a cold worker, as a share of its full speed.
     #[serde(rename = "coldFrom")]
     pub cold_speed: f64,
-    /// Time after which it is warm (seconds).
+    /// Duration of the warm-up (seconds).
     #[serde(rename = "coldS")]
     pub warm_up_s: f64,
-    /// How long after the shutdown notice arrivals may still run (seconds).
+    /// The time after the shutdown notice in which new requests may still run (seconds).
     pub drain_grace_s: f64,
     /// Concurrent runs per core that a warm worker survives.
     pub fall_multiple: f64,
-    /// How long after its due time an answer still counts (seconds).
+    /// The time after its deadline in which a response still counts (seconds).
     pub grace_to_answer_s: f64,
-    /// The time over which the number of runs is averaged (seconds).
+    /// The time over which the number of concurrent runs is averaged (seconds).
     pub tip_after_s: f64,
 }
 
-/// Limits on answers.
+/// Limits on responses.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// The longest Retry-After that callers heed (seconds).
+    /// The longest Retry-After that callers respect (seconds).
     pub max_retry_after_s: f64,
-    /// Retry-After is relayed to callers.
+    /// Whether Retry-After is relayed to callers.
     pub retry_after: bool,
 }
 
@@ -140,11 +140,11 @@
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Clients {
-    /// Retries are marked as such.
+    /// Whether retries are marked as such.
     pub marks_retry: bool,
 }
 
-impl Profile {
+impl ClassSettings {
     fn idempotency(&self) -> Idempotency {
         match self.effect.as_str() {
             "keyed" => Idempotency::Keyed,
@@ -181,7 +181,7 @@
 }
 
 impl PlatformSettings {
-    /// The controller's settings.
+    /// Converts the object to the settings of the admission controller.
     #[must_use]
     pub fn settings(&self, seed: u64) -> Settings {
         let domain = &self.domain;
@@ -214,7 +214,7 @@
                 .profiles
                 .iter()
                 .enumerate()
-                .map(|(number, profile)| self.class(number, profile))
+                .map(|(index, profile)| self.class(index, profile))
                 .collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
             pools: None,
@@ -222,7 +222,7 @@
         }
     }
 
-    fn class(&self, number: usize, profile: &Profile) -> Class {
+    fn class(&self, index: usize, profile: &ClassSettings) -> Class {
         Class {
             weight: profile.weight,
             late_weight: profile.late_weight,
@@ -230,13 +230,13 @@
             deadline_s: profile.deadline_s,
             effect: profile.idempotency(),
             window_s: profile.window_s,
-            calls: self.domain.class_calls.get(number).copied().unwrap_or_default(),
-            skipped_call_weight: self.domain.skipped_call_weights.get(number).copied().unwrap_or_default(),
+            calls: self.domain.class_calls.get(index).copied().unwrap_or_default(),
+            skipped_call_weight: self.domain.skipped_call_weights.get(index).copied().unwrap_or_default(),
         }
     }
 }
 
-/// The gauges by their names in the settings. A gauge without a name or a value is `None`.
+/// Looks up the gauges by their names in the settings. A gauge without a name or value is `None`.
 #[must_use]
 pub fn read_gauges(names: &[String], values: &[f64]) -> Gauges {
     let read = |name: &str| names.iter().position(|n| n == name).and_then(|i| values.get(i)).copied();
--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -1,4 +1,4 @@
-//! `[pools]` of an operator's file: class pools, checked against the platform's settings.
+//! `[pools]` of an operator's file: class pools.
 
 mod assignment;
 
@@ -7,51 +7,54 @@
 use assignment::Assignment;
 use serde::Deserialize;
 
-/// The name of the pool of the classes that no other pool names.
-pub const REST: &str = "rest";
-/// Most pools. Each start of a run examines all of them.
+/// The name of the pool for the classes that no other pool lists.
+pub const REST_POOL: &str = "rest";
+/// Largest number of pools. Each start of a run examines all of them.
 pub const MAX_POOLS: usize = 16;
-/// Most slots.
+/// Largest number of slots.
 pub const MAX_SLOTS: usize = 4096;
-/// The default of `most_slots`, as a multiple of the cores.
+/// Default of `most_slots`, as a multiple of the number of cores.
 const DEFAULT_SLOTS_PER_CORE: usize = 2;
-/// Error by which the sum of guarantees, which are decimal fractions, may exceed 1.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for rounding errors of guarantees, which are decimal fractions: by this much their sum may exceed 1, and a
+/// guarantee its ceiling.
+const GUARANTEE_TOLERANCE: f64 = 1e-9;
 
 /// Class pools.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSettings {
-    /// The least limit on runs (slots); by default the number of cores.
-    pub least_slots: Option<usize>,
-    /// The largest limit on runs (slots); by default twice the number of cores.
-    pub most_slots: Option<usize>,
-    /// How long measured rates and run lengths are used (seconds).
+    /// The lower bound of the limit on runs (slots); by default the number of cores.
+    #[serde(rename = "least_slots")]
+    pub min_slots: Option<usize>,
+    /// The upper bound of the limit on runs (slots); by default twice the number of cores.
+    #[serde(rename = "most_slots")]
+    pub max_slots: Option<usize>,
+    /// The time for which measured rates and run lengths are used (seconds).
     #[serde(default = "default_window_s")]
     pub window_s: f64,
-    /// Interval at which the limit is adjusted (seconds).
-    #[serde(default = "default_look_s")]
-    pub look_s: f64,
-    /// The least number of ended runs for an adjustment.
-    #[serde(default = "default_samples")]
-    pub samples: usize,
-    /// Ratio of the measured run length to the one expected at this load from which the executor counts as slowed down.
+    /// The interval at which the limit is reviewed (seconds).
+    #[serde(default = "default_review_s", rename = "look_s")]
+    pub review_s: f64,
+    /// The least number of ended runs for a review.
+    #[serde(default = "default_min_samples", rename = "samples")]
+    pub min_samples: usize,
+    /// The ratio of measured to expected run length above which the executor counts as slowed down.
     #[serde(default = "default_slow_ratio")]
     pub slow_ratio: f64,
-    /// Slots that one pool never lends.
+    /// The reserved slots, if any.
     pub reserve: Option<ReserveSettings>,
     /// The pools.
     #[serde(default, rename = "pool")]
     pub pools: Vec<PoolBlock>,
 }
 
-/// Slots that one pool never lends.
+/// Slots that are reserved for one pool and never lent to another.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ReserveSettings {
-    /// The pool.
+    /// The name of the pool.
     pub pool: String,
-    /// Its slots.
+    /// The number of reserved slots.
     pub slots: usize,
 }
 
@@ -61,18 +64,18 @@
 pub struct PoolBlock {
     /// Its name.
     pub name: String,
-    /// Its classes, by their names in the settings.
+    /// The names of its classes in the settings.
     pub classes: Vec<String>,
-    /// The share of the common slots that it gets whenever it has requests for them.
+    /// The share of the common slots that it gets whenever it wants them.
     #[serde(default)]
     pub guarantee: f64,
     /// The largest share of the common slots that it may use.
     #[serde(default = "default_ceiling")]
     pub ceiling: f64,
-    /// Its weight where pools compete for free slots.
+    /// Its weight in the division of unclaimed slots.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Most queued requests.
+    /// Largest number of queued requests.
     #[serde(default = "default_queue")]
     pub queue: usize,
 }
@@ -81,11 +84,11 @@
     10.0
 }
 
-fn default_look_s() -> f64 {
+fn default_review_s() -> f64 {
     0.5
 }
 
-fn default_samples() -> usize {
+fn default_min_samples() -> usize {
     16
 }
 
@@ -106,15 +109,15 @@
 }
 
 impl PoolSettings {
-    /// Checks the block against the platform's settings and makes the plan for the controller.
+    /// Checks the block against the platform's settings and creates the plan for the admission controller.
     ///
     /// # Errors
     /// The first setting that is invalid.
     pub fn plan(&self, settings: &PlatformSettings) -> Result<PoolPlan, ConfigError> {
         let cores = settings.domain.n_cores.max(1) as usize;
-        let least_slots = self.least_slots.unwrap_or(cores);
-        let most_slots = self.most_slots.unwrap_or(least_slots.max(cores * DEFAULT_SLOTS_PER_CORE));
-        check_slots(least_slots, most_slots)?;
+        let min_slots = self.min_slots.unwrap_or(cores);
+        let max_slots = self.max_slots.unwrap_or(min_slots.max(cores * DEFAULT_SLOTS_PER_CORE));
+        check_slots(min_slots, max_slots)?;
         self.check_measurement()?;
         if self.pools.is_empty() {
             return Err(ConfigError::NoPools);
@@ -129,53 +132,53 @@
         if pools.len() > MAX_POOLS {
             return Err(ConfigError::TooManyPools { found: pools.len(), max: MAX_POOLS });
         }
-        let reserve = self.reserve.as_ref().map(|reserve| reserve.plan(&pools, least_slots)).transpose()?;
+        let reserve = self.reserve.as_ref().map(|reserve| reserve.plan(&pools, min_slots)).transpose()?;
         Ok(PoolPlan {
             pools,
             pool_of: pool_of.into_iter().flatten().collect(),
             reserve,
-            min_slots: least_slots,
-            max_slots: most_slots,
+            min_slots,
+            max_slots,
             window_s: self.window_s,
-            review_s: self.look_s,
-            min_samples: self.samples,
+            review_s: self.review_s,
+            min_samples: self.min_samples,
             slow_ratio: self.slow_ratio,
         })
     }
 
     fn check_measurement(&self) -> Result<(), ConfigError> {
-        within("pools.window_s".to_owned(), self.window_s, 1.0, 600.0)?;
-        within("pools.look_s".to_owned(), self.look_s, 0.1, self.window_s)?;
-        within("pools.slow_ratio".to_owned(), self.slow_ratio, 1.1, 10.0)?;
-        within("pools.samples".to_owned(), self.samples as f64, 4.0, 10_000.0)
+        check_range("pools.window_s".to_owned(), self.window_s, 1.0, 600.0)?;
+        check_range("pools.look_s".to_owned(), self.review_s, 0.1, self.window_s)?;
+        check_range("pools.slow_ratio".to_owned(), self.slow_ratio, 1.1, 10.0)?;
+        check_range("pools.samples".to_owned(), self.min_samples as f64, 4.0, 10_000.0)
     }
 }
 
-fn check_slots(least_slots: usize, most_slots: usize) -> Result<(), ConfigError> {
+fn check_slots(min_slots: usize, max_slots: usize) -> Result<(), ConfigError> {
     let out_of_range = |key: &str, found: usize, min: String| ConfigError::OutOfRange {
         key: key.to_owned(),
         found: found.to_string(),
         min,
         max: MAX_SLOTS.to_string(),
     };
-    if !(1..=MAX_SLOTS).contains(&least_slots) {
-        return Err(out_of_range("pools.least_slots", least_slots, "1".to_owned()));
+    if !(1..=MAX_SLOTS).contains(&min_slots) {
+        return Err(out_of_range("pools.least_slots", min_slots, "1".to_owned()));
     }
-    if !(least_slots..=MAX_SLOTS).contains(&most_slots) {
-        return Err(out_of_range("pools.most_slots", most_slots, format!("{least_slots} (least_slots)")));
+    if !(min_slots..=MAX_SLOTS).contains(&max_slots) {
+        return Err(out_of_range("pools.most_slots", max_slots, format!("{min_slots} (least_slots)")));
     }
     Ok(())
 }
 
 fn check_guarantees(pools: &[PoolItem]) -> Result<(), ConfigError> {
     let sum: f64 = pools.iter().map(|pool| pool.guarantee).sum();
-    if sum > 1.0 + ROUNDING {
+    if sum > 1.0 + GUARANTEE_TOLERANCE {
         return Err(ConfigError::GuaranteesAboveOne { sum });
     }
     Ok(())
 }
 
-fn within(key: String, found: f64, min: f64, max: f64) -> Result<(), ConfigError> {
+fn check_range(key: String, found: f64, min: f64, max: f64) -> Result<(), ConfigError> {
     if found.is_finite() && found >= min && found <= max {
         return Ok(());
     }
@@ -185,11 +188,11 @@
 impl PoolBlock {
     fn check_shares(&self) -> Result<(), ConfigError> {
         let key = |name: &str| format!("pools.pool {:?}: {name}", self.name);
-        within(key("guarantee"), self.guarantee, 0.0, 1.0)?;
-        within(key("ceiling"), self.ceiling, 0.01, 1.0)?;
-        within(key("weight"), self.weight, 0.001, 1000.0)?;
-        within(key("queue"), self.queue as f64, 1.0, 100_000.0)?;
-        if self.guarantee > self.ceiling + ROUNDING {
+        check_range(key("guarantee"), self.guarantee, 0.0, 1.0)?;
+        check_range(key("ceiling"), self.ceiling, 0.01, 1.0)?;
+        check_range(key("weight"), self.weight, 0.001, 1000.0)?;
+        check_range(key("queue"), self.queue as f64, 1.0, 100_000.0)?;
+        if self.guarantee > self.ceiling + GUARANTEE_TOLERANCE {
             return Err(ConfigError::GuaranteeAboveCeiling {
                 pool: self.name.clone(),
                 guarantee: self.guarantee,
@@ -201,14 +204,14 @@
 }
 
 impl ReserveSettings {
-    /// The reserve, with the number of its pool.
-    fn plan(&self, pools: &[PoolItem], least_slots: usize) -> Result<PoolReserve, ConfigError> {
+    /// Checks the reserve and resolves the name of its pool.
+    fn plan(&self, pools: &[PoolItem], min_slots: usize) -> Result<PoolReserve, ConfigError> {
         let Some(pool) = pools.iter().position(|pool| pool.name == self.pool) else {
             let key = "pools.reserve.pool".to_owned();
             return Err(ConfigError::UnknownName { key, kind: "pool", name: self.pool.clone() });
         };
-        if self.slots == 0 || self.slots >= least_slots {
-            return Err(ConfigError::ReserveSlots { slots: self.slots, least_slots });
+        if self.slots == 0 || self.slots >= min_slots {
+            return Err(ConfigError::ReserveSlots { slots: self.slots, min_slots });
         }
         Ok(PoolReserve { pool, slots: self.slots })
     }
--- a/src/config/pools/assignment.rs
+++ b/src/config/pools/assignment.rs
@@ -1,22 +1,22 @@
-//! The assignment of classes to pools.
+//! Assignment of classes to pools.
 
-use super::{default_ceiling, default_queue, default_weight, PoolBlock, REST};
+use super::{default_ceiling, default_queue, default_weight, PoolBlock, REST_POOL};
 use crate::config::{ConfigError, PlatformSettings};
 use crate::interface::PoolItem;
 
-/// The longest name of a pool (bytes).
+/// Longest name of a pool (bytes).
 const MAX_POOL_NAME_BYTES: usize = 64;
 
-/// The pools that have been read so far, and the assignment of classes to them.
+/// The pools added so far, and the assignment of classes to them.
 pub(super) struct Assignment<'a> {
     settings: &'a PlatformSettings,
     pub(super) pools: Vec<PoolItem>,
-    /// The number of the pool of each class, by class.
+    /// The index of the pool of each class, by class.
     pub(super) pool_of: Vec<Option<usize>>,
 }
 
 impl<'a> Assignment<'a> {
-    /// No pool yet, for the classes of these settings.
+    /// Creates an assignment without pools, for the classes of these settings.
     pub(super) fn new(settings: &'a PlatformSettings) -> Self {
         Assignment { settings, pools: Vec::new(), pool_of: vec![None; settings.profiles.len()] }
     }
@@ -40,26 +40,26 @@
 
     fn check_name(&self, block: &PoolBlock) -> Result<(), ConfigError> {
         let pool = block.name.clone();
-        let unusable = |c: char| c.is_whitespace() || c == '=';
-        if pool.is_empty() || pool.len() > MAX_POOL_NAME_BYTES || pool.contains(unusable) {
+        let is_invalid = |c: char| c.is_whitespace() || c == '=';
+        if pool.is_empty() || pool.len() > MAX_POOL_NAME_BYTES || pool.contains(is_invalid) {
             return Err(ConfigError::PoolName { pool });
         }
         if self.pools.iter().any(|earlier| earlier.name == pool) {
-            return Err(ConfigError::PoolNameTaken { pool });
+            return Err(ConfigError::DuplicatePoolName { pool });
         }
-        if block.classes.is_empty() && pool != REST {
+        if block.classes.is_empty() && pool != REST_POOL {
             return Err(ConfigError::PoolWithoutClasses { pool });
         }
         Ok(())
     }
 
     fn assign(&mut self, block: &PoolBlock, class: &str) -> Result<(), ConfigError> {
-        let Some(number) = self.settings.profiles.iter().position(|profile| profile.name == class) else {
+        let Some(index) = self.settings.profiles.iter().position(|profile| profile.name == class) else {
             let key = format!("pools.pool {:?}: classes", block.name);
             return Err(ConfigError::UnknownName { key, kind: "class", name: class.to_owned() });
         };
-        if let Some(other) = self.pool_of[number] {
-            // A pool that is not in the list yet is this one, which names the class twice.
+        if let Some(other) = self.pool_of[index] {
+            // A pool that is not in the list yet is this one, so it lists the class twice.
             let other = self.pools.get(other).map_or(&block.name, |pool| &pool.name);
             return Err(ConfigError::ClassInTwoPools {
                 pool: block.name.clone(),
@@ -67,15 +67,15 @@
                 other: other.clone(),
             });
         }
-        self.pool_of[number] = Some(self.pools.len());
+        self.pool_of[index] = Some(self.pools.len());
         Ok(())
     }
 
-    /// Assigns the classes that no pool names to the pool [`REST`].
+    /// Assigns the classes that no pool lists to the pool [`REST_POOL`].
     pub(super) fn add_rest(&mut self, blocks: &[PoolBlock]) -> Result<(), ConfigError> {
         if self.pool_of.iter().all(Option::is_some) {
             return match blocks.iter().find(|block| block.classes.is_empty()) {
-                Some(block) => Err(ConfigError::NoClassLeft { pool: block.name.clone() }),
+                Some(block) => Err(ConfigError::NoRemainingClass { pool: block.name.clone() }),
                 None => Ok(()),
             };
         }
@@ -86,13 +86,13 @@
         Ok(())
     }
 
-    /// The number of the pool [`REST`], which is added if the file has none.
+    /// The index of the pool [`REST_POOL`], which is added if the file does not have it.
     fn rest_pool(&mut self) -> usize {
-        if let Some(rest) = self.pools.iter().position(|pool| pool.name == REST) {
+        if let Some(rest) = self.pools.iter().position(|pool| pool.name == REST_POOL) {
             return rest;
         }
         self.pools.push(PoolItem {
-            name: REST.to_owned(),
+            name: REST_POOL.to_owned(),
             guarantee: 0.0,
             ceiling: default_ceiling(),
             weight: default_weight(),
--- a/src/config/pools/tests.rs
+++ b/src/config/pools/tests.rs
@@ -18,7 +18,7 @@
     assert_eq!((names, plan.pool_of), (vec!["cheap", "orders", "rest"], vec![0, 2, 1]));
     let reserve = PoolReserve { pool: 0, slots: 1 };
     assert_eq!((plan.reserve, plan.min_slots, plan.max_slots), (Some(reserve), 6, 12));
-    // The rest may be set up by name, without classes.
+    // The pool "rest" may be configured by its name, without classes.
     let text = format!("{VALID}[[pools.pool]]\nname = \"rest\"\nclasses = []\nguarantee = 0.1\n");
     let plan =
         OperatorSettings::decode(&text, &config).unwrap().pools.unwrap().plan(&config.settings).unwrap();
@@ -28,13 +28,21 @@
 #[test]
 fn invalid_pool_settings_are_rejected_in_one_line_that_names_the_key() {
     let config = config();
-    for (from, to, named) in [
+    for (from, to, expected) in [
         ("\"status-check\"", "\"status\"", "pools.pool \"cheap\": classes: there is no class \"status\""),
-        ("\"port-submit\"", "\"status-check\"", "is in the pool \"cheap\" already"),
-        ("\"port-submit\"", "\"port-submit\", \"port-submit\"", "is in the pool \"orders\" already"),
+        ("\"port-submit\"", "\"status-check\"", "class \"status-check\" is already in pool \"cheap\""),
+        (
+            "\"port-submit\"",
+            "\"port-submit\", \"port-submit\"",
+            "class \"port-submit\" is already in pool \"orders\"",
+        ),
         ("guarantee = 0.5", "guarantee = 0.8", "add up to 1.050; expected at most 1"),
         ("guarantee = 0.5", "guarantee = nan", "guarantee is NaN; expected a number from 0 to 1"),
-        ("guarantee = 0.5", "guarantee = 0.5\nceiling = 0.4", "above the ceiling"),
+        (
+            "guarantee = 0.5",
+            "guarantee = 0.5\nceiling = 0.4",
+            "guarantee is 0.5; expected at most the ceiling, 0.4",
+        ),
         ("weight = 3.0", "weight = 0.0", "weight is 0"),
         ("weight = 3.0", "queue = 0", "queue is 0"),
         ("weight = 3.0", "wieght = 3.0", "line 14: unknown field `wieght`, expected one of"),
@@ -49,13 +57,13 @@
         ("least_slots = 6", "samples = 1", "pools.samples is 1"),
         ("least_slots = 6", "slow_ratio = 1.0", "pools.slow_ratio is 1"),
         ("least_slots = 6", "lest_slots = 6", "unknown field `lest_slots`"),
-        ("name = \"orders\"", "name = \"cheap\"", "name is taken"),
+        ("name = \"orders\"", "name = \"cheap\"", "name is already used"),
         ("name = \"orders\"", "name = \"or ders\"", "expected one word"),
     ] {
         let text = VALID.replacen(from, to, 1);
         assert_ne!(text, VALID, "{from}");
-        let error = OperatorSettings::decode(&text, &config).expect_err(named).to_string();
-        assert!(error.contains(named) && !error.contains('\n'), "{named}: {error}");
+        let error = OperatorSettings::decode(&text, &config).expect_err(expected).to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{expected}: {error}");
     }
 }
 
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -1,20 +1,20 @@
-//! A port worker's configuration: its addresses, its limits and the platform's settings.
+//! The configuration of a port worker: its addresses, its limits and the platform's settings.
 
 use super::{ConfigError, PlatformSettings};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Descriptors that are reserved for other uses than client connections: standard streams, the event loop, listeners,
-/// links, spares.
+/// Number of descriptors that are reserved for uses other than client connections: standard streams, the event loop,
+/// listeners, links, and a margin.
 pub const RESERVED_SOCKETS: usize = 32;
-/// The console may use one descriptor in this many.
+/// The console may use one in this many of the other descriptors.
 const CONSOLE_SHARE: usize = 8;
-/// The least limit on concurrent calls at the console.
+/// Lower bound of the limit on concurrent calls at the console.
 const MIN_CONSOLE_CALLS: usize = 2;
-/// The largest limit on concurrent calls at the console.
+/// Upper bound of the limit on concurrent calls at the console.
 const MAX_CONSOLE_CALLS: usize = 16;
-/// The least memory limit (MiB).
+/// Least memory limit that can be set (MiB).
 const MIN_MEMORY_MB: f64 = 16.0;
 
 /// The limits on this process.
@@ -23,7 +23,7 @@
 pub struct ProcessLimits {
     /// Memory (MiB).
     pub memory_mb: f64,
-    /// Descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
@@ -33,12 +33,12 @@
     }
 }
 
-/// A port worker's configuration.
+/// The configuration of a port worker.
 #[derive(Deserialize)]
 pub struct Config {
-    /// The worker's name in the registry.
+    /// The name of the worker in the registry.
     pub name: String,
-    /// The address on which the platform's frontend listens.
+    /// The address that the platform's frontend listens on.
     pub listen: SocketAddr,
     /// The address of the executor.
     pub executor: SocketAddr,
@@ -49,13 +49,13 @@
     /// The address of the operators' console, if there is one.
     #[serde(default)]
     pub console: Option<SocketAddr>,
-    /// The console's address in the file, if the environment's has overridden it.
+    /// The address of the console in the file, if it is overridden by the environment.
     #[serde(skip)]
     pub overridden_console: Option<SocketAddr>,
-    /// The seed of all random numbers, in hexadecimal digits.
+    /// The seed of all random numbers, in hexadecimal.
     #[serde(default)]
     pub seed: String,
-    /// How long after the shutdown notice the process is stopped (milliseconds).
+    /// The time between the shutdown notice and the end of the process (milliseconds).
     #[serde(default = "default_stop_ms")]
     pub stop_ms: f64,
     /// The limits on this process.
@@ -69,15 +69,15 @@
     3200.0
 }
 
-/// Most concurrent calls at the console, by the limit on descriptors: a small share of those of clients, and enough that
-/// clients which hold calls open can't exclude the next one for long.
+/// Largest number of concurrent calls at the console, for this limit on descriptors: a small share of the clients'
+/// descriptors, but enough that clients which keep calls open can't exclude others for long.
 #[must_use]
 pub fn max_console_calls(sockets: usize) -> usize {
     (sockets.saturating_sub(RESERVED_SOCKETS) / CONSOLE_SHARE).clamp(MIN_CONSOLE_CALLS, MAX_CONSOLE_CALLS)
 }
 
 impl Config {
-    /// Descriptors for clients and upstreams: the limit less those that are reserved.
+    /// Number of descriptors for clients and upstreams: the limit without the reserved ones.
     #[must_use]
     pub fn socket_budget(&self) -> usize {
         let console = self.console.map_or(0, |_| max_console_calls(self.limits.sockets) + 1);
@@ -95,7 +95,7 @@
     /// Decodes and checks a configuration.
     ///
     /// # Errors
-    /// Text that is no configuration, or one that can't be used.
+    /// The text is not a configuration, or a value is invalid.
     pub fn decode(text: &str) -> Result<Config, ConfigError> {
         let config: Config = serde_json::from_str(text)?;
         config.check()?;
@@ -124,7 +124,7 @@
         for class in classes {
             let name = &class.name;
             if name.is_empty() || !names.insert(name.as_str()) {
-                return Err(ConfigError::NameTaken { list: "profiles", name: name.clone() });
+                return Err(ConfigError::EmptyOrDuplicateName { list: "profiles", name: name.clone() });
             }
             if !(is_positive(class.deadline_s) && is_positive(class.objective_s)) {
                 return Err(ConfigError::ClassTimes { class: name.clone() });
@@ -138,10 +138,12 @@
 
     fn check_tenants(&self) -> Result<(), ConfigError> {
         let mut names = HashSet::new();
-        let unusable =
+        let is_invalid =
             |name: &str, names: &mut HashSet<String>| name.is_empty() || !names.insert(name.to_owned());
-        match self.settings.tenants.iter().find(|tenant| unusable(&tenant.name, &mut names)) {
-            Some(tenant) => Err(ConfigError::NameTaken { list: "tenants", name: tenant.name.clone() }),
+        match self.settings.tenants.iter().find(|tenant| is_invalid(&tenant.name, &mut names)) {
+            Some(tenant) => {
+                Err(ConfigError::EmptyOrDuplicateName { list: "tenants", name: tenant.name.clone() })
+            }
             None => Ok(()),
         }
     }
@@ -162,7 +164,7 @@
         Ok(())
     }
 
-    /// The names of the keys that differ from `old` and that a running worker can't apply.
+    /// Returns the names of the keys that differ from `old` and take effect only with a restart.
     #[must_use]
     pub fn changes_requiring_restart(&self, old: &Config) -> Vec<&'static str> {
         let differs = [
@@ -177,7 +179,7 @@
         differs.into_iter().filter_map(|(name, differs)| differs.then_some(name)).collect()
     }
 
-    /// The seed as a number. Text that is not hexadecimal is hashed into one.
+    /// The seed as a number. Text that is not hexadecimal is hashed.
     #[must_use]
     pub fn seed_number(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
--- a/src/config/files.rs
+++ b/src/config/startup_options.rs
@@ -1,23 +1,23 @@
-//! The files and addresses that a worker's environment names, from which its configuration is read.
+//! The startup options of a worker, and reading of the files that they name.
 
 use super::{Config, ConfigError, OperatorSettings};
 use std::io::Read;
 
-/// The longest configuration or operator's file that is read (bytes).
+/// The longest prefix of a configuration or operator's file that is read (bytes).
 const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// The files and addresses named by the environment and the command line.
+/// The options given by the environment and the command line.
 #[derive(Clone, Debug, Default)]
 pub struct StartupOptions {
     /// The path of the configuration.
     pub config: String,
     /// The path of the operator's file.
     pub operator: Option<String>,
-    /// The console's address; it takes precedence over the configuration's.
+    /// The address of the console, which overrides that of the configuration.
     pub console: Option<String>,
-    /// The number of the listening socket that this process inherits.
+    /// The descriptor of the inherited listening socket.
     pub socket: Option<String>,
-    /// The folder that this process shares with its predecessor.
+    /// The directory that this process shares with its predecessor and its successor.
     pub folder: Option<String>,
 }
 
@@ -25,10 +25,10 @@
     /// Reads and checks the configuration.
     ///
     /// # Errors
-    /// A file that can't be read or used, or a console address that is none.
+    /// The file can't be read or is invalid, or the console address is malformed.
     pub fn config(&self) -> Result<Config, ConfigError> {
         let text = read(&self.config)?;
-        let mut config = Config::decode(&text).map_err(|fault| fault.in_file(&self.config))?;
+        let mut config = Config::decode(&text).map_err(|error| error.in_file(&self.config))?;
         if let Some(text) = &self.console {
             let address = text.parse().map_err(|_| ConfigError::ConsoleAddress { found: text.clone() })?;
             config.overridden_console = config.console.filter(|configured| *configured != address);
@@ -37,13 +37,13 @@
         Ok(config)
     }
 
-    /// Reads the operator's file and checks it against the configuration. Without a file every block is absent.
+    /// Reads the operator's file and checks it against the configuration. If no file is given, every block is absent.
     ///
     /// # Errors
-    /// A file that can't be read or used.
+    /// The file can't be read or is invalid.
     pub fn operator(&self, config: &Config) -> Result<OperatorSettings, ConfigError> {
         let Some(path) = &self.operator else { return Ok(OperatorSettings::default()) };
-        OperatorSettings::decode(&read(path)?, config).map_err(|fault| fault.in_file(path))
+        OperatorSettings::decode(&read(path)?, config).map_err(|error| error.in_file(path))
     }
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn an_invalid_configuration_is_rejected_in_one_line_that_names_the_key() {
-    for (from, to, named) in [
+    for (from, to, expected) in [
         (r#""name":"n3""#, r#""name":"n 3""#, "one word"),
         (r#""name":"a""#, r#""name":"""#, "profiles"),
         ("\"deadlineS\":2.0", "\"deadlineS\":0", "deadlineS"),
@@ -29,7 +29,7 @@
         ("\"sockets\":256", "\"sockets\":8", "sockets"),
         ("127.0.0.1:1", "nowhere", "address"),
     ] {
-        let error = Config::decode(&VALID.replacen(from, to, 1)).err().expect(named).to_string();
-        assert!(error.contains(named) && !error.contains('\n'), "{error}");
+        let error = Config::decode(&VALID.replacen(from, to, 1)).err().expect(expected).to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
 }
