--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -1,7 +1,7 @@
 //! Builds a worker from its configuration and the operator's file.
 
 use super::{Configuration, LoopState, Worker, SWEEP_S};
-use crate::config::{Config, Files, FleetSettings, Operator};
+use crate::config::{Config, FleetSettings, OperatorSettings, StartupOptions};
 use crate::dispatch::metrics::Metrics;
 use crate::fleet::MembershipConfig;
 use crate::interface::Settings;
@@ -34,7 +34,7 @@
 impl Worker {
     /// A worker whose sockets listen, unless another process has them.
     pub(super) fn new(
-        files: Files,
+        files: StartupOptions,
         platform: Config,
         poll: &Poll,
         log: LogHandle,
@@ -73,7 +73,7 @@
 }
 
 /// The platform's settings with what the operator's file adds to them.
-fn controller_settings(config: &Config, operator: &Operator) -> Result<Settings, WorkerError> {
+fn controller_settings(config: &Config, operator: &OperatorSettings) -> Result<Settings, WorkerError> {
     let mut settings = config.settings.settings(config.seed_number());
     // Retained keys and results lie in this process's own memory: the platform books none for them.
     settings.key_entry_kb = 0.0;
@@ -115,13 +115,13 @@
     Ok(Some(console))
 }
 
-fn ajp_frontend(platform: &Config, operator: &Operator, poll: &Poll) -> Option<AjpFrontend> {
+fn ajp_frontend(platform: &Config, operator: &OperatorSettings, poll: &Poll) -> Option<AjpFrontend> {
     let settings = operator.ajp.clone()?;
     let identity = operator.directory.as_ref().map(|directory| directory.identity);
     Some(AjpFrontend::closed(poll, settings, identity, platform.seed_number()))
 }
 
-fn inherited_socket(files: &Files) -> Result<Option<Rc<TcpListener>>, WorkerError> {
+fn inherited_socket(files: &StartupOptions) -> Result<Option<Rc<TcpListener>>, WorkerError> {
     let Some(number) = files.socket.as_deref() else { return Ok(None) };
     Ok(Some(inherited_listener(number)?))
 }
