--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -5,7 +5,7 @@
 use super::Config;
 use crate::fleet::frame::{is_valid_name, MAX_TASKS};
 use crate::fleet::tasks::Schedule;
-use crate::fleet::{MembershipConfig, TOTALS};
+use crate::fleet::{MembershipConfig, TOTALS_TASK};
 pub use error::FleetConfigError;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -115,7 +115,7 @@
     fn check_task(&self, task: &TaskSettings) -> Result<(), FleetConfigError> {
         check_name("task.name", &task.name)?;
         let same_name = self.tasks.iter().filter(|other| other.name == task.name).count();
-        if task.name == TOTALS || same_name > 1 {
+        if task.name == TOTALS_TASK || same_name > 1 {
             return Err(FleetConfigError::DuplicateTask { name: task.name.clone() });
         }
         let key = |field: &str| format!("task {}.{field}", task.name);
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -17,7 +17,7 @@
 use super::overload::client::{FleetOverloadClient, LoadSample, OverloadDirective};
 use super::session::{LinkAction, Session};
 use super::tasks::{ScheduledCall, ScheduledTask};
-use super::totals::{ReceivedTotals, TOTALS};
+use super::totals::{ReceivedTotals, TOTALS_TASK};
 use std::net::SocketAddr;
 
 /// Delay of the next wake-up while something is due that can't be done yet, as under a lease that has expired (seconds).
@@ -147,7 +147,7 @@
     /// The tasks for which this worker is a candidate.
     fn wanted_tasks(&self) -> Vec<String> {
         let scheduled = self.tasks.iter().map(|task| task.schedule.name.clone());
-        let totals = self.config.computes_totals.then(|| TOTALS.to_owned());
+        let totals = self.config.computes_totals.then(|| TOTALS_TASK.to_owned());
         scheduled.chain(totals).collect()
     }
 
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -4,7 +4,7 @@
 use crate::fleet::frame::{AgedCounters, ClientMessage, FleetTotals, LeaseRef, RenewedLease, ServerMessage};
 use crate::fleet::overload::FleetDigest;
 use crate::fleet::tasks::{BegunPeriod, PeriodDecision};
-use crate::fleet::totals::{sum_counters, ReceivedTotals, TOTALS};
+use crate::fleet::totals::{sum_counters, ReceivedTotals, TOTALS_TASK};
 
 /// Margin that is added to the pause before the next request for a period (seconds). A request that arrives a little early
 /// is rejected, so that without it each period would be requested twice.
@@ -75,7 +75,7 @@
     }
 
     fn compute_totals(&mut self, now: f64, workers: &[AgedCounters]) {
-        if self.leases.may_act(now, TOTALS, 0.0).is_some() && !workers.is_empty() {
+        if self.leases.may_act(now, TOTALS_TASK, 0.0).is_some() && !workers.is_empty() {
             self.computed_totals = Some(sum_counters(&self.config.name, workers));
         }
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -28,4 +28,4 @@
 
 pub use config::{Incarnation, MembershipConfig};
 pub use member::{FleetMember, LeaseLossCause, MemberAction, MembershipEvent};
-pub use totals::TOTALS;
+pub use totals::TOTALS_TASK;
--- a/src/fleet/totals.rs
+++ b/src/fleet/totals.rs
@@ -1,9 +1,9 @@
-//! The fleet's totals: the sum of all workers' counters, computed by the worker that holds the lease on [`TOTALS`].
+//! The fleet's totals: the sum of all workers' counters, computed by the worker that holds the lease on [`TOTALS_TASK`].
 
 use super::frame::{AgedCounters, Counters, FleetTotals};
 
 /// The task whose lease holder computes the fleet's totals.
-pub const TOTALS: &str = "totals";
+pub const TOTALS_TASK: &str = "totals";
 
 /// Totals as the coordinators sent them.
 #[derive(Clone, Debug, PartialEq)]
