--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -88,7 +88,7 @@
 
 impl FleetOverload {
     fn start_term(now: f64, settings: Settings) -> FleetOverload {
-        FleetOverload { settings, leader: Leader::lead(now, settings) }
+        FleetOverload { settings, leader: Leader::new(now, settings) }
     }
 }
 
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -47,7 +47,7 @@
 impl Leader {
     /// For a coordinator whose term begins now.
     #[must_use]
-    pub fn lead(now: f64, settings: Settings) -> Leader {
+    pub fn new(now: f64, settings: Settings) -> Leader {
         Leader {
             view: FleetLoadView::default(),
             levels: SheddingController::new(now),
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -104,7 +104,7 @@
         let mut world = World {
             workers: (0..shape.workers).map(|n| Worker::new(shape, &experiment, &config, n)).collect(),
             service: Service::new(shape, &experiment.records),
-            leader: Leader::lead(0.0, LeaderSettings { base_calls: shape.slots_each, retry_share: 0.1 }),
+            leader: Leader::new(0.0, LeaderSettings { base_calls: shape.slots_each, retry_share: 0.1 }),
             rng: ChaCha8Rng::seed_from_u64(seed ^ ROUTING_SEED),
             attempts: BTreeMap::new(),
             order: 0,
