--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -57,7 +57,8 @@
     /// Number of workers that are included.
     pub workers: usize,
     /// Name of the worker that computed the sums.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub computed_by: String,
     /// Age of the oldest counters among them when they were forwarded (milliseconds).
     pub age_ms: u64,
 }
--- a/src/fleet/totals.rs
+++ b/src/fleet/totals.rs
@@ -24,7 +24,7 @@
         }
     }
     let age_ms = workers.iter().map(|worker| worker.age_ms).max().unwrap_or(0);
-    FleetTotals { counts, workers: workers.len(), by: computed_by.to_owned(), age_ms }
+    FleetTotals { counts, workers: workers.len(), computed_by: computed_by.to_owned(), age_ms }
 }
 
 #[cfg(test)]
--- a/src/fleet/totals/tests.rs
+++ b/src/fleet/totals/tests.rs
@@ -12,6 +12,6 @@
     ];
     let totals = sum_counters("w1", &workers);
     assert_eq!(totals.counts, counters(&[("a.success", 7), ("huge", u64::MAX)]));
-    assert_eq!((totals.workers, totals.by.as_str(), totals.age_ms), (2, "w1", 900));
+    assert_eq!((totals.workers, totals.computed_by.as_str(), totals.age_ms), (2, "w1", 900));
     assert_eq!(sum_counters("w1", &[]).age_ms, 0);
 }
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -20,7 +20,7 @@
 }
 
 fn totals() -> FleetTotals {
-    FleetTotals { counts: counts(), workers: 3, by: "n1".to_owned(), age_ms: 250 }
+    FleetTotals { counts: counts(), workers: 3, computed_by: "n1".to_owned(), age_ms: 250 }
 }
 
 fn load() -> LoadReport {
