--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -103,7 +103,7 @@
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
     stream.set_write_timeout(Some(timeout))?;
-    let message = ClientMessage::Query { fleet: fleet.to_owned(), what: query.clone() };
+    let message = ClientMessage::Query { fleet: fleet.to_owned(), query: query.clone() };
     stream.write_all(&encode(&message))?;
     Ok(stream)
 }
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -27,7 +27,7 @@
                 let hello = Hello { name, zone, incarnation: process, version };
                 self.on_worker_hello(now, link, &fleet, hello);
             }
-            ClientMessage::Query { fleet, what } => self.on_operator_query(now, link, &fleet, what),
+            ClientMessage::Query { fleet, query } => self.on_operator_query(now, link, &fleet, query),
             // No hello was received on this link, or this member does not lead any more.
             _ if *role != Role::Worker => self.send(link, &ServerMessage::SessionExpired),
             _ if !self.replica.leads() => {
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -110,9 +110,9 @@
         );
     }
 
-    fn ask(&mut self, what: OperatorQuery) -> Value {
+    fn ask(&mut self, query: OperatorQuery) -> Value {
         self.coordinator.opened(OPERATOR);
-        let messages = self.send(OPERATOR, &ClientMessage::Query { fleet: "f".into(), what });
+        let messages = self.send(OPERATOR, &ClientMessage::Query { fleet: "f".into(), query });
         let answer = messages.into_iter().find_map(|message| match message {
             ServerMessage::QueryResult { answer } => Some(answer),
             _ => None,
--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -150,7 +150,8 @@
         /// Name of the fleet.
         fleet: String,
         /// The query.
-        what: OperatorQuery,
+        #[serde(rename = "what")]
+        query: OperatorQuery,
     },
     /// A kind that is unknown to this version.
     #[serde(other)]
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -128,7 +128,7 @@
 
 /// Every kind of query that an operator sends.
 fn operator_queries() -> Vec<ClientMessage> {
-    let ask = |what| ClientMessage::Query { fleet: "polderlijn".to_owned(), what };
+    let ask = |query| ClientMessage::Query { fleet: "polderlijn".to_owned(), query };
     vec![
         ask(OperatorQuery::Status),
         ask(OperatorQuery::Members),
