--- a/src/fleet/overload/capacity_leases/client.rs
+++ b/src/fleet/overload/capacity_leases/client.rs
@@ -1,10 +1,10 @@
-//! The worker's side: its loans, its slice, and how many calls it may have in flight. Times are on the worker's clock
-//! (seconds).
+//! The worker's side: tracks its loans and its slice, which determine how many calls it may have in flight. Times are on the
+//! worker's clock (seconds).
 
 use super::{round_down, Loan, SliceGrant, LOAN_S, MAX_OUTSTANDING, SLICE_S, UNLENDABLE_SHARE};
 use std::collections::VecDeque;
 
-/// A report whose answer may still arrive.
+/// A report that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingReport {
     number: u64,
@@ -16,27 +16,27 @@
 pub struct LoanOffer {
     /// The part of its base allocation that the worker lends (calls in flight).
     pub lent_calls: f64,
-    /// Number of the last digest that it has received; 0 for none.
+    /// Number of the last digest that the worker has received; 0 for none.
     pub last_digest: u64,
 }
 
-/// A worker's loan and slice that are valid now (calls in flight).
+/// A worker's loan and slice in force now (calls in flight).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CurrentCapacity {
-    /// The part of its base allocation that it has lent.
+    /// The part of its base allocation that the worker has lent.
     pub lent: f64,
-    /// The slice that it may use.
+    /// The slice that the worker may use.
     pub slice: f64,
 }
 
-/// A worker's loans and its slice.
+/// A worker's loans and slice.
 #[derive(Clone, Debug)]
 pub struct CapacityClient {
-    /// Its base allocation (calls in flight).
+    /// The worker's base allocation (calls in flight).
     base_calls: f64,
     drift: f64,
     loans: VecDeque<Loan>,
-    /// In the order in which they were sent.
+    /// In sending order.
     outstanding: VecDeque<OutstandingReport>,
     slice: f64,
     slice_until: f64,
@@ -44,17 +44,17 @@
 }
 
 impl CapacityClient {
-    /// For a process that starts now. `base_calls` is its base allocation (mean calls in flight), `drift` the share by which
-    /// clocks may drift apart.
+    /// Creates the client of a process that starts now. `base_calls` is the worker's base allocation (mean calls in flight),
+    /// `drift` the share by which clocks may drift apart.
     #[must_use]
     pub fn new(now: f64, base_calls: f64, drift: f64) -> CapacityClient {
-        // The previous process of this worker may have lent this much.
-        let earlier_loan =
+        // The previous process of this worker may have lent up to this amount.
+        let previous_loan =
             Loan { amount: base_calls * (1.0 - UNLENDABLE_SHARE), until: now + LOAN_S / (1.0 - drift) };
         CapacityClient {
             base_calls,
             drift,
-            loans: VecDeque::from([earlier_loan]),
+            loans: VecDeque::from([previous_loan]),
             outstanding: VecDeque::new(),
             slice: 0.0,
             slice_until: f64::NEG_INFINITY,
@@ -62,30 +62,30 @@
         }
     }
 
-    /// Records that a report is sent now, and returns its capacity part: what the worker lends of the `spare` calls that it
-    /// does not need.
+    /// Records that a report is sent now, and returns its capacity part. `spare` is the number of calls that the worker does
+    /// not need.
     pub fn report(&mut self, now: f64, number: u64, spare: f64) -> LoanOffer {
         self.loans.retain(|loan| loan.until > now);
         self.outstanding.push_back(OutstandingReport { number, sent_at: now });
         if self.outstanding.len() > MAX_OUTSTANDING {
             self.outstanding.pop_front();
         }
-        let lent_calls = self.lendable(spare);
+        let lent_calls = self.lendable_calls(spare);
         if lent_calls > 0.0 {
             self.loans.push_back(Loan { amount: lent_calls, until: now + LOAN_S / (1.0 - self.drift) });
         }
         LoanOffer { lent_calls, last_digest: self.last_digest }
     }
 
-    fn lendable(&self, spare: f64) -> f64 {
-        // The leader counts a loan from a digest, and could not use one without.
+    fn lendable_calls(&self, spare: f64) -> f64 {
+        // The leader counts a loan from a digest that the worker has received, and cannot use a loan without one.
         if self.last_digest == 0 {
             return 0.0;
         }
         round_down(spare.min(self.base_calls * (1.0 - UNLENDABLE_SHARE)))
     }
 
-    /// Handles the digest that answers the report of this number.
+    /// Processes the grant in the digest that answers the report numbered `report`.
     pub fn receive(&mut self, report: u64, grant: SliceGrant) {
         let Some(index) = self.outstanding.iter().position(|sent| sent.number == report) else { return };
         self.outstanding.drain(..index);
@@ -95,7 +95,7 @@
         self.slice_until = answered.sent_at + SLICE_S * (1.0 - self.drift);
     }
 
-    /// Handles that the session goes on over another link: digests are numbered anew, and messages on the old link are lost.
+    /// Called when the session continues over a new link, on which digest numbers restart; messages on the old link are lost.
     /// The slice ends, since the next one may come from another leader; loans last as long as promised.
     pub fn reconnected(&mut self) {
         self.outstanding.clear();
@@ -104,7 +104,7 @@
         self.slice_until = f64::NEG_INFINITY;
     }
 
-    /// The loan and the slice that are valid now.
+    /// The loan and the slice in force now.
     #[must_use]
     pub fn current(&self, now: f64) -> CurrentCapacity {
         let loans = self.loans.iter().filter(|loan| loan.until > now);
@@ -113,7 +113,7 @@
         CurrentCapacity { lent, slice }
     }
 
-    /// The most calls that the worker may have in flight now.
+    /// Maximum number of calls that the worker may have in flight now.
     #[must_use]
     pub fn max_in_flight(&self, now: f64) -> f64 {
         let current = self.current(now);
--- a/src/fleet/overload/capacity_leases/mod.rs
+++ b/src/fleet/overload/capacity_leases/mod.rs
@@ -1,19 +1,20 @@
-//! Capacity leases on a downstream service that all workers share, after Google's Doorman. Each worker has a base allocation
-//! of calls in flight; one that needs less lends the rest, and what is lent is granted in slices to those that need more.
+//! Capacity leases on a downstream service shared by all workers, modelled on Google's Doorman. Each worker has a base
+//! allocation of calls in flight. Workers that need less lend the rest, and the leader grants the lent capacity in slices to
+//! workers that need more.
 //!
-//! Guarantee to callers, also when messages are lost or delayed, processes stop, or the leader changes: all workers together
-//! may never have more calls in flight than the sum of their base allocations. A worker without coordinators has its base
+//! Guarantee to callers: the calls in flight of all workers together never exceed the sum of the base allocations, even if
+//! messages are lost or delayed, processes stop, or the leader changes. A worker without coordinators has its base
 //! allocation, as it has without a fleet.
 //!
-//! **A loan** is a worker's promise not to use a number of calls for [`LOAN_S`] from when it *sends* the report. The leader
-//! does not know when that was, but it knows which of its digests the worker had received by then, and counts the loan from
-//! when it sent that digest. **A slice** counts for its holder from when it *sent* the report, and for the leader from when
-//! the report arrived, as leases do. A leader grants only capacity of loans that outlast the slice, and nothing until the
-//! slices of the previous leader have expired. Like renewals of leases, digests are sent only after a quorum has confirmed
-//! the leader.
+//! **A loan** is a worker's promise not to use a number of calls for [`LOAN_S`] after it *sends* the report. The leader does
+//! not know the sending time, but it knows which of its digests the worker had received by then, and counts the loan from
+//! when it sent that digest. **A slice** runs, as leases do, from when its holder *sent* the report on the holder's side, and
+//! from when the report arrived on the leader's side. A leader grants only capacity of loans that outlast the slice, and
+//! grants nothing until the slices of the previous leader have expired. Like lease renewals, digests are sent only after a
+//! quorum has confirmed the leader.
 //!
-//! A process that starts does not know what the previous process of its worker had lent. Therefore no worker lends more than
-//! a quarter of its base allocation, and a new process uses only the other three quarters until such a loan has expired.
+//! A starting process does not know how much the worker's previous process had lent. Therefore no worker lends more than a
+//! quarter of its base allocation, and a new process uses only the other three quarters until such a loan has expired.
 
 mod client;
 mod server;
@@ -21,38 +22,38 @@
 pub use client::{CapacityClient, CurrentCapacity, LoanOffer};
 pub use server::{CapacityLeaseServer, CapacityTotals, SliceGrant};
 
-/// How long a loan lasts on the lender's clock (seconds): six reports.
+/// How long a loan lasts on the lender's clock (seconds): six reporting intervals.
 pub const LOAN_S: f64 = 3.0;
-/// How long a slice lasts (seconds): longer than one lost report, and short against its loan.
+/// How long a slice lasts (seconds): long enough to survive one lost report, and short compared to a loan.
 pub const SLICE_S: f64 = 1.0;
 /// The share of its base allocation that a worker never lends.
 pub const UNLENDABLE_SHARE: f64 = 0.75;
-/// Most unanswered messages that either side retains.
+/// Maximum number of unanswered messages that either side tracks.
 const MAX_OUTSTANDING: usize = 16;
-/// Amounts are sent in multiples of one call divided by this, which are exact as `f32`.
+/// Amounts are sent in multiples of this fraction of a call, which `f32` represents exactly.
 const STEPS_PER_CALL: f64 = 64.0;
 
 /// The capacity part of a load report (calls in flight).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CapacityReport {
-    /// Number of the last digest that the worker had received.
+    /// Number of the last digest that the worker had received when it sent the report.
     pub last_digest: u64,
-    /// The part of its base allocation that it lends.
+    /// The part of its base allocation that the worker lends.
     pub lent_calls: f64,
-    /// Calls that it would make beyond its capacity.
+    /// Calls that the worker would make beyond its capacity.
     pub wanted_calls: f64,
     /// Mean priority weight of those calls.
     pub weight: f64,
 }
 
-/// Lent capacity (calls in flight), and when the loan expires.
+/// Lent capacity (calls in flight) and its expiry.
 #[derive(Clone, Copy, Debug)]
 struct Loan {
     amount: f64,
     until: f64,
 }
 
-/// Rounds down to an amount that can be sent exactly.
+/// Rounds down to an amount that can be transmitted exactly.
 fn round_down(amount: f64) -> f64 {
     (amount.max(0.0) * STEPS_PER_CALL).floor() / STEPS_PER_CALL
 }
--- a/src/fleet/overload/capacity_leases/tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -3,35 +3,35 @@
     reason = "these values are exact: sums of binary fractions, or values passed through"
 )]
 
-use super::server::{divide, Demand};
+use super::server::{max_min_fair_shares, Demand};
 use super::*;
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
 const WORKERS: usize = 3;
 const BASE_CALLS: f64 = 4.0;
-/// Clocks differ by as much as the drift allows for, in the direction that harms.
+/// Clocks differ by the maximum drift, in the direction that shortens loans and lengthens slices.
 const DRIFT: f64 = 0.1;
 const FAST_CLOCK: f64 = 1.0 + DRIFT / 2.0;
 const SLOW_CLOCK: f64 = 1.0 - DRIFT / 2.0;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes (seconds).
+    /// Time advances (seconds).
     Elapse(f64),
-    /// A worker reports calls that it can spare, or, where negative, wants.
+    /// A worker reports how many calls it can spare; a negative number is a demand.
     Report(usize, f64),
-    /// The next report on a worker's link reaches its leader.
+    /// The oldest report on a worker's link reaches the leader.
     Arrive(usize),
-    /// The leader answers the next report.
+    /// The leader answers the oldest report that it has received from a worker.
     Answer(usize),
-    /// The next answer reaches the worker.
+    /// The oldest answer on a worker's link reaches the worker.
     Deliver(usize),
-    /// A worker's link is lost; the next one is to the newest leader.
+    /// A worker's link is lost and replaced by one to the newest leader.
     Reconnect(usize),
     /// A worker's process is replaced by a new one.
     Restart(usize),
-    /// Another leader takes over.
+    /// A new leader takes over.
     NewLeader,
 }
 
@@ -50,21 +50,21 @@
     prop::collection::vec(step, 0..200)
 }
 
-/// The guard that a run does without.
+/// The safety rule that a simulation leaves out, to show that it is necessary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RemovedGuard {
     None,
-    /// A new leader grants immediately.
+    /// A new leader grants slices immediately.
     NoWait,
-    /// A loan counts from when the latest digest went out, whatever the lender had received by then.
+    /// A loan counts from when the latest digest was sent, whether or not the lender had received it.
     AnyDigest,
     /// A new process uses its full base allocation.
     FullAllocation,
-    /// Holders use a slice until its end, without a margin for drift.
+    /// Loans and slices have no margin for clock drift on the worker's side.
     NoDrift,
 }
 
-/// What a worker reports that has calls to spare, or, where that is negative, wants some.
+/// The report of a worker that can spare `spare` calls; a negative number is a demand.
 fn report_of(offer: LoanOffer, spare: f64) -> CapacityReport {
     CapacityReport {
         last_digest: offer.last_digest,
@@ -77,15 +77,15 @@
 /// A worker, and the messages between it and its leader.
 struct Worker {
     client: CapacityClient,
-    /// The index of the leader that its link is to.
+    /// Index of the leader to which the worker is connected.
     leader: usize,
-    /// The number of its latest report.
+    /// Number of the latest report.
     number: u64,
-    /// Reports on their way to the leader, by number.
+    /// Reports in transit to the leader, with their numbers.
     reports: VecDeque<(u64, CapacityReport)>,
-    /// Numbers of reports that wait for the quorum, and when they were received.
+    /// Numbers of the reports that wait for the quorum's confirmation, and when they were received.
     received: VecDeque<(u64, f64)>,
-    /// Answers on their way to the worker, by the number of their report.
+    /// Answers in transit to the worker, with the numbers of their reports.
     grants: VecDeque<(u64, SliceGrant)>,
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// Leaders and workers whose clocks differ, without one of their guards.
+/// Simulation of leaders and workers whose clocks differ, optionally without one of the safety rules.
 struct World {
     removed: RemovedGuard,
     now: f64,
@@ -121,7 +121,7 @@
         world
     }
 
-    /// The client of a worker's process, which has run for long or starts now.
+    /// The client of a worker's process that either has been running for a long time or starts now.
     fn client(&self, w: usize, long_running: bool) -> CapacityClient {
         let now = self.workers_now(w);
         let began = if long_running { now - 100.0 } else { now };
@@ -133,7 +133,7 @@
         self.now * FAST_CLOCK
     }
 
-    /// Lenders' clocks are fast: their promises end early; borrowers' are slow, and so hold on for long.
+    /// The lender's clock is fast, so that its loans end early; the borrowers' clocks are slow, so that their slices end late.
     fn workers_now(&self, w: usize) -> f64 {
         self.now * if w == 0 { FAST_CLOCK } else { SLOW_CLOCK }
     }
@@ -161,7 +161,7 @@
             Step::NewLeader => {
                 let now = self.leaders_now();
                 let from = if self.removed == RemovedGuard::NoWait { now } else { now + SLICE_S };
-                self.leaders.push(CapacityLeaseServer::granting_from(from, BASE_CALLS));
+                self.leaders.push(CapacityLeaseServer::with_grant_start(from, BASE_CALLS));
             }
         }
     }
@@ -180,8 +180,8 @@
         let leader = &mut self.leaders[worker.leader];
         let Some((number, mut report)) = worker.reports.pop_front() else { return };
         if self.removed == RemovedGuard::AnyDigest {
-            let holder = leader.holders.get(&(w as u64));
-            let newest_digest = holder.and_then(|holder| holder.sent_digests.back());
+            let worker_state = leader.workers.get(&(w as u64));
+            let newest_digest = worker_state.and_then(|worker_state| worker_state.sent_digests.back());
             report.last_digest = newest_digest.map_or(0, |digest| digest.number);
         }
         leader.receive_report(now, w as u64, report);
@@ -192,7 +192,7 @@
         let now = self.leaders_now();
         let newest = self.leaders.len() - 1;
         let worker = &mut self.workers[w];
-        // An earlier leader has no quorum.
+        // A superseded leader has no quorum and cannot answer.
         if worker.leader == newest {
             if let Some((number, received_at)) = worker.received.pop_front() {
                 let grant = self.leaders[newest].grant(now, received_at, w as u64);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// A worker's link is lost with all that was under way on it, and the next one is to the newest leader.
+    /// Drops all messages in transit on a worker's link, and connects the worker to the newest leader.
     fn relink(&mut self, w: usize) {
         let worker = &mut self.workers[w];
         worker.reports.clear();
@@ -210,14 +210,14 @@
         worker.leader = self.leaders.len() - 1;
     }
 
-    /// The calls that may be in flight from all workers.
+    /// The calls that all workers together may have in flight.
     fn max_in_flight(&self) -> f64 {
         let calls = |(w, worker): (usize, &Worker)| worker.client.max_in_flight(self.workers_now(w));
         self.workers.iter().enumerate().map(calls).sum()
     }
 }
 
-/// Plays the steps; the first total of calls that may be in flight beyond the sum of the base allocations.
+/// Runs the steps. Returns the first total of permitted calls in flight that exceeds the sum of the base allocations.
 fn first_excess(steps: &[Step], removed: RemovedGuard) -> Option<f64> {
     let mut world = World::new(removed);
     for step in steps {
@@ -238,12 +238,12 @@
     }
 }
 
-/// A report, its way to the leader, and its answer.
+/// A report that is received and answered without loss or delay.
 fn exchange(worker: usize, spare: f64) -> Vec<Step> {
     vec![Step::Report(worker, spare), Step::Arrive(worker), Step::Answer(worker), Step::Deliver(worker)]
 }
 
-/// The first worker has lent a call, and the second has it.
+/// Worker 0 lends one call, which is granted to worker 1.
 fn one_call_lent() -> Vec<Step> {
     let wait = vec![Step::Elapse(1.2)];
     [wait, exchange(0, 3.0), exchange(0, 3.0), vec![Step::Elapse(0.15)], exchange(1, -3.0)].concat()
@@ -255,7 +255,7 @@
         [vec![Step::NewLeader, Step::Reconnect(0), Step::Reconnect(2)], exchange(0, 3.0), exchange(0, 3.0)]
             .concat();
     let late = vec![
-        // The answer to one report is late, and a later report, in which it lends, is on its way for long.
+        // The answer to one report is delayed, and so is a later report that offers a loan.
         Step::Report(0, 0.0),
         Step::Arrive(0),
         Step::Report(0, 3.0),
@@ -291,7 +291,7 @@
         ),
     ] {
         assert_eq!(first_excess(&steps, RemovedGuard::None), None, "{removed:?}");
-        assert!(first_excess(&steps, removed).is_some(), "without {removed:?} nothing is exceeded");
+        assert!(first_excess(&steps, removed).is_some(), "the sum is not exceeded with {removed:?}");
     }
 }
 
@@ -314,30 +314,31 @@
     assert_eq!(
         round(1.0, 1, [3.0, -3.0]),
         [BASE_CALLS, BASE_CALLS],
-        "without a digest the leader could not count a loan"
+        "without a digest the leader cannot count a loan"
     );
     assert_eq!(
         round(1.5, 2, [3.0, -3.0]),
         [BASE_CALLS - 1.0, BASE_CALLS + 1.0],
-        "a quarter of a base allocation at most"
+        "at most a quarter of a base allocation"
     );
-    assert_eq!(round(2.0, 3, [0.0, -0.5]), [BASE_CALLS - 1.0, BASE_CALLS + 0.5], "no more than is wanted");
-    // The lender wants it back: the promise ends first, and the slice before it.
+    assert_eq!(round(2.0, 3, [0.0, -0.5]), [BASE_CALLS - 1.0, BASE_CALLS + 0.5], "at most the demand");
+    // The lender needs the call again, but the loan lasts as promised; the slice expires before it.
     assert_eq!(round(2.5, 4, [-1.0, -3.0])[0], BASE_CALLS - 1.0);
     assert_eq!(round(4.0, 5, [-1.0, -3.0]), [BASE_CALLS - 1.0, BASE_CALLS]);
     assert_eq!(round(5.0, 6, [-1.0, -3.0]), [BASE_CALLS, BASE_CALLS]);
 }
 
 #[test]
-fn shares_go_by_weight_and_never_exceed_what_is_wanted() {
+fn shares_are_proportional_to_weight_and_never_exceed_the_demand() {
     let demand = |worker, wanted_calls, weight| Demand { worker, wanted_calls, weight };
-    let shares = divide(6.0, vec![demand(1, 1.0, 5.0), demand(2, 9.0, 2.0), demand(3, 9.0, 3.0)]);
+    let shares =
+        max_min_fair_shares(6.0, vec![demand(1, 1.0, 5.0), demand(2, 9.0, 2.0), demand(3, 9.0, 3.0)]);
     assert_eq!(shares.into_iter().collect::<Vec<_>>(), [(1, 1.0), (2, 2.0), (3, 3.0)]);
-    assert!(divide(6.0, Vec::new()).is_empty());
+    assert!(max_min_fair_shares(6.0, Vec::new()).is_empty());
 }
 
 #[test]
-fn false_reports_lend_no_more_than_a_quarter_and_get_no_more_than_is_lent() {
+fn excessive_reports_lend_at_most_a_quarter_and_receive_at_most_what_is_lent() {
     let mut server = CapacityLeaseServer::new(0.0, BASE_CALLS);
     for now in [1.0, 1.5] {
         for (worker, lent_calls, wanted_calls) in [(1, 1e6, 0.0), (2, 0.0, 1e6)] {
--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -1,24 +1,24 @@
-//! A worker's side of the protocol: its load reports, the digests that answer them, and how long those are valid.
+//! A worker's side of the protocol: creates load reports, receives digests, and tracks their validity.
 
 use super::capacity_leases::{CapacityClient, SliceGrant, SLICE_S};
 use super::service::DIGEST_VALID_S;
 use super::{FleetDigest, LoadReport};
 
-/// Most unanswered reports that are retained.
+/// Maximum number of unanswered reports that are tracked.
 const MAX_OUTSTANDING: usize = 8;
-/// Digits that are sent of each value beyond the first significant one: enough for every decision, in a short report.
+/// Digits sent of each value beyond the first significant one: precise enough for every decision, and short on the wire.
 const REPORT_DIGITS: i32 = 3;
-/// Values below this are rounded to the digits of this one.
+/// Smaller values are rounded with the precision that applies to this one.
 const MIN_ROUNDED: f64 = 1e-6;
 
-/// A worker's load since the last sample, as its admission control has counted it. Rates are per second.
+/// A worker's load since the last sample, as measured by its admission control. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSample {
     /// First attempts by tier.
     pub arrivals: Vec<f64>,
     /// Retries of all tiers.
     pub retries: f64,
-    /// First attempts that this worker rejected by itself.
+    /// First attempts that this worker rejected on its own.
     pub rejected: f64,
     /// Requests that this worker can complete.
     pub capacity: f64,
@@ -26,56 +26,56 @@
     pub calls_succeeded: f64,
     /// Downstream calls that failed or were rejected.
     pub calls_failed: f64,
-    /// Mean duration of downstream calls that succeeded (seconds).
+    /// Mean duration of successful downstream calls (seconds).
     pub call_s: f64,
-    /// Downstream calls that wait for capacity (calls in flight).
+    /// Downstream calls waiting for capacity (calls in flight).
     pub wanted_calls: f64,
     /// Mean priority weight of those calls.
     pub weight: f64,
-    /// The part of its base allocation that it does not need (calls in flight).
+    /// The part of the base allocation that this worker does not need (calls in flight).
     pub spare_calls: f64,
 }
 
-/// What a worker's admission control applies of the fleet's decisions. Times are on the clock of the receiver (seconds).
+/// The fleet's decisions in the form that a worker's admission control applies. Times are on the receiver's clock (seconds).
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverloadDirective {
-    /// The latest digest, with the slice that is valid now.
+    /// The latest digest, with its slice set to the one that is currently valid.
     pub digest: FleetDigest,
     /// When the digest expires.
     pub valid_until: f64,
     /// When its slice expires.
     pub slice_valid_until: f64,
-    /// The part of the worker's base allocation that is lent, whether or not the digest is valid (calls in flight).
+    /// The part of the worker's base allocation that is lent; in force whether or not the digest is valid (calls in flight).
     pub lent_calls: f64,
 }
 
-/// A digest, and when it expires.
+/// A digest and its expiry.
 #[derive(Clone, Debug)]
 struct ReceivedDigest {
     digest: FleetDigest,
     valid_until: f64,
 }
 
-/// A report whose answer may still arrive.
+/// A report that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingReport {
     number: u64,
     sent_at: f64,
 }
 
-/// One worker's reports and the digests that it has received.
+/// Protocol state of one worker: outstanding reports and the latest digest.
 #[derive(Clone, Debug)]
 pub struct FleetOverloadClient {
     capacity: CapacityClient,
     drift: f64,
     latest: Option<ReceivedDigest>,
-    /// In the order in which they were sent.
+    /// In sending order.
     outstanding: Vec<OutstandingReport>,
 }
 
 impl FleetOverloadClient {
-    /// A client without a digest. `base_calls` is this worker's base allocation (calls in flight), `drift` the share by which
-    /// clocks may drift apart.
+    /// Creates a client without a digest. `base_calls` is this worker's base allocation (calls in flight), `drift` the share
+    /// by which clocks may drift apart.
     #[must_use]
     pub fn new(now: f64, base_calls: f64, drift: f64) -> FleetOverloadClient {
         FleetOverloadClient {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Makes the report that is sent now, with the heartbeat of this sequence number.
+    /// Creates the report to send now with the heartbeat numbered `number`.
     pub fn report(&mut self, now: f64, number: u64, sample: &LoadSample) -> LoadReport {
         let offer = self.capacity.report(now, number, sample.spare_calls);
         self.outstanding.push(OutstandingReport { number, sent_at: now });
@@ -114,10 +114,10 @@
         self.latest.as_ref().is_some_and(|latest| latest.digest.circuit_open && now < latest.valid_until)
     }
 
-    /// Handles the digest that answers the report of this number. One that is out of range or answers no outstanding
-    /// report is ignored.
+    /// Processes the digest that answers the report numbered `report`. Digests with values out of range, and those that
+    /// answer no outstanding report, are ignored.
     pub fn receive(&mut self, report: u64, digest: &FleetDigest) {
-        if !digest.is_sound() {
+        if !digest.is_valid() {
             return;
         }
         let Some(index) = self.outstanding.iter().position(|sent| sent.number == report) else { return };
@@ -129,14 +129,14 @@
         self.latest = Some(ReceivedDigest { digest: digest.clone(), valid_until });
     }
 
-    /// Handles that the session goes on over another link: messages on the old one are lost, the digest stays until it
+    /// Called when the session continues over a new link. Messages on the old link are lost; the digest stays valid until it
     /// expires.
     pub fn reconnected(&mut self) {
         self.capacity.reconnected();
         self.outstanding.clear();
     }
 
-    /// The directive at `now`, on the same clock.
+    /// The directive in force at `now`, with times on the same clock.
     #[must_use]
     pub fn directive(&self, now: f64) -> OverloadDirective {
         let current = self.capacity.current(now);
--- a/src/fleet/overload/events.rs
+++ b/src/fleet/overload/events.rs
@@ -1,42 +1,42 @@
-//! Events of fleet-wide overload control, for operators.
+//! Log events of fleet-wide overload control.
 
 use super::level::LevelChange;
 
-/// A change of the fleet's state, as the leading coordinator has decided it.
+/// A state change that the leading coordinator decided on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverloadEvent {
-    /// The fleet's shedding level has changed.
+    /// The fleet's shedding level changed.
     LevelChanged(LevelChange),
-    /// The limit on calls to the downstream service has changed in a zone.
+    /// The limit on calls to the downstream service changed in one zone.
     Service(ServiceEvent),
 }
 
 /// A change of the limit on calls to the downstream service in one zone.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceEvent {
-    /// Calls fail, and only probes are made.
+    /// Calls were failing; from now on only probes are made.
     CircuitOpened {
         /// Name of the zone.
         zone: String,
-        /// Calls that ended (calls a second).
+        /// Completed calls (calls per second).
         calls_per_s: f64,
-        /// Calls among them that failed (calls a second).
+        /// Failed calls among them (calls per second).
         failed_per_s: f64,
     },
-    /// Probes have succeeded.
+    /// Probes succeeded; a share of the calls is admitted again.
     CircuitClosed {
         /// Name of the zone.
         zone: String,
-        /// Share of the calls that is admitted first.
+        /// Initial share of the calls that is admitted.
         call_share: f64,
     },
-    /// Calls take longer than usual, and their number is reduced.
+    /// Calls take longer than usual, so the share of admitted calls is reduced.
     CallsReduced {
         /// Name of the zone.
         zone: String,
         /// Median of the workers' mean call durations (seconds).
         call_s: f64,
-        /// The usual call duration (seconds).
+        /// Baseline of that duration (seconds).
         baseline_s: f64,
     },
 }
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -1,5 +1,5 @@
-//! The leading coordinator's side: evaluates load reports and answers them with digests. Each leader begins without state,
-//! and learns it from the reports. Times are on the leader's clock (seconds).
+//! The leading coordinator's side: evaluates load reports and answers them with digests. A new leader starts without state
+//! and rebuilds it from the reports. Times are on the leader's clock (seconds).
 
 use super::capacity_leases::{CapacityLeaseServer, CapacityReport, CapacityTotals};
 use super::events::OverloadEvent;
@@ -9,17 +9,17 @@
 use super::view::{FleetLoadView, LoadSums};
 use super::{FleetDigest, LoadReport};
 
-/// Interval at which the sums are evaluated (seconds).
+/// Interval between evaluations of the sums (seconds).
 pub const EVALUATION_INTERVAL_S: f64 = 0.5;
-/// Shortest period over which retries are spread where the fleet is at capacity (seconds).
+/// Lower bound for the period over which retries are spread while the fleet is at capacity (seconds).
 const MIN_SPREAD_S: f64 = 1.0;
-/// Longest period over which retries are spread where the fleet is at capacity (seconds).
+/// Upper bound for the period over which retries are spread while the fleet is at capacity (seconds).
 const MAX_SPREAD_S: f64 = 10.0;
-/// Time for which the fleet counts as short of capacity after it last was (seconds).
-const SHORT_FOR_S: f64 = 3.0;
-/// The fleet counts as short while its workers reject more than this share of first attempts.
+/// How long the fleet still counts as short of capacity after the last sign of a shortage (seconds).
+const SHORTAGE_HOLD_S: f64 = 3.0;
+/// The fleet counts as short of capacity while its workers reject more than this share of first attempts.
 const MAX_REJECTED_SHARE: f64 = 0.01;
-/// The least capacity; a lower one is raised to it (requests a second).
+/// Lower bound for the capacity by which demand is divided (requests per second).
 const MIN_CAPACITY: f64 = 1e-3;
 
 /// `[overload]` of the coordinators' file.
@@ -27,11 +27,11 @@
 pub struct Settings {
     /// Each worker's base allocation of the downstream service's capacity (mean calls in flight).
     pub base_calls: f64,
-    /// Retries that the fleet admits for each first attempt while it is short of capacity.
+    /// Retries that the fleet admits per first attempt while it is short of capacity.
     pub retry_share: f64,
 }
 
-/// Fleet-wide overload control, for one term of a leader.
+/// Fleet-wide overload control during one term of a leader.
 #[derive(Clone, Debug)]
 pub struct Leader {
     view: FleetLoadView,
@@ -40,12 +40,12 @@
     retry_budget: RetryBudget,
     capacity: CapacityLeaseServer,
     evaluated_at: f64,
-    short_until: f64,
+    shortage_until: f64,
     sums: LoadSums,
 }
 
 impl Leader {
-    /// For a coordinator whose term begins now.
+    /// Creates the state of a leader whose term begins now.
     #[must_use]
     pub fn new(now: f64, settings: Settings) -> Leader {
         Leader {
@@ -55,12 +55,12 @@
             retry_budget: RetryBudget::new(now, settings.retry_share),
             capacity: CapacityLeaseServer::new(now, settings.base_calls),
             evaluated_at: now,
-            short_until: f64::NEG_INFINITY,
+            shortage_until: f64::NEG_INFINITY,
             sums: LoadSums::default(),
         }
     }
 
-    /// Handles a worker's report.
+    /// Processes a worker's report.
     pub fn receive(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) {
         if !self.view.receive(now, worker, zone, load) {
             return;
@@ -75,12 +75,12 @@
         self.capacity.receive_report(now, worker, report);
     }
 
-    /// Removes a worker that has left.
+    /// Removes a worker that has left the fleet.
     pub fn remove(&mut self, worker: u64) {
         self.view.remove(worker);
     }
 
-    /// Evaluates the sums if that is due, and returns what has changed.
+    /// Evaluates the sums if an evaluation is due, and returns the resulting state changes.
     pub fn evaluate(&mut self, now: f64) -> Vec<OverloadEvent> {
         if now - self.evaluated_at < EVALUATION_INTERVAL_S {
             return Vec::new();
@@ -91,7 +91,7 @@
         events.extend(self.levels.evaluate(now, &self.sums).map(OverloadEvent::LevelChanged));
         self.evaluate_zones(now, &mut events);
         self.update_shortage(now);
-        self.retry_budget.evaluate(now, &self.sums, now < self.short_until);
+        self.retry_budget.evaluate(now, &self.sums, now < self.shortage_until);
         events
     }
 
@@ -105,15 +105,15 @@
     }
 
     fn update_shortage(&mut self, now: f64) {
-        // Rejections of single workers count as well: during a retry storm they may be the only sign of a shortage.
+        // Rejections by individual workers count too: during a retry storm they may be the only sign of a shortage.
         let first_attempts = self.sums.arrivals.iter().sum::<f64>();
         let workers_reject = self.sums.rejected > MAX_REJECTED_SHARE * first_attempts;
-        if !self.levels.level(now).is_open() || self.service.is_short() || workers_reject {
-            self.short_until = now + SHORT_FOR_S;
+        if !self.levels.level(now).is_open() || self.service.limits_calls() || workers_reject {
+            self.shortage_until = now + SHORTAGE_HOLD_S;
         }
     }
 
-    /// Makes the digest that is sent now to a worker whose report arrived at `report_received_at`.
+    /// Creates the digest to send now to a worker whose report arrived at `report_received_at`.
     pub fn digest(&mut self, now: f64, report_received_at: f64, worker: u64, zone: &str) -> FleetDigest {
         let grant = self.capacity.grant(now, report_received_at, worker);
         let service = self.service.state_for(worker, zone);
@@ -131,24 +131,24 @@
         }
     }
 
-    /// The period over which the rejected requests can be completed: demand over capacity.
+    /// The time in which the current demand can be completed: demand divided by capacity.
     fn spread_s(&self) -> f64 {
         let demand = self.sums.arrivals.iter().sum::<f64>() + self.sums.retries;
         (demand / self.sums.capacity.max(MIN_CAPACITY)).clamp(MIN_SPREAD_S, MAX_SPREAD_S)
     }
 
-    /// Pins the level that an operator has set until that time.
+    /// Overrides the shedding level, on an operator's command, until the given time.
     pub fn pin(&mut self, level: SheddingLevel, until: f64) {
         self.levels.pin(level, until);
     }
 
-    /// The shedding level that is in force now.
+    /// The shedding level in force now.
     #[must_use]
     pub fn level(&self, now: f64) -> SheddingLevel {
         self.levels.level(now)
     }
 
-    /// The fleet's sums when they were last evaluated.
+    /// The fleet's sums as of the last evaluation.
     #[must_use]
     pub fn sums(&self) -> &LoadSums {
         &self.sums
@@ -166,7 +166,7 @@
         &self.retry_budget
     }
 
-    /// Downstream calls that are lent and granted in slices.
+    /// Downstream calls that are lent, and those granted in slices.
     #[must_use]
     pub fn capacity_totals(&self, now: f64) -> CapacityTotals {
         self.capacity.totals(now)
--- a/src/fleet/overload/level/tests.rs
+++ b/src/fleet/overload/level/tests.rs
@@ -6,7 +6,7 @@
     LoadSums { workers: 10, arrivals: all, capacity, rejected: 5.0, ..LoadSums::default() }
 }
 
-/// Evaluates twice a second for so long; what changed.
+/// Evaluates the sums twice per second for `for_s` seconds; returns the changes and their times.
 fn evaluate(
     levels: &mut SheddingController,
     from: f64,
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_level_admits_no_more_demand_than_the_cores_can_do() {
+fn admitted_demand_does_not_exceed_the_capacity_of_the_cores() {
     for (arrivals, capacity, tier, share) in [
         (&[10.0, 10.0, 10.0][..], 40.0, MAX_TIERS, 0.0),
         (&[10.0, 10.0, 10.0], 26.0, 2, 0.75),
@@ -34,13 +34,13 @@
             "{arrivals:?} of {capacity}"
         );
     }
-    // Retries count as demand up to what the budget admits.
+    // Retries count as demand only up to the share that the retry budget admits.
     for retries in [2.0, 2000.0] {
-        let stormed = LoadSums { retries, ..sums(&[10.0, 10.0], 17.0) };
+        let with_retries = LoadSums { retries, ..sums(&[10.0, 10.0], 17.0) };
         assert_eq!(
-            SheddingLevel::for_load(&stormed),
+            SheddingLevel::for_load(&with_retries),
             SheddingLevel { tier: 1, share: 0.75 },
-            "no storm deepens it by itself"
+            "a retry storm alone does not tighten the level"
         );
     }
 }
@@ -48,14 +48,14 @@
 #[test]
 fn an_estimated_shortage_sheds_nothing_while_no_worker_rejects_anything() {
     let mut levels = SheddingController::new(0.0);
-    let guessed = |_| LoadSums { rejected: 0.0, ..sums(&[10.0, 10.0], 5.0) };
-    assert!(evaluate(&mut levels, 0.0, 10.0, guessed).is_empty());
+    let estimated = |_| LoadSums { rejected: 0.0, ..sums(&[10.0, 10.0], 5.0) };
+    assert!(evaluate(&mut levels, 0.0, 10.0, estimated).is_empty());
 }
 
 #[test]
 fn no_lower_rank_is_admitted_where_a_higher_one_is_shed() {
-    for depth in 0..=MAX_TIERS * 4 {
-        let level = SheddingLevel::from_depth(depth as f64 / 4.0);
+    for admitted_tiers in 0..=MAX_TIERS * 4 {
+        let level = SheddingLevel::from_admitted_tiers(admitted_tiers as f64 / 4.0);
         let ranks = (0..MAX_TIERS).flat_map(|tier| (0..8).map(move |n| (tier, f64::from(n) / 8.0)));
         let admitted: Vec<bool> = ranks.map(|(tier, rank)| level.admits(tier, rank)).collect();
         assert!(admitted.windows(2).all(|w| w[0] >= w[1]), "{level:?}: {admitted:?}");
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn a_lasting_shortage_deepens_the_level_within_a_second_and_a_short_one_does_not() {
+fn a_lasting_shortage_tightens_the_level_within_one_second_and_a_brief_one_does_not() {
     let mut levels = SheddingController::new(0.0);
     assert!(
         evaluate(&mut levels, 0.0, 0.5, |_| sums(&[10.0, 10.0], 12.0)).is_empty(),
-        "one evaluation is no lasting shortage"
+        "a single evaluation is not a lasting shortage"
     );
     assert!(evaluate(&mut levels, 0.5, 2.0, |_| sums(&[10.0, 10.0], 30.0)).is_empty());
     let changes = evaluate(&mut levels, 2.5, 2.0, |_| sums(&[10.0, 10.0], 12.0));
@@ -77,29 +77,29 @@
 }
 
 #[test]
-fn swinging_load_changes_the_level_at_most_once_a_swing() {
+fn oscillating_load_changes_the_level_at_most_once_per_period() {
     let mut levels = SheddingController::new(0.0);
-    let swing = |now: f64| sums(&[10.0, 10.0], if now % 3.0 < 1.5 { 15.0 } else { 30.0 });
-    let changes = evaluate(&mut levels, 0.0, 60.0, swing);
+    let oscillating = |now: f64| sums(&[10.0, 10.0], if now % 3.0 < 1.5 { 15.0 } else { 30.0 });
+    let changes = evaluate(&mut levels, 0.0, 60.0, oscillating);
     assert!(changes.len() <= 20 && !changes.is_empty(), "{changes:?}");
-    // In fact it stays where the shortage put it: there is never headroom for long.
+    // It changes only once here, since headroom never lasts long enough for the level to relax.
     assert_eq!(changes.len(), 1, "{changes:?}");
 }
 
 #[test]
-fn the_level_opens_step_by_step_and_skips_tiers_without_arrivals() {
+fn the_level_relaxes_step_by_step_and_skips_tiers_without_arrivals() {
     let mut levels = SheddingController::new(0.0);
     evaluate(&mut levels, 0.0, 2.0, |_| sums(&[10.0, 0.0, 10.0], 5.0));
     assert_eq!(levels.level(2.0), SheddingLevel { tier: 0, share: 0.75 });
     let changes = evaluate(&mut levels, 2.0, 12.0, |_| sums(&[10.0, 0.0, 10.0], 50.0));
-    let depths: Vec<f64> = changes.iter().map(|(_, c)| c.level.depth()).collect();
-    assert_eq!(depths, [2.0, 2.25, 2.5, 2.75, MAX_TIERS as f64], "{changes:?}");
-    assert!(changes[0].0 >= 2.0 + HEADROOM_FOR_S);
-    assert!(changes.windows(2).all(|w| w[1].0 - w[0].0 >= OPEN_STEP_S));
+    let admitted_tiers: Vec<f64> = changes.iter().map(|(_, c)| c.level.admitted_tiers()).collect();
+    assert_eq!(admitted_tiers, [2.0, 2.25, 2.5, 2.75, MAX_TIERS as f64], "{changes:?}");
+    assert!(changes[0].0 >= 2.0 + HEADROOM_DELAY_S);
+    assert!(changes.windows(2).all(|w| w[1].0 - w[0].0 >= RELAX_INTERVAL_S));
 }
 
 #[test]
-fn too_few_reports_open_the_level_and_a_pinned_level_expires() {
+fn the_level_opens_when_too_few_workers_report_and_a_pinned_level_expires() {
     let mut levels = SheddingController::new(0.0);
     evaluate(&mut levels, 0.0, 2.0, |_| sums(&[10.0], 5.0));
     assert!(!levels.level(2.0).is_open());
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -1,10 +1,10 @@
-//! The decisions that a worker's admission control takes from fleet-wide overload control. The policy holds the latest
-//! directive until it expires, and counts the worker's load for its reports. Without a valid directive every decision is that
-//! of a worker without a fleet.
+//! How a worker's admission control applies the fleet's overload decisions. The policy holds the latest directive until it
+//! expires, and counts the worker's load for its reports. Without a valid directive, decisions are the same as for a worker
+//! without a fleet.
 //!
-//! Guarantees to callers: it only adds rejections to those of admission control, and rejects no request that could start
-//! immediately except retries beyond the budget; the limit on downstream calls in flight never exceeds the base allocation,
-//! less what is lent, plus the slice. Times are on the worker's clock (seconds).
+//! Guarantees to callers: the policy only adds rejections to those of admission control, and rejects no request that could
+//! start immediately, except retries beyond the budget; the limit on downstream calls in flight never exceeds the base
+//! allocation minus the loan plus the slice. Times are on the worker's clock (seconds).
 
 use super::client::{LoadSample, OverloadDirective};
 use super::random::random_unit;
@@ -12,23 +12,24 @@
 use crate::interface::Settings;
 use std::cell::Cell;
 
-/// Interval between the half-open probes of a zone (seconds).
+/// Minimum interval between the half-open probes of a zone (seconds).
 const PROBE_INTERVAL_S: f64 = 0.5;
-/// The share of its base allocation that a worker keeps above its recent peak instead of lending it, at least one call.
+/// Share of its base allocation that a worker retains as a margin above its recent peak, at least one call. It lends the
+/// remainder.
 const SPARE_MARGIN: f64 = 0.25;
-/// Time constant of the decay of the peak of calls in flight (seconds).
+/// Time constant of the exponential decay of the peak of calls in flight (seconds).
 const PEAK_DECAY_S: f64 = 3.0;
-/// The highest initial peak (calls in flight).
+/// Upper bound for the initial peak (calls in flight).
 const MAX_INITIAL_PEAK: f64 = 1e6;
-/// The share by which the period of Retry-After grows with each lower tier.
+/// Relative increase of the Retry-After period with each lower tier.
 const SPREAD_PER_TIER: f64 = 0.25;
-/// The least base allocation that can be lent from (calls in flight). A smaller one is a mean over time, which admission
-/// control alone maintains.
+/// Minimum base allocation for lending (calls in flight). A smaller allocation is a mean over time, which only admission
+/// control maintains.
 const MIN_LENDABLE_CALLS: f64 = 1.0;
-/// The least duration of a sample; a shorter one is raised to it (seconds).
+/// Lower bound for the duration over which a sample's rates are computed (seconds).
 const MIN_SAMPLE_S: f64 = 0.05;
 
-/// Counts since the last sample.
+/// Event counts since the last sample.
 #[derive(Clone, Debug, Default)]
 struct Counts {
     /// First attempts by tier.
@@ -40,18 +41,18 @@
     call_time_s: f64,
 }
 
-/// Responses to all requests since the start.
+/// Numbers of responses since the start.
 #[derive(Clone, Copy, Debug, Default)]
 struct ResponseCounts {
     served: u64,
     rejected: u64,
 }
 
-/// Requests that wait for a downstream call.
+/// Requests waiting for a downstream call.
 #[derive(Clone, Copy, Debug, Default)]
 struct WaitingCalls {
     count: f64,
-    /// Sum of their priority weights.
+    /// Sum of the priority weights.
     weight: f64,
 }
 
@@ -59,35 +60,35 @@
 #[derive(Clone, Debug)]
 pub struct OverloadPolicy {
     seed: u64,
-    /// Random numbers drawn so far.
-    drawn: Cell<u64>,
-    /// Requests shed for the fleet since the last sample.
+    /// Number of random numbers generated so far.
+    random_count: Cell<u64>,
+    /// Requests rejected because of the fleet's decisions since the last sample.
     shed: Cell<u64>,
     now: f64,
-    /// The worker's base allocation (mean calls in flight); infinite where there is no downstream service.
+    /// The worker's base allocation (mean calls in flight); infinite without a downstream service.
     base_calls: f64,
     directive: Option<OverloadDirective>,
     sampled_at: f64,
-    /// The responses when the last sample was taken.
+    /// The response counts at the time of the last sample.
     sampled_responses: ResponseCounts,
     counts: Counts,
-    /// The estimated capacity of this worker (requests a second).
+    /// The estimated capacity of this worker (requests per second).
     capacity: f64,
     waiting: WaitingCalls,
-    /// The decaying peak of calls in flight.
-    peak: f64,
-    /// When the last call was made.
+    /// Decaying peak of the calls in flight.
+    peak_calls: f64,
+    /// When the last downstream call was made.
     last_call_at: f64,
 }
 
 impl OverloadPolicy {
-    /// The policy of a worker that starts now, without a directive.
+    /// Creates the policy of a worker that starts now, without a directive.
     #[must_use]
     pub fn new(now: f64, settings: &Settings) -> OverloadPolicy {
         let base_calls = settings.dependency.as_ref().map_or(f64::INFINITY, |dependency| dependency.share);
         OverloadPolicy {
             seed: settings.seed,
-            drawn: Cell::new(0),
+            random_count: Cell::new(0),
             shed: Cell::new(0),
             now,
             base_calls,
@@ -97,22 +98,22 @@
             counts: Counts::default(),
             capacity: 0.0,
             waiting: WaitingCalls::default(),
-            peak: base_calls.min(MAX_INITIAL_PEAK),
+            peak_calls: base_calls.min(MAX_INITIAL_PEAK),
             last_call_at: f64::NEG_INFINITY,
         }
     }
 
-    /// The next random number from 0 to 1.
+    /// The next random number, uniform in [0, 1).
     fn random(&self) -> f64 {
-        self.drawn.set(self.drawn.get() + 1);
-        random_unit(self.seed, self.drawn.get())
+        self.random_count.set(self.random_count.get() + 1);
+        random_unit(self.seed, self.random_count.get())
     }
 
     fn count_shed(&self, is_shed: bool) {
         self.shed.set(self.shed.get() + u64::from(is_shed));
     }
 
-    /// Sets the latest directive, with its times on the clock of admission control.
+    /// Sets the latest directive, whose times are on admission control's clock.
     pub fn set_directive(&mut self, directive: OverloadDirective) {
         self.directive = Some(directive);
     }
@@ -127,11 +128,11 @@
         self.digest().is_some_and(|digest| digest.circuit_open)
     }
 
-    /// Advances the clock, and applies the fleet's limit on calls in flight to that of admission control: `max_limit` is set
-    /// to it, and `limit` lowered to it. `limit` grows by admission control's own steps only.
+    /// Advances the clock, and applies the fleet's limit on calls in flight: sets `max_limit` to it and lowers `limit` to it.
+    /// Only admission control raises `limit`, in its own steps.
     pub fn limit_calls(&mut self, now: f64, in_flight: usize, max_limit: &mut f64, limit: &mut f64) {
         let decay = (-(now - self.now).max(0.0) / PEAK_DECAY_S).exp();
-        self.peak = (self.peak * decay).max(in_flight as f64);
+        self.peak_calls = (self.peak_calls * decay).max(in_flight as f64);
         self.now = self.now.max(now);
         if self.base_calls < MIN_LENDABLE_CALLS || !self.base_calls.is_finite() {
             return;
@@ -145,8 +146,8 @@
         *max_limit = fleet_limit;
     }
 
-    /// Counts a first attempt or a retry that has arrived. Returns `true` if it exceeds the retry budget: then it is rejected
-    /// immediately, and not counted as load.
+    /// Counts an arriving first attempt or retry. Returns `true` if it exceeds the retry budget; the caller then rejects it
+    /// immediately and does not count it as load.
     pub fn exceeds_retry_budget(&mut self, tier: usize, is_retry: bool) -> bool {
         if !is_retry {
             self.counts.arrivals[tier.min(MAX_TIERS - 1)] += 1;
@@ -159,7 +160,7 @@
         is_over_budget
     }
 
-    /// Whether the fleet's level sheds a request. One that `can_start` immediately is not shed.
+    /// Whether the fleet's level sheds a request. A request that `can_start` immediately is never shed.
     pub fn sheds(&self, tier: usize, can_start: bool) -> bool {
         let Some(digest) = self.digest() else { return false };
         let is_shed = !can_start && !digest.level.admits(tier, self.random());
@@ -167,26 +168,27 @@
         is_shed
     }
 
-    /// Whether other workers have no headroom either; `None` if that is unknown.
+    /// Whether the whole fleet is at capacity, so that other workers have no headroom either; `None` if unknown.
     #[must_use]
     pub fn fleet_at_capacity(&self) -> Option<bool> {
         self.digest().filter(|digest| digest.workers > 1).map(is_at_capacity)
     }
 
-    /// The Retry-After of a rejected request of this tier (seconds). `alone_s` is that of a worker without a fleet; it holds
-    /// while another worker has headroom. Otherwise retries are spread over the digest's period, lower tiers later.
+    /// The Retry-After of a rejected request of this tier (seconds). `local_s` is the value of a worker without a fleet, which
+    /// applies while other workers have headroom. Otherwise retries are spread over the digest's period, longer for lower
+    /// tiers.
     #[must_use]
-    pub fn retry_after_s(&self, tier: usize, alone_s: f64) -> f64 {
-        let Some(digest) = self.digest() else { return alone_s };
+    pub fn retry_after_s(&self, tier: usize, local_s: f64) -> f64 {
+        let Some(digest) = self.digest() else { return local_s };
         if !is_at_capacity(digest) {
-            return alone_s;
+            return local_s;
         }
-        let tiers_below_edge = tier.saturating_sub(digest.level.tier.min(tier)) as f64;
-        let spread_s = f64::from(digest.spread_s) * (1.0 + SPREAD_PER_TIER * tiers_below_edge);
-        alone_s.max(spread_s * (0.5 + self.random()))
+        let tiers_below_level = tier.saturating_sub(digest.level.tier.min(tier)) as f64;
+        let spread_s = f64::from(digest.spread_s) * (1.0 + SPREAD_PER_TIER * tiers_below_level);
+        local_s.max(spread_s * (0.5 + self.random()))
     }
 
-    /// Whether a call is skipped because the circuit is open. Requests that need the call do not wait for it.
+    /// Whether a call is skipped because the circuit is open. Requests do not wait for a skipped call.
     #[must_use]
     pub fn skips_call(&self, is_idempotent: bool) -> bool {
         self.digest().is_some_and(|digest| digest.circuit_open && !(digest.is_prober && is_idempotent))
@@ -199,7 +201,7 @@
         !self.skips_call(is_idempotent) && (probe_due || !self.is_circuit_open())
     }
 
-    /// Records that a call has been made.
+    /// Records that a call has started.
     pub fn call_started(&mut self) {
         self.last_call_at = self.now;
     }
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Records the state of admission control: its estimated capacity (requests a second), and the requests that wait for a
-    /// downstream call, as their number and priority weight by tier.
+    /// Records the state of admission control: its estimated capacity (requests per second), and the number and priority
+    /// weight, by tier, of the requests that wait for a downstream call.
     pub fn record_state<'a>(&mut self, capacity: f64, waiting: impl Iterator<Item = (usize, &'a f64)>) {
         let mut sum = WaitingCalls::default();
         for (count, weight) in waiting {
@@ -226,7 +228,7 @@
         self.waiting = sum;
     }
 
-    /// Takes the sample for a load report, and resets the counts. `served` and `rejected` are the responses since the start.
+    /// Takes the sample for a load report, and resets the counts. `served` and `rejected` count responses since the start.
     pub fn take_sample(&mut self, now: f64, served: u64, rejected: u64) -> LoadSample {
         let counts = std::mem::take(&mut self.counts);
         let completed = served.saturating_sub(self.sampled_responses.served);
@@ -240,7 +242,7 @@
             arrivals: counts.arrivals[..tiers].iter().map(|count| *count as f64 * per_s).collect(),
             retries: counts.retries as f64 * per_s,
             rejected: own_rejected as f64 * per_s,
-            // The rate that it has just completed is a lower bound of its capacity.
+            // The rate just completed is a lower bound of the capacity.
             capacity: self.capacity.max(completed as f64 * per_s),
             calls_succeeded: counts.calls_succeeded as f64 * per_s,
             calls_failed: counts.calls_failed as f64 * per_s,
@@ -253,7 +255,7 @@
 
     /// The part of the base allocation that the worker does not need (calls in flight).
     fn spare_calls(&self) -> f64 {
-        let spare = self.base_calls - self.peak - (self.base_calls * SPARE_MARGIN).max(1.0);
+        let spare = self.base_calls - self.peak_calls - (self.base_calls * SPARE_MARGIN).max(1.0);
         let can_lend =
             spare.is_finite() && self.base_calls >= MIN_LENDABLE_CALLS && self.waiting.count == 0.0;
         if can_lend {
@@ -263,7 +265,7 @@
         }
     }
 
-    /// The metrics of the current directive by name, for the operators' console.
+    /// Metrics of the current directive for the console, by name.
     #[must_use]
     pub fn metrics(&self) -> Vec<(&'static str, String)> {
         let Some(OverloadDirective { digest, lent_calls, .. }) = &self.directive else { return Vec::new() };
@@ -285,7 +287,7 @@
     }
 }
 
-/// Whether the fleet sheds load, has opened the downstream circuit, or limits retries.
+/// Whether the digest sheds load, opens the downstream circuit, or limits retries.
 fn is_at_capacity(digest: &FleetDigest) -> bool {
     !digest.level.is_open() || digest.circuit_open || digest.retry_share < 1.0
 }
--- a/src/fleet/overload/report.rs
+++ b/src/fleet/overload/report.rs
@@ -3,26 +3,26 @@
 use super::{MAX_MEASUREMENT, MAX_TIERS};
 use serde::{Deserialize, Serialize};
 
-/// A worker's load since its last report. Rates are per second. The keys are short so that a report stays below 256 bytes.
+/// A worker's load since its last report. Rates are per second. Serialized keys are short to keep a report below 256 bytes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LoadReport {
     /// Sequence number.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Number of the last digest that it received; 0 for none in this session.
+    /// Number of the last digest that the worker received; 0 if it received none in this session.
     #[serde(rename = "h")]
     pub last_digest: u64,
-    /// First attempts by tier, the highest first.
+    /// First attempts by tier, highest tier first.
     #[serde(rename = "a")]
     pub arrivals: Vec<f32>,
     /// Retries of all tiers.
     #[serde(rename = "f")]
     pub retries: f32,
-    /// First attempts that the worker rejected by itself, without those that the fleet's level shed.
+    /// First attempts that the worker rejected on its own, excluding those shed by the fleet's level.
     #[serde(rename = "r")]
     pub rejected: f32,
-    /// Requests that the worker can complete, by its own estimate.
+    /// Requests that the worker estimates it can complete.
     #[serde(rename = "c")]
     pub capacity: f32,
     /// Downstream calls that succeeded.
@@ -31,19 +31,19 @@
     /// Downstream calls that failed or were rejected.
     #[serde(rename = "b")]
     pub calls_failed: f32,
-    /// Mean duration of downstream calls that succeeded (seconds).
+    /// Mean duration of successful downstream calls (seconds).
     #[serde(rename = "l")]
     pub call_s: f32,
-    /// Downstream calls that it would make beyond its capacity (calls in flight).
+    /// Downstream calls that the worker would make beyond its capacity (calls in flight).
     #[serde(rename = "w")]
     pub wanted_calls: f32,
     /// Mean priority weight of those calls.
     #[serde(rename = "v")]
     pub weight: f32,
-    /// The digest that it applies has the downstream circuit open.
+    /// Whether the circuit is open in the digest that the worker currently applies.
     #[serde(rename = "d", skip_serializing_if = "std::ops::Not::not")]
     pub circuit_open: bool,
-    /// The part of its base allocation that it lends for [`super::capacity_leases::LOAN_S`] (calls in flight).
+    /// The part of its base allocation that the worker lends for [`super::capacity_leases::LOAN_S`] (calls in flight).
     #[serde(rename = "o")]
     pub lent_calls: f32,
 }
@@ -64,14 +64,15 @@
         self.arrivals.iter().copied().chain(scalars)
     }
 
-    /// Whether all values are in range. Other reports are ignored.
+    /// Whether all values are in range. Receivers ignore other reports.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let is_measurement = |value: f32| (0.0..=MAX_MEASUREMENT).contains(&value);
         self.arrivals.len() <= MAX_TIERS && self.measurements().all(is_measurement)
     }
 
-    /// Whether all measurements are equal. A busy worker whose reports repeat has stopped measuring.
+    /// Whether all measurements are equal. Identical consecutive reports of a busy worker mean that its measurements are
+    /// frozen.
     pub(super) fn has_same_measurements(&self, other: &LoadReport) -> bool {
         self.measurements().eq(other.measurements())
     }
--- a/src/fleet/overload/retries/tests.rs
+++ b/src/fleet/overload/retries/tests.rs
@@ -12,7 +12,7 @@
     LoadSums { workers: 10, arrivals, retries, ..LoadSums::default() }
 }
 
-/// Evaluates twice a second for ten seconds; retries that were admitted in them.
+/// Evaluates the sums twice per second for ten seconds; returns the number of admitted retries.
 fn admitted(budget: &mut RetryBudget, from: f64, sums: &LoadSums, short: bool) -> f64 {
     let mut admitted = 0.0;
     for n in 1..=20 {
@@ -23,19 +23,22 @@
 }
 
 #[test]
-fn a_retry_storm_gets_its_ratio_and_the_saved_burst_and_no_more() {
+fn a_retry_storm_is_limited_to_the_ratio_and_the_accumulated_burst() {
     for (first_attempts, retries) in [(100.0, 20.0), (100.0, 300.0), (10.0, 3000.0)] {
         let mut budget = RetryBudget::new(0.0, 0.1);
-        // Without retries, two seconds of the ratio are saved up.
+        // Without retries, the budget accumulates what the ratio earns in two seconds.
         admitted(&mut budget, 0.0, &sums(first_attempts, 0.0), false);
-        let got = admitted(&mut budget, 10.0, &sums(first_attempts, retries), true);
-        let most = 0.1 * first_attempts * (10.0 + MAX_BURST_S) + 1e-6;
-        assert!(got <= most && got >= most * 0.8, "{first_attempts}, {retries}: {got} of {most}");
+        let retries_admitted = admitted(&mut budget, 10.0, &sums(first_attempts, retries), true);
+        let limit = 0.1 * first_attempts * (10.0 + MAX_BURST_S) + 1e-6;
+        assert!(
+            retries_admitted <= limit && retries_admitted >= limit * 0.8,
+            "{first_attempts}, {retries}: {retries_admitted} of {limit}"
+        );
     }
 }
 
 #[test]
-fn a_fleet_that_is_not_short_admits_every_retry_and_a_short_one_without_first_attempts_none() {
+fn every_retry_is_admitted_without_a_shortage_and_none_in_one_without_first_attempts() {
     let mut budget = RetryBudget::new(0.0, 0.1);
     assert_eq!(admitted(&mut budget, 0.0, &sums(10.0, 50.0), false), 500.0);
     assert_eq!(admitted(&mut budget, 10.0, &sums(0.0, 50.0), true), 0.0);
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -1,39 +1,39 @@
-//! The state of the shared downstream service as each zone sees it: overloaded, circuit open, half-open probes, and a
-//! recovery ramp.
+//! Per-zone state of the shared downstream service: overload detection, a circuit breaker with half-open probes, and the
+//! gradual recovery after it.
 //!
-//! Guarantees to callers: each zone opens its circuit by itself; at most one worker of a zone makes probes, also when the
-//! leader changes; successful probes restore the smallest share of calls only, which then grows in steps while latency
+//! Guarantees to callers: each zone's circuit opens independently; at most one worker per zone makes probes, even across a
+//! change of leader; successful probes restore only the minimum share of calls, which then grows in steps while latency
 //! stays low.
 
 use super::events::ServiceEvent;
 use super::view::LoadSums;
 use std::collections::BTreeMap;
 
-/// The service is overloaded while calls take longer than this many times the baseline.
+/// The service counts as overloaded while its latency exceeds this multiple of the baseline.
 const OVERLOADED_LATENCY_FACTOR: f64 = 2.2;
-/// Factor by which an overloaded service's share of calls shrinks at each evaluation.
+/// Factor by which the share of calls is multiplied at each evaluation while the service is overloaded.
 const SHRINK_FACTOR: f64 = 0.7;
-/// The smallest share of calls, however overloaded the service is.
+/// Lower bound for the share of calls to an overloaded service.
 const MIN_CALL_SHARE: f64 = 0.25;
-/// Step by which the share grows at each evaluation. It is restored within two seconds, since each worker's own limit below it
-/// grows in smaller steps.
+/// Amount by which the share grows at each evaluation. At this rate it is restored within two seconds; each worker's own
+/// limit below it grows in smaller steps.
 const RECOVERY_STEP: f64 = 0.25;
-/// The share of the distance by which the baseline follows a shorter latency at each evaluation.
-const BASELINE_FALL: f64 = 0.25;
-/// The share of the distance by which the baseline follows a longer latency at each evaluation.
-const BASELINE_RISE: f64 = 0.002;
-/// Share of failed calls in a zone from which the circuit opens.
-const FAILING_SHARE: f64 = 0.5;
-/// Rate of calls below which their outcome is not evaluated (calls a second).
+/// Smoothing factor of the baseline, per evaluation, for a latency below it.
+const BASELINE_FALL_RATE: f64 = 0.25;
+/// Smoothing factor of the baseline, per evaluation, for a latency above it.
+const BASELINE_RISE_RATE: f64 = 0.002;
+/// Minimum share of failed calls in a zone at which its circuit opens.
+const FAILING_CALL_SHARE: f64 = 0.5;
+/// Minimum rate of calls for their failures to be evaluated (calls per second).
 const MIN_CALLS_PER_S: f64 = 1.0;
-/// How long calls have to fail before the circuit opens (seconds).
-const FAILING_FOR_S: f64 = 0.4;
-/// Consecutive evaluations with successful probes only, after which the circuit closes.
+/// How long failures have to last before the circuit opens (seconds).
+const FAILING_DELAY_S: f64 = 0.4;
+/// Number of consecutive evaluations with successful probes and no failed ones after which the circuit closes.
 const PROBES_TO_CLOSE: u32 = 3;
-/// How long a digest is valid (seconds), counted from when the worker sent the report.
+/// How long a digest is valid after the worker sent its report (seconds).
 pub const DIGEST_VALID_S: f64 = 2.0;
-/// Time without a report after which another worker becomes the prober, and after which a new leader appoints its first
-/// (seconds). By then the digest of any previous prober has expired.
+/// Time without a report after which another worker replaces the prober, and time for which a new leader waits before it
+/// appoints its first prober (seconds). By then the digest of any previous prober has expired.
 const PROBER_TIMEOUT_S: f64 = DIGEST_VALID_S * 1.25;
 
 /// The worker that makes a zone's probes while the circuit is open.
@@ -47,63 +47,63 @@
 #[derive(Clone, Debug)]
 struct ZoneCircuit {
     call_share: f64,
-    /// The usual latency of successful calls (seconds); infinite until one has succeeded.
+    /// Baseline latency of successful calls (seconds); infinite until a call has succeeded.
     baseline_s: f64,
     failing_since: Option<f64>,
     is_open: bool,
     prober: Option<Prober>,
-    /// No prober is appointed before that time.
-    appoints_from: f64,
+    /// No prober is appointed before this time.
+    prober_allowed_from: f64,
     consecutive_successes: u32,
 }
 
-/// The state of the service, for one worker.
+/// The state of the service as it applies to one worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceState {
     /// Share of its downstream capacity that the worker may use.
     pub call_share: f64,
-    /// The circuit is open.
+    /// Whether the circuit is open.
     pub circuit_open: bool,
-    /// This worker makes the half-open probes.
+    /// Whether this worker makes the half-open probes.
     pub is_prober: bool,
 }
 
-/// The state of one zone, for operators.
+/// The state of one zone, as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneState<'a> {
     /// Name of the zone.
     pub zone: &'a str,
-    /// Share of their downstream capacity that its workers may use.
+    /// Share of their downstream capacity that the zone's workers may use.
     pub call_share: f64,
-    /// The circuit is open.
+    /// Whether the circuit is open.
     pub circuit_open: bool,
-    /// The session of the worker that makes the half-open probes.
+    /// Session number of the worker that makes the half-open probes.
     pub prober: Option<u64>,
 }
 
-/// The downstream service, by zone.
+/// State of the downstream service, by zone.
 #[derive(Clone, Debug)]
 pub struct DownstreamService {
-    appoints_from: f64,
+    prober_allowed_from: f64,
     zones: BTreeMap<String, ZoneCircuit>,
 }
 
 impl DownstreamService {
-    /// For a leader whose term begins now.
+    /// Creates the state of a leader whose term begins now.
     #[must_use]
     pub fn new(now: f64) -> DownstreamService {
-        DownstreamService { appoints_from: now + PROBER_TIMEOUT_S, zones: BTreeMap::new() }
+        DownstreamService { prober_allowed_from: now + PROBER_TIMEOUT_S, zones: BTreeMap::new() }
     }
 
     fn circuit(&mut self, zone: &str) -> &mut ZoneCircuit {
-        let appoints_from = self.appoints_from;
-        self.zones.entry(zone.to_owned()).or_insert_with(|| ZoneCircuit::closed(appoints_from))
+        let prober_allowed_from = self.prober_allowed_from;
+        self.zones.entry(zone.to_owned()).or_insert_with(|| ZoneCircuit::closed(prober_allowed_from))
     }
 
-    /// Handles a worker's report. `circuit_open` means that the digest that it applies has the circuit open. A new leader
-    /// adopts that; otherwise all workers would call at the same moment after a change of leader.
+    /// Processes a worker's report. `circuit_open` tells whether the circuit is open in the digest that the worker applies. A
+    /// new leader adopts an open circuit; otherwise all workers would resume their calls at once after a change of leader.
     pub fn receive_report(&mut self, now: f64, worker: u64, zone: &str, circuit_open: bool) {
-        let is_new_leader = now < self.appoints_from;
+        let is_new_leader = now < self.prober_allowed_from;
         let circuit = self.circuit(zone);
         if circuit_open && is_new_leader && !circuit.is_open {
             circuit.is_open = true;
@@ -112,7 +112,7 @@
         circuit.update_prober(now, worker);
     }
 
-    /// Evaluates a zone's new sums, and returns what has changed.
+    /// Evaluates a zone's new sums, and returns the resulting state change, if any.
     pub fn evaluate(&mut self, now: f64, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         let circuit = self.circuit(zone);
         if circuit.is_open {
@@ -130,7 +130,7 @@
         circuit.evaluate_latency(zone, sums)
     }
 
-    /// The state of the service for a worker of a zone.
+    /// The state of the service for a worker in a zone.
     #[must_use]
     pub fn state_for(&self, worker: u64, zone: &str) -> ServiceState {
         let Some(circuit) = self.zones.get(zone) else {
@@ -145,11 +145,11 @@
 
     /// Whether calls are limited in any zone.
     #[must_use]
-    pub fn is_short(&self) -> bool {
+    pub fn limits_calls(&self) -> bool {
         self.zones.values().any(|circuit| circuit.is_open || circuit.call_share < 1.0)
     }
 
-    /// The state of each zone, by name.
+    /// The state of all zones, sorted by name.
     pub fn zones(&self) -> impl Iterator<Item = ZoneState<'_>> {
         self.zones.iter().map(|(zone, circuit)| ZoneState {
             zone,
@@ -159,46 +159,46 @@
         })
     }
 
-    /// Removes all zones but these.
+    /// Removes all zones that are not listed.
     pub fn retain_zones(&mut self, zones: &[String]) {
         self.zones.retain(|zone, _| zones.contains(zone));
     }
 }
 
 impl ZoneCircuit {
-    fn closed(appoints_from: f64) -> ZoneCircuit {
+    fn closed(prober_allowed_from: f64) -> ZoneCircuit {
         ZoneCircuit {
             call_share: 1.0,
             baseline_s: f64::INFINITY,
             failing_since: None,
             is_open: false,
             prober: None,
-            appoints_from,
+            prober_allowed_from,
             consecutive_successes: 0,
         }
     }
 
-    /// The worker that makes probes now; `None` while the circuit is closed.
+    /// The worker that currently makes probes; `None` while the circuit is closed.
     fn active_prober(&self) -> Option<u64> {
         self.prober.filter(|_| self.is_open).map(|prober| prober.worker)
     }
 
-    /// Records that a worker has reported, and appoints it where the prober has stopped reporting.
+    /// Records a worker's report, and appoints the worker as prober if there is none or the current one stopped reporting.
     fn update_prober(&mut self, now: f64, worker: u64) {
         match &mut self.prober {
             Some(prober) if prober.worker == worker => prober.last_report_at = now,
             Some(prober) if now - prober.last_report_at < PROBER_TIMEOUT_S => {}
-            _ if now < self.appoints_from => {}
+            _ if now < self.prober_allowed_from => {}
             _ => self.prober = Some(Prober { worker, last_report_at: now }),
         }
     }
 
-    /// Whether calls have failed for long enough to open the circuit.
+    /// Whether calls have been failing for long enough to open the circuit.
     fn is_failing(&mut self, now: f64, sums: &LoadSums) -> bool {
         let calls = sums.calls_succeeded + sums.calls_failed;
-        let fails = calls >= MIN_CALLS_PER_S && sums.calls_failed >= FAILING_SHARE * calls;
+        let fails = calls >= MIN_CALLS_PER_S && sums.calls_failed >= FAILING_CALL_SHARE * calls;
         self.failing_since = fails.then(|| self.failing_since.unwrap_or(now));
-        self.failing_since.is_some_and(|since| now - since >= FAILING_FOR_S)
+        self.failing_since.is_some_and(|since| now - since >= FAILING_DELAY_S)
     }
 
     fn open(&mut self) {
@@ -214,7 +214,7 @@
         self.consecutive_successes = 0;
     }
 
-    /// Adjusts the share of calls to their latency.
+    /// Adjusts the share of calls to the latency.
     fn evaluate_latency(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         let share_before = self.call_share;
         if sums.calls_succeeded > 0.0 && sums.call_s > 0.0 {
@@ -225,7 +225,7 @@
             }
             self.update_baseline(sums.call_s);
         } else if sums.calls_succeeded + sums.calls_failed == 0.0 {
-            // No calls are made, so that nothing shows an overload.
+            // Without calls there is no sign of an overload.
             self.grow();
         }
         let starts_to_shrink = self.call_share < share_before && share_before >= 1.0;
@@ -241,7 +241,7 @@
     }
 
     fn update_baseline(&mut self, call_s: f64) {
-        let share = if call_s < self.baseline_s { BASELINE_FALL } else { BASELINE_RISE };
+        let share = if call_s < self.baseline_s { BASELINE_FALL_RATE } else { BASELINE_RISE_RATE };
         self.baseline_s = if self.baseline_s.is_finite() {
             self.baseline_s + (call_s - self.baseline_s) * share
         } else {
@@ -249,7 +249,7 @@
         };
     }
 
-    /// Closes the circuit after enough successful probes in a row.
+    /// Closes the circuit after [`PROBES_TO_CLOSE`] consecutive successes.
     fn evaluate_probes(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         if sums.calls_failed > 0.0 {
             self.consecutive_successes = 0;
--- a/src/fleet/overload/service/tests.rs
+++ b/src/fleet/overload/service/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Evaluates twice a second for so long; the share of calls after each.
+/// Evaluates the sums twice per second for `for_s` seconds; returns the share of calls after each evaluation.
 fn evaluate(service: &mut DownstreamService, from: f64, for_s: f64, zone: &str, sums: &LoadSums) -> Vec<f64> {
     let times = (0..).map(|n| from + 0.5 * f64::from(n)).take_while(|t| *t < from + for_s);
     times
@@ -27,19 +27,19 @@
 }
 
 #[test]
-fn an_overloaded_service_gets_a_quarter_of_its_calls_within_three_seconds_and_all_back_in_steps() {
+fn the_call_share_of_an_overloaded_service_falls_to_a_quarter_within_three_seconds_and_recovers_in_steps() {
     let mut service = DownstreamService::new(0.0);
     assert_eq!(evaluate(&mut service, 0.0, 5.0, "z", &sums(100.0, 0.0, 10.0)).pop(), Some(1.0));
-    let falls = evaluate(&mut service, 5.0, 3.0, "z", &sums(100.0, 0.0, 100.0));
-    assert!(falls[0] < 1.0 && falls.windows(2).all(|w| w[1] <= w[0]), "{falls:?}");
-    assert_eq!(falls.last(), Some(&MIN_CALL_SHARE));
-    let rises = evaluate(&mut service, 8.0, 5.0, "z", &sums(100.0, 0.0, 10.0));
-    assert!(rises.windows(2).all(|w| w[1] - w[0] <= RECOVERY_STEP + 1e-9), "{rises:?}");
-    assert_eq!(rises.last(), Some(&1.0));
+    let falling = evaluate(&mut service, 5.0, 3.0, "z", &sums(100.0, 0.0, 100.0));
+    assert!(falling[0] < 1.0 && falling.windows(2).all(|w| w[1] <= w[0]), "{falling:?}");
+    assert_eq!(falling.last(), Some(&MIN_CALL_SHARE));
+    let recovering = evaluate(&mut service, 8.0, 5.0, "z", &sums(100.0, 0.0, 10.0));
+    assert!(recovering.windows(2).all(|w| w[1] - w[0] <= RECOVERY_STEP + 1e-9), "{recovering:?}");
+    assert_eq!(recovering.last(), Some(&1.0));
 }
 
 #[test]
-fn a_zone_opens_its_circuit_by_itself_and_has_one_prober() {
+fn each_zone_opens_its_circuit_independently_and_has_one_prober() {
     let mut service = DownstreamService::new(0.0);
     for worker in [3, 4, 5] {
         service.receive_report(3.0, worker, "east", false);
@@ -50,7 +50,7 @@
         |service: &DownstreamService, zone: &str| [3, 4, 5].map(|w| service.state_for(w, zone).is_prober);
     assert!(service.state_for(3, "east").circuit_open && !service.state_for(3, "west").circuit_open);
     assert_eq!(probers(&service, "east"), [true, false, false]);
-    // The prober falls silent: another is appointed once its digest has expired.
+    // The prober stops reporting; another one is appointed once the prober's digest has expired.
     service.receive_report(3.0 + DIGEST_VALID_S, 4, "east", true);
     assert_eq!(probers(&service, "east"), [true, false, false]);
     service.receive_report(3.0 + PROBER_TIMEOUT_S, 4, "east", true);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_successful_probe_closes_nothing_and_three_restore_the_smallest_share() {
+fn the_circuit_closes_after_three_successful_probes_and_restores_the_minimum_share() {
     let mut service = DownstreamService::new(0.0);
     evaluate(&mut service, 3.0, 1.0, "z", &sums(0.0, 20.0, 0.0));
     for (probe, circuit_open) in [
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_new_leader_takes_over_an_open_circuit_and_appoints_no_prober_while_another_may_probe() {
+fn a_new_leader_adopts_an_open_circuit_and_appoints_no_prober_while_another_may_probe() {
     let mut service = DownstreamService::new(100.0);
     service.receive_report(100.5, 7, "z", true);
     assert_eq!(
@@ -87,7 +87,7 @@
     );
     service.receive_report(100.0 + PROBER_TIMEOUT_S, 8, "z", true);
     assert!(service.state_for(8, "z").is_prober);
-    // Later on a worker with an old digest does not open the circuit.
+    // Later in the term, a worker with an old digest does not open the circuit.
     let mut service = DownstreamService::new(100.0);
     service.receive_report(110.0, 7, "z", true);
     assert!(!service.state_for(7, "z").circuit_open);
--- a/src/fleet/overload/tests.rs
+++ b/src/fleet/overload/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_full_report_fits_into_256_bytes_and_values_out_of_range_are_not_sound() {
+fn a_full_report_fits_into_256_bytes_and_values_out_of_range_are_invalid() {
     let full = LoadReport {
         number: 1_000_000,
         last_digest: 1_000_000,
@@ -18,11 +18,11 @@
         circuit_open: true,
     };
     assert!(serde_json::to_string(&full).unwrap().len() <= 256, "{}", serde_json::to_string(&full).unwrap());
-    assert!(full.is_sound());
+    assert!(full.is_valid());
     for bad in [f32::NAN, f32::INFINITY, -1.0, 1e9] {
-        assert!(!LoadReport { capacity: bad, ..full.clone() }.is_sound(), "{bad}");
-        assert!(!LoadReport { arrivals: vec![bad], ..full.clone() }.is_sound(), "{bad}");
-        assert!(!FleetDigest { slice: bad, ..FleetDigest::default() }.is_sound(), "{bad}");
+        assert!(!LoadReport { capacity: bad, ..full.clone() }.is_valid(), "{bad}");
+        assert!(!LoadReport { arrivals: vec![bad], ..full.clone() }.is_valid(), "{bad}");
+        assert!(!FleetDigest { slice: bad, ..FleetDigest::default() }.is_valid(), "{bad}");
     }
-    assert!(!LoadReport { arrivals: vec![1.0; MAX_TIERS + 1], ..full }.is_sound());
+    assert!(!LoadReport { arrivals: vec![1.0; MAX_TIERS + 1], ..full }.is_valid());
 }
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -1,20 +1,20 @@
-//! Outlier-robust aggregation of load reports. A worker that reports wrong values shifts no sum by more than a few workers'
-//! shares. One that has stopped reporting, or repeats the same measurements under load, is left out.
+//! Outlier-robust aggregation of load reports. Wrong values from one worker shift a sum by at most a few workers' shares.
+//! Workers that have stopped reporting, or that repeat the same measurements under load, are excluded.
 
 use super::{LoadReport, MAX_TIERS};
 use std::collections::BTreeMap;
 
-/// Age from which a report is left out (seconds): five reporting intervals.
+/// Age beyond which a report is excluded (seconds): five reporting intervals.
 pub const STALE_AFTER_S: f64 = 2.5;
-/// Time without any change of its measurements after which a worker under load is left out (seconds).
+/// Time after which a worker under load is excluded if its measurements have not changed (seconds).
 const FROZEN_AFTER_S: f64 = 3.0;
 /// Time without a report after which a worker is removed (seconds).
 const REMOVE_AFTER_S: f64 = 10.0;
-/// A value counts for at most this many times the mean of the others: the ratio of a worker with 16 cores to one with 2.
+/// A value is bounded to this multiple of the other workers' mean: the ratio of a worker with 16 cores to one with 2.
 const MAX_OUTLIER_FACTOR: f64 = 8.0;
-/// The share of the highest values that is left out of that mean, at least one value.
+/// Share of the highest values that is excluded from that mean; always at least one value.
 const TRIMMED_SHARE: f64 = 0.05;
-/// Arrivals at a worker count for at most this many times its capacity.
+/// A worker's arrivals are bounded to this multiple of its capacity.
 const MAX_ARRIVALS_FACTOR: f64 = 3.0;
 
 /// The latest report of a worker.
@@ -23,7 +23,7 @@
     zone: String,
     load: LoadReport,
     received_at: f64,
-    /// When its measurements last changed.
+    /// When the worker's measurements last changed.
     changed_at: f64,
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// The load of the fleet, or of one of its zones. Rates are per second.
+/// Aggregate load of the fleet or of one zone. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSums {
-    /// Number of workers that are included.
+    /// Number of workers included.
     pub workers: usize,
     /// Age of the oldest report (seconds).
     pub age_s: f64,
@@ -48,7 +48,7 @@
     pub retries: f64,
     /// First attempts that the workers' own admission control rejected.
     pub rejected: f64,
-    /// Requests that the cores could complete.
+    /// Requests that the workers' cores can complete.
     pub capacity: f64,
     /// Downstream calls that succeeded.
     pub calls_succeeded: f64,
@@ -65,10 +65,10 @@
 }
 
 impl FleetLoadView {
-    /// Handles a worker's report. Returns `false` for one that is ignored, as its values are out of range or its number is not
-    /// a new one.
+    /// Stores a worker's report. Returns `false` if it is ignored, because its values are out of range or its number does not
+    /// exceed that of the last report.
     pub fn receive(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) -> bool {
-        if !load.is_sound() {
+        if !load.is_valid() {
             return false;
         }
         let changed_at = match self.reports.get(&worker) {
@@ -81,12 +81,12 @@
         true
     }
 
-    /// Removes a worker that has left.
+    /// Removes a worker that has left the fleet.
     pub fn remove(&mut self, worker: u64) {
         self.reports.remove(&worker);
     }
 
-    /// The zones of all workers that have reported, sorted.
+    /// The zones of all known workers, sorted.
     #[must_use]
     pub fn zones(&self) -> Vec<String> {
         let mut zones: Vec<String> = self.reports.values().map(|report| report.zone.clone()).collect();
@@ -95,7 +95,7 @@
         zones
     }
 
-    /// The sums of a zone, or of the whole fleet without one.
+    /// The sums over one zone, or over the whole fleet if `zone` is `None`.
     pub fn sums(&mut self, now: f64, zone: Option<&str>) -> LoadSums {
         self.reports.retain(|_, report| now - report.received_at < REMOVE_AFTER_S);
         let live: Vec<&LatestReport> = self.reports.values().filter(|report| report.is_live(now)).collect();
@@ -116,28 +116,28 @@
     }
 }
 
-/// The most that one worker's value counts for. It is computed over the whole fleet, since in a zone of two workers each
-/// would be half of its own bound.
+/// Upper bound for one worker's value. It is computed over the whole fleet: within a zone of two workers, each would
+/// contribute half of its own bound.
 fn outlier_bound(live: &[&LatestReport], value: fn(&LoadReport) -> f32) -> f64 {
     let mut values: Vec<f64> = live.iter().map(|report| f64::from(value(&report.load))).collect();
     values.sort_by(f64::total_cmp);
     let trimmed = ((values.len() as f64 * TRIMMED_SHARE) as usize).max(1);
     let kept = values.len().saturating_sub(trimmed);
     if kept == 0 {
-        // There is no other worker to compare with.
+        // No other worker to compare with.
         return f64::INFINITY;
     }
     MAX_OUTLIER_FACTOR * values[..kept].iter().sum::<f64>() / kept as f64
 }
 
-/// The sum of a value over the included workers, each bounded.
+/// The sum of a value over the included workers, with each worker's value bounded.
 fn bounded_sum(live: &[&LatestReport], included: &[&LatestReport], value: fn(&LoadReport) -> f32) -> f64 {
     let bound = outlier_bound(live, value);
     included.iter().map(|report| f64::from(value(&report.load)).min(bound)).sum()
 }
 
-/// First attempts by tier. Arrivals at a worker count up to a few times its capacity, so that one that reports many arrivals
-/// and no capacity shifts nothing.
+/// First attempts by tier. A worker's arrivals are bounded to a multiple of its capacity, so that a worker that reports many
+/// arrivals and no capacity has no effect.
 fn bounded_arrivals(live: &[&LatestReport], included: &[&LatestReport]) -> [f64; MAX_TIERS] {
     let capacity_bound = outlier_bound(live, |load| load.capacity);
     let mut sums = [0.0; MAX_TIERS];
@@ -153,7 +153,7 @@
     sums
 }
 
-/// The median of the workers' means: a service that is slow for one worker only is not slow.
+/// The median of the workers' means, so that one worker with slow calls does not make the service appear slow.
 fn median_call_s(included: &[&LatestReport]) -> f64 {
     let with_calls = included.iter().filter(|report| report.load.calls_succeeded > 0.0);
     let mut durations: Vec<f32> = with_calls.map(|report| report.load.call_s).collect();
--- a/src/fleet/overload/view/tests.rs
+++ b/src/fleet/overload/view/tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// The sums of twenty correct workers in two zones, and of one whose report is `last`.
+/// The sums over twenty correct workers in two zones and one more whose report is `last`.
 fn fleet(last: &LoadReport) -> LoadSums {
     let mut view = FleetLoadView::default();
     for worker in 0..20 {
@@ -23,24 +23,24 @@
 }
 
 #[test]
-fn one_worker_shifts_no_sum_by_more_than_a_few_shares_whatever_it_reports() {
-    let honest = fleet(&load(1, 60.0));
-    for lie in [f32::NAN, -5.0, f32::INFINITY, 1e9, 1e6, 0.0] {
-        let lied = fleet(&LoadReport { retries: lie, call_s: lie.min(1e3), ..load(1, lie) });
+fn a_single_outlier_shifts_no_sum_by_more_than_a_few_shares() {
+    let expected = fleet(&load(1, 60.0));
+    for wrong in [f32::NAN, -5.0, f32::INFINITY, 1e9, 1e6, 0.0] {
+        let skewed = fleet(&LoadReport { retries: wrong, call_s: wrong.min(1e3), ..load(1, wrong) });
         for (a, b) in [
-            (honest.capacity, lied.capacity),
-            (honest.capacity / honest.arrivals[0], lied.capacity / lied.arrivals[0]),
-            (honest.calls_succeeded, lied.calls_succeeded),
+            (expected.capacity, skewed.capacity),
+            (expected.capacity / expected.arrivals[0], skewed.capacity / skewed.arrivals[0]),
+            (expected.calls_succeeded, skewed.calls_succeeded),
         ] {
-            assert!((0.7..1.4).contains(&(b / a)), "{lie}: {a} became {b}");
+            assert!((0.7..1.4).contains(&(b / a)), "{wrong}: {a} became {b}");
         }
-        assert!((0.5..2.0).contains(&(lied.call_s / honest.call_s)), "{lie}: {}", lied.call_s);
-        assert!(lied.retries <= 1.0, "{lie}: nobody else has retries; {}", lied.retries);
+        assert!((0.5..2.0).contains(&(skewed.call_s / expected.call_s)), "{wrong}: {}", skewed.call_s);
+        assert!(skewed.retries <= 1.0, "{wrong}: no other worker has retries; {}", skewed.retries);
     }
 }
 
 #[test]
-fn frozen_silent_and_repeated_reports_are_left_out() {
+fn duplicate_stale_and_frozen_reports_are_excluded() {
     let mut view = FleetLoadView::default();
     for number in 1..=10 {
         let now = number as f64 * 0.5;
@@ -48,9 +48,9 @@
         view.receive(now, 2, "east", &load(number, 10.0));
         view.receive(now, 3, "west", &LoadReport { number, capacity: 7.0, ..LoadReport::default() });
     }
-    assert!(!view.receive(5.0, 1, "east", &load(10, 99.0)), "a repeat");
+    assert!(!view.receive(5.0, 1, "east", &load(10, 99.0)), "a duplicate number");
     let all = view.sums(5.0, None);
-    // The second repeats its measurements for 4.5 s under load; the third is idle, and may repeat them.
+    // The second worker has repeated its measurements for 4.5 s under load; the third is idle, so its may stay the same.
     assert_eq!((all.workers, all.capacity), (2, 27.0));
     assert_eq!(view.sums(5.0, Some("west")).workers, 1);
     assert_eq!(view.sums(5.0 + STALE_AFTER_S + 0.1, None), LoadSums::default());
