--- a/src/fleet/frame/codec.rs
+++ b/src/fleet/frame/codec.rs
@@ -1,40 +1,41 @@
-//! Framing: a big-endian length of four bytes, then that many bytes of JSON.
+//! Framing: a four-byte big-endian length, followed by that many bytes of JSON.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use thiserror::Error;
 
-/// Size of the length in front of each frame (bytes).
+/// Size of the length prefix (bytes).
 const LENGTH_BYTES: usize = 4;
 
-/// A frame that can't be decoded. The connection has to be closed, since the start of the next frame is unknown.
+/// A frame cannot be decoded. The connection has to be closed, since the start of the next frame is unknown.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The announced length is more than the reader accepts.
-    #[error("a frame of {length} bytes; at most {limit} are taken")]
+    /// The announced length exceeds the receiver's limit.
+    #[error("frame of {length} bytes exceeds the limit of {limit} bytes")]
     TooLarge {
         /// The announced length of the body (bytes).
         length: usize,
-        /// The longest body that the reader accepts (bytes).
+        /// The longest body that the receiver accepts (bytes).
         limit: usize,
     },
     /// The body is not a JSON message of the expected type.
-    #[error("a frame that can't be read: {0}")]
+    #[error("malformed frame: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Serializes a message into one frame.
+/// Encodes a message as one frame.
 #[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut frame = vec![0; LENGTH_BYTES];
-    // Writing to memory can't fail, nor can the types of messages: strings, numbers and lists of them.
+    // Writing to memory cannot fail, and neither can serializing the message types: strings, numbers and lists of them.
     let _ = serde_json::to_writer(&mut frame, message);
     let length = (frame.len() - LENGTH_BYTES) as u32;
     frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
     frame
 }
 
-/// Decodes the first frame in `data`, and returns its message and its length (bytes); `None` while it is incomplete.
+/// Decodes the first frame in `data`. Returns the message and the length of the frame (bytes), or `None` if the frame is
+/// incomplete.
 ///
 /// # Errors
 /// [`FrameError`] if the body is longer than `limit` bytes or malformed.
--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -1,23 +1,23 @@
-//! The messages between port workers, operators' commands and coordinators. Where a name on the wire differs from that in the
-//! code, a serde attribute carries it.
+//! The messages between port workers, operators' commands and coordinators. A serde attribute states the name on the wire
+//! where it differs from the name in the code.
 
 use crate::fleet::overload::{FleetDigest, LoadReport};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Protocol version of this program: 1 has sessions and leases, 2 adds periods of tasks.
+/// Protocol version of this program. Version 1 has sessions and leases; version 2 adds periods of tasks.
 pub const VERSION: u32 = 2;
-/// The largest frame that a coordinator accepts (bytes).
+/// Maximum size of a frame that a coordinator accepts (bytes).
 pub const MAX_CLIENT_FRAME_BYTES: usize = 16 * 1024;
-/// The largest frame that a coordinator sends (bytes); it has to hold the counters of a whole fleet.
+/// Maximum size of a frame that a coordinator sends (bytes): large enough for the counters of a whole fleet.
 pub const MAX_SERVER_FRAME_BYTES: usize = 1024 * 1024;
-/// Longest name of a worker, a zone or a task (bytes).
+/// Maximum length of a name of a fleet, a worker, a zone or a task (bytes).
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most tasks that a fleet may have.
+/// Maximum number of tasks of a fleet.
 pub const MAX_TASKS: usize = 64;
 
-/// Whether `name` is a valid name of a fleet, a worker, a zone or a task: one to [`MAX_NAME_BYTES`] ASCII letters, digits, `-`, `_`
-/// and `.`.
+/// Whether `name` is a valid name of a fleet, a worker, a zone or a task: one to [`MAX_NAME_BYTES`] ASCII letters, digits,
+/// `-`, `_` and `.`.
 #[must_use]
 pub fn is_valid_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
@@ -29,45 +29,45 @@
 pub struct LeaseRef {
     /// Name of the task that is leased.
     pub task: String,
-    /// Fencing token of the grant: higher than that of every earlier grant.
+    /// Fencing token of the grant: higher than those of all earlier grants.
     pub token: u64,
 }
 
-/// How the call of a period ended, as far as the lease holder knows.
+/// How the call of a period ended, from the lease holder's point of view.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallOutcome {
     /// The call succeeded.
     Done,
-    /// The call certainly had no effect: it was never sent, or was rejected.
+    /// The call certainly had no effect: it was not sent, or it was rejected.
     NotDone,
-    /// The call was sent, and its effect is indeterminate.
+    /// The call was sent, and it is unknown whether it had an effect.
     Unknown,
 }
 
 /// A worker's counters since its start, by name.
 pub type Counters = BTreeMap<String, u64>;
 
-/// The counters of the whole fleet, as summed up by one worker.
+/// The sums of all workers' counters, as computed by one worker.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct FleetTotals {
-    /// Sum of all workers' counters, by name.
+    /// Sums of the counters, by name.
     pub counts: Counters,
-    /// Number of workers that are included.
+    /// Number of workers included.
     pub workers: usize,
     /// Name of the worker that computed the sums.
     #[serde(rename = "by")]
     pub computed_by: String,
-    /// Age of the oldest counters among them when they were forwarded (milliseconds).
+    /// Age of the oldest included counters when they were forwarded (milliseconds).
     pub age_ms: u64,
 }
 
-/// A message from a worker or an operators' command.
+/// A message from a worker or an operator's command.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "say", rename_all = "kebab-case")]
 pub enum ClientMessage {
-    /// Opens a session, or resumes the one of this process.
+    /// Opens a session, or resumes the process's existing one.
     Hello {
         /// Name of the fleet.
         fleet: String,
@@ -84,7 +84,7 @@
     /// Keeps the session alive, and requests the renewal of leases.
     #[serde(rename = "keep")]
     Heartbeat {
-        /// Increases with each heartbeat of the worker.
+        /// Sequence number; increases with each heartbeat of the worker.
         seq: u64,
         /// Tasks for which this worker would accept a lease.
         #[serde(default)]
@@ -92,30 +92,30 @@
         /// Leases to renew.
         #[serde(rename = "held", default)]
         leases: Vec<LeaseRef>,
-        /// The worker's counters, if they are due.
+        /// The worker's counters, if due.
         #[serde(rename = "figures", default, skip_serializing_if = "Option::is_none")]
         counters: Option<Counters>,
-        /// Sums that this worker computed for the fleet.
+        /// Totals that this worker computed for the fleet.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         totals: Option<FleetTotals>,
-        /// The load report, with fleet-wide overload control.
+        /// The load report, if fleet-wide overload control is enabled.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         load: Option<LoadReport>,
     },
     /// The worker has stopped acting under this lease.
     #[serde(rename = "give-back")]
     ReleaseLease {
-        /// The lease that is released.
+        /// The released lease.
         #[serde(rename = "held")]
         lease: LeaseRef,
-        /// The worker failed at the task, and another one should be granted the lease.
+        /// Whether the worker failed at the task, so that another worker should be granted the lease.
         #[serde(default)]
         failed: bool,
-        /// Grants the lease to the newest process of the same name.
+        /// Whether to grant the lease to the newest process of the same worker name.
         #[serde(default)]
         pass_on: bool,
     },
-    /// Requests permission to make the call of the next period. A repeat with the same attempt number is the same request.
+    /// Requests permission to make the call of the next period. A message with the same attempt number repeats the request.
     #[serde(rename = "begin")]
     BeginPeriod {
         /// The lease under which the call would be made.
@@ -123,13 +123,13 @@
         lease: LeaseRef,
         /// Length of a period (milliseconds).
         every_ms: u64,
-        /// The call is idempotent: it may be made again in the same period.
+        /// Whether the call is idempotent, so that it may be repeated in the same period.
         #[serde(rename = "safe")]
         idempotent: bool,
         /// Number of the request.
         attempt: u64,
     },
-    /// Reports how the call of a period ended.
+    /// Reports the outcome of the call of a period.
     #[serde(rename = "end")]
     EndPeriod {
         /// The lease under which the call was made.
@@ -153,35 +153,35 @@
         #[serde(rename = "what")]
         query: OperatorQuery,
     },
-    /// A kind that is unknown to this version.
+    /// A message kind that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// What operators may query or command.
+/// An operator's query or command.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorQuery {
-    /// State of this coordinator. Answered by any coordinator, also by a suspended one.
+    /// State of this coordinator. Any coordinator answers, even a suspended one.
     Status,
-    /// Workers in session. This query and all below are answered by the leader only, once a quorum has confirmed it.
+    /// Workers with a session. This query and all following ones are answered only by a leader confirmed by a quorum.
     Members,
     /// Leases and their holders.
     Leases,
     /// Tasks and their periods.
     Tasks,
-    /// State of the fleet's overload control: shedding level, shortages, and probers of failed services.
+    /// State of fleet-wide overload control: shedding level, shortages, and probers of failed services.
     Overload,
-    /// Overrides the shedding level for a time.
+    /// Overrides the shedding level temporarily.
     Pin {
-        /// First tier that is not admitted in full.
+        /// The first tier that is not admitted in full.
         tier: usize,
-        /// Share of that tier that is admitted.
+        /// The share of that tier that is admitted.
         share: f32,
         /// How long the override lasts (seconds).
         for_s: f64,
     },
-    /// Replaces a coordinator that has lost its disk by one without state.
+    /// Replaces a coordinator that has lost its disk with one that starts without state.
     Replace {
         /// Name of the coordinator.
         coordinator: String,
@@ -196,7 +196,7 @@
     Welcome {
         /// Number of the session.
         session: u64,
-        /// How long the session outlives the last heartbeat (milliseconds).
+        /// Time after the last heartbeat at which the session expires (milliseconds).
         session_ttl_ms: u64,
         /// Interval at which heartbeats are expected (milliseconds).
         keep_every_ms: u64,
@@ -211,24 +211,24 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Answers a heartbeat.
+    /// Acknowledges a heartbeat.
     #[serde(rename = "kept")]
     HeartbeatAck {
-        /// Number of the heartbeat.
+        /// Sequence number of the heartbeat.
         seq: u64,
-        /// Leases that were renewed, each counted from when that heartbeat was sent.
+        /// Renewed leases, each valid from when that heartbeat was sent.
         leases: Vec<RenewedLease>,
         /// The fleet's totals.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         totals: Option<FleetTotals>,
-        /// For the worker that computes the totals: each worker's counters.
+        /// All workers' counters; sent only to the worker that computes the totals.
         #[serde(rename = "figures", default, skip_serializing_if = "Vec::is_empty")]
         counters: Vec<AgedCounters>,
         /// The digest that answers the load report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         overload: Option<FleetDigest>,
     },
-    /// The lease belongs to this worker from its next renewal on.
+    /// The lease was granted to this worker; it is valid from its next renewal on.
     #[serde(rename = "granted")]
     LeaseGranted {
         /// The lease.
@@ -238,7 +238,7 @@
     /// The call of this period may be made.
     #[serde(rename = "begun")]
     PeriodBegun {
-        /// The lease under which it may be made.
+        /// The lease under which the call may be made.
         #[serde(rename = "held")]
         lease: LeaseRef,
         /// Number of the period.
@@ -249,10 +249,10 @@
     /// The call of the next period may not be made yet.
     #[serde(rename = "not-begun")]
     PeriodNotBegun {
-        /// The lease under which it was requested.
+        /// The lease under which the period was requested.
         #[serde(rename = "held")]
         lease: LeaseRef,
-        /// Time after which it may be requested again (milliseconds).
+        /// Time after which the period may be requested again (milliseconds).
         in_ms: u64,
         /// The cause, for logs.
         #[serde(rename = "why")]
@@ -274,22 +274,22 @@
         /// The result, in the form that `fleetctl` prints.
         answer: serde_json::Value,
     },
-    /// A kind that is unknown to this version.
+    /// A message kind that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// A lease that was renewed.
+/// A renewed lease.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct RenewedLease {
     /// The lease.
     #[serde(rename = "held")]
     pub lease: LeaseRef,
-    /// Time to live from when the heartbeat that requested the renewal was sent (milliseconds).
+    /// Time to live, counted from when the heartbeat that requested the renewal was sent (milliseconds).
     pub ttl_ms: u64,
 }
 
-/// One worker's counters, as the coordinators hold them. A pair on the wire.
+/// One worker's counters, as stored by the coordinators. Serialized as a pair.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u64, Counters)", into = "(u64, Counters)")]
 pub struct AgedCounters {
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -1,7 +1,7 @@
-//! The protocol between port workers, operators' commands and coordinators: [`messages`] and their framing, [`codec`].
+//! The protocol between port workers, operators' commands and coordinators: [`messages`] and their framing ([`codec`]).
 //!
-//! Unknown kinds and keys are ignored, so that different versions are compatible; [`VERSION`] states which features a program
-//! supports beyond that. Operators' commands connect to the same port as workers.
+//! Unknown message kinds and keys are ignored, so that different versions are compatible; [`VERSION`] states which further
+//! features a program supports. Operators' commands connect to the same port as workers.
 
 pub mod codec;
 pub mod messages;
--- a/src/fleet/frame/tests.rs
+++ b/src/fleet/frame/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn partial_frames_are_incomplete_and_oversized_or_malformed_ones_are_errors() {
     let message = ClientMessage::BeginPeriod {
-        lease: LeaseRef { task: "trial".into(), token: 7 },
+        lease: LeaseRef { task: "t".into(), token: 7 },
         every_ms: 1000,
         idempotent: false,
         attempt: 1,
@@ -21,18 +21,18 @@
 }
 
 #[test]
-fn error_messages_give_what_was_found_and_what_is_accepted() {
+fn error_messages_state_the_found_length_and_the_limit() {
     let error = decode::<ClientMessage>(&[0, 0, 1, 1], 256).unwrap_err();
     assert!(matches!(error, FrameError::TooLarge { length: 257, limit: 256 }), "{error:?}");
-    assert_eq!(error.to_string(), "a frame of 257 bytes; at most 256 are taken");
+    assert_eq!(error.to_string(), "frame of 257 bytes exceeds the limit of 256 bytes");
     let error = decode::<ClientMessage>(&[0, 0, 0, 2, b'{', b'x'], 256).unwrap_err();
-    assert_eq!(error.to_string(), "a frame that can't be read: key must be a string at line 1 column 2");
+    assert_eq!(error.to_string(), "malformed frame: key must be a string at line 1 column 2");
 }
 
 #[test]
 fn unknown_kinds_and_keys_of_a_later_version_are_ignored() {
     let frame = |text: &str| [&(text.len() as u32).to_be_bytes()[..], text.as_bytes()].concat();
-    let read = |text: &str| decode::<ServerMessage>(&frame(text), 1000).unwrap().unwrap().0;
-    assert_eq!(read(r#"{"word":"sing","song":"x"}"#), ServerMessage::Unknown);
-    assert_eq!(read(r#"{"word":"gone","why":"later"}"#), ServerMessage::SessionExpired);
+    let decoded = |text: &str| decode::<ServerMessage>(&frame(text), 1000).unwrap().unwrap().0;
+    assert_eq!(decoded(r#"{"word":"later-kind","key":"x"}"#), ServerMessage::Unknown);
+    assert_eq!(decoded(r#"{"word":"gone","why":"later key"}"#), ServerMessage::SessionExpired);
 }
