--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -3,7 +3,7 @@
 use super::tasks::Schedule;
 use std::net::SocketAddr;
 
-/// Distinguishes a process from the others of its worker: a random number that is drawn when the process starts.
+/// Distinguishes a process from other processes of the same worker: a random number generated when the process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation(pub u64);
 
@@ -14,18 +14,18 @@
     pub fleet: String,
     /// Name of this worker.
     pub name: String,
-    /// Zone that this worker runs in.
+    /// Zone in which this worker runs.
     pub zone: String,
     /// Addresses of the coordinators.
     pub coordinators: Vec<SocketAddr>,
-    /// The share of a lease's time to live that is left unused, for the drift of the holder's and the coordinators' clocks
-    /// together.
+    /// Share of a lease's time to live that is left unused as a margin for clock drift between the holder and the
+    /// coordinators.
     pub drift: f64,
     /// Whether this worker is a candidate for computing the fleet's totals.
     pub computes_totals: bool,
-    /// Tasks for which this worker is a candidate.
+    /// Scheduled tasks for which this worker is a candidate.
     pub tasks: Vec<Schedule>,
-    /// With fleet-wide overload control: this worker's base allocation of the downstream service's capacity (mean number of
-    /// calls in flight).
+    /// This worker's base allocation of the downstream service's capacity (mean number of calls in flight); `None` without
+    /// fleet-wide overload control.
     pub overload: Option<f64>,
 }
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -1,5 +1,5 @@
-//! One worker's membership: the state machine that joins session, leases, scheduled tasks and overload control. All times
-//! are on the membership's clock (seconds), which goes on while the machine is suspended.
+//! One worker's membership: the state machine that combines session, leases, scheduled tasks and overload control. All times
+//! are on the membership's clock (seconds), which advances while the machine is suspended.
 
 mod events;
 mod heartbeat;
@@ -7,7 +7,7 @@
 mod metrics;
 mod receive;
 
-use leaving::Departure;
+use leaving::LeaveState;
 
 pub use events::{LeaseLossCause, MembershipEvent};
 
@@ -20,10 +20,10 @@
 use super::totals::{ReceivedTotals, TOTALS_TASK};
 use std::net::SocketAddr;
 
-/// Delay of the next wake-up while something is due that can't be done yet, as under a lease that has expired (seconds).
-const BLOCKED_RECHECK_S: f64 = 0.05;
+/// Delay of the next wake-up while due work is blocked, for example by an expired lease (seconds).
+const RECHECK_INTERVAL_S: f64 = 0.05;
 
-/// What the owner of a [`FleetMember`] is to do. Actions are carried out in the order in which they are given.
+/// An action for the owner of a [`FleetMember`] to perform. Actions must be performed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
     /// Connect to this coordinator.
@@ -34,7 +34,7 @@
     Close,
     /// Make a scheduled call.
     Call(ScheduledCall),
-    /// Report an event to operators.
+    /// Write a log event.
     Log(MembershipEvent),
 }
 
@@ -44,23 +44,23 @@
     session: Session,
     leases: LeaseHolder,
     tasks: Vec<ScheduledTask>,
-    /// Whether this worker takes leases: not while it is draining.
+    /// Whether this worker accepts leases; `false` while it is draining.
     accepting_tasks: bool,
-    /// `None` until the worker leaves its fleet.
-    departure: Option<Departure>,
+    /// `None` until the worker starts to leave its fleet.
+    leave_state: Option<LeaveState>,
     counters_sent_at: f64,
-    /// The fleet's totals that were received last.
+    /// The fleet's totals that were last received.
     received_totals: Option<ReceivedTotals>,
-    /// Totals that this worker has computed and not sent yet.
+    /// Totals that this worker has computed but not sent yet.
     computed_totals: Option<FleetTotals>,
     overload: Option<FleetOverloadClient>,
-    /// The sample for the load report that goes out with the next heartbeat.
+    /// The sample for the load report in the next heartbeat.
     load_sample: Option<LoadSample>,
     actions: Vec<MemberAction>,
 }
 
 impl FleetMember {
-    /// A member that is not connected yet. `seed` varies the backoffs.
+    /// Creates a member that is not connected yet. `seed` randomizes the backoffs.
     #[must_use]
     pub fn new(now: f64, config: MembershipConfig, incarnation: Incarnation, seed: u64) -> FleetMember {
         let hello = ClientMessage::Hello {
@@ -72,13 +72,14 @@
         };
         let schedules = config.tasks.iter().cloned().enumerate();
         let tasks = schedules.map(|(index, schedule)| ScheduledTask::new(index, schedule)).collect();
-        let overload = config.overload.map(|own| FleetOverloadClient::new(now, own, config.drift));
+        let overload =
+            config.overload.map(|base_calls| FleetOverloadClient::new(now, base_calls, config.drift));
         FleetMember {
             session: Session::new(now, config.coordinators.clone(), seed, hello),
             leases: LeaseHolder::new(config.drift),
             tasks,
             accepting_tasks: true,
-            departure: None,
+            leave_state: None,
             counters_sent_at: f64::NEG_INFINITY,
             received_totals: None,
             computed_totals: None,
@@ -95,7 +96,7 @@
         &self.config
     }
 
-    /// Takes the actions that have accumulated.
+    /// Takes the accumulated actions.
     pub fn take_actions(&mut self) -> Vec<MemberAction> {
         std::mem::take(&mut self.actions)
     }
@@ -116,7 +117,7 @@
         }));
     }
 
-    /// Carries out what is due by now. `counters` returns this worker's counters; it is called only if they are due.
+    /// Performs what is due by now. `counters` returns this worker's counters; it is called only if they are due.
     pub fn tick(&mut self, now: f64, counters: impl FnOnce() -> Counters) {
         let mut link_actions = Vec::new();
         let heartbeat_due = self.session.tick(now, &mut link_actions);
@@ -144,21 +145,21 @@
         }
     }
 
-    /// The tasks for which this worker is a candidate.
+    /// The tasks for which this worker requests a lease.
     fn wanted_tasks(&self) -> Vec<String> {
         let scheduled = self.tasks.iter().map(|task| task.schedule.name.clone());
         let totals = self.config.computes_totals.then(|| TOTALS_TASK.to_owned());
         scheduled.chain(totals).collect()
     }
 
-    /// Handles that the link is connected.
+    /// Called when the link is connected.
     pub fn connected(&mut self) {
         let mut link_actions = Vec::new();
         self.session.connected(&mut link_actions);
         self.push_link_actions(link_actions);
     }
 
-    /// Handles that the link is lost, or was closed by either side.
+    /// Called when the link is lost, or was closed by either side.
     pub fn disconnected(&mut self, now: f64) {
         if self.session.is_established() {
             self.log(MembershipEvent::SessionLinkLost);
@@ -166,7 +167,7 @@
         self.session.disconnected(now);
     }
 
-    /// Handles the end of a scheduled call; `task` is its index in the configuration.
+    /// Called when a scheduled call has ended. `task` is its index in the configuration.
     pub fn call_ended(&mut self, now: f64, task: usize, outcome: CallOutcome) {
         let Some(scheduled) = self.tasks.get_mut(task) else { return };
         if let Some(report) = scheduled.call_ended(now, outcome) {
@@ -188,26 +189,26 @@
         let leased = self.tasks.iter().filter(|task| self.leases.token(&task.schedule.name).is_some());
         let next = leased.map(ScheduledTask::next_wakeup).fold(self.session.next_wakeup(), f64::min);
         if next <= now {
-            now + BLOCKED_RECHECK_S
+            now + RECHECK_INTERVAL_S
         } else {
             next
         }
     }
 
-    /// Whether its session is established now.
+    /// Whether the session is currently established.
     #[must_use]
     pub fn is_connected(&self) -> bool {
         self.session.is_established()
     }
 
-    /// Until when nobody else can hold the task's lease; `None` where it is not held.
+    /// Until when no other process can hold the task's lease; `None` if this worker does not hold it.
     #[must_use]
     pub fn lease_valid_until(&self, task: &str) -> Option<f64> {
         self.leases.valid_until(task)
     }
 
-    /// The fencing token under which an action of up to `duration_s` seconds may begin for a task now; `None` where the
-    /// lease is not held or expires before the action would end.
+    /// The fencing token under which an action of up to `duration_s` seconds may start for a task now; `None` if the lease is
+    /// not held or expires before the action would end.
     #[must_use]
     pub fn may_act(&self, now: f64, task: &str, duration_s: f64) -> Option<u64> {
         self.leases.may_act(now, task, duration_s)
--- a/src/fleet/member/events.rs
+++ b/src/fleet/member/events.rs
@@ -1,4 +1,4 @@
-//! Events of a worker's membership, for operators.
+//! Log events of a worker's membership.
 
 use crate::fleet::frame::{CallOutcome, LeaseRef};
 use std::net::SocketAddr;
@@ -6,35 +6,35 @@
 /// A change of a worker's membership in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// A session with the coordinators is established.
+    /// A session with the coordinators was established.
     SessionEstablished {
         /// The number of the session.
         session: u64,
-        /// The coordinator that it runs over.
+        /// The coordinator to which the worker is connected.
         coordinator: Option<SocketAddr>,
     },
-    /// The link to the coordinators is lost; the worker goes on serving.
+    /// The link to the coordinators was lost. The worker continues to serve requests.
     SessionLinkLost,
-    /// The coordinator is not the leader: the worker connects to another one.
+    /// The coordinator is not the leader. The worker connects to another one.
     CoordinatorNotLeader {
-        /// The cause, as the coordinator gives it.
+        /// The cause stated by the coordinator.
         reason: String,
     },
-    /// The coordinators have rejected a message.
+    /// The coordinators rejected a message.
     MessageRejected {
-        /// The cause, as the coordinator gives it.
+        /// The cause stated by the coordinator.
         reason: String,
     },
-    /// This worker has been granted a lease.
+    /// This worker was granted a lease.
     LeaseAcquired(LeaseRef),
-    /// A lease has expired, or its session has.
+    /// A lease or its session has expired.
     LeaseLost {
         /// The lease.
         lease: LeaseRef,
         /// The cause.
         cause: LeaseLossCause,
     },
-    /// This worker has released a lease.
+    /// This worker released a lease.
     LeaseReleased(LeaseRef),
     /// A scheduled call did not succeed.
     ScheduledCallFailed {
--- a/src/fleet/member/heartbeat.rs
+++ b/src/fleet/member/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of a worker's session, and what they carry: leases to renew, counters, load reports.
+//! Heartbeats of a worker's session, which carry the leases to renew, counters and load reports.
 
 use super::{FleetMember, LoadSample, OverloadDirective};
 use crate::fleet::frame::{ClientMessage, Counters};
@@ -38,18 +38,18 @@
         renewal_s.min(self.session.heartbeat_interval_s).min(report_s)
     }
 
-    /// Whether the next tick sends a load report: then [`FleetMember::set_load_sample`] is to be called before it.
+    /// Whether the next tick sends a load report. If so, [`FleetMember::set_load_sample`] has to be called before it.
     #[must_use]
     pub fn load_report_due(&self, now: f64) -> bool {
         self.overload.is_some() && self.session.heartbeat_due(now)
     }
 
-    /// Sets what admission control has counted since the last load report, for the next one.
+    /// Sets the load sample for the next load report.
     pub fn set_load_sample(&mut self, sample: LoadSample) {
         self.load_sample = Some(sample);
     }
 
-    /// The directive for admission control at `now`, on the same clock; `None` without fleet-wide overload control.
+    /// The directive in force at `now`, with times on the same clock; `None` without fleet-wide overload control.
     #[must_use]
     pub fn overload_directive(&self, now: f64) -> Option<OverloadDirective> {
         self.overload.as_ref().map(|client| client.directive(now))
--- a/src/fleet/member/metrics.rs
+++ b/src/fleet/member/metrics.rs
@@ -1,9 +1,9 @@
-//! The membership's metrics, for the operators' console.
+//! The membership's metrics for the console.
 
 use super::FleetMember;
 
 impl FleetMember {
-    /// The metrics by name, in the order in which they are printed.
+    /// Names and values of the metrics, in printing order.
     #[must_use]
     pub fn metrics(&self, now: f64) -> Vec<(String, String)> {
         let is_connected = u64::from(self.is_connected());
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -1,4 +1,4 @@
-//! Handling of the coordinators' messages.
+//! Processing of the coordinators' messages.
 
 use super::{FleetMember, LeaseLossCause, MemberAction, MembershipEvent};
 use crate::fleet::frame::{AgedCounters, ClientMessage, FleetTotals, LeaseRef, RenewedLease, ServerMessage};
@@ -6,18 +6,18 @@
 use crate::fleet::tasks::{BegunPeriod, PeriodDecision};
 use crate::fleet::totals::{sum_counters, ReceivedTotals, TOTALS_TASK};
 
-/// Margin that is added to the pause before the next request for a period (seconds). A request that arrives a little early
-/// is rejected, so that without it each period would be requested twice.
+/// Margin added to the pause before the next request for a period (seconds). A request that arrives slightly early is
+/// rejected, so without the margin each period would be requested twice.
 const PERIOD_REQUEST_MARGIN_S: f64 = 0.002;
 
 impl FleetMember {
-    /// Handles a message from the coordinator. Messages that do not apply to the current state have no effect.
+    /// Processes a message from the coordinator. Messages that do not apply to the current state have no effect.
     pub fn receive(&mut self, now: f64, message: &ServerMessage) {
         let was_established = self.session.is_established();
         let mut link_actions = Vec::new();
-        let session_over = self.session.receive(now, message, &mut link_actions);
-        if session_over {
-            self.drop_all_leases();
+        let session_ended = self.session.receive(now, message, &mut link_actions);
+        if session_ended {
+            self.lose_all_leases();
         }
         self.push_link_actions(link_actions);
         match message {
@@ -86,14 +86,14 @@
             self.log(MembershipEvent::LeaseAcquired(lease.clone()));
             self.leases.granted(lease);
         } else {
-            // The lease was requested before the worker began to drain, which does not act under it any more.
+            // The worker requested the lease before it began to drain, and no longer acts under it.
             self.send(ClientMessage::ReleaseLease {
                 lease: lease.clone(),
                 failed: false,
                 pass_on: self.is_replaced(),
             });
         }
-        self.session.heartbeat_now(now);
+        self.session.make_heartbeat_due(now);
     }
 
     fn begin_period(&mut self, now: f64, begun: &BegunPeriod<'_>) {
@@ -116,7 +116,7 @@
         }
     }
 
-    fn drop_all_leases(&mut self) {
+    fn lose_all_leases(&mut self) {
         let leases: Vec<LeaseRef> = self.leases.all().collect();
         for lease in leases {
             self.log(MembershipEvent::LeaseLost { lease, cause: LeaseLossCause::SessionExpired });
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// A member whose session is established at 1 s, and which holds the task's lease under token 3.
+/// A member whose session was established at 1 s and which holds the task's lease with token 3.
 fn holding() -> FleetMember {
     let mut member = FleetMember::new(0.0, config(), Incarnation(1), 1);
     member.tick(1.0, Counters::new);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_draining_worker_releases_its_lease_and_rejects_one_that_was_granted_meanwhile() {
+fn a_draining_worker_releases_its_lease_and_rejects_one_granted_during_the_drain() {
     let mut member = holding();
     member.set_accepting_tasks(2.0, false);
     assert_eq!(sent(&mut member), [released(3, false)]);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_worker_that_is_replaced_passes_its_lease_on_and_closes_its_session_once() {
+fn a_replaced_worker_passes_on_its_lease_and_closes_its_session_once() {
     let mut member = holding();
     member.leave(true);
     member.leave(true);
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn an_expired_session_ends_every_lease() {
+fn all_leases_are_lost_when_the_session_expires() {
     let mut member = holding();
     member.receive(2.0, &ServerMessage::SessionExpired);
     assert!(!member.is_connected());
     assert_eq!(member.leases.token("t"), None);
-    let line = MemberAction::Log(MembershipEvent::LeaseLost {
+    let lease_lost = MemberAction::Log(MembershipEvent::LeaseLost {
         lease: lease(3),
         cause: LeaseLossCause::SessionExpired,
     });
-    assert_eq!(member.take_actions(), [line, MemberAction::Close]);
+    assert_eq!(member.take_actions(), [lease_lost, MemberAction::Close]);
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,18 +1,18 @@
 //! A worker's membership in its fleet: the session with the coordinators, leases, scheduled tasks, and fleet-wide overload
-//! control. No I/O here; the clock and random seeds are passed in.
+//! control. Performs no I/O; the clock and random seeds are passed in.
 //!
-//! [`FleetMember`] is the state machine of all this: messages on its link and outcomes of its calls go in,
-//! [`MemberAction`]s come out. No request waits for it, and a worker serves requests the same with and without it.
+//! [`FleetMember`] is the state machine: its inputs are messages on the link and outcomes of scheduled calls, its outputs
+//! are [`MemberAction`]s. No request waits for it, and a worker also serves requests without it.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | [`frame`] | messages and their framing |
-//! | [`session`] | which coordinator to connect to, heartbeats, backoff |
-//! | [`lease_holder`] | until when an action may begin under a lease |
+//! | [`session`] | choice of coordinator, heartbeats, backoff |
+//! | [`lease_holder`] | validity of the leases that this worker holds |
 //! | [`tasks`] | scheduled calls under a lease |
 //! | [`overload`] | fleet-wide overload control |
 //!
-//! Without `[fleet]` in the operator's file none of it is constructed.
+//! None of it is constructed without `[fleet]` in the operator's file.
 
 #![warn(missing_docs)]
 
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -1,32 +1,32 @@
-//! A worker's session with the coordinators: which of them it connects to, when it tries another, and when an established
-//! link is abandoned. All times are on the membership's clock (seconds).
+//! A worker's session with the coordinators: chooses the coordinator to connect to, sends heartbeats, and abandons links that
+//! do not answer. All times are on the membership's clock (seconds).
 //!
-//! Guarantees to callers: connection attempts are spread at random, so that a whole fleet that is cut off at the same
-//! moment reconnects over seconds; a leader that does not answer is abandoned; nothing here ever blocks.
+//! Guarantees to callers: connection attempts are randomized, so that a fleet that is cut off at once reconnects over a
+//! period of seconds; a leader that does not answer is abandoned; no function blocks.
 
 use super::frame::{ClientMessage, ServerMessage};
 use std::net::SocketAddr;
 
-/// Time within which a link has to be connected and welcomed (seconds).
+/// Time limit for connecting and receiving the welcome (seconds).
 pub const HANDSHAKE_TIMEOUT_S: f64 = 2.0;
-/// Backoff before the second attempt (seconds). Each backoff is multiplied by a random number from 0.5 to 1.5.
+/// Backoff before the second attempt (seconds). Each backoff is multiplied by a random factor from 0.5 to 1.5.
 const INITIAL_BACKOFF_S: f64 = 0.15;
-/// Longest backoff between two attempts (seconds).
+/// Upper bound for the backoff, before it is randomized (seconds).
 const MAX_BACKOFF_S: f64 = 1.0;
 /// Factor by which the backoff grows from one attempt to the next.
 const BACKOFF_FACTOR: f64 = 1.3;
-/// Period over which a fleet's reconnections are spread after established links were lost (seconds).
+/// Period over which reconnections are spread after an established link was lost (seconds).
 const RECONNECT_SPREAD_S: f64 = 0.4;
-/// Heartbeat intervals that may pass without an acknowledgement before the link is abandoned.
-const MAX_UNANSWERED_INTERVALS: f64 = 2.5;
-/// Heartbeat interval until a coordinator has announced one (seconds).
+/// Number of heartbeat intervals without an acknowledgement after which the link is abandoned.
+const MAX_UNACKNOWLEDGED_INTERVALS: f64 = 2.5;
+/// Heartbeat interval before a coordinator has announced one (seconds).
 const DEFAULT_HEARTBEAT_INTERVAL_S: f64 = 1.0;
 /// Shortest heartbeat interval that is accepted from a coordinator (seconds).
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.05;
 /// Longest heartbeat interval that is accepted from a coordinator (seconds).
 const MAX_HEARTBEAT_INTERVAL_S: f64 = 60.0;
 
-/// What is to be done with the link of a session.
+/// An operation to perform on the session's link.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAction {
     /// Connect to this coordinator.
@@ -37,28 +37,28 @@
     Close,
 }
 
-/// State of the link.
+/// State of the session's link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkState {
-    /// The next attempt is due at `until`.
+    /// The next connection attempt is due at `until`.
     BackingOff { until: f64 },
     /// Connecting, or waiting for the welcome.
     Handshaking { since: f64 },
-    /// In session. `unanswered_since` is when the oldest unacknowledged heartbeat was sent.
-    Established { unanswered_since: Option<f64> },
+    /// The session is established. `unacknowledged_since` is when the oldest unacknowledged heartbeat was sent.
+    Established { unacknowledged_since: Option<f64> },
 }
 
 /// State machine of one worker's session.
 pub struct Session {
     coordinators: Vec<SocketAddr>,
-    /// Index of the coordinator that is connected to, or tried next.
+    /// Index of the current coordinator, or of the next one to try.
     current: usize,
     state: LinkState,
     /// The next backoff, before it is randomized (seconds).
     backoff_s: f64,
-    /// State of the random generator (xorshift, never zero).
-    random_state: u64,
-    /// Number of the session, once there has been one.
+    /// State of the pseudo-random generator (xorshift; never zero).
+    prng_state: u64,
+    /// Number of the session; `None` before the first one and after it expired.
     pub number: Option<u64>,
     /// Interval at which the coordinators expect heartbeats (seconds).
     pub heartbeat_interval_s: f64,
@@ -68,19 +68,20 @@
     next_heartbeat_at: f64,
     /// When the link was last established or lost.
     pub state_since: f64,
-    /// The first message on each link.
+    /// The first message sent on each link.
     hello: ClientMessage,
 }
 
 impl Session {
-    /// A session that is not connected yet. `hello` is the first message on each link; `seed` varies the backoffs.
+    /// Creates a session that is not connected yet. `hello` is the first message on each link; `seed` randomizes the
+    /// backoffs.
     #[must_use]
     pub fn new(now: f64, coordinators: Vec<SocketAddr>, seed: u64, hello: ClientMessage) -> Session {
         let mut session = Session {
             current: 0,
             state: LinkState::BackingOff { until: now },
             backoff_s: INITIAL_BACKOFF_S,
-            random_state: seed | 1,
+            prng_state: seed | 1,
             number: None,
             heartbeat_interval_s: DEFAULT_HEARTBEAT_INTERVAL_S,
             last_heartbeat: 0,
@@ -95,28 +96,28 @@
         session
     }
 
-    /// A random number from 0 to 1.
+    /// The next random number, uniform in [0, 1).
     fn random(&mut self) -> f64 {
-        self.random_state ^= self.random_state << 13;
-        self.random_state ^= self.random_state >> 7;
-        self.random_state ^= self.random_state << 17;
-        (self.random_state >> 11) as f64 / (1u64 << 53) as f64
+        self.prng_state ^= self.prng_state << 13;
+        self.prng_state ^= self.prng_state >> 7;
+        self.prng_state ^= self.prng_state << 17;
+        (self.prng_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Whether the session is established now.
+    /// Whether the session is currently established.
     #[must_use]
     pub fn is_established(&self) -> bool {
         matches!(self.state, LinkState::Established { .. })
     }
 
-    /// The coordinator that is connected to, or tried next.
+    /// The current coordinator, or the next one to try.
     #[must_use]
     pub fn coordinator(&self) -> Option<SocketAddr> {
         self.coordinators.get(self.current).copied()
     }
 
-    /// Carries out what is due by now. Returns `true` if a heartbeat is due, which the caller sends with the sequence number
-    /// that [`Session::heartbeat_sent`] returns.
+    /// Performs what is due by now. Returns `true` if a heartbeat is due; the caller sends it with the sequence number that
+    /// [`Session::heartbeat_sent`] returns.
     pub fn tick(&mut self, now: f64, actions: &mut Vec<LinkAction>) -> bool {
         match self.state {
             LinkState::BackingOff { until } => {
@@ -131,9 +132,9 @@
                 }
                 false
             }
-            // The leader may have lost its quorum, or the link works in one direction only.
-            LinkState::Established { unanswered_since: Some(since) }
-                if now - since > self.answer_timeout_s() =>
+            // The leader may have lost its quorum, or the link may work in one direction only.
+            LinkState::Established { unacknowledged_since: Some(since) }
+                if now - since > self.ack_timeout_s() =>
             {
                 self.abandon_link(now, actions);
                 false
@@ -154,9 +155,9 @@
         self.disconnected(now);
     }
 
-    /// Time without an acknowledgement after which the link is abandoned (seconds).
-    fn answer_timeout_s(&self) -> f64 {
-        MAX_UNANSWERED_INTERVALS * self.heartbeat_interval_s
+    /// Time after which the link is abandoned without an acknowledgement (seconds).
+    fn ack_timeout_s(&self) -> f64 {
+        MAX_UNACKNOWLEDGED_INTERVALS * self.heartbeat_interval_s
     }
 
     /// Whether a heartbeat is due.
@@ -165,29 +166,29 @@
         self.is_established() && now >= self.next_heartbeat_at
     }
 
-    /// Records that a heartbeat is sent now, and returns its sequence number. The next one is due after `interval_s`.
+    /// Records that a heartbeat is sent now, and returns its sequence number. The next heartbeat is due after `interval_s`.
     pub fn heartbeat_sent(&mut self, now: f64, interval_s: f64) -> u64 {
         self.last_heartbeat += 1;
         self.next_heartbeat_at = now + interval_s;
-        if let LinkState::Established { unanswered_since } = &mut self.state {
-            unanswered_since.get_or_insert(now);
+        if let LinkState::Established { unacknowledged_since } = &mut self.state {
+            unacknowledged_since.get_or_insert(now);
         }
         self.last_heartbeat
     }
 
     /// Makes the next heartbeat due now.
-    pub fn heartbeat_now(&mut self, now: f64) {
+    pub fn make_heartbeat_due(&mut self, now: f64) {
         self.next_heartbeat_at = now;
     }
 
-    /// Handles that the link is connected: sends the hello.
+    /// Called when the link is connected. Sends the hello.
     pub fn connected(&mut self, actions: &mut Vec<LinkAction>) {
         if matches!(self.state, LinkState::Handshaking { .. }) {
             actions.push(LinkAction::Send(self.hello.clone()));
         }
     }
 
-    /// Handles that the link was lost or could not be established: the next coordinator is tried after a backoff.
+    /// Called when the link was lost or could not be established. The next coordinator is tried after a backoff.
     pub fn disconnected(&mut self, now: f64) {
         let mut spread_s = 0.0;
         if self.is_established() {
@@ -207,7 +208,7 @@
         self.state = LinkState::BackingOff { until: now + pause_s };
     }
 
-    /// Handles the messages that concern the session itself. Returns `true` if the previous session has ended.
+    /// Processes messages that concern the session itself. Returns `true` if the previous session has ended.
     pub fn receive(&mut self, now: f64, message: &ServerMessage, actions: &mut Vec<LinkAction>) -> bool {
         match message {
             ServerMessage::Welcome { session, keep_every_ms, .. } => {
@@ -236,13 +237,13 @@
         }
     }
 
-    /// Returns `true` if this is another session than before.
+    /// Returns `true` if this is a new session.
     fn receive_welcome(&mut self, now: f64, session: u64, heartbeat_interval_s: f64) -> bool {
         let is_new = self.number != Some(session);
         self.number = Some(session);
         self.heartbeat_interval_s =
             heartbeat_interval_s.clamp(MIN_HEARTBEAT_INTERVAL_S, MAX_HEARTBEAT_INTERVAL_S);
-        self.state = LinkState::Established { unanswered_since: None };
+        self.state = LinkState::Established { unacknowledged_since: None };
         self.backoff_s = INITIAL_BACKOFF_S;
         self.state_since = now;
         self.next_heartbeat_at = now;
@@ -250,13 +251,13 @@
     }
 
     fn receive_heartbeat_ack(&mut self, now: f64, seq: u64) {
-        if let LinkState::Established { unanswered_since } = &mut self.state {
-            // This acknowledgement covers earlier heartbeats, whose own may have been lost.
-            *unanswered_since = (seq < self.last_heartbeat).then_some(now);
+        if let LinkState::Established { unacknowledged_since } = &mut self.state {
+            // This also acknowledges earlier heartbeats, whose own acknowledgements may have been lost.
+            *unacknowledged_since = (seq < self.last_heartbeat).then_some(now);
         }
     }
 
-    /// Makes the leader that a coordinator has named the next one to connect to, if it is configured.
+    /// Selects the leader that a coordinator has named, if it is among the configured coordinators.
     fn follow_leader(&mut self, leader: Option<&str>) {
         let address = leader.and_then(|l| l.parse::<SocketAddr>().ok());
         let index = address.and_then(|a| self.coordinators.iter().position(|c| *c == a));
@@ -271,8 +272,8 @@
         match self.state {
             LinkState::BackingOff { until } => until,
             LinkState::Handshaking { since } => since + HANDSHAKE_TIMEOUT_S,
-            LinkState::Established { unanswered_since } => {
-                let timeout = unanswered_since.map(|since| since + self.answer_timeout_s());
+            LinkState::Established { unacknowledged_since } => {
+                let timeout = unacknowledged_since.map(|since| since + self.ack_timeout_s());
                 timeout.unwrap_or(f64::INFINITY).min(self.next_heartbeat_at)
             }
         }
--- a/src/fleet/session/tests.rs
+++ b/src/fleet/session/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 fn new_session(seed: u64) -> Session {
-    let all = (1..=3).map(|n| SocketAddr::from(([127, 0, 0, 1], n))).collect();
-    Session::new(0.0, all, seed, ClientMessage::Goodbye)
+    let coordinators = (1..=3).map(|n| SocketAddr::from(([127, 0, 0, 1], n))).collect();
+    Session::new(0.0, coordinators, seed, ClientMessage::Goodbye)
 }
 
 fn welcome(session: u64) -> ServerMessage {
@@ -10,19 +10,19 @@
 }
 
 #[test]
-fn reconnections_of_a_fleet_that_is_cut_off_are_spread() {
-    let mut at = Vec::new();
+fn reconnections_of_a_disconnected_fleet_are_spread() {
+    let mut delays = Vec::new();
     for seed in 1..=300u64 {
         let mut session = new_session(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut actions = Vec::new();
         session.tick(10.0, &mut actions);
         session.receive(10.0, &welcome(1), &mut actions);
         session.disconnected(20.0);
-        at.push(session.next_wakeup() - 20.0);
+        delays.push(session.next_wakeup() - 20.0);
     }
-    at.sort_by(f64::total_cmp);
-    assert!(at[0] >= 0.05 && at[299] <= 0.7, "{} to {}", at[0], at[299]);
-    let shortest = at.windows(60).map(|w| w[59] - w[0]).fold(f64::INFINITY, f64::min);
+    delays.sort_by(f64::total_cmp);
+    assert!(delays[0] >= 0.05 && delays[299] <= 0.7, "{} to {}", delays[0], delays[299]);
+    let shortest = delays.windows(60).map(|w| w[59] - w[0]).fold(f64::INFINITY, f64::min);
     assert!(shortest > 0.05, "60 of 300 reconnect within {shortest} s");
 }
 
@@ -41,11 +41,11 @@
     session.tick(3.6, &mut actions);
     assert_eq!(actions, vec![LinkAction::Close]);
     assert_ne!(session.coordinator(), first);
-    assert_eq!(session.number, Some(1), "the session goes on over another coordinator");
+    assert_eq!(session.number, Some(1), "the session continues over another coordinator");
 }
 
 #[test]
-fn a_link_stays_while_heartbeats_are_acknowledged_and_a_named_leader_is_followed() {
+fn a_link_is_kept_while_heartbeats_are_acknowledged_and_the_named_leader_is_tried_next() {
     let mut session = new_session(5);
     let mut actions = Vec::new();
     session.tick(1.0, &mut actions);
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -1,9 +1,9 @@
-//! Scheduled calls: when the holder of a task's lease requests the next period and makes its call, and how it handles the
-//! outcome. All times are on the membership's clock (seconds).
+//! Scheduled calls: the holder of a task's lease requests each period from the coordinators, makes the period's call, and
+//! reports its outcome. All times are on the membership's clock (seconds).
 //!
-//! Guarantees to callers: a call is made only under a lease that lasts longer than the call may take, and only after the
-//! beginning of its period has been committed to the coordinators' log; a call that is not idempotent is made at most once
-//! for each beginning.
+//! Guarantees to callers: a call is made only under a lease that outlasts the call's deadline, and only after the start of
+//! its period has been committed to the coordinators' log; a call that is not idempotent is made at most once per start of
+//! a period.
 
 use super::frame::{CallOutcome, ClientMessage, LeaseRef};
 use super::lease_holder::LeaseHolder;
@@ -11,29 +11,29 @@
 
 /// Time without an answer after which a request for a period is repeated (seconds).
 const REQUEST_TIMEOUT_S: f64 = 1.5;
-/// Consecutive failed calls after which the holder releases its lease.
+/// Number of consecutive failed calls after which the holder releases its lease.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// Pause after a call before the next request for a period (seconds).
-const RETRY_PAUSE_S: f64 = 0.5;
+/// Minimum pause between a call and the next request for a period (seconds).
+const REQUEST_PAUSE_S: f64 = 0.5;
 
-/// A task that workers carry out for the fleet.
+/// A scheduled task of the fleet, as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
     /// Name of the task.
     pub name: String,
-    /// Length of a period: one call is made in each (seconds).
+    /// Length of a period, in which one call is made (seconds).
     pub period_s: f64,
-    /// Address that is called.
+    /// Address to call.
     pub address: SocketAddr,
     /// Path of the request.
     pub path: String,
-    /// How long a call may take (seconds).
+    /// Time limit of a call (seconds).
     pub deadline_s: f64,
     /// Whether the call may be repeated within a period.
     pub idempotent: bool,
 }
 
-/// A call to be made now.
+/// A call to make now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledCall {
     /// Index of the task in the configuration.
@@ -44,10 +44,10 @@
     pub period: u64,
 }
 
-/// The coordinators' answer to a request for a period: it has begun.
+/// The coordinators' confirmation that a requested period has begun.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BegunPeriod<'a> {
-    /// The lease under which it was requested.
+    /// The lease under which the period was requested.
     pub lease: &'a LeaseRef,
     /// Number of the period.
     pub period: u64,
@@ -55,28 +55,28 @@
     pub attempt: u64,
 }
 
-/// What a worker does once a period has begun.
+/// How a worker reacts to the start of a period.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeriodDecision {
-    /// The call is to be made.
+    /// Make the call.
     Call(ScheduledCall),
-    /// No time is left for the call under this lease: the report says that the call was not made.
+    /// Send this report that the call was not made, because the lease expires too soon for it.
     Report(ClientMessage),
-    /// The answer is a duplicate, or one to an earlier request: nothing is to be done.
+    /// Do nothing: the answer is a duplicate, or belongs to an earlier request.
     Superseded,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum TaskState {
-    /// No period is requested before this time.
+    /// No period is requested before `until`.
     Idle { until: f64 },
-    /// A period was requested.
+    /// A period was requested at `at`.
     Requested { at: f64 },
     /// The call of a period is in flight.
     Calling(ScheduledCall),
 }
 
-/// One task, as this worker carries it out while it holds the lease.
+/// State of one task at this worker, which makes the task's calls while it holds the lease.
 pub struct ScheduledTask {
     /// Configuration of the task.
     pub schedule: Schedule,
@@ -85,16 +85,16 @@
     /// Number of the last request for a period.
     attempt: u64,
     consecutive_failures: u32,
-    /// The last outcome, which the coordinators may not have received.
+    /// The report of the last outcome, which the coordinators may not have received.
     unconfirmed_outcome: Option<ClientMessage>,
-    /// Calls made.
+    /// Number of calls made.
     pub calls: u64,
-    /// Calls whose outcome is indeterminate.
+    /// Number of calls whose outcome is indeterminate.
     pub indeterminate_calls: u64,
 }
 
 impl ScheduledTask {
-    /// A task without a request in flight; `index` identifies it in [`ScheduledCall::task`].
+    /// Creates a task without a request in flight. `index` identifies it in [`ScheduledCall::task`].
     #[must_use]
     pub fn new(index: usize, schedule: Schedule) -> ScheduledTask {
         ScheduledTask {
@@ -115,7 +115,8 @@
         matches!(self.state, TaskState::Calling(_))
     }
 
-    /// Whether the holder should release the lease because too many calls have failed. If so, the count is reset.
+    /// Whether the holder should release the lease because [`MAX_CONSECUTIVE_FAILURES`] calls have failed. If so, the count
+    /// is reset.
     pub fn take_failure_limit_reached(&mut self) -> bool {
         let is_reached = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && !self.is_calling();
         if is_reached {
@@ -124,12 +125,12 @@
         is_reached
     }
 
-    /// The fencing token under which a call may be made now.
+    /// The fencing token under which a call may start now.
     fn token(&self, now: f64, leases: &LeaseHolder) -> Option<u64> {
         leases.may_act(now, &self.schedule.name, self.schedule.deadline_s)
     }
 
-    /// The request for a period, if one is due.
+    /// Returns the request for a period, if one is due.
     pub fn tick(&mut self, now: f64, leases: &LeaseHolder) -> Option<ClientMessage> {
         let is_due = match self.state {
             TaskState::Idle { until } => now >= until,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Handles that a period has begun: its call is made if the lease outlasts it.
+    /// Called when a period has begun. Its call is made if the lease outlasts the call's deadline.
     pub fn period_begun(
         &mut self,
         now: f64,
@@ -180,11 +181,11 @@
             self.state = TaskState::Calling(call.clone());
             return PeriodDecision::Call(call);
         }
-        self.state = TaskState::Idle { until: now + RETRY_PAUSE_S };
+        self.state = TaskState::Idle { until: now + REQUEST_PAUSE_S };
         PeriodDecision::Report(self.report_outcome(lease.clone(), period, CallOutcome::NotDone))
     }
 
-    /// Handles that a period has not begun: the next request is due after `pause_s`.
+    /// Called when the coordinators denied a period. The next request is due after `pause_s`.
     pub fn period_not_begun(&mut self, now: f64, pause_s: f64) {
         if matches!(self.state, TaskState::Requested { .. }) {
             self.unconfirmed_outcome = None;
@@ -192,9 +193,9 @@
         }
     }
 
-    /// Handles the end of the call, and returns the report for the coordinators; `None` if no call was in flight.
+    /// Called when the call has ended. Returns the report for the coordinators, or `None` if no call was in flight.
     pub fn call_ended(&mut self, now: f64, outcome: CallOutcome) -> Option<ClientMessage> {
-        let idle = TaskState::Idle { until: now + RETRY_PAUSE_S };
+        let idle = TaskState::Idle { until: now + REQUEST_PAUSE_S };
         let TaskState::Calling(call) = std::mem::replace(&mut self.state, idle) else { return None };
         match outcome {
             CallOutcome::Done => self.consecutive_failures = 0,
@@ -210,8 +211,8 @@
         report
     }
 
-    /// Handles that the session goes on over another link: returns the report that may have been lost with the old one.
-    /// Coordinators ignore a report that they have received before.
+    /// Called when the session continues over a new link. Returns the report that may have been lost with the old link;
+    /// coordinators ignore a report that they have already received.
     pub fn reconnected(&mut self, now: f64) -> Option<ClientMessage> {
         if matches!(self.state, TaskState::Requested { .. }) {
             self.state = TaskState::Requested { at: now - REQUEST_TIMEOUT_S };
--- a/src/fleet/tasks/tests.rs
+++ b/src/fleet/tasks/tests.rs
@@ -14,7 +14,7 @@
     BegunPeriod { lease, period, attempt }
 }
 
-/// A holder whose lease was renewed with a heartbeat sent at `at`.
+/// A holder whose lease was renewed by a heartbeat sent at `at`.
 fn holding(at: f64) -> LeaseHolder {
     let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(1));
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn nothing_is_requested_or_called_under_a_lease_that_may_end_before_the_call() {
+fn no_period_is_requested_and_no_call_made_under_a_lease_that_may_expire_before_the_call_ends() {
     let holder = holding(0.0);
     let mut task = ScheduledTask::new(0, schedule(false));
     assert_eq!(task.tick(2.3, &holder), None);
     assert!(matches!(task.tick(1.0, &holder), Some(ClientMessage::BeginPeriod { attempt: 1, .. })));
-    // The answer comes too late for the call: the period is reported as not done.
+    // The answer arrives too late for the call, so the period is reported as not done.
     let decision = task.period_begun(2.3, &begun(&held(1), 4, 1), &holder);
     assert_eq!(
         decision,
@@ -52,10 +52,10 @@
     assert_eq!(
         task.period_begun(1.8, &begun(&held(1), 1, 1), &holder),
         PeriodDecision::Superseded,
-        "a repeated answer"
+        "a duplicate answer"
     );
     let report = task.call_ended(1.9, CallOutcome::Unknown);
-    assert_eq!(task.reconnected(2.0), report, "it may have been lost with the link");
+    assert_eq!(task.reconnected(2.0), report, "the report may have been lost with the link");
 }
 
 #[test]
--- a/src/fleet/totals.rs
+++ b/src/fleet/totals.rs
@@ -5,7 +5,7 @@
 /// The task whose lease holder computes the fleet's totals.
 pub const TOTALS_TASK: &str = "totals";
 
-/// Totals as the coordinators sent them.
+/// Totals received from the coordinators.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReceivedTotals {
     pub(super) totals: FleetTotals,
@@ -13,8 +13,8 @@
     pub(super) received_at: f64,
 }
 
-/// Sums up all workers' counters. The totals are as old as the oldest counters. Sums saturate, so that no value that one
-/// worker sends makes them overflow.
+/// Sums all workers' counters. The age of the totals is that of the oldest counters. Sums saturate, so that no value sent by
+/// a worker can make them overflow.
 pub(super) fn sum_counters(computed_by: &str, workers: &[AgedCounters]) -> FleetTotals {
     let mut counts = Counters::new();
     for worker in workers {
--- a/src/fleet/totals/tests.rs
+++ b/src/fleet/totals/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn sums_saturate_and_are_as_old_as_the_oldest_counters() {
+fn sums_saturate_and_have_the_age_of_the_oldest_counters() {
     let workers = [
         AgedCounters { age_ms: 40, counters: counters(&[("a.success", 3), ("huge", u64::MAX)]) },
         AgedCounters { age_ms: 900, counters: counters(&[("a.success", 4), ("huge", 1)]) },
