--- a/src/fleet/member/metrics.rs
+++ b/src/fleet/member/metrics.rs
@@ -7,7 +7,7 @@
     #[must_use]
     pub fn metrics(&self, now: f64) -> Vec<(String, String)> {
         let is_connected = u64::from(self.is_connected());
-        let since_change_s = now - self.session.state_since;
+        let since_change_s = now - self.session.link_state_since;
         let mut lines = vec![
             ("fleet.linked".to_owned(), is_connected.to_string()),
             ("fleet.linked_or_not_for_s".to_owned(), format!("{since_change_s:.1}")),
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -32,7 +32,7 @@
 }
 
 /// A member whose session was established at 1 s and which holds the task's lease with token 3.
-fn holding() -> FleetMember {
+fn member_with_lease() -> FleetMember {
     let mut member = FleetMember::new(0.0, config(), Incarnation(1), 1);
     member.tick(1.0, Counters::new);
     member.connected();
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_draining_worker_releases_its_lease_and_rejects_one_granted_during_the_drain() {
-    let mut member = holding();
+    let mut member = member_with_lease();
     member.set_accepting_tasks(2.0, false);
     assert_eq!(sent(&mut member), [released(3, false)]);
     member.receive(2.1, &ServerMessage::LeaseGranted { lease: lease(4) });
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_replaced_worker_passes_on_its_lease_and_closes_its_session_once() {
-    let mut member = holding();
+    let mut member = member_with_lease();
     member.leave(true);
     member.leave(true);
     assert_eq!(sent(&mut member), [released(3, true), ClientMessage::Goodbye]);
@@ -76,7 +76,7 @@
 
 #[test]
 fn all_leases_are_lost_when_the_session_expires() {
-    let mut member = holding();
+    let mut member = member_with_lease();
     member.receive(2.0, &ServerMessage::SessionExpired);
     assert!(!member.is_connected());
     assert_eq!(member.leases.token("t"), None);
--- a/src/fleet/overload/capacity_leases/server.rs
+++ b/src/fleet/overload/capacity_leases/server.rs
@@ -198,8 +198,8 @@
     let mut weights: f64 = demands.iter().map(|demand| demand.weight).sum();
     let mut shares = BTreeMap::new();
     for demand in demands {
-        let by_weight = amount * demand.weight / weights.max(1e-9);
-        let share = demand.wanted_calls.min(by_weight).max(0.0);
+        let weighted_share = amount * demand.weight / weights.max(1e-9);
+        let share = demand.wanted_calls.min(weighted_share).max(0.0);
         amount -= share;
         weights -= demand.weight;
         shares.insert(demand.worker, share);
--- a/src/fleet/overload/capacity_leases/tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -103,7 +103,7 @@
 }
 
 /// Simulation of leaders and workers whose clocks differ, optionally without one of the safety rules.
-struct World {
+struct Simulation {
     removed: RemovedGuard,
     now: f64,
     /// In the order of their terms.
@@ -111,30 +111,31 @@
     workers: Vec<Worker>,
 }
 
-impl World {
-    fn new(removed: RemovedGuard) -> World {
-        let mut world = World { removed, now: 1000.0, leaders: Vec::new(), workers: Vec::new() };
-        world.leaders.push(CapacityLeaseServer::new(world.leaders_now(), BASE_CALLS));
+impl Simulation {
+    fn new(removed: RemovedGuard) -> Simulation {
+        let mut simulation = Simulation { removed, now: 1000.0, leaders: Vec::new(), workers: Vec::new() };
+        simulation.leaders.push(CapacityLeaseServer::new(simulation.leader_clock(), BASE_CALLS));
         for w in 0..WORKERS {
-            world.workers.push(Worker::new(world.client(w, true)));
+            simulation.workers.push(Worker::new(simulation.client(w, true)));
         }
-        world
+        simulation
     }
 
     /// The client of a worker's process that either has been running for a long time or starts now.
     fn client(&self, w: usize, long_running: bool) -> CapacityClient {
-        let now = self.workers_now(w);
+        let now = self.worker_clock(w);
         let began = if long_running { now - 100.0 } else { now };
         let drift = if self.removed == RemovedGuard::NoDrift { 0.0 } else { DRIFT };
         CapacityClient::new(began, BASE_CALLS, drift)
     }
 
-    fn leaders_now(&self) -> f64 {
+    fn leader_clock(&self) -> f64 {
         self.now * FAST_CLOCK
     }
 
-    /// The lender's clock is fast, so that its loans end early; the borrowers' clocks are slow, so that their slices end late.
-    fn workers_now(&self, w: usize) -> f64 {
+    /// The lender's clock is fast, so that its loans end early; the borrowers' clocks are slow, so that their slices end
+    /// late.
+    fn worker_clock(&self, w: usize) -> f64 {
         self.now * if w == 0 { FAST_CLOCK } else { SLOW_CLOCK }
     }
 
@@ -159,7 +160,7 @@
                 self.workers[w].client = self.client(w, self.removed == RemovedGuard::FullAllocation);
             }
             Step::NewLeader => {
-                let now = self.leaders_now();
+                let now = self.leader_clock();
                 let from = if self.removed == RemovedGuard::NoWait { now } else { now + SLICE_S };
                 self.leaders.push(CapacityLeaseServer::with_grant_start(from, BASE_CALLS));
             }
@@ -167,7 +168,7 @@
     }
 
     fn report(&mut self, w: usize, spare: f64) {
-        let now = self.workers_now(w);
+        let now = self.worker_clock(w);
         let worker = &mut self.workers[w];
         worker.number += 1;
         let offer = worker.client.report(now, worker.number, spare);
@@ -175,7 +176,7 @@
     }
 
     fn arrive(&mut self, w: usize) {
-        let now = self.leaders_now();
+        let now = self.leader_clock();
         let worker = &mut self.workers[w];
         let leader = &mut self.leaders[worker.leader];
         let Some((number, mut report)) = worker.reports.pop_front() else { return };
@@ -189,7 +190,7 @@
     }
 
     fn answer(&mut self, w: usize) {
-        let now = self.leaders_now();
+        let now = self.leader_clock();
         let newest = self.leaders.len() - 1;
         let worker = &mut self.workers[w];
         // A superseded leader has no quorum and cannot answer.
@@ -212,17 +213,17 @@
 
     /// The calls that all workers together may have in flight.
     fn max_in_flight(&self) -> f64 {
-        let calls = |(w, worker): (usize, &Worker)| worker.client.max_in_flight(self.workers_now(w));
+        let calls = |(w, worker): (usize, &Worker)| worker.client.max_in_flight(self.worker_clock(w));
         self.workers.iter().enumerate().map(calls).sum()
     }
 }
 
 /// Runs the steps. Returns the first total of permitted calls in flight that exceeds the sum of the base allocations.
 fn first_excess(steps: &[Step], removed: RemovedGuard) -> Option<f64> {
-    let mut world = World::new(removed);
+    let mut simulation = Simulation::new(removed);
     for step in steps {
-        world.step(step);
-        let in_flight = world.max_in_flight();
+        simulation.step(step);
+        let in_flight = simulation.max_in_flight();
         if in_flight > BASE_CALLS * WORKERS as f64 + 1e-9 {
             return Some(in_flight);
         }
@@ -251,10 +252,10 @@
 
 #[test]
 fn without_any_one_guard_of_loans_and_slices_calls_exceed_the_sum() {
-    let again =
+    let lend_to_new_leader =
         [vec![Step::NewLeader, Step::Reconnect(0), Step::Reconnect(2)], exchange(0, 3.0), exchange(0, 3.0)]
             .concat();
-    let late = vec![
+    let delayed_loan = vec![
         // The answer to one report is delayed, and so is a later report that offers a loan.
         Step::Report(0, 0.0),
         Step::Arrive(0),
@@ -263,16 +264,19 @@
         Step::Answer(0),
         Step::Arrive(0),
     ];
-    let end = vec![Step::Elapse(0.15)];
+    let fair_share_refresh = vec![Step::Elapse(0.15)];
     for (removed, steps) in [
-        (RemovedGuard::NoWait, [one_call_lent(), again, end.clone(), exchange(2, -3.0)].concat()),
+        (
+            RemovedGuard::NoWait,
+            [one_call_lent(), lend_to_new_leader, fair_share_refresh.clone(), exchange(2, -3.0)].concat(),
+        ),
         (
             RemovedGuard::AnyDigest,
             [
                 vec![Step::Elapse(1.2)],
                 exchange(0, 0.0),
-                late,
-                end,
+                delayed_loan,
+                fair_share_refresh,
                 exchange(1, -3.0),
                 vec![Step::Elapse(0.4)],
             ]
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -63,7 +63,7 @@
     /// Number of random numbers generated so far.
     random_count: Cell<u64>,
     /// Requests rejected because of the fleet's decisions since the last sample.
-    shed: Cell<u64>,
+    shed_count: Cell<u64>,
     now: f64,
     /// The worker's base allocation (mean calls in flight); infinite without a downstream service.
     base_calls: f64,
@@ -89,7 +89,7 @@
         OverloadPolicy {
             seed: settings.seed,
             random_count: Cell::new(0),
-            shed: Cell::new(0),
+            shed_count: Cell::new(0),
             now,
             base_calls,
             directive: None,
@@ -110,7 +110,7 @@
     }
 
     fn count_shed(&self, is_shed: bool) {
-        self.shed.set(self.shed.get() + u64::from(is_shed));
+        self.shed_count.set(self.shed_count.get() + u64::from(is_shed));
     }
 
     /// Sets the latest directive, whose times are on admission control's clock.
@@ -174,9 +174,9 @@
         self.digest().filter(|digest| digest.workers > 1).map(is_at_capacity)
     }
 
-    /// The Retry-After of a rejected request of this tier (seconds). `local_s` is the value of a worker without a fleet, which
-    /// applies while other workers have headroom. Otherwise retries are spread over the digest's period, longer for lower
-    /// tiers.
+    /// The Retry-After of a rejected request of this tier (seconds). `local_s` is the value of a worker without a fleet,
+    /// which applies while other workers have headroom. Otherwise retries are spread over the digest's period, longer for
+    /// lower tiers.
     #[must_use]
     pub fn retry_after_s(&self, tier: usize, local_s: f64) -> f64 {
         let Some(digest) = self.digest() else { return local_s };
@@ -233,7 +233,7 @@
         let counts = std::mem::take(&mut self.counts);
         let completed = served.saturating_sub(self.sampled_responses.served);
         let all_rejected = rejected.saturating_sub(self.sampled_responses.rejected);
-        let own_rejected = all_rejected.saturating_sub(self.shed.take());
+        let own_rejected = all_rejected.saturating_sub(self.shed_count.take());
         self.sampled_responses = ResponseCounts { served, rejected };
         let per_s = 1.0 / (now - self.sampled_at).max(MIN_SAMPLE_S);
         self.sampled_at = now;
--- a/src/fleet/overload/retries.rs
+++ b/src/fleet/overload/retries.rs
@@ -35,8 +35,8 @@
         let spent = sums.retries * self.admitted_share;
         self.balance = (self.balance + (earned - spent) * elapsed_s).clamp(0.0, earned * MAX_BURST_S);
         let available = earned + self.balance;
-        let limits = has_shortage && sums.retries > available;
-        self.admitted_share = if limits { available / sums.retries } else { 1.0 };
+        let is_limited = has_shortage && sums.retries > available;
+        self.admitted_share = if is_limited { available / sums.retries } else { 1.0 };
     }
 
     /// The share of retries to admit.
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -196,8 +196,8 @@
     /// Whether calls have been failing for long enough to open the circuit.
     fn is_failing(&mut self, now: f64, sums: &LoadSums) -> bool {
         let calls = sums.calls_succeeded + sums.calls_failed;
-        let fails = calls >= MIN_CALLS_PER_S && sums.calls_failed >= FAILING_CALL_SHARE * calls;
-        self.failing_since = fails.then(|| self.failing_since.unwrap_or(now));
+        let is_failing_now = calls >= MIN_CALLS_PER_S && sums.calls_failed >= FAILING_CALL_SHARE * calls;
+        self.failing_since = is_failing_now.then(|| self.failing_since.unwrap_or(now));
         self.failing_since.is_some_and(|since| now - since >= FAILING_DELAY_S)
     }
 
@@ -221,12 +221,12 @@
             if sums.call_s > OVERLOADED_LATENCY_FACTOR * self.baseline_s {
                 self.call_share = (self.call_share * SHRINK_FACTOR).max(MIN_CALL_SHARE);
             } else {
-                self.grow();
+                self.grow_call_share();
             }
             self.update_baseline(sums.call_s);
         } else if sums.calls_succeeded + sums.calls_failed == 0.0 {
             // Without calls there is no sign of an overload.
-            self.grow();
+            self.grow_call_share();
         }
         let starts_to_shrink = self.call_share < share_before && share_before >= 1.0;
         starts_to_shrink.then(|| ServiceEvent::CallsReduced {
@@ -236,7 +236,7 @@
         })
     }
 
-    fn grow(&mut self) {
+    fn grow_call_share(&mut self) {
         self.call_share = (self.call_share + RECOVERY_STEP).min(1.0);
     }
 
--- a/src/fleet/overload/view/tests.rs
+++ b/src/fleet/overload/view/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// The sums over twenty correct workers in two zones and one more whose report is `last`.
-fn fleet(last: &LoadReport) -> LoadSums {
+fn fleet_sums(last: &LoadReport) -> LoadSums {
     let mut view = FleetLoadView::default();
     for worker in 0..20 {
         let zone = if worker % 2 == 0 { "east" } else { "west" };
@@ -24,9 +24,9 @@
 
 #[test]
 fn a_single_outlier_shifts_no_sum_by_more_than_a_few_shares() {
-    let expected = fleet(&load(1, 60.0));
+    let expected = fleet_sums(&load(1, 60.0));
     for wrong in [f32::NAN, -5.0, f32::INFINITY, 1e9, 1e6, 0.0] {
-        let skewed = fleet(&LoadReport { retries: wrong, call_s: wrong.min(1e3), ..load(1, wrong) });
+        let skewed = fleet_sums(&LoadReport { retries: wrong, call_s: wrong.min(1e3), ..load(1, wrong) });
         for (a, b) in [
             (expected.capacity, skewed.capacity),
             (expected.capacity / expected.arrivals[0], skewed.capacity / skewed.arrivals[0]),
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -67,7 +67,7 @@
     /// When the next heartbeat is due.
     next_heartbeat_at: f64,
     /// When the link was last established or lost.
-    pub state_since: f64,
+    pub link_state_since: f64,
     /// The first message sent on each link.
     hello: ClientMessage,
 }
@@ -86,7 +86,7 @@
             heartbeat_interval_s: DEFAULT_HEARTBEAT_INTERVAL_S,
             last_heartbeat: 0,
             next_heartbeat_at: now,
-            state_since: now,
+            link_state_since: now,
             hello,
             coordinators,
         };
@@ -193,7 +193,7 @@
         let mut spread_s = 0.0;
         if self.is_established() {
             spread_s = RECONNECT_SPREAD_S;
-            self.state_since = now;
+            self.link_state_since = now;
             self.backoff_s = INITIAL_BACKOFF_S;
         }
         if !matches!(self.state, LinkState::BackingOff { .. }) {
@@ -245,7 +245,7 @@
             heartbeat_interval_s.clamp(MIN_HEARTBEAT_INTERVAL_S, MAX_HEARTBEAT_INTERVAL_S);
         self.state = LinkState::Established { unacknowledged_since: None };
         self.backoff_s = INITIAL_BACKOFF_S;
-        self.state_since = now;
+        self.link_state_since = now;
         self.next_heartbeat_at = now;
         is_new
     }
--- a/src/fleet/tasks/tests.rs
+++ b/src/fleet/tasks/tests.rs
@@ -15,7 +15,7 @@
 }
 
 /// A holder whose lease was renewed by a heartbeat sent at `at`.
-fn holding(at: f64) -> LeaseHolder {
+fn holder_with_lease(at: f64) -> LeaseHolder {
     let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(1));
     holder.heartbeat_sent(at, 1);
@@ -25,7 +25,7 @@
 
 #[test]
 fn no_period_is_requested_and_no_call_made_under_a_lease_that_may_expire_before_the_call_ends() {
-    let holder = holding(0.0);
+    let holder = holder_with_lease(0.0);
     let mut task = ScheduledTask::new(0, schedule(false));
     assert_eq!(task.tick(2.3, &holder), None);
     assert!(matches!(task.tick(1.0, &holder), Some(ClientMessage::BeginPeriod { attempt: 1, .. })));
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_request_is_repeated_under_the_same_attempt_and_its_call_is_made_once() {
-    let holder = holding(0.0);
+    let holder = holder_with_lease(0.0);
     let mut task = ScheduledTask::new(0, schedule(false));
     let first = task.tick(0.1, &holder);
     assert_eq!(task.tick(0.2, &holder), None);
@@ -63,7 +63,7 @@
     let mut task = ScheduledTask::new(0, schedule(true));
     for n in 1..=3u32 {
         let now = f64::from(n) * 2.0;
-        let holder = holding(now);
+        let holder = holder_with_lease(now);
         assert!(!task.take_failure_limit_reached());
         assert!(task.tick(now, &holder).is_some());
         assert!(matches!(
