--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// A member whose session is established at 1 s, and which holds the task's lease under token 3.
-fn holding() -> FleetMember {
+/// A member whose session was established at 1 s and which holds the task's lease with token 3.
+fn member_with_lease() -> FleetMember {
     let mut member = FleetMember::new(0.0, config(), Incarnation(1), 1);
     member.tick(1.0, Counters::new);
     member.connected();
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn a_draining_worker_releases_its_lease_and_rejects_one_that_was_granted_meanwhile() {
-    let mut member = holding();
+fn a_draining_worker_releases_its_lease_and_rejects_one_granted_during_the_drain() {
+    let mut member = member_with_lease();
     member.set_accepting_tasks(2.0, false);
     assert_eq!(sent(&mut member), [released(3, false)]);
     member.receive(2.1, &ServerMessage::LeaseGranted { lease: lease(4) });
@@ -67,22 +67,22 @@
 }
 
 #[test]
-fn a_worker_that_is_replaced_passes_its_lease_on_and_closes_its_session_once() {
-    let mut member = holding();
+fn a_replaced_worker_passes_on_its_lease_and_closes_its_session_once() {
+    let mut member = member_with_lease();
     member.leave(true);
     member.leave(true);
     assert_eq!(sent(&mut member), [released(3, true), ClientMessage::Goodbye]);
 }
 
 #[test]
-fn an_expired_session_ends_every_lease() {
-    let mut member = holding();
+fn all_leases_are_lost_when_the_session_expires() {
+    let mut member = member_with_lease();
     member.receive(2.0, &ServerMessage::SessionExpired);
     assert!(!member.is_connected());
     assert_eq!(member.leases.token("t"), None);
-    let line = MemberAction::Log(MembershipEvent::LeaseLost {
+    let lease_lost = MemberAction::Log(MembershipEvent::LeaseLost {
         lease: lease(3),
         cause: LeaseLossCause::SessionExpired,
     });
-    assert_eq!(member.take_actions(), [line, MemberAction::Close]);
+    assert_eq!(member.take_actions(), [lease_lost, MemberAction::Close]);
 }
--- a/src/fleet/tasks/tests.rs
+++ b/src/fleet/tasks/tests.rs
@@ -14,8 +14,8 @@
     BegunPeriod { lease, period, attempt }
 }
 
-/// A holder whose lease was renewed with a heartbeat sent at `at`.
-fn holding(at: f64) -> LeaseHolder {
+/// A holder whose lease was renewed by a heartbeat sent at `at`.
+fn holder_with_lease(at: f64) -> LeaseHolder {
     let mut holder = LeaseHolder::new(0.1);
     holder.granted(&held(1));
     holder.heartbeat_sent(at, 1);
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn nothing_is_requested_or_called_under_a_lease_that_may_end_before_the_call() {
-    let holder = holding(0.0);
+fn no_period_is_requested_and_no_call_made_under_a_lease_that_may_expire_before_the_call_ends() {
+    let holder = holder_with_lease(0.0);
     let mut task = ScheduledTask::new(0, schedule(false));
     assert_eq!(task.tick(2.3, &holder), None);
     assert!(matches!(task.tick(1.0, &holder), Some(ClientMessage::BeginPeriod { attempt: 1, .. })));
-    // The answer comes too late for the call: the period is reported as not done.
+    // The answer arrives too late for the call, so the period is reported as not done.
     let decision = task.period_begun(2.3, &begun(&held(1), 4, 1), &holder);
     assert_eq!(
         decision,
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_request_is_repeated_under_the_same_attempt_and_its_call_is_made_once() {
-    let holder = holding(0.0);
+    let holder = holder_with_lease(0.0);
     let mut task = ScheduledTask::new(0, schedule(false));
     let first = task.tick(0.1, &holder);
     assert_eq!(task.tick(0.2, &holder), None);
@@ -52,10 +52,10 @@
     assert_eq!(
         task.period_begun(1.8, &begun(&held(1), 1, 1), &holder),
         PeriodDecision::Superseded,
-        "a repeated answer"
+        "a duplicate answer"
     );
     let report = task.call_ended(1.9, CallOutcome::Unknown);
-    assert_eq!(task.reconnected(2.0), report, "it may have been lost with the link");
+    assert_eq!(task.reconnected(2.0), report, "the report may have been lost with the link");
 }
 
 #[test]
@@ -63,7 +63,7 @@
     let mut task = ScheduledTask::new(0, schedule(true));
     for n in 1..=3u32 {
         let now = f64::from(n) * 2.0;
-        let holder = holding(now);
+        let holder = holder_with_lease(now);
         assert!(!task.take_failure_limit_reached());
         assert!(task.tick(now, &holder).is_some());
         assert!(matches!(
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -20,7 +20,7 @@
 }
 
 fn totals() -> FleetTotals {
-    FleetTotals { counts: counts(), workers: 3, by: "n1".to_owned(), age_ms: 250 }
+    FleetTotals { counts: counts(), workers: 3, computed_by: "n1".to_owned(), age_ms: 250 }
 }
 
 fn load() -> LoadReport {
@@ -128,7 +128,7 @@
 
 /// Every kind of query that an operator sends.
 fn operator_queries() -> Vec<ClientMessage> {
-    let ask = |what| ClientMessage::Query { fleet: "polderlijn".to_owned(), what };
+    let ask = |query| ClientMessage::Query { fleet: "polderlijn".to_owned(), query };
     vec![
         ask(OperatorQuery::Status),
         ask(OperatorQuery::Members),
