--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -3,7 +3,7 @@
 mod assignment;
 
 use super::{ConfigError, Options};
-use crate::interface::{PoolItem, PoolPlan, PoolReserve};
+use crate::interface::{PoolPlan, PoolReserve, PoolSpec};
 use assignment::Assignment;
 use serde::Deserialize;
 
@@ -167,7 +167,7 @@
     Ok(())
 }
 
-fn check_guarantees(pools: &[PoolItem]) -> Result<(), ConfigError> {
+fn check_guarantees(pools: &[PoolSpec]) -> Result<(), ConfigError> {
     let sum: f64 = pools.iter().map(|pool| pool.guarantee).sum();
     if sum > 1.0 + ROUNDING {
         return Err(ConfigError::GuaranteesAboveOne { sum });
@@ -202,7 +202,7 @@
 
 impl ReserveSettings {
     /// The reserve, with the number of its pool.
-    fn plan(&self, pools: &[PoolItem], least_slots: usize) -> Result<PoolReserve, ConfigError> {
+    fn plan(&self, pools: &[PoolSpec], least_slots: usize) -> Result<PoolReserve, ConfigError> {
         let Some(pool) = pools.iter().position(|pool| pool.name == self.pool) else {
             let key = "pools.reserve.pool".to_owned();
             return Err(ConfigError::UnknownName { key, kind: "pool", name: self.pool.clone() });
--- a/src/config/pools/assignment.rs
+++ b/src/config/pools/assignment.rs
@@ -2,7 +2,7 @@
 
 use super::{default_ceiling, default_queue, default_weight, PoolBlock, REST};
 use crate::config::{ConfigError, Options};
-use crate::interface::PoolItem;
+use crate::interface::PoolSpec;
 
 /// The longest name of a pool (bytes).
 const MAX_POOL_NAME_BYTES: usize = 64;
@@ -10,7 +10,7 @@
 /// The pools that have been read so far, and the assignment of classes to them.
 pub(super) struct Assignment<'a> {
     settings: &'a Options,
-    pub(super) pools: Vec<PoolItem>,
+    pub(super) pools: Vec<PoolSpec>,
     /// The number of the pool of each class, by class.
     pub(super) pool_of: Vec<Option<usize>>,
 }
@@ -28,7 +28,7 @@
             self.assign(block, class)?;
         }
         block.check_shares()?;
-        self.pools.push(PoolItem {
+        self.pools.push(PoolSpec {
             name: block.name.clone(),
             guarantee: block.guarantee,
             ceiling: block.ceiling,
@@ -91,7 +91,7 @@
         if let Some(rest) = self.pools.iter().position(|pool| pool.name == REST) {
             return rest;
         }
-        self.pools.push(PoolItem {
+        self.pools.push(PoolSpec {
             name: REST.to_owned(),
             guarantee: 0.0,
             ceiling: default_ceiling(),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,7 +15,7 @@
 pub use learned::{LearnedRunLength, LearnedState, RecentCalls, RecentOutcomes, TenantTraffic, Traffic};
 pub use reports::{AdmissionEvent, HealthState, PoolLimitCause, PoolLimitChange, UnhealthyCause};
 pub use settings::{
-    Class, Dependency, Idempotency, PoolItem, PoolPlan, PoolReserve, Preemption, Settings, Signal, Tenant,
+    Class, Dependency, Idempotency, PoolPlan, PoolReserve, PoolSpec, Preemption, Settings, Signal, Tenant,
 };
 
 /// A request that a worker has read.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -97,7 +97,7 @@
 
 /// One class pool: a part of the run slots for some classes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PoolItem {
+pub struct PoolSpec {
     /// Its name in the operator's file and in the log.
     pub name: String,
     /// The part of the common slots that it has whenever it wants them (0 to 1).
@@ -123,7 +123,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolPlan {
     /// Pools by number.
-    pub pools: Vec<PoolItem>,
+    pub pools: Vec<PoolSpec>,
     /// By class: the number of its pool.
     pub pool_of: Vec<usize>,
     /// Slots that only one pool uses.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -54,6 +54,6 @@
 
 pub use admission::Controller;
 pub use interface::{
-    Action, Arrival, Class, Dependency, Event, Gauges, Idempotency, Outcome, PoolItem, PoolPlan, PoolReserve,
+    Action, Arrival, Class, Dependency, Event, Gauges, Idempotency, Outcome, PoolPlan, PoolReserve, PoolSpec,
     Preemption, RequestId, Settings, Signal, Tenant,
 };
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -2,7 +2,7 @@
 
 use super::limit::SlotLimit;
 use super::Pools;
-use crate::interface::{AdmissionEvent, PoolItem, PoolLimitCause, PoolLimitChange, PoolPlan};
+use crate::interface::{AdmissionEvent, PoolLimitCause, PoolLimitChange, PoolPlan, PoolSpec};
 use serde::Serialize;
 
 /// Shortest time between two events of a kind about one pool (seconds).
@@ -122,7 +122,7 @@
         }));
     }
 
-    fn report_rejections(&mut self, now: f64, pool: usize, item: &PoolItem, queue: QueueCounts) {
+    fn report_rejections(&mut self, now: f64, pool: usize, item: &PoolSpec, queue: QueueCounts) {
         let reported = &mut self.rejections[pool];
         // A new plan may have begun the count anew.
         reported.rejected = reported.rejected.min(queue.rejected);
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -1,10 +1,10 @@
 //! Plans of pools, and pools with requests that arrive, run and end.
 
-use crate::interface::{PoolItem, PoolPlan, PoolReserve};
+use crate::interface::{PoolPlan, PoolReserve, PoolSpec};
 use crate::pools::{Place, Pools};
 
-pub(super) fn item(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolItem {
-    PoolItem { name: name.to_owned(), guarantee, ceiling, weight, queue: 50 }
+pub(super) fn item(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolSpec {
+    PoolSpec { name: name.to_owned(), guarantee, ceiling, weight, queue: 50 }
 }
 
 /// A reserve of so many slots.
@@ -13,7 +13,7 @@
 }
 
 pub(super) fn plan(
-    items: Vec<PoolItem>,
+    items: Vec<PoolSpec>,
     reserve: Option<PoolReserve>,
     min_slots: usize,
     max_slots: usize,
