--- a/src/admission/controller/sweep.rs
+++ b/src/admission/controller/sweep.rs
@@ -54,7 +54,7 @@
     }
 
     fn sweep_decision(&self, request: &Request) -> SweepDecision {
-        let next_wake_up = self.now + SWEEP_INTERVAL_S + 2.0 * self.settings.wake_ahead_s;
+        let next_wake_up = self.now + SWEEP_INTERVAL_S + 2.0 * self.settings.min_event_interval_s;
         let answer_by = match self.shutdown.answer_by() {
             Some(answer_by) => answer_by.min(request.deadline),
             None => request.deadline,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -199,7 +199,7 @@
             key_entry_kb: domain.key_entry_kb,
             shutdown_grace_s: contract.drain_grace_s,
             answer_slack_s: contract.grace_to_answer_s,
-            wake_ahead_s: self.period_s,
+            min_event_interval_s: self.period_s,
             max_retry_after_s: if self.limits.retry_after { self.limits.max_retry_after_s } else { 0.0 },
             over_quota_weight: self.over_quota_weight,
             callers: domain.senders,
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -36,7 +36,7 @@
         memory_kb: 1e6,
         run_factor: 4.0,
         shutdown_grace_s: 1.0,
-        wake_ahead_s: 0.002,
+        min_event_interval_s: 0.002,
         max_retry_after_s: 1.0,
         dependency: Some(Dependency { share: 8.0, window_s: 5.0, linger_s: 0.1 }),
         classes: vec![class(Idempotency::Idempotent), class(Idempotency::Keyed)],
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -174,7 +174,7 @@
     /// A response this long after the due time still counts (seconds).
     pub answer_slack_s: f64,
     /// Events reach the controller at most this often (seconds).
-    pub wake_ahead_s: f64,
+    pub min_event_interval_s: f64,
     /// The longest Retry-After that callers heed; 0 where none is relayed (seconds).
     pub max_retry_after_s: f64,
     /// Weight of a request over its tenant's quota, as a share of its class's.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 //!     cores: 2,
 //!     memory_kb: 64_000.0,
 //!     run_factor: 4.0,
-//!     wake_ahead_s: 0.002,
+//!     min_event_interval_s: 0.002,
 //!     classes: vec![Class {
 //!         weight: 1.0,
 //!         objective_s: 1.0,
--- a/tests/admission_properties/random_settings.rs
+++ b/tests/admission_properties/random_settings.rs
@@ -29,7 +29,7 @@
         key_entry_kb: 20.0,
         shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
-        wake_ahead_s: 0.002,
+        min_event_interval_s: 0.002,
         max_retry_after_s: 1.0,
         over_quota_weight: 0.1,
         callers: random.pick(&[0, 1, 3, 4_000]),
--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -21,7 +21,7 @@
         key_entry_kb: 10.0,
         shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
-        wake_ahead_s: 0.002,
+        min_event_interval_s: 0.002,
         max_retry_after_s: 1.0,
         callers: 4,
         workers: 2,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -59,7 +59,7 @@
         key_entry_kb: 20.0,
         shutdown_grace_s: 2.5,
         answer_slack_s: 0.1,
-        wake_ahead_s: 0.004,
+        min_event_interval_s: 0.004,
         max_retry_after_s: 1.0,
         over_quota_weight: 0.1,
         callers: 4,
