--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -205,7 +205,7 @@
             callers: domain.senders,
             workers: self.servers,
             marks_retries: self.clients.marks_retry,
-            health_listed: domain.readiness,
+            callers_see_health: domain.readiness,
             idle_s: domain.idle_s,
             preemption: domain.preemption(),
             signal: domain.published_signal(),
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -186,7 +186,7 @@
     /// Callers mark retries.
     pub marks_retries: bool,
     /// Callers learn of bad health as they learn of a shutdown.
-    pub health_listed: bool,
+    pub callers_see_health: bool,
     /// The longest a caller keeps an idle connection (seconds).
     pub idle_s: f64,
     /// What can be done to a run.
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -82,7 +82,7 @@
             (0.004, 1.0, 30.0)
         );
         assert_eq!(settings.over_quota_weight, 0.1);
-        assert!(settings.marks_retries && settings.health_listed);
+        assert!(settings.marks_retries && settings.callers_see_health);
         assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::Weight));
         let dependency = settings.dependency.unwrap();
         assert_eq!((dependency.share, dependency.window_s, dependency.linger_s), (5.0, 5.0, 0.2));
@@ -110,7 +110,7 @@
     assert!(settings_with("\"one_for_all\"", "\"silent\"").dependency.is_none());
     assert!(settings_with("\"nCores\"", "\"cold\": true, \"nCores\"").cold);
     assert_eq!(settings_with("\"retryAfter\": true", "\"retryAfter\": false").max_retry_after_s, 0.0);
-    assert!(!settings_with("\"readiness\": true", "\"readiness\": false").health_listed);
+    assert!(!settings_with("\"readiness\": true", "\"readiness\": false").callers_see_health);
     assert!(!settings_with("\"marksRetry\": true", "\"marksRetry\": false").marks_retries);
 }
 
@@ -135,7 +135,7 @@
     assert_eq!((settings.cores, settings.memory_kb, settings.callers), (2, 4096.0, 0));
     assert_eq!((settings.classes[0].objective_s, settings.classes[0].deadline_s), (1.0, 2.0));
     assert!(settings.dependency.is_none() && settings.tenants.is_empty());
-    assert!(!settings.classes[0].calls && !settings.marks_retries && !settings.health_listed);
+    assert!(!settings.classes[0].calls && !settings.marks_retries && !settings.callers_see_health);
     assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::None));
 }
 
