--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -122,7 +122,7 @@
     fn apply(&mut self, event: Event, now: f64, out: &mut Vec<Action>) {
         match event {
             Event::Arrived(arrival) => self.arrived(&arrival, out),
-            Event::CallerGone(id) => self.caller_gone(id, out),
+            Event::CallerDisconnected(id) => self.caller_gone(id, out),
             Event::RunEnded { id, outcome } => self.run_ended(id, outcome),
             Event::AtCall(id) => self.reached_call(id, out),
             Event::CallEnded { id, outcome } => self.call_ended(id, outcome, out),
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -165,7 +165,7 @@
                 self.respond(id, Response::Failed, effects);
             } else {
                 self.respond(id, Response::not_started(), effects);
-                effects.events.push_back(Event::CallerGone(id));
+                effects.events.push_back(Event::CallerDisconnected(id));
                 self.abandoned.push(id);
             }
         }
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -271,7 +271,7 @@
         self.metrics.record_disconnect(in_flight.request.class);
         // A run goes on, and its result is retained for the next attempt.
         if !in_flight.has_started() {
-            effects.events.push_back(Event::CallerGone(id));
+            effects.events.push_back(Event::CallerDisconnected(id));
             self.abandoned.push(id);
         }
     }
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -126,7 +126,7 @@
                 deadline: in_flight.deadline,
             });
             self.in_flight.mark_responded(id);
-            effects.events.push_back(Event::CallerGone(id));
+            effects.events.push_back(Event::CallerDisconnected(id));
             self.run_controller(effects);
             self.release(id);
         }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -65,7 +65,7 @@
     /// A request was read.
     Arrived(Arrival),
     /// The caller has gone: no response is pending.
-    CallerGone(RequestId),
+    CallerDisconnected(RequestId),
     /// A run, or a shared response, has ended.
     RunEnded {
         /// The request.
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -66,7 +66,7 @@
     fn decode(&mut self, event: WireEvent) -> Result<Event, ItemError> {
         Ok(match event {
             WireEvent::Req(request) => Event::Arrived(self.decode_request(request)?),
-            WireEvent::Dropped { req } => Event::CallerGone(self.names.find(&req)),
+            WireEvent::Dropped { req } => Event::CallerDisconnected(self.names.find(&req)),
             WireEvent::Ended { req, disposition } => {
                 Event::RunEnded { id: self.names.find(&req), outcome: disposition.into() }
             }
--- a/tests/admission_properties/play.rs
+++ b/tests/admission_properties/play.rs
@@ -204,7 +204,7 @@
     /// A caller disconnects before its response.
     fn lose_caller(&mut self, id: RequestId) {
         self.worker.responses += 1;
-        self.events.push(Event::CallerGone(id));
+        self.events.push(Event::CallerDisconnected(id));
     }
 
     /// A run has had processor time, and comes to its downstream call at the end of what it needs before.
--- a/tests/failures/downstream_calls.rs
+++ b/tests/failures/downstream_calls.rs
@@ -13,7 +13,7 @@
     worker.arrive(2, 0);
     assert_eq!(calls_made(&worker.handle(Event::AtCall(RequestId(1)))), 1);
     worker.handle(Event::AtCall(RequestId(2)));
-    worker.handle(Event::CallerGone(RequestId(1)));
+    worker.handle(Event::CallerDisconnected(RequestId(1)));
     assert_eq!(
         calls_made(&worker.end(1, Outcome::Cancelled)),
         0,
--- a/tests/failures/idempotency.rs
+++ b/tests/failures/idempotency.rs
@@ -30,7 +30,7 @@
     worker.arrive(2, 1);
     worker.arrive(3, 1);
     worker.repeat_attempt(4, 3);
-    let out = worker.handle(Event::CallerGone(RequestId(3)));
+    let out = worker.handle(Event::CallerDisconnected(RequestId(3)));
     assert!(matches!(out[0], Action::RetainKey { id: RequestId(4), .. }));
     worker.now = 0.2;
     assert_eq!(starts(&worker.end(1, Outcome::Ok)), vec![4]);
@@ -59,7 +59,7 @@
     for (class, stops) in [(0, true), (1, false)] {
         let mut worker = Harness::new(Settings { preemption: Preemption::Discard, ..settings() });
         worker.arrive(1, class);
-        let out = worker.handle(Event::CallerGone(RequestId(1)));
+        let out = worker.handle(Event::CallerDisconnected(RequestId(1)));
         assert_eq!(out.contains(&Action::Preempt(RequestId(1))), stops);
     }
 }
--- a/tests/failures/scheduling.rs
+++ b/tests/failures/scheduling.rs
@@ -78,7 +78,7 @@
 fn a_run_that_never_started_frees_its_slot() {
     let mut worker = Harness::new(settings());
     worker.arrive(1, 0);
-    worker.handle(Event::CallerGone(RequestId(1)));
+    worker.handle(Event::CallerDisconnected(RequestId(1)));
     worker.arrive(2, 0);
     worker.arrive(3, 0);
     assert_eq!(starts(&worker.end(1, Outcome::NotStarted)), vec![3]);
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -166,7 +166,7 @@
             Some(self.arrival())
         } else if self.random.unit() < 0.02 && self.latest > 0 {
             let back = self.random.below(30.min(self.latest as usize)) as u64;
-            Some(Event::CallerGone(RequestId(self.latest - back)))
+            Some(Event::CallerDisconnected(RequestId(self.latest - back)))
         } else if self.random.unit() < 0.4 && !self.in_flight.calling.is_empty() {
             Some(self.call_end())
         } else if self.random.unit() < 0.3 && !self.in_flight.sharing.is_empty() {
