--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -124,7 +124,7 @@
             Event::Arrived(arrival) => self.arrived(&arrival, out),
             Event::CallerDisconnected(id) => self.caller_gone(id, out),
             Event::RunEnded { id, outcome } => self.run_ended(id, outcome),
-            Event::AtCall(id) => self.reached_call(id, out),
+            Event::CallRequested(id) => self.reached_call(id, out),
             Event::CallEnded { id, outcome } => self.call_ended(id, outcome, out),
             Event::Shutdown { ago_s, in_s } => self.shutdown.announce(now, ago_s, in_s),
             Event::Woken(gauges) => self.woken(&gauges, out),
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -242,7 +242,7 @@
         let Some((id, in_flight)) = self.in_flight.by_name_mut(name) else { return };
         in_flight.pending_call = Some(call);
         in_flight.last_command = None;
-        effects.events.push_back(Event::AtCall(id));
+        effects.events.push_back(Event::CallRequested(id));
     }
 
     fn on_call_ended(
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -74,7 +74,7 @@
         outcome: Outcome,
     },
     /// A run waits to make a downstream call.
-    AtCall(RequestId),
+    CallRequested(RequestId),
     /// A downstream call has ended.
     CallEnded {
         /// The request whose run made it.
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -70,7 +70,7 @@
             WireEvent::Ended { req, disposition } => {
                 Event::RunEnded { id: self.names.find(&req), outcome: disposition.into() }
             }
-            WireEvent::AtCall { req } => Event::AtCall(self.names.find(&req)),
+            WireEvent::AtCall { req } => Event::CallRequested(self.names.find(&req)),
             WireEvent::DepReply { req, disposition } => {
                 Event::CallEnded { id: self.names.find(&req), outcome: disposition.into() }
             }
--- a/tests/admission_properties/play.rs
+++ b/tests/admission_properties/play.rs
@@ -218,7 +218,7 @@
                 self.cancel_run(id);
             } else {
                 self.worker.request(id).state = RequestState::AtCall { left_s: RUN_AFTER_CALL_S };
-                self.events.push(Event::AtCall(id));
+                self.events.push(Event::CallRequested(id));
             }
         }
     }
--- a/tests/failures/deadlines.rs
+++ b/tests/failures/deadlines.rs
@@ -30,9 +30,9 @@
     // One that waits for a call does not wait for its deadline either.
     let mut worker = Harness::new(with_calls(0.4));
     worker.arrive(1, 0);
-    worker.handle(Event::AtCall(RequestId(1)));
+    worker.handle(Event::CallRequested(RequestId(1)));
     worker.arrive(2, 0);
-    worker.handle(Event::AtCall(RequestId(2)));
+    worker.handle(Event::CallRequested(RequestId(2)));
     let out = worker.pass(2.1, 1.0);
     assert!(answered(&out, 1) && answered(&out, 2));
 }
--- a/tests/failures/downstream_calls.rs
+++ b/tests/failures/downstream_calls.rs
@@ -11,8 +11,8 @@
     let mut worker = Harness::new(with_calls(1.0));
     worker.arrive(1, 0);
     worker.arrive(2, 0);
-    assert_eq!(calls_made(&worker.handle(Event::AtCall(RequestId(1)))), 1);
-    worker.handle(Event::AtCall(RequestId(2)));
+    assert_eq!(calls_made(&worker.handle(Event::CallRequested(RequestId(1)))), 1);
+    worker.handle(Event::CallRequested(RequestId(2)));
     worker.handle(Event::CallerDisconnected(RequestId(1)));
     assert_eq!(
         calls_made(&worker.end(1, Outcome::Cancelled)),
@@ -28,7 +28,7 @@
     let mut worker = Harness::new(with_calls(8.0));
     let mut sheds = 0;
     worker.arrive(1, 0);
-    let mut out = worker.handle(Event::AtCall(RequestId(1)));
+    let mut out = worker.handle(Event::CallRequested(RequestId(1)));
     for _ in 0..40 {
         worker.now += 0.005;
         if calls_made(&out) > 0 {
@@ -58,7 +58,7 @@
         };
         let mut worker = Harness::new(set);
         worker.arrive(1, 1);
-        worker.handle(Event::AtCall(RequestId(1)));
+        worker.handle(Event::CallRequested(RequestId(1)));
         worker.now = 0.1;
         let out = worker.handle(Event::CallEnded { id: RequestId(1), outcome: Outcome::TimedOut });
         assert_eq!(out.contains(&Action::SkipCall(RequestId(1))), skips);
@@ -77,8 +77,8 @@
     let mut worker = Harness::new(set);
     worker.arrive(1, 0);
     worker.arrive(2, 1);
-    worker.handle(Event::AtCall(RequestId(1)));
-    worker.handle(Event::AtCall(RequestId(2)));
+    worker.handle(Event::CallRequested(RequestId(1)));
+    worker.handle(Event::CallRequested(RequestId(2)));
     worker.now = 0.1;
     let out = worker.handle(Event::CallEnded { id: RequestId(1), outcome: Outcome::Unreachable });
     assert!(out.contains(&Action::SkipCall(RequestId(1))), "{out:?}");
@@ -103,7 +103,7 @@
             let started = starts(&out);
             let mut calls = Vec::new();
             for id in started {
-                calls.extend(worker.handle(Event::AtCall(RequestId(id))));
+                calls.extend(worker.handle(Event::CallRequested(RequestId(id))));
             }
             let mut called: Vec<u64> = calls
                 .iter()
@@ -137,7 +137,7 @@
     let mut worker = Harness::new(set);
     for id in 1..=2 {
         worker.arrive(id, 0);
-        worker.handle(Event::AtCall(RequestId(id)));
+        worker.handle(Event::CallRequested(RequestId(id)));
     }
     worker.arrive(3, 0);
     assert_eq!(starts(&worker.arrive(4, 1)), vec![4]);
@@ -154,7 +154,7 @@
         set.classes[1].calls = true;
         let mut worker = Harness::new(set);
         worker.arrive(1, 1);
-        worker.handle(Event::AtCall(RequestId(1)));
+        worker.handle(Event::CallRequested(RequestId(1)));
         worker.now = 0.1;
         let mut out = worker.handle(Event::CallEnded { id: RequestId(1), outcome });
         out.extend(worker.pass(0.1, 1.0));
@@ -182,7 +182,7 @@
         // Every run reaches its call at once.
         while let Some(action) = todo.pop() {
             match action {
-                Action::Start(id) => todo.extend(worker.handle(Event::AtCall(id))),
+                Action::Start(id) => todo.extend(worker.handle(Event::CallRequested(id))),
                 Action::Call { id, .. } => in_flight.push(id.0),
                 _ => {}
             }
@@ -216,7 +216,7 @@
         let mut at = 0;
         while at < out.len() {
             match out[at] {
-                Action::Start(id) => out.extend(worker.handle(Event::AtCall(id))),
+                Action::Start(id) => out.extend(worker.handle(Event::CallRequested(id))),
                 Action::Call { id, .. } => drop(called.insert(id.0, worker.now)),
                 Action::SkipCall(id) => {
                     skipped += 1;
@@ -239,7 +239,7 @@
     let length = |id: u64| -0.02 * (1.0 - ((id * 37 % 64) as f64 + 0.5) / 64.0).ln();
     for id in 1..=640 {
         worker.arrive(id, 0);
-        worker.handle(Event::AtCall(RequestId(id)));
+        worker.handle(Event::CallRequested(RequestId(id)));
         worker.now += length(id);
         worker.handle(Event::CallEnded { id: RequestId(id), outcome: Outcome::Ok });
         worker.end(id, Outcome::Ok);
@@ -248,7 +248,7 @@
     let in_flight: usize = (1000..1006)
         .map(|id| {
             worker.arrive(id, 0);
-            calls_made(&worker.handle(Event::AtCall(RequestId(id))))
+            calls_made(&worker.handle(Event::CallRequested(RequestId(id))))
         })
         .sum();
     assert_eq!(in_flight, 6);
@@ -265,7 +265,7 @@
     while worker.controller.take_released().is_empty() && id < 8 {
         id += 1;
         worker.arrive(id, 0);
-        worker.handle(Event::AtCall(RequestId(id)));
+        worker.handle(Event::CallRequested(RequestId(id)));
     }
     assert!(starts(&worker.arrive(99, 1)).contains(&99), "after {id} lookups at their calls");
 }
@@ -278,7 +278,7 @@
     let mut worker = Harness::new(set);
     for id in 1..=20 {
         worker.arrive(id, 0);
-        worker.handle(Event::AtCall(RequestId(id)));
+        worker.handle(Event::CallRequested(RequestId(id)));
         worker.now += 0.2;
         worker.handle(Event::CallEnded { id: RequestId(id), outcome: Outcome::Ok });
         worker.end(id, Outcome::Ok);
@@ -286,7 +286,7 @@
     // Of an objective of 2 s, 0.3 are left: not enough for two calls of 0.2 s, as half of them take longer than one.
     worker.arrive(50, 0);
     worker.now += 1.7;
-    let out = worker.handle(Event::AtCall(RequestId(50)));
+    let out = worker.handle(Event::CallRequested(RequestId(50)));
     assert!(out.contains(&Action::SkipCall(RequestId(50))) && calls_made(&out) == 0, "{out:?}");
 }
 
@@ -297,7 +297,7 @@
     for id in 1..=20 {
         worker.now += 0.05;
         worker.arrive(id, 0);
-        worker.handle(Event::AtCall(RequestId(id)));
+        worker.handle(Event::CallRequested(RequestId(id)));
         worker.now += 0.05;
         worker.handle(Event::CallEnded { id: RequestId(id), outcome: Outcome::Ok });
         worker.end(id, Outcome::Ok);
@@ -305,7 +305,7 @@
     let mut until = Vec::new();
     for id in 21..=23 {
         worker.arrive(id, 0);
-        for action in worker.handle(Event::AtCall(RequestId(id))) {
+        for action in worker.handle(Event::CallRequested(RequestId(id))) {
             if let Action::Call { id, until_s } = action {
                 until.push((id, until_s - worker.now));
             }
@@ -325,7 +325,7 @@
 fn a_share_under_one_call_is_saved_up_for_calls_that_can_end() {
     let mut worker = Harness::new(with_calls(0.4));
     worker.arrive(1, 0);
-    let first = worker.handle(Event::AtCall(RequestId(1)));
+    let first = worker.handle(Event::CallRequested(RequestId(1)));
     let Some(Action::Call { until_s, .. }) = first.first() else { panic!("no call at once: {first:?}") };
     assert!(*until_s >= 0.4, "{until_s}");
     worker.now = 0.2;
@@ -335,7 +335,7 @@
     let mut times = Vec::new();
     for id in 2..=6 {
         worker.arrive(id, 0);
-        let mut out = worker.handle(Event::AtCall(RequestId(id)));
+        let mut out = worker.handle(Event::CallRequested(RequestId(id)));
         while !out.iter().any(|a| matches!(a, Action::Call { .. })) {
             worker.now += 0.025;
             out = worker.wake(1.0);
@@ -357,7 +357,7 @@
     let mut worker = Harness::new(with_calls(5.0));
     for id in 1..=16 {
         worker.arrive(id, 0);
-        worker.handle(Event::AtCall(RequestId(id)));
+        worker.handle(Event::CallRequested(RequestId(id)));
         worker.now += if id < 9 { 0.05 } else { 3.0 };
         worker.handle(Event::CallEnded { id: RequestId(id), outcome: Outcome::Ok });
         worker.end(id, Outcome::Ok);
--- a/tests/failures/resources.rs
+++ b/tests/failures/resources.rs
@@ -35,6 +35,6 @@
     worker.handle(other_process(0, 4, 0.0));
     worker.arrive(1, 0);
     let made = |out: &[Action]| out.iter().any(|a| matches!(a, Action::Call { .. }));
-    assert!(!made(&worker.handle(Event::AtCall(RequestId(1)))));
+    assert!(!made(&worker.handle(Event::CallRequested(RequestId(1)))));
     assert!(made(&worker.handle(other_process(0, 0, 0.0))));
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -235,7 +235,7 @@
         let running = &mut self.in_flight.running;
         let id = running.swap_remove(self.random.below(running.len()));
         if self.random.unit() < 0.5 {
-            Event::AtCall(id)
+            Event::CallRequested(id)
         } else {
             Event::RunEnded { id, outcome: random_outcome(&mut self.random) }
         }
