--- a/src/admission/controller/arrival.rs
+++ b/src/admission/controller/arrival.rs
@@ -16,7 +16,7 @@
         }
         let request = self.new_request(arrival);
         let too_late = self.shutdown.is_too_late_to_start(request.arrived, self.now);
-        let is_keyed = self.class(arrival.class).effect == Idempotency::Keyed;
+        let is_keyed = self.class(arrival.class).idempotency == Idempotency::Keyed;
         self.requests.insert(id, request);
         self.health.record_read(arrival.read_delay_s, self.settings.classes[arrival.class].objective_s);
         let over_retry_budget = self.count_arrival(request.tier, arrival.retry);
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -228,7 +228,7 @@
             late_weight: profile.late_weight,
             objective_s: profile.objective_s,
             deadline_s: profile.deadline_s,
-            effect: profile.idempotency(),
+            idempotency: profile.idempotency(),
             window_s: profile.window_s,
             calls: self.domain.class_calls.get(number).copied().unwrap_or_default(),
             skipped_call_weight: self.domain.skipped_call_weights.get(number).copied().unwrap_or_default(),
--- a/src/dispatch/tests/crossings/world.rs
+++ b/src/dispatch/tests/crossings/world.rs
@@ -104,7 +104,7 @@
             weight: 1.0 + i as f64,
             objective_s: class.deadline_s * 0.5,
             deadline_s: class.deadline_s,
-            effect: class.effect,
+            idempotency: class.effect,
             window_s: class.window_s,
             calls: class.calls,
             skipped_call_weight: if class.can_skip_call { 0.6 } else { 0.0 },
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -24,7 +24,7 @@
         weight: 1.0,
         objective_s: 2.0,
         deadline_s: 4.0,
-        effect,
+        idempotency: effect,
         window_s: 10.0,
         calls: true,
         skipped_call_weight: if effect == Idempotency::Idempotent { 0.6 } else { 0.0 },
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -24,7 +24,7 @@
     /// How long a client waits in all (seconds).
     pub deadline_s: f64,
     /// Whether it may be run more than once.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// For [`Idempotency::Keyed`]: how long after its arrival it may be sent again (seconds).
     pub window_s: f64,
     /// Whether its runs may call the dependency.
@@ -37,7 +37,7 @@
     /// Whether its runs and calls may be repeated.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
-        self.effect == Idempotency::Idempotent
+        self.idempotency == Idempotency::Idempotent
     }
 
     /// Whether a response keeps a part of its weight when the downstream call is skipped.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,7 +16,7 @@
 //!         weight: 1.0,
 //!         objective_s: 1.0,
 //!         deadline_s: 3.0,
-//!         effect: Idempotency::Idempotent,
+//!         idempotency: Idempotency::Idempotent,
 //!         ..Class::default()
 //!     }],
 //!     ..Settings::default()
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -75,7 +75,7 @@
     /// Where there is no such class.
     #[must_use]
     pub fn effect(&self, class: usize) -> Idempotency {
-        self.classes[class].effect
+        self.classes[class].idempotency
     }
 
     /// The index of the tenant with this name.
--- a/tests/admission_properties/random_settings.rs
+++ b/tests/admission_properties/random_settings.rs
@@ -58,7 +58,7 @@
             weight: 4.0,
             objective_s: 0.7,
             deadline_s: 2.0,
-            effect: Idempotency::Keyed,
+            idempotency: Idempotency::Keyed,
             window_s: KEY_WINDOW_S,
             calls: true,
             skipped_call_weight: random.pick(&[0.0, 0.3]),
@@ -69,7 +69,7 @@
             objective_s: 0.7,
             deadline_s: 2.0,
             late_weight: 0.2,
-            effect: Idempotency::NotIdempotent,
+            idempotency: Idempotency::NotIdempotent,
             calls: true,
             ..Class::default()
         },
--- a/tests/admission_properties/rules.rs
+++ b/tests/admission_properties/rules.rs
@@ -79,7 +79,7 @@
             assert!(request.arrived_s <= notice_s + grace_s, "{id:?} arrived after the grace, and starts");
         }
         let class = &self.settings.classes[request.class];
-        if class.effect == Idempotency::Keyed {
+        if class.idempotency == Idempotency::Keyed {
             let attempts = self.started_attempts.entry(request.key).or_default();
             let is_first = attempts.iter().all(|arrived_s| request.arrived_s > arrived_s + class.window_s);
             assert!(is_first, "{id:?} starts, and its key has run");
--- a/tests/admission_properties/worker_model.rs
+++ b/tests/admission_properties/worker_model.rs
@@ -110,7 +110,7 @@
     }
 
     pub(crate) fn is_idempotent(&self, request: &TrackedRequest) -> bool {
-        self.class_of(request).effect == Idempotency::Idempotent
+        self.class_of(request).idempotency == Idempotency::Idempotent
     }
 
     /// The attempt that the idempotency table has under this key at this time.
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -55,7 +55,8 @@
         let classes = settings.classes.iter().map(|c| (c.weight, c.late_weight, c.objective_s, c.deadline_s));
         let expected = [(1.0, 0.0, 1.9, 4.7), (2.0, 0.2, 1.9, 4.7), (5.0, 0.0, 1.3, 3.4)];
         assert_eq!(classes.collect::<Vec<_>>(), expected);
-        let classes = settings.classes.iter().map(|c| (c.effect, c.window_s, c.calls, c.skipped_call_weight));
+        let classes =
+            settings.classes.iter().map(|c| (c.idempotency, c.window_s, c.calls, c.skipped_call_weight));
         let expected = [
             (Idempotency::Idempotent, 5.0, true, 0.6),
             (Idempotency::Idempotent, 5.0, true, 0.6),
@@ -93,8 +94,8 @@
 #[test]
 fn platform_terms_keep_their_meaning() {
     let effect = |word: &str| settings_with("\"effect\": \"safe\"", &format!("\"effect\": \"{word}\""));
-    assert_eq!(effect("keyed").classes[0].effect, Idempotency::Keyed);
-    assert_eq!(effect("unsafe").classes[0].effect, Idempotency::NotIdempotent);
+    assert_eq!(effect("keyed").classes[0].idempotency, Idempotency::Keyed);
+    assert_eq!(effect("unsafe").classes[0].idempotency, Idempotency::NotIdempotent);
 
     let halt =
         |word: &str| settings_with("\"halt\": \"silent\"", &format!("\"halt\": \"{word}\"")).preemption;
--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -32,7 +32,7 @@
                 weight: 10.0,
                 objective_s: 2.0,
                 deadline_s: 5.0,
-                effect: Idempotency::Keyed,
+                idempotency: Idempotency::Keyed,
                 window_s: 9.0,
                 ..Class::default()
             },
@@ -46,7 +46,7 @@
     let mut set = settings();
     set.dependency = Some(Dependency { share, window_s: 5.0, linger_s: 0.1 });
     set.classes[0].calls = true;
-    set.classes[1].effect = Idempotency::Idempotent;
+    set.classes[1].idempotency = Idempotency::Idempotent;
     set
 }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -37,7 +37,7 @@
         weight,
         objective_s,
         deadline_s: objective_s * 2.5,
-        effect,
+        idempotency: effect,
         window_s: 9.0,
         late_weight,
         calls: true,
