--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -131,7 +131,7 @@
             Event::Pools(plan) => {
                 self.run_slots.set_pools(plan, self.now, &self.run_lengths, &self.requests);
             }
-            Event::OtherProcess { on_cores, calling, kb } => {
+            Event::OtherProcess { on_cores, calling, memory_kb: kb } => {
                 self.other_process = OtherProcessUsage::new(on_cores, calling, kb);
             }
             Event::LearnedState(learned) => self.adopt(learned),
--- a/src/admission/controller/arrival.rs
+++ b/src/admission/controller/arrival.rs
@@ -56,7 +56,7 @@
         Request {
             class: arrival.class,
             tier: self.tiers.tier_of(class.weight, quota.is_exhausted()),
-            kb: arrival.kb.max(0.0),
+            kb: arrival.memory_kb.max(0.0),
             arrived,
             deadline,
             objective_at,
--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -98,7 +98,7 @@
             class: request.class,
             tenant: request.tenant,
             caller: request.caller,
-            kb: request.memory_kb,
+            memory_kb: request.memory_kb,
             read_delay_s: times.read_delay_s,
             time_left_s: Some(times.time_left_s),
             estimate_s: request.estimate_s,
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -279,7 +279,7 @@
     pub(super) fn set_predecessor_usage(&mut self, usage: ResourceUsage, effects: &mut Effects<'_>) {
         self.predecessor_usage = usage;
         let ResourceUsage { on_cores, downstream_calls: calling, memory_kb: kb } = usage;
-        effects.events.push_back(Event::OtherProcess { on_cores, calling, kb });
+        effects.events.push_back(Event::OtherProcess { on_cores, calling, memory_kb: kb });
     }
 }
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -14,7 +14,7 @@
     /// The caller that sent it.
     pub caller: u64,
     /// Its memory while it is queued (KB).
-    pub kb: f64,
+    pub memory_kb: f64,
     /// How long it lay unread (seconds).
     pub read_delay_s: f64,
     /// How long from now the caller waits, if that is known (seconds).
@@ -101,7 +101,7 @@
         /// Its downstream calls in flight.
         calling: usize,
         /// The memory of its queued and running requests (KB).
-        kb: f64,
+        memory_kb: f64,
     },
     /// What another controller has learned of this machine.
     LearnedState(LearnedState),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,7 +27,7 @@
 //!
 //! // A request has been read: a run slot is free, so it starts at once.
 //! actions.clear();
-//! let arrival = Arrival { id: RequestId(1), class: 0, kb: 20.0, ..Arrival::default() };
+//! let arrival = Arrival { id: RequestId(1), class: 0, memory_kb: 20.0, ..Arrival::default() };
 //! controller.handle(0.01, Event::Arrived(arrival), &mut actions);
 //! assert_eq!(actions, vec![Action::Start(RequestId(1))]);
 //!
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -99,7 +99,7 @@
             class: request.class,
             tenant,
             caller: request.caller,
-            kb: request.memory_kb,
+            memory_kb: request.memory_kb,
             read_delay_s: request.read_delay_s,
             time_left_s,
             estimate_s: request.estimate_s,
--- a/tests/admission_properties/play.rs
+++ b/tests/admission_properties/play.rs
@@ -151,7 +151,7 @@
             id,
             class,
             tenant,
-            kb,
+            memory_kb: kb,
             read_delay_s,
             time_left_s,
             estimate_s,
--- a/tests/failures/full_fleet.rs
+++ b/tests/failures/full_fleet.rs
@@ -14,7 +14,7 @@
             let read_delay_s = if id < 60 { 0.0 } else { 2.5 };
             let out = worker.handle(Event::Arrived(Arrival {
                 id: RequestId(id),
-                kb: 1.0,
+                memory_kb: 1.0,
                 read_delay_s,
                 ..Arrival::default()
             }));
@@ -46,7 +46,7 @@
                 worker.handle(Event::Arrived(Arrival {
                     id: RequestId(id),
                     class: 0,
-                    kb: 10.0,
+                    memory_kb: 10.0,
                     retry: retry && id % 2 == 0,
                     ..Arrival::default()
                 }))
@@ -72,7 +72,7 @@
             let id = RequestId(id);
             let out = worker.handle(Event::Arrived(Arrival {
                 id,
-                kb: 10.0,
+                memory_kb: 10.0,
                 read_delay_s,
                 retry,
                 ..Arrival::default()
--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -64,7 +64,12 @@
 
     /// A request of a class arrives.
     pub fn arrive(&mut self, id: u64, class: usize) -> Vec<Action> {
-        self.handle(Event::Arrived(Arrival { id: RequestId(id), class, kb: 10.0, ..Arrival::default() }))
+        self.handle(Event::Arrived(Arrival {
+            id: RequestId(id),
+            class,
+            memory_kb: 10.0,
+            ..Arrival::default()
+        }))
     }
 
     /// A further attempt with the idempotency key of an earlier request arrives.
@@ -73,7 +78,7 @@
         self.handle(Event::Arrived(Arrival {
             id,
             class: 1,
-            kb: 10.0,
+            memory_kb: 10.0,
             retry_of,
             retry: true,
             ..Arrival::default()
--- a/tests/failures/health.rs
+++ b/tests/failures/health.rs
@@ -85,7 +85,7 @@
         actions.extend(worker.handle(Event::Arrived(Arrival {
             id,
             class: 0,
-            kb: 10.0,
+            memory_kb: 10.0,
             read_delay_s,
             ..Arrival::default()
         })));
@@ -107,7 +107,7 @@
             let (id, read_delay_s) = (RequestId(id), 3.0);
             actions.extend(worker.handle(Event::Arrived(Arrival {
                 id,
-                kb: 1.0,
+                memory_kb: 1.0,
                 read_delay_s,
                 ..Arrival::default()
             })));
--- a/tests/failures/idempotency.rs
+++ b/tests/failures/idempotency.rs
@@ -43,7 +43,7 @@
     worker.handle(Event::Arrived(Arrival {
         id: RequestId(1),
         class: 1,
-        kb: 10.0,
+        memory_kb: 10.0,
         time_left_s: Some(1.0),
         ..Arrival::default()
     }));
--- a/tests/failures/resources.rs
+++ b/tests/failures/resources.rs
@@ -21,7 +21,7 @@
 /// What another process of the same worker uses counts against the runs, the memory and the share of calls.
 #[test]
 fn resources_used_by_another_process_are_not_used_twice() {
-    let other_process = |on_cores, calling, kb| Event::OtherProcess { on_cores, calling, kb };
+    let other_process = |on_cores, calling, kb| Event::OtherProcess { on_cores, calling, memory_kb: kb };
     let mut worker = Harness::new(settings());
     worker.handle(other_process(2, 0, 0.0));
     assert!(starts(&worker.arrive(1, 0)).is_empty());
--- a/tests/failures/scheduling.rs
+++ b/tests/failures/scheduling.rs
@@ -91,7 +91,7 @@
         let mut worker = Harness::new(Settings { cores: 1, ..settings() });
         let arrive = |worker: &mut Harness, id: u64, size: f64| {
             let (id, estimate_s) = (RequestId(id), Some(size));
-            worker.handle(Event::Arrived(Arrival { id, kb: 1.0, estimate_s, ..Arrival::default() }))
+            worker.handle(Event::Arrived(Arrival { id, memory_kb: 1.0, estimate_s, ..Arrival::default() }))
         };
         for id in 1..=40 {
             let large = id % 2 == 0;
@@ -112,7 +112,8 @@
     let mut worker = Harness::new(settings());
     for (id, size) in [(1, f64::NAN), (2, -1.0), (3, f64::MAX), (4, 0.0)] {
         let (id, estimate_s) = (RequestId(id), Some(size));
-        let out = worker.handle(Event::Arrived(Arrival { id, kb: 1.0, estimate_s, ..Arrival::default() }));
+        let out =
+            worker.handle(Event::Arrived(Arrival { id, memory_kb: 1.0, estimate_s, ..Arrival::default() }));
         assert!(!rejected(&out, id.0));
     }
 }
@@ -165,7 +166,7 @@
             id,
             class,
             tenant: Some(tenant),
-            kb: 10.0,
+            memory_kb: 10.0,
             ..Arrival::default()
         }))
     };
--- a/tests/failures/shutdown.rs
+++ b/tests/failures/shutdown.rs
@@ -10,7 +10,13 @@
     let mut worker = Harness::new(set);
     worker.handle(Event::Shutdown { ago_s: 0.0, in_s: 4.0 });
     let early = |read_delay_s: f64, id: u64| {
-        Event::Arrived(Arrival { id: RequestId(id), class: 0, kb: 10.0, read_delay_s, ..Arrival::default() })
+        Event::Arrived(Arrival {
+            id: RequestId(id),
+            class: 0,
+            memory_kb: 10.0,
+            read_delay_s,
+            ..Arrival::default()
+        })
     };
     worker.now = 1.2;
     assert_eq!(
--- a/tests/failures/tenants.rs
+++ b/tests/failures/tenants.rs
@@ -11,7 +11,7 @@
     let mut worker = Harness::new(set);
     let from = |worker: &mut Harness, id: u64, tenant: usize, class: usize| {
         let (id, tenant) = (RequestId(id), Some(tenant));
-        worker.handle(Event::Arrived(Arrival { id, class, tenant, kb: 10.0, ..Arrival::default() }))
+        worker.handle(Event::Arrived(Arrival { id, class, tenant, memory_kb: 10.0, ..Arrival::default() }))
     };
     for id in 1..=7 {
         from(&mut worker, id, usize::from(id % 2 == 0), 1);
@@ -40,7 +40,7 @@
         for id in 1..=60 {
             worker.now += 0.1;
             let tenant = Some(usize::from(id % if heavy { 10 } else { 2 } == 0));
-            let arrival = Arrival { id: RequestId(id), tenant, kb: 10.0, ..Arrival::default() };
+            let arrival = Arrival { id: RequestId(id), tenant, memory_kb: 10.0, ..Arrival::default() };
             taken += u32::from(!rejected(&worker.handle(Event::Arrived(arrival)), id));
             if id % 5 == 0 {
                 worker.end(id / 5, Outcome::Ok);
@@ -60,7 +60,13 @@
     let mut worker = Harness::new(set);
     let arrive = |worker: &mut Harness, id: u64, tenant: usize, read_delay_s: f64| {
         let (id, tenant) = (RequestId(id), Some(tenant));
-        worker.handle(Event::Arrived(Arrival { id, tenant, kb: 10.0, read_delay_s, ..Arrival::default() }))
+        worker.handle(Event::Arrived(Arrival {
+            id,
+            tenant,
+            memory_kb: 10.0,
+            read_delay_s,
+            ..Arrival::default()
+        }))
     };
     for id in 1..=4 {
         arrive(&mut worker, id, 0, 0.0);
@@ -85,7 +91,12 @@
     let mut worker = Harness::new(set);
     for (id, tenant) in [(1, 0), (2, 0), (3, 0), (4, 0), (5, 0), (6, 1)] {
         let id = RequestId(id);
-        worker.handle(Event::Arrived(Arrival { id, tenant: Some(tenant), kb: 10.0, ..Arrival::default() }));
+        worker.handle(Event::Arrived(Arrival {
+            id,
+            tenant: Some(tenant),
+            memory_kb: 10.0,
+            ..Arrival::default()
+        }));
     }
     // The first tenant's fifth request is too many at once, and nearly all arrivals are its own; the other's is not.
     let order: Vec<u64> = (1..=4).flat_map(|id| starts(&worker.end(id, Outcome::Ok))).collect();
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -200,7 +200,7 @@
             class,
             tenant: (tenants > 0).then(|| self.random.below(tenants + 2).min(tenants - 1)),
             caller: 1,
-            kb: 14.0 + self.random.unit() * 30.0,
+            memory_kb: 14.0 + self.random.unit() * 30.0,
             read_delay_s: self.random.unit() * 0.01,
             time_left_s: Some(2.0 + self.random.unit() * 2.0),
             estimate_s: Some(0.05 + self.random.unit() * 0.5),
