--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -126,7 +126,9 @@
             Event::RunEnded { id, outcome } => self.run_ended(id, outcome),
             Event::CallRequested(id) => self.reached_call(id, out),
             Event::CallEnded { id, outcome } => self.call_ended(id, outcome, out),
-            Event::Shutdown { ago_s, in_s } => self.shutdown.announce(now, ago_s, in_s),
+            Event::Shutdown { notice_age_s: ago_s, stop_in_s: in_s } => {
+                self.shutdown.announce(now, ago_s, in_s)
+            }
             Event::Woken(gauges) => self.woken(&gauges, out),
             Event::Pools(plan) => {
                 self.run_slots.set_pools(plan, self.now, &self.run_lengths, &self.requests);
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -202,7 +202,7 @@
             Input::Shutdown { noticed_at, stop_at } => {
                 let ago_s = effects.now - noticed_at;
                 let in_s = stop_at - effects.now;
-                effects.events.push_back(Event::Shutdown { ago_s, in_s });
+                effects.events.push_back(Event::Shutdown { notice_age_s: ago_s, stop_in_s: in_s });
             }
             Input::RespondAll => self.respond_to_all(effects),
             Input::Woken(gauges) => effects.events.push_back(Event::Woken(gauges)),
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -85,9 +85,9 @@
     /// A shutdown notice: the worker will be stopped.
     Shutdown {
         /// How long ago the notice came (seconds).
-        ago_s: f64,
+        notice_age_s: f64,
         /// Time to the stop (seconds).
-        in_s: f64,
+        stop_in_s: f64,
     },
     /// The time of an [`Action::WakeIn`](super::Action::WakeIn) has come.
     Woken(Gauges),
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -74,7 +74,9 @@
             WireEvent::DepReply { req, disposition } => {
                 Event::CallEnded { id: self.names.find(&req), outcome: disposition.into() }
             }
-            WireEvent::Sigterm { remaining_s } => Event::Shutdown { ago_s: 0.0, in_s: remaining_s },
+            WireEvent::Sigterm { remaining_s } => {
+                Event::Shutdown { notice_age_s: 0.0, stop_in_s: remaining_s }
+            }
             WireEvent::DeadlineHit { gauges } => Event::Woken(read_gauges(&self.gauges, &gauges)),
             WireEvent::Provision { .. } | WireEvent::Stop => return Err(ItemError::NotAnEvent),
         })
--- a/tests/admission_properties/play.rs
+++ b/tests/admission_properties/play.rs
@@ -99,7 +99,7 @@
         let now_s = self.worker.now_s;
         if self.worker.shutdown_notice_s.is_none() && now_s >= SHUTDOWN_S {
             self.worker.shutdown_notice_s = Some(now_s);
-            self.events.push(Event::Shutdown { ago_s: 0.0, in_s: STOP_S - now_s });
+            self.events.push(Event::Shutdown { notice_age_s: 0.0, stop_in_s: STOP_S - now_s });
         }
     }
 
--- a/tests/failures/shutdown.rs
+++ b/tests/failures/shutdown.rs
@@ -8,7 +8,7 @@
     let mut set = settings();
     set.classes[0].late_weight = 0.2;
     let mut worker = Harness::new(set);
-    worker.handle(Event::Shutdown { ago_s: 0.0, in_s: 4.0 });
+    worker.handle(Event::Shutdown { notice_age_s: 0.0, stop_in_s: 4.0 });
     let early = |read_delay_s: f64, id: u64| {
         Event::Arrived(Arrival {
             id: RequestId(id),
@@ -35,7 +35,7 @@
 fn repeated_attempt_after_the_grace_fails_immediately() {
     let mut worker = Harness::new(settings());
     worker.arrive(1, 1);
-    worker.handle(Event::Shutdown { ago_s: 0.0, in_s: 2.0 });
+    worker.handle(Event::Shutdown { notice_age_s: 0.0, stop_in_s: 2.0 });
     worker.now = 1.5;
     assert!(
         failed(&worker.repeat_attempt(2, 1), 2),
@@ -50,7 +50,7 @@
     let mut c = Controller::new(Settings { signal: Signal::Weight, ..settings() }, 0.0, &mut out);
     assert!(out.contains(&Action::Publish(1.0)));
     out.clear();
-    c.handle(0.0, Event::Shutdown { ago_s: 0.0, in_s: 4.0 }, &mut out);
+    c.handle(0.0, Event::Shutdown { notice_age_s: 0.0, stop_in_s: 4.0 }, &mut out);
     c.handle(0.6, Event::Woken(Gauges::default()), &mut out);
     assert!(out.contains(&Action::Publish(0.0)));
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -161,7 +161,7 @@
             self.woken_s = self.now_s;
             Some(self.woken(step))
         } else if step == STEPS - 300 {
-            Some(Event::Shutdown { ago_s: 0.0, in_s: 3.2 })
+            Some(Event::Shutdown { notice_age_s: 0.0, stop_in_s: 3.2 })
         } else if self.random.unit() < load {
             Some(self.arrival())
         } else if self.random.unit() < 0.02 && self.latest > 0 {
