--- a/src/admission/fleet_overload.rs
+++ b/src/admission/fleet_overload.rs
@@ -11,7 +11,7 @@
 
 impl FleetOverload {
     pub(super) fn new(now: f64, settings: &Settings) -> Self {
-        FleetOverload { policy: settings.overload.then(|| OverloadPolicy::new(now, settings)) }
+        FleetOverload { policy: settings.fleet_overload_control.then(|| OverloadPolicy::new(now, settings)) }
     }
 
     pub(super) fn policy(&self) -> Option<&OverloadPolicy> {
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -218,7 +218,7 @@
                 .collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
             pools: None,
-            overload: false,
+            fleet_overload_control: false,
         }
     }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -202,5 +202,5 @@
     /// Class pools, where an operator set some up.
     pub pools: Option<PoolPlan>,
     /// The fleet handles overload as one.
-    pub overload: bool,
+    pub fleet_overload_control: bool,
 }
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -77,7 +77,7 @@
     let mut settings = config.settings.settings(config.seed_number());
     // Retained keys and results lie in this process's own memory: the platform books none for them.
     settings.key_entry_kb = 0.0;
-    settings.overload = operator.fleet.as_ref().is_some_and(FleetSettings::overload_enabled);
+    settings.fleet_overload_control = operator.fleet.as_ref().is_some_and(FleetSettings::overload_enabled);
     settings.pools = operator.pools.as_ref().map(|pools| pools.plan(&config.settings)).transpose()?;
     Ok(settings)
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -87,7 +87,7 @@
         assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::Weight));
         let dependency = settings.dependency.unwrap();
         assert_eq!((dependency.share, dependency.window_s, dependency.linger_s), (5.0, 5.0, 0.2));
-        assert!(settings.pools.is_none() && !settings.overload);
+        assert!(settings.pools.is_none() && !settings.fleet_overload_control);
     }
 }
 
