--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -75,7 +75,7 @@
     }
 
     fn calls(&self, id: RequestId) -> bool {
-        self.class(self.requests[id].class).calls
+        self.class(self.requests[id].class).makes_calls
     }
 
     /// What the objective leaves for waiting (seconds).
@@ -136,7 +136,7 @@
     /// are then not in its way.
     fn waits_beside_callers(&self, request: &Request) -> bool {
         let waiting = self.requests.waiting_for_call_in(request.tier + 1);
-        !self.class(request.class).calls && self.downstream.is_saturated(waiting)
+        !self.class(request.class).makes_calls && self.downstream.is_saturated(waiting)
     }
 
     /// The queue that a request joins, lower tiers of similar weight included. What waits for a call counts as queued:
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -230,7 +230,7 @@
             deadline_s: profile.deadline_s,
             idempotency: profile.idempotency(),
             window_s: profile.window_s,
-            calls: self.domain.class_calls.get(number).copied().unwrap_or_default(),
+            makes_calls: self.domain.class_calls.get(number).copied().unwrap_or_default(),
             skipped_call_weight: self.domain.skipped_call_weights.get(number).copied().unwrap_or_default(),
         }
     }
--- a/src/dispatch/tests/crossings/world.rs
+++ b/src/dispatch/tests/crossings/world.rs
@@ -106,7 +106,7 @@
             deadline_s: class.deadline_s,
             idempotency: class.effect,
             window_s: class.window_s,
-            calls: class.calls,
+            makes_calls: class.calls,
             skipped_call_weight: if class.can_skip_call { 0.6 } else { 0.0 },
             late_weight: if class.late_counts { 0.2 } else { 0.0 },
         };
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -26,7 +26,7 @@
         deadline_s: 4.0,
         idempotency: effect,
         window_s: 10.0,
-        calls: true,
+        makes_calls: true,
         skipped_call_weight: if effect == Idempotency::Idempotent { 0.6 } else { 0.0 },
         late_weight: 0.0,
     };
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -28,7 +28,7 @@
     /// For [`Idempotency::Keyed`]: how long after its arrival it may be sent again (seconds).
     pub window_s: f64,
     /// Whether its runs may call the dependency.
-    pub calls: bool,
+    pub makes_calls: bool,
     /// Share of the weight that is left when a downstream call is skipped; 0 forbids skipping it.
     pub skipped_call_weight: f64,
 }
@@ -49,7 +49,7 @@
     /// Whether its runs are worth nothing without their downstream call.
     #[must_use]
     pub fn needs_call(&self) -> bool {
-        self.calls && !self.may_skip_call()
+        self.makes_calls && !self.may_skip_call()
     }
 }
 
--- a/tests/admission_properties/play.rs
+++ b/tests/admission_properties/play.rs
@@ -212,7 +212,7 @@
         let request = self.worker.request(id);
         request.state = RequestState::Running { left_s };
         let responded = request.responded;
-        let calls = self.worker.class_of(&self.worker.requests[&id]).calls;
+        let calls = self.worker.class_of(&self.worker.requests[&id]).makes_calls;
         if left_s <= 0.0 && calls && self.random.chance(0.6) {
             if responded {
                 self.cancel_run(id);
--- a/tests/admission_properties/random_settings.rs
+++ b/tests/admission_properties/random_settings.rs
@@ -52,7 +52,7 @@
 /// Two idempotent classes, one with idempotency keys and one that is not idempotent.
 fn classes(random: &mut RandomSource) -> [Class; CLASSES] {
     [
-        Class { weight: 1.0, objective_s: 0.8, deadline_s: 2.0, calls: true, ..Class::default() },
+        Class { weight: 1.0, objective_s: 0.8, deadline_s: 2.0, makes_calls: true, ..Class::default() },
         Class { weight: 2.0, objective_s: 0.6, deadline_s: 1.5, ..Class::default() },
         Class {
             weight: 4.0,
@@ -60,7 +60,7 @@
             deadline_s: 2.0,
             idempotency: Idempotency::Keyed,
             window_s: KEY_WINDOW_S,
-            calls: true,
+            makes_calls: true,
             skipped_call_weight: random.pick(&[0.0, 0.3]),
             ..Class::default()
         },
@@ -70,7 +70,7 @@
             deadline_s: 2.0,
             late_weight: 0.2,
             idempotency: Idempotency::NotIdempotent,
-            calls: true,
+            makes_calls: true,
             ..Class::default()
         },
     ]
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -55,8 +55,10 @@
         let classes = settings.classes.iter().map(|c| (c.weight, c.late_weight, c.objective_s, c.deadline_s));
         let expected = [(1.0, 0.0, 1.9, 4.7), (2.0, 0.2, 1.9, 4.7), (5.0, 0.0, 1.3, 3.4)];
         assert_eq!(classes.collect::<Vec<_>>(), expected);
-        let classes =
-            settings.classes.iter().map(|c| (c.idempotency, c.window_s, c.calls, c.skipped_call_weight));
+        let classes = settings
+            .classes
+            .iter()
+            .map(|c| (c.idempotency, c.window_s, c.makes_calls, c.skipped_call_weight));
         let expected = [
             (Idempotency::Idempotent, 5.0, true, 0.6),
             (Idempotency::Idempotent, 5.0, true, 0.6),
@@ -136,7 +138,7 @@
     assert_eq!((settings.cores, settings.memory_kb, settings.callers), (2, 4096.0, 0));
     assert_eq!((settings.classes[0].objective_s, settings.classes[0].deadline_s), (1.0, 2.0));
     assert!(settings.dependency.is_none() && settings.tenants.is_empty());
-    assert!(!settings.classes[0].calls && !settings.marks_retries && !settings.callers_see_health);
+    assert!(!settings.classes[0].makes_calls && !settings.marks_retries && !settings.callers_see_health);
     assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::None));
 }
 
--- a/tests/failures/downstream_calls.rs
+++ b/tests/failures/downstream_calls.rs
@@ -52,7 +52,7 @@
         set.classes[1] = Class {
             idempotency: Idempotency::Keyed,
             window_s: 9.0,
-            calls: true,
+            makes_calls: true,
             skipped_call_weight: part,
             ..set.classes[0].clone()
         };
@@ -72,7 +72,7 @@
     let mut set = with_calls(4.0);
     set.classes[0].skipped_call_weight = 0.6;
     set.classes[1] =
-        Class { idempotency: Idempotency::Keyed, window_s: 9.0, calls: true, ..set.classes[0].clone() };
+        Class { idempotency: Idempotency::Keyed, window_s: 9.0, makes_calls: true, ..set.classes[0].clone() };
     set.classes[1].skipped_call_weight = 0.0;
     let mut worker = Harness::new(set);
     worker.arrive(1, 0);
@@ -151,7 +151,7 @@
     {
         let mut set = with_calls(4.0);
         set.classes[1].idempotency = Idempotency::Keyed;
-        set.classes[1].calls = true;
+        set.classes[1].makes_calls = true;
         let mut worker = Harness::new(set);
         worker.arrive(1, 1);
         worker.handle(Event::CallRequested(RequestId(1)));
@@ -259,7 +259,7 @@
 fn waits_for_calls_of_lower_tiers_do_not_saturate_a_higher_tier() {
     let mut set = with_calls(2.0);
     set.classes[0].skipped_call_weight = 0.6;
-    (set.classes[1].idempotency, set.classes[1].calls) = (Idempotency::Keyed, true);
+    (set.classes[1].idempotency, set.classes[1].makes_calls) = (Idempotency::Keyed, true);
     let mut worker = Harness::new(set);
     let mut id = 0;
     while worker.controller.take_released().is_empty() && id < 8 {
--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -45,7 +45,7 @@
 pub fn with_calls(share: f64) -> Settings {
     let mut set = settings();
     set.dependency = Some(Dependency { share, window_s: 5.0, linger_s: 0.1 });
-    set.classes[0].calls = true;
+    set.classes[0].makes_calls = true;
     set.classes[1].idempotency = Idempotency::Idempotent;
     set
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -40,7 +40,7 @@
         idempotency: effect,
         window_s: 9.0,
         late_weight,
-        calls: true,
+        makes_calls: true,
         skipped_call_weight: if effect == Idempotency::Idempotent { 0.6 } else { 0.0 },
     }
 }
