--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -284,7 +284,7 @@
 }
 
 fn on_learned_state(learned: LearnedState, effects: &mut Effects<'_>) {
-    if learned.is_sound() {
+    if learned.is_valid() {
         effects.events.push_back(Event::LearnedState(learned));
     } else {
         effects.commands.push(Command::Log(DispatchEvent::LearnedStateRejected));
--- a/src/interface/learned.rs
+++ b/src/interface/learned.rs
@@ -153,7 +153,7 @@
 impl LearnedState {
     /// Whether it can have been measured: anything else would spoil every later decision.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.numbers().all(|number| number.is_finite() && number >= 0.0)
             && self.call_budget_s.is_none_or(f64::is_finite)
             && self.run_lengths.iter().all(|run_length| run_length.ended > 0.0)
