--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -67,7 +67,7 @@
         let tiers = PriorityTiers::new(&settings);
         let mut controller = Controller {
             now,
-            requests: RequestTable::new(tiers.len(), settings.classes.len(), settings.run_factor),
+            requests: RequestTable::new(tiers.len(), settings.classes.len(), settings.run_memory_factor),
             idempotency: IdempotencyTable::default(),
             released: Vec::new(),
             run_lengths: RunLengths::new(&settings.classes),
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -18,7 +18,7 @@
         MemoryLimit {
             max_kb: settings.memory_kb * MAX_SHARE,
             key_entry_kb: settings.key_entry_kb,
-            run_factor: settings.run_factor,
+            run_factor: settings.run_memory_factor,
         }
     }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -195,7 +195,7 @@
             survivable_multiple: contract.fall_multiple,
             survivable_window_s: contract.tip_after_s,
             memory_kb: domain.heap_kb,
-            run_factor: domain.run_factor,
+            run_memory_factor: domain.run_factor,
             key_entry_kb: domain.key_entry_kb,
             shutdown_grace_s: contract.drain_grace_s,
             answer_slack_s: contract.grace_to_answer_s,
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -69,7 +69,7 @@
         let classes = settings.classes.clone();
         let longest_deadline_s = classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
         let max_keys = (result_bytes / RESULT_BYTES_PER_KEY).max(MIN_KEYS);
-        let run_factor = settings.run_factor;
+        let run_factor = settings.run_memory_factor;
         let marks_retries = settings.marks_retries;
         let fingerprint_key = FingerprintKey(settings.seed, !settings.seed);
         let mut dispatcher = Dispatcher {
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -34,7 +34,7 @@
         cores: 2,
         survivable_multiple: 8.0,
         memory_kb: 1e6,
-        run_factor: 4.0,
+        run_memory_factor: 4.0,
         shutdown_grace_s: 1.0,
         min_event_interval_s: 0.002,
         max_retry_after_s: 1.0,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -166,7 +166,7 @@
     /// Memory for queued and running requests and for idempotency keys (KB).
     pub memory_kb: f64,
     /// Memory of a running request, as a multiple of that of a queued one.
-    pub run_factor: f64,
+    pub run_memory_factor: f64,
     /// Memory of an idempotency key (KB).
     pub key_entry_kb: f64,
     /// How long after a shutdown notice an arrival may still be run (seconds).
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //! let settings = Settings {
 //!     cores: 2,
 //!     memory_kb: 64_000.0,
-//!     run_factor: 4.0,
+//!     run_memory_factor: 4.0,
 //!     min_event_interval_s: 0.002,
 //!     classes: vec![Class {
 //!         weight: 1.0,
--- a/tests/admission_properties/random_settings.rs
+++ b/tests/admission_properties/random_settings.rs
@@ -25,7 +25,7 @@
         survivable_multiple: 5.0,
         survivable_window_s: 2.0,
         memory_kb: random.pick(&[600.0, 1_500.0, 6_000.0, 22_000.0]),
-        run_factor: 4.0,
+        run_memory_factor: 4.0,
         key_entry_kb: 20.0,
         shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
--- a/tests/admission_properties/rules.rs
+++ b/tests/admission_properties/rules.rs
@@ -173,7 +173,7 @@
     }
 
     fn check_memory(&self) {
-        let factor = |is_waiting: bool| if is_waiting { 1.0 } else { self.settings.run_factor };
+        let factor = |is_waiting: bool| if is_waiting { 1.0 } else { self.settings.run_memory_factor };
         let mut kb = 0.0;
         for request in self.requests.values() {
             kb += request.kb * factor(request.is_waiting());
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -78,7 +78,10 @@
         assert_eq!((settings.cores, settings.callers, settings.workers), (6, 3, 10));
         assert_eq!((settings.cold, settings.cold_speed, settings.warm_up_s), (false, 0.26, 18.0));
         assert_eq!((settings.survivable_multiple, settings.survivable_window_s), (8.0, 3.0));
-        assert_eq!((settings.memory_kb, settings.run_factor, settings.key_entry_kb), (18648.0, 8.0, 106.12));
+        assert_eq!(
+            (settings.memory_kb, settings.run_memory_factor, settings.key_entry_kb),
+            (18648.0, 8.0, 106.12)
+        );
         assert_eq!((settings.shutdown_grace_s, settings.answer_slack_s), (2.5, 0.1));
         assert_eq!(
             (settings.min_event_interval_s, settings.max_retry_after_s, settings.idle_s),
--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -17,7 +17,7 @@
         survivable_multiple: 8.0,
         survivable_window_s: 2.0,
         memory_kb: 100_000.0,
-        run_factor: 4.0,
+        run_memory_factor: 4.0,
         key_entry_kb: 10.0,
         shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -55,7 +55,7 @@
         survivable_multiple: 8.0,
         survivable_window_s: 3.0,
         memory_kb: 18_000.0,
-        run_factor: 8.0,
+        run_memory_factor: 8.0,
         key_entry_kb: 20.0,
         shutdown_grace_s: 2.5,
         answer_slack_s: 0.1,
