--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -206,7 +206,7 @@
             workers: self.servers,
             marks_retries: self.clients.marks_retry,
             callers_see_health: domain.readiness,
-            idle_s: domain.idle_s,
+            max_connection_idle_s: domain.idle_s,
             preemption: domain.preemption(),
             signal: domain.published_signal(),
             dependency: domain.dependency(),
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -188,7 +188,7 @@
     /// Callers learn of bad health as they learn of a shutdown.
     pub callers_see_health: bool,
     /// The longest a caller keeps an idle connection (seconds).
-    pub idle_s: f64,
+    pub max_connection_idle_s: f64,
     /// What can be done to a run.
     pub preemption: Preemption,
     /// What the published value means.
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -74,7 +74,7 @@
 impl Configuration {
     /// How long a connection may be idle (seconds).
     pub(in crate::net) fn idle_timeout_s(&self) -> f64 {
-        self.settings.idle_s.max(MIN_IDLE_TIMEOUT_S)
+        self.settings.max_connection_idle_s.max(MIN_IDLE_TIMEOUT_S)
     }
 }
 
--- a/tests/admission_properties/play.rs
+++ b/tests/admission_properties/play.rs
@@ -283,7 +283,7 @@
         self.wake_at_s = f64::MAX;
         let cores = f64::from(self.worker.settings.cores);
         let cores_busy = if self.is_hanging() { 0.0 } else { (running / cores).min(1.0) };
-        let connections = if self.worker.settings.idle_s > 0.0 { 300.0 } else { 0.0 };
+        let connections = if self.worker.settings.max_connection_idle_s > 0.0 { 300.0 } else { 0.0 };
         self.events.push(Event::Woken(Gauges {
             cores_busy: Some(cores_busy),
             runnable: Some(running),
--- a/tests/admission_properties/random_settings.rs
+++ b/tests/admission_properties/random_settings.rs
@@ -34,7 +34,7 @@
         over_quota_weight: 0.1,
         callers: random.pick(&[0, 1, 3, 4_000]),
         workers: random.pick(&[0, 1, 4, 900]),
-        idle_s: random.pick(&[0.0, 0.5, 30.0]),
+        max_connection_idle_s: random.pick(&[0.0, 0.5, 30.0]),
         signal: random.pick(&[Signal::None, Signal::RankFloor, Signal::Weight]),
         marks_retries: random.chance(0.5),
         preemption: random.pick(&[Preemption::Never, Preemption::Discard, Preemption::Pause]),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -84,7 +84,7 @@
         );
         assert_eq!((settings.shutdown_grace_s, settings.answer_slack_s), (2.5, 0.1));
         assert_eq!(
-            (settings.min_event_interval_s, settings.max_retry_after_s, settings.idle_s),
+            (settings.min_event_interval_s, settings.max_retry_after_s, settings.max_connection_idle_s),
             (0.004, 1.0, 30.0)
         );
         assert_eq!(settings.over_quota_weight, 0.1);
