--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
-//! What passes between a worker and its admission controller: settings, events and actions.
+//! The interface between a worker and its admission controller: settings, events and actions.
 //!
-//! These are types without decisions. Times are in seconds; a point in time is on the worker's clock, whose
-//! zero is arbitrary.
+//! These types contain no decisions. Times are in seconds; points in time are on the worker's clock, whose zero is
+//! arbitrary.
 #![warn(missing_docs)]
 
 mod actions;
@@ -18,9 +18,8 @@
     Class, Dependency, Idempotency, PoolPlan, PoolReserve, PoolSpec, Preemption, Settings, Signal, Tenant,
 };
 
-/// A request that a worker has read.
+/// Identifies a request that a worker has read.
 ///
-/// The worker hands out numbers in the order in which it reads requests. They are compared and never
-/// interpreted.
+/// The worker assigns numbers in the order in which it reads requests. They are only compared, never interpreted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,22 +1,22 @@
-//! What a worker is to do.
+//! The actions that the controller returns.
 
 use super::{AdmissionEvent, RequestId};
 
-/// What the worker is to do.
+/// An action that the worker carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a queued request.
     Start(RequestId),
-    /// Respond that the request is rejected: nothing was done.
+    /// Reject the request; it had no effect.
     Reject {
         /// The request.
         id: RequestId,
         /// Retry-After (seconds); 0 for none.
         retry_after_s: f64,
-        /// No other worker will accept it either.
+        /// Whether the caller should not retry, since other workers would reject the request too.
         stop_retrying: bool,
     },
-    /// Respond with an error; the request may have had its effect.
+    /// Respond with an error; the request may have had an effect.
     Fail(RequestId),
     /// Keep the request in the table of idempotency keys.
     RetainKey {
@@ -29,23 +29,23 @@
     ReleaseKey(RequestId),
     /// Respond with the result of the earlier attempt with the same idempotency key.
     ShareResponse(RequestId),
-    /// Make the downstream call for which a run waits.
+    /// Start the downstream call that a run has requested.
     Call {
         /// The request whose run waits.
         id: RequestId,
-        /// When the call is abandoned (clock, seconds).
+        /// The time at which the call is abandoned (clock, seconds).
         until_s: f64,
     },
-    /// Go on with a run without the downstream call for which it waits.
+    /// Continue a run without the downstream call that it has requested.
     SkipCall(RequestId),
-    /// Stop or pause a run, whichever the settings have.
+    /// Stop or pause a run, according to [`Preemption`](super::Preemption) in the settings.
     Preempt(RequestId),
-    /// Answer health checks with this state from now on.
+    /// Answer health checks with this availability from now on.
     Health(bool),
-    /// Publish this value with responses.
+    /// Publish this value with responses from now on.
     Publish(f64),
-    /// Wake the controller after this time (seconds).
+    /// Send [`Event::Woken`](super::Event::Woken) after this time (seconds).
     WakeIn(f64),
-    /// Report an event to operators.
+    /// Write a log event for operators.
     Log(AdmissionEvent),
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,8 +1,8 @@
-//! What happens to a worker.
+//! The events that a worker reports to its controller.
 
 use super::{LearnedState, PoolPlan, RequestId};
 
-/// A request that has been read.
+/// A request that the worker has read.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
     /// Its number.
@@ -11,19 +11,19 @@
     pub class: usize,
     /// The number of its tenant, if it has one.
     pub tenant: Option<usize>,
-    /// The caller that sent it.
+    /// The number of the caller that sent it.
     pub caller: u64,
     /// Its memory while it is queued (KB).
     pub memory_kb: f64,
-    /// How long it lay unread (seconds).
+    /// How long it waited to be read (seconds).
     pub read_delay_s: f64,
-    /// How long from now the caller waits, if that is known (seconds).
+    /// How long the caller still waits for the response, if known (seconds).
     pub time_left_s: Option<f64>,
-    /// How long it is expected to run, where requests carry a hint (seconds on some standard core).
+    /// The expected run length, if the request carries a hint (seconds on a reference core).
     pub estimate_s: Option<f64>,
     /// The earlier attempt with the same idempotency key.
     pub retry_of: Option<RequestId>,
-    /// It is marked as a retry.
+    /// Whether it is marked as a retry.
     pub retry: bool,
 }
 
@@ -32,39 +32,39 @@
 pub enum Outcome {
     /// It succeeded.
     Ok,
-    /// It failed and may have had its effect.
+    /// It failed and may have had an effect.
     Error,
     /// It was rejected and had no effect.
     Rejected,
-    /// It was abandoned; it may have had its effect.
+    /// It was abandoned and may have had an effect.
     TimedOut,
     /// The dependency could not be reached.
     Unreachable,
-    /// It was interrupted; it may have had its effect.
+    /// It was interrupted and may have had an effect.
     Interrupted,
-    /// It was stopped, or ended because nobody waited.
+    /// It was stopped, or ended because no caller was waiting.
     Cancelled,
-    /// Nothing was started: the request had already ended.
+    /// It was not started, since the request had already ended.
     NotStarted,
 }
 
-/// Readings that come with a wake-up; absent where the worker has no such gauge.
+/// Gauge readings at a wake-up; `None` if the worker has no such gauge.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Share of the cores that was busy recently.
+    /// Recent utilization of the cores (0 to 1).
     pub cores_busy: Option<f64>,
-    /// All work that wants a core now.
+    /// Number of tasks that run or wait for a core now.
     pub runnable: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: Option<f64>,
 }
 
-/// What happens to a worker.
+/// An event on the worker.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A request was read.
     Arrived(Arrival),
-    /// The caller has gone: no response is pending.
+    /// The caller has disconnected or given up: no response is pending any more.
     CallerDisconnected(RequestId),
     /// A run, or a shared response, has ended.
     RunEnded {
@@ -73,7 +73,7 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// A run waits to make a downstream call.
+    /// A run has requested its downstream call and waits for it.
     CallRequested(RequestId),
     /// A downstream call has ended.
     CallEnded {
@@ -82,19 +82,18 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// A shutdown notice: the worker will be stopped.
+    /// A shutdown notice was received: the worker will be stopped.
     Shutdown {
-        /// How long ago the notice came (seconds).
+        /// Time since the notice was received (seconds).
         notice_age_s: f64,
-        /// Time to the stop (seconds).
+        /// Time until the worker is stopped (seconds).
         stop_in_s: f64,
     },
-    /// The time of an [`Action::WakeIn`](super::Action::WakeIn) has come.
+    /// The time set by [`Action::WakeIn`](super::Action::WakeIn) has passed.
     Woken(Gauges),
-    /// The operator's class pools are others from now on, or none.
+    /// The operator's class pools have changed, or were removed (`None`).
     Pools(Option<PoolPlan>),
-    /// What another process on this machine uses, from now on, of the resources that this one counts as its
-    /// own.
+    /// Resources that another process on this machine uses from now on, and that count towards this worker's limits.
     OtherProcess {
         /// Its runs on the cores.
         on_cores: usize,
@@ -103,6 +102,6 @@
         /// The memory of its queued and running requests (KB).
         memory_kb: f64,
     },
-    /// What another controller has learned of this machine.
+    /// The state that another controller has learned on this machine.
     LearnedState(LearnedState),
 }
--- a/src/interface/learned.rs
+++ b/src/interface/learned.rs
@@ -1,47 +1,47 @@
-//! What a controller has learned of its machine: of use to its successor there.
+//! The state that a controller has learned on its machine, for its successor there.
 //!
-//! The serialized form passes between processes of different versions. The small structs are written as
-//! arrays of numbers, in the order of their fields.
+//! The serialized form is exchanged between processes of different versions. The small structs are serialized as arrays
+//! of numbers, in the order of their fields.
 
 use serde::{Deserialize, Serialize};
 
-/// What a controller has learned.
+/// The state that a controller has learned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedState {
     /// The limit on runs (slots).
     #[serde(rename = "runs")]
     pub run_limit: usize,
-    /// The baseline of the mean run length, while nothing slows the runs down (seconds).
+    /// The baseline of the mean run length, without contention (seconds).
     #[serde(rename = "usual_s")]
     pub baseline_run_s: f64,
-    /// By class: the measured run lengths.
+    /// The measured run lengths, by class.
     #[serde(rename = "paces")]
     pub run_lengths: Vec<LearnedRunLength>,
     /// The limit on downstream calls in flight.
     #[serde(rename = "call_room")]
     pub call_limit: f64,
-    /// The baseline of the length of downstream calls, once one has ended (seconds).
+    /// The baseline of the length of downstream calls, once it is known (seconds).
     #[serde(rename = "call_s")]
     pub call_baseline_s: Option<f64>,
     /// Recent downstream calls.
     #[serde(rename = "calls")]
     pub recent_calls: RecentCalls,
-    /// Time on calls that may still be spent, where the share of the dependency is under one call (seconds);
-    /// it may be overdrawn.
+    /// The balance of time that calls may use, if the share of the dependency is less than one call (seconds). It may
+    /// be negative.
     pub call_budget_s: Option<f64>,
     /// Recent requests.
     pub traffic: Traffic,
 }
 
-/// Recent requests and how they ended, and what tenants may still use of their quotas.
+/// Recent requests and their outcomes, and the rest of tenants' quotas.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Traffic {
-    /// By tenant.
+    /// Quota and arrivals, by tenant.
     #[serde(rename = "quotas")]
     pub tenants: Vec<TenantTraffic>,
-    /// By tier: arrivals a second, fading.
+    /// Arrivals per second, by tier (exponentially decaying).
     #[serde(rename = "arrivals")]
     pub arrivals_per_s: Vec<f64>,
     /// Retries and outcomes.
@@ -49,44 +49,43 @@
     pub recent: RecentOutcomes,
 }
 
-/// Measured run lengths of a class, all fading.
+/// Measured run lengths of a class, as exponentially decaying sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, [f64; 5])", into = "(f64, f64, [f64; 5])")]
 pub struct LearnedRunLength {
     /// Time on the cores (seconds).
     pub core_time_s: f64,
-    /// Ended runs.
+    /// Number of ended runs.
     pub ended: f64,
-    /// Sums of the regression from hints to run lengths: runs, hints, lengths, squared hints, hints times
-    /// lengths.
+    /// Sums for the regression of run lengths on hints: runs, hints, lengths, squared hints, hints times lengths.
     pub hint_sums: [f64; 5],
 }
 
-/// Recent downstream calls, fading.
+/// Recent downstream calls, as exponentially decaying sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct RecentCalls {
     /// Time on calls (seconds).
     pub time_s: f64,
-    /// Ended calls.
+    /// Number of ended calls.
     pub ended: f64,
 }
 
-/// One tenant's recent requests.
+/// Quota and recent requests of one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct TenantTraffic {
-    /// Requests that are left of this worker's even part of its quota.
+    /// Requests left of this worker's even share of the tenant's quota.
     pub tokens: f64,
-    /// Its arrivals, fading.
+    /// Its recent arrivals (exponentially decaying).
     pub arrivals: f64,
 }
 
-/// Retries and outcomes of runs, all fading.
+/// Retries and outcomes of runs, all exponentially decaying.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
 pub struct RecentOutcomes {
-    /// Marked retries among arrivals (a second).
+    /// Arrivals that are marked as retries (per second).
     pub retries_per_s: f64,
     /// Runs that failed.
     pub failed_runs: f64,
@@ -151,7 +150,7 @@
 }
 
 impl LearnedState {
-    /// Whether it can have been measured: anything else would spoil every later decision.
+    /// Whether the values could be measurements. Adopting any others would corrupt all later decisions.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         self.numbers().all(|number| number.is_finite() && number >= 0.0)
@@ -161,7 +160,7 @@
             && self.call_limit > 0.0
     }
 
-    /// All numbers that can't be negative.
+    /// All numbers that must not be negative.
     fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
         let run_lengths = self.run_lengths.iter().flat_map(|run_length| {
             [run_length.core_time_s, run_length.ended].into_iter().chain(run_length.hint_sums)
--- a/src/interface/reports.rs
+++ b/src/interface/reports.rs
@@ -1,13 +1,13 @@
-//! What the controller reports to operators: values without text, which the shell renders.
+//! Events that the controller reports to operators, as typed values. Other modules turn them into text.
 
-/// An event for the log.
+/// A log event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionEvent {
     /// This worker's health has changed.
     HealthChanged(HealthState),
-    /// The limit on runs has changed, where pools are set up.
+    /// The limit on runs has changed; reported only with class pools.
     PoolLimitChanged(PoolLimitChange),
-    /// A pool has rejected requests, since its queue was at capacity.
+    /// A pool has rejected requests because its queue was full.
     PoolRequestsRejected {
         /// Name of the pool.
         pool: String,
@@ -20,12 +20,12 @@
     },
 }
 
-/// Whether this worker can be given requests.
+/// Whether this worker can serve requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
     /// Runs end, and requests are read in time.
     Healthy,
-    /// It can't serve.
+    /// It can't serve requests.
     Unhealthy(UnhealthyCause),
 }
 
@@ -35,28 +35,28 @@
     /// Too many of the recent runs failed.
     #[default]
     FailingRuns,
-    /// No run has ended for too long.
+    /// No run has ended for a long time.
     StalledRuns,
     /// Requests are read too late to be served.
     ReadLag,
 }
 
-/// A change of the limit on runs, and what was measured in the last review window.
+/// A change of the limit on runs, and the measurements of the last review window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolLimitChange {
     /// The new limit (slots).
     pub limit: usize,
     /// The limit before (slots).
     pub previous: usize,
-    /// What set it.
+    /// The reason for the new limit.
     pub cause: PoolLimitCause,
-    /// Slots at full speed that the executor is worth.
+    /// Capacity of the executor, in slots at full speed.
     pub capacity: f64,
-    /// Ended runs a second.
+    /// Ended runs per second.
     pub rate_per_s: f64,
     /// Mean length of those runs (seconds).
     pub run_s: f64,
-    /// The length that they have without contention (seconds).
+    /// The length of such runs without contention (seconds).
     pub baseline_run_s: f64,
     /// Mean number of runs on the cores.
     pub on_cores: f64,
@@ -65,7 +65,7 @@
 /// The reason for the present limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolLimitCause {
-    /// Nothing is known yet.
+    /// The initial limit, before anything was measured.
     Start,
     /// The measured rate.
     Rate,
@@ -73,20 +73,21 @@
     MinSlots,
     /// The upper bound of the operator's file.
     MaxSlots,
-    /// The runs that the executor survives for certain.
+    /// The number of runs that the executor survives for certain.
     SurvivableRuns,
-    /// Runs take longer than their number explains.
+    /// Runs take longer than their concurrency explains.
     Slow,
-    /// Runs are as long as their baseline again; the limit doubles its way back.
+    /// Runs are back at their baseline length, and the limit doubles until it is restored.
     Recovery,
-    /// Few runs for a window, to measure the baseline of their lengths.
+    /// A window with few runs, in which the baseline of their lengths is measured.
     Calibration,
-    /// New bounds.
+    /// The operator has changed the bounds.
     Reload,
 }
 
 impl PoolLimitCause {
-    /// The word in the log and in the status. Two are older than the code's names, and operators' scripts read them.
+    /// The value in the log and in the status. Some values differ from the names of the variants, since operators'
+    /// scripts read the old ones.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
