--- a/src/admission/arrival_rates.rs
+++ b/src/admission/arrival_rates.rs
@@ -1,8 +1,8 @@
-//! Fading rates of arrivals.
+//! Exponentially decaying arrival rates.
 
-use crate::admission::timing::{fade_factor, MEASUREMENT_MEMORY_S};
+use crate::admission::timing::{decay_factor, DECAY_TIME_CONSTANT_S};
 
-/// Recent arrivals a second, fading over [`MEASUREMENT_MEMORY_S`].
+/// Recent arrivals per second, decaying with [`DECAY_TIME_CONSTANT_S`].
 pub(super) struct ArrivalRates {
     /// By tier, the highest first.
     by_tier: Vec<f64>,
@@ -11,51 +11,51 @@
 }
 
 impl ArrivalRates {
-    /// No arrivals yet, in this many tiers.
+    /// Starts with no arrivals in this many tiers.
     pub(super) fn new(tiers: usize) -> Self {
         ArrivalRates { by_tier: vec![0.0; tiers], retries: 0.0 }
     }
 
-    /// Time passes.
+    /// Advances the clock.
     pub(super) fn advance(&mut self, elapsed_s: f64) {
-        let fade = fade_factor(elapsed_s);
+        let decay = decay_factor(elapsed_s);
         for rate in &mut self.by_tier {
-            *rate *= fade;
+            *rate *= decay;
         }
-        self.retries *= fade;
+        self.retries *= decay;
     }
 
     /// Counts an arrival in a tier.
     pub(super) fn count_arrival(&mut self, tier: usize) {
-        self.by_tier[tier] += 1.0 / MEASUREMENT_MEMORY_S;
+        self.by_tier[tier] += 1.0 / DECAY_TIME_CONSTANT_S;
     }
 
     /// Counts an attempt that is marked as a retry.
     pub(super) fn count_retry(&mut self) {
-        self.retries += 1.0 / MEASUREMENT_MEMORY_S;
+        self.retries += 1.0 / DECAY_TIME_CONSTANT_S;
     }
 
-    /// Arrivals of all tiers (a second).
+    /// Arrivals of all tiers (per second).
     pub(super) fn total(&self) -> f64 {
         self.by_tier.iter().sum()
     }
 
-    /// Arrivals of the tiers above this one (a second).
+    /// Arrivals of the tiers above this one (per second).
     pub(super) fn above(&self, tier: usize) -> f64 {
         self.by_tier[..tier].iter().sum()
     }
 
-    /// Arrivals by tier (a second).
+    /// Arrivals by tier (per second).
     pub(super) fn by_tier(&self) -> &[f64] {
         &self.by_tier
     }
 
-    /// Marked retries (a second).
+    /// Marked retries (per second).
     pub(super) fn retries(&self) -> f64 {
         self.retries
     }
 
-    /// Takes over the rates of a predecessor.
+    /// Adopts the rates of a predecessor.
     pub(super) fn adopt(&mut self, by_tier: Vec<f64>, retries: f64) {
         for (rate, learned) in self.by_tier.iter_mut().zip(by_tier) {
             *rate = learned;
--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -1,10 +1,10 @@
-//! The admission controller: one event in, actions out, as `interface.rs` defines them.
+//! The admission controller: takes one event at a time and returns actions, as `interface.rs` defines them.
 //!
-//! Requests are sorted into tiers by priority weight and queued; a free run slot starts the oldest of the highest
-//! non-empty tier, which runs to its end. An arrival of a lower tier is rejected at once while the queues of all tiers,
-//! or those of the tiers above it, are too long for its latency objective.
+//! Requests are queued by tier, which follows from their priority weight. A free run slot starts the oldest request of
+//! the highest non-empty tier, and it runs to completion. An arrival of a lower tier is rejected immediately while the
+//! queues of all tiers, or those of the tiers above it, are too long for its latency objective.
 //!
-//! The controller only calls the concerns in order; each has its state and its rules in a file of its own.
+//! The controller only calls its components in order; each keeps its state and its rules in a file of its own.
 
 mod arrival;
 mod completion;
@@ -39,12 +39,12 @@
 /// The admission controller of one worker.
 pub struct Controller {
     settings: Settings,
-    /// The latest time that an event came with (clock, seconds).
+    /// Time of the latest event (clock, seconds).
     now: f64,
     tiers: PriorityTiers,
     requests: RequestTable,
     idempotency: IdempotencyTable,
-    /// Requests that no later event or action will name.
+    /// Requests that no later event or action refers to.
     released: Vec<RequestId>,
     run_lengths: RunLengths,
     run_slots: RunSlots,
@@ -61,7 +61,7 @@
 }
 
 impl Controller {
-    /// A controller for a worker that has just started and holds no requests.
+    /// Creates the controller of a worker that has just started and has no requests.
     pub fn new(mut settings: Settings, now: f64, out: &mut Vec<Action>) -> Self {
         let plan = settings.pools.take();
         let tiers = PriorityTiers::new(&settings);
@@ -92,22 +92,22 @@
         controller
     }
 
-    /// Takes one event at the worker's clock and appends what is to be done, in order.
+    /// Handles one event at time `now` of the worker's clock, and appends the resulting actions to `out` in order.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
         self.apply(event, now, out);
-        // First the queues of a worker whose runs are at fault: what is rejected must not start below. These rejections
-        // still carry the Retry-After that goes with the health reported so far.
-        self.drain_queues_during_run_fault(out);
-        // Then the health, so that callers are sent elsewhere before this worker takes on more.
+        // During a run fault the queues come first, since requests that are rejected here must not start below. These
+        // rejections still use the Retry-After of the health reported so far.
+        self.reject_queued_during_run_fault(out);
+        // Then the health, so that callers go elsewhere before this worker starts more requests.
         self.update_health(out);
-        // Calls come before starts: a run that goes on without its call is back on the cores, and takes the slot that a
-        // start would have had.
-        self.place_calls(out);
+        // Calls come before starts: a run that skips its call returns to the cores and occupies the slot that a new run
+        // would otherwise get.
+        self.start_calls(out);
         self.start_queued(out);
     }
 
-    /// Time passes for every concern.
+    /// Advances the clock of every component.
     fn advance(&mut self, now: f64) {
         let elapsed_s = (now - self.now).max(0.0);
         self.now = self.now.max(now);
@@ -122,37 +122,37 @@
     fn apply(&mut self, event: Event, now: f64, out: &mut Vec<Action>) {
         match event {
             Event::Arrived(arrival) => self.arrived(&arrival, out),
-            Event::CallerDisconnected(id) => self.caller_gone(id, out),
+            Event::CallerDisconnected(id) => self.caller_disconnected(id, out),
             Event::RunEnded { id, outcome } => self.run_ended(id, outcome),
-            Event::CallRequested(id) => self.reached_call(id, out),
+            Event::CallRequested(id) => self.call_requested(id, out),
             Event::CallEnded { id, outcome } => self.call_ended(id, outcome, out),
-            Event::Shutdown { notice_age_s: ago_s, stop_in_s: in_s } => {
-                self.shutdown.announce(now, ago_s, in_s)
+            Event::Shutdown { notice_age_s, stop_in_s } => {
+                self.shutdown.announce(now, notice_age_s, stop_in_s);
             }
-            Event::Woken(gauges) => self.woken(&gauges, out),
+            Event::Woken(gauges) => self.sweep(&gauges, out),
             Event::Pools(plan) => {
                 self.run_slots.set_pools(plan, self.now, &self.run_lengths, &self.requests);
             }
-            Event::OtherProcess { on_cores, calling, memory_kb: kb } => {
-                self.other_process = OtherProcessUsage::new(on_cores, calling, kb);
+            Event::OtherProcess { on_cores, calling, memory_kb } => {
+                self.other_process = OtherProcessUsage::new(on_cores, calling, memory_kb);
             }
             Event::LearnedState(learned) => self.adopt(learned),
         }
     }
 
-    /// Reports a change of health, and answers health checks accordingly.
+    /// Reports a change of health, and updates the answer to health checks.
     fn update_health(&mut self, out: &mut Vec<Action>) {
         if let Some(state) = self.health.take_change() {
             self.publish_weight(out);
             out.push(Action::Log(AdmissionEvent::HealthChanged(state)));
         }
         let fleet_is_full = self.is_fleet_full();
-        if let Some(listed) = self.health.update_listing(self.now, self.running(), fleet_is_full) {
-            out.push(Action::Health(listed));
+        if let Some(available) = self.health.update_availability(self.now, self.running(), fleet_is_full) {
+            out.push(Action::Health(available));
         }
     }
 
-    /// Publishes the weight that callers give this worker, if it has changed.
+    /// Publishes this worker's weight to callers if it has changed.
     fn publish_weight(&mut self, out: &mut Vec<Action>) {
         let available = !self.shutdown.is_announced() && self.health.is_reported_healthy();
         if let Some(weight) = self.published_weight.update(available) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// What a successor on this machine should know.
+    /// The measurements to hand to a successor on this machine.
     #[must_use]
     pub fn learned(&self) -> LearnedState {
         let mut learned = LearnedState {
@@ -182,7 +182,7 @@
         learned
     }
 
-    /// Takes over what another controller has learned, within the limits of this one.
+    /// Adopts the state that another controller has learned, within the limits of this one.
     fn adopt(&mut self, learned: LearnedState) {
         self.run_slots.adopt(learned.run_limit, self.now);
         self.downstream.adopt(&learned);
@@ -193,24 +193,24 @@
         self.health.adopt(recent.failed_runs, recent.ended_runs);
     }
 
-    /// Requests that no later event or action of this controller will name.
+    /// Takes the requests that no later event or action of this controller refers to.
     pub fn take_released(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.released)
     }
 
-    /// The class pools, where an operator set some up.
+    /// The class pools, if the operator configured any.
     #[must_use]
     pub fn pools(&self) -> Option<&Pools> {
         self.run_slots.pools()
     }
 
-    /// This worker's part in the fleet's overload control, where there is one.
+    /// This worker's policy in fleet-wide overload control, if that is enabled.
     #[must_use]
     pub fn overload_policy(&self) -> Option<&OverloadPolicy> {
         self.fleet.policy()
     }
 
-    /// The same, to pass in the fleet's state and to take load samples.
+    /// Mutable access to the policy, to update the fleet's state and to take load samples.
     pub fn overload_policy_mut(&mut self) -> Option<&mut OverloadPolicy> {
         self.fleet.policy_mut()
     }
@@ -224,39 +224,39 @@
         self.class(self.requests[id].class)
     }
 
-    /// Runs on the cores, those of the other process included.
+    /// Runs on the cores, including those of the other process.
     fn running(&self) -> usize {
         self.requests.running() + self.other_process.running()
     }
 
-    /// What wants run slots, and what has them.
+    /// The demand for run slots, and their use.
     fn slot_demand(&self) -> SlotDemand {
         SlotDemand { running: self.running(), has_queued: self.requests.has_queued() }
     }
 
-    /// Memory of requests and keys, that of the other process included (KB).
+    /// Memory of requests and idempotency keys, including that of the other process (KB).
     fn memory_kb(&self) -> f64 {
         let keys_kb = self.memory.keys_kb(self.idempotency.len());
         self.requests.memory_kb() + keys_kb + self.other_process.memory_kb()
     }
 
-    /// The expected time of a request's whole run on the cores (seconds).
+    /// The expected total time of a request's run on the cores (seconds).
     fn expected_run_s(&self, request: &Request) -> f64 {
         self.run_lengths.predict(request.class, request.hint)
     }
 
-    /// Whether other workers are taken to reject as well. Not while this one shuts down: the others remain.
+    /// Whether the other workers are assumed to reject too. False during a shutdown, since the others keep serving.
     fn is_fleet_full(&self) -> bool {
         if self.shutdown.is_announced() {
             return false;
         }
-        let fleet_view = self.fleet.is_at_capacity();
-        fleet_view.unwrap_or_else(|| {
-            self.retry_after.fleet_looks_full(&self.arrivals, self.run_lengths.baseline_s())
+        let reported = self.fleet.is_at_capacity();
+        reported.unwrap_or_else(|| {
+            self.retry_after.infers_full_fleet(&self.arrivals, self.run_lengths.baseline_s())
         })
     }
 
-    /// Moves a request to another state, or out of all of them (`None`). Pools count what the table has moved.
+    /// Moves a request to another state, or out of all states (`None`), and updates the counts of the pools.
     fn transition(&mut self, id: RequestId, to: Option<RequestState>) {
         if let Some(transition) = self.requests.transition(id, to, self.now) {
             self.run_slots.request_moved(&transition);
--- a/src/admission/controller/completion.rs
+++ b/src/admission/controller/completion.rs
@@ -1,12 +1,12 @@
-//! Ends of requests: by themselves, by their callers, rejected, or abandoned.
+//! Ends of requests: completed, disconnected, rejected or abandoned.
 
 use super::Controller;
 use crate::admission::request::{RequestState, Tier};
 use crate::interface::{Action, Outcome, Preemption, RequestId};
 
 impl Controller {
-    /// The caller has gone: no response is pending.
-    pub(super) fn caller_gone(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Handles a disconnected caller: no response is pending any more.
+    pub(super) fn caller_disconnected(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.completed = true;
         if !request.state.is_unstarted() {
@@ -16,7 +16,7 @@
         let pending_key = self.pending_key_of(id);
         self.remove_request(id);
         let Some(entry_id) = pending_key else { return };
-        // The holder of a key has gone without a run: the oldest attempt that waits for it takes its place.
+        // The holder of a key has left without having run: the oldest attempt that waits for it becomes the holder.
         if let Some(&next) = self.idempotency.waiting(entry_id).first() {
             self.retain_key(next, entry_id, out);
             self.transition(next, Some(RequestState::Queued));
@@ -26,14 +26,14 @@
         }
     }
 
-    /// A run, or a shared response, has ended.
+    /// Handles the end of a run or of a shared response.
     pub(super) fn run_ended(&mut self, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get(id).copied() else { return };
         if request.state == RequestState::Running && outcome != Outcome::NotStarted {
             let length_s = request.running_core_time_s(self.now);
             self.run_lengths.run_ended(request.class, request.hint, length_s);
             self.run_slots.run_ended(request.class, length_s);
-            // A cancelled run took its time on the cores, but shows nothing of health.
+            // A cancelled run counts as time on the cores, but says nothing about health.
             if outcome != Outcome::Cancelled {
                 self.health.run_ended(self.now, outcome == Outcome::Error);
                 self.run_slots.count_completed_run();
@@ -45,7 +45,7 @@
         self.remove_request(id);
     }
 
-    /// Rejects a request that has not run, and those that wait for it.
+    /// Rejects a request that has not run, and the attempts that wait for it.
     pub(super) fn reject(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).copied() else { return };
         let pending_key = self.pending_key_of(id);
@@ -62,13 +62,13 @@
         self.remove_key(entry_id);
     }
 
-    /// Answers a request whose response has lost its use, with a Retry-After where it may run again, and stops it where
-    /// that can be done. Saves the cores from useless runs (bursts, hangs); costs another attempt.
+    /// Answers a request whose response is no longer useful, with a Retry-After if it may run again, and preempts its
+    /// run if possible. This spares the cores useless runs after bursts and hangs, at the cost of another attempt.
     pub(super) fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| !request.completed) else { return };
         let unstarted = request.state.is_unstarted();
         let may_run_again = !unstarted && self.class(request.class).is_idempotent();
-        // Computed also where it is not sent: the fleet's policy draws a random number for it.
+        // Computed even if it is not sent, since the fleet's policy draws a random number for it.
         let retry_after_s = self.retry_after_s(request.tier, request.class);
         if may_run_again {
             out.push(Action::Reject { id, retry_after_s, stop_retrying: true });
@@ -81,8 +81,8 @@
         }
     }
 
-    /// No response is pending any more; a run is taken off the cores where the worker can do that. A run with an effect
-    /// goes on: the next attempt gets its result.
+    /// Marks a request as completed and preempts its run if the worker supports that. Runs of requests that are not
+    /// idempotent continue, and the next attempt gets their result.
     fn stop_run(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.completed = true;
@@ -93,32 +93,32 @@
         }
     }
 
-    /// Retry-After for a request of this tier and class (seconds); the longest while unhealthy.
+    /// The Retry-After for a request of this tier and class (seconds); the maximum while unhealthy.
     fn retry_after_s(&self, tier: Tier, class: usize) -> f64 {
         let max_s = self.retry_after.max_s();
-        let alone_s = if self.health.is_reported_healthy() {
+        let standalone_s = if self.health.is_reported_healthy() {
             let queued = self.requests.queued_in(tier + 1);
             let ahead =
-                queued.filter(|id| self.run_slots.are_shared(class, self.requests[*id].class)).count();
+                queued.filter(|id| self.run_slots.share_run_slots(class, self.requests[*id].class)).count();
             let service_rate = self.run_slots.service_rate(class, &self.run_lengths);
-            self.retry_after.alone_s(ahead, service_rate, &self.arrivals, self.is_fleet_full())
+            self.retry_after.standalone_s(ahead, service_rate, &self.arrivals, self.is_fleet_full())
         } else {
             max_s
         };
-        self.fleet.retry_after_s(tier, alone_s).min(max_s)
+        self.fleet.retry_after_s(tier, standalone_s).min(max_s)
     }
 
-    /// The idempotency key that this request holds, while no attempt of it has run.
+    /// The entry of the idempotency key that this request holds, while no attempt with that key has run.
     fn pending_key_of(&self, id: RequestId) -> Option<RequestId> {
-        let entry_id = self.requests.get(id)?.entry?;
+        let entry_id = self.requests.get(id)?.entry_id?;
         self.idempotency.is_pending_holder(entry_id, id).then_some(entry_id)
     }
 
-    /// Removes a request; it is released once no key names it.
+    /// Removes a request. It is released once no idempotency key refers to it.
     fn remove_request(&mut self, id: RequestId) {
         self.transition(id, None);
         let Some(request) = self.requests.remove(id) else { return };
-        if let Some(entry_id) = request.entry {
+        if let Some(entry_id) = request.entry_id {
             self.idempotency.remove_waiting(entry_id, id);
         }
         if !self.idempotency.contains_attempt(id) {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Removes a key; its attempts that have ended are released.
+    /// Removes a key and releases those of its attempts that have ended.
     pub(super) fn remove_key(&mut self, entry_id: RequestId) {
         let attempts = self.idempotency.remove(entry_id);
         self.released.extend(attempts.into_iter().filter(|attempt| !self.requests.contains(*attempt)));
--- a/src/admission/controller/sweep.rs
+++ b/src/admission/controller/sweep.rs
@@ -1,35 +1,35 @@
-//! Wake-ups: due times, expired keys, and the reviews of limits.
+//! The periodic sweep: deadlines, expired idempotency keys and reviews of the limits.
 
 use super::Controller;
 use crate::admission::request::{Request, RequestState};
 use crate::admission::timing::SWEEP_INTERVAL_S;
 use crate::interface::{Action, Gauges, RequestId};
 
-/// What becomes of a pending request at a wake-up.
+/// What a sweep does with a pending request.
 enum SweepDecision {
-    /// It has not run and can't be answered in time: reject it.
+    /// Reject it: it has not run and can't be answered in time.
     Reject,
-    /// The response must be given now, or would be of no use: abandon the request.
+    /// Abandon it: the response is due now or no longer useful.
     Abandon,
-    /// Its run meets the objective only without the downstream call for which it waits: skip the call.
+    /// Skip the downstream call for which it waits: its run meets the objective only without the call.
     SkipCall,
-    /// It still has time.
+    /// Leave it as it is: it has time left.
     Keep,
 }
 
 impl Controller {
-    /// The time of a wake-up has come.
-    pub(super) fn woken(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
+    /// Handles a wake-up.
+    pub(super) fn sweep(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
         out.push(Action::WakeIn(SWEEP_INTERVAL_S));
         out.extend(self.run_slots.review_pools(self.now).into_iter().map(Action::Log));
-        self.check_due_times(out);
+        self.check_deadlines(out);
         self.remove_expired_keys();
         self.downstream.review(self.requests.has_waiting_for_call());
         let mean_run_s = self.run_lengths.mean_s();
         self.record_load(mean_run_s);
         self.health.check_stalled(self.now, mean_run_s);
         if gauges.runnable.is_some_and(|runnable| runnable < f64::from(self.settings.cores)) {
-            self.health.core_is_free();
+            self.health.record_free_core();
         }
         if self.run_slots.is_review_due(self.now) {
             self.review_run_limit(gauges);
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Answers what is due before the next wake-up, or can no longer be of use.
-    fn check_due_times(&mut self, out: &mut Vec<Action>) {
+    /// Answers requests that are due before the next wake-up or whose response is no longer useful.
+    fn check_deadlines(&mut self, out: &mut Vec<Action>) {
         let pending = self.requests.iter().filter(|(_, request)| !request.completed);
         let ids: Vec<RequestId> = pending.map(|(id, _)| id).collect();
         for id in ids {
-            // An earlier step of this loop may have answered it.
+            // An earlier iteration of this loop may have removed it.
             let Some(request) = self.requests.get(id) else { continue };
             match self.sweep_decision(request) {
                 SweepDecision::Reject => self.reject(id, out),
@@ -60,10 +60,10 @@
             None => request.deadline,
         };
         let is_due = answer_by <= next_wake_up;
-        let misses_objective = self.now + self.expected_run_s(request) > request.objective_at;
+        let misses_objective = self.now + self.expected_run_s(request) > request.objective_deadline;
         if request.state.waits_for_run() && (misses_objective || is_due) {
             SweepDecision::Reject
-        } else if is_due || self.now >= request.worthless_from {
+        } else if is_due || self.now >= request.useful_until {
             SweepDecision::Abandon
         } else if request.state == RequestState::WaitingForCall && self.now >= self.last_call_start(request) {
             SweepDecision::SkipCall
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Removes the keys that can't be repeated any more.
+    /// Removes idempotency keys that callers can no longer repeat.
     fn remove_expired_keys(&mut self) {
         let expired = self.idempotency.expired(self.now, |id| self.requests.contains(id));
         for entry_id in expired {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Records for the fleet's load reports what this worker can do, and what waits for calls with which weight.
+    /// Records this worker's capacity and the weights of requests that wait for calls, for the fleet's load reports.
     fn record_load(&mut self, mean_run_s: f64) {
         let capacity = self.run_slots.limit() as f64 / mean_run_s;
         let waiting = self.requests.waiting_for_call_by_tier().zip(self.tiers.weights());
--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -1,4 +1,4 @@
-//! Downstream calls: how many are in flight, when one must start and when it is abandoned.
+//! Downstream calls: how many may be in flight, when a call must start and when it is abandoned.
 
 mod budget;
 mod call_length;
@@ -12,23 +12,23 @@
 use call_length::CallLengthEstimate;
 use limit::CallLimit;
 
-/// A call is slow when it takes so many times the baseline.
+/// A call is slow if it takes more than this multiple of the baseline.
 const SLOW_CALL_FACTOR: f64 = 2.2;
-/// A call that may be repeated is abandoned after so many mean lengths.
+/// An idempotent call is abandoned after this many mean lengths.
 const TIMEOUT_CALLS: f64 = 8.0;
-/// A call that must not be repeated is abandoned after so many mean lengths.
+/// A call that must not be repeated is abandoned after this many mean lengths.
 const UNREPEATABLE_TIMEOUT_CALLS: f64 = 2.0 * TIMEOUT_CALLS;
-/// No call is abandoned before this share of its class's objective, once the length of calls is known.
+/// Once the length of calls is known, no call times out before this share of its class's objective.
 const MIN_TIMEOUT_SHARE_OF_OBJECTIVE: f64 = 0.1;
-/// What is left of a run after its call is taken to be this share of the run's length at least.
-const MIN_REST_SHARE: f64 = 0.25;
+/// The rest of a run after its call is assumed to take at least this share of the run's length.
+const MIN_REMAINING_SHARE: f64 = 0.25;
 
 /// The downstream calls of this worker.
 pub(super) struct DownstreamCalls {
     limit: CallLimit,
     budget: CallBudget,
     lengths: CallLengthEstimate,
-    /// When calls that were abandoned leave the dependency at the latest.
+    /// For each abandoned call, the latest time at which it leaves the dependency.
     abandoned_until: Vec<f64>,
 }
 
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Time passes with so many calls in flight.
+    /// Advances the clock, with this many calls in flight in that time.
     pub(super) fn advance(&mut self, now: f64, elapsed_s: f64, calling: usize, fleet: &mut FleetOverload) {
         self.lengths.advance(calling as f64, elapsed_s);
         let in_flight = calling + self.abandoned_until.len();
-        // The fleet's limit first: the budget grows by the limit that holds from now on.
+        // The fleet's limit is applied first, since the budget grows by the limit that now applies.
         if let Some(policy) = fleet.policy_mut() {
             self.limit.apply_fleet_limit(policy, now, in_flight);
         }
@@ -59,33 +59,36 @@
         self.lengths.expected_s()
     }
 
-    /// Whether so many requests that wait for a call are more than may be in flight.
+    /// Whether this many waiting requests reach the limit on calls in flight.
     pub(super) fn is_saturated(&self, waiting: usize) -> bool {
         waiting as f64 >= self.limit.limit().max(1.0)
     }
 
-    /// The wait for a call behind so many requests (seconds).
+    /// The time until a call starts behind this many requests (seconds).
     pub(super) fn wait_s(&self, ahead: usize) -> f64 {
         ahead as f64 * self.lengths.expected_s() / self.limit.limit()
     }
 
-    /// Whether a call may be made now beside those of this process and of the other one.
+    /// Whether another call may start now, with `calling` calls of this and the other process in flight.
     pub(super) fn has_free_slot(&self, now: f64, calling: usize) -> bool {
         self.limit.has_free_slot(now, calling, self.abandoned_until.len())
     }
 
-    /// The latest start of a call that lets its run meet the objective; later calls are skipped, if they may be.
+    /// The latest time at which a call can start and its run still meet the objective. Later calls are skipped if the
+    /// class allows that.
     pub(super) fn last_start(&self, request: &Request, class: &Class, now: f64, expected_run_s: f64) -> f64 {
-        if !class.may_skip_call() || now >= request.objective_at {
+        if !class.may_skip_call() || now >= request.objective_deadline {
             return f64::INFINITY;
         }
-        let min_rest_s = expected_run_s * MIN_REST_SHARE;
-        let rest_s = (expected_run_s - request.core_time_s).max(min_rest_s) + 2.0 * SWEEP_INTERVAL_S;
-        request.objective_at - rest_s - SLOW_CALL_FACTOR * self.lengths.expected_s()
+        let min_remaining_s = expected_run_s * MIN_REMAINING_SHARE;
+        let remaining_s =
+            (expected_run_s - request.core_time_s).max(min_remaining_s) + 2.0 * SWEEP_INTERVAL_S;
+        request.objective_deadline - remaining_s - SLOW_CALL_FACTOR * self.lengths.expected_s()
     }
 
-    /// When a call that is made now is abandoned: one that never ends must hold neither its slot, nor a run that can go
-    /// on without it, until the caller is gone. None while the budget does not allow the call.
+    /// The time at which a call that starts now is abandoned, or `None` while the budget does not allow the call. A
+    /// call that never ends must not occupy its slot, or block a run that can continue without it, until the caller
+    /// gives up.
     pub(super) fn call_deadline(
         &self,
         request: &Request,
@@ -94,10 +97,10 @@
         last_start: f64,
     ) -> Option<f64> {
         let expected_call_s = self.lengths.expected_s();
-        let caller_leaves = request.deadline - SWEEP_INTERVAL_S;
-        let times_out = now + self.timeout_s(class, expected_call_s);
+        let caller_deadline = request.deadline - SWEEP_INTERVAL_S;
+        let timeout_at = now + self.timeout_s(class, expected_call_s);
         let last_useful_end = last_start + SLOW_CALL_FACTOR * expected_call_s;
-        let until = caller_leaves.min(times_out).min(last_useful_end);
+        let until = caller_deadline.min(timeout_at).min(last_useful_end);
         match self.budget.allowance(expected_call_s) {
             CallAllowance::Unlimited => Some(until),
             CallAllowance::Limited { budget_s } => Some(until.min(now + budget_s)),
@@ -112,30 +115,30 @@
         (expected_call_s * calls).max(class.objective_s * share_of_objective)
     }
 
-    /// A call has ended without an outcome: it goes on in the dependency for a while.
+    /// Records a call that was abandoned, and may stay in flight in the dependency for a while.
     pub(super) fn call_abandoned(&mut self, now: f64) {
         if let Some(linger_s) = self.budget.linger_s() {
             self.abandoned_until.push(now + linger_s);
         }
     }
 
-    /// A call did not reach the dependency, or was rejected by it.
+    /// Records a call that did not reach the dependency, or was rejected by it.
     pub(super) fn call_rejected(&mut self, now: f64) {
         self.limit.call_rejected(now, &self.lengths);
     }
 
-    /// A call has ended that the dependency worked on.
+    /// Records the end of a call that the dependency has processed.
     pub(super) fn call_ended(&mut self, calls_wait: bool) {
         self.lengths.call_ended();
         self.review(calls_wait);
     }
 
-    /// Adjusts the limit when the window has seen enough calls.
+    /// Adjusts the limit if the window contains enough calls.
     pub(super) fn review(&mut self, calls_wait: bool) {
         self.limit.review(&mut self.lengths, calls_wait);
     }
 
-    /// Writes what was learned of the dependency.
+    /// Writes the measurements of the dependency to `learned`.
     pub(super) fn export(&self, learned: &mut LearnedState) {
         learned.call_limit = self.limit.limit();
         learned.call_baseline_s = self.lengths.learned_baseline_s();
@@ -143,7 +146,7 @@
         learned.call_budget_s = Some(self.budget.learned_s());
     }
 
-    /// Takes over what a predecessor has learned of the dependency.
+    /// Adopts a predecessor's measurements of the dependency.
     pub(super) fn adopt(&mut self, learned: &LearnedState) {
         self.limit.adopt(learned.call_limit);
         self.lengths.adopt(learned.recent_calls, learned.call_baseline_s);
--- a/src/admission/downstream/call_length.rs
+++ b/src/admission/downstream/call_length.rs
@@ -1,23 +1,23 @@
 //! The measured length of downstream calls.
 
-use crate::admission::baseline::follow_baseline;
-use crate::admission::timing::fade_factor;
+use crate::admission::baseline::next_baseline;
+use crate::admission::timing::decay_factor;
 use crate::interface::RecentCalls;
 
-/// Time on calls (seconds) and ended calls.
+/// Sums of time on calls (seconds) and of ended calls.
 #[derive(Clone, Copy, Default)]
 struct CallTotals {
     time_s: f64,
     ended: f64,
 }
 
-/// Fading and windowed means of the length of calls.
+/// Exponentially decaying and windowed means of the length of calls.
 pub(super) struct CallLengthEstimate {
-    /// Calls since the last window was closed.
+    /// Calls in the present window.
     window: CallTotals,
-    /// Recent calls, fading.
+    /// Recent calls (exponentially decaying).
     recent: CallTotals,
-    /// What the mean of a window is measured against (seconds); infinite before the first window is closed.
+    /// The length that the mean of a window is compared with (seconds); infinite until the first window is closed.
     baseline_s: f64,
 }
 
@@ -37,13 +37,13 @@
         self.baseline_s.is_finite()
     }
 
-    /// The expected length of a call (seconds). Without recent calls it fades to the baseline.
+    /// The expected length of a call (seconds). Without recent calls it approaches the baseline.
     pub(super) fn expected_s(&self) -> f64 {
         let baseline_s = if self.is_known() { self.baseline_s } else { 0.0 };
         (self.recent.time_s + baseline_s) / (self.recent.ended + 1.0)
     }
 
-    /// The baseline (seconds); infinite while it is not known.
+    /// The baseline (seconds); infinite while unknown.
     pub(super) fn baseline_s(&self) -> f64 {
         self.baseline_s
     }
@@ -63,25 +63,25 @@
         self.window.time_s / self.window.ended.max(1.0)
     }
 
-    /// Time passes with this many calls in flight.
+    /// Advances the clock, with this many calls in flight in that time.
     pub(super) fn advance(&mut self, in_flight: f64, elapsed_s: f64) {
-        let fade = fade_factor(elapsed_s);
+        let decay = decay_factor(elapsed_s);
         self.window.time_s += in_flight * elapsed_s;
-        self.recent.time_s = self.recent.time_s * fade + in_flight * elapsed_s;
-        self.recent.ended *= fade;
+        self.recent.time_s = self.recent.time_s * decay + in_flight * elapsed_s;
+        self.recent.ended *= decay;
     }
 
-    /// Recent calls, as they are handed to a successor.
+    /// The recent calls to hand to a successor.
     pub(super) fn learned_calls(&self) -> RecentCalls {
         RecentCalls { time_s: self.recent.time_s, ended: self.recent.ended }
     }
 
-    /// The baseline as it is handed to a successor, once it is known (seconds).
+    /// The baseline to hand to a successor, if it is known (seconds).
     pub(super) fn learned_baseline_s(&self) -> Option<f64> {
         self.is_known().then_some(self.baseline_s)
     }
 
-    /// Takes over the recent calls and the baseline of a predecessor.
+    /// Adopts the recent calls and the baseline of a predecessor.
     pub(super) fn adopt(&mut self, recent: RecentCalls, baseline_s: Option<f64>) {
         self.recent = CallTotals { time_s: recent.time_s, ended: recent.ended };
         self.baseline_s = baseline_s.unwrap_or(f64::INFINITY);
@@ -93,10 +93,10 @@
         self.recent.ended += 1.0;
     }
 
-    /// Closes the window: the baseline follows its mean.
+    /// Closes the window and moves the baseline towards its mean.
     pub(super) fn close_window(&mut self) {
         let mean_s = self.window_mean_s();
-        self.baseline_s = if self.is_known() { follow_baseline(self.baseline_s, mean_s) } else { mean_s };
+        self.baseline_s = if self.is_known() { next_baseline(self.baseline_s, mean_s) } else { mean_s };
         self.window = CallTotals::default();
     }
 }
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -1,58 +1,58 @@
 //! The health of this worker, whatever the cause: runs that fail, runs that hang, and requests that are read too late.
 //!
-//! Quick failures leave a worker idle, so that it would attract the fleet's traffic. This also covers hangs and failing
-//! disks. Faulty requests look the same, and take a good worker out of service.
+//! A worker whose runs fail quickly is idle, and would attract the traffic of the whole fleet. Hangs and failing disks
+//! are detected too. Faulty requests are indistinguishable from a faulty worker, and take a good one out of service.
 
 mod signals;
 
 use crate::admission::timing::SWEEP_INTERVAL_S;
 use crate::interface::{HealthState, UnhealthyCause};
-use signals::{HealthSignals, HEALTH_MEMORY_S};
+use signals::{HealthSignals, HEALTH_TIME_CONSTANT_S};
 
-/// Runs are failing when this share of the recent ones failed.
+/// Runs count as failing if more than this share of the recent ones failed.
 const FAILING_SHARE: f64 = 0.3;
-/// Runs are failing when so many of the recent ones failed at least.
+/// Runs count as failing only if at least this many of the recent ones failed.
 const MIN_FAILED_RUNS: f64 = 3.0;
-/// Runs are stalled when none ended in the core time of so many mean runs.
+/// Runs count as stalled if none ended within the core time of this many mean runs.
 const STALLED_RUNS: f64 = 20.0;
-/// Runs are not stalled before this time: short ones end late when the process gets no core (seconds).
+/// Runs do not count as stalled before this time: short runs end late if the process gets no core (seconds).
 const MIN_STALLED_S: f64 = 0.3;
-/// Reads lag when requests lie unread for this part of their objective on average.
-const READ_LAG: f64 = 0.8;
-/// Reads have caught up when requests lie unread for this part of their objective on average.
-const READ_LAG_OVER: f64 = READ_LAG / 4.0;
-/// While runs are failing or stalled, one run is started as a probe this often (seconds).
+/// Read lag starts if requests stay unread for more than this part of their objective on average.
+const READ_LAG_START: f64 = 0.8;
+/// Read lag ends when requests stay unread for no more than this part of their objective on average.
+const READ_LAG_END: f64 = READ_LAG_START / 4.0;
+/// While runs are failing or stalled, a probe may start at this interval (seconds).
 const PROBE_INTERVAL_S: f64 = 0.5;
-/// Runs are no longer failing or stalled after so many successes in a row.
+/// Runs no longer count as failing or stalled after this many consecutive successes.
 const RECOVERY_SUCCESSES: u32 = 3;
 
-/// What health checks should be answered.
-enum Listing {
-    /// Callers should choose this worker.
-    Listed,
-    /// Callers should not choose this worker.
-    Delisted,
-    /// The answer of before stands.
+/// The answer to health checks.
+enum Availability {
+    /// Callers should use this worker.
+    Available,
+    /// Callers should not use this worker.
+    Unavailable,
+    /// The previous answer still applies.
     Unchanged,
 }
 
-/// Judges the health of this worker, and remembers what was reported of it.
+/// Determines the health of this worker, and keeps the health that was last reported.
 pub(super) struct HealthMonitor {
     signals: HealthSignals,
-    /// Why runs can't be served, while they can't.
+    /// Why runs are failing or stalled, while they are.
     run_fault: Option<UnhealthyCause>,
-    /// Requests are read too late to be served: a slow host, a flood or a cold start.
+    /// Requests are read too late to be served, because of a slow host, an overload or a cold start.
     read_lagging: bool,
-    /// When the next probe may start.
+    /// Earliest start of the next probe.
     next_probe: f64,
-    /// The health reported last.
+    /// The health that was last reported.
     reported_healthy: bool,
     /// The answer to health checks.
-    listed: bool,
+    available: bool,
 }
 
 impl HealthMonitor {
-    /// Healthy and listed.
+    /// Starts as healthy and available.
     pub(super) fn new(now: f64) -> Self {
         HealthMonitor {
             signals: HealthSignals::new(now),
@@ -60,34 +60,35 @@
             read_lagging: false,
             next_probe: 0.0,
             reported_healthy: true,
-            listed: true,
+            available: true,
         }
     }
 
-    /// Time passes with this many runs on the cores.
+    /// Advances the clock, with this many runs on the cores in that time.
     pub(super) fn advance(&mut self, elapsed_s: f64, running: usize) {
         self.signals.advance(elapsed_s, running);
-        self.read_lagging &= self.signals.unread_exceeds(READ_LAG_OVER);
+        self.read_lagging &= self.signals.mean_read_delay_exceeds(READ_LAG_END);
     }
 
-    /// Notes a read. While reads lag callers are sent elsewhere, which loads others.
-    pub(super) fn record_read(&mut self, unread_s: f64, objective_s: f64) {
-        self.signals.count_read(unread_s / objective_s.max(SWEEP_INTERVAL_S));
-        self.read_lagging |= self.signals.unread_exceeds(READ_LAG);
+    /// Records how late a request was read. During read lag callers are sent elsewhere, which loads the other workers.
+    pub(super) fn record_read(&mut self, read_delay_s: f64, objective_s: f64) {
+        self.signals.count_read(read_delay_s / objective_s.max(SWEEP_INTERVAL_S));
+        self.read_lagging |= self.signals.mean_read_delay_exceeds(READ_LAG_START);
     }
 
-    /// A core is free, so that nothing lies unread: a delisted worker without arrivals learns it no other way.
-    pub(super) fn core_is_free(&mut self) {
-        self.signals.forget_unread();
+    /// Records that a core is free, so that no request is unread: an unavailable worker without arrivals has no other
+    /// evidence that the read lag has ended.
+    pub(super) fn record_free_core(&mut self) {
+        self.signals.reset_read_delay();
         self.read_lagging = false;
     }
 
-    /// A run has reached a downstream call: it has not hung.
+    /// Records that a run has reached a downstream call, so that it does not hang.
     pub(super) fn run_progressed(&mut self, now: f64) {
         self.signals.progressed(now);
     }
 
-    /// A run has ended.
+    /// Records the end of a run.
     pub(super) fn run_ended(&mut self, now: f64, failed: bool) {
         self.signals.run_ended(now, failed);
         if self.has_recovered() {
@@ -100,7 +101,7 @@
     fn has_recovered(&self) -> bool {
         let signals = &self.signals;
         self.run_fault.is_some()
-            && signals.successes_in_row() >= RECOVERY_SUCCESSES
+            && signals.consecutive_successes() >= RECOVERY_SUCCESSES
             && signals.failed() < FAILING_SHARE / 2.0 * signals.ended()
     }
 
@@ -109,7 +110,7 @@
         failed >= MIN_FAILED_RUNS && failed > FAILING_SHARE * self.signals.ended()
     }
 
-    /// Runs that have been on the cores for far too long without an end are stalled.
+    /// Marks the runs as stalled if they have been on the cores for too long without any of them ending.
     pub(super) fn check_stalled(&mut self, now: f64, mean_run_s: f64) {
         let overdue = self.signals.since_progress_s(now) > MIN_STALLED_S;
         if overdue && self.signals.core_time_since_progress_s() > STALLED_RUNS * mean_run_s {
@@ -123,8 +124,8 @@
         self.run_fault.is_some()
     }
 
-    /// Whether runs still end, so that even with failing ones some requests may be served.
-    pub(super) fn still_ends_runs(&self) -> bool {
+    /// Whether runs still end, so that some requests may succeed even though others fail.
+    pub(super) fn is_completing_runs(&self) -> bool {
         self.signals.ended() > f64::from(RECOVERY_SUCCESSES)
     }
 
@@ -133,17 +134,17 @@
         now >= self.next_probe
     }
 
-    /// A request is kept as a probe.
-    pub(super) fn probe_kept(&mut self, now: f64) {
+    /// Records that a queued request is kept as a probe.
+    pub(super) fn probe_admitted(&mut self, now: f64) {
         self.next_probe = now + PROBE_INTERVAL_S;
     }
 
-    /// Whether no run is on the cores, and none has ended for so long that only another probe brings new evidence.
-    fn is_at_rest(&self, now: f64, running: usize) -> bool {
-        running == 0 && self.signals.since_progress_s(now) > HEALTH_MEMORY_S
+    /// Whether no run is on the cores and none has ended for so long that only another probe can show a change.
+    fn is_idle(&self, now: f64, running: usize) -> bool {
+        running == 0 && self.signals.since_progress_s(now) > HEALTH_TIME_CONSTANT_S
     }
 
-    /// The present health. A fault of the runs is the graver cause.
+    /// The present health. A run fault takes precedence over read lag.
     fn state(&self) -> HealthState {
         match self.run_fault {
             Some(cause) => HealthState::Unhealthy(cause),
@@ -157,7 +158,8 @@
         self.reported_healthy
     }
 
-    /// The health to report, if this worker has become healthy or unhealthy. Another cause alone is not reported.
+    /// The health to report if this worker has become healthy or unhealthy. A change of the cause alone is not
+    /// reported.
     pub(super) fn take_change(&mut self) -> Option<HealthState> {
         let state = self.state();
         let healthy = state == HealthState::Healthy;
@@ -169,48 +171,54 @@
     }
 
     /// The answer to health checks, if it has changed.
-    pub(super) fn update_listing(&mut self, now: f64, running: usize, fleet_is_full: bool) -> Option<bool> {
-        let listed = match self.listing(self.is_at_rest(now, running), fleet_is_full) {
-            Listing::Listed => true,
-            Listing::Delisted => false,
-            Listing::Unchanged => return None,
+    pub(super) fn update_availability(
+        &mut self,
+        now: f64,
+        running: usize,
+        fleet_is_full: bool,
+    ) -> Option<bool> {
+        let available = match self.availability(self.is_idle(now, running), fleet_is_full) {
+            Availability::Available => true,
+            Availability::Unavailable => false,
+            Availability::Unchanged => return None,
         };
-        if listed == self.listed {
+        if available == self.available {
             return None;
         }
-        self.listed = listed;
-        Some(listed)
+        self.available = available;
+        Some(available)
     }
 
-    /// A delisted worker gets no requests: after a rest one whose runs were at fault is listed again, to be probed.
-    /// While the whole fleet is full, delisting a worker whose reads lag would overload those that are left.
-    fn listing(&self, at_rest: bool, fleet_is_full: bool) -> Listing {
+    /// The answer that health checks should get. An unavailable worker gets no requests, so after an idle period a
+    /// worker with a run fault becomes available again in order to be probed. While the whole fleet is full, making a
+    /// worker with read lag unavailable would overload the remaining ones.
+    fn availability(&self, idle: bool, fleet_is_full: bool) -> Availability {
         match self.state() {
-            HealthState::Healthy => Listing::Listed,
-            HealthState::Unhealthy(UnhealthyCause::ReadLag) if fleet_is_full => Listing::Unchanged,
-            HealthState::Unhealthy(UnhealthyCause::ReadLag) => Listing::Delisted,
+            HealthState::Healthy => Availability::Available,
+            HealthState::Unhealthy(UnhealthyCause::ReadLag) if fleet_is_full => Availability::Unchanged,
+            HealthState::Unhealthy(UnhealthyCause::ReadLag) => Availability::Unavailable,
             HealthState::Unhealthy(UnhealthyCause::FailingRuns | UnhealthyCause::StalledRuns) => {
-                let may_be_probed = at_rest && (fleet_is_full || !self.read_lagging);
+                let may_be_probed = idle && (fleet_is_full || !self.read_lagging);
                 if may_be_probed {
-                    Listing::Listed
+                    Availability::Available
                 } else {
-                    Listing::Delisted
+                    Availability::Unavailable
                 }
             }
         }
     }
 
-    /// Failed runs of late, fading.
+    /// Recently failed runs (exponentially decaying).
     pub(super) fn failed_runs(&self) -> f64 {
         self.signals.failed()
     }
 
-    /// All runs that ended of late, fading.
+    /// All recently ended runs (exponentially decaying).
     pub(super) fn ended_runs(&self) -> f64 {
         self.signals.ended()
     }
 
-    /// Takes over the recent runs of a predecessor.
+    /// Adopts the counts of recent runs of a predecessor.
     pub(super) fn adopt(&mut self, failed_runs: f64, ended_runs: f64) {
         self.signals.adopt(failed_runs, ended_runs);
     }
--- a/src/admission/health/signals.rs
+++ b/src/admission/health/signals.rs
@@ -1,22 +1,22 @@
-//! Counts of how runs end and how late requests are read.
+//! Exponentially decaying counts of ended and failed runs, and of read delays.
 
-/// How fast recent runs and reads are forgotten (seconds).
-pub(super) const HEALTH_MEMORY_S: f64 = 2.0;
+/// Time constant with which the counts of runs and reads decay (seconds).
+pub(super) const HEALTH_TIME_CONSTANT_S: f64 = 2.0;
 
-/// Recent runs and reads.
+/// Counts of recent runs and reads.
 pub(super) struct HealthSignals {
-    /// Failed runs, fading.
+    /// Failed runs (decaying).
     failed: f64,
-    /// All ended runs, fading.
+    /// All ended runs (decaying).
     ended: f64,
-    successes_in_row: u32,
+    consecutive_successes: u32,
     /// When a run last ended or reached a downstream call.
     last_progress: f64,
-    /// Time on the cores since then, over all runs.
+    /// Time on the cores since `last_progress`, summed over all runs.
     core_time_since_progress_s: f64,
-    /// How long requests lay unread, in latency objectives, fading.
-    unread: f64,
-    /// Reads, fading.
+    /// Sum of the read delays of requests, each as a multiple of its latency objective (decaying).
+    read_delay_objectives: f64,
+    /// Requests read (decaying).
     reads: f64,
 }
 
@@ -25,41 +25,41 @@
         HealthSignals {
             failed: 0.0,
             ended: 0.0,
-            successes_in_row: 0,
+            consecutive_successes: 0,
             last_progress: now,
             core_time_since_progress_s: 0.0,
-            unread: 0.0,
+            read_delay_objectives: 0.0,
             reads: 0.0,
         }
     }
 
-    /// Time passes with this many runs on the cores.
+    /// Advances the clock, with this many runs on the cores in that time.
     pub(super) fn advance(&mut self, elapsed_s: f64, running: usize) {
         self.core_time_since_progress_s += running as f64 * elapsed_s;
-        let fade = (-elapsed_s / HEALTH_MEMORY_S).exp();
-        self.failed *= fade;
-        self.ended *= fade;
-        self.unread *= fade;
-        self.reads *= fade;
+        let decay = (-elapsed_s / HEALTH_TIME_CONSTANT_S).exp();
+        self.failed *= decay;
+        self.ended *= decay;
+        self.read_delay_objectives *= decay;
+        self.reads *= decay;
     }
 
-    /// Counts a request that lay unread for so many of its latency objectives.
-    pub(super) fn count_read(&mut self, unread_objectives: f64) {
-        self.unread += unread_objectives;
+    /// Counts a request and its read delay, given as a multiple of its latency objective.
+    pub(super) fn count_read(&mut self, delay_objectives: f64) {
+        self.read_delay_objectives += delay_objectives;
         self.reads += 1.0;
     }
 
-    /// Forgets for how long requests lay unread.
-    pub(super) fn forget_unread(&mut self) {
-        self.unread = 0.0;
+    /// Resets the sum of read delays.
+    pub(super) fn reset_read_delay(&mut self) {
+        self.read_delay_objectives = 0.0;
     }
 
-    /// Whether requests lay unread for more than this part of their objective on average.
-    pub(super) fn unread_exceeds(&self, objectives: f64) -> bool {
-        self.unread > objectives * (self.reads + 1.0)
+    /// Whether the mean read delay exceeds this multiple of the latency objective.
+    pub(super) fn mean_read_delay_exceeds(&self, objectives: f64) -> bool {
+        self.read_delay_objectives > objectives * (self.reads + 1.0)
     }
 
-    /// A run has ended or reached a downstream call: it has not hung.
+    /// Records that a run has ended or reached a downstream call, so that it does not hang.
     pub(super) fn progressed(&mut self, now: f64) {
         self.last_progress = now;
         self.core_time_since_progress_s = 0.0;
@@ -71,15 +71,15 @@
         self.ended += 1.0;
         if failed {
             self.failed += 1.0;
-            self.successes_in_row = 0;
+            self.consecutive_successes = 0;
         } else {
-            self.successes_in_row += 1;
+            self.consecutive_successes += 1;
         }
     }
 
-    /// Begins a new row of successes.
+    /// Resets the count of consecutive successes.
     pub(super) fn reset_successes(&mut self) {
-        self.successes_in_row = 0;
+        self.consecutive_successes = 0;
     }
 
     /// Failed runs.
@@ -93,8 +93,8 @@
     }
 
     /// Successful runs since the last failed one.
-    pub(super) fn successes_in_row(&self) -> u32 {
-        self.successes_in_row
+    pub(super) fn consecutive_successes(&self) -> u32 {
+        self.consecutive_successes
     }
 
     /// Time since a run last ended or reached a downstream call (seconds).
@@ -102,12 +102,12 @@
         now - self.last_progress
     }
 
-    /// Time on the cores since then, over all runs (seconds).
+    /// Time on the cores since a run last ended or reached a downstream call, summed over all runs (seconds).
     pub(super) fn core_time_since_progress_s(&self) -> f64 {
         self.core_time_since_progress_s
     }
 
-    /// Takes over the recent runs of a predecessor.
+    /// Adopts the counts of recent runs of a predecessor.
     pub(super) fn adopt(&mut self, failed: f64, ended: f64) {
         self.failed = failed;
         self.ended = ended;
--- a/src/admission/health/tests.rs
+++ b/src/admission/health/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A monitor on which so many runs have just failed.
+/// A monitor that has just recorded this many failed runs.
 fn with_failed_runs(failed: usize) -> HealthMonitor {
     let mut health = HealthMonitor::new(0.0);
     for _ in 0..failed {
@@ -24,7 +24,7 @@
     let mut health = with_failed_runs(3);
     assert_eq!(health.take_change(), Some(HealthState::Unhealthy(UnhealthyCause::FailingRuns)));
     assert_eq!(health.take_change(), None);
-    // The failures fade; two successes are not enough.
+    // The failures have decayed, but two successes are not enough.
     health.advance(10.0, 0);
     health.run_ended(10.0, false);
     health.run_ended(10.0, false);
@@ -45,24 +45,24 @@
 }
 
 #[test]
-fn worker_with_failing_runs_is_delisted_and_listed_again_after_a_rest() {
+fn worker_with_failing_runs_is_unavailable_until_an_idle_period_has_passed() {
     let mut health = with_failed_runs(3);
-    assert_eq!(health.update_listing(0.0, 0, false), Some(false));
-    assert_eq!(health.update_listing(1.9, 0, false), None);
-    // A run on the cores is a probe already.
-    assert_eq!(health.update_listing(2.1, 1, false), None);
-    assert_eq!(health.update_listing(2.1, 0, false), Some(true));
+    assert_eq!(health.update_availability(0.0, 0, false), Some(false));
+    assert_eq!(health.update_availability(1.9, 0, false), None);
+    // A run on the cores already serves as a probe.
+    assert_eq!(health.update_availability(2.1, 1, false), None);
+    assert_eq!(health.update_availability(2.1, 0, false), Some(true));
 }
 
 #[test]
-fn worker_with_read_lag_is_delisted_unless_the_fleet_is_full() {
+fn worker_with_read_lag_is_unavailable_unless_the_fleet_is_full() {
     let mut health = with_read_lag();
-    assert_eq!(health.update_listing(0.0, 0, true), None);
-    assert_eq!(health.update_listing(0.0, 0, false), Some(false));
-    // It is not listed again because the fleet has filled up, but when reads have caught up.
-    assert_eq!(health.update_listing(0.0, 0, true), None);
-    health.core_is_free();
-    assert_eq!(health.update_listing(0.0, 0, true), Some(true));
+    assert_eq!(health.update_availability(0.0, 0, true), None);
+    assert_eq!(health.update_availability(0.0, 0, false), Some(false));
+    // It does not become available again because the fleet is full, but only when the read lag has ended.
+    assert_eq!(health.update_availability(0.0, 0, true), None);
+    health.record_free_core();
+    assert_eq!(health.update_availability(0.0, 0, true), Some(true));
 }
 
 #[test]
@@ -72,16 +72,16 @@
         health.run_ended(0.0, true);
     }
     assert_eq!(health.take_change(), Some(HealthState::Unhealthy(UnhealthyCause::FailingRuns)));
-    // With both, a rest is not enough for a probe while other workers have room.
-    assert_eq!(health.update_listing(3.0, 0, false), Some(false));
-    assert_eq!(health.update_listing(3.0, 0, true), Some(true));
+    // With both causes, an idle period is not enough for a probe while other workers have capacity.
+    assert_eq!(health.update_availability(3.0, 0, false), Some(false));
+    assert_eq!(health.update_availability(3.0, 0, true), Some(true));
 }
 
 #[test]
 fn probes_are_half_a_second_apart() {
     let mut health = with_failed_runs(3);
     assert!(health.is_probe_due(0.0));
-    health.probe_kept(0.0);
+    health.probe_admitted(0.0);
     assert!(!health.is_probe_due(0.49));
     assert!(health.is_probe_due(0.5));
 }
--- a/src/admission/idempotency.rs
+++ b/src/admission/idempotency.rs
@@ -1,24 +1,24 @@
-//! The table of idempotency keys: which attempts belong to one key, and which of them holds it.
+//! The table of idempotency keys: which attempts belong to a key, and which of them holds it.
 //!
-//! A key is named by the first attempt that brought it.
+//! A key's entry is identified by the first attempt that carried the key.
 
 use crate::interface::RequestId;
 use std::collections::BTreeMap;
 
-/// A key and its attempts.
+/// The state of one key.
 #[derive(Default)]
 struct IdempotencyEntry {
-    /// The attempt that is queued or runs for the key.
+    /// The attempt that is queued or running for the key.
     holder: RequestId,
     attempts: Vec<RequestId>,
     /// Attempts that wait for the holder to start, oldest first.
     waiting: Vec<RequestId>,
     has_run: bool,
-    /// The key may be repeated until then (clock, seconds).
+    /// Until when callers may repeat the key (clock, seconds).
     retained_until: f64,
 }
 
-/// All keys, by entry and by attempt.
+/// All keys, indexed by entry and by attempt.
 #[derive(Default)]
 pub(super) struct IdempotencyTable {
     entries: BTreeMap<RequestId, IdempotencyEntry>,
@@ -36,18 +36,18 @@
         self.entry_of_attempt.contains_key(&attempt)
     }
 
-    /// The entry of an attempt, while no attempt of it has run.
+    /// The entry of an attempt, as long as no attempt of that entry has run.
     pub(super) fn pending_entry_of(&self, attempt: RequestId) -> Option<RequestId> {
         let entry_id = self.entry_of_attempt.get(&attempt).copied();
         entry_id.filter(|entry_id| !self.entries[entry_id].has_run)
     }
 
-    /// Whether an attempt holds this entry, and no attempt of it has run.
+    /// Whether an attempt holds this entry and no attempt of the entry has run.
     pub(super) fn is_pending_holder(&self, entry_id: RequestId, attempt: RequestId) -> bool {
         self.entries.get(&entry_id).is_some_and(|entry| entry.holder == attempt && !entry.has_run)
     }
 
-    /// Makes an attempt the holder of an entry, which is created when it is new.
+    /// Makes an attempt the holder of an entry, which is created if it does not exist.
     pub(super) fn set_holder(&mut self, entry_id: RequestId, holder: RequestId, retained_until: f64) {
         let entry = self.entries.entry(entry_id).or_default();
         if entry.attempts.is_empty() {
@@ -68,7 +68,7 @@
         self.entry_of_attempt.insert(attempt, entry_id);
     }
 
-    /// An attempt waits for the holder no longer.
+    /// Removes an attempt from those that wait for the holder to start.
     pub(super) fn remove_waiting(&mut self, entry_id: RequestId, attempt: RequestId) {
         if let Some(entry) = self.entries.get_mut(&entry_id) {
             entry.waiting.retain(|waiting| *waiting != attempt);
@@ -80,14 +80,14 @@
         &self.entries[&entry_id].waiting
     }
 
-    /// Notes that the holder has started, and takes the attempts that waited for it.
+    /// Records that the holder has started, and takes the attempts that waited for it.
     pub(super) fn run_started(&mut self, entry_id: RequestId) -> Vec<RequestId> {
         let Some(entry) = self.entries.get_mut(&entry_id) else { return Vec::new() };
         entry.has_run = true;
         std::mem::take(&mut entry.waiting)
     }
 
-    /// Removes a key; returns its attempts.
+    /// Removes a key and returns its attempts.
     pub(super) fn remove(&mut self, entry_id: RequestId) -> Vec<RequestId> {
         let attempts = self.entries.remove(&entry_id).map(|entry| entry.attempts).unwrap_or_default();
         for attempt in &attempts {
@@ -96,7 +96,7 @@
         attempts
     }
 
-    /// The keys whose time is over and whose attempts have all ended.
+    /// The keys that callers can no longer repeat and whose attempts have all ended.
     pub(super) fn expired(&self, now: f64, in_progress: impl Fn(RequestId) -> bool) -> Vec<RequestId> {
         let expired = |entry: &IdempotencyEntry| {
             entry.retained_until <= now && !entry.attempts.iter().any(|attempt| in_progress(*attempt))
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -1,16 +1,16 @@
-//! The memory limit: requests, idempotency keys, and what another process uses.
+//! The memory limit on requests and idempotency keys, including those of another process.
 
 use crate::admission::request::Request;
 use crate::interface::Settings;
 
-/// The share of the memory that is used at most.
+/// At most this share of the memory is used.
 const MAX_SHARE: f64 = 0.95;
 
-/// The memory that this worker may use, and what keys and started runs take of it.
+/// The memory that this worker may use, and the memory that an idempotency key and a started run take.
 pub(super) struct MemoryLimit {
     max_kb: f64,
     key_entry_kb: f64,
-    run_factor: f64,
+    run_memory_factor: f64,
 }
 
 impl MemoryLimit {
@@ -18,7 +18,7 @@
         MemoryLimit {
             max_kb: settings.memory_kb * MAX_SHARE,
             key_entry_kb: settings.key_entry_kb,
-            run_factor: settings.run_memory_factor,
+            run_memory_factor: settings.run_memory_factor,
         }
     }
 
@@ -27,14 +27,14 @@
         keys as f64 * self.key_entry_kb
     }
 
-    /// Whether so much in use is over the limit.
+    /// Whether this amount in use exceeds the limit.
     pub(super) fn is_exceeded(&self, used_kb: f64) -> bool {
         used_kb > self.max_kb
     }
 
-    /// Whether a request can start while so much is in use: its memory grows then.
+    /// Whether a request can start while this amount is in use, since its memory grows when it starts.
     pub(super) fn has_room_to_start(&self, request: &Request, used_kb: f64) -> bool {
-        let growth_kb = request.kb * (self.run_factor - 1.0).max(0.0);
+        let growth_kb = request.memory_kb * (self.run_memory_factor - 1.0).max(0.0);
         used_kb + growth_kb <= self.max_kb
     }
 }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,25 +1,25 @@
 //! Admission control: which requests are admitted, when they run, and which are rejected.
 //!
-//! [`Controller`] takes one event after the other and calls the concerns in order. Each concern is a type in a file
-//! of its own, which owns its state:
+//! [`Controller`] handles one event at a time and calls its components in order. Each component is a type in a file of
+//! its own, which owns its state:
 //!
-//! | file | concern |
+//! | file | component |
 //! | --- | --- |
-//! | `request_table`, `request` | requests in progress, queues, counts by state |
+//! | `request_table`, `request` | requests in progress, queues and counts by state |
 //! | `tiers` | priority tiers |
-//! | `run_slots`, `run_limit`, `survivable_runs` | how many runs there are at once, and which request starts next |
+//! | `run_slots`, `run_limit`, `survivable_runs` | the number of concurrent runs, and which request starts next |
 //! | `run_length` | measured run lengths |
 //! | `memory` | the memory limit |
-//! | `downstream` | downstream calls: limit, budget, timeouts |
+//! | `downstream` | downstream calls: limit, time budget and timeouts |
 //! | `idempotency` | idempotency keys and their attempts |
 //! | `tenant_quotas`, `token_bucket` | tenants' quotas |
-//! | `arrival_rates` | rates of arrivals |
+//! | `arrival_rates` | arrival rates |
 //! | `rejection`, `retry_after` | whether an arrival is rejected, and when its caller may retry |
-//! | `health` | whether this worker is healthy, and what it answers to health checks |
+//! | `health` | this worker's health, and its answer to health checks |
 //! | `fleet_overload` | the directives of the fleet's overload control |
 //! | `shutdown` | the shutdown notice |
-//! | `other_process` | what the other process uses during a hot restart |
-//! | `published_weight` | the weight published to callers |
+//! | `other_process` | resources that the other process uses during a hot restart |
+//! | `published_weight` | the weight that is published to callers |
 #![warn(missing_docs)]
 
 mod arrival_rates;
--- a/src/admission/other_process.rs
+++ b/src/admission/other_process.rs
@@ -1,6 +1,6 @@
-//! What the other process of a hot restart uses of the resources that this one counts as its own.
+//! Resources in use by the other process of a hot restart, which count towards the limits of this one.
 
-/// The usage that the other process has last reported.
+/// The usage last reported by the other process.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OtherProcessUsage {
     running: usize,
--- a/src/admission/published_weight.rs
+++ b/src/admission/published_weight.rs
@@ -1,20 +1,20 @@
-//! The weight that callers give this worker, as it is published with responses.
+//! The weight of this worker that is published to callers with responses.
 
 use crate::interface::Signal;
 
 /// The published weight of an available worker.
 const AVAILABLE: f64 = 1.0;
-/// The published weight of a worker that is unhealthy or shuts down.
+/// The published weight of a worker that is unhealthy or shutting down.
 const UNAVAILABLE: f64 = 0.0;
 
-/// What was published last.
+/// The weight that was last published.
 pub(super) struct PublishedWeight {
     signal: Signal,
     available: bool,
 }
 
 impl PublishedWeight {
-    /// Nothing is published yet: callers take that for a worker that is not available.
+    /// Starts with nothing published, which callers treat as an unavailable worker.
     pub(super) fn new(signal: Signal) -> Self {
         PublishedWeight { signal, available: false }
     }
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -1,5 +1,5 @@
-//! Rejection of arrivals: those that could not be answered within their latency objective are rejected at once, as an
-//! early rejection is better than a late failure.
+//! Rejection of arrivals: a request that can't be answered within its latency objective is rejected immediately, since
+//! an early rejection is better for the caller than a late failure.
 
 use crate::admission::arrival_rates::ArrivalRates;
 use crate::admission::downstream::DownstreamCalls;
@@ -12,15 +12,16 @@
 use crate::admission::tiers::PriorityTiers;
 use crate::interface::{Class, RequestId, Settings};
 
-/// A wait is planned for a run of so many mean lengths.
+/// The waiting time allowed is computed for a run of this many expected lengths.
 const RUN_ALLOWANCE: f64 = 1.3;
-/// The queues of higher tiers may take this share of what the objective leaves.
+/// Queues of the higher tiers may take up to this share of the time that the objective leaves.
 const HIGHER_TIERS_SHARE: f64 = 0.6;
-/// Tiers with less than this share of a request's weight are no queue that it waits behind.
+/// Tiers with less than this share of a request's weight are not counted as a queue that it waits behind.
 const MIN_WEIGHT_SHARE_IN_TOTAL: f64 = 0.4;
-/// Waits in a full pool's queue, which never empties, take this share of what the objective leaves.
+/// With pools, waiting may take this share of the time that the objective leaves, since the queue of a full pool
+/// never empties.
 const POOL_WAIT_SHARE: f64 = 0.4;
-/// Higher tiers leave at least this share of the service rate.
+/// Higher tiers are assumed to leave at least this share of the service rate.
 const MIN_RATE_LEFT: f64 = 0.1;
 
 /// Why an arrival is rejected.
@@ -28,15 +29,15 @@
 pub(super) enum RejectionReason {
     /// Its run needs a downstream call that can't be made in time.
     NoDownstreamCall,
-    /// The queue of its class's pool is at capacity.
+    /// The queue of its class's pool is full.
     PoolQueueFull,
-    /// The fleet sheds its tier.
+    /// Fleet-wide overload control sheds its tier.
     FleetSheds,
-    /// It would wait too long behind what is queued.
+    /// It would wait too long behind queued requests.
     QueueTooLong,
 }
 
-/// The concerns that an arrival is held against. Nothing here changes them.
+/// The components that the decision on an arrival depends on, all read-only.
 pub(super) struct ArrivalCheck<'a> {
     pub(super) now: f64,
     pub(super) settings: &'a Settings,
@@ -47,17 +48,17 @@
     pub(super) arrivals: &'a ArrivalRates,
     pub(super) downstream: &'a DownstreamCalls,
     pub(super) fleet: &'a FleetOverload,
-    /// Demand for run slots, the other process's included.
+    /// The demand for run slots, including that of the other process.
     pub(super) demand: SlotDemand,
 }
 
 impl ArrivalCheck<'_> {
-    /// Why a request that has just been read can't be admitted, if it can't.
+    /// The reason for which a request that has just been read is rejected, if there is one.
     pub(super) fn rejection_reason(&self, request: &Request) -> Option<RejectionReason> {
         let starts_at_once = self.run_slots.starts_at_once(request.class, self.demand);
-        // The fleet's policy counts each call, so it is called whatever the other reasons.
+        // Called even if there is another reason, since the fleet's policy counts each call.
         let fleet_sheds = self.fleet.sheds(request.tier, starts_at_once);
-        if self.lacks_downstream_call(request) {
+        if self.cannot_call_in_time(request) {
             Some(RejectionReason::NoDownstreamCall)
         } else if self.run_slots.is_queue_full(request.class) {
             Some(RejectionReason::PoolQueueFull)
@@ -74,18 +75,18 @@
         &self.settings.classes[class]
     }
 
-    fn calls(&self, id: RequestId) -> bool {
+    fn makes_call(&self, id: RequestId) -> bool {
         self.class(self.requests[id].class).makes_calls
     }
 
-    /// What the objective leaves for waiting (seconds).
-    fn spare_s(&self, request: &Request) -> f64 {
+    /// How long the request can wait and still meet its objective (seconds).
+    fn wait_budget_s(&self, request: &Request) -> f64 {
         let run_s = self.run_lengths.predict(request.class, request.hint);
-        request.objective_at - self.now - run_s * RUN_ALLOWANCE
+        request.objective_deadline - self.now - run_s * RUN_ALLOWANCE
     }
 
     /// Whether the run needs a downstream call that can't be made in time.
-    fn lacks_downstream_call(&self, request: &Request) -> bool {
+    fn cannot_call_in_time(&self, request: &Request) -> bool {
         let class = self.class(request.class);
         if !class.needs_call() {
             return false;
@@ -93,28 +94,30 @@
         if self.fleet.skips_call(class.is_idempotent()) {
             return true;
         }
-        let coming = self.requests.queued_in(request.tier + 1).filter(|id| self.calls(*id)).count();
-        let ahead = self.requests.waiting_for_call_in(request.tier + 1) + coming;
+        let queued_calls =
+            self.requests.queued_in(request.tier + 1).filter(|id| self.makes_call(*id)).count();
+        let ahead = self.requests.waiting_for_call_in(request.tier + 1) + queued_calls;
         let wait_s = self.downstream.wait_s(ahead);
-        let within_s = if wait_s > 0.0 { self.spare_s(request) } else { request.objective_at - self.now };
+        let within_s =
+            if wait_s > 0.0 { self.wait_budget_s(request) } else { request.objective_deadline - self.now };
         wait_s + self.downstream.expected_call_s() > within_s
     }
 
-    /// Queue lengths stand for waiting time: they are held against what can be started in the time that the objective
-    /// leaves, with the service rate that higher tiers leave over.
+    /// Whether the queues ahead of a request are longer than what can be started within its waiting time, at the
+    /// service rate that higher tiers leave.
     fn is_queue_too_long(&self, request: &Request) -> bool {
-        let spare_s = self.spare_s(request);
+        let wait_budget_s = self.wait_budget_s(request);
         let rate = self.run_slots.service_rate(request.class, self.run_lengths);
         let rate_left = self.rate_left(request.tier, rate);
-        // Excess over quota may wait for as little as it is worth.
+        // Requests over quota may wait only in proportion to their reduced weight.
         let quota_share = if request.over_quota { self.settings.over_quota_weight } else { 1.0 };
-        let max_total = (spare_s * rate * rate_left * quota_share).max(1.0);
-        let max_ahead = (spare_s * rate * HIGHER_TIERS_SHARE).max(1.0);
+        let max_total = (wait_budget_s * rate * rate_left * quota_share).max(1.0);
+        let max_ahead = (wait_budget_s * rate * HIGHER_TIERS_SHARE).max(1.0);
         self.queued_total(request) as f64 >= max_total
             || self.queued_ahead(request, request.tier) as f64 >= max_ahead
     }
 
-    /// The share of the service rate that higher tiers leave to this one.
+    /// The share of the service rate that higher tiers leave for this tier.
     fn rate_left(&self, tier: Tier, rate: f64) -> f64 {
         match self.run_slots.pools() {
             Some(_) => POOL_WAIT_SHARE,
@@ -122,37 +125,37 @@
         }
     }
 
-    /// How many requests of the first `tiers` tiers compete with this one for run slots.
+    /// The number of queued requests of the first `tiers` tiers that compete with this one for run slots.
     fn queued_ahead(&self, request: &Request, tiers: usize) -> usize {
-        let ignores_callers = self.waits_beside_callers(request);
+        let ignores_calling_requests = self.bypasses_calling_requests(request);
         let competes = |id: &RequestId| {
-            let is_in_the_way = !(ignores_callers && self.calls(*id));
-            is_in_the_way && self.run_slots.are_shared(request.class, self.requests[*id].class)
+            let is_relevant = !(ignores_calling_requests && self.makes_call(*id));
+            is_relevant && self.run_slots.share_run_slots(request.class, self.requests[*id].class)
         };
         self.requests.queued_in(tiers).filter(competes).count()
     }
 
-    /// Whether the dependency is the bottleneck and this request makes no call: those that will wait for the dependency
-    /// are then not in its way.
-    fn waits_beside_callers(&self, request: &Request) -> bool {
+    /// Whether the dependency is the bottleneck and this request makes no call, so that requests that will wait for the
+    /// dependency do not delay it.
+    fn bypasses_calling_requests(&self, request: &Request) -> bool {
         let waiting = self.requests.waiting_for_call_in(request.tier + 1);
         !self.class(request.class).makes_calls && self.downstream.is_saturated(waiting)
     }
 
-    /// The queue that a request joins, lower tiers of similar weight included. What waits for a call counts as queued:
-    /// it comes back to the cores. For the top tier only its own queue counts: it is rejected when even it could not
-    /// end in time.
+    /// The length of the queue that a request joins, including lower tiers of similar weight. Runs that wait for a call
+    /// count as queued, since they return to the cores. For the top tier only its own queue counts, so that a request
+    /// is rejected only if that queue alone makes it too late.
     fn queued_total(&self, request: &Request) -> usize {
         if request.tier == 0 {
             return self.queued_ahead(request, 1);
         }
         let tiers = self.tiers.count_with_share_of(request.tier, MIN_WEIGHT_SHARE_IN_TOTAL);
         let queued = self.queued_ahead(request, tiers);
-        if self.waits_beside_callers(request) {
+        if self.bypasses_calling_requests(request) {
             return queued;
         }
         let shares_slots =
-            |id: &RequestId| self.run_slots.are_shared(request.class, self.requests[*id].class);
+            |id: &RequestId| self.run_slots.share_run_slots(request.class, self.requests[*id].class);
         queued + self.requests.waiting_for_call().filter(shares_slots).count()
     }
 }
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -1,4 +1,4 @@
-//! All requests in progress, with the queues and counts that follow from their states.
+//! All requests in progress, with the queues and counts derived from their states.
 
 use crate::admission::request::{Request, RequestState};
 use crate::interface::RequestId;
@@ -24,28 +24,28 @@
     unstarted_kb: f64,
     started_kb: f64,
     /// Memory of a started request, as a multiple of that of an unstarted one.
-    run_factor: f64,
+    run_memory_factor: f64,
 }
 
 impl RequestTable {
     /// An empty table.
-    pub(super) fn new(tiers: usize, classes: usize, run_factor: f64) -> Self {
+    pub(super) fn new(tiers: usize, classes: usize, run_memory_factor: f64) -> Self {
         RequestTable {
             queued: vec![BTreeSet::new(); tiers],
             waiting_for_call: vec![BTreeSet::new(); tiers],
             running_by_class: vec![0; classes],
-            run_factor,
+            run_memory_factor,
             ..RequestTable::default()
         }
     }
 
-    /// Adds a request that has just been read.
+    /// Inserts a request that has just been read.
     pub(super) fn insert(&mut self, id: RequestId, request: Request) {
-        self.unstarted_kb += request.kb;
+        self.unstarted_kb += request.memory_kb;
         self.requests.insert(id, request);
     }
 
-    /// Removes a request that has left all states.
+    /// Removes a request that has already left all states.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
         self.requests.remove(&id)
     }
@@ -62,7 +62,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// All requests, by number.
+    /// All requests, in the order of their numbers.
     pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> + '_ {
         self.requests.iter().map(|(id, request)| (*id, request))
     }
@@ -82,17 +82,17 @@
         self.queued.iter().any(|queue| !queue.is_empty())
     }
 
-    /// Requests that wait for a downstream call, the highest tier first, the oldest of a tier first.
+    /// Requests that wait to start a downstream call, the highest tier first, the oldest of a tier first.
     pub(super) fn waiting_for_call(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.waiting_for_call.iter().flatten().copied()
     }
 
-    /// By tier: how many requests wait for a downstream call.
+    /// The number of requests that wait for a downstream call, by tier.
     pub(super) fn waiting_for_call_by_tier(&self) -> impl Iterator<Item = usize> + Clone + '_ {
         self.waiting_for_call.iter().map(BTreeSet::len)
     }
 
-    /// How many requests of the first `tiers` tiers wait for a downstream call.
+    /// The number of requests of the first `tiers` tiers that wait for a downstream call.
     pub(super) fn waiting_for_call_in(&self, tiers: usize) -> usize {
         self.waiting_for_call_by_tier().take(tiers).sum()
     }
@@ -117,12 +117,12 @@
         self.calling
     }
 
-    /// Memory of all requests.
+    /// Memory of all requests (KB).
     pub(super) fn memory_kb(&self) -> f64 {
         self.unstarted_kb + self.started_kb
     }
 
-    /// Moves a request to another state, or out of all of them.
+    /// Moves a request to another state, or out of all states (`None`), and updates the queues and counts.
     pub(super) fn transition(
         &mut self,
         id: RequestId,
@@ -133,10 +133,10 @@
         let from = request.state;
         let before = *request;
         if from == RequestState::Running {
-            request.core_time_s += now - request.state_since;
+            request.core_time_s += now - request.state_entered_at;
         }
         request.state = to.unwrap_or(from);
-        request.state_since = now;
+        request.state_entered_at = now;
         self.count_leave(id, &before);
         if let Some(state) = to {
             self.count_enter(id, &Request { state, ..before });
@@ -146,9 +146,9 @@
 
     fn count_leave(&mut self, id: RequestId, request: &Request) {
         if request.state.is_unstarted() {
-            self.unstarted_kb -= request.kb;
+            self.unstarted_kb -= request.memory_kb;
         } else {
-            self.started_kb -= request.kb * self.run_factor;
+            self.started_kb -= request.memory_kb * self.run_memory_factor;
         }
         match request.state {
             RequestState::Queued => {
@@ -168,9 +168,9 @@
 
     fn count_enter(&mut self, id: RequestId, request: &Request) {
         if request.state.is_unstarted() {
-            self.unstarted_kb += request.kb;
+            self.unstarted_kb += request.memory_kb;
         } else {
-            self.started_kb += request.kb * self.run_factor;
+            self.started_kb += request.memory_kb * self.run_memory_factor;
         }
         match request.state {
             RequestState::Queued => {
@@ -191,7 +191,7 @@
 
     /// # Panics
     ///
-    /// When the request is not in the table.
+    /// Panics if the request is not in the table.
     fn index(&self, id: RequestId) -> &Request {
         &self.requests[&id]
     }
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -1,22 +1,22 @@
-//! Retry-After: when the caller of a rejected request may come back, and whether other workers would reject it too.
+//! Retry-After: when the caller of a rejected request may retry, and whether other workers would reject it too.
 
 use crate::admission::arrival_rates::ArrivalRates;
-use crate::admission::timing::{MEASUREMENT_MEMORY_S, SWEEP_INTERVAL_S};
+use crate::admission::timing::{DECAY_TIME_CONSTANT_S, SWEEP_INTERVAL_S};
 use crate::interface::Settings;
 
-/// Other workers are taken to reject as well from this share of retries among arrivals on.
+/// Other workers are assumed to reject too if more than this share of the arrivals are retries.
 const FLEET_FULL_RETRY_SHARE: f64 = 0.15;
-/// Where retries are not marked, other workers are taken to reject as well when arrivals need so many times the time
-/// that the cores have, at the baseline of run lengths.
-const FLOOD_FACTOR: f64 = 1.2;
-/// A caller's next attempt is far off beyond so many times the longest Retry-After.
+/// If retries are not marked, other workers are assumed to reject too when the arrivals, at the baseline run length,
+/// need more than this multiple of the time that the cores have.
+const OVERLOAD_FACTOR: f64 = 1.2;
+/// The time to a caller's next attempt is ignored from this multiple of the longest Retry-After on.
 const MAX_NEXT_ATTEMPT_FACTOR: f64 = 2.0;
 /// The shortest Retry-After (seconds).
 const MIN_RETRY_AFTER_S: f64 = 4.0 * SWEEP_INTERVAL_S;
 
-/// The settings of callers and of this machine that a Retry-After depends on.
+/// Computes Retry-After from settings of the callers and of this machine.
 pub(super) struct RetryAfter {
-    /// The longest Retry-After that callers heed; 0 where none is relayed (seconds).
+    /// The longest Retry-After that callers respect; 0 if none is forwarded to them (seconds).
     max_s: f64,
     callers: f64,
     cores: f64,
@@ -38,9 +38,10 @@
         self.max_s
     }
 
-    /// The Retry-After of a healthy worker (seconds): half the time that `ahead` queued requests take to start. In a
-    /// full fleet half the time to a caller's next attempt, unless that is far off.
-    pub(super) fn alone_s(
+    /// The Retry-After of a healthy worker without the fleet's overload control (seconds): half the time that `ahead`
+    /// queued requests take to start. If the fleet is full, at least half the mean time between a caller's requests,
+    /// unless that is very long.
+    pub(super) fn standalone_s(
         &self,
         ahead: usize,
         service_rate: f64,
@@ -56,19 +57,20 @@
         }
     }
 
-    /// Whether other workers are taken to reject as well, by what this worker sees: another attempt would only cost
-    /// reads then.
+    /// Whether this worker's own measurements suggest that other workers reject too, so that another attempt would
+    /// only cost reads.
     ///
-    /// Many retries show it. Where they are not marked, arrivals beyond the baseline of the cores do: callers spread
-    /// what they send, so a flood here is one everywhere, while a fault of this worker alone brings no more arrivals.
-    /// A spare worker elsewhere is then not found.
-    pub(super) fn fleet_looks_full(&self, arrivals: &ArrivalRates, baseline_run_s: f64) -> bool {
+    /// A high share of retries indicates that. If retries are not marked, arrivals over the capacity of the cores at
+    /// the baseline run length do: callers spread their requests evenly, so an overload here is an overload everywhere,
+    /// while a fault of this worker alone brings no additional arrivals. The drawback is that callers then don't find
+    /// another worker that has capacity.
+    pub(super) fn infers_full_fleet(&self, arrivals: &ArrivalRates, baseline_run_s: f64) -> bool {
         let total = arrivals.total();
         if self.marks_retries {
-            let enough_arrivals = total * MEASUREMENT_MEMORY_S > self.cores;
+            let enough_arrivals = total * DECAY_TIME_CONSTANT_S > self.cores;
             enough_arrivals && arrivals.retries() > FLEET_FULL_RETRY_SHARE * total
         } else {
-            total * baseline_run_s > FLOOD_FACTOR * self.cores
+            total * baseline_run_s > OVERLOAD_FACTOR * self.cores
         }
     }
 }
--- a/src/admission/run_length.rs
+++ b/src/admission/run_length.rs
@@ -1,21 +1,21 @@
-//! Estimates of how long runs take.
+//! Estimates of run lengths.
 
-use crate::admission::baseline::follow_baseline;
-use crate::admission::timing::fade_factor;
+use crate::admission::baseline::next_baseline;
+use crate::admission::timing::decay_factor;
 use crate::interface::{Class, LearnedRunLength};
 
-/// Before the first runs end, a run is taken to last this share of its class's latency objective.
+/// Before any run has ended, a run is expected to take this share of its class's latency objective.
 const PRIOR_SHARE_OF_OBJECTIVE: f64 = 0.25;
-/// The prior weighs as much as this many ended runs.
+/// The prior has the weight of this many ended runs.
 const PRIOR_RUNS: f64 = 3.0;
-/// Hints are used once this many runs that carried one have ended.
+/// Hints are used once this many runs with a hint have ended.
 const MIN_HINTED_RUNS: f64 = 8.0;
-/// Each ended run reduces the weight of the earlier hinted ones by this factor.
-const HINT_FADE: f64 = 0.98;
-/// A prediction lies within this factor of the mean length.
+/// Each ended run with a hint reduces the weight of the earlier ones by this factor.
+const HINT_DECAY: f64 = 0.98;
+/// A prediction is at most this factor above or below the mean length.
 const MAX_PREDICTION_FACTOR: f64 = 5.0;
 
-/// Fading sums over ended runs that carried a hint, for a least-squares line from hints to lengths.
+/// Exponentially decaying sums over ended runs with a hint, for a least-squares regression of lengths on hints.
 #[derive(Clone, Copy, Default)]
 struct HintRegression {
     count: f64,
@@ -27,21 +27,21 @@
 
 impl HintRegression {
     fn add(&mut self, hint: f64, length: f64) {
-        self.count = self.count * HINT_FADE + 1.0;
-        self.hints = self.hints * HINT_FADE + hint;
-        self.lengths = self.lengths * HINT_FADE + length;
-        self.hints_squared = self.hints_squared * HINT_FADE + hint * hint;
-        self.hints_times_lengths = self.hints_times_lengths * HINT_FADE + hint * length;
+        self.count = self.count * HINT_DECAY + 1.0;
+        self.hints = self.hints * HINT_DECAY + hint;
+        self.lengths = self.lengths * HINT_DECAY + length;
+        self.hints_squared = self.hints_squared * HINT_DECAY + hint * hint;
+        self.hints_times_lengths = self.hints_times_lengths * HINT_DECAY + hint * length;
     }
 
-    /// The slope of the line, between 0 (hints are no evidence) and lengths proportional to hints.
+    /// The slope of the regression line, between 0 (hints say nothing) and that of lengths proportional to hints.
     fn slope(&self) -> f64 {
         let covariance = self.hints_times_lengths - self.hints * self.lengths / self.count;
         let variance = self.hints_squared - self.hints * self.hints / self.count;
         (covariance / variance.max(1e-9)).clamp(0.0, self.lengths / self.hints.max(1e-9))
     }
 
-    /// The sums in the order in which they are handed to a successor.
+    /// The sums in the order of [`LearnedRunLength::hint_sums`].
     fn to_sums(self) -> [f64; 5] {
         [self.count, self.hints, self.lengths, self.hints_squared, self.hints_times_lengths]
     }
@@ -52,14 +52,14 @@
     }
 }
 
-/// The length of a class's runs: fading core time over fading ended runs. Unfinished runs count with the time
-/// they have taken so far.
+/// The length of a class's runs: decayed core time divided by the decayed count of ended runs. Unfinished runs count
+/// with the time they have taken so far.
 struct RunLengthEstimate {
     core_time: f64,
     ended: f64,
     hinted: HintRegression,
-    /// Lengths are capped here: beyond the objective a run is late whatever its length, and without the cap a
-    /// hang would be remembered long after its end.
+    /// Upper bound on a measured length: a run that exceeds the objective is late whatever its length, and without
+    /// the bound a hang would affect the estimate long after it ended.
     max_length: f64,
 }
 
@@ -74,8 +74,8 @@
         }
     }
 
-    /// What a run with this hint is expected to take. A hint counts for as much as ended runs bear it out;
-    /// rough, missing and absurd ones do no harm.
+    /// The expected length of a run with this hint. Hints have as much influence as ended runs confirm, so that
+    /// inaccurate, missing and absurd hints do no harm.
     fn predict(&self, hint: Option<f64>) -> f64 {
         let mean = self.mean();
         let Some(hint) = hint.filter(|_| self.hinted.count >= MIN_HINTED_RUNS) else { return mean };
@@ -84,7 +84,7 @@
         predicted.clamp(mean / MAX_PREDICTION_FACTOR, mean * MAX_PREDICTION_FACTOR)
     }
 
-    /// Counts a run that has ended after `length` on the cores.
+    /// Records a run that has ended after `length` on the cores.
     fn run_ended(&mut self, hint: Option<f64>, length: f64) {
         self.ended += 1.0;
         if let Some(hint) = hint {
@@ -92,12 +92,12 @@
         }
     }
 
-    /// Time passes with this many runs on the cores.
+    /// Advances the clock, with this many runs on the cores in that time.
     fn advance(&mut self, running: f64, elapsed_s: f64) {
         if self.ended > PRIOR_RUNS {
-            let fade = fade_factor(elapsed_s);
-            self.core_time *= fade;
-            self.ended *= fade;
+            let decay = decay_factor(elapsed_s);
+            self.core_time *= decay;
+            self.ended *= decay;
         }
         self.core_time = (self.core_time + running * elapsed_s).min(self.max_length * self.ended);
     }
@@ -111,12 +111,12 @@
 /// The estimates of all classes, and the baseline of their mean.
 pub(super) struct RunLengths {
     by_class: Vec<RunLengthEstimate>,
-    /// The mean length while nothing slows the runs down (seconds).
+    /// The mean length without contention (seconds).
     baseline_s: f64,
 }
 
 impl RunLengths {
-    /// First guesses.
+    /// Starts from the prior of each class.
     pub(super) fn new(classes: &[Class]) -> Self {
         let by_class = classes.iter().map(RunLengthEstimate::new).collect();
         let mut run_lengths = RunLengths { by_class, baseline_s: 0.0 };
@@ -124,17 +124,17 @@
         run_lengths
     }
 
-    /// What a run of this class and with this hint is expected to take (seconds).
+    /// The expected length of a run of this class with this hint (seconds).
     pub(super) fn predict(&self, class: usize, hint: Option<f64>) -> f64 {
         self.by_class[class].predict(hint)
     }
 
-    /// Counts a run that has ended.
+    /// Records a run that has ended.
     pub(super) fn run_ended(&mut self, class: usize, hint: Option<f64>, length_s: f64) {
         self.by_class[class].run_ended(hint, length_s);
     }
 
-    /// Time passes with this many runs on the cores, by class.
+    /// Advances the clock, with this many runs on the cores by class.
     pub(super) fn advance(&mut self, running_by_class: &[usize], elapsed_s: f64) {
         for (estimate, running) in self.by_class.iter_mut().zip(running_by_class) {
             estimate.advance(*running as f64, elapsed_s);
@@ -146,7 +146,7 @@
         self.mean_s_of(|_| true)
     }
 
-    /// The mean length over some classes (seconds).
+    /// The mean length over the classes for which `counts` is true (seconds).
     pub(super) fn mean_s_of(&self, counts: impl Fn(usize) -> bool) -> f64 {
         let counted = || self.by_class.iter().enumerate().filter(|(class, _)| counts(*class));
         let core_time: f64 = counted().map(|(_, estimate)| estimate.core_time).sum();
@@ -154,7 +154,7 @@
         (core_time / ended.max(1e-6)).max(1e-6)
     }
 
-    /// The mean lengths of the classes (seconds).
+    /// The mean lengths by class (seconds).
     pub(super) fn means_s(&self) -> Vec<f64> {
         self.by_class.iter().map(RunLengthEstimate::mean).collect()
     }
@@ -164,12 +164,12 @@
         self.baseline_s
     }
 
-    /// Lets the baseline follow the mean, once a window.
+    /// Moves the baseline towards the mean, once per window.
     pub(super) fn update_baseline(&mut self) {
-        self.baseline_s = follow_baseline(self.baseline_s, self.mean_s());
+        self.baseline_s = next_baseline(self.baseline_s, self.mean_s());
     }
 
-    /// The estimates, as they are handed to a successor.
+    /// The estimates to hand to a successor.
     pub(super) fn learned(&self) -> Vec<LearnedRunLength> {
         let learned = |estimate: &RunLengthEstimate| LearnedRunLength {
             core_time_s: estimate.core_time,
@@ -179,7 +179,7 @@
         self.by_class.iter().map(learned).collect()
     }
 
-    /// Takes over the estimates and the baseline of a predecessor.
+    /// Adopts the estimates and the baseline of a predecessor.
     pub(super) fn adopt(&mut self, learned: Vec<LearnedRunLength>, baseline_s: f64) {
         self.baseline_s = baseline_s;
         for (estimate, learned) in self.by_class.iter_mut().zip(learned) {
--- a/src/admission/run_limit.rs
+++ b/src/admission/run_limit.rs
@@ -1,25 +1,25 @@
-//! The limit on runs on the cores where no pools are set up: it climbs while cores idle with work queued.
+//! The limit on concurrent runs without class pools: it rises while cores are idle and requests are queued.
 
 use crate::interface::Gauges;
 
 /// How often the limit is adjusted (seconds).
 const WINDOW_S: f64 = 0.5;
-/// Cores count as busy from this share on.
+/// The cores count as busy from this utilization on.
 const BUSY_SHARE: f64 = 0.95;
 
-/// What wants run slots, and what has them.
+/// The demand for run slots, and their use.
 #[derive(Clone, Copy)]
 pub(super) struct SlotDemand {
-    /// Runs on the cores, those of the other process included.
+    /// Runs on the cores, including those of the other process.
     pub(super) running: usize,
     /// Whether any request is queued.
     pub(super) has_queued: bool,
 }
 
-/// The limit, and the ended runs that it is adjusted by.
+/// The limit, and the counts of ended runs by which it is adjusted.
 pub(super) struct RunLimit {
     runs: usize,
-    /// No adjustment goes below this: one run for each core.
+    /// Lower bound of the adjustment: one run for each core.
     min_runs: usize,
     window_ends: f64,
     ended_in_window: u32,
@@ -43,23 +43,24 @@
         self.runs
     }
 
-    /// Sets the limit to what pools or a predecessor have found.
+    /// Sets the limit to that of the pools or of a predecessor.
     pub(super) fn set(&mut self, runs: usize) {
         self.runs = runs;
     }
 
-    /// Counts a run that has ended by itself.
+    /// Counts a run that has ended without being cancelled.
     pub(super) fn count_ended_run(&mut self) {
         self.ended_in_window += 1;
     }
 
-    /// Whether the window is over.
+    /// Whether the present window has ended.
     pub(super) fn is_review_due(&self, now: f64) -> bool {
         now >= self.window_ends
     }
 
-    /// Adjusts the limit at the end of a window: up a step while cores idle with work queued, down a step only when
-    /// they are busy and completions stop rising. Not up while unhealthy: hung runs leave the cores idle.
+    /// Adjusts the limit at the end of a window: up by one while cores are idle and requests are queued, down by one
+    /// only if the cores are busy and completions no longer rise. It does not rise while the worker is unhealthy, since
+    /// hung runs leave the cores idle.
     pub(super) fn review(
         &mut self,
         now: f64,
@@ -81,7 +82,7 @@
         self.window_ends = now + WINDOW_S;
     }
 
-    /// Whether a core is free now; without such a gauge, whether the cores were not busy recently.
+    /// Whether a core is free now; without that gauge, whether the cores were not busy recently.
     fn cores_idle(&self, gauges: &Gauges) -> bool {
         match gauges.runnable {
             Some(runnable) => runnable < self.min_runs as f64,
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Whether requests are queued for want of a slot. What is queued because of a downstream call wants none.
+    /// Whether requests are queued because all slots are in use. Requests that are queued because of a downstream call
+    /// need no slot yet.
     fn is_exhausted(&self, demand: SlotDemand) -> bool {
         demand.has_queued && demand.running >= self.runs
     }
@@ -99,7 +101,7 @@
     }
 }
 
-/// Whether the cores were busy recently; without such a gauge they are taken to be.
+/// Whether the cores were busy recently; assumed if there is no such gauge.
 fn cores_busy(gauges: &Gauges) -> bool {
     gauges.cores_busy.unwrap_or(1.0) >= BUSY_SHARE
 }
--- a/src/admission/run_limit/tests.rs
+++ b/src/admission/run_limit/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn limit_rises_a_step_while_a_core_is_idle_and_requests_want_slots() {
+fn limit_rises_by_one_while_a_core_is_idle_and_requests_want_slots() {
     assert_eq!(reviewed(&gauges(0.5, 3.0), QUEUED, true), CORES + 1);
 }
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn limit_falls_while_cores_are_busy_until_completions_rise_and_never_under_the_cores() {
+fn limit_falls_while_cores_are_busy_until_completions_rise_and_never_below_the_cores() {
     let busy = gauges(1.0, 9.0);
     let mut limit = RunLimit::new(CORES, 0.0);
     limit.set(CORES + 2);
--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -1,7 +1,7 @@
-//! Run slots: how many runs there are at once, and which queued request starts next.
+//! Run slots: the number of concurrent runs, and which queued request starts next.
 //!
-//! Where an operator has set up class pools, they choose the class that may start and set the number of runs; else one
-//! limit serves all classes.
+//! If the operator has configured class pools, they select the class that may start and set the number of runs;
+//! otherwise one limit applies to all classes.
 
 use crate::admission::request_table::{RequestTable, Transition};
 use crate::admission::run_length::RunLengths;
@@ -25,7 +25,7 @@
 }
 
 impl RunSlots {
-    /// Without pools; see [`RunSlots::set_pools`].
+    /// Starts without pools; see [`RunSlots::set_pools`].
     pub(super) fn new(settings: &Settings, now: f64) -> Self {
         RunSlots {
             survivable: SurvivableRuns::new(settings, now),
@@ -38,17 +38,17 @@
         self.pools.as_ref()
     }
 
-    /// The limit on runs, which with pools follows theirs.
+    /// The limit on runs; with pools it follows their limit.
     pub(super) fn limit(&self) -> usize {
         self.limit.runs()
     }
 
-    /// Runs on the cores, or back to them, that are survived for certain.
+    /// The number of concurrent runs that the machine survives for certain, including runs that return to the cores.
     pub(super) fn survivable_runs(&self, now: f64) -> usize {
         self.survivable.at(now)
     }
 
-    /// Takes up other pools, or none. Runs and queues stay as they are.
+    /// Replaces the pools, or removes them (`None`). Runs and queues are not affected.
     pub(super) fn set_pools(
         &mut self,
         plan: Option<PoolPlan>,
@@ -71,28 +71,28 @@
         self.pools = Some(pools);
     }
 
-    /// Time passes.
+    /// Advances the clock.
     pub(super) fn advance(&mut self, elapsed_s: f64) {
         if let Some(pools) = &mut self.pools {
             pools.advance(elapsed_s);
         }
     }
 
-    /// A request has gone to another state.
+    /// Updates the counts of the pools after a change of state.
     pub(super) fn request_moved(&mut self, transition: &Transition) {
         if let Some(pools) = &mut self.pools {
             pools.moved(transition.class, transition.from, transition.to);
         }
     }
 
-    /// A run of this class has ended after so long on the cores (seconds).
+    /// Records a run of this class that has ended after `length_s` on the cores.
     pub(super) fn run_ended(&mut self, class: usize, length_s: f64) {
         if let Some(pools) = &mut self.pools {
             pools.run_ended(class, length_s);
         }
     }
 
-    /// Counts a run that has ended by itself: such runs are what the limit is to let through.
+    /// Counts a run that has ended without being cancelled: the limit is adjusted to maximize such completions.
     pub(super) fn count_completed_run(&mut self) {
         self.limit.count_ended_run();
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Lets the pools review their limit; returns what operators should see of it.
+    /// Lets the pools review their limit, and returns the events to report to operators.
     pub(super) fn review_pools(&mut self, now: f64) -> Vec<AdmissionEvent> {
         let survivable_runs = self.survivable.at(now);
         let Some(pools) = &mut self.pools else { return Vec::new() };
@@ -112,7 +112,7 @@
         pools.take_events()
     }
 
-    /// Whether the window is over after which the limit is reviewed.
+    /// Whether the present review window has ended.
     pub(super) fn is_review_due(&self, now: f64) -> bool {
         self.limit.is_review_due(now)
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether a request of this class that comes now would start at once.
+    /// Whether a request of this class that arrives now would start immediately.
     pub(super) fn starts_at_once(&self, class: usize, demand: SlotDemand) -> bool {
         match &self.pools {
             Some(pools) => pools.starts_at_once(class),
@@ -133,18 +133,18 @@
         }
     }
 
-    /// Whether the queue of this class's pool is at capacity.
+    /// Whether the queue of this class's pool is full.
     pub(super) fn is_queue_full(&self, class: usize) -> bool {
         self.pools.as_ref().is_some_and(|pools| pools.is_queue_full(class))
     }
 
-    /// Whether two classes wait for the same run slots.
-    pub(super) fn are_shared(&self, class: usize, other: usize) -> bool {
+    /// Whether two classes compete for the same run slots.
+    pub(super) fn share_run_slots(&self, class: usize, other: usize) -> bool {
         self.pools.as_ref().is_none_or(|pools| pools.share_pool(other, class))
     }
 
-    /// Runs a second: slots over the time on the cores, waits for calls apart. With pools, on the slots on which the
-    /// pool of this class can count.
+    /// Runs per second: slots divided by the mean time on the cores, without waits for calls. With pools, the slots are
+    /// those that the pool of this class can expect.
     pub(super) fn service_rate(&self, class: usize, run_lengths: &RunLengths) -> f64 {
         match &self.pools {
             Some(pools) => {
@@ -154,16 +154,17 @@
         }
     }
 
-    /// The request to start next, if a slot is free for one. `startable` has the highest tier and the oldest first.
+    /// The request to start next, if a slot is free for one. `startable` is ordered by tier, highest first, then by
+    /// age, oldest first.
     pub(super) fn choose(
         &mut self,
         now: f64,
         running: usize,
-        running_elsewhere: usize,
+        other_running: usize,
         mut startable: impl Iterator<Item = Startable>,
     ) -> Option<RequestId> {
         if let Some(pools) = &mut self.pools {
-            let survivable_runs = self.survivable.at(now).saturating_sub(running_elsewhere);
+            let survivable_runs = self.survivable.at(now).saturating_sub(other_running);
             return pools.choose(startable.map(|request| (request.id, request.class)), survivable_runs);
         }
         if running < self.limit.runs() {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Takes over a predecessor's limit, within what is survived; a limit that is higher stays.
+    /// Adopts a predecessor's limit, bounded by the survivable runs; a higher present limit is kept.
     pub(super) fn adopt(&mut self, runs: usize, now: f64) {
         self.limit.set(runs.min(self.survivable.at(now)).max(self.limit.runs()));
     }
--- a/src/admission/shutdown.rs
+++ b/src/admission/shutdown.rs
@@ -1,20 +1,20 @@
-//! The shutdown notice, and the times that follow from it.
+//! The shutdown notice and the deadlines that follow from it.
 
 use crate::admission::timing::SWEEP_INTERVAL_S;
 
-/// All requests are answered this long before the worker is stopped (seconds).
+/// All requests are answered at least this long before the worker is stopped (seconds).
 const MARGIN_S: f64 = 0.25;
 
 /// A shutdown notice (clock, seconds).
 #[derive(Clone, Copy)]
 struct ShutdownNotice {
-    received: f64,
-    stop: f64,
+    received_at: f64,
+    stop_at: f64,
 }
 
-/// The shutdown of this worker, once it is announced.
+/// The shutdown state of this worker.
 pub(super) struct Shutdown {
-    /// How long after the notice an arrival may still be run (seconds).
+    /// How long after the notice arrivals may still be run (seconds).
     grace_s: f64,
     notice: Option<ShutdownNotice>,
 }
@@ -24,25 +24,25 @@
         Shutdown { grace_s, notice: None }
     }
 
-    /// Notes a notice that came so long ago: the worker is stopped in so long.
-    pub(super) fn announce(&mut self, now: f64, ago_s: f64, in_s: f64) {
-        self.notice = Some(ShutdownNotice { received: now - ago_s, stop: now + in_s });
+    /// Records a notice that was received `notice_age_s` before `now`; the worker is stopped `stop_in_s` after `now`.
+    pub(super) fn announce(&mut self, now: f64, notice_age_s: f64, stop_in_s: f64) {
+        self.notice = Some(ShutdownNotice { received_at: now - notice_age_s, stop_at: now + stop_in_s });
     }
 
     pub(super) fn is_announced(&self) -> bool {
         self.notice.is_some()
     }
 
-    /// Whether a request that reached the worker at this time may no longer start.
-    pub(super) fn is_too_late_to_start(&self, arrived: f64, now: f64) -> bool {
+    /// Whether a request that reached the worker at `arrived_at` may no longer start.
+    pub(super) fn is_too_late_to_start(&self, arrived_at: f64, now: f64) -> bool {
         let Some(notice) = self.notice else { return false };
-        let grace_ends = notice.received + self.grace_s - SWEEP_INTERVAL_S;
-        arrived > grace_ends || now >= notice.stop - MARGIN_S
+        let grace_ends = notice.received_at + self.grace_s - SWEEP_INTERVAL_S;
+        arrived_at > grace_ends || now >= notice.stop_at - MARGIN_S
     }
 
-    /// When all requests must be answered.
+    /// The time by which all requests must be answered.
     pub(super) fn answer_by(&self) -> Option<f64> {
-        self.notice.map(|notice| notice.stop - MARGIN_S)
+        self.notice.map(|notice| notice.stop_at - MARGIN_S)
     }
 
     /// Whether a run that ends at this time would be answered too late.
--- a/src/admission/shutdown/tests.rs
+++ b/src/admission/shutdown/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A notice that came a second ago: the worker is stopped in three seconds, and the grace is two.
+/// A shutdown with a notice that was received one second ago, a stop in three seconds and a grace of two seconds.
 fn announced() -> Shutdown {
     let mut shutdown = Shutdown::new(2.0);
     shutdown.announce(10.0, 1.0, 3.0);
--- a/src/admission/survivable_runs.rs
+++ b/src/admission/survivable_runs.rs
@@ -1,29 +1,29 @@
-//! How many runs at once this machine survives for certain: fewer while it warms up.
+//! The number of concurrent runs that this machine survives for certain; it is lower while the worker warms up.
 
 use crate::admission::timing::SWEEP_INTERVAL_S;
 use crate::interface::Settings;
 
-/// The share of the survivable runs that is used at most.
+/// At most this share of the survivable runs is used.
 const MAX_SHARE: f64 = 0.8;
 
-/// The survivable limit, as the settings describe the machine.
+/// The survivable runs of the machine that the settings describe.
 pub(super) struct SurvivableRuns {
     cores: f64,
-    /// Runs for each core that a warm worker survives, beyond the first.
+    /// Runs per core that a warm worker survives, beyond the first.
     extra_per_core: f64,
     warm_up: Option<WarmUp>,
 }
 
-/// The slow start of a cold worker.
+/// The reduced speed of a cold worker after its start.
 struct WarmUp {
     started_at: f64,
-    /// The share of its speed that it has at the start.
+    /// The share of its full speed that it has at the start.
     cold_speed: f64,
     duration_s: f64,
 }
 
 impl WarmUp {
-    /// The share of its speed that the worker has for certain.
+    /// The share of its full speed that the worker has for certain.
     fn speed(&self, now: f64) -> f64 {
         let warmed_up = (now - self.started_at) / self.duration_s;
         (self.cold_speed + (1.0 - self.cold_speed) * warmed_up).min(1.0)
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Runs on the cores, or back to them, that are survived for certain.
+    /// The number of runs at this time, including runs that return to the cores.
     pub(super) fn at(&self, now: f64) -> usize {
         let speed = self.warm_up.as_ref().map_or(1.0, |warm_up| warm_up.speed(now));
         let runs = self.cores * (1.0 + self.extra_per_core * speed);
--- a/src/admission/tenant_quotas.rs
+++ b/src/admission/tenant_quotas.rs
@@ -1,25 +1,25 @@
-//! Tenants' quotas: this worker's even part of each, and which tenants send far more than their part.
+//! Tenants' quotas: this worker's even share of each quota, and which tenants send far more than their share.
 
-use crate::admission::timing::fade_factor;
+use crate::admission::timing::decay_factor;
 use crate::admission::token_bucket::TokenBucket;
 use crate::interface::{Settings, TenantTraffic};
 
-/// A tenant may save up its even part of the quota for this time (seconds).
+/// The capacity of a tenant's bucket: its quota on this worker for this time (seconds).
 const BURST_S: f64 = 2.0;
-/// A tenant may save up this many requests at least.
+/// The least capacity of a tenant's bucket (requests).
 const MIN_BURST: f64 = 4.0;
-/// A tenant's part of the arrivals is excessive at this multiple of its part of the quotas.
+/// A tenant's share of the arrivals is excessive above this multiple of its share of the quotas.
 const EXCESSIVE_MULTIPLE: f64 = 1.3;
 
-/// How a tenant stands with its quota.
+/// How a tenant's traffic compares with its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QuotaStatus {
-    /// Its bucket has a token, or there is no tenant.
+    /// Its bucket has a token, or the request has no tenant.
     Within,
     /// Its bucket is empty.
     Exhausted,
-    /// Its bucket is empty, and its part of the arrivals is far over its part of the quotas. An empty bucket alone
-    /// may come from a fleet that shrank, a lost zone or retries: then all tenants look over quota.
+    /// Its bucket is empty, and its share of the arrivals far exceeds its share of the quotas. An empty bucket alone
+    /// may result from a smaller fleet, a lost zone or retries, in which case all tenants seem to be over quota.
     Excessive,
 }
 
@@ -30,17 +30,17 @@
     }
 }
 
-/// One tenant: its bucket, and its recent arrivals, fading.
+/// The bucket of one tenant, and its recent arrivals (exponentially decaying).
 struct TenantUsage {
     bucket: TokenBucket,
     recent_arrivals: f64,
 }
 
 impl TenantUsage {
-    /// Whether its part of the arrivals is far over its part of the quotas.
+    /// Whether its share of the arrivals far exceeds its share of the quotas.
     fn is_excessive(&self, all_arrivals: f64, all_rates_per_s: f64) -> bool {
-        let fair = EXCESSIVE_MULTIPLE * self.bucket.rate_per_s() * (all_arrivals + 1.0);
-        self.recent_arrivals > MIN_BURST && self.recent_arrivals * all_rates_per_s > fair
+        let threshold = EXCESSIVE_MULTIPLE * self.bucket.rate_per_s() * (all_arrivals + 1.0);
+        self.recent_arrivals > MIN_BURST && self.recent_arrivals * all_rates_per_s > threshold
     }
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl TenantQuotas {
-    /// Full buckets with this worker's even part of each tenant's quota.
+    /// Starts with full buckets, with this worker's even share of each tenant's quota.
     pub(super) fn new(settings: &Settings) -> Self {
         let workers = f64::from(settings.workers.max(1));
         let usage = |quota_per_s: f64| {
@@ -61,19 +61,19 @@
         TenantQuotas { tenants: settings.tenants.iter().map(|tenant| usage(tenant.quota_per_s)).collect() }
     }
 
-    /// Time passes.
+    /// Advances the clock.
     pub(super) fn advance(&mut self, elapsed_s: f64) {
-        let fade = fade_factor(elapsed_s);
+        let decay = decay_factor(elapsed_s);
         for tenant in &mut self.tenants {
             tenant.bucket.refill(elapsed_s);
-            tenant.recent_arrivals *= fade;
+            tenant.recent_arrivals *= decay;
         }
     }
 
-    /// Counts an arrival of a tenant; returns how the tenant stands with its quota.
+    /// Counts an arrival of a tenant and returns the tenant's status.
     pub(super) fn count_arrival(&mut self, tenant: Option<usize>) -> QuotaStatus {
         let all_rates_per_s: f64 = self.tenants.iter().map(|usage| usage.bucket.rate_per_s()).sum();
-        // The arrivals before this one.
+        // Without this arrival.
         let all_arrivals: f64 = self.tenants.iter().map(|usage| usage.recent_arrivals).sum();
         let Some(usage) = self.usage_mut(tenant) else { return QuotaStatus::Within };
         usage.recent_arrivals += 1.0;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes a token of a tenant.
+    /// Takes a token from a tenant's bucket.
     pub(super) fn take_token(&mut self, tenant: Option<usize>) {
         if let Some(usage) = self.usage_mut(tenant) {
             usage.bucket.take();
@@ -97,7 +97,7 @@
         self.tenants.get_mut(tenant?)
     }
 
-    /// By tenant: tokens left and recent arrivals.
+    /// Tokens left and recent arrivals, by tenant.
     pub(super) fn learned(&self) -> Vec<TenantTraffic> {
         let learned = |usage: &TenantUsage| TenantTraffic {
             tokens: usage.bucket.tokens(),
@@ -106,10 +106,10 @@
         self.tenants.iter().map(learned).collect()
     }
 
-    /// Takes over what another process counted; no bucket gets more tokens than it has.
+    /// Adopts the counts of another process. No bucket gains tokens by that.
     pub(super) fn adopt(&mut self, learned: Vec<TenantTraffic>) {
         for (usage, learned) in self.tenants.iter_mut().zip(learned) {
-            usage.bucket.reduce_to(learned.tokens);
+            usage.bucket.cap_at(learned.tokens);
             usage.recent_arrivals = learned.arrivals;
         }
     }
--- a/src/admission/tenant_quotas/tests.rs
+++ b/src/admission/tenant_quotas/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::interface::Tenant;
 
-/// Two tenants with a quota of ten requests a second each, on the only worker.
+/// Two tenants with a quota of ten requests per second each, on the only worker of the fleet.
 fn quotas() -> TenantQuotas {
     let tenants = vec![Tenant { quota_per_s: 10.0 }; 2];
     TenantQuotas::new(&Settings { workers: 1, tenants, ..Settings::default() })
 }
 
-/// Lets so many requests of a tenant arrive and take a token each.
+/// Counts this many arrivals of a tenant, each of which takes a token.
 fn admit(quotas: &mut TenantQuotas, tenant: usize, requests: usize) {
     for _ in 0..requests {
         quotas.count_arrival(Some(tenant));
--- a/src/admission/timing.rs
+++ b/src/admission/timing.rs
@@ -1,12 +1,13 @@
-//! Time constants that several concerns share.
+//! Times that several components share.
 
-/// Interval between two wake-ups, in which due times are checked: well inside the slack on responses (seconds).
+/// Interval between two sweeps, which check deadlines; well below the slack on responses (seconds).
 pub(super) const SWEEP_INTERVAL_S: f64 = 0.025;
 
-/// Time constant of the fading averages, long against one run and short against a change of speed (seconds).
-pub(super) const MEASUREMENT_MEMORY_S: f64 = 5.0;
+/// Time constant of the exponentially decaying averages: long compared with one run, short compared with a change of
+/// the machine's speed (seconds).
+pub(super) const DECAY_TIME_CONSTANT_S: f64 = 5.0;
 
-/// The factor by which a fading average shrinks in this time.
-pub(super) fn fade_factor(elapsed_s: f64) -> f64 {
-    (-elapsed_s / MEASUREMENT_MEMORY_S).exp()
+/// The factor by which an exponentially decaying sum shrinks in this time.
+pub(super) fn decay_factor(elapsed_s: f64) -> f64 {
+    (-elapsed_s / DECAY_TIME_CONSTANT_S).exp()
 }
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -1,6 +1,6 @@
 //! A token bucket.
 
-/// Tokens that fill up at a constant rate to a capacity.
+/// Tokens that are refilled at a constant rate up to a capacity.
 pub(super) struct TokenBucket {
     rate_per_s: f64,
     tokens: f64,
@@ -13,7 +13,7 @@
         TokenBucket { rate_per_s, tokens: capacity, capacity }
     }
 
-    /// Tokens added a second.
+    /// Tokens added per second.
     pub(super) fn rate_per_s(&self) -> f64 {
         self.rate_per_s
     }
@@ -23,22 +23,22 @@
         self.tokens
     }
 
-    /// Time passes.
+    /// Adds the tokens of the elapsed time.
     pub(super) fn refill(&mut self, elapsed_s: f64) {
         self.tokens = (self.tokens + self.rate_per_s * elapsed_s).min(self.capacity);
     }
 
-    /// Takes one token, or what is left of one.
+    /// Takes one token, or the rest if there is less than one.
     pub(super) fn take(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Leaves this many tokens at most.
-    pub(super) fn reduce_to(&mut self, tokens: f64) {
+    /// Reduces the tokens to at most this many.
+    pub(super) fn cap_at(&mut self, tokens: f64) {
         self.tokens = tokens.min(self.tokens);
     }
 
-    /// Whether less than a whole token is left.
+    /// Whether less than one whole token is left.
     pub(super) fn is_empty(&self) -> bool {
         self.tokens < 1.0
     }
