--- a/src/config/pools/assignment.rs
+++ b/src/config/pools/assignment.rs
@@ -33,7 +33,7 @@
             guarantee: block.guarantee,
             ceiling: block.ceiling,
             weight: block.weight,
-            queue: block.queue,
+            queue_capacity: block.queue,
         });
         Ok(())
     }
@@ -96,7 +96,7 @@
             guarantee: 0.0,
             ceiling: default_ceiling(),
             weight: default_weight(),
-            queue: default_queue(),
+            queue_capacity: default_queue(),
         });
         self.pools.len() - 1
     }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -107,7 +107,7 @@
     /// Its weight when free slots are divided among the pools that need some.
     pub weight: f64,
     /// The capacity of its queue (requests).
-    pub queue: usize,
+    pub queue_capacity: usize,
 }
 
 /// Run slots that are reserved for one pool.
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -131,7 +131,7 @@
                 pool: item.name.clone(),
                 rejected: queue.rejected - reported.rejected,
                 queued: queue.queued,
-                queue_capacity: item.queue,
+                queue_capacity: item.queue_capacity,
             });
             *reported = ReportedRejections { at: now, rejected: queue.rejected };
         }
--- a/src/pools/slots.rs
+++ b/src/pools/slots.rs
@@ -82,7 +82,7 @@
     #[must_use]
     pub fn is_queue_full(&self, class: usize) -> bool {
         let pool = self.pool_of(class);
-        self.queued(pool) >= self.plan.pools[pool].queue
+        self.queued(pool) >= self.plan.pools[pool].queue_capacity
     }
 
     /// Whether a request of this class that comes now would start at once.
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -4,7 +4,7 @@
 use crate::pools::{Place, Pools};
 
 pub(super) fn item(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolSpec {
-    PoolSpec { name: name.to_owned(), guarantee, ceiling, weight, queue: 50 }
+    PoolSpec { name: name.to_owned(), guarantee, ceiling, weight, queue_capacity: 50 }
 }
 
 /// A reserve of so many slots.
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -102,7 +102,8 @@
         assert_eq!(plan.reserve, Some(PoolReserve { pool: 0, slots: 1 }));
         // Classes in the configuration's order: status-check, eligibility, port-submit.
         assert_eq!(plan.pool_of, [0, 2, 1]);
-        let pools = plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue));
+        let pools =
+            plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue_capacity));
         let expected =
             [("cheap", 0.15, 1.0, 1.0, 256), ("orders", 0.35, 1.0, 3.0, 64), ("heavy", 0.3, 0.8, 2.0, 128)];
         assert_eq!(pools.collect::<Vec<_>>(), expected);
@@ -143,7 +144,10 @@
     let reserve = PoolReserve { pool: 0, slots: 2 };
     assert_eq!((plan.reserve, plan.pool_of), (Some(reserve), vec![1, 1, 0]));
     let orders = &plan.pools[0];
-    assert_eq!((orders.guarantee, orders.ceiling, orders.weight, orders.queue), (0.25, 0.75, 2.5, 32));
+    assert_eq!(
+        (orders.guarantee, orders.ceiling, orders.weight, orders.queue_capacity),
+        (0.25, 0.75, 2.5, 32)
+    );
 
     let http2 = operator.http2.unwrap();
     assert_eq!(
@@ -187,7 +191,8 @@
     assert_eq!((plan.min_slots, plan.max_slots, plan.min_samples), (6, 12, 16));
     assert_eq!((plan.window_s, plan.review_s, plan.slow_ratio), (10.0, 0.5, 1.6));
     assert_eq!((plan.reserve, plan.pool_of), (None, vec![1, 1, 0]));
-    let pools = plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue));
+    let pools =
+        plan.pools.iter().map(|p| (p.name.as_str(), p.guarantee, p.ceiling, p.weight, p.queue_capacity));
     let expected = [("orders", 0.0, 1.0, 1.0, 256), ("rest", 0.0, 1.0, 1.0, 256)];
     assert_eq!(pools.collect::<Vec<_>>(), expected);
 
