--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -195,18 +195,18 @@
             survivable_multiple: contract.fall_multiple,
             survivable_window_s: contract.tip_after_s,
             memory_kb: domain.heap_kb,
-            run_factor: domain.run_factor,
+            run_memory_factor: domain.run_factor,
             key_entry_kb: domain.key_entry_kb,
             shutdown_grace_s: contract.drain_grace_s,
             answer_slack_s: contract.grace_to_answer_s,
-            wake_ahead_s: self.period_s,
+            min_event_interval_s: self.period_s,
             max_retry_after_s: if self.limits.retry_after { self.limits.max_retry_after_s } else { 0.0 },
             over_quota_weight: self.over_quota_weight,
             callers: domain.senders,
             workers: self.servers,
             marks_retries: self.clients.marks_retry,
-            health_listed: domain.readiness,
-            idle_s: domain.idle_s,
+            callers_see_health: domain.readiness,
+            max_connection_idle_s: domain.idle_s,
             preemption: domain.preemption(),
             signal: domain.published_signal(),
             dependency: domain.dependency(),
@@ -218,7 +218,7 @@
                 .collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
             pools: None,
-            overload: false,
+            fleet_overload_control: false,
         }
     }
 
@@ -228,9 +228,9 @@
             late_weight: profile.late_weight,
             objective_s: profile.objective_s,
             deadline_s: profile.deadline_s,
-            effect: profile.idempotency(),
+            idempotency: profile.idempotency(),
             window_s: profile.window_s,
-            calls: self.domain.class_calls.get(index).copied().unwrap_or_default(),
+            makes_calls: self.domain.class_calls.get(index).copied().unwrap_or_default(),
             skipped_call_weight: self.domain.skipped_call_weights.get(index).copied().unwrap_or_default(),
         }
     }
--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -3,7 +3,7 @@
 mod assignment;
 
 use super::{ConfigError, PlatformSettings};
-use crate::interface::{PoolItem, PoolPlan, PoolReserve};
+use crate::interface::{PoolPlan, PoolReserve, PoolSpec};
 use assignment::Assignment;
 use serde::Deserialize;
 
@@ -170,7 +170,7 @@
     Ok(())
 }
 
-fn check_guarantees(pools: &[PoolItem]) -> Result<(), ConfigError> {
+fn check_guarantees(pools: &[PoolSpec]) -> Result<(), ConfigError> {
     let sum: f64 = pools.iter().map(|pool| pool.guarantee).sum();
     if sum > 1.0 + GUARANTEE_TOLERANCE {
         return Err(ConfigError::GuaranteesAboveOne { sum });
@@ -205,7 +205,7 @@
 
 impl ReserveSettings {
     /// Checks the reserve and resolves the name of its pool.
-    fn plan(&self, pools: &[PoolItem], min_slots: usize) -> Result<PoolReserve, ConfigError> {
+    fn plan(&self, pools: &[PoolSpec], min_slots: usize) -> Result<PoolReserve, ConfigError> {
         let Some(pool) = pools.iter().position(|pool| pool.name == self.pool) else {
             let key = "pools.reserve.pool".to_owned();
             return Err(ConfigError::UnknownName { key, kind: "pool", name: self.pool.clone() });
--- a/src/config/pools/assignment.rs
+++ b/src/config/pools/assignment.rs
@@ -2,7 +2,7 @@
 
 use super::{default_ceiling, default_queue, default_weight, PoolBlock, REST_POOL};
 use crate::config::{ConfigError, PlatformSettings};
-use crate::interface::PoolItem;
+use crate::interface::PoolSpec;
 
 /// Longest name of a pool (bytes).
 const MAX_POOL_NAME_BYTES: usize = 64;
@@ -10,7 +10,7 @@
 /// The pools added so far, and the assignment of classes to them.
 pub(super) struct Assignment<'a> {
     settings: &'a PlatformSettings,
-    pub(super) pools: Vec<PoolItem>,
+    pub(super) pools: Vec<PoolSpec>,
     /// The index of the pool of each class, by class.
     pub(super) pool_of: Vec<Option<usize>>,
 }
@@ -28,12 +28,12 @@
             self.assign(block, class)?;
         }
         block.check_shares()?;
-        self.pools.push(PoolItem {
+        self.pools.push(PoolSpec {
             name: block.name.clone(),
             guarantee: block.guarantee,
             ceiling: block.ceiling,
             weight: block.weight,
-            queue: block.queue,
+            queue_capacity: block.queue,
         });
         Ok(())
     }
@@ -91,12 +91,12 @@
         if let Some(rest) = self.pools.iter().position(|pool| pool.name == REST_POOL) {
             return rest;
         }
-        self.pools.push(PoolItem {
+        self.pools.push(PoolSpec {
             name: REST_POOL.to_owned(),
             guarantee: 0.0,
             ceiling: default_ceiling(),
             weight: default_weight(),
-            queue: default_queue(),
+            queue_capacity: default_queue(),
         });
         self.pools.len() - 1
     }
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -68,7 +68,7 @@
         let classes = settings.classes.clone();
         let longest_deadline_s = classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
         let max_keys = (result_bytes / RESULT_BYTES_PER_KEY).max(MIN_KEYS);
-        let run_factor = settings.run_factor;
+        let run_factor = settings.run_memory_factor;
         let marks_retries = settings.marks_retries;
         let fingerprint_key = FingerprintKey(settings.seed, !settings.seed);
         let mut dispatcher = Dispatcher {
@@ -201,7 +201,7 @@
             Input::Shutdown { noticed_at, stop_at } => {
                 let ago_s = effects.now - noticed_at;
                 let in_s = stop_at - effects.now;
-                effects.events.push_back(Event::Shutdown { ago_s, in_s });
+                effects.events.push_back(Event::Shutdown { notice_age_s: ago_s, stop_in_s: in_s });
             }
             Input::RespondAll => self.respond_to_all(effects),
             Input::Woken(gauges) => effects.events.push_back(Event::Woken(gauges)),
@@ -241,7 +241,7 @@
         let Some((id, in_flight)) = self.in_flight.by_name_mut(name) else { return };
         in_flight.pending_call = Some(call);
         in_flight.last_command = None;
-        effects.events.push_back(Event::AtCall(id));
+        effects.events.push_back(Event::CallRequested(id));
     }
 
     fn on_call_ended(
@@ -270,7 +270,7 @@
         self.metrics.record_disconnect(in_flight.request.class);
         // A started run continues, and its result is retained for the next attempt.
         if !in_flight.has_started() {
-            effects.events.push_back(Event::CallerGone(id));
+            effects.events.push_back(Event::CallerDisconnected(id));
             self.abandoned.push(id);
         }
     }
@@ -278,12 +278,12 @@
     pub(super) fn set_predecessor_usage(&mut self, usage: ResourceUsage, effects: &mut Effects<'_>) {
         self.predecessor_usage = usage;
         let ResourceUsage { on_cores, downstream_calls: calling, memory_kb: kb } = usage;
-        effects.events.push_back(Event::OtherProcess { on_cores, calling, kb });
+        effects.events.push_back(Event::OtherProcess { on_cores, calling, memory_kb: kb });
     }
 }
 
 fn on_learned_state(learned: LearnedState, effects: &mut Effects<'_>) {
-    if learned.is_sound() {
+    if learned.is_valid() {
         effects.events.push_back(Event::LearnedState(learned));
     } else {
         effects.commands.push(Command::Log(DispatchEvent::LearnedStateRejected));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,13 +10,13 @@
 //! let settings = Settings {
 //!     cores: 2,
 //!     memory_kb: 64_000.0,
-//!     run_factor: 4.0,
-//!     wake_ahead_s: 0.002,
+//!     run_memory_factor: 4.0,
+//!     min_event_interval_s: 0.002,
 //!     classes: vec![Class {
 //!         weight: 1.0,
 //!         objective_s: 1.0,
 //!         deadline_s: 3.0,
-//!         effect: Idempotency::Idempotent,
+//!         idempotency: Idempotency::Idempotent,
 //!         ..Class::default()
 //!     }],
 //!     ..Settings::default()
@@ -27,7 +27,7 @@
 //!
 //! // A request has been read: a run slot is free, so it starts at once.
 //! actions.clear();
-//! let arrival = Arrival { id: RequestId(1), class: 0, kb: 20.0, ..Arrival::default() };
+//! let arrival = Arrival { id: RequestId(1), class: 0, memory_kb: 20.0, ..Arrival::default() };
 //! controller.handle(0.01, Event::Arrived(arrival), &mut actions);
 //! assert_eq!(actions, vec![Action::Start(RequestId(1))]);
 //!
@@ -54,6 +54,6 @@
 
 pub use admission::Controller;
 pub use interface::{
-    Action, Arrival, Class, Dependency, Event, Gauges, Idempotency, Outcome, PoolItem, PoolPlan, PoolReserve,
+    Action, Arrival, Class, Dependency, Event, Gauges, Idempotency, Outcome, PoolPlan, PoolReserve, PoolSpec,
     Preemption, RequestId, Settings, Signal, Tenant,
 };
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -2,7 +2,7 @@
 
 use super::limit::SlotLimit;
 use super::Pools;
-use crate::interface::{AdmissionEvent, PoolItem, PoolLimitCause, PoolLimitChange, PoolPlan};
+use crate::interface::{AdmissionEvent, PoolLimitCause, PoolLimitChange, PoolPlan, PoolSpec};
 use serde::Serialize;
 
 /// Shortest interval between two events of the same kind about the same pool (seconds).
@@ -125,7 +125,7 @@
         }));
     }
 
-    fn report_rejections(&mut self, now: f64, pool: usize, item: &PoolItem, queue: QueueCounts) {
+    fn report_rejections(&mut self, now: f64, pool: usize, item: &PoolSpec, queue: QueueCounts) {
         let reported = &mut self.rejections[pool];
         // A new plan may have reset the count.
         reported.rejected = reported.rejected.min(queue.rejected);
@@ -134,7 +134,7 @@
                 pool: item.name.clone(),
                 rejected: queue.rejected - reported.rejected,
                 queued: queue.queued,
-                queue_capacity: item.queue,
+                queue_capacity: item.queue_capacity,
             });
             *reported = ReportedRejections { at: now, rejected: queue.rejected };
         }
--- a/src/pools/tests/division.rs
+++ b/src/pools/tests/division.rs
@@ -1,13 +1,13 @@
 //! The division of slots among pools, with one test for each difficult case.
 
-use super::harness::{plan, pool_item, reserve, PoolsHarness, Run};
+use super::harness::{plan, pool_spec, reserve, PoolsHarness, Run};
 use crate::interface::PoolPlan;
 use crate::pools::Place;
 
 #[test]
 fn flooding_class_leaves_other_pools_their_guarantee() {
     let items =
-        vec![pool_item("flood", 0.2, 1.0, 5.0), pool_item("a", 0.4, 1.0, 1.0), pool_item("b", 0.4, 1.0, 1.0)];
+        vec![pool_spec("flood", 0.2, 1.0, 5.0), pool_spec("a", 0.4, 1.0, 1.0), pool_spec("b", 0.4, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 10, 10), 3);
     // Alone it gets all slots: those that no other pool wants are lent to it.
     harness.saturate(&[0], 3.0, 0.5);
@@ -26,7 +26,7 @@
 #[test]
 fn pool_with_credit_starts_beyond_its_guarantee() {
     // Long runs of one pool delay another's guarantee; the missed slot seconds are returned in addition to it.
-    let items = vec![pool_item("long", 0.5, 1.0, 1.0), pool_item("lender", 0.5, 1.0, 1.0)];
+    let items = vec![pool_spec("long", 0.5, 1.0, 1.0), pool_spec("lender", 0.5, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 4, 4), 2);
     harness.saturate(&[0], 0.5, 2.0);
     assert_eq!(harness.on_cores(0), 4);
@@ -42,7 +42,7 @@
 #[test]
 fn pools_with_fractions_of_a_slot_take_turns() {
     // Two pools share one slot on one core, and take turns three to one.
-    let items = vec![pool_item("more", 0.75, 1.0, 1.0), pool_item("less", 0.25, 1.0, 1.0)];
+    let items = vec![pool_spec("more", 0.75, 1.0, 1.0), pool_spec("less", 0.25, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 1, 1), 2);
     harness.saturate(&[0, 1], 40.0, 0.2);
     let share = harness.served[1] / (harness.served[0] + harness.served[1]);
@@ -51,7 +51,7 @@
 
 #[test]
 fn idle_reserve_starts_its_first_requests_immediately() {
-    let items = vec![pool_item("cheap", 0.0, 1.0, 1.0), pool_item("heavy", 1.0, 1.0, 1.0)];
+    let items = vec![pool_spec("cheap", 0.0, 1.0, 1.0), pool_spec("heavy", 1.0, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, Some(reserve(0, 2)), 6, 6), 2);
     harness.saturate(&[1], 60.0, 3.0);
     // Other pools never use more than four of the six slots.
@@ -66,7 +66,7 @@
 #[test]
 fn shrunk_limit_ends_no_run_and_leaves_the_reserve_usable() {
     let wide = plan(
-        vec![pool_item("cheap", 0.0, 1.0, 1.0), pool_item("heavy", 0.5, 1.0, 1.0)],
+        vec![pool_spec("cheap", 0.0, 1.0, 1.0), pool_spec("heavy", 0.5, 1.0, 1.0)],
         Some(reserve(0, 1)),
         10,
         10,
@@ -85,7 +85,7 @@
 
 #[test]
 fn pool_with_all_runs_at_calls_leaves_other_pools_their_survivable_runs() {
-    let items = vec![pool_item("stuck", 0.3, 1.0, 1.0), pool_item("other", 0.3, 1.0, 1.0)];
+    let items = vec![pool_spec("stuck", 0.3, 1.0, 1.0), pool_spec("other", 0.3, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 6, 6), 2);
     harness.survivable_runs = 20;
     // All its runs go to a downstream call and stay there: they occupy no slot, but will return.
@@ -106,13 +106,13 @@
 
 #[test]
 fn highest_tier_starts_first_and_weights_divide_unclaimed_slots() {
-    let items = vec![pool_item("top", 0.0, 1.0, 3.0), pool_item("low", 0.0, 1.0, 1.0)];
+    let items = vec![pool_spec("top", 0.0, 1.0, 3.0), pool_spec("low", 0.0, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 8, 8), 2);
     harness.saturate(&[0, 1], 20.0, 0.3);
     let share = harness.served[0] / (harness.served[0] + harness.served[1]);
     assert!((share - 0.75).abs() < 0.05, "{share}");
     // Both pools are below their share: the request of the higher tier starts first.
-    let items = vec![pool_item("top", 0.5, 1.0, 1.0), pool_item("low", 0.5, 1.0, 1.0)];
+    let items = vec![pool_spec("top", 0.5, 1.0, 1.0), pool_spec("low", 0.5, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 2, 2), 2);
     harness.arrive(1);
     harness.arrive(0);
@@ -122,7 +122,7 @@
 #[test]
 fn ceiling_holds_while_slots_are_idle_and_queue_at_capacity_is_full() {
     let mut harness = PoolsHarness::new(
-        plan(vec![pool_item("a", 0.1, 0.5, 1.0), pool_item("b", 0.1, 1.0, 1.0)], None, 8, 8),
+        plan(vec![pool_spec("a", 0.1, 0.5, 1.0), pool_spec("b", 0.1, 1.0, 1.0)], None, 8, 8),
         2,
     );
     for _ in 0..60 {
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -1,10 +1,10 @@
 //! Pool plans for tests, and a harness in which requests arrive, run and end.
 
-use crate::interface::{PoolItem, PoolPlan, PoolReserve};
+use crate::interface::{PoolPlan, PoolReserve, PoolSpec};
 use crate::pools::{Place, Pools};
 
-pub(super) fn pool_item(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolItem {
-    PoolItem { name: name.to_owned(), guarantee, ceiling, weight, queue: 50 }
+pub(super) fn pool_spec(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolSpec {
+    PoolSpec { name: name.to_owned(), guarantee, ceiling, weight, queue_capacity: 50 }
 }
 
 /// A reserve of this number of slots.
@@ -13,7 +13,7 @@
 }
 
 pub(super) fn plan(
-    items: Vec<PoolItem>,
+    items: Vec<PoolSpec>,
     reserve: Option<PoolReserve>,
     min_slots: usize,
     max_slots: usize,
--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -1,6 +1,6 @@
 //! Properties over random sequences of events.
 
-use super::harness::{plan, pool_item, PoolsHarness, Run};
+use super::harness::{plan, pool_spec, PoolsHarness, Run};
 use crate::interface::{PoolPlan, PoolReserve};
 use crate::pools::{Counts, Place};
 use proptest::collection::vec;
@@ -21,7 +21,7 @@
             let of = of % pools.len();
             let items = pools.iter().enumerate().map(|(i, (g, c, harness))| {
                 let guarantee = g / all * sum;
-                pool_item(
+                pool_spec(
                     &format!("p{i}"),
                     guarantee,
                     (guarantee + c * (1.0 - guarantee)).clamp(0.01, 1.0),
--- a/src/pools/tests/report.rs
+++ b/src/pools/tests/report.rs
@@ -1,11 +1,11 @@
 //! Events about changes of the limit and about rejections.
 
-use super::harness::{plan, pool_item, PoolsHarness};
+use super::harness::{plan, pool_spec, PoolsHarness};
 use crate::interface::{AdmissionEvent, PoolLimitCause, PoolLimitChange};
 
 #[test]
 fn limit_changes_and_rejections_are_reported_at_most_once_a_second() {
-    let items = vec![pool_item("a", 0.5, 1.0, 1.0), pool_item("b", 0.5, 1.0, 1.0)];
+    let items = vec![pool_spec("a", 0.5, 1.0, 1.0), pool_spec("b", 0.5, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items.clone(), None, 4, 40), 2);
     let mut events: Vec<(f64, AdmissionEvent)> = Vec::new();
     for round in 0..4000 {
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -66,15 +66,17 @@
     fn decode(&mut self, event: WireEvent) -> Result<Event, ItemError> {
         Ok(match event {
             WireEvent::Req(request) => Event::Arrived(self.decode_request(request)?),
-            WireEvent::Dropped { req } => Event::CallerGone(self.names.find(&req)),
+            WireEvent::Dropped { req } => Event::CallerDisconnected(self.names.find(&req)),
             WireEvent::Ended { req, disposition } => {
                 Event::RunEnded { id: self.names.find(&req), outcome: disposition.into() }
             }
-            WireEvent::AtCall { req } => Event::AtCall(self.names.find(&req)),
+            WireEvent::AtCall { req } => Event::CallRequested(self.names.find(&req)),
             WireEvent::DepReply { req, disposition } => {
                 Event::CallEnded { id: self.names.find(&req), outcome: disposition.into() }
             }
-            WireEvent::Sigterm { remaining_s } => Event::Shutdown { ago_s: 0.0, in_s: remaining_s },
+            WireEvent::Sigterm { remaining_s } => {
+                Event::Shutdown { notice_age_s: 0.0, stop_in_s: remaining_s }
+            }
             WireEvent::DeadlineHit { gauges } => Event::Woken(read_gauges(&self.gauges, &gauges)),
             WireEvent::Provision { .. } | WireEvent::Stop => return Err(ItemError::NotAnEvent),
         })
@@ -99,7 +101,7 @@
             class: request.class,
             tenant,
             caller: request.caller,
-            kb: request.memory_kb,
+            memory_kb: request.memory_kb,
             read_delay_s: request.read_delay_s,
             time_left_s,
             estimate_s: request.estimate_s,
--- a/tests/admission_properties/play.rs
+++ b/tests/admission_properties/play.rs
@@ -99,7 +99,7 @@
         let now_s = self.worker.now_s;
         if self.worker.shutdown_notice_s.is_none() && now_s >= SHUTDOWN_S {
             self.worker.shutdown_notice_s = Some(now_s);
-            self.events.push(Event::Shutdown { ago_s: 0.0, in_s: STOP_S - now_s });
+            self.events.push(Event::Shutdown { notice_age_s: 0.0, stop_in_s: STOP_S - now_s });
         }
     }
 
@@ -151,7 +151,7 @@
             id,
             class,
             tenant,
-            kb,
+            memory_kb: kb,
             read_delay_s,
             time_left_s,
             estimate_s,
@@ -204,7 +204,7 @@
     /// A caller disconnects before its response.
     fn lose_caller(&mut self, id: RequestId) {
         self.worker.responses += 1;
-        self.events.push(Event::CallerGone(id));
+        self.events.push(Event::CallerDisconnected(id));
     }
 
     /// A run has had processor time, and comes to its downstream call at the end of what it needs before.
@@ -212,13 +212,13 @@
         let request = self.worker.request(id);
         request.state = RequestState::Running { left_s };
         let responded = request.responded;
-        let calls = self.worker.class_of(&self.worker.requests[&id]).calls;
+        let calls = self.worker.class_of(&self.worker.requests[&id]).makes_calls;
         if left_s <= 0.0 && calls && self.random.chance(0.6) {
             if responded {
                 self.cancel_run(id);
             } else {
                 self.worker.request(id).state = RequestState::AtCall { left_s: RUN_AFTER_CALL_S };
-                self.events.push(Event::AtCall(id));
+                self.events.push(Event::CallRequested(id));
             }
         }
     }
@@ -283,7 +283,7 @@
         self.wake_at_s = f64::MAX;
         let cores = f64::from(self.worker.settings.cores);
         let cores_busy = if self.is_hanging() { 0.0 } else { (running / cores).min(1.0) };
-        let connections = if self.worker.settings.idle_s > 0.0 { 300.0 } else { 0.0 };
+        let connections = if self.worker.settings.max_connection_idle_s > 0.0 { 300.0 } else { 0.0 };
         self.events.push(Event::Woken(Gauges {
             cores_busy: Some(cores_busy),
             runnable: Some(running),
--- a/tests/admission_properties/random_settings.rs
+++ b/tests/admission_properties/random_settings.rs
@@ -25,16 +25,16 @@
         survivable_multiple: 5.0,
         survivable_window_s: 2.0,
         memory_kb: random.pick(&[600.0, 1_500.0, 6_000.0, 22_000.0]),
-        run_factor: 4.0,
+        run_memory_factor: 4.0,
         key_entry_kb: 20.0,
         shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
-        wake_ahead_s: 0.002,
+        min_event_interval_s: 0.002,
         max_retry_after_s: 1.0,
         over_quota_weight: 0.1,
         callers: random.pick(&[0, 1, 3, 4_000]),
         workers: random.pick(&[0, 1, 4, 900]),
-        idle_s: random.pick(&[0.0, 0.5, 30.0]),
+        max_connection_idle_s: random.pick(&[0.0, 0.5, 30.0]),
         signal: random.pick(&[Signal::None, Signal::RankFloor, Signal::Weight]),
         marks_retries: random.chance(0.5),
         preemption: random.pick(&[Preemption::Never, Preemption::Discard, Preemption::Pause]),
@@ -52,15 +52,15 @@
 /// Two idempotent classes, one with idempotency keys and one that is not idempotent.
 fn classes(random: &mut RandomSource) -> [Class; CLASSES] {
     [
-        Class { weight: 1.0, objective_s: 0.8, deadline_s: 2.0, calls: true, ..Class::default() },
+        Class { weight: 1.0, objective_s: 0.8, deadline_s: 2.0, makes_calls: true, ..Class::default() },
         Class { weight: 2.0, objective_s: 0.6, deadline_s: 1.5, ..Class::default() },
         Class {
             weight: 4.0,
             objective_s: 0.7,
             deadline_s: 2.0,
-            effect: Idempotency::Keyed,
+            idempotency: Idempotency::Keyed,
             window_s: KEY_WINDOW_S,
-            calls: true,
+            makes_calls: true,
             skipped_call_weight: random.pick(&[0.0, 0.3]),
             ..Class::default()
         },
@@ -69,8 +69,8 @@
             objective_s: 0.7,
             deadline_s: 2.0,
             late_weight: 0.2,
-            effect: Idempotency::NotIdempotent,
-            calls: true,
+            idempotency: Idempotency::NotIdempotent,
+            makes_calls: true,
             ..Class::default()
         },
     ]
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -55,7 +55,10 @@
         let classes = settings.classes.iter().map(|c| (c.weight, c.late_weight, c.objective_s, c.deadline_s));
         let expected = [(1.0, 0.0, 1.9, 4.7), (2.0, 0.2, 1.9, 4.7), (5.0, 0.0, 1.3, 3.4)];
         assert_eq!(classes.collect::<Vec<_>>(), expected);
-        let classes = settings.classes.iter().map(|c| (c.effect, c.window_s, c.calls, c.skipped_call_weight));
+        let classes = settings
+            .classes
+            .iter()
+            .map(|c| (c.idempotency, c.window_s, c.makes_calls, c.skipped_call_weight));
         let expected = [
             (Idempotency::Idempotent, 5.0, true, 0.6),
             (Idempotency::Idempotent, 5.0, true, 0.6),
@@ -75,23 +78,29 @@
         assert_eq!((settings.cores, settings.callers, settings.workers), (6, 3, 10));
         assert_eq!((settings.cold, settings.cold_speed, settings.warm_up_s), (false, 0.26, 18.0));
         assert_eq!((settings.survivable_multiple, settings.survivable_window_s), (8.0, 3.0));
-        assert_eq!((settings.memory_kb, settings.run_factor, settings.key_entry_kb), (18648.0, 8.0, 106.12));
+        assert_eq!(
+            (settings.memory_kb, settings.run_memory_factor, settings.key_entry_kb),
+            (18648.0, 8.0, 106.12)
+        );
         assert_eq!((settings.shutdown_grace_s, settings.answer_slack_s), (2.5, 0.1));
-        assert_eq!((settings.wake_ahead_s, settings.max_retry_after_s, settings.idle_s), (0.004, 1.0, 30.0));
+        assert_eq!(
+            (settings.min_event_interval_s, settings.max_retry_after_s, settings.max_connection_idle_s),
+            (0.004, 1.0, 30.0)
+        );
         assert_eq!(settings.over_quota_weight, 0.1);
-        assert!(settings.marks_retries && settings.health_listed);
+        assert!(settings.marks_retries && settings.callers_see_health);
         assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::Weight));
         let dependency = settings.dependency.unwrap();
         assert_eq!((dependency.share, dependency.window_s, dependency.linger_s), (5.0, 5.0, 0.2));
-        assert!(settings.pools.is_none() && !settings.overload);
+        assert!(settings.pools.is_none() && !settings.fleet_overload_control);
     }
 }
 
 #[test]
 fn platform_terms_keep_their_meaning() {
     let effect = |word: &str| settings_with("\"effect\": \"safe\"", &format!("\"effect\": \"{word}\""));
-    assert_eq!(effect("keyed").classes[0].effect, Idempotency::Keyed);
-    assert_eq!(effect("unsafe").classes[0].effect, Idempotency::NotIdempotent);
+    assert_eq!(effect("keyed").classes[0].idempotency, Idempotency::Keyed);
+    assert_eq!(effect("unsafe").classes[0].idempotency, Idempotency::NotIdempotent);
 
     let halt =
         |word: &str| settings_with("\"halt\": \"silent\"", &format!("\"halt\": \"{word}\"")).preemption;
@@ -107,7 +116,7 @@
     assert!(settings_with("\"one_for_all\"", "\"silent\"").dependency.is_none());
     assert!(settings_with("\"nCores\"", "\"cold\": true, \"nCores\"").cold);
     assert_eq!(settings_with("\"retryAfter\": true", "\"retryAfter\": false").max_retry_after_s, 0.0);
-    assert!(!settings_with("\"readiness\": true", "\"readiness\": false").health_listed);
+    assert!(!settings_with("\"readiness\": true", "\"readiness\": false").callers_see_health);
     assert!(!settings_with("\"marksRetry\": true", "\"marksRetry\": false").marks_retries);
 }
 
@@ -132,7 +141,7 @@
     assert_eq!((settings.cores, settings.memory_kb, settings.callers), (2, 4096.0, 0));
     assert_eq!((settings.classes[0].objective_s, settings.classes[0].deadline_s), (1.0, 2.0));
     assert!(settings.dependency.is_none() && settings.tenants.is_empty());
-    assert!(!settings.classes[0].calls && !settings.marks_retries && !settings.health_listed);
+    assert!(!settings.classes[0].makes_calls && !settings.marks_retries && !settings.callers_see_health);
     assert_eq!((settings.preemption, settings.signal), (Preemption::Never, Signal::None));
 }
 
--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -17,11 +17,11 @@
         survivable_multiple: 8.0,
         survivable_window_s: 2.0,
         memory_kb: 100_000.0,
-        run_factor: 4.0,
+        run_memory_factor: 4.0,
         key_entry_kb: 10.0,
         shutdown_grace_s: 1.0,
         answer_slack_s: 0.06,
-        wake_ahead_s: 0.002,
+        min_event_interval_s: 0.002,
         max_retry_after_s: 1.0,
         callers: 4,
         workers: 2,
@@ -32,7 +32,7 @@
                 weight: 10.0,
                 objective_s: 2.0,
                 deadline_s: 5.0,
-                effect: Idempotency::Keyed,
+                idempotency: Idempotency::Keyed,
                 window_s: 9.0,
                 ..Class::default()
             },
@@ -45,8 +45,8 @@
 pub fn with_calls(share: f64) -> Settings {
     let mut set = settings();
     set.dependency = Some(Dependency { share, window_s: 5.0, linger_s: 0.1 });
-    set.classes[0].calls = true;
-    set.classes[1].effect = Idempotency::Idempotent;
+    set.classes[0].makes_calls = true;
+    set.classes[1].idempotency = Idempotency::Idempotent;
     set
 }
 
@@ -64,7 +64,12 @@
 
     /// A request of a class arrives.
     pub fn arrive(&mut self, id: u64, class: usize) -> Vec<Action> {
-        self.handle(Event::Arrived(Arrival { id: RequestId(id), class, kb: 10.0, ..Arrival::default() }))
+        self.handle(Event::Arrived(Arrival {
+            id: RequestId(id),
+            class,
+            memory_kb: 10.0,
+            ..Arrival::default()
+        }))
     }
 
     /// A further attempt with the idempotency key of an earlier request arrives.
@@ -73,7 +78,7 @@
         self.handle(Event::Arrived(Arrival {
             id,
             class: 1,
-            kb: 10.0,
+            memory_kb: 10.0,
             retry_of,
             retry: true,
             ..Arrival::default()
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -37,10 +37,10 @@
         weight,
         objective_s,
         deadline_s: objective_s * 2.5,
-        effect,
+        idempotency: effect,
         window_s: 9.0,
         late_weight,
-        calls: true,
+        makes_calls: true,
         skipped_call_weight: if effect == Idempotency::Idempotent { 0.6 } else { 0.0 },
     }
 }
@@ -55,11 +55,11 @@
         survivable_multiple: 8.0,
         survivable_window_s: 3.0,
         memory_kb: 18_000.0,
-        run_factor: 8.0,
+        run_memory_factor: 8.0,
         key_entry_kb: 20.0,
         shutdown_grace_s: 2.5,
         answer_slack_s: 0.1,
-        wake_ahead_s: 0.004,
+        min_event_interval_s: 0.004,
         max_retry_after_s: 1.0,
         over_quota_weight: 0.1,
         callers: 4,
@@ -161,12 +161,12 @@
             self.woken_s = self.now_s;
             Some(self.woken(step))
         } else if step == STEPS - 300 {
-            Some(Event::Shutdown { ago_s: 0.0, in_s: 3.2 })
+            Some(Event::Shutdown { notice_age_s: 0.0, stop_in_s: 3.2 })
         } else if self.random.unit() < load {
             Some(self.arrival())
         } else if self.random.unit() < 0.02 && self.latest > 0 {
             let back = self.random.below(30.min(self.latest as usize)) as u64;
-            Some(Event::CallerGone(RequestId(self.latest - back)))
+            Some(Event::CallerDisconnected(RequestId(self.latest - back)))
         } else if self.random.unit() < 0.4 && !self.in_flight.calling.is_empty() {
             Some(self.call_end())
         } else if self.random.unit() < 0.3 && !self.in_flight.sharing.is_empty() {
@@ -200,7 +200,7 @@
             class,
             tenant: (tenants > 0).then(|| self.random.below(tenants + 2).min(tenants - 1)),
             caller: 1,
-            kb: 14.0 + self.random.unit() * 30.0,
+            memory_kb: 14.0 + self.random.unit() * 30.0,
             read_delay_s: self.random.unit() * 0.01,
             time_left_s: Some(2.0 + self.random.unit() * 2.0),
             estimate_s: Some(0.05 + self.random.unit() * 0.5),
@@ -235,7 +235,7 @@
         let running = &mut self.in_flight.running;
         let id = running.swap_remove(self.random.below(running.len()));
         if self.random.unit() < 0.5 {
-            Event::AtCall(id)
+            Event::CallRequested(id)
         } else {
             Event::RunEnded { id, outcome: random_outcome(&mut self.random) }
         }
