--- a/fleet-coordinator/src/net/disk_thread.rs
+++ b/fleet-coordinator/src/net/disk_thread.rs
@@ -1,7 +1,7 @@
 //! The thread that alone accesses the data folder: one job after the other.
 
 use crate::ids::DiskJobId;
-use crate::replica::{carry_out, DiskJob, DiskResult};
+use crate::replica::{execute_job, DiskJob, DiskResult};
 use calloop::channel::Sender;
 use durable_log::Folder;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     std::thread::spawn(move || {
         let mut store = None;
         for NumberedJob { number, job } in jobs {
-            let result = carry_out(&mut store, &job, || Folder::lock(&folder));
+            let result = execute_job(&mut store, &job, || Folder::lock(&folder));
             if results.send(JobResult { number, result }).is_err() {
                 break;
             }
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -101,7 +101,7 @@
     let fleet = server.file.fleet.clone();
     ServerEvent::ListenerOpened { coordinator, fleet, address: local_address }.emit();
     let mut gathered = Gathered::default();
-    server.carry_out();
+    server.execute_outputs();
     while !gathered.shutdown {
         event_loop.dispatch(None, &mut gathered).map_err(NetError::event_loop("event loop"))?;
         let results = std::mem::take(&mut *inbox.borrow_mut());
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -66,7 +66,7 @@
         self.poll_peers(now);
         self.receive(now);
         self.coordinator.tick(now);
-        self.carry_out();
+        self.execute_outputs();
         self.flush();
     }
 
@@ -116,7 +116,7 @@
         let answers = self.peers.poll(now, &self.poll, || self.coordinator.peer_hello());
         for answered in answers {
             self.coordinator.peer_answered(now, &answered.peer, answered.answer);
-            self.carry_out();
+            self.execute_outputs();
         }
     }
 
@@ -141,7 +141,7 @@
                 Taken::Frame(Err(error)) => Some(error.to_string()),
                 Taken::TooLong(cause) => Some(cause),
             };
-            self.carry_out();
+            self.execute_outputs();
             if let Some(cause) = cause {
                 ServerEvent::LinkRejected { link: id, cause }.emit();
                 state = LinkState::Ended;
@@ -159,7 +159,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self) {
+    pub(super) fn execute_outputs(&mut self) {
         for output in self.coordinator.take_outputs() {
             match output {
                 Output::Frame(id, bytes) => {
--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -45,7 +45,7 @@
 }
 
 /// Carries out a job. After a failure `store` is empty until the next [`DiskJob::Open`].
-pub fn carry_out<D: Disk>(
+pub fn execute_job<D: Disk>(
     store: &mut Option<Store<D>>,
     job: &DiskJob,
     disk: impl FnOnce() -> std::io::Result<D>,
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -17,7 +17,7 @@
 mod startup;
 mod status;
 
-pub use disk::{carry_out, DiskJob, DiskResult};
+pub use disk::{execute_job, DiskJob, DiskResult};
 pub use membership::ReplaceError;
 pub use proposals::StepError;
 pub use status::{
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -7,7 +7,7 @@
 use fleet_coordinator::events::CoordinatorEvent;
 use fleet_coordinator::ids::{DiskJobId, LinkId, MemberId};
 use fleet_coordinator::leader_state::SafetyChecks;
-use fleet_coordinator::replica::{carry_out, DiskResult, MemberStatus};
+use fleet_coordinator::replica::{execute_job, DiskResult, MemberStatus};
 use fleet_coordinator::state_machine::LATEST;
 use port_worker::fleet::frame::{decode, encode, ClientMessage, ServerMessage, MAX_SERVER_FRAME_BYTES};
 
@@ -75,7 +75,7 @@
                 match one {
                     Output::Disk(number, job) => {
                         let disk = self.disk.clone();
-                        let done = carry_out(&mut self.store, &job, || Ok(disk));
+                        let done = execute_job(&mut self.store, &job, || Ok(disk));
                         self.answers.push((self.now + self.job_duration_s, number, done));
                     }
                     Output::Frame(_, bytes) => {
--- a/fleet-coordinator/tests/log_events.rs
+++ b/fleet-coordinator/tests/log_events.rs
@@ -1,7 +1,7 @@
 //! The log of one coordinator from its start to its end, as the process writes it.
 
 use durable_log::{Folder, Store};
-use fleet_coordinator::replica::{carry_out, Replica, ReplicaOutput};
+use fleet_coordinator::replica::{execute_job, Replica, ReplicaOutput};
 use fleet_coordinator::state_machine::LATEST;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs;
@@ -108,7 +108,7 @@
     let mut carry_out_jobs = |replica: &mut Replica| {
         for output in replica.take_outputs() {
             if let ReplicaOutput::Disk(number, job) = output {
-                let result = carry_out(&mut store, &job, || Folder::lock(data));
+                let result = execute_job(&mut store, &job, || Folder::lock(data));
                 replica.on_disk_result(0.0, number, result);
             }
         }
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -5,7 +5,7 @@
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::ids::LinkId;
 use fleet_coordinator::leader_state::SafetyChecks;
-use fleet_coordinator::replica::{carry_out, MemberStatus};
+use fleet_coordinator::replica::{execute_job, MemberStatus};
 use fleet_coordinator::state_machine::{Task, LATEST};
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, LeaseRef, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES,
@@ -84,7 +84,7 @@
                 match output {
                     Output::Disk(number, job) => {
                         let disk = self.disk.clone();
-                        let result = carry_out(&mut self.store, &job, || Ok(disk));
+                        let result = execute_job(&mut self.store, &job, || Ok(disk));
                         self.coordinator.disk_done(self.now, number, result);
                     }
                     Output::Frame(_, bytes) => {
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -6,7 +6,7 @@
 use fleet_coordinator::coordinator::{Coordinator, Output};
 use fleet_coordinator::ids::{MemberId, SessionId};
 use fleet_coordinator::replica::{
-    carry_out, LogPosition, MemberStatus, Replica, ReplicaEvent, ReplicaOutput,
+    execute_job, LogPosition, MemberStatus, Replica, ReplicaEvent, ReplicaOutput,
 };
 use fleet_coordinator::state_machine::{
     Command, LeaseStateMachine, LogEntry, MemberProgress, ReleaseReason, Task, LATEST,
@@ -109,7 +109,7 @@
         }
         for one in out {
             if let Output::Disk(number, job) = one {
-                let done = carry_out(&mut store, &job, || Folder::lock(folder));
+                let done = execute_job(&mut store, &job, || Folder::lock(folder));
                 coordinator.disk_done(0.0, number, done);
             }
         }
@@ -231,7 +231,7 @@
                     idle = false;
                     match effect {
                         ReplicaOutput::Disk(number, job) => {
-                            let done = carry_out(store, &job, || Folder::lock(folder));
+                            let done = execute_job(store, &job, || Folder::lock(folder));
                             replica.on_disk_result(now, number, done);
                         }
                         ReplicaOutput::Send(to, bytes) => messages.push((replica.member(), to, bytes)),
--- a/testbed/src/fleet/virtual_fleet/disks.rs
+++ b/testbed/src/fleet/virtual_fleet/disks.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Event, World};
 use fleet_coordinator::ids::DiskJobId;
-use fleet_coordinator::replica::{carry_out, DiskJob};
+use fleet_coordinator::replica::{execute_job, DiskJob};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -24,7 +24,7 @@
         if self.coordinators[coordinator].incarnation == incarnation {
             let process = &mut self.coordinators[coordinator];
             let disk = process.disk.clone();
-            let done = carry_out(&mut process.store, job, || Ok(disk));
+            let done = execute_job(&mut process.store, job, || Ok(disk));
             self.with_coordinator(coordinator, |machine, now| machine.disk_done(now, number, done));
         }
     }
