--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -1,7 +1,7 @@
 //! Checks of a coordinator's file beyond its syntax.
 
 use super::{ConfigError, File, Overload};
-use crate::state_machine::LATEST;
+use crate::state_machine::LATEST_VERSION;
 use port_worker::fleet::frame::{is_valid_name, MAX_TASKS};
 
 /// The largest number of coordinators: more delay every command without making it safer.
@@ -21,7 +21,7 @@
         self.check_coordinators()?;
         check_range("epoch", self.epoch, 1, u64::MAX)?;
         check_range("write_overdue_ms", self.write_overdue_ms, MIN_WRITE_OVERDUE_MS, MAX_WRITE_OVERDUE_MS)?;
-        check_range("version", u64::from(self.version), 1, u64::from(LATEST))?;
+        check_range("version", u64::from(self.version), 1, u64::from(LATEST_VERSION))?;
         self.check_tasks()?;
         self.overload.as_ref().map_or(Ok(()), Overload::check)
     }
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::coordinator::{CoordinatorAddress, CoordinatorConfig};
 use crate::leader_state::SafetyChecks;
-use crate::state_machine::{Task, LATEST};
+use crate::state_machine::{Task, LATEST_VERSION};
 use port_worker::fleet::overload::leader::Settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
 }
 
 fn default_version() -> u32 {
-    LATEST
+    LATEST_VERSION
 }
 
 impl File {
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -5,7 +5,7 @@
     SESSION_TTL_MS, SESSION_TTL_S,
 };
 use crate::ids::SessionId;
-use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection, ReleaseReason, LATEST};
+use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection, ReleaseReason, LATEST_VERSION};
 use port_worker::fleet::frame::{LeaseRef, ServerMessage};
 use std::collections::BTreeMap;
 
@@ -87,7 +87,7 @@
                         session: session.0,
                         session_ttl_ms: SESSION_TTL_MS,
                         keep_every_ms: HEARTBEAT_INTERVAL_MS,
-                        version: LATEST,
+                        version: LATEST_VERSION,
                     }
                 }
                 Ok(_) => continue,
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::ids::{DiskJobId, MemberId};
-use crate::state_machine::{LeaseStateMachine, LATEST};
+use crate::state_machine::{LeaseStateMachine, LATEST_VERSION};
 use disk::PendingJob;
 use election::ElectionTimeout;
 use raft::RawNode;
@@ -88,7 +88,7 @@
             state_machine: LeaseStateMachine::default(),
             status: MemberStatus::Recovering,
             peer_versions: BTreeMap::new(),
-            version: version.min(LATEST),
+            version: version.min(LATEST_VERSION),
             node: None,
             member: MemberId::NONE,
             applied: 0,
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -32,7 +32,7 @@
 /// The largest number of coordinators, past and present.
 const MAX_MEMBERS: usize = 64;
 /// The latest version whose commands this program can apply. Commands of later ones are rejected by all members alike.
-pub const LATEST: u32 = port_worker::fleet::frame::VERSION;
+pub const LATEST_VERSION: u32 = port_worker::fleet::frame::VERSION;
 
 /// The complete replicated state. A snapshot is this as JSON; names there are fixed by `serde` attributes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -10,12 +10,12 @@
 }
 
 fn open(incarnation: u64) -> Command {
-    Command::OpenSession { name: "w".into(), zone: "z".into(), incarnation, version: LATEST }
+    Command::OpenSession { name: "w".into(), zone: "z".into(), incarnation, version: LATEST_VERSION }
 }
 
 /// Applies commands at their times, and compares what each returned with the start of its text.
 fn run(steps: Vec<(u64, Command, &str)>) -> LeaseStateMachine {
-    let mut state = LeaseStateMachine { version: LATEST, ..LeaseStateMachine::default() };
+    let mut state = LeaseStateMachine { version: LATEST_VERSION, ..LeaseStateMachine::default() };
     for (at_ms, command, expected) in steps {
         let entry = LogEntry { at_ms, command };
         // Through the log's own form: what is applied is what was written.
@@ -109,7 +109,7 @@
         (0, grant(1), "Granted"),
         (1, tasks(2, 2000), "Done"),
         (1, Command::RecordProgress { persisted: vec![progress(1, 7), progress(2, 5)] }, "Done"),
-        (1, Command::RaiseVersion { version: LATEST }, "Done"),
+        (1, Command::RaiseVersion { version: LATEST_VERSION }, "Done"),
         (1, tasks(2, 5000), "StaleEpoch"),
     ]);
     assert_eq!((state.leases["t"].ttl_ms, state.leases["t"].max_ttl_ms), (2000, 9000));
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -2,7 +2,7 @@
 
 use fleet_coordinator::config::File;
 use fleet_coordinator::coordinator::CoordinatorAddress;
-use fleet_coordinator::state_machine::LATEST;
+use fleet_coordinator::state_machine::LATEST_VERSION;
 use std::path::Path;
 
 const SHIPPED: &str = include_str!("../../deploy/coordinator.toml");
@@ -18,7 +18,7 @@
     assert_eq!(file.listen_address().unwrap().to_string(), "127.0.0.1:7101");
     assert_eq!(file.epoch, 1);
     assert_eq!(file.write_overdue_ms, 1000);
-    assert_eq!(file.version, LATEST);
+    assert_eq!(file.version, LATEST_VERSION);
     let peers: Vec<_> = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.to_string())).collect();
     let expected = [("c1", "127.0.0.1:7101"), ("c2", "127.0.0.1:7102"), ("c3", "127.0.0.1:7103")];
     assert_eq!(peers, expected.map(|(name, address)| (name, address.to_owned())));
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -8,7 +8,7 @@
 use fleet_coordinator::ids::{DiskJobId, LinkId, MemberId};
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::replica::{execute_job, DiskResult, MemberStatus};
-use fleet_coordinator::state_machine::LATEST;
+use fleet_coordinator::state_machine::LATEST_VERSION;
 use port_worker::fleet::frame::{decode, encode, ClientMessage, ServerMessage, MAX_SERVER_FRAME_BYTES};
 
 const WRITE_OVERDUE_S: f64 = 0.5;
@@ -35,7 +35,7 @@
             epoch: 1,
             tasks: Vec::new(),
             write_overdue_s: WRITE_OVERDUE_S,
-            version: LATEST,
+            version: LATEST_VERSION,
             safety_checks: SafetyChecks::default(),
             overload: None,
         };
@@ -110,7 +110,7 @@
         self.coordinator.opened(link);
         let hello = ClientMessage::Hello {
             fleet: "f".into(),
-            version: LATEST,
+            version: LATEST_VERSION,
             name: format!("w{number}"),
             zone: "z".into(),
             process: number,
--- a/fleet-coordinator/tests/log_events.rs
+++ b/fleet-coordinator/tests/log_events.rs
@@ -2,7 +2,7 @@
 
 use durable_log::{Folder, Store};
 use fleet_coordinator::replica::{execute_job, Replica, ReplicaOutput};
-use fleet_coordinator::state_machine::LATEST;
+use fleet_coordinator::state_machine::LATEST_VERSION;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -104,7 +104,7 @@
 /// Makes the data folder that of the only founder of a fleet.
 fn found_fleet(data: &Path) {
     let mut store: Option<Store<Folder>> = None;
-    let mut replica = Replica::new(0.0, 1, 1.0, LATEST);
+    let mut replica = Replica::new(0.0, 1, 1.0, LATEST_VERSION);
     let mut carry_out_jobs = |replica: &mut Replica| {
         for output in replica.take_outputs() {
             if let ReplicaOutput::Disk(number, job) = output {
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -6,7 +6,7 @@
 use fleet_coordinator::ids::LinkId;
 use fleet_coordinator::leader_state::SafetyChecks;
 use fleet_coordinator::replica::{execute_job, MemberStatus};
-use fleet_coordinator::state_machine::{Task, LATEST};
+use fleet_coordinator::state_machine::{Task, LATEST_VERSION};
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, LeaseRef, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES,
 };
@@ -36,7 +36,7 @@
             epoch: 1,
             tasks: vec![task],
             write_overdue_s: 1.0,
-            version: LATEST,
+            version: LATEST_VERSION,
             safety_checks: SafetyChecks::default(),
             overload: Some(Settings { base_calls: 4.0, retry_share: 0.1 }),
         };
@@ -58,7 +58,7 @@
             WORKER,
             &ClientMessage::Hello {
                 fleet: "f".into(),
-                version: LATEST,
+                version: LATEST_VERSION,
                 name: "w".into(),
                 zone: "east".into(),
                 process: 7,
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -9,7 +9,7 @@
     execute_job, LogPosition, MemberStatus, Replica, ReplicaEvent, ReplicaOutput,
 };
 use fleet_coordinator::state_machine::{
-    Command, LeaseStateMachine, LogEntry, MemberProgress, ReleaseReason, Task, LATEST,
+    Command, LeaseStateMachine, LogEntry, MemberProgress, ReleaseReason, Task, LATEST_VERSION,
 };
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde_json::{json, Value};
@@ -215,7 +215,7 @@
 impl Quorum {
     fn start(data: &DataCopy) -> Quorum {
         let folders = MEMBERS.map(|name| data.member(name));
-        let start = |(seed, folder)| (Replica::new(0.0, seed, OVERDUE_S, LATEST), None, folder);
+        let start = |(seed, folder)| (Replica::new(0.0, seed, OVERDUE_S, LATEST_VERSION), None, folder);
         let mut quorum = Quorum { now: 0.0, members: (1..).zip(folders).map(start).collect() };
         quorum.exchange();
         quorum
@@ -362,7 +362,7 @@
 }
 
 fn open(name: &str, zone: &str, incarnation: u64) -> Command {
-    Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST }
+    Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST_VERSION }
 }
 
 fn sorted(mut numbers: Vec<MemberId>) -> Vec<MemberId> {
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -8,7 +8,7 @@
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::events::CoordinatorEvent;
 use fleet_coordinator::leader_state::SafetyChecks;
-use fleet_coordinator::state_machine::{Task, LATEST};
+use fleet_coordinator::state_machine::{Task, LATEST_VERSION};
 use port_worker::fleet::frame;
 use port_worker::fleet::tasks::{Schedule, ScheduledCall};
 use port_worker::fleet::{FleetMember, Incarnation, MemberAction, MembershipConfig};
@@ -62,7 +62,7 @@
             epoch: self.epoch,
             tasks: self.task_configs(),
             write_overdue_s: WRITE_OVERDUE_S,
-            version: LATEST,
+            version: LATEST_VERSION,
             safety_checks: SafetyChecks {
                 wait_full_ttl: self.shape.weak != Weakness::NoWholeTtl,
                 read_index: self.shape.weak != Weakness::NoConfirm,
