--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -68,7 +68,7 @@
     /// Send a complete frame to the peer of this name, if it is connected.
     Peer(String, Vec<u8>),
     /// Reconnect to all peers: this member's status has changed.
-    Relink,
+    ReconnectPeers,
     /// Carry out a job of the disk, and report its result under this number.
     Disk(DiskJobId, DiskJob),
     /// Report an event to operators.
@@ -157,7 +157,7 @@
         let is_uninitialized = matches!(self.replica.status, MemberStatus::Uninitialized(_));
         if is_uninitialized && now - self.peers_asked_at >= PEER_QUERY_INTERVAL_S {
             self.peers_asked_at = now;
-            self.outputs.push(Output::Relink);
+            self.outputs.push(Output::ReconnectPeers);
         }
         self.process_events(now);
     }
--- a/fleet-coordinator/src/coordinator/reporting.rs
+++ b/fleet-coordinator/src/coordinator/reporting.rs
@@ -91,7 +91,7 @@
         }
         self.reported_status = self.replica.status.clone();
         self.peer_answers.clear();
-        self.outputs.push(Output::Relink);
+        self.outputs.push(Output::ReconnectPeers);
     }
 
     /// The event for operators of a status that has changed.
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -170,7 +170,7 @@
                 Output::Close(id) => self.inbound.start_closing(id),
                 // The consensus library repeats what is lost.
                 Output::Peer(name, bytes) => self.peers.send(&name, bytes),
-                Output::Relink => self.peers.disconnect_all(),
+                Output::ReconnectPeers => self.peers.disconnect_all(),
                 Output::Disk(number, job) => {
                     // The thread ends only with this server.
                     let _ = self.disk_jobs.send(NumberedJob { number, job });
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -195,7 +195,7 @@
                     }
                 }
                 Output::Peer(name, bytes) => self.send_to_peer(coordinator, &name, &bytes),
-                Output::Relink => {
+                Output::ReconnectPeers => {
                     for to in 0..self.shape.coordinators {
                         self.drop_peer(NodePair { from: coordinator, to });
                     }
