--- a/fleet-coordinator/src/bin/fleetctl.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -1,7 +1,7 @@
 //! The operators' command line of a fleet. Exit status: 0 done, 1 rejected, 2 unusable arguments, 3 no quorum in time.
 
 use clap::{Parser, Subcommand};
-use fleet_coordinator::client::{ask_all, ask_leader, QueryOutcome};
+use fleet_coordinator::client::{query_all, query_leader, QueryOutcome};
 use port_worker::fleet::frame::OperatorQuery;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -84,8 +84,8 @@
     let timeout = Duration::from_secs_f64(wait_s);
     let coordinators = &arguments.coordinators;
     let outcome = match arguments.command.into_query() {
-        OperatorQuery::Status => ask_all(coordinators, &arguments.fleet, timeout),
-        query => ask_leader(coordinators, &arguments.fleet, &query, timeout),
+        OperatorQuery::Status => query_all(coordinators, &arguments.fleet, timeout),
+        query => query_leader(coordinators, &arguments.fleet, &query, timeout),
     };
     match outcome {
         QueryOutcome::Answer(answer) => {
--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 /// Why there is no complete answer.
-pub fn ask(
+pub fn query_coordinator(
     address: SocketAddr,
     fleet: &str,
     query: &OperatorQuery,
@@ -111,7 +111,7 @@
 /// Asks every coordinator for its own status. One that does not answer is in the list with the reason; no leader among
 /// those that answer counts as no quorum.
 #[must_use]
-pub fn ask_all(addresses: &[SocketAddr], fleet: &str, timeout: Duration) -> QueryOutcome {
+pub fn query_all(addresses: &[SocketAddr], fleet: &str, timeout: Duration) -> QueryOutcome {
     let deadline = Instant::now() + timeout;
     loop {
         let rows: Vec<Value> = addresses.iter().map(|address| status_row(*address, fleet, timeout)).collect();
@@ -135,7 +135,7 @@
 fn status_row(address: SocketAddr, fleet: &str, timeout: Duration) -> Value {
     let row =
         |standing: &str, why: String| json!({"name": address.to_string(), "standing": standing, "why": why});
-    match ask(address, fleet, &OperatorQuery::Status, ATTEMPT_TIMEOUT.min(timeout)) {
+    match query_coordinator(address, fleet, &OperatorQuery::Status, ATTEMPT_TIMEOUT.min(timeout)) {
         Ok(ServerMessage::QueryResult { answer }) => answer,
         Ok(ServerMessage::Rejected { reason }) => row("refuses", reason),
         Ok(other) => row("unclear", format!("{other:?}")),
@@ -145,7 +145,7 @@
 
 /// Asks for what only the leader answers, after a quorum has confirmed it.
 #[must_use]
-pub fn ask_leader(
+pub fn query_leader(
     addresses: &[SocketAddr],
     fleet: &str,
     query: &OperatorQuery,
@@ -156,7 +156,7 @@
     let mut last_failure = "no coordinator was asked".to_owned();
     loop {
         for address in addresses {
-            last_failure = match ask(*address, fleet, query, attempt_timeout) {
+            last_failure = match query_coordinator(*address, fleet, query, attempt_timeout) {
                 Ok(ServerMessage::QueryResult { answer }) => return QueryOutcome::Answer(answer),
                 Ok(ServerMessage::Rejected { reason }) => return QueryOutcome::Rejected(reason),
                 Ok(ServerMessage::NotLeader { reason, .. }) => format!("{address}: {reason}"),
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -3,7 +3,7 @@
 use super::rig::{FleetFile, Programs, Rig};
 use super::session_load::SessionLoad;
 use crate::error::TestbedError;
-use fleet_coordinator::client::{ask, ask_leader, QueryOutcome};
+use fleet_coordinator::client::{query_coordinator, query_leader, QueryOutcome};
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES, VERSION,
 };
@@ -89,7 +89,9 @@
 fn leader(rig: &Rig) -> Option<String> {
     rig.coordinators().into_iter().find(|c| {
         let at = rig.address(c);
-        let status = at.and_then(|at| ask(at, "cost", &OperatorQuery::Status, Duration::from_secs(1)).ok());
+        let status = at.and_then(|at| {
+            query_coordinator(at, "cost", &OperatorQuery::Status, Duration::from_secs(1)).ok()
+        });
         matches!(status, Some(ServerMessage::QueryResult { answer }) if answer["leads"] == true)
     })
 }
@@ -240,7 +242,7 @@
         let all: Vec<SocketAddr> = rig.coordinator_addresses();
         wait("a leader", || {
             matches!(
-                ask_leader(&all, "cost", &OperatorQuery::Leases, Duration::ZERO),
+                query_leader(&all, "cost", &OperatorQuery::Leases, Duration::ZERO),
                 QueryOutcome::Answer(_)
             )
         })?;
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -1,6 +1,6 @@
 //! A fleet of real processes under test: start it, wait for conditions, and review the task calls at the end.
 
-use fleet_coordinator::client::{ask, ask_leader, QueryOutcome};
+use fleet_coordinator::client::{query_coordinator, query_leader, QueryOutcome};
 use port_worker::fleet::frame::{OperatorQuery, ServerMessage};
 use serde_json::Value;
 use std::path::PathBuf;
@@ -167,7 +167,7 @@
     }
 
     fn query(&self, what: &OperatorQuery) -> Option<Value> {
-        match ask_leader(&self.rig.coordinator_addresses(), "story", what, Duration::from_secs(1)) {
+        match query_leader(&self.rig.coordinator_addresses(), "story", what, Duration::from_secs(1)) {
             QueryOutcome::Answer(answer) => Some(answer),
             _ => None,
         }
@@ -184,7 +184,12 @@
 
     /// One coordinator's own standing.
     pub fn status(&self, name: &str) -> Option<Value> {
-        match ask(self.rig.address(name)?, "story", &OperatorQuery::Status, Duration::from_secs(1)) {
+        match query_coordinator(
+            self.rig.address(name)?,
+            "story",
+            &OperatorQuery::Status,
+            Duration::from_secs(1),
+        ) {
             Ok(ServerMessage::QueryResult { answer }) => Some(answer),
             _ => None,
         }
--- a/testbed/tests/fleet/coordinators.rs
+++ b/testbed/tests/fleet/coordinators.rs
@@ -1,7 +1,7 @@
 //! Coordinators that are killed, cut off, restarted, or lose their disks.
 
 use super::common::{FleetUnderTest, TASKS};
-use fleet_coordinator::client::{ask_leader, QueryOutcome};
+use fleet_coordinator::client::{query_leader, QueryOutcome};
 use port_worker::fleet::frame::OperatorQuery;
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(fleet.rig.task_calls().len(), before, "somebody acts without a quorum");
     fleet.assert_all_serve();
-    let asked = ask_leader(
+    let asked = query_leader(
         &fleet.rig.coordinator_addresses(),
         "story",
         &OperatorQuery::Leases,
@@ -101,7 +101,7 @@
     fleet.wait_all_tasks(3);
     fleet.rig.fill(&leader, true).unwrap();
     fleet.wait_member_status(&leader, "aside");
-    let asked = ask_leader(
+    let asked = query_leader(
         &fleet.rig.coordinator_addresses(),
         "story",
         &OperatorQuery::Leases,
@@ -184,7 +184,7 @@
     });
     assert!(why.starts_with("the disk is empty"), "{why}");
     let replace = OperatorQuery::Replace { coordinator: lost.clone() };
-    let asked = ask_leader(&fleet.rig.coordinator_addresses(), "story", &replace, Duration::from_secs(5));
+    let asked = query_leader(&fleet.rig.coordinator_addresses(), "story", &replace, Duration::from_secs(5));
     assert!(matches!(&asked, QueryOutcome::Answer(a) if a["member"] == 4), "{asked:?}");
     fleet.wait_member_status(&lost, "member");
     fleet.wait("it votes", |_| {
