--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -87,7 +87,7 @@
         let Some(newest) = known.max_by_key(|answer| answer.caller_member).cloned() else {
             // Nobody knows of a fleet: it is founded once all have answered and are uninitialized.
             if all_answered {
-                self.found(now);
+                self.bootstrap(now);
             }
             return;
         };
@@ -99,7 +99,7 @@
             self.replica.join(now, newest.caller_member);
         } else if all_answered {
             // The others have begun; this disk has never acknowledged anything.
-            self.found(now);
+            self.bootstrap(now);
         }
     }
 
@@ -111,9 +111,9 @@
         }
     }
 
-    fn found(&mut self, now: f64) {
+    fn bootstrap(&mut self, now: f64) {
         let names: Vec<String> = self.config.coordinators.iter().map(|c| c.name.clone()).collect();
-        self.replica.found(now, &names, &self.config.name);
+        self.replica.bootstrap(now, &names, &self.config.name);
     }
 
     /// Another coordinator introduces itself: checks that it is in the file, has not been replaced, and that its disk
--- a/fleet-coordinator/src/replica/startup.rs
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -19,7 +19,7 @@
 
 impl Replica {
     /// Founds a fleet, with the same list on all coordinators. Does nothing unless the disk holds no member.
-    pub fn found(&mut self, now: f64, coordinators: &[String], own: &str) {
+    pub fn bootstrap(&mut self, now: f64, coordinators: &[String], own: &str) {
         let state_machine = LeaseStateMachine::bootstrap(coordinators);
         let Some(member) = state_machine.member(own) else { return };
         let mut log = RecoveredLog { member, ..RecoveredLog::default() };
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -52,7 +52,7 @@
         // A coordinator without peers founds its fleet when it ticks.
         scenario.until("it leads", 10.0, |scenario| {
             if matches!(scenario.coordinator.replica.status, MemberStatus::Uninitialized(_)) {
-                scenario.coordinator.replica.found(scenario.now, &["c1".to_owned()], "c1");
+                scenario.coordinator.replica.bootstrap(scenario.now, &["c1".to_owned()], "c1");
             }
             scenario.coordinator.replica.leads()
         });
--- a/fleet-coordinator/tests/log_events.rs
+++ b/fleet-coordinator/tests/log_events.rs
@@ -114,7 +114,7 @@
         }
     };
     carry_out_jobs(&mut replica);
-    replica.found(0.0, &["a".to_owned()], "a");
+    replica.bootstrap(0.0, &["a".to_owned()], "a");
     carry_out_jobs(&mut replica);
 }
 
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -49,7 +49,7 @@
         for _ in 0..200 {
             fleet.step();
             if matches!(fleet.coordinator.replica.status, MemberStatus::Uninitialized(_)) {
-                fleet.coordinator.replica.found(fleet.now, &["c1".to_owned()], "c1");
+                fleet.coordinator.replica.bootstrap(fleet.now, &["c1".to_owned()], "c1");
             }
         }
         assert!(fleet.coordinator.replica.leads());
