--- a/fleet-coordinator/src/coordinator/answers.rs
+++ b/fleet-coordinator/src/coordinator/answers.rs
@@ -24,7 +24,8 @@
     pub(super) status: &'static str,
     #[serde(rename = "why")]
     pub(super) reason: String,
-    pub(super) leads: bool,
+    #[serde(rename = "leads")]
+    pub(super) is_leader: bool,
     pub(super) leader: Option<String>,
     pub(super) member: MemberId,
     pub(super) term: u64,
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -40,7 +40,7 @@
             let answer = self.status();
             return self.send(link, &ServerMessage::QueryResult { answer });
         }
-        if !self.replica.leads() {
+        if !self.replica.is_leader() {
             let answer = self.not_leader();
             return self.send(link, &answer);
         }
@@ -180,7 +180,7 @@
             fleet: &self.config.fleet,
             status: replica.status.label(),
             reason: replica.status.reason(),
-            leads: replica.leads(),
+            is_leader: replica.is_leader(),
             leader: replica.leader().and_then(|leader| self.name_of(leader)),
             member: replica.member(),
             term: replica.term(),
--- a/fleet-coordinator/src/coordinator/reporting.rs
+++ b/fleet-coordinator/src/coordinator/reporting.rs
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn propose_tasks(&mut self, now: f64) {
-        if self.replica.leads() && self.config.epoch > self.replica.state_machine.epoch {
+        if self.replica.is_leader() && self.config.epoch > self.replica.state_machine.epoch {
             let epoch = self.config.epoch;
             let tasks = self.config.tasks.clone();
             self.replica.propose(now, Command::SetTasks { epoch, tasks });
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -30,7 +30,7 @@
             ClientMessage::Query { fleet, what } => self.on_operator_query(now, link, &fleet, what),
             // No hello was received on this link, or this member does not lead any more.
             _ if *role != Role::Worker => self.send(link, &ServerMessage::SessionExpired),
-            _ if !self.replica.leads() => {
+            _ if !self.replica.is_leader() => {
                 let answer = self.not_leader();
                 self.send(link, &answer);
             }
@@ -45,7 +45,7 @@
         if fleet != self.config.fleet {
             return self.reject_other_fleet(link);
         }
-        if !self.replica.leads() {
+        if !self.replica.is_leader() {
             let answer = self.not_leader();
             return self.send(link, &answer);
         }
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug)]
 pub struct LeaderState {
     checks: SafetyChecks,
-    leads: bool,
+    is_leader: bool,
     sessions: BTreeMap<SessionId, LiveSession>,
     /// The session on each link.
     links: BTreeMap<LinkId, SessionId>,
@@ -136,7 +136,7 @@
         LeaderState {
             checks,
             overload,
-            leads: false,
+            is_leader: false,
             sessions: BTreeMap::new(),
             links: BTreeMap::new(),
             opening: BTreeMap::new(),
@@ -160,7 +160,7 @@
     pub fn start_term(&mut self, now: f64, state: &LeaseStateMachine) {
         let overload = self.overload.take().map(|old| FleetOverload::start_term(now, old.settings));
         *self = LeaderState::empty(self.checks, self.renewals.next_number(), overload);
-        self.leads = true;
+        self.is_leader = true;
         self.lease_clock = LeaseClock::start_term(self.checks, now, state.leases.values());
         for id in state.sessions.keys() {
             self.sessions.insert(*id, LiveSession::starting(now));
@@ -176,7 +176,7 @@
 
     /// Does what is due at this time.
     pub fn tick(&mut self, now: f64, state: &LeaseStateMachine) {
-        if !self.leads {
+        if !self.is_leader {
             return;
         }
         self.request_confirmation(now, state);
@@ -198,7 +198,7 @@
         result: &Result<Outcome, Rejection>,
         state: &LeaseStateMachine,
     ) {
-        if !self.leads {
+        if !self.is_leader {
             return;
         }
         match (&entry.command, result) {
--- a/fleet-coordinator/src/replica/election.rs
+++ b/fleet-coordinator/src/replica/election.rs
@@ -65,16 +65,16 @@
         let raft = &node.raft;
         // All that was decided before is applied once an entry of the leader's own term is.
         let caught_up = raft.raft_log.term(self.applied).is_ok_and(|term| term == raft.term);
-        let leads = raft.state == StateRole::Leader && (caught_up || self.leads);
-        if leads == self.leads {
+        let is_leader = raft.state == StateRole::Leader && (caught_up || self.is_leader);
+        if is_leader == self.is_leader {
             return;
         }
-        self.leads = leads;
-        if leads {
+        self.is_leader = is_leader;
+        if is_leader {
             self.term_start = TermStart { log_time_ms: self.state_machine.log_time_ms, at: now };
             self.progress_recorded_at = now;
         }
-        self.events.push(if leads { ReplicaEvent::Elected } else { ReplicaEvent::SteppedDown });
+        self.events.push(if is_leader { ReplicaEvent::Elected } else { ReplicaEvent::SteppedDown });
     }
 }
 
--- a/fleet-coordinator/src/replica/membership.rs
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -48,7 +48,7 @@
 
 impl Replica {
     pub(super) fn maintain_quorum(&mut self, now: f64) {
-        if !self.leads {
+        if !self.is_leader {
             return;
         }
         let Some(review) = self.review_quorum(now) else { return };
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -51,7 +51,7 @@
     node: Option<RawNode<RaftLog>>,
     member: MemberId,
     applied: u64,
-    leads: bool,
+    is_leader: bool,
     /// What waits for the disk, in order.
     pending_ready: VecDeque<PendingReady>,
     pending_jobs: VecDeque<PendingJob>,
@@ -92,7 +92,7 @@
             node: None,
             member: MemberId::NONE,
             applied: 0,
-            leads: false,
+            is_leader: false,
             pending_ready: VecDeque::new(),
             pending_jobs: VecDeque::new(),
             next_job: DiskJobId(1),
@@ -140,8 +140,8 @@
 
     /// Whether this member leads and may serve.
     #[must_use]
-    pub fn leads(&self) -> bool {
-        self.leads
+    pub fn is_leader(&self) -> bool {
+        self.is_leader
     }
 
     /// The member that leads, as far as this one knows.
@@ -187,7 +187,7 @@
         self.node = None;
         self.pending_ready.clear();
         self.disk_retry_at = now + DISK_RETRY_S;
-        if std::mem::take(&mut self.leads) {
+        if std::mem::take(&mut self.is_leader) {
             self.events.push(ReplicaEvent::SteppedDown);
         }
         self.status = status;
--- a/fleet-coordinator/src/replica/proposals.rs
+++ b/fleet-coordinator/src/replica/proposals.rs
@@ -57,7 +57,7 @@
 
     /// Proposes a command; `false` where that is not possible here and now.
     pub fn propose(&mut self, now: f64, command: Command) -> bool {
-        if !self.leads {
+        if !self.is_leader {
             return false;
         }
         let entry = LogEntry { at_ms: self.log_time_ms(now), command };
@@ -82,7 +82,7 @@
     /// Asks a quorum whether this member still leads (Raft's `ReadIndex`).
     /// [`Confirmed`](super::ReplicaEvent::Confirmed) follows with this number if it led after this call.
     pub fn request_read_index(&mut self, now: f64, number: u64) {
-        if let Some(node) = self.node.as_mut().filter(|_| self.leads) {
+        if let Some(node) = self.node.as_mut().filter(|_| self.is_leader) {
             node.read_index(number.to_le_bytes().to_vec());
             self.process_ready(now);
         }
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -54,7 +54,7 @@
             if matches!(scenario.coordinator.replica.status, MemberStatus::Uninitialized(_)) {
                 scenario.coordinator.replica.bootstrap(scenario.now, &["c1".to_owned()], "c1");
             }
-            scenario.coordinator.replica.leads()
+            scenario.coordinator.replica.is_leader()
         });
         scenario
     }
@@ -174,10 +174,10 @@
         // It stays suspended while the disk fails, and takes part again without help once it works.
         for _ in 0..200 {
             scenario.step();
-            assert!(name.contains("call") || !scenario.coordinator.replica.leads(), "{name}");
+            assert!(name.contains("call") || !scenario.coordinator.replica.is_leader(), "{name}");
         }
         repair(&mut scenario);
-        scenario.until("it leads again", 10.0, |s| s.coordinator.replica.leads());
+        scenario.until("it leads again", 10.0, |s| s.coordinator.replica.is_leader());
         assert!(scenario.events.contains(&CoordinatorEvent::DiskResumed { member: MemberId(1) }), "{name}");
         scenario.hello(90);
         scenario.until("another session", 1.0, |s| s.welcomed() == 2);
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -52,7 +52,7 @@
                 fleet.coordinator.replica.bootstrap(fleet.now, &["c1".to_owned()], "c1");
             }
         }
-        assert!(fleet.coordinator.replica.leads());
+        assert!(fleet.coordinator.replica.is_leader());
         fleet.coordinator.opened(WORKER);
         fleet.send(
             WORKER,
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -126,7 +126,7 @@
     assert_eq!((replica.member(), replica.term()), (MEMBER_C3, 2));
     // What is behind the snapshot is applied once a quorum has confirmed it.
     assert_eq!(replica.log_position(), LogPosition { last: LAST_INDEX, applied: SNAPSHOT_INDEX });
-    assert_eq!((replica.leads(), replica.leader()), (false, None));
+    assert_eq!((replica.is_leader(), replica.leader()), (false, None));
     assert_eq!(sorted(replica.voters()), [MEMBER_C1, MEMBER_C3]);
     let status = serde_json::to_string(&coordinator.status()).unwrap();
     assert_eq!(status, fixture_text("expected/status.json").trim_end());
@@ -264,7 +264,7 @@
     }
 
     fn leader(&mut self) -> Option<&mut Replica> {
-        self.members.iter_mut().map(|(replica, ..)| replica).find(|replica| replica.leads())
+        self.members.iter_mut().map(|(replica, ..)| replica).find(|replica| replica.is_leader())
     }
 
     fn propose(&mut self, command: Command) {
--- a/testbed/src/fleet/virtual_fleet/faults.rs
+++ b/testbed/src/fleet/virtual_fleet/faults.rs
@@ -25,9 +25,9 @@
 
 impl World {
     fn leader(&self) -> Option<usize> {
-        let leads =
-            |process: &CoordinatorProcess| process.machine.as_ref().is_some_and(|m| m.replica.leads());
-        self.coordinators.iter().position(leads)
+        let is_leader =
+            |process: &CoordinatorProcess| process.machine.as_ref().is_some_and(|m| m.replica.is_leader());
+        self.coordinators.iter().position(is_leader)
     }
 
     /// What an operator does about a coordinator that says it has lost its disk, or is suspended for an old one.
