--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -40,7 +40,7 @@
     pub caller_persisted: u64,
     /// The caller is one of the fleet's founders.
     #[serde(rename = "founder")]
-    pub caller_is_founder: bool,
+    pub caller_is_initial_member: bool,
     /// Why nothing is accepted from the caller, if so.
     #[serde(rename = "barred")]
     pub exclusion: Option<String>,
@@ -95,7 +95,7 @@
         let persisted = same_member.map(|answer| answer.caller_persisted).max().unwrap_or(0);
         if persisted > 0 {
             self.record_lost_disk(uninitialized, persisted);
-        } else if !newest.caller_is_founder {
+        } else if !newest.caller_is_initial_member {
             self.replica.join(now, newest.caller_member);
         } else if all_answered {
             // The others have begun; this disk has never acknowledged anything.
@@ -162,8 +162,8 @@
             version: self.replica.version(),
             caller_member: known.member,
             caller_persisted: known.persisted,
-            caller_is_founder: known.member != MemberId::NONE
-                && known.member <= self.replica.state_machine.last_founder,
+            caller_is_initial_member: known.member != MemberId::NONE
+                && known.member <= self.replica.state_machine.last_initial_member,
             exclusion: exclusion.map(ToString::to_string),
         }
     }
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -75,7 +75,7 @@
     pub last_member: MemberId,
     /// Members up to this one founded the fleet.
     #[serde(rename = "founders")]
-    pub last_founder: MemberId,
+    pub last_initial_member: MemberId,
 }
 
 impl LeaseStateMachine {
@@ -83,12 +83,12 @@
     #[must_use]
     pub fn bootstrap(coordinators: &[String]) -> LeaseStateMachine {
         let members = (1..).map(MemberId).zip(coordinators.iter().cloned()).collect();
-        let last_founder = MemberId(coordinators.len() as u64);
+        let last_initial_member = MemberId(coordinators.len() as u64);
         LeaseStateMachine {
             version: 1,
             members,
-            last_member: last_founder,
-            last_founder,
+            last_member: last_initial_member,
+            last_initial_member,
             ..LeaseStateMachine::default()
         }
     }
--- a/fleet-coordinator/tests/peer_frames.rs
+++ b/fleet-coordinator/tests/peer_frames.rs
@@ -24,7 +24,7 @@
         version: 2,
         caller_member: MemberId(4),
         caller_persisted: 25,
-        caller_is_founder: true,
+        caller_is_initial_member: true,
         exclusion: Some("member 2 has been replaced".to_owned()),
     };
     let text = r#"{"member":1,"version":2,"yours":4,"kept":25,"founder":true,"barred":"member 2 has been replaced"}"#;
