--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -169,12 +169,12 @@
     }
 
     /// A link was accepted.
-    pub fn opened(&mut self, link: LinkId) {
+    pub fn on_link_opened(&mut self, link: LinkId) {
         self.roles.insert(link, Role::New);
     }
 
     /// A link is gone.
-    pub fn closed(&mut self, link: LinkId) {
+    pub fn on_link_closed(&mut self, link: LinkId) {
         self.roles.remove(&link);
         self.leader_state.on_link_closed(link);
         self.pending_queries.retain(|query| query.link != link);
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -61,7 +61,7 @@
     }
 
     /// A peer has answered that frame.
-    pub fn peer_answered(&mut self, now: f64, peer: &str, answer: PeerAnswer) {
+    pub fn on_peer_answer(&mut self, now: f64, peer: &str, answer: PeerAnswer) {
         if answer.member != MemberId::NONE {
             self.record_peer(answer.member, answer.version, peer);
         }
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -107,7 +107,7 @@
 
     fn accept(&mut self, now: f64) {
         for id in self.inbound.accept(now, &self.poll, &mut self.acceptor) {
-            self.coordinator.opened(id);
+            self.coordinator.on_link_opened(id);
         }
     }
 
@@ -115,7 +115,7 @@
     fn poll_peers(&mut self, now: f64) {
         let answers = self.peers.poll(now, &self.poll, || self.coordinator.peer_hello());
         for answered in answers {
-            self.coordinator.peer_answered(now, &answered.peer, answered.answer);
+            self.coordinator.on_peer_answer(now, &answered.peer, answered.answer);
             self.execute_outputs();
         }
     }
@@ -155,7 +155,7 @@
 
     fn close(&mut self, id: LinkId) {
         if self.inbound.close(id) {
-            self.coordinator.closed(id);
+            self.coordinator.on_link_closed(id);
         }
     }
 
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -107,7 +107,7 @@
     /// A worker connects over a new link; its session has to be written to the log.
     fn hello(&mut self, number: u64) {
         let link = LinkId(number);
-        self.coordinator.opened(link);
+        self.coordinator.on_link_opened(link);
         let hello = ClientMessage::Hello {
             fleet: "f".into(),
             version: LATEST_VERSION,
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -53,7 +53,7 @@
             }
         }
         assert!(fleet.coordinator.replica.is_leader());
-        fleet.coordinator.opened(WORKER);
+        fleet.coordinator.on_link_opened(WORKER);
         fleet.send(
             WORKER,
             &ClientMessage::Hello {
@@ -111,7 +111,7 @@
     }
 
     fn ask(&mut self, what: OperatorQuery) -> Value {
-        self.coordinator.opened(OPERATOR);
+        self.coordinator.on_link_opened(OPERATOR);
         let messages = self.send(OPERATOR, &ClientMessage::Query { fleet: "f".into(), what });
         let answer = messages.into_iter().find_map(|message| match message {
             ServerMessage::QueryResult { answer } => Some(answer),
--- a/testbed/src/fleet/virtual_fleet/network.rs
+++ b/testbed/src/fleet/virtual_fleet/network.rs
@@ -57,7 +57,7 @@
         self.workers[worker].link = Some(Link { number: link, coordinator });
         let state = WorkerLink { worker, up: LinkDirection::default(), down: LinkDirection::default() };
         self.network.worker_links.insert(link, state);
-        self.with_coordinator(coordinator, |machine, _| machine.opened(LinkId(link)));
+        self.with_coordinator(coordinator, |machine, _| machine.on_link_opened(LinkId(link)));
         self.with_worker(worker, |member, _| member.connected());
     }
 
@@ -74,7 +74,7 @@
         if let Some(Link { coordinator, .. }) = self.workers[worker].link.take() {
             self.network.worker_links.remove(&link);
             if let Some(machine) = &mut self.coordinators[coordinator].machine {
-                machine.closed(LinkId(link));
+                machine.on_link_closed(LinkId(link));
             }
         }
     }
@@ -182,7 +182,7 @@
         self.network.peer_links.insert(peers, link);
         self.network.peers_by_link.insert(link, peers);
         self.with_coordinator(to, |machine, now| {
-            machine.opened(LinkId(link));
+            machine.on_link_opened(LinkId(link));
             let _ = machine.receive(now, LinkId(link), &hello[LENGTH_BYTES..]);
         });
     }
@@ -219,7 +219,7 @@
         }
         if let Ok(answer) = serde_json::from_slice::<PeerAnswer>(&bytes[LENGTH_BYTES..]) {
             let name = coordinator_name(peers.to);
-            self.with_coordinator(peers.from, |machine, now| machine.peer_answered(now, &name, answer));
+            self.with_coordinator(peers.from, |machine, now| machine.on_peer_answer(now, &name, answer));
         }
     }
 
@@ -228,7 +228,7 @@
         if let Some(link) = self.network.peer_links.remove(&peers) {
             self.network.peers_by_link.remove(&link);
             if let Some(machine) = &mut self.coordinators[peers.to].machine {
-                machine.closed(LinkId(link));
+                machine.on_link_closed(LinkId(link));
             }
         }
     }
