--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -163,7 +163,7 @@
     }
 
     /// A job of the disk has ended.
-    pub fn disk_done(&mut self, now: f64, job: DiskJobId, result: DiskResult) {
+    pub fn on_disk_result(&mut self, now: f64, job: DiskJobId, result: DiskResult) {
         self.replica.on_disk_result(now, job, result);
         self.process_events(now);
     }
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -60,7 +60,7 @@
             self.reload(now, path);
         }
         for JobResult { number, result } in results {
-            self.coordinator.disk_done(now, number, result);
+            self.coordinator.on_disk_result(now, number, result);
         }
         self.accept(now);
         self.poll_peers(now);
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -65,7 +65,7 @@
         loop {
             let due = self.answers.iter().position(|(at, ..)| *at <= self.now);
             if let Some((_, job, done)) = due.map(|at| self.answers.remove(at)) {
-                self.coordinator.disk_done(self.now, job, done);
+                self.coordinator.on_disk_result(self.now, job, done);
             }
             let out = self.coordinator.take_outputs();
             if out.is_empty() && due.is_none() {
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -85,7 +85,7 @@
                     Output::Disk(number, job) => {
                         let disk = self.disk.clone();
                         let result = execute_job(&mut self.store, &job, || Ok(disk));
-                        self.coordinator.disk_done(self.now, number, result);
+                        self.coordinator.on_disk_result(self.now, number, result);
                     }
                     Output::Frame(_, bytes) => {
                         messages.push(decode(&bytes, MAX_SERVER_FRAME_BYTES).unwrap().unwrap().0);
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -110,7 +110,7 @@
         for one in out {
             if let Output::Disk(number, job) = one {
                 let done = execute_job(&mut store, &job, || Folder::lock(folder));
-                coordinator.disk_done(0.0, number, done);
+                coordinator.on_disk_result(0.0, number, done);
             }
         }
     }
--- a/testbed/src/fleet/virtual_fleet/disks.rs
+++ b/testbed/src/fleet/virtual_fleet/disks.rs
@@ -25,7 +25,7 @@
             let process = &mut self.coordinators[coordinator];
             let disk = process.disk.clone();
             let done = execute_job(&mut process.store, job, || Ok(disk));
-            self.with_coordinator(coordinator, |machine, now| machine.disk_done(now, number, done));
+            self.with_coordinator(coordinator, |machine, now| machine.on_disk_result(now, number, done));
         }
     }
 
