--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -10,7 +10,7 @@
 const MAX_WRITE_OVERDUE_MS: u64 = 60_000;
 const MIN_TTL_MS: u64 = 500;
 const MAX_TTL_MS: u64 = 600_000;
-const MAX_PAUSE_MS: u64 = 600_000;
+const MAX_BACKOFF_MS: u64 = 600_000;
 const MAX_CALLS_PART: f64 = 1e6;
 const MAX_RETRY_PERCENT: f64 = 100.0;
 
@@ -65,7 +65,7 @@
                 return Err(ConfigError::DuplicateTask { name: name.clone() });
             }
             check_range(&format!("task {name}.ttl_ms"), task.ttl_ms, MIN_TTL_MS, MAX_TTL_MS)?;
-            check_range(&format!("task {name}.pause_ms"), task.pause_ms, 0, MAX_PAUSE_MS)?;
+            check_range(&format!("task {name}.pause_ms"), task.backoff_ms, 0, MAX_BACKOFF_MS)?;
         }
         Ok(())
     }
--- a/fleet-coordinator/src/leader_state/tests.rs
+++ b/fleet-coordinator/src/leader_state/tests.rs
@@ -4,8 +4,8 @@
 
 const LINK: LinkId = LinkId(5);
 
-fn set_tasks(epoch: u64, ttl_ms: u64, pause_ms: u64) -> Command {
-    let task = Task { name: "t".into(), ttl_ms, zones: Vec::new(), pause_ms };
+fn set_tasks(epoch: u64, ttl_ms: u64, backoff_ms: u64) -> Command {
+    let task = Task { name: "t".into(), ttl_ms, zones: Vec::new(), backoff_ms };
     Command::SetTasks { epoch, tasks: vec![task] }
 }
 
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -17,15 +17,15 @@
     #[serde(default)]
     pub zones: Vec<String>,
     /// The backoff of a holder that failed at the task (milliseconds); doubled for each failure in a row.
-    #[serde(default = "default_pause_ms")]
-    pub pause_ms: u64,
+    #[serde(rename = "pause_ms", default = "default_backoff_ms")]
+    pub backoff_ms: u64,
 }
 
 fn default_ttl_ms() -> u64 {
     3000
 }
 
-fn default_pause_ms() -> u64 {
+fn default_backoff_ms() -> u64 {
     2000
 }
 
--- a/fleet-coordinator/src/state_machine/failures.rs
+++ b/fleet-coordinator/src/state_machine/failures.rs
@@ -25,7 +25,7 @@
     /// Counts a failure, and starts a backoff that doubles each time.
     pub(super) fn record_failure(&mut self, task: &str, session: SessionId) {
         let Some(name) = self.sessions.get(&session).map(|session| session.name.clone()) else { return };
-        let backoff_ms = self.tasks.get(task).map_or(0, |task| task.pause_ms);
+        let backoff_ms = self.tasks.get(task).map_or(0, |task| task.backoff_ms);
         let now = self.log_time_ms;
         let by_name = self.failures.entry(task.to_owned()).or_default();
         by_name.retain(|_, failure| now < failure.backoff_until_ms.saturating_add(FAILURE_RETENTION_MS));
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -6,7 +6,7 @@
 }
 
 fn task(ttl_ms: u64) -> Task {
-    Task { name: "t".into(), ttl_ms, zones: Vec::new(), pause_ms: 100 }
+    Task { name: "t".into(), ttl_ms, zones: Vec::new(), backoff_ms: 100 }
 }
 
 fn open(incarnation: u64) -> Command {
--- a/fleet-coordinator/tests/lease_world/leader.rs
+++ b/fleet-coordinator/tests/lease_world/leader.rs
@@ -45,7 +45,7 @@
 
 /// The list of tasks of this epoch, whose TTL grows with it.
 pub fn tasks(epoch: u64) -> Command {
-    let task = Task { name: TASK.into(), ttl_ms: TTL_MS * epoch, zones: Vec::new(), pause_ms: 0 };
+    let task = Task { name: TASK.into(), ttl_ms: TTL_MS * epoch, zones: Vec::new(), backoff_ms: 0 };
     Command::SetTasks { epoch, tasks: vec![task] }
 }
 
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -28,7 +28,7 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let task = Task { name: "totals".into(), ttl_ms: 3000, zones: vec!["east".into()], pause_ms: 2000 };
+        let task = Task { name: "totals".into(), ttl_ms: 3000, zones: vec!["east".into()], backoff_ms: 2000 };
         let config = CoordinatorConfig {
             fleet: "f".into(),
             name: "c1".into(),
--- a/fleet-coordinator/tests/operator_file.rs
+++ b/fleet-coordinator/tests/operator_file.rs
@@ -24,9 +24,9 @@
         let peers = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.port()));
         assert_eq!(peers.collect::<Vec<_>>(), [("c1", 7101), ("c2", 7102), ("c3", 7103)]);
         let [totals, report] = &file.tasks[..] else { panic!("two tasks, not {:?}", file.tasks) };
-        assert_eq!((totals.name.as_str(), totals.ttl_ms, totals.pause_ms), ("totals", 3000, 2000));
+        assert_eq!((totals.name.as_str(), totals.ttl_ms, totals.backoff_ms), ("totals", 3000, 2000));
         assert!(totals.zones.is_empty());
-        assert_eq!((report.name.as_str(), report.ttl_ms, report.pause_ms), ("nightly-report", 3000, 2000));
+        assert_eq!((report.name.as_str(), report.ttl_ms, report.backoff_ms), ("nightly-report", 3000, 2000));
         assert_eq!(report.zones, ["east"]);
         assert!(file.overload.is_none());
     }
@@ -38,7 +38,7 @@
     assert_eq!((file.epoch, file.write_overdue_ms, file.version), (4, 750, 1));
     assert_eq!(file.listen_address(), Some("0.0.0.0:7201".parse().unwrap()));
     let task = &file.tasks[0];
-    assert_eq!((task.name.as_str(), task.ttl_ms, task.pause_ms), ("nightly-report", 2500, 1500));
+    assert_eq!((task.name.as_str(), task.ttl_ms, task.backoff_ms), ("nightly-report", 2500, 1500));
     assert_eq!(task.zones, ["east", "west"]);
     let overload = file.overload.unwrap();
     assert_eq!((overload.calls_part, overload.retry_percent), (4.5, 12.5));
@@ -50,7 +50,7 @@
     assert_eq!((file.write_overdue_ms, file.version), (1000, 2));
     assert_eq!(file.listen_address(), Some("127.0.0.1:7101".parse().unwrap()));
     let task = &file.tasks[0];
-    assert_eq!((task.ttl_ms, task.pause_ms, task.zones.len()), (3000, 2000, 0));
+    assert_eq!((task.ttl_ms, task.backoff_ms, task.zones.len()), (3000, 2000, 0));
     assert_eq!(file.overload, Some(Overload { calls_part: 4.0, retry_percent: 10.0 }));
 }
 
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -334,7 +334,7 @@
         name: "archive".into(),
         ttl_ms: 4000,
         zones: vec!["east".into(), "west".into()],
-        pause_ms: 2000,
+        backoff_ms: 2000,
     };
     let commands = vec![
         open("worker-a", "east", u64::MAX),
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -48,7 +48,7 @@
     pub fn task_configs(&self) -> Vec<Task> {
         let zones = vec!["z0".to_owned()];
         let ttl_ms = if self.epoch % 2 == 0 { self.shape.ttl_ms / 2 } else { self.shape.ttl_ms };
-        let task = |n| Task { name: task_name(n), ttl_ms, zones: zones.clone(), pause_ms: TASK_PAUSE_MS };
+        let task = |n| Task { name: task_name(n), ttl_ms, zones: zones.clone(), backoff_ms: TASK_PAUSE_MS };
         (0..self.shape.tasks).map(task).collect()
     }
 
