--- a/fleet-coordinator/src/ids.rs
+++ b/fleet-coordinator/src/ids.rs
@@ -1,48 +1,48 @@
-//! Numbers that identify what belongs to a fleet, each kind with a type of its own, so that none is taken for another. In
-//! the log, in snapshots and on the wire they are plain numbers.
+//! Identifiers within a fleet. Each kind is a separate type, so that they can't be confused. In the log, in snapshots and
+//! on the wire they are plain numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A member of the quorum: one disk of one coordinator. Numbers begin at 1 and are never reused.
+/// Identifies a member of the quorum: one disk of one coordinator. Starts at 1; numbers are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// No member, as the disk and the wire write it.
+    /// Stands for no member, on disk and on the wire.
     pub const NONE: MemberId = MemberId(0);
 
-    /// The member of the next number.
+    /// Returns the next member number.
     #[must_use]
     pub fn next(self) -> MemberId {
         MemberId(self.0 + 1)
     }
 }
 
-/// A worker's session. Numbers begin at 1 and are never reused.
+/// Identifies a worker's session. Starts at 1; numbers are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SessionId(pub u64);
 
 impl SessionId {
-    /// The session of the next number.
+    /// Returns the next session number.
     #[must_use]
     pub fn next(self) -> SessionId {
         SessionId(self.0 + 1)
     }
 }
 
-/// A link to a coordinator. Numbers are given by the caller and never reused.
+/// Identifies a link to a coordinator. Assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// A job for a coordinator's disk. Numbers grow with each job.
+/// Identifies a disk job of a coordinator. Increases with each job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DiskJobId(pub u64);
 
 impl DiskJobId {
-    /// The job of the next number.
+    /// Returns the next job number.
     #[must_use]
     pub fn next(self) -> DiskJobId {
         DiskJobId(self.0 + 1)
--- a/fleet-coordinator/src/lib.rs
+++ b/fleet-coordinator/src/lib.rs
@@ -1,10 +1,10 @@
-//! The coordinators of a fleet: sessions, leases and periods of tasks in a replicated log.
-//! `docs/design/05-leases.md` has the reasons.
+//! The coordinators of a fleet: they replicate sessions, task leases and task periods through a Raft log.
+//! `docs/design/05-leases.md` explains the design.
 //!
-//! [`state_machine`] is the replicated state, [`replica`] one member of the quorum, [`leader_state`] what a leader does
-//! beside the log, [`lease_clock`] how it counts leases' time, and [`coordinator`] all of it as one machine without I/O.
-//! [`net`] puts sockets, a disk and a clock around it, and [`events`] is what coordinators report in the log. [`client`]
-//! sends operators' queries, and [`config`] reads a coordinator's file.
+//! [`state_machine`] is the replicated state, [`replica`] one member of the quorum, [`leader_state`] the leader's
+//! unreplicated state, and [`lease_clock`] its lease expiry tracking. [`coordinator`] combines them without I/O; [`net`]
+//! adds sockets, a disk and a clock. [`events`] defines the events that coordinators log, [`client`] sends operators'
+//! queries, and [`config`] reads a coordinator's configuration file.
 
 pub mod client;
 pub mod config;
--- a/fleet-coordinator/src/main.rs
+++ b/fleet-coordinator/src/main.rs
@@ -1,19 +1,19 @@
-//! Starts one coordinator.
+//! The coordinator's executable.
 
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::filter::Targets;
 
-/// The variable that names which events are logged, as `TARGET=LEVEL` with commas between, or one level for all.
+/// Environment variable with the log filter: comma-separated `TARGET=LEVEL` pairs, or one level for all targets.
 const FILTER_VARIABLE: &str = "RUST_LOG";
-/// The exit status where the file or the address can't be used.
-const EXIT_UNUSABLE: u8 = 2;
+/// Exit status when the configuration file or the listen address can't be used.
+const EXIT_INVALID_CONFIG: u8 = 2;
 
 #[derive(Parser)]
-#[command(name = "fleet-coordinator", version, about = "Holds a fleet's leases, with its peers")]
+#[command(name = "fleet-coordinator", version, about = "Grants a fleet's leases, as one replica of a quorum")]
 struct Arguments {
-    /// Its file, as deploy/coordinator.toml shows.
+    /// Configuration file; see deploy/coordinator.toml for an example.
     #[arg(long)]
     config: PathBuf,
 }
@@ -25,12 +25,12 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("fleet-coordinator: {}", error.to_string().replace('\n', " "));
-            ExitCode::from(EXIT_UNUSABLE)
+            ExitCode::from(EXIT_INVALID_CONFIG)
         }
     }
 }
 
-/// The operator's filter; a variable that can't be read counts as none.
+/// Returns the operator's log filter; an invalid value is ignored.
 fn log_filter() -> Option<Targets> {
     std::env::var(FILTER_VARIABLE).ok()?.parse().ok()
 }
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -1,22 +1,22 @@
-//! What stands in the replicated log, and what applying it returns.
+//! The replicated log's entries, and the results of applying them.
 
 use crate::ids::{MemberId, SessionId};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// How a task's lease is granted.
+/// A task and how its lease is granted.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Task {
     /// The task's name; unique in the fleet.
     pub name: String,
-    /// How long a renewal is valid (milliseconds).
+    /// How long a grant or renewal of the lease is valid (milliseconds).
     #[serde(default = "default_ttl_ms")]
     pub ttl_ms: u64,
     /// Zones whose workers are preferred, in order of preference.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The backoff of a holder that failed at the task (milliseconds); doubled for each failure in a row.
+    /// The backoff of a holder that failed at the task (milliseconds); doubled with each consecutive failure.
     #[serde(rename = "pause_ms", default = "default_backoff_ms")]
     pub backoff_ms: u64,
 }
@@ -29,7 +29,7 @@
     2000
 }
 
-/// A change of the replicated state. Names in the log are fixed: they are given by `serde` attributes.
+/// A change of the replicated state. The names in the log are fixed by `serde` attributes.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "do", rename_all = "kebab-case")]
 pub enum Command {
@@ -40,19 +40,19 @@
         name: String,
         /// The worker's zone.
         zone: String,
-        /// Distinguishes processes of the same name.
+        /// Distinguishes processes with the same worker name.
         #[serde(rename = "process")]
         incarnation: u64,
-        /// The latest protocol version that the worker understands.
+        /// The latest protocol version that the worker supports.
         version: u32,
     },
-    /// Ends a session that holds no lease: the worker left, or sent nothing for the session's TTL.
+    /// Closes a session that holds no lease: the worker left, or sent nothing for the session's TTL.
     #[serde(rename = "close")]
     CloseSession {
         /// The session.
         session: SessionId,
     },
-    /// Grants a free task's lease.
+    /// Grants the lease of a task that has no holder.
     #[serde(rename = "grant")]
     GrantLease {
         /// The task.
@@ -60,26 +60,26 @@
         /// The new holder.
         session: SessionId,
     },
-    /// Ends a lease, so that the task can be granted again.
+    /// Releases a lease, so that the task can be granted again.
     #[serde(rename = "free")]
     ReleaseLease {
         /// The lease.
         #[serde(rename = "held")]
         lease: LeaseRef,
-        /// Why it ends.
+        /// Why it is released.
         #[serde(rename = "why")]
         reason: ReleaseReason,
     },
-    /// Ends a lease and grants the task to another session in one step.
+    /// Atomically releases a lease and grants the task to another session.
     #[serde(rename = "transfer")]
     TransferLease {
-        /// The lease that ends.
+        /// The lease to release.
         #[serde(rename = "held")]
         lease: LeaseRef,
         /// The new holder.
         session: SessionId,
     },
-    /// Begins the task's next period, or its current one again where its call may be repeated.
+    /// Begins the task's next period, or repeats the current one if its call may be repeated.
     #[serde(rename = "begin")]
     BeginPeriod {
         /// The lease under which the call is made.
@@ -87,10 +87,10 @@
         lease: LeaseRef,
         /// The length of a period (milliseconds).
         every_ms: u64,
-        /// The call may be repeated without harm.
+        /// Whether the call is idempotent.
         #[serde(rename = "safe")]
         idempotent: bool,
-        /// The holder's number for this request; a repeated request has the same.
+        /// The holder's number for this request; a retry has the same number.
         attempt: u64,
     },
     /// Records how the call of a period ended.
@@ -105,22 +105,22 @@
         #[serde(rename = "ending")]
         outcome: CallOutcome,
     },
-    /// Replaces the list of tasks by that of the coordinators' file.
+    /// Replaces the list of tasks with that of the configuration file.
     #[serde(rename = "tasks")]
     SetTasks {
-        /// The file's epoch; ignored unless higher than the current one.
+        /// The file's epoch; the command is rejected unless it is higher than the current epoch.
         epoch: u64,
         /// The tasks.
         tasks: Vec<Task>,
     },
-    /// Records up to which index each coordinator's log is known to be persisted.
+    /// Records up to which index each coordinator is known to have persisted the log.
     #[serde(rename = "progress")]
     RecordProgress {
-        /// What is known of each member.
+        /// The known progress of each member.
         #[serde(rename = "kept")]
         persisted: Vec<MemberProgress>,
     },
-    /// All coordinators can apply commands of this version.
+    /// Records that all coordinators can apply commands of this version.
     #[serde(rename = "raise")]
     RaiseVersion {
         /// The version.
@@ -131,7 +131,7 @@
     Unknown,
 }
 
-/// Up to where a member's log is known to be persisted. In the log it is a pair of numbers.
+/// Up to which index a member is known to have persisted the log. Encoded in the log as a pair of numbers.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct MemberProgress {
@@ -153,38 +153,38 @@
     }
 }
 
-/// Why a lease ended.
+/// Why a lease was released.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReleaseReason {
-    /// Its holder did not renew it in time.
+    /// The holder did not renew it in time.
     #[serde(rename = "lapsed")]
     Expired,
-    /// Its holder released it.
+    /// The holder returned it.
     #[serde(rename = "given-back")]
     Returned,
-    /// Its holder released it because it failed at the task.
+    /// The holder returned it because it failed at the task.
     Failed,
 }
 
 /// A command with the log's time.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct LogEntry {
-    /// The log's time when the leader proposed the command (milliseconds); it never decreases.
+    /// The log's time when the leader proposed the command (milliseconds); never decreases.
     pub at_ms: u64,
     /// The command.
     #[serde(flatten)]
     pub command: Command,
 }
 
-/// What a command that was applied returned.
+/// The result of a command that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The session of this number is open.
+    /// The session with this number is open.
     Opened(SessionId),
     /// The lease was granted.
     Granted(LeaseRef),
-    /// The period of this number has begun.
+    /// The period with this number has begun.
     Begun(u64),
     /// The command has no result.
     Done,
@@ -193,34 +193,34 @@
 /// Why a command changed nothing but the log's time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// The command's version is not agreed on.
-    #[error("not understood by all coordinators yet")]
+    /// Not all coordinators can apply the command's version yet.
+    #[error("command not supported by all coordinators yet")]
     UnsupportedVersion,
-    /// Not a valid name.
-    #[error("{0} is not a name: letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
+    /// The name is not valid.
+    #[error("invalid name {0}: expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
     InvalidName(String),
-    /// The number of sessions is at its limit.
-    #[error("{0} sessions are open; no more are taken")]
+    /// The session limit is reached.
+    #[error("session limit reached: {0} sessions are open")]
     TooManySessions(usize),
     /// The session is not open.
-    #[error("there is no such session")]
+    #[error("session not found")]
     UnknownSession,
     /// The task is not configured.
-    #[error("there is no such task")]
+    #[error("task not found")]
     UnknownTask,
-    /// The lease or period is not that of the one who names it.
-    #[error("the lease is not this holder's")]
+    /// The sender does not hold the lease, or did not begin the period.
+    #[error("the sender does not hold the lease")]
     NotHeld,
-    /// The task's lease is held.
-    #[error("somebody holds it")]
+    /// The task's lease is already held.
+    #[error("the task's lease is already held")]
     AlreadyHeld,
-    /// The next period begins later (milliseconds).
+    /// The next period begins after this time (milliseconds).
     #[error("the next period begins in {0} ms")]
     NotDue(u64),
-    /// The session can't be closed while it holds leases.
+    /// A session can't be closed while it holds leases.
     #[error("the session still holds leases")]
     StillHoldsLeases,
     /// The epoch is not higher than the current one.
-    #[error("epoch {0} has been taken up already")]
+    #[error("epoch {0} is not higher than the current epoch")]
     StaleEpoch(u64),
 }
--- a/fleet-coordinator/src/state_machine/failures.rs
+++ b/fleet-coordinator/src/state_machine/failures.rs
@@ -1,19 +1,19 @@
-//! Holders that failed at a task, and their exponential backoff.
+//! Exponential backoff of holders that failed at a task.
 
 use super::{LeaseStateMachine, MAX_FAILURES_PER_TASK};
 use crate::ids::SessionId;
 use port_worker::fleet::frame::LeaseRef;
 use serde::{Deserialize, Serialize};
 
-/// How long after its backoff a holder's failures still count towards the next one (milliseconds).
+/// How long after its backoff ended a holder's failures still count towards the next backoff (milliseconds).
 const FAILURE_RETENTION_MS: u64 = 3_600_000;
-/// The longest backoff, in doublings of the task's.
+/// How often the task's backoff is doubled at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// A holder's failures in a row at one task.
+/// A holder's consecutive failures at one task.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct FailureRecord {
-    /// How many there were.
+    /// The number of failures.
     #[serde(rename = "times")]
     pub count: u32,
     /// The log's time until which the holder is not granted the task (milliseconds).
@@ -22,7 +22,7 @@
 }
 
 impl LeaseStateMachine {
-    /// Counts a failure, and starts a backoff that doubles each time.
+    /// Counts a failure and starts a backoff, twice as long as the previous one.
     pub(super) fn record_failure(&mut self, task: &str, session: SessionId) {
         let Some(name) = self.sessions.get(&session).map(|session| session.name.clone()) else { return };
         let backoff_ms = self.tasks.get(task).map_or(0, |task| task.backoff_ms);
@@ -41,7 +41,7 @@
         failure.backoff_until_ms = now.saturating_add(backoff_ms.saturating_mul(factor));
     }
 
-    /// The holder has succeeded: its earlier failures at the task no longer count.
+    /// Forgets the holder's earlier failures at the task after a success.
     pub(super) fn clear_failures(&mut self, lease: &LeaseRef) {
         let session = self.lease(lease).and_then(|lease| self.sessions.get(&lease.session));
         let name = session.map(|session| session.name.clone()).unwrap_or_default();
--- a/fleet-coordinator/src/state_machine/leases.rs
+++ b/fleet-coordinator/src/state_machine/leases.rs
@@ -1,11 +1,11 @@
-//! Leases of tasks: granting, releasing, transferring, and the list of tasks.
+//! Granting, releasing and transferring of task leases, and the list of tasks.
 
 use super::{LeaseStateMachine, Outcome, Rejection, ReleaseReason, Task};
 use crate::ids::SessionId;
 use port_worker::fleet::frame::{is_valid_name, LeaseRef, MAX_TASKS};
 use serde::{Deserialize, Serialize};
 
-/// A task's lease while somebody holds it.
+/// A task's lease while it is held.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Lease {
     /// The holder.
@@ -14,15 +14,15 @@
     pub token: u64,
     /// The log's time when it was granted (milliseconds).
     pub granted_ms: u64,
-    /// How long a renewal is valid (milliseconds).
+    /// How long a grant or renewal is valid (milliseconds).
     pub ttl_ms: u64,
-    /// The longest that any renewal under this token may have been valid (milliseconds): what a new leader waits.
+    /// The longest TTL that any renewal under this token may have had (milliseconds); a new leader waits this long.
     #[serde(rename = "whole_ms")]
     pub max_ttl_ms: u64,
 }
 
 impl LeaseStateMachine {
-    /// The lease that this names, if it is still held under that token.
+    /// Returns the referenced lease if it is still held under the same token.
     #[must_use]
     pub fn lease(&self, lease: &LeaseRef) -> Option<&Lease> {
         self.leases.get(&lease.task).filter(|current| current.token == lease.token)
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -1,10 +1,11 @@
 //! The fleet's replicated state: a deterministic state machine that every coordinator runs over the same log.
 //!
-//! Commands and the log's time go in, outcomes come out. It reads no clock and draws nothing at random, so that the same
-//! commands give the same state everywhere.
+//! It takes commands with the log's time and returns outcomes. It reads no clock and uses no randomness, so the same
+//! commands produce the same state on every coordinator.
 //!
-//! Invariants: a task has one holder at a time; fencing tokens only grow; a period of a task is begun once, unless its
-//! call surely had no effect or is idempotent. A command that is out of bounds or stale is rejected and changes nothing.
+//! Invariants: a task has at most one holder; fencing tokens only increase; a period of a task is begun only once, unless
+//! its call is known to have had no effect or is idempotent. An out-of-bounds or stale command is rejected and changes
+//! nothing.
 
 mod command;
 mod failures;
@@ -23,31 +24,32 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The largest number of sessions. Each takes about 200 bytes of a snapshot.
+/// The maximum number of sessions. Each takes about 200 bytes in a snapshot.
 pub const MAX_SESSIONS: usize = 4096;
-/// The largest number of indeterminate calls that are listed for operators.
+/// The maximum number of indeterminate calls kept for operators.
 pub const MAX_INDETERMINATE_CALLS: usize = 100;
-/// The largest number of failure records of one task; the one whose backoff ends first is evicted first.
+/// The maximum number of failure records per task; the record whose backoff ends first is evicted.
 pub const MAX_FAILURES_PER_TASK: usize = 256;
-/// The largest number of coordinators, past and present.
+/// The maximum number of coordinators, past and present.
 const MAX_MEMBERS: usize = 64;
-/// The latest version whose commands this program can apply. Commands of later ones are rejected by all members alike.
+/// The latest protocol version whose commands this program can apply. Commands of later versions are rejected, by all
+/// members alike.
 pub const LATEST_VERSION: u32 = port_worker::fleet::frame::VERSION;
 
-/// The complete replicated state. A snapshot is this as JSON; names there are fixed by `serde` attributes.
+/// The complete replicated state. A snapshot is its JSON form, with key names fixed by `serde` attributes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LeaseStateMachine {
-    /// The version that all coordinators can apply; 0 counts as 1.
+    /// The version that all coordinators can apply; 0 means 1.
     pub version: u32,
-    /// The log's time (milliseconds): the largest of all commands so far.
+    /// The log's time (milliseconds): the maximum over all commands so far.
     #[serde(rename = "at_ms")]
     pub log_time_ms: u64,
-    /// The epoch of the coordinators' file that `tasks` came from.
+    /// The epoch of the configuration file that `tasks` came from.
     pub epoch: u64,
-    /// The newest fencing token.
+    /// The last fencing token issued.
     pub last_token: u64,
-    /// The newest session's number.
+    /// The last session number assigned.
     pub last_session: SessionId,
     /// Tasks by name.
     pub tasks: BTreeMap<String, Task>,
@@ -55,31 +57,31 @@
     pub sessions: BTreeMap<SessionId, Session>,
     /// Leases by task.
     pub leases: BTreeMap<String, Lease>,
-    /// The latest period of each task that has had one.
+    /// The latest period of each task that has begun one.
     pub periods: BTreeMap<String, Period>,
-    /// Failures by task and worker's name.
+    /// Failures by task and worker name.
     #[serde(rename = "failed")]
     pub failures: BTreeMap<String, BTreeMap<String, FailureRecord>>,
-    /// The newest indeterminate calls, at most [`MAX_INDETERMINATE_CALLS`].
+    /// The most recent indeterminate calls, at most [`MAX_INDETERMINATE_CALLS`].
     #[serde(rename = "doubts")]
     pub indeterminate_calls: Vec<IndeterminateCall>,
-    /// The number of indeterminate calls since the fleet began.
+    /// The number of indeterminate calls since the fleet was bootstrapped.
     #[serde(rename = "doubts_in_all")]
     pub indeterminate_calls_total: u64,
-    /// By member number: the log index up to which its disk is known to have been written.
+    /// By member number: the log index up to which the member is known to have persisted.
     #[serde(rename = "progress")]
     pub persisted: BTreeMap<MemberId, u64>,
-    /// Coordinators' names by member number. Numbers are never reused.
+    /// Coordinator names by member number. Numbers are never reused.
     pub members: BTreeMap<MemberId, String>,
-    /// The newest member's number.
+    /// The last member number assigned.
     pub last_member: MemberId,
-    /// Members up to this one founded the fleet.
+    /// The last member number assigned at the fleet's bootstrap.
     #[serde(rename = "founders")]
     pub last_initial_member: MemberId,
 }
 
 impl LeaseStateMachine {
-    /// The state of a new fleet.
+    /// Returns the state of a new fleet.
     #[must_use]
     pub fn bootstrap(coordinators: &[String]) -> LeaseStateMachine {
         let members = (1..).map(MemberId).zip(coordinators.iter().cloned()).collect();
@@ -93,13 +95,13 @@
         }
     }
 
-    /// The member number of the coordinator of this name.
+    /// Returns the member number of the coordinator with this name.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<MemberId> {
         self.members.iter().find(|(_, member)| *member == name).map(|(number, _)| *number)
     }
 
-    /// Gives the coordinator that was member `old` the number `new`, after it has lost its disk.
+    /// Assigns member number `new` to the coordinator that was member `old`, after it lost its disk.
     pub fn replace_member(&mut self, old: MemberId, new: MemberId) {
         if let Some(name) = self.members.remove(&old) {
             self.members.insert(new, name);
@@ -111,7 +113,7 @@
     /// Applies one command.
     ///
     /// # Errors
-    /// Why the command changed nothing but the log's time.
+    /// The reason why the command changed nothing but the log's time.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<Outcome, Rejection> {
         self.log_time_ms = self.log_time_ms.max(entry.at_ms);
         match &entry.command {
--- a/fleet-coordinator/src/state_machine/periods.rs
+++ b/fleet-coordinator/src/state_machine/periods.rs
@@ -1,39 +1,39 @@
-//! Periods of a task: each is begun once, unless its call surely had no effect or is idempotent.
+//! Periods of a task. Each is begun only once, unless its call is known to have had no effect or is idempotent.
 
 use super::{LeaseStateMachine, Outcome, Rejection, MAX_INDETERMINATE_CALLS};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde::{Deserialize, Serialize};
 
-/// The first version whose coordinators know of periods.
+/// The first protocol version with periods.
 const PERIODS_VERSION: u32 = 2;
 
 /// A task's latest period.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Period {
-    /// Its number; the first is 1.
+    /// The period's number; the first is 1.
     pub number: u64,
-    /// The token of the lease under which it was last begun.
+    /// The fencing token of the lease under which it was last begun.
     pub token: u64,
     /// The holder's number for the request that began it.
     pub attempt: u64,
     /// The log's time when it was due (milliseconds).
     pub due_ms: u64,
-    /// How its call ended; `None` while that is not known.
+    /// How its call ended; `None` until it is reported.
     #[serde(rename = "ending")]
     pub outcome: Option<CallOutcome>,
-    /// Its call may be repeated without harm.
+    /// Whether its call is idempotent.
     #[serde(rename = "safe")]
     pub idempotent: bool,
 }
 
-/// A call that may have had its effect and must not be repeated.
+/// A call with an indeterminate outcome, which must not be repeated.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct IndeterminateCall {
     /// The task.
     pub task: String,
     /// The period's number.
     pub period: u64,
-    /// The token of the lease under which the call was made.
+    /// The fencing token of the lease under which the call was made.
     pub token: u64,
     /// The log's time when it was recorded (milliseconds).
     pub at_ms: u64,
@@ -57,17 +57,17 @@
         let Some(latest) = self.periods.get(&request.lease.task).cloned() else {
             return Ok(self.insert_period(request, 1, now));
         };
-        // The same request again: its answer was lost, and the holder sends no call before it has one.
+        // A retry of the same request: the answer was lost, and the holder makes no call without one.
         if (latest.token, latest.attempt, latest.outcome) == (request.lease.token, request.attempt, None) {
             return Ok(Outcome::Begun(latest.number));
         }
         let next_ms = latest.due_ms.saturating_add(request.every_ms);
         if now >= next_ms {
-            // The latest call's outcome was not reported, and can't be asked for later.
+            // The outcome of the latest call was not reported, and no later report is accepted.
             if latest.outcome.is_none() && !latest.idempotent {
                 self.record_indeterminate_call(&request.lease.task);
             }
-            // Periods keep their grid unless one was missed altogether.
+            // Periods stay aligned to the grid unless a whole period was missed.
             let missed = now >= next_ms.saturating_add(request.every_ms);
             let due_ms = if missed { now } else { next_ms };
             return Ok(self.insert_period(request, latest.number + 1, due_ms));
@@ -91,7 +91,7 @@
         Outcome::Begun(number)
     }
 
-    /// Also accepted from a holder that has lost the lease meanwhile: it alone knows how its call ended.
+    /// Also accepted from a holder that has lost the lease since: only it knows how its call ended.
     pub(super) fn end_period(
         &mut self,
         lease: &LeaseRef,
@@ -116,7 +116,7 @@
         Ok(Outcome::Done)
     }
 
-    /// Records that the outcome of the call of the task's latest period is unknown.
+    /// Records that the call of the task's latest period has an indeterminate outcome.
     fn record_indeterminate_call(&mut self, task: &str) {
         let Some(period) = self.periods.get(task) else { return };
         let call = IndeterminateCall {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Whether the call of the latest period may be made again within that period.
+/// Returns whether the call of the latest period may be repeated within that period.
 fn may_repeat(latest: &Period, request: &PeriodRequest) -> bool {
     match latest.outcome {
         Some(CallOutcome::Done) => false,
--- a/fleet-coordinator/src/state_machine/sessions.rs
+++ b/fleet-coordinator/src/state_machine/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of workers: opening and closing.
+//! Opening and closing of workers' sessions.
 
 use super::{LeaseStateMachine, Outcome, Rejection, MAX_SESSIONS};
 use crate::ids::SessionId;
@@ -12,22 +12,22 @@
     pub name: String,
     /// The worker's zone.
     pub zone: String,
-    /// Distinguishes processes of the same name.
+    /// Distinguishes processes with the same worker name.
     #[serde(rename = "process")]
     pub incarnation: u64,
-    /// The latest protocol version that the worker understands.
+    /// The latest protocol version that the worker supports.
     pub version: u32,
     /// The log's time when the session was opened (milliseconds).
     pub opened_ms: u64,
 }
 
 impl LeaseStateMachine {
-    /// The session of this process, if it has one.
+    /// Returns the open session of this process, if any.
     pub(crate) fn session_of(&self, name: &str, incarnation: u64) -> Option<SessionId> {
         self.sessions.iter().find(|(_, s)| s.incarnation == incarnation && s.name == name).map(|(id, _)| *id)
     }
 
-    /// The newest session of a worker's name.
+    /// Returns the most recent session with this worker name.
     #[must_use]
     pub fn newest_session(&self, name: &str) -> Option<SessionId> {
         self.sessions.iter().rev().find(|(_, s)| s.name == name).map(|(id, _)| *id)
@@ -45,7 +45,7 @@
                 return Err(Rejection::InvalidName(text.to_owned()));
             }
         }
-        // The same process asked twice, over two links or two leaders: one session.
+        // The same process asked again, over another link or another leader: it keeps its session.
         if let Some(id) = self.session_of(name, incarnation) {
             return Ok(Outcome::Opened(id));
         }
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -13,12 +13,12 @@
     Command::OpenSession { name: "w".into(), zone: "z".into(), incarnation, version: LATEST_VERSION }
 }
 
-/// Applies commands at their times, and compares what each returned with the start of its text.
+/// Applies commands at their times, and checks that the debug text of each result starts with the expected text.
 fn run(steps: Vec<(u64, Command, &str)>) -> LeaseStateMachine {
     let mut state = LeaseStateMachine { version: LATEST_VERSION, ..LeaseStateMachine::default() };
     for (at_ms, command, expected) in steps {
         let entry = LogEntry { at_ms, command };
-        // Through the log's own form: what is applied is what was written.
+        // Encode and decode as in the log, so that the stored form is what is applied.
         let entry: LogEntry = serde_json::from_slice(&serde_json::to_vec(&entry).unwrap()).unwrap();
         let text = match state.apply(&entry) {
             Ok(outcome) => format!("{outcome:?}"),
@@ -27,11 +27,11 @@
         assert!(text.starts_with(expected), "{entry:?}: {text}, not {expected}");
     }
     let copy: LeaseStateMachine = serde_json::from_slice(&serde_json::to_vec(&state).unwrap()).unwrap();
-    assert_eq!(copy, state, "a snapshot is not the same");
+    assert_eq!(copy, state, "the state changed when it was encoded as a snapshot and decoded");
     state
 }
 
-/// A new request each time.
+/// Returns a begin request with a new attempt number each time.
 fn begin(token: u64, idempotent: bool) -> Command {
     use std::sync::atomic::{AtomicU64, Ordering};
     static ATTEMPT: AtomicU64 = AtomicU64::new(1);
@@ -119,7 +119,7 @@
 fn a_period_is_begun_once_unless_its_call_surely_had_no_effect() {
     let ready = [(0, tasks(1, 3000), "Done"), (0, open(1), "Opened"), (0, grant(1), "Granted")];
     let with = |more: Vec<(u64, Command, &'static str)>| run(ready.iter().cloned().chain(more).collect());
-    // Of a call of unknown outcome operators hear once, and it is not made again in its period.
+    // A call with an indeterminate outcome is listed once, and not repeated within its period.
     let state = with(vec![
         (10, begin(1, false), "Begun(1)"),
         (20, begin(1, false), "NotDue(990)"),
@@ -140,7 +140,7 @@
         ),
         (1, 1, 1)
     );
-    // A holder dies in its call: the next one may make an idempotent call again, and no other.
+    // A holder dies during its call: the next holder may repeat the call only if it is idempotent.
     let idempotent = with(vec![
         (10, begin(1, true), "Begun(1)"),
         (20, begin(1, true), "NotDue"),
@@ -152,14 +152,14 @@
         (60, end(2, 1, CallOutcome::Done), "Done"),
     ]);
     assert!(idempotent.indeterminate_calls.is_empty());
-    let unsafe_one = with(vec![
+    let not_idempotent = with(vec![
         (10, begin(1, false), "Begun(1)"),
         (30, free(1), "Done"),
         (30, grant(1), "Granted"),
         (40, begin(2, false), "NotDue"),
         (1010, begin(2, false), "Begun(2)"),
     ]);
-    assert_eq!(unsafe_one.indeterminate_calls.iter().map(|d| d.period).collect::<Vec<_>>(), [1]);
+    assert_eq!(not_idempotent.indeterminate_calls.iter().map(|d| d.period).collect::<Vec<_>>(), [1]);
 }
 
 #[test]
@@ -170,7 +170,7 @@
         steps.extend([(1000, grant(1), "Granted"), (1000, failed(token), "Done")]);
     }
     let state = run(steps.clone());
-    // The task's pause is 100 ms, and the longest is 64 times that.
+    // The task's backoff is 100 ms; the maximum is 64 times that.
     assert_eq!(state.failures["t"]["w"], FailureRecord { count: 9, backoff_until_ms: 1000 + 6400 });
     steps.extend([(1100, grant(1), "Granted"), (1100, begin(10, true), "Begun(1)")]);
     steps.extend([(1101, end(10, 1, CallOutcome::Done), "Done"), (1102, failed(10), "Done")]);
@@ -178,9 +178,9 @@
     assert_eq!(
         state.failures["t"]["w"],
         FailureRecord { count: 1, backoff_until_ms: 1202 },
-        "it begins anew after a success"
+        "the backoff does not restart after a success"
     );
-    // An hour later it is forgotten, and with its task at once.
+    // Failures are forgotten after an hour, and immediately when their task is removed.
     steps.extend([(3_700_000, grant(1), "Granted"), (3_700_000, failed(11), "Done")]);
     assert_eq!(run(steps.clone()).failures["t"]["w"].count, 1);
     steps.push((3_700_001, Command::SetTasks { epoch: 2, tasks: Vec::new() }, "Done"));
@@ -196,11 +196,11 @@
         (HOUR, grant(1), "Granted"),
         (HOUR, begin(1, false), "Begun(1)"),
         (HOUR, end(1, 1, CallOutcome::Done), "Done"),
-        // Back by an hour: the period that was done is not begun again, and the next one waits no hour.
+        // Back by an hour: the completed period is not repeated, and the next one is not delayed by an hour.
         (100, begin(1, false), "NotDue(1000)"),
         (HOUR + 1000, begin(1, false), "Begun(2)"),
         (HOUR + 1001, end(1, 2, CallOutcome::Done), "Done"),
-        // Forward by an hour: what was missed is not made up for.
+        // Forward by an hour: missed periods are not caught up.
         (3 * HOUR, begin(1, false), "Begun(3)"),
         (3 * HOUR, end(1, 3, CallOutcome::Done), "Done"),
         (3 * HOUR + 1, begin(1, false), "NotDue(999)"),
@@ -220,7 +220,7 @@
         (1401, end(1, 2, CallOutcome::Done), "Done"),
         (2000, begin(1, true), "Begun(3)"),
         (2001, end(1, 3, CallOutcome::Done), "Done"),
-        // Nobody was there for a while: no calls are made up for.
+        // There was no holder for a while: missed periods are not caught up.
         (9300, begin(1, true), "Begun(4)"),
         (9301, end(1, 4, CallOutcome::Done), "Done"),
         (9400, begin(1, true), "NotDue(900)"),
