--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -77,7 +77,7 @@
                 self.leader_state.on_heartbeat(now, link, heartbeat, state);
             }
             ClientMessage::ReleaseLease { lease, failed, pass_on } => {
-                let request = ReleaseRequest { lease, failed, hand_over: pass_on };
+                let request = ReleaseRequest { lease, failed, hand_off: pass_on };
                 self.leader_state.on_release(now, link, request, state);
             }
             ClientMessage::BeginPeriod { lease, every_ms, idempotent, attempt } => {
--- a/fleet-coordinator/src/leader_state/granting.rs
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -1,47 +1,48 @@
-//! Granting free tasks to workers that wait for them, and the backoff of holders that failed.
+//! Granting of free tasks to waiting workers, and the backoff of holders that failed.
 
 use super::{LeaderState, LiveSession, PROPOSAL_RETRY_S};
 use crate::ids::SessionId;
 use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection, Task};
 use port_worker::fleet::frame::ServerMessage;
 
-/// A grant that is proposed and not applied yet.
+/// A grant that was proposed and is not applied yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingGrant {
     proposed_at: f64,
     session: SessionId,
 }
 
-/// A worker that failed at a task.
+/// A worker and a task at which it failed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HolderOfTask {
     task: String,
     worker: String,
 }
 
-/// Until when a worker is not granted a task at which it failed.
+/// The time until which a worker is not granted a task at which it failed.
 #[derive(Clone, Debug)]
 pub(super) struct Backoff {
-    /// By the log's time (milliseconds).
+    /// In the log's time (milliseconds).
     log_until_ms: u64,
-    /// By this leader's clock (seconds).
+    /// On this leader's clock (seconds).
     until: f64,
 }
 
-/// A worker's rank for a task; the lowest is granted it.
+/// A worker's rank for a task; the worker with the lowest rank is granted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GrantRank {
-    /// The zone's place in the task's preferences.
+    /// The position of the worker's zone in the task's preferences.
     zone_preference: usize,
-    /// Tasks that the worker holds or is being granted: tasks are spread before queues are followed.
+    /// The number of tasks that the worker holds or is being granted. Ranked before the queue position, to spread tasks over
+    /// workers.
     leases: usize,
-    queue_place: u64,
+    queue_position: u64,
     session: SessionId,
 }
 
 impl LeaderState {
-    /// Translates the log's backoffs to this leader's clock. A new leader counts what was left at the last entry's time,
-    /// so a backoff lasts a little longer over a change of leader, never shorter.
+    /// Converts the backoffs in the log to this leader's clock. A new leader uses the time that remained at the last log
+    /// entry, so a change of leader may extend a backoff a little, but never shortens it.
     pub(super) fn update_backoffs(&mut self, now: f64, state: &LeaseStateMachine) {
         self.backoffs.retain(|key, _| {
             state.failures.get(&key.task).is_some_and(|by_name| by_name.contains_key(&key.worker))
@@ -49,18 +50,18 @@
         for (task, by_name) in &state.failures {
             for (worker, failure) in by_name {
                 let log_until_ms = failure.backoff_until_ms;
-                let left_s = log_until_ms.saturating_sub(state.log_time_ms) as f64 / 1000.0;
+                let remaining_s = log_until_ms.saturating_sub(state.log_time_ms) as f64 / 1000.0;
                 let key = HolderOfTask { task: task.clone(), worker: worker.clone() };
                 let backoff = self.backoffs.entry(key).or_insert(Backoff { log_until_ms: 0, until: now });
                 if backoff.log_until_ms != log_until_ms {
                     backoff.log_until_ms = log_until_ms;
-                    backoff.until = now + left_s;
+                    backoff.until = now + remaining_s;
                 }
             }
         }
     }
 
-    /// Proposes to grant each free task to one of the workers that wait for it. Only that one is notified.
+    /// Proposes granting each free task to one of the workers that wait for it. Only that worker is notified.
     pub(super) fn grant_free_tasks(&mut self, now: f64, state: &LeaseStateMachine) {
         for (name, task) in &state.tasks {
             let pending = self.pending_grants.get(name);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// `None` for a session that can't be granted the task now.
+    /// Returns the session's rank for the task; `None` if it can't be granted the task now.
     fn grant_rank(
         &self,
         now: f64,
@@ -86,21 +87,21 @@
         live: &LiveSession,
         state: &LeaseStateMachine,
     ) -> Option<GrantRank> {
-        let queue_place = *live.wanted_tasks.get(&task.name)?;
+        let queue_position = *live.wanted_tasks.get(&task.name)?;
         let session = state.sessions.get(&id)?;
-        // Of two processes of one name the older one is granted leases; it hands them over when it leaves.
-        let has_elder = state.sessions.iter().any(|(other, s)| *other < id && s.name == session.name);
+        // Of two processes with the same name, the older one is granted leases; it hands them off when it leaves.
+        let has_older_process = state.sessions.iter().any(|(other, s)| *other < id && s.name == session.name);
         let ready = live.link.is_some() && live.closing_since.is_none() && now < live.expires_at;
         let key = HolderOfTask { task: task.name.clone(), worker: session.name.clone() };
-        let backs_off = self.backoffs.get(&key).is_some_and(|backoff| now < backoff.until);
-        if has_elder || !ready || backs_off {
+        let in_backoff = self.backoffs.get(&key).is_some_and(|backoff| now < backoff.until);
+        if has_older_process || !ready || in_backoff {
             return None;
         }
         let zone_preference =
             task.zones.iter().position(|zone| *zone == session.zone).unwrap_or(task.zones.len());
         let leases = state.leases.values().filter(|lease| lease.session == id).count();
         let pending = self.pending_grants.values().filter(|grant| grant.session == id).count();
-        Some(GrantRank { zone_preference, leases: leases + pending, queue_place, session: id })
+        Some(GrantRank { zone_preference, leases: leases + pending, queue_position, session: id })
     }
 
     pub(super) fn on_lease_granted(
--- a/fleet-coordinator/src/leader_state/messages.rs
+++ b/fleet-coordinator/src/leader_state/messages.rs
@@ -1,4 +1,4 @@
-//! Workers' messages to the leader, as values.
+//! Workers' messages to the leader, independent of their encoding.
 
 use port_worker::fleet::frame::{Counters, FleetTotals, LeaseRef};
 use port_worker::fleet::overload::LoadReport;
@@ -10,49 +10,49 @@
     pub name: String,
     /// The worker's zone.
     pub zone: String,
-    /// Distinguishes processes of the same name.
+    /// Distinguishes processes with the same worker name.
     pub incarnation: u64,
-    /// The latest protocol version that the worker understands.
+    /// The latest protocol version that the worker supports.
     pub version: u32,
 }
 
-/// A heartbeat, which renews the session and the leases that it names.
+/// A heartbeat, which renews the session and the listed leases.
 #[derive(Clone, Debug, Default)]
 pub struct Heartbeat {
-    /// The heartbeat's number, which the answer repeats.
+    /// The heartbeat's sequence number, which the answer repeats.
     pub sequence: u64,
-    /// Tasks that the worker would take.
+    /// Tasks that the worker wants.
     pub wanted_tasks: Vec<String>,
     /// Leases to renew.
     pub leases: Vec<LeaseRef>,
-    /// The worker's counters since its start, where they have changed.
+    /// The worker's counters since its start, if they have changed.
     pub counters: Option<Counters>,
-    /// The fleet's totals, from the holder of their task.
+    /// The fleet's totals, sent by the holder of their task.
     pub totals: Option<FleetTotals>,
-    /// The worker's load, where the fleet handles overload as one.
+    /// The worker's load, if fleet-wide overload control is configured.
     pub load: Option<LoadReport>,
 }
 
-/// A holder has stopped acting under a lease.
+/// A holder's notice that it has stopped acting under a lease.
 #[derive(Clone, Debug)]
 pub struct ReleaseRequest {
     /// The lease.
     pub lease: LeaseRef,
-    /// The holder failed at the task.
+    /// Whether the holder failed at the task.
     pub failed: bool,
-    /// The lease is to be transferred to the newest process of the same name.
-    pub hand_over: bool,
+    /// Whether to transfer the lease to the newest process with the same worker name.
+    pub hand_off: bool,
 }
 
-/// A holder asks whether it may make the call of a period.
+/// A holder's request to make the call of a period.
 #[derive(Clone, Debug)]
 pub struct BeginRequest {
     /// The lease under which the call is made.
     pub lease: LeaseRef,
     /// The length of a period (milliseconds).
     pub every_ms: u64,
-    /// The call may be repeated without harm.
+    /// Whether the call is idempotent.
     pub idempotent: bool,
-    /// The holder's number for this request; a repeated request has the same.
+    /// The holder's number for this request; a retry has the same number.
     pub attempt: u64,
 }
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -1,10 +1,10 @@
-//! What a leader does beside the log: it receives workers' heartbeats, renews their leases, grants free ones, and
-//! releases those whose holder is silent. Soft state without I/O, which begins anew with each term.
+//! The leader's unreplicated state: it processes workers' heartbeats, renews their leases, grants free tasks, and releases
+//! expired leases. It does no I/O and is rebuilt at the start of each term.
 //!
 //! Invariants: a renewal is answered only after a quorum has confirmed, later than the renewal was received, that this
-//! member leads; a lease is released no sooner than its TTL after the last renewal that may have been answered, by this
-//! leader or an earlier one. A holder counts from when it *sent* the renewal. Together these keep two holders from acting
-//! at the same time.
+//! member is the leader; a lease is released no sooner than its TTL after the last renewal that may have been answered, by
+//! this leader or an earlier one. A holder counts the TTL from when it *sent* the renewal. Together these rules ensure
+//! that two holders never act at the same time.
 
 mod granting;
 mod messages;
@@ -26,43 +26,43 @@
 use port_worker::fleet::frame::{Counters, FleetTotals, ServerMessage};
 use port_worker::fleet::overload::events::OverloadEvent;
 use port_worker::fleet::overload::leader::{Leader, Settings};
-use releasing::HandOver;
+use releasing::HandOff;
 use renewals::Renewal;
 use std::collections::BTreeMap;
 
-/// How long a silent session stays open (milliseconds): longer than a worker needs to find a new leader.
+/// How long a session stays open without a heartbeat (milliseconds). Longer than a worker needs to find a new leader.
 pub const SESSION_TTL_MS: u64 = 10_000;
 /// How often a worker sends a heartbeat (milliseconds).
 pub const HEARTBEAT_INTERVAL_MS: u64 = 1000;
-/// The task whose holder adds up the fleet's counters.
+/// The task whose holder aggregates the fleet's counters.
 pub const TOTALS_TASK: &str = "totals";
-/// A proposal without effect is repeated after so long (seconds).
+/// How long to wait before a proposal that was not applied is repeated (seconds).
 const PROPOSAL_RETRY_S: f64 = 2.0;
 const SESSION_TTL_S: f64 = SESSION_TTL_MS as f64 / 1000.0;
 
-/// What the coordinator is to carry out for the leader.
+/// An action that the coordinator executes for the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaderAction {
     /// Send a message on a link.
     Send(LinkId, ServerMessage),
-    /// Propose a command to the replicated log.
+    /// Propose a command for the replicated log.
     Propose(Command),
-    /// Ask a quorum to confirm this leader, under this number.
+    /// Request confirmation by a quorum that this member is the leader, under this number.
     Confirm(u64),
-    /// Report an event to operators.
+    /// Log an event.
     Log(OverloadEvent),
 }
 
-/// A session as the leader sees it.
+/// The leader's unreplicated state of a session.
 #[derive(Clone, Debug, Default)]
 struct LiveSession {
     link: Option<LinkId>,
     expires_at: f64,
-    /// Tasks that the worker would take, with its place in the queue.
+    /// Tasks that the worker wants, with its queue position for each.
     wanted_tasks: BTreeMap<String, u64>,
     counters: Counters,
     counters_at: f64,
-    /// When its closing was proposed.
+    /// When its closing was last proposed.
     closing_since: Option<f64>,
 }
 
@@ -72,14 +72,14 @@
     }
 }
 
-/// A worker's process.
+/// Identifies a worker process.
 #[derive(Clone, Debug, PartialEq)]
 struct ProcessId {
     name: String,
     incarnation: u64,
 }
 
-/// The fleet's overload control, where the coordinators' file has `[overload]`.
+/// Fleet-wide overload control; present if the configuration file has `[overload]`.
 #[derive(Clone, Debug)]
 struct FleetOverload {
     settings: Settings,
@@ -92,46 +92,46 @@
     }
 }
 
-/// The fleet's totals as their task's holder sent them.
+/// The fleet's totals as last received from the holder of their task.
 #[derive(Clone, Debug)]
 struct ReceivedTotals {
     totals: FleetTotals,
     received_at: f64,
 }
 
-/// The soft state of a leader. It exists on followers too, where it does nothing.
+/// The leader's unreplicated state. Inactive on followers.
 #[derive(Clone, Debug)]
 pub struct LeaderState {
     checks: SafetyChecks,
     is_leader: bool,
     sessions: BTreeMap<SessionId, LiveSession>,
-    /// The session on each link.
+    /// The session of each link.
     links: BTreeMap<LinkId, SessionId>,
     /// Links whose session is being opened.
     opening: BTreeMap<LinkId, ProcessId>,
     lease_clock: LeaseClock,
     overload: Option<FleetOverload>,
-    /// Leases that wait for their successor, by token.
-    hand_overs: BTreeMap<u64, HandOver>,
-    /// Grants that are proposed and not applied, by task.
+    /// Leases that wait for their holder's successor, by fencing token.
+    hand_offs: BTreeMap<u64, HandOff>,
+    /// Grants that were proposed and are not applied yet, by task.
     pending_grants: BTreeMap<String, PendingGrant>,
     backoffs: BTreeMap<HolderOfTask, Backoff>,
     renewals: ReadIndexQueue<Renewal>,
-    /// The last place in the queue that was given.
-    last_queue_place: u64,
+    /// The last queue position assigned.
+    last_queue_position: u64,
     totals: Option<ReceivedTotals>,
     actions: Vec<LeaderAction>,
 }
 
 impl LeaderState {
-    /// The state of a member that does not lead.
+    /// Returns the state of a member that is not the leader.
     #[must_use]
     pub fn new(checks: SafetyChecks, overload: Option<Settings>) -> LeaderState {
         let overload = overload.map(|settings| FleetOverload::start_term(0.0, settings));
         LeaderState::empty(checks, 1, overload)
     }
 
-    /// Only the numbers of confirmations go on from one term to the next.
+    /// Confirmation numbers continue from one term to the next; everything else is reset.
     fn empty(checks: SafetyChecks, next_number: u64, overload: Option<FleetOverload>) -> LeaderState {
         LeaderState {
             checks,
@@ -141,22 +141,22 @@
             links: BTreeMap::new(),
             opening: BTreeMap::new(),
             lease_clock: LeaseClock::default(),
-            hand_overs: BTreeMap::new(),
+            hand_offs: BTreeMap::new(),
             pending_grants: BTreeMap::new(),
             backoffs: BTreeMap::new(),
             renewals: ReadIndexQueue::new(next_number, PROPOSAL_RETRY_S),
-            last_queue_place: 0,
+            last_queue_position: 0,
             totals: None,
             actions: Vec::new(),
         }
     }
 
-    /// Takes what is to be carried out since the last call, in order.
+    /// Returns the actions since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<LeaderAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// This member leads from now on. An earlier leader may have answered any renewal up to now.
+    /// Called when this member becomes the leader. An earlier leader may have answered any renewal up to now.
     pub fn start_term(&mut self, now: f64, state: &LeaseStateMachine) {
         let overload = self.overload.take().map(|old| FleetOverload::start_term(now, old.settings));
         *self = LeaderState::empty(self.checks, self.renewals.next_number(), overload);
@@ -167,30 +167,30 @@
         }
     }
 
-    /// This member leads no more, and drops all that waits. Returns the links that it served.
+    /// Called when this member loses leadership. Drops all pending requests and returns the links that it served.
     pub fn step_down(&mut self) -> Vec<LinkId> {
         let links = self.links.keys().chain(self.opening.keys()).copied().collect();
         *self = LeaderState::empty(self.checks, self.renewals.next_number(), self.overload.take());
         links
     }
 
-    /// Does what is due at this time.
+    /// Performs the periodic work that is due at this time.
     pub fn tick(&mut self, now: f64, state: &LeaseStateMachine) {
         if !self.is_leader {
             return;
         }
         self.request_confirmation(now, state);
-        self.hand_over_leases(now, state);
+        self.hand_off_leases(now, state);
         self.update_backoffs(now, state);
         if let Some(overload) = &mut self.overload {
             self.actions.extend(overload.leader.evaluate(now).into_iter().map(LeaderAction::Log));
         }
         self.release_expired_leases(now, state);
-        self.close_silent_sessions(now, state);
+        self.close_expired_sessions(now, state);
         self.grant_free_tasks(now, state);
     }
 
-    /// A command was applied: answers whoever waits for it.
+    /// Called after a command was applied; answers the worker that waits for the result.
     pub fn on_applied(
         &mut self,
         now: f64,
--- a/fleet-coordinator/src/leader_state/periods.rs
+++ b/fleet-coordinator/src/leader_state/periods.rs
@@ -1,11 +1,11 @@
-//! Holders' requests to begin a period, and their reports of how it ended.
+//! Holders' requests to begin a period, and their reports of its outcome.
 
 use super::{BeginRequest, LeaderState, LinkId, HEARTBEAT_INTERVAL_MS};
 use crate::state_machine::{Command, LeaseStateMachine, Outcome, Rejection};
 use port_worker::fleet::frame::{CallOutcome, LeaseRef, ServerMessage};
 
 impl LeaderState {
-    /// A holder asks whether it may make the call of a period.
+    /// Handles a holder's request to make the call of a period.
     pub fn on_begin_request(&mut self, link: LinkId, request: BeginRequest, state: &LeaseStateMachine) {
         let BeginRequest { lease, every_ms, idempotent, attempt } = request;
         let holder = state.lease(&lease).map(|current| current.session);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// A holder, present or past, reports how the call of a period ended.
+    /// Handles a current or former holder's report of how the call of a period ended.
     pub fn on_period_ended(&mut self, lease: LeaseRef, period: u64, outcome: CallOutcome) {
         self.propose(Command::EndPeriod { lease, period, outcome });
     }
--- a/fleet-coordinator/src/leader_state/releasing.rs
+++ b/fleet-coordinator/src/leader_state/releasing.rs
@@ -1,46 +1,47 @@
-//! Leases that end: returned by their holder, handed over to its successor, or expired.
+//! The end of leases: returned by the holder, handed off to its successor, or expired.
 
 use super::{LeaderState, LinkId, ReleaseRequest, PROPOSAL_RETRY_S};
 use crate::ids::SessionId;
 use crate::state_machine::{Command, LeaseStateMachine, ReleaseReason};
 use port_worker::fleet::frame::LeaseRef;
 
-/// How long a lease waits for the session of its holder's successor (seconds): at a hot restart the successor may take
-/// over within milliseconds of its start.
+/// How long a lease waits for the session of its holder's successor (seconds). At a hot restart the successor may take over
+/// within milliseconds of its start, before it has a session.
 const SUCCESSOR_WAIT_S: f64 = 2.0;
 
 /// A lease that waits for the session of its holder's successor.
 #[derive(Clone, Debug)]
-pub(super) struct HandOver {
+pub(super) struct HandOff {
     lease: LeaseRef,
     from_session: SessionId,
     deadline: f64,
 }
 
 impl LeaderState {
-    /// A holder has stopped acting under a lease.
+    /// Handles a holder's notice that it has stopped acting under a lease.
     pub fn on_release(&mut self, now: f64, link: LinkId, request: ReleaseRequest, state: &LeaseStateMachine) {
-        let ReleaseRequest { lease, failed, hand_over } = request;
+        let ReleaseRequest { lease, failed, hand_off } = request;
         let Some(session) = self.session(link) else { return };
         if state.lease(&lease).is_none_or(|current| current.session != session) {
             return;
         }
         self.lease_clock.start_release(now, lease.token);
-        if hand_over {
+        if hand_off {
             let token = lease.token;
             let deadline = now + SUCCESSOR_WAIT_S;
-            self.hand_overs.insert(token, HandOver { lease, from_session: session, deadline });
-            return self.hand_over_leases(now, state);
+            self.hand_offs.insert(token, HandOff { lease, from_session: session, deadline });
+            return self.hand_off_leases(now, state);
         }
         let reason = if failed { ReleaseReason::Failed } else { ReleaseReason::Returned };
         self.propose(Command::ReleaseLease { lease, reason });
     }
 
-    /// Proposes to transfer leases to their holders' successors, or to release those whose successor has not come.
-    pub(super) fn hand_over_leases(&mut self, now: f64, state: &LeaseStateMachine) {
+    /// Proposes transferring leases to their holders' successors, or releasing those whose successor has not opened a session
+    /// in time.
+    pub(super) fn hand_off_leases(&mut self, now: f64, state: &LeaseStateMachine) {
         let mut commands = Vec::new();
-        self.hand_overs.retain(|_, hand_over| {
-            let command = hand_over.command(now, state);
+        self.hand_offs.retain(|_, hand_off| {
+            let command = hand_off.command(now, state);
             let waits = command.is_none();
             commands.extend(command);
             waits
@@ -60,8 +61,8 @@
     }
 }
 
-impl HandOver {
-    /// What to propose now; `None` while the successor may still come.
+impl HandOff {
+    /// Returns the command to propose now; `None` while waiting for the successor.
     fn command(&self, now: f64, state: &LeaseStateMachine) -> Option<Command> {
         let name = state.sessions.get(&self.from_session).map_or("", |session| session.name.as_str());
         let successor = state.newest_session(name).filter(|newest| *newest > self.from_session);
--- a/fleet-coordinator/src/leader_state/renewals.rs
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: each renews a session and its leases, and is answered once a quorum has confirmed the leader.
+//! Heartbeats. Each renews a session and its leases, and is answered once a quorum has confirmed the leader.
 
 use super::{Heartbeat, LeaderAction, LeaderState, LinkId, ReceivedTotals, SESSION_TTL_S, TOTALS_TASK};
 use crate::ids::SessionId;
@@ -10,7 +10,7 @@
 use std::collections::btree_map::Entry;
 use std::collections::BTreeSet;
 
-/// The largest number of counters that one worker may send.
+/// The maximum number of counters from one worker.
 const MAX_COUNTERS: usize = 64;
 
 /// A heartbeat that waits for a quorum to confirm the leader.
@@ -20,15 +20,15 @@
     session: SessionId,
     sequence: u64,
     received_at: f64,
-    /// The worker sent its load, and is sent the fleet's.
+    /// Whether the worker sent its load; if so, the answer includes the fleet's digest.
     reports_load: bool,
-    /// With the TTL that was counted when the heartbeat was received: the answer gives no more than that, whatever TTL
-    /// is in force by then.
+    /// Each with the TTL recorded when the heartbeat was received. The answer grants no more than that, even if the task's
+    /// TTL has been raised since.
     leases: Vec<RenewedLease>,
 }
 
 impl LeaderState {
-    /// A heartbeat was received.
+    /// Handles a worker's heartbeat.
     pub fn on_heartbeat(&mut self, now: f64, link: LinkId, heartbeat: Heartbeat, state: &LeaseStateMachine) {
         let open = self.session(link).filter(|session| state.sessions.contains_key(session));
         let Some(session) = open else {
@@ -40,13 +40,13 @@
             live.counters = counters.into_iter().take(MAX_COUNTERS).collect();
             live.counters_at = now;
         }
-        self.update_queue_places(session, heartbeat.wanted_tasks, state);
+        self.update_queue_positions(session, heartbeat.wanted_tasks, state);
         if let Some(totals) = heartbeat.totals {
             if state.leases.get(TOTALS_TASK).is_some_and(|lease| lease.session == session) {
                 self.totals = Some(ReceivedTotals { totals, received_at: now });
             }
         }
-        let leases = self.count_renewals(now, session, heartbeat.leases, state);
+        let leases = self.record_renewals(now, session, heartbeat.leases, state);
         if let Some(load) = &heartbeat.load {
             self.record_load(now, session, load, state);
         }
@@ -60,8 +60,9 @@
         });
     }
 
-    /// Whoever holds a task is not in its queue, and goes to the end when the lease has ended.
-    fn update_queue_places(
+    /// Updates the session's queue positions. The holder of a task is not in its queue; it rejoins at the end after its lease
+    /// has ended.
+    fn update_queue_positions(
         &mut self,
         session: SessionId,
         wanted_tasks: Vec<String>,
@@ -75,27 +76,27 @@
             if holds {
                 live.wanted_tasks.remove(&task);
             } else if let Entry::Vacant(vacant) = live.wanted_tasks.entry(task) {
-                self.last_queue_place += 1;
-                vacant.insert(self.last_queue_place);
+                self.last_queue_position += 1;
+                vacant.insert(self.last_queue_position);
             }
         }
     }
 
-    /// A lease that is not this session's is counted with a TTL of 0.
-    fn count_renewals(
+    /// Records the renewals. A lease that the session does not hold gets a TTL of 0.
+    fn record_renewals(
         &mut self,
         now: f64,
         session: SessionId,
         leases: Vec<LeaseRef>,
         state: &LeaseStateMachine,
     ) -> Vec<RenewedLease> {
-        let mut counted = Vec::new();
+        let mut renewed = Vec::new();
         for lease in leases.into_iter().take(MAX_TASKS) {
             let own = state.lease(&lease).filter(|current| current.session == session);
             let ttl_ms = own.map_or(0, |current| self.lease_clock.record_renewal(now, current));
-            counted.push(RenewedLease { lease, ttl_ms });
+            renewed.push(RenewedLease { lease, ttl_ms });
         }
-        counted
+        renewed
     }
 
     fn record_load(&mut self, now: f64, session: SessionId, load: &LoadReport, state: &LeaseStateMachine) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Asks a quorum to confirm this leader for all heartbeats that are in no batch yet.
+    /// Requests a quorum's confirmation of this leader for all heartbeats that are not in a batch yet.
     pub fn request_confirmation(&mut self, now: f64, state: &LeaseStateMachine) {
         if !self.checks.read_index {
             for renewal in self.renewals.take_unsent() {
@@ -114,7 +115,7 @@
         self.actions.extend(self.renewals.start_batch(now).map(LeaderAction::Confirm));
     }
 
-    /// A quorum has confirmed that this member led after it asked under this number.
+    /// Called when a quorum has confirmed that this member was the leader after the request with this number.
     pub fn on_confirmed(&mut self, now: f64, number: u64, state: &LeaseStateMachine) {
         for renewal in self.renewals.confirm(number) {
             self.answer_heartbeat(now, &renewal, state);
@@ -124,8 +125,8 @@
 
     fn answer_heartbeat(&mut self, now: f64, renewal: &Renewal, state: &LeaseStateMachine) {
         let leases = self.renewed_leases(renewal, state);
-        let adds_up_totals = leases.iter().any(|renewed| renewed.lease.task == TOTALS_TASK);
-        let counters = if adds_up_totals { self.counters_with_age(now) } else { Vec::new() };
+        let aggregates_totals = leases.iter().any(|renewed| renewed.lease.task == TOTALS_TASK);
+        let counters = if aggregates_totals { self.counters_with_age(now) } else { Vec::new() };
         let totals = self.totals.clone().map(|received| FleetTotals {
             age_ms: received.totals.age_ms + age_ms(now, received.received_at),
             ..received.totals
@@ -149,7 +150,7 @@
             .collect()
     }
 
-    /// Each worker's counters with their age (milliseconds).
+    /// Returns each worker's counters with their age.
     fn counters_with_age(&self, now: f64) -> Vec<AgedCounters> {
         self.sessions
             .values()
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions as the leader sees them: opening, links, goodbye, and silence.
+//! The leader's handling of sessions: opening, links, closing and expiry.
 
 use super::{
     Hello, LeaderState, LinkId, LiveSession, ProcessId, HEARTBEAT_INTERVAL_MS, PROPOSAL_RETRY_S,
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 
 impl LeaderState {
-    /// A worker asks for a session on this link.
+    /// Handles a worker's request for a session on this link.
     pub fn on_hello(&mut self, now: f64, link: LinkId, hello: Hello, state: &LeaseStateMachine) {
         let Hello { name, zone, incarnation, version } = hello;
         self.opening.insert(link, ProcessId { name: name.clone(), incarnation });
-        // Reopening a known session writes nothing to the log: after a change of leader all workers do it at once.
+        // Reopening a known session writes nothing to the log, since all workers do so at once after a change of leader.
         let known = state.session_of(&name, incarnation);
         if let Some(id) = known.filter(|id| !self.is_closing(*id)) {
             return self.on_session_opened(now, &name, incarnation, &Ok(Outcome::Opened(id)));
@@ -26,34 +26,34 @@
         self.sessions.get(&session).is_some_and(|live| live.closing_since.is_some())
     }
 
-    /// A link was closed.
+    /// Called when a link was closed.
     pub fn on_link_closed(&mut self, link: LinkId) {
         self.opening.remove(&link);
         if let Some(live) = self.links.remove(&link).and_then(|session| self.sessions.get_mut(&session)) {
             if live.link == Some(link) {
                 live.link = None;
-                // Its place in the queues goes with the link: it could not be notified of a grant.
+                // The session loses its queue positions, since without a link it can't be notified of a grant.
                 live.wanted_tasks = BTreeMap::new();
             }
         }
     }
 
-    /// The session on this link.
+    /// Returns the session on this link.
     #[must_use]
     pub fn session(&self, link: LinkId) -> Option<SessionId> {
         self.links.get(&link).copied()
     }
 
-    /// The link of the session that holds the lease.
+    /// Returns the link of the session that holds the lease.
     pub(super) fn link_of_holder(&self, lease: &LeaseRef, state: &LeaseStateMachine) -> Option<LinkId> {
         self.sessions.get(&state.lease(lease)?.session)?.link
     }
 
-    /// The worker leaves, and has stopped acting under all its leases.
+    /// Handles the goodbye of a worker, which has stopped acting under all its leases.
     pub fn on_goodbye(&mut self, now: f64, link: LinkId, state: &LeaseStateMachine) {
         let Some(session) = self.session(link) else { return };
         for (task, lease) in state.leases.iter().filter(|(_, lease)| lease.session == session) {
-            if self.hand_overs.contains_key(&lease.token) {
+            if self.hand_offs.contains_key(&lease.token) {
                 continue;
             }
             self.lease_clock.start_release(now, lease.token);
@@ -62,7 +62,7 @@
         }
         self.propose(Command::CloseSession { session });
         if let Some(live) = self.sessions.get_mut(&session) {
-            // A session that still has a lease to hand over is closed after that.
+            // If a lease is still to be handed off, the session is closed after that.
             live.closing_since = Some(now);
             live.expires_at = now;
         }
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Nothing that is received on the session's earlier link counts any more.
+    /// Attaches the link to the session, and detaches the session's previous link: its messages are no longer processed.
     fn attach_link(&mut self, now: f64, session: SessionId, link: LinkId) {
         let live = self.sessions.entry(session).or_default();
-        if let Some(earlier) = live.link.replace(link).filter(|earlier| *earlier != link) {
-            self.links.remove(&earlier);
+        if let Some(previous) = live.link.replace(link).filter(|previous| *previous != link) {
+            self.links.remove(&previous);
         }
         live.expires_at = now + SESSION_TTL_S;
         self.links.insert(link, session);
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Proposes to close sessions that were silent for their TTL and hold no lease.
-    pub(super) fn close_silent_sessions(&mut self, now: f64, state: &LeaseStateMachine) {
+    /// Proposes closing sessions that sent nothing for their TTL and hold no lease.
+    pub(super) fn close_expired_sessions(&mut self, now: f64, state: &LeaseStateMachine) {
         for id in state.sessions.keys() {
             let live = self.sessions.entry(*id).or_insert_with(|| LiveSession::starting(now));
             let holds_lease = state.leases.values().any(|lease| lease.session == *id);
--- a/fleet-coordinator/src/leader_state/tests.rs
+++ b/fleet-coordinator/src/leader_state/tests.rs
@@ -38,7 +38,7 @@
     let heartbeat = Heartbeat { sequence: 1, leases: leases.clone(), ..Heartbeat::default() };
     leader.on_heartbeat(1.0, LINK, heartbeat, &state);
     leader.request_confirmation(1.0, &state);
-    // The TTL grows between the renewal and the quorum's confirmation.
+    // The TTL is raised between the renewal and the quorum's confirmation.
     apply(&mut state, 0, set_tasks(2, 9000, 0));
     leader.on_confirmed(1.1, 1, &state);
     let leases = vec![RenewedLease { lease: leases[0].clone(), ttl_ms: 1000 }];
@@ -56,7 +56,7 @@
     apply(&mut state, 0, grant_lease());
     let lease = LeaseRef { task: "t".into(), token: 1 };
     apply(&mut state, 500, Command::ReleaseLease { lease, reason: ReleaseReason::Failed });
-    // This leader's clock began long before the log's.
+    // This leader's clock is far ahead of the log's time.
     let mut leader = LeaderState::new(SafetyChecks::default(), None);
     leader.start_term(900.0, &state);
     leader.on_hello(900.0, LINK, hello(), &state);
--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -1,10 +1,10 @@
-//! How a leader counts its leases' time, and which renewals it may answer. No I/O; the clock is passed in, and only
-//! differences of its times matter.
+//! A leader's tracking of lease expiry, and of which renewals it may answer. No I/O; the time is passed in, and only
+//! differences between times matter.
 //!
 //! Invariants: a lease expires no sooner than its TTL after the last renewal that may have been answered, by this leader
-//! or by an earlier one; a renewal is answered with no more than was counted when it was received, and never once the
-//! lease is being released. [`ReadIndexQueue`] holds renewals until a quorum has confirmed the leader after they were
-//! received. `tests/lease_world/` checks both, together with the worker's holder, in all reachable states.
+//! or an earlier one; a renewal is answered with no more than the TTL recorded when it was received, and not at all once
+//! the lease is being released. [`ReadIndexQueue`] holds renewals until a quorum has confirmed the leader after they were
+//! received. `tests/lease_world/` checks both, together with the worker's lease holder, in all reachable states.
 
 mod read_index_queue;
 
@@ -13,10 +13,10 @@
 use crate::state_machine::Lease;
 use std::collections::BTreeMap;
 
-/// Safety checks that proofs switch off one at a time; all are on in service.
+/// Safety checks. All are enabled in production; tests disable one at a time to show that the violation is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyChecks {
-    /// A new leader lets each lease's longest TTL pass before it may expire.
+    /// A new leader does not let a lease expire before its longest TTL has passed.
     pub wait_full_ttl: bool,
     /// Renewals are answered only after a quorum has confirmed the leader.
     pub read_index: bool,
@@ -28,17 +28,17 @@
     }
 }
 
-/// One leader's account of its leases, by fencing token.
+/// The expiry times of a leader's leases, by fencing token.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseClock {
-    /// The latest time at which the holder may believe that it holds the lease.
+    /// The latest time until which the holder may consider the lease valid.
     expires_at: BTreeMap<u64, f64>,
-    /// Leases that are being released or handed over, with the time since when.
+    /// Leases that are being released or handed off, with the time when that started.
     releasing_since: BTreeMap<u64, f64>,
 }
 
 impl LeaseClock {
-    /// The account of a member that begins to lead: an earlier leader may have renewed any lease up to now.
+    /// Returns the expiry times for a new leader. An earlier leader may have renewed any lease up to now.
     pub fn start_term<'a>(
         checks: SafetyChecks,
         now: f64,
@@ -49,13 +49,13 @@
         LeaseClock { expires_at, releasing_since: BTreeMap::new() }
     }
 
-    /// A lease was granted under this leader.
+    /// Records that a lease was granted under this leader.
     pub fn record_grant(&mut self, now: f64, token: u64, ttl_ms: u64) {
         self.expires_at.insert(token, now + seconds(ttl_ms));
     }
 
-    /// A renewal was received, and counts from now whether or not it is answered. Returns the TTL that the answer may
-    /// give (milliseconds): 0 for a lease that is being released.
+    /// Records a renewal, which counts from now whether or not it is answered. Returns the TTL that the answer may grant
+    /// (milliseconds); 0 for a lease that is being released.
     pub fn record_renewal(&mut self, now: f64, lease: &Lease) -> u64 {
         if self.is_releasing(lease.token) {
             return 0;
@@ -65,21 +65,21 @@
         lease.ttl_ms
     }
 
-    /// The lease was returned, or its release proposed: no renewal of it is answered any more.
+    /// Records that the lease was returned or its release proposed. From now on its renewals are not answered.
     pub fn start_release(&mut self, now: f64, token: u64) {
         self.releasing_since.insert(token, now);
     }
 
-    /// Whether the lease is being released or handed over.
+    /// Returns whether the lease is being released or handed off.
     #[must_use]
     pub fn is_releasing(&self, token: u64) -> bool {
         self.releasing_since.contains_key(&token)
     }
 
-    /// Whether the lease has expired and its release is to be proposed now. It counts as being released from then on; a
-    /// proposal without effect is to be repeated after `retry_s` (seconds).
+    /// Returns whether the lease has expired and its release must be proposed now, and if so marks it as being released. A
+    /// proposal that was not applied is due again after `retry_s` (seconds).
     pub fn start_release_if_expired(&mut self, now: f64, lease: &Lease, retry_s: f64) -> bool {
-        // A lease that is not known here was granted under this leader; it has its full TTL.
+        // A lease that is not tracked yet was granted under this leader and has its full TTL.
         let first_seen = now + seconds(lease.max_ttl_ms);
         let expires_at = *self.expires_at.entry(lease.token).or_insert(first_seen);
         let proposed_at = self.releasing_since.get(&lease.token);
@@ -90,13 +90,13 @@
         expired
     }
 
-    /// The release of the lease was applied.
+    /// Records that the release of the lease was applied.
     pub fn record_release(&mut self, token: u64) {
         self.releasing_since.remove(&token);
         self.expires_at.remove(&token);
     }
 
-    /// How long the lease remains valid at most, unless it is renewed (seconds).
+    /// Returns how long the lease may remain valid without a renewal (seconds).
     #[must_use]
     pub fn remaining_s(&self, now: f64, token: u64) -> f64 {
         self.expires_at.get(&token).map_or(0.0, |expires_at| (expires_at - now).max(0.0))
--- a/fleet-coordinator/src/lease_clock/read_index_queue.rs
+++ b/fleet-coordinator/src/lease_clock/read_index_queue.rs
@@ -2,20 +2,20 @@
 
 use std::collections::VecDeque;
 
-/// Requests that one confirmation answers.
+/// Requests that are answered by the same confirmation.
 #[derive(Clone, Debug)]
 pub struct ReadIndexBatch<T> {
-    /// The confirmation's number.
+    /// The number of the confirmation.
     pub number: u64,
-    /// The requests, in the order in which they were received.
+    /// The requests, in the order of receipt.
     pub requests: Vec<T>,
 }
 
-/// Requests that wait for a quorum to confirm the leader. One batch is out at a time; what is received meanwhile waits
-/// for the next, so that a confirmation answers only what was received before it was requested.
+/// Requests that wait for a quorum to confirm the leader. One batch is in progress at a time; later requests wait for the
+/// next batch, so that a confirmation answers only requests received before it was requested.
 #[derive(Clone, Debug)]
 pub struct ReadIndexQueue<T> {
-    /// Requests that are in no batch yet.
+    /// Requests that are not in a batch yet.
     unsent: Vec<T>,
     sent: VecDeque<ReadIndexBatch<T>>,
     next_number: u64,
@@ -24,19 +24,18 @@
 }
 
 impl<T> ReadIndexQueue<T> {
-    /// Batches are numbered from `next_number` on; one that stays unconfirmed is followed by another after `retry_s`
-    /// (seconds).
+    /// Numbers batches from `next_number`. If a batch is not confirmed within `retry_s` (seconds), the next one may start.
     #[must_use]
     pub fn new(next_number: u64, retry_s: f64) -> ReadIndexQueue<T> {
         ReadIndexQueue { unsent: Vec::new(), sent: VecDeque::new(), next_number, sent_at: 0.0, retry_s }
     }
 
-    /// Adds a request that was received now.
+    /// Adds a request.
     pub fn push(&mut self, request: T) {
         self.unsent.push(request);
     }
 
-    /// Makes a batch of what was received, and returns its number; `None` while another is out or nothing waits.
+    /// Starts a batch with all unsent requests and returns its number; `None` if there are none or a batch is in progress.
     pub fn start_batch(&mut self, now: f64) -> Option<u64> {
         let may_send = self.sent.is_empty() || now - self.sent_at > self.retry_s;
         if self.unsent.is_empty() || !may_send {
@@ -49,7 +48,7 @@
         Some(number)
     }
 
-    /// A quorum has confirmed this batch: returns its requests, and those of earlier ones.
+    /// Called when a quorum has confirmed this batch. Returns its requests and those of earlier batches.
     pub fn confirm(&mut self, number: u64) -> Vec<T> {
         let mut confirmed = Vec::new();
         while self.sent.front().is_some_and(|batch| batch.number <= number) {
@@ -58,18 +57,20 @@
         confirmed
     }
 
-    /// Takes what is in no batch yet: for a leader that works without confirmation.
+    /// Takes the requests that are not in a batch yet. Used when [`SafetyChecks::read_index`](super::SafetyChecks::read_index)
+    /// is disabled.
     pub fn take_unsent(&mut self) -> Vec<T> {
         std::mem::take(&mut self.unsent)
     }
 
-    /// The next batch's number. Numbers go on over terms, since a confirmation of an earlier one may still come.
+    /// Returns the next batch's number. Numbers continue across terms, since a confirmation from an earlier term may still
+    /// arrive.
     #[must_use]
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
 
-    /// What waits: requests in no batch yet, and the batches that are out.
+    /// Returns the requests that are not in a batch yet, and the batches in progress.
     pub fn pending(&self) -> (&[T], impl Iterator<Item = &ReadIndexBatch<T>>) {
         (&self.unsent, self.sent.iter())
     }
