--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -1,36 +1,36 @@
-//! Jobs for the disk, one after the other, and what their results mean for the replica.
+//! Disk jobs, which run one at a time, and the handling of their results.
 
 use super::recovered_log::RecoveredLog;
 use super::{MemberStatus, Replica, ReplicaOutput, SuspensionCause};
 use crate::ids::DiskJobId;
 use durable_log::{Disk, Recovered, Store, StoreError};
 
-/// A job for the disk.
+/// A disk job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskJob {
-    /// Open the store and read it.
+    /// Open the store and recover its content.
     Open,
     /// Append records.
     Append(Vec<Vec<u8>>),
-    /// Replace everything by a snapshot.
+    /// Replace the whole content with a snapshot.
     Replace(Vec<u8>),
 }
 
-/// The result of a job.
+/// The result of a disk job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskResult {
-    /// The store is open, and this was recovered from it.
+    /// The store is open; the value is its recovered content.
     Opened(Recovered),
-    /// Everything was written and synced.
+    /// All data was written and synced.
     Written,
-    /// The job failed, for this reason.
+    /// The job failed for this reason.
     Failed(String),
 }
 
 /// Why a job failed.
 #[derive(Debug, thiserror::Error)]
 enum DiskError {
-    #[error("the folder: {0}")]
+    #[error("can't open the data folder: {0}")]
     Folder(#[source] std::io::Error),
     #[error(transparent)]
     Store(#[from] StoreError),
@@ -38,13 +38,13 @@
     NotOpen,
 }
 
-/// A job that was started and not answered.
+/// A job that was started and whose result is pending.
 pub(super) struct PendingJob {
     number: DiskJobId,
     started_at: f64,
 }
 
-/// Carries out a job. After a failure `store` is empty until the next [`DiskJob::Open`].
+/// Executes a job. After a failure `store` is `None` until the next [`DiskJob::Open`].
 pub fn execute_job<D: Disk>(
     store: &mut Option<Store<D>>,
     job: &DiskJob,
@@ -63,7 +63,7 @@
 ) -> Result<DiskResult, DiskError> {
     match job {
         DiskJob::Open => {
-            // The lock of the earlier store is released first.
+            // Release the lock of the previous store first.
             drop(store.take());
             let (opened, recovered) = Store::open(disk().map_err(DiskError::Folder)?, encode)?;
             *store = Some(opened);
@@ -80,8 +80,8 @@
     }
 }
 
-/// A store as one record. One that has lost something is written as that of no member: it must not vote as if it
-/// remembered its earlier votes.
+/// Encodes the content of a store as one record. If data was lost it is encoded as that of no member, since the member
+/// may have forgotten a vote and must not vote again in the same term.
 fn encode(recovered: &Recovered) -> Vec<u8> {
     match RecoveredLog::read(recovered) {
         Ok(log) if !recovered.damaged => log.encode(),
@@ -101,10 +101,10 @@
         number
     }
 
-    /// A job has ended. Jobs are answered in the order in which they were started.
+    /// Handles the result of a job. Results arrive in the order in which the jobs were started.
     pub fn on_disk_result(&mut self, now: f64, number: DiskJobId, result: DiskResult) {
         let Some(job) = self.pending_jobs.pop_front() else { return };
-        debug_assert_eq!(job.number, number, "jobs are answered in order");
+        debug_assert_eq!(job.number, number, "results of disk jobs out of order");
         match result {
             DiskResult::Opened(recovered) => self.on_opened(now, now - job.started_at, &recovered),
             DiskResult::Written => {
@@ -114,7 +114,7 @@
                 }
             }
             DiskResult::Failed(reason) => {
-                // Jobs that follow a failed one fail for that reason alone.
+                // Jobs queued behind a failed one fail only because of it.
                 let known = matches!(self.status, MemberStatus::Suspended(_)) && number != self.opening_job;
                 if !known && !matches!(self.status, MemberStatus::Excluded(_)) {
                     self.suspend(now, SuspensionCause::DiskFailed(reason));
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Suspends the member while a write is overdue, and opens the disk of a suspended one now and then.
+    /// Suspends the member if a write is overdue, and periodically tries to reopen the disk of a suspended member.
     pub(super) fn check_disk(&mut self, now: f64) {
         if let Some(job) = self.pending_jobs.front() {
             let waited_s = now - job.started_at;
@@ -137,7 +137,7 @@
     }
 }
 
-/// A status is reported anew when it changes: a time is part of it only as precisely as it is shown.
+/// Rounds a time in a status to the precision that is displayed, since each change of the status is reported.
 pub(super) fn round_to_tenths(seconds: f64) -> f64 {
     (seconds * 10.0).round() / 10.0
 }
--- a/fleet-coordinator/src/replica/election.rs
+++ b/fleet-coordinator/src/replica/election.rs
@@ -1,14 +1,15 @@
-//! Ticks, election timeouts, and changes of role.
+//! Ticks, election timeouts and changes of role.
 
 use super::{Replica, ReplicaEvent, TermStart, TICK_S};
 use raft::StateRole;
 
 pub(super) const HEARTBEAT_TICKS: usize = 2;
 pub(super) const ELECTION_TICKS: usize = 10;
-/// Ticks that are made up for after a delay: peers that a paused process heard nothing of may be well.
-const MAX_TICKS_AT_ONCE: u32 = 2;
+/// The maximum number of ticks caught up after a delay. More could start an election although the peers are healthy and
+/// only this process was paused.
+const MAX_CATCH_UP_TICKS: u32 = 2;
 
-/// The election timeout that was drawn for a role in a term.
+/// The random election timeout for a role in a term.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ElectionTimeout {
     term: u64,
@@ -18,7 +19,7 @@
 }
 
 impl Replica {
-    /// Does what is due at this time.
+    /// Performs the periodic work that is due at this time.
     pub fn tick(&mut self, now: f64) {
         self.check_disk(now);
         if self.tick_node(now) {
@@ -27,13 +28,13 @@
         }
     }
 
-    /// Passes the time to the consensus library; `false` where no tick was due.
+    /// Advances the Raft library's logical clock; returns whether a tick was due.
     fn tick_node(&mut self, now: f64) -> bool {
         let mut ticks = 0;
         while now - self.ticked_at >= TICK_S {
-            let make_up = ticks < MAX_TICKS_AT_ONCE;
-            self.ticked_at = if make_up { self.ticked_at + TICK_S } else { now };
-            if let Some(node) = self.node.as_mut().filter(|_| make_up) {
+            let catch_up = ticks < MAX_CATCH_UP_TICKS;
+            self.ticked_at = if catch_up { self.ticked_at + TICK_S } else { now };
+            if let Some(node) = self.node.as_mut().filter(|_| catch_up) {
                 node.tick();
                 ticks += 1;
                 self.update_election_timeout();
@@ -42,15 +43,15 @@
         ticks > 0
     }
 
-    /// The library draws its timeouts from the system's random source. They are replaced by this member's own, so that
-    /// a run in virtual time can be repeated.
+    /// Replaces the library's election timeout, which comes from the system's random source, with one from this member's
+    /// seeded generator, so that a run in virtual time is reproducible.
     pub(super) fn update_election_timeout(&mut self) {
         let Some(node) = &mut self.node else { return };
         let raft = &mut node.raft;
-        let drawn_for_now = self.election_timeout.filter(|timeout| {
+        let current = self.election_timeout.filter(|timeout| {
             (timeout.term, timeout.role, timeout.leader) == (raft.term, raft.state, raft.leader_id)
         });
-        let timeout = drawn_for_now.unwrap_or_else(|| ElectionTimeout {
+        let timeout = current.unwrap_or_else(|| ElectionTimeout {
             term: raft.term,
             role: raft.state,
             leader: raft.leader_id,
@@ -63,7 +64,7 @@
     pub(super) fn update_role(&mut self, now: f64) {
         let Some(node) = &self.node else { return };
         let raft = &node.raft;
-        // All that was decided before is applied once an entry of the leader's own term is.
+        // Once an entry of the leader's own term is applied, so are all entries committed in earlier terms.
         let caught_up = raft.raft_log.term(self.applied).is_ok_and(|term| term == raft.term);
         let is_leader = raft.state == StateRole::Leader && (caught_up || self.is_leader);
         if is_leader == self.is_leader {
@@ -78,7 +79,7 @@
     }
 }
 
-/// Xorshift; the lowest bits are left out.
+/// Xorshift generator; the low bits are discarded.
 fn next_random(state: &mut u64) -> u64 {
     *state ^= *state << 13;
     *state ^= *state >> 7;
--- a/fleet-coordinator/src/replica/membership.rs
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! What a leader does for the quorum itself: it records progress, raises the agreed version, and changes members.
+//! The leader's maintenance of the quorum: recording progress, raising the common version, and changing members.
 
 use super::raft_log::RaftLog;
 use super::Replica;
@@ -7,42 +7,43 @@
 use raft::eraftpb::{ConfChange, ConfChangeType};
 use raft::RawNode;
 
-/// How often progress is recorded in the log (seconds). A disk that is older than recorded is detected.
+/// How often members' progress is recorded in the log (seconds). The record is used to detect a disk that was restored
+/// from an older copy.
 const PROGRESS_INTERVAL_S: f64 = 10.0;
-/// How often progress is recorded while a disk is recorded for the first time (seconds).
+/// How soon progress is recorded for a member that has no record yet (seconds).
 const FIRST_PROGRESS_INTERVAL_S: f64 = 1.0;
-/// A learner that lags by at most so many entries may vote.
+/// A learner that lags by at most this many entries is promoted to a voter.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 16;
 
 /// Why a coordinator can't be replaced now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplaceError {
     /// No member has this name.
-    #[error("there is no coordinator {0}")]
+    #[error("unknown coordinator {0}")]
     UnknownCoordinator(String),
-    /// The coordinator of this name is the leader.
-    #[error("{0} leads; it has not lost its disk")]
+    /// The coordinator with this name is the leader, so it has not lost its disk.
+    #[error("{0} is the leader, which can't be replaced")]
     Leads(String),
-    /// The consensus library changes one member at a time.
-    #[error("another change of members is on its way")]
+    /// The Raft library changes one member at a time.
+    #[error("another membership change is in progress")]
     ChangePending,
 }
 
-/// What a leader finds to do for the quorum.
+/// The state of the quorum and the changes that it needs.
 struct QuorumReview {
     progress: ProgressReview,
     /// The version that all voters can apply.
     common_version: u32,
-    /// A member that is not in the configuration yet.
+    /// A member that is not in the Raft configuration yet.
     joining: Option<MemberId>,
-    /// A learner that may vote.
+    /// A learner that can be promoted to a voter.
     caught_up_learner: Option<MemberId>,
 }
 
-/// Progress that the log does not record yet.
+/// Members' progress that is not recorded in the log yet.
 struct ProgressReview {
     unrecorded: Vec<MemberProgress>,
-    /// It is to be recorded now.
+    /// Whether to record it now.
     due: bool,
 }
 
@@ -95,14 +96,14 @@
         let mut first_record = false;
         for (id, progress) in node.raft.prs().iter() {
             let member = MemberId(*id);
-            // What is committed is never truncated; more than that a new leader might truncate.
+            // Committed entries are never truncated; a new leader may truncate later ones.
             let index = progress.matched.min(commit);
             first_record |= recorded(member) == 0 && index > 1;
             if index > recorded(member) {
                 unrecorded.push(MemberProgress { member, index });
             }
         }
-        // The record itself moves all ends by one.
+        // The record itself advances each member by one entry.
         let moved = unrecorded.iter().any(|progress| progress.index > recorded(progress.member) + 1);
         let since_s = now - self.progress_recorded_at;
         let due =
@@ -110,8 +111,8 @@
         ProgressReview { unrecorded, due }
     }
 
-    /// Proposes a change of members; the library rejects it while another is on its way. `replacement` takes the place of
-    /// a member that is removed.
+    /// Proposes a membership change; returns whether it was accepted, which it is not while another is in progress.
+    /// `replacement` is the member that replaces a removed one.
     fn change_members(
         &mut self,
         kind: ConfChangeType,
@@ -125,10 +126,10 @@
         !node.raft.has_pending_conf() && node.propose_conf_change(Vec::new(), change).is_ok()
     }
 
-    /// Replaces the member of this coordinator, which has lost its disk, by a new one. Returns the new member's number.
+    /// Replaces the member of a coordinator that has lost its disk with a new one. Returns the new member's number.
     ///
     /// # Errors
-    /// Why that can't be done now.
+    /// The reason why it can't be replaced now.
     pub fn replace(&mut self, now: f64, name: &str) -> Result<MemberId, ReplaceError> {
         let old = self.state_machine.member(name);
         let old = old.ok_or_else(|| ReplaceError::UnknownCoordinator(name.to_owned()))?;
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -1,10 +1,10 @@
-//! One member of the quorum: the consensus library, the replicated log and its state machine, without I/O.
+//! One member of the quorum: the Raft library, the replicated log and its state machine, without I/O.
 //!
-//! Messages, ticks and results of the disk go in; messages, jobs for the disk, and events come out.
+//! Its inputs are messages, ticks and disk results; its outputs are messages, disk jobs and events.
 //!
-//! Invariants: nothing is sent that depends on what the disk has not confirmed, and nothing is applied before. A write
-//! that fails or is overdue suspends the member: it sends nothing to its peers until the disk has been opened anew, and
-//! goes on from what the disk then holds.
+//! Invariants: nothing is sent or applied that depends on data that the disk has not confirmed. A write that fails or is
+//! overdue suspends the member: it sends nothing to its peers until the disk has been reopened, and continues from what
+//! the disk holds then.
 
 mod disk;
 mod election;
@@ -34,29 +34,30 @@
 use ready::PendingReady;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The length of a tick (seconds). A leader sends a heartbeat every two; an election begins after 10 to 19 without one.
+/// The length of a tick (seconds). A leader sends a heartbeat every 2 ticks; an election starts after 10 to 19 ticks
+/// without one.
 pub const TICK_S: f64 = 0.05;
-/// How often a suspended member tries to open its disk (seconds).
+/// How often a suspended member tries to reopen its disk (seconds).
 const DISK_RETRY_S: f64 = 0.5;
 
 /// One member of the quorum.
 pub struct Replica {
     /// The replicated state as of the last applied entry.
     pub state_machine: LeaseStateMachine,
-    /// Whether the member takes part.
+    /// Whether the member participates in the quorum.
     pub status: MemberStatus,
-    /// By member number, the latest version that its program can apply.
+    /// The latest version that each member's program can apply, by member number.
     peer_versions: BTreeMap<MemberId, u32>,
     version: u32,
     node: Option<RawNode<RaftLog>>,
     member: MemberId,
     applied: u64,
     is_leader: bool,
-    /// What waits for the disk, in order.
+    /// Output of the Raft library that waits for the disk, in order.
     pending_ready: VecDeque<PendingReady>,
     pending_jobs: VecDeque<PendingJob>,
     next_job: DiskJobId,
-    /// The last job that opens the disk.
+    /// The latest job that opens the disk.
     opening_job: DiskJobId,
     write_overdue_s: f64,
     disk_retry_at: f64,
@@ -69,19 +70,19 @@
     events: Vec<ReplicaEvent>,
 }
 
-/// When this member began to lead.
+/// When this member became the leader.
 struct TermStart {
-    /// By the log's time (milliseconds).
+    /// In the log's time (milliseconds).
     log_time_ms: u64,
-    /// By this member's clock (seconds).
+    /// On this member's clock (seconds).
     at: f64,
 }
 
 impl Replica {
-    /// A member whose disk has yet to be opened.
+    /// Returns a member that starts by opening its disk.
     ///
-    /// `seed` determines its election timeouts; a write that takes longer than `write_overdue_s` (seconds) suspends it;
-    /// `version` is the latest that the program claims to understand.
+    /// `seed` determines its election timeouts. A write that takes longer than `write_overdue_s` (seconds) suspends it.
+    /// `version` is the latest protocol version that it reports as supported.
     #[must_use]
     pub fn new(now: f64, seed: u64, write_overdue_s: f64, version: u32) -> Replica {
         let mut replica = Replica {
@@ -111,23 +112,23 @@
         replica
     }
 
-    /// Takes what is to be carried out since the last call, in order.
+    /// Returns the outputs since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<ReplicaOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes what has happened since the last call, in order.
+    /// Returns the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<ReplicaEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// This member's number; 0 while it has none.
+    /// Returns this member's number; 0 if it has none yet.
     #[must_use]
     pub fn member(&self) -> MemberId {
         self.member
     }
 
-    /// The latest version that this program claims to understand.
+    /// Returns the latest version that this member reports as supported.
     #[must_use]
     pub fn version(&self) -> u32 {
         self.version
@@ -138,52 +139,52 @@
         self.peer_versions.insert(member, version);
     }
 
-    /// Whether this member leads and may serve.
+    /// Returns whether this member is the leader and ready to serve.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
 
-    /// The member that leads, as far as this one knows.
+    /// Returns the leader, if known to this member.
     #[must_use]
     pub fn leader(&self) -> Option<MemberId> {
         let leader = self.node.as_ref().map(|node| MemberId(node.raft.leader_id));
         leader.filter(|leader| *leader != MemberId::NONE)
     }
 
-    /// The current term; 0 while this member does not take part.
+    /// Returns the current term; 0 while this member does not participate.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.node.as_ref().map_or(0, |node| node.raft.term)
     }
 
-    /// How far the log reaches, and has been applied.
+    /// Returns the indexes of the last and the last applied entry.
     #[must_use]
     pub fn log_position(&self) -> LogPosition {
         let last = self.node.as_ref().map_or(0, |node| node.raft.raft_log.last_index());
         LogPosition { last, applied: self.applied }
     }
 
-    /// Members that may vote.
+    /// Returns the voting members.
     #[must_use]
     pub fn voters(&self) -> Vec<MemberId> {
         let voters = self.node.as_ref().map(|node| &node.store().members.voters);
         voters.into_iter().flatten().copied().map(MemberId).collect()
     }
 
-    /// Peers accept nothing from this member, for this reason; see [`MemberStatus::Excluded`].
+    /// Stops participating, since peers accept no messages from this member; see [`MemberStatus::Excluded`].
     pub fn exclude(&mut self, now: f64, cause: ExclusionCause) {
         if self.status == MemberStatus::Active {
-            self.leave(now, MemberStatus::Excluded(cause));
+            self.stop_participating(now, MemberStatus::Excluded(cause));
         }
     }
 
-    /// Takes no part until the disk has been opened anew.
+    /// Stops participating until the disk has been reopened.
     fn suspend(&mut self, now: f64, cause: SuspensionCause) {
-        self.leave(now, MemberStatus::Suspended(cause));
+        self.stop_participating(now, MemberStatus::Suspended(cause));
     }
 
-    fn leave(&mut self, now: f64, status: MemberStatus) {
+    fn stop_participating(&mut self, now: f64, status: MemberStatus) {
         self.node = None;
         self.pending_ready.clear();
         self.disk_retry_at = now + DISK_RETRY_S;
--- a/fleet-coordinator/src/replica/raft_log.rs
+++ b/fleet-coordinator/src/replica/raft_log.rs
@@ -1,4 +1,4 @@
-//! The replicated log in memory, as the consensus library reads it.
+//! The replicated log in memory, as storage for the Raft library.
 
 use super::recovered_log::RecoveredLog;
 use crate::ids::MemberId;
@@ -6,7 +6,7 @@
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 use std::cell::Cell;
 
-/// A snapshot, and the entries after it without a gap.
+/// A snapshot and the entries after it, without gaps.
 pub struct RaftLog {
     /// Term, vote and commit index.
     pub hard_state: HardState,
@@ -14,13 +14,13 @@
     pub members: ConfState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// A follower needs a newer snapshot than this one. Set where the library asks for one, which has only a shared
-    /// reference.
+    /// Set when a follower needs a newer snapshot than this one. A `Cell`, since the library requests snapshots through a
+    /// shared reference.
     pub snapshot_wanted: Cell<bool>,
 }
 
 impl RaftLog {
-    /// The log as a disk held it.
+    /// Creates the log from what was recovered from disk.
     pub fn new(recovered: &RecoveredLog) -> RaftLog {
         RaftLog {
             hard_state: recovered.hard_state.clone(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The log as a disk should hold it.
+    /// Returns the log in the form that is stored on disk.
     pub fn to_recovered(&self, member: MemberId) -> RecoveredLog {
         RecoveredLog {
             member,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The snapshot's index; 0 while there is none.
+    /// Returns the snapshot's index; 0 if there is none.
     pub fn start(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    /// The last entry's index; the snapshot's while there is no entry.
+    /// Returns the last entry's index, or the snapshot's if there are no entries.
     pub fn last(&self) -> u64 {
         self.entries.last().map_or(self.start(), |entry| entry.index)
     }
@@ -55,14 +55,14 @@
         self.entries.len()
     }
 
-    /// Appends entries, in the place of those from the first one's index on.
+    /// Appends entries, replacing existing ones from the first new entry's index on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         self.entries.retain(|entry| entry.index < first.index);
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces everything by a snapshot that a leader sent.
+    /// Replaces the whole log with a snapshot from a leader.
     pub fn restore(&mut self, snapshot: &Snapshot) {
         self.members = snapshot.get_metadata().get_conf_state().clone();
         self.entries.clear();
@@ -70,7 +70,7 @@
         self.snapshot = snapshot.clone();
     }
 
-    /// Replaces the entries up to an applied one by a snapshot of the state at that entry.
+    /// Replaces the entries up to `applied` with a snapshot of the state at that entry.
     pub fn compact(&mut self, applied: u64, state: Vec<u8>) {
         let Ok(term) = self.term(applied) else { return };
         let mut snapshot = Snapshot { data: state.into(), ..Snapshot::default() };
@@ -83,7 +83,7 @@
         self.snapshot_wanted.set(false);
     }
 
-    /// The place in `entries` of the entry with this index, which must be beyond the snapshot's.
+    /// Returns the position in `entries` of the entry with this index, which must be greater than the snapshot's.
     fn offset(&self, index: u64) -> usize {
         (index - self.start() - 1) as usize
     }
--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -1,4 +1,4 @@
-//! What comes out of the consensus library: records to persist, messages, and committed entries to apply.
+//! Output of the Raft library: records to persist, messages to send, and committed entries to apply.
 
 use super::recovered_log::{entry_record, hard_state_record, snapshot_record};
 use super::scan;
@@ -9,32 +9,32 @@
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry, EntryType, Message, Snapshot};
 use raft::Ready;
 
-/// Entries after which the log is replaced by a snapshot.
+/// The number of entries after which the log is compacted into a snapshot.
 const MAX_LOG_ENTRIES: usize = 4096;
 
-/// Messages that wait for a job of the disk.
+/// Messages that wait for a disk job.
 pub(super) struct PendingReady {
-    /// The library's number for it.
+    /// The number of the library's `Ready`.
     ready_number: u64,
     messages: Vec<Message>,
-    /// `None` where nothing has to be written.
+    /// `None` if nothing has to be written.
     job: Option<DiskJobId>,
-    /// The last index of a leader's snapshot that is being written.
+    /// The index of a leader's snapshot that is being written.
     snapshot_index: Option<u64>,
 }
 
 impl PendingReady {
-    /// Whether this waits for a job that is not done once `persisted` is; `None` where none is.
+    /// Returns whether this waits for a job later than `persisted`; `None` means that no job has finished.
     fn waits_beyond(&self, persisted: Option<DiskJobId>) -> bool {
         self.job > persisted
     }
 }
 
-/// A snapshot that a leader sent can't be decoded.
+/// A leader's snapshot can't be decoded.
 struct UnreadableSnapshot(serde_json::Error);
 
 impl Replica {
-    /// Processes what the library has ready until it has no more.
+    /// Processes the library's output until there is no more.
     pub(super) fn process_ready(&mut self, now: f64) {
         while let Some(ready) = self.next_ready() {
             if let Err(UnreadableSnapshot(error)) = self.process_one(now, ready) {
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// Replaces log and state by a snapshot that a leader sent; returns its index.
+    /// Replaces log and state with a leader's snapshot; returns its index.
     fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<u64, UnreadableSnapshot> {
         self.state_machine = serde_json::from_slice(&snapshot.data).map_err(UnreadableSnapshot)?;
         if let Some(node) = &mut self.node {
@@ -89,7 +89,7 @@
         Ok(self.applied)
     }
 
-    /// Appends new entries and the hard state to the log, and their records to `records`.
+    /// Appends new entries to the log, updates the hard state, and adds the records to persist to `records`.
     fn append_entries(&mut self, ready: &mut Ready, records: &mut Vec<Vec<u8>>) {
         let Some(node) = &mut self.node else { return };
         let entries = ready.take_entries();
@@ -97,14 +97,14 @@
         node.mut_store().append(&entries);
         if let Some(hard_state) = ready.hs() {
             node.mut_store().hard_state = hard_state.clone();
-            // A new commit index alone need not be persisted.
+            // A hard state in which only the commit index changed need not be persisted.
             if ready.must_sync() {
                 records.push(hard_state_record(hard_state));
             }
         }
     }
 
-    /// Sends all messages that waited for this job or an earlier one, and those that wait for none behind them.
+    /// Sends the messages that waited for this job or an earlier one, and those queued behind them that wait for no job.
     pub(super) fn on_persisted(&mut self, job: Option<DiskJobId>) {
         let Some(node) = &mut self.node else { return };
         let mut persisted_number = None;
@@ -162,7 +162,7 @@
         match node.apply_conf_change(&change) {
             Ok(members) => {
                 node.mut_store().members = members;
-                // A new member accepts no snapshot that does not name it.
+                // A new member accepts only a snapshot whose configuration includes it.
                 let is_new = change.get_change_type() == ConfChangeType::AddLearnerNode;
                 node.mut_store().snapshot_wanted.set(is_new);
             }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Replaces a long log, or one from which a follower can't be served, by a snapshot.
+    /// Compacts the log into a snapshot if it is long, or if a follower needs a newer snapshot.
     fn compact(&mut self, now: f64) {
         let Some(node) = &mut self.node else { return };
         let log = node.mut_store();
@@ -194,7 +194,7 @@
 }
 
 pub(super) fn to_json<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Maps with keys of numbers and strings, and plain values: serialization can't fail.
+    // Serialization can't fail: all map keys are numbers or strings.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
--- a/fleet-coordinator/src/replica/recovered_log.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -1,49 +1,49 @@
-//! The replicated log as a coordinator's disk holds it: decoded from records, and encoded as records or as one snapshot.
-//! Decoding needs no state of the consensus library, so a store can be opened, checked and shown without one.
+//! The replicated log as stored on disk: decoded from records, and encoded as records or as one snapshot. Decoding needs
+//! no Raft node, so a store can be opened and inspected without one.
 
 use super::scan::{self, ParseError};
 use crate::ids::MemberId;
 use durable_log::{Recovered, RecoveredRecord};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
-/// The first byte of a record.
+/// The first byte of a record: its kind.
 const HARD_STATE: u8 = 1;
 const ENTRY: u8 = 2;
 const SNAPSHOT: u8 = 3;
 const MEMBER: u8 = 4;
-/// The length before each part of a snapshot (bytes).
+/// The size of the length prefix of each part of a snapshot (bytes).
 const LENGTH_BYTES: usize = 4;
 
 /// Why a record can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The record has no bytes.
-    #[error("an empty record")]
+    /// The record is empty.
+    #[error("empty record")]
     Empty,
-    /// The record's kind is not known.
-    #[error("a record of kind {0}, which this version does not know")]
+    /// The record's kind is unknown.
+    #[error("unknown record kind {0}")]
     UnknownKind(u8),
     /// The record's message can't be parsed.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// An entry does not follow the one before.
-    #[error("entry {index} after {last}")]
+    /// An entry does not directly follow the one before it.
+    #[error("gap in the log: entry {index} follows entry {last}")]
     Gap {
         /// The entry's index.
         index: u64,
         /// The last index before it.
         last: u64,
     },
-    /// A member's number has not eight bytes.
-    #[error("a member's number is not whole")]
+    /// A member number does not have eight bytes.
+    #[error("member number does not have eight bytes")]
     MemberNumber,
 }
 
-/// Why what a store recovered is not a replicated log: something else wrote it.
+/// Why the content of a store is not a replicated log; it was written by something else.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveredLogError {
-    /// A part of the snapshot is shorter than its length says.
-    #[error("a snapshot's part is cut off")]
+    /// A part of the snapshot is shorter than its length prefix.
+    #[error("truncated part of the snapshot")]
     TruncatedPart,
     /// A part of the snapshot can't be decoded.
     #[error(transparent)]
@@ -53,43 +53,43 @@
     Record {
         /// The record's sequence number.
         sequence: u64,
-        /// What is wrong with it.
+        /// Why it can't be decoded.
         source: RecordError,
     },
 }
 
-/// The replicated log as the disk holds it.
+/// The replicated log as stored on disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredLog {
-    /// This member; none while the disk is empty.
+    /// This member; [`MemberId::NONE`] if the disk holds none.
     pub member: MemberId,
     /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The latest snapshot; its index is 0 while there is none.
+    /// The latest snapshot; its index is 0 if there is none.
     pub snapshot: Snapshot,
-    /// The entries after the snapshot, without a gap.
+    /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
 }
 
-/// The hard state as a record.
+/// Encodes the hard state as a record.
 #[must_use]
 pub fn hard_state_record(hard_state: &HardState) -> Vec<u8> {
     record(HARD_STATE, hard_state)
 }
 
-/// An entry as a record.
+/// Encodes an entry as a record.
 #[must_use]
 pub fn entry_record(entry: &Entry) -> Vec<u8> {
     record(ENTRY, entry)
 }
 
-/// A snapshot as a record.
+/// Encodes a snapshot as a record.
 #[must_use]
 pub fn snapshot_record(snapshot: &Snapshot) -> Vec<u8> {
     record(SNAPSHOT, snapshot)
 }
 
-/// A member's number as a record.
+/// Encodes a member number as a record.
 #[must_use]
 pub fn member_record(member: MemberId) -> Vec<u8> {
     let mut bytes = vec![MEMBER];
@@ -105,10 +105,10 @@
 }
 
 impl RecoveredLog {
-    /// Decodes what a store has recovered.
+    /// Decodes the content of a store.
     ///
     /// # Errors
-    /// A record with a valid checksum that can't be decoded: something else wrote it.
+    /// A record has a valid checksum but can't be decoded; it was written by something else.
     pub fn read(recovered: &Recovered) -> Result<RecoveredLog, RecoveredLogError> {
         let mut log = RecoveredLog::default();
         if let Some(snapshot) = &recovered.snapshot {
@@ -123,13 +123,13 @@
         Ok(log)
     }
 
-    /// The last entry's index; the snapshot's where there is no entry.
+    /// Returns the last entry's index, or the snapshot's if there are no entries.
     #[must_use]
     pub fn last(&self) -> u64 {
         self.entries.last().map_or(self.snapshot.get_metadata().index, |entry| entry.index)
     }
 
-    /// Encodes all of it as one record: each part with its length before it.
+    /// Encodes the complete log as one record, in which each part has a length prefix.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    /// What a new leader wrote replaces what an earlier one wrote from the same index on.
+    /// Adds an entry. It replaces all entries from its index on, which an earlier leader wrote.
     fn read_entry(&mut self, entry: Entry) -> Result<(), RecordError> {
         if entry.index <= self.snapshot.get_metadata().index {
             return Ok(());
--- a/fleet-coordinator/src/replica/scan/mod.rs
+++ b/fleet-coordinator/src/replica/scan/mod.rs
@@ -1,7 +1,7 @@
-//! Checks protobuf bytes before the library parses them.
+//! Checks protobuf data before the library parses it.
 //!
-//! The consensus library depends on an old protobuf crate that parses nested unknown groups by recursion without a limit
-//! (RUSTSEC-2024-0437). The messages here have no groups: bytes with one are rejected before they are parsed.
+//! The Raft library depends on an old protobuf crate that parses nested unknown groups by unbounded recursion
+//! (RUSTSEC-2024-0437). Raft messages have no groups, so data that contains one is rejected before it is parsed.
 
 use protobuf::{Message, ProtobufError};
 use raft::eraftpb::{ConfChange, Entry, HardState, Message as RaftMessage, Snapshot};
@@ -11,35 +11,35 @@
 const FIXED_64: u64 = 1;
 const LENGTH_DELIMITED: u64 = 2;
 const FIXED_32: u64 = 5;
-/// The lowest bits of a field's key are its wire type.
+/// The number of low bits of a field's key that encode the wire type.
 const WIRE_TYPE_BITS: u32 = 3;
 const WIRE_TYPE_MASK: u64 = 7;
 
-/// Why bytes are not one of the consensus library's messages.
+/// Why data is not a valid message of the Raft library.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// The bytes end within a field's key.
-    #[error("a field's number is cut off")]
+    /// The data ends within a field's key.
+    #[error("truncated field key")]
     TruncatedKey,
-    /// The bytes end within a field.
-    #[error("a field is cut off")]
+    /// The data ends within a field.
+    #[error("truncated field")]
     TruncatedField,
-    /// A field is a group, or of an unknown wire type.
-    #[error("a group, which no message of ours has")]
+    /// A field is a group, or has an unknown wire type.
+    #[error("unsupported field: group or unknown wire type")]
     Group,
-    /// The parser rejected the bytes.
-    #[error("not a message: {0}")]
+    /// The parser rejected the data.
+    #[error("invalid message: {0}")]
     Invalid(#[from] ProtobufError),
 }
 
-/// Which fields of a message are messages, by number.
+/// The fields of a message that are themselves messages, by field number.
 pub struct Shape(&'static [(u64, &'static Shape)]);
 
 const FLAT: Shape = Shape(&[]);
 const METADATA: Shape = Shape(&[(1, &FLAT)]);
 const SNAPSHOT: Shape = Shape(&[(2, &METADATA)]);
 
-/// A message of the consensus library, with its nesting.
+/// A message of the Raft library whose nested messages are known.
 pub trait Shaped: Message {
     /// The fields that are messages.
     const SHAPE: Shape = FLAT;
@@ -55,10 +55,10 @@
     const SHAPE: Shape = Shape(&[(7, &FLAT), (9, &SNAPSHOT)]);
 }
 
-/// Parses a message whose bytes hold no group.
+/// Parses a message and rejects groups.
 ///
 /// # Errors
-/// Why the bytes are not such a message.
+/// The data is not a valid message or contains a group.
 pub fn parse<M: Shaped>(bytes: &[u8]) -> Result<M, ParseError> {
     reject_groups(bytes, &M::SHAPE)?;
     Ok(M::parse_from_bytes(bytes)?)
--- a/fleet-coordinator/src/replica/startup.rs
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -1,4 +1,4 @@
-//! How a replica begins to take part: from what its disk holds, as a founder, or as a new member.
+//! Startup of a replica: from the log on its disk, as an initial member of a new fleet, or as a new member.
 
 use super::disk::round_to_tenths;
 use super::election::{ELECTION_TICKS, HEARTBEAT_TICKS};
@@ -10,15 +10,15 @@
 use durable_log::Recovered;
 use raft::{Config, RawNode, ReadOnlyOption};
 
-/// The largest sum of entries in one message (bytes).
+/// The maximum total size of entries in one message (bytes).
 const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
-/// The largest number of messages on their way to one member.
+/// The maximum number of unacknowledged append messages per member.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// The largest sum of entries that are proposed and not committed (bytes).
+/// The maximum total size of proposed, uncommitted entries (bytes).
 const MAX_UNCOMMITTED_BYTES: u64 = 4 * 1024 * 1024;
 
 impl Replica {
-    /// Founds a fleet, with the same list on all coordinators. Does nothing unless the disk holds no member.
+    /// Bootstraps a new fleet; all coordinators must pass the same list. Does nothing unless this member is uninitialized.
     pub fn bootstrap(&mut self, now: f64, coordinators: &[String], own: &str) {
         let state_machine = LeaseStateMachine::bootstrap(coordinators);
         let Some(member) = state_machine.member(own) else { return };
@@ -30,15 +30,15 @@
         metadata.mut_conf_state().voters = state_machine.members.keys().map(|member| member.0).collect();
         log.hard_state.term = 1;
         log.hard_state.commit = 1;
-        self.begin(now, &log);
+        self.initialize(now, &log);
     }
 
-    /// Takes part as a new member, which the others know by this number. Does nothing unless the disk holds no member.
+    /// Joins as a new member, which the other members know by this number. Does nothing unless this member is uninitialized.
     pub fn join(&mut self, now: f64, member: MemberId) {
-        self.begin(now, &RecoveredLog { member, ..RecoveredLog::default() });
+        self.initialize(now, &RecoveredLog { member, ..RecoveredLog::default() });
     }
 
-    fn begin(&mut self, now: f64, log: &RecoveredLog) {
+    fn initialize(&mut self, now: f64, log: &RecoveredLog) {
         if !matches!(self.status, MemberStatus::Uninitialized(_)) {
             return;
         }
--- a/fleet-coordinator/src/replica/status.rs
+++ b/fleet-coordinator/src/replica/status.rs
@@ -1,32 +1,32 @@
-//! What a replica reports: its status, its outputs, and events.
+//! A replica's status, outputs and events.
 
 use super::DiskJob;
 use crate::ids::{DiskJobId, MemberId};
 use crate::state_machine::{LogEntry, Outcome, Rejection};
 use durable_log::DroppedData;
 
-/// Whether a replica takes part in the quorum.
+/// Whether a replica participates in the quorum.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberStatus {
-    /// Its disk is being opened and the log read from it.
+    /// Its disk is being opened and its log recovered.
     Recovering,
-    /// Its disk holds no member: it is a founder, a new member, or one that has lost its disk.
+    /// Its disk holds no member: it is an initial member, a new member, or one that has lost its disk.
     Uninitialized(Uninitialized),
-    /// It takes part.
+    /// It participates.
     Active,
-    /// It takes no part until its disk has been opened anew.
+    /// It does not participate until its disk has been reopened.
     Suspended(SuspensionCause),
-    /// Its peers accept nothing from it.
+    /// Its peers accept no messages from it.
     Excluded(ExclusionCause),
 }
 
 /// A member whose disk holds no member's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Uninitialized {
-    /// What the disk holds instead.
+    /// Why the disk holds no member's log.
     pub cause: UninitializedCause,
-    /// The log index up to which peers know that this disk had been written, where they know of one: the disk is lost,
-    /// and the member must be replaced.
+    /// The log index up to which peers know that this member had persisted, if any. In that case the disk is lost and the
+    /// member must be replaced.
     pub lost_index: Option<u64>,
 }
 
@@ -36,14 +36,14 @@
     /// Nothing was ever written to it.
     #[error("the disk is empty")]
     EmptyDisk,
-    /// Records are missing that no crash explains.
+    /// Data is missing that a crash can't explain.
     #[error("the disk is damaged: {}", join(dropped))]
     DamagedDisk {
-        /// What could not be recovered.
+        /// The data that could not be recovered.
         dropped: Vec<DroppedData>,
     },
     /// Its records are not a replicated log.
-    #[error("the disk can't be read: {0}")]
+    #[error("the disk holds no valid log: {0}")]
     UnreadableLog(String),
 }
 
@@ -54,46 +54,46 @@
 /// Why a member is suspended.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SuspensionCause {
-    /// A call to the disk failed.
+    /// A disk operation failed.
     #[error("{0}")]
     DiskFailed(String),
-    /// A write has not ended in time.
+    /// A write has not finished in time.
     #[error("the disk is slow: a write has taken {waited_s:.1} s")]
     WriteOverdue {
-        /// How long it has taken so far (seconds, to a tenth).
+        /// How long it has taken so far (seconds, rounded to tenths).
         waited_s: f64,
     },
     /// The disk took too long to open.
     #[error("the disk is slow: opening took {took_s:.1} s")]
     OpeningOverdue {
-        /// How long it took (seconds, to a tenth).
+        /// How long it took (seconds, rounded to tenths).
         took_s: f64,
     },
     /// The state in the snapshot on the disk can't be decoded.
-    #[error("the snapshot's facts can't be read: {0}")]
+    #[error("can't decode the snapshot's state: {0}")]
     UnreadableSnapshot(String),
-    /// The consensus library rejects the log on the disk.
-    #[error("the log can't be taken up: {0}")]
+    /// The Raft library rejected the log on the disk.
+    #[error("the log was rejected: {0}")]
     RejectedLog(String),
-    /// The state in a snapshot that a leader sent can't be decoded.
-    #[error("a leader's snapshot can't be read: {0}")]
+    /// The state in a leader's snapshot can't be decoded.
+    #[error("can't decode the leader's snapshot: {0}")]
     UnreadableLeaderSnapshot(String),
-    /// A committed command can't be decoded. It can't be skipped: other members may have applied it.
-    #[error("entry {index} can't be read: {error}")]
+    /// A committed command can't be decoded. It must not be skipped, since other members may have applied it.
+    #[error("can't decode entry {index}: {error}")]
     UnreadableEntry {
         /// The entry's index.
         index: u64,
         /// The decoder's error.
         error: String,
     },
-    /// A committed change of members is of a kind that this program does not know.
-    #[error("entry {index} changes members in a way not known here")]
+    /// A committed membership change is of an unknown kind.
+    #[error("entry {index} is an unknown kind of membership change")]
     UnknownMemberChange {
         /// The entry's index.
         index: u64,
     },
-    /// The consensus library rejects a committed change of members.
-    #[error("entry {index}: {error}")]
+    /// The Raft library rejected a committed membership change.
+    #[error("the membership change in entry {index} was rejected: {error}")]
     RejectedMemberChange {
         /// The entry's index.
         index: u64,
@@ -102,26 +102,26 @@
     },
 }
 
-/// Why peers accept nothing from a member.
+/// Why peers accept no messages from a member.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExclusionCause {
-    /// A peer has answered that it accepts nothing.
+    /// A peer has answered that it accepts no messages.
     #[error("{peer} says: {reason}")]
     ReportedByPeer {
         /// The peer's name.
         peer: String,
-        /// The reason that it gave.
+        /// The reason in its answer.
         reason: String,
     },
-    /// The member's disk ends before what it is known to have persisted: it was restored from an older copy.
-    #[error("its disk is older than it was: it ends at {last}, and held {persisted}")]
+    /// The member's log ends before the index that it is known to have persisted: its disk was restored from an older copy.
+    #[error("its disk is older than it was: the log ends at {last}, but {persisted} had been persisted")]
     OlderDisk {
         /// The last index of its log.
         last: u64,
-        /// The index that it had persisted.
+        /// The index up to which it had persisted.
         persisted: u64,
     },
-    /// Another member has taken its place.
+    /// The member has been replaced by another one.
     #[error("member {member} has been replaced")]
     Replaced {
         /// The number of the member that was replaced.
@@ -130,7 +130,8 @@
 }
 
 impl MemberStatus {
-    /// The status as `fleetctl` prints it, in the words of its first version, which operators' scripts match.
+    /// Returns the status as `fleetctl` prints it. The labels date from its first version, and operators' scripts match
+    /// them.
     #[must_use]
     pub fn label(&self) -> &'static str {
         match self {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Why it takes no part; empty where there is no reason.
+    /// Returns why the member does not participate; empty if it does or is recovering.
     #[must_use]
     pub fn reason(&self) -> String {
         match self {
@@ -158,14 +159,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", self.cause)?;
         match self.lost_index {
-            Some(index) => write!(f, ", and the quorum knows that it held the log up to {index}"),
+            Some(index) => write!(f, ", but the quorum knows that it held the log up to {index}"),
             None => Ok(()),
         }
     }
 }
 
 impl UninitializedCause {
-    /// The cause as a key in the log.
+    /// Returns the cause's key in log events.
     #[must_use]
     pub fn key(&self) -> &'static str {
         match self {
@@ -177,7 +178,7 @@
 }
 
 impl SuspensionCause {
-    /// The cause as a key in the log.
+    /// Returns the cause's key in log events.
     #[must_use]
     pub fn key(&self) -> &'static str {
         match self {
@@ -195,7 +196,7 @@
 }
 
 impl ExclusionCause {
-    /// The cause as a key in the log.
+    /// Returns the cause's key in log events.
     #[must_use]
     pub fn key(&self) -> &'static str {
         match self {
@@ -206,7 +207,7 @@
     }
 }
 
-/// How far a replica's log reaches (indexes of entries; 0 for none).
+/// The extent of a replica's log (entry indexes; 0 for none).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPosition {
     /// The last entry.
@@ -215,24 +216,24 @@
     pub applied: u64,
 }
 
-/// What the caller is to carry out.
+/// An action that the caller must execute.
 #[derive(Debug)]
 pub enum ReplicaOutput {
-    /// Send bytes to the member of this number.
+    /// Send a message to the member with this number.
     Send(MemberId, Vec<u8>),
-    /// Carry out a job, and report its result under this number.
+    /// Execute a disk job, and report its result under this number.
     Disk(DiskJobId, DiskJob),
 }
 
-/// What has happened.
+/// An event of a replica.
 #[derive(Debug)]
 pub enum ReplicaEvent {
-    /// This member leads, and has applied all that was decided before.
+    /// This member is the leader, and has applied all entries of earlier terms.
     Elected,
-    /// This member leads no more.
+    /// This member is no longer the leader.
     SteppedDown,
     /// An entry was applied, with this result.
     Applied(LogEntry, Result<Outcome, Rejection>),
-    /// A quorum has confirmed that this member led after it asked under this number.
+    /// A quorum has confirmed that this member was the leader after the request with this number.
     Confirmed(u64),
 }
