--- a/fleet-coordinator/src/coordinator/answers.rs
+++ b/fleet-coordinator/src/coordinator/answers.rs
@@ -1,5 +1,5 @@
-//! Answers to operators' queries as values. Their keys are those of `fleetctl`'s first version, which operators' scripts
-//! read: `serde` attributes map them to this program's terms.
+//! Answers to operators' queries. Operators' scripts depend on the keys, which date from `fleetctl`'s first version;
+//! `serde` attributes map the fields to them.
 
 use crate::ids::{MemberId, SessionId};
 use crate::state_machine::{IndeterminateCall, Period};
@@ -9,13 +9,13 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// An answer as `fleetctl` prints it.
+/// Converts an answer to the JSON that `fleetctl` prints.
 pub(super) fn to_value(answer: &impl Serialize) -> Value {
-    // Maps with keys of numbers and strings, and plain values: serialization can't fail.
+    // Serialization can't fail: all map keys are numbers or strings.
     serde_json::to_value(answer).unwrap_or_default()
 }
 
-/// One coordinator's own status.
+/// The status of one coordinator.
 #[derive(Serialize)]
 pub(super) struct StatusAnswer<'a> {
     pub(super) name: &'a str,
@@ -45,7 +45,7 @@
     pub(super) persisted: &'a BTreeMap<MemberId, u64>,
 }
 
-/// A worker in session.
+/// A worker's session.
 #[derive(Serialize)]
 pub(super) struct MemberRow<'a> {
     pub(super) session: SessionId,
@@ -73,7 +73,7 @@
     pub(super) waiting: usize,
 }
 
-/// All tasks, and calls whose outcome is not known.
+/// All tasks, and the calls with an indeterminate outcome.
 #[derive(Serialize)]
 pub(super) struct TasksAnswer<'a> {
     pub(super) epoch: u64,
@@ -95,7 +95,7 @@
     pub(super) period: Option<&'a Period>,
 }
 
-/// The fleet's overload control.
+/// The state of fleet-wide overload control.
 #[derive(Serialize)]
 pub(super) struct OverloadAnswer<'a> {
     level: Value,
@@ -119,7 +119,7 @@
     zones: Vec<ZoneRow<'a>>,
 }
 
-/// A zone's downstream service.
+/// The state of a zone's downstream service.
 #[derive(Serialize)]
 struct ZoneRow<'a> {
     zone: &'a str,
@@ -132,7 +132,7 @@
 }
 
 impl OverloadAnswer<'_> {
-    /// The state of the fleet's overload control now.
+    /// Returns the current state.
     pub(super) fn new(now: f64, leader: &Leader) -> OverloadAnswer<'_> {
         let sums = leader.sums();
         let capacity = leader.capacity_totals(now);
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -1,7 +1,7 @@
-//! One coordinator without I/O: the replica, the leader's state, who is on which link, and operators' queries.
+//! One coordinator without I/O: the replica, the leader's state, the roles of links, and operators' queries.
 //!
-//! The same code runs behind sockets ([`crate::net`]) and in the testbed's virtual time. Links are numbered by the caller
-//! and numbers are never reused; frames go in as bytes and come out as bytes.
+//! The same code runs with sockets ([`crate::net`]) and in the testbed's virtual time. The caller assigns link numbers and
+//! never reuses them; received and sent frames are byte buffers.
 
 mod answers;
 mod frames;
@@ -23,7 +23,7 @@
 use port_worker::fleet::overload::leader::Settings as OverloadSettings;
 use std::collections::BTreeMap;
 
-/// How often an uninitialized member asks its peers again who it is (seconds).
+/// How often an uninitialized member queries its peers for its identity (seconds).
 const PEER_QUERY_INTERVAL_S: f64 = 0.5;
 
 /// A coordinator's settings.
@@ -33,7 +33,7 @@
     pub fleet: String,
     /// This coordinator's name.
     pub name: String,
-    /// All coordinators in the file's order, this one among them.
+    /// All coordinators in the configuration file's order, including this one.
     pub coordinators: Vec<CoordinatorAddress>,
     /// The epoch of `tasks`.
     pub epoch: u64,
@@ -41,15 +41,15 @@
     pub tasks: Vec<Task>,
     /// A write that takes longer suspends this member (seconds).
     pub write_overdue_s: f64,
-    /// The latest version that this program claims to understand.
+    /// The latest version that this coordinator reports as supported.
     pub version: u32,
-    /// Safety checks; all are on in service.
+    /// Safety checks; all are enabled in production.
     pub safety_checks: SafetyChecks,
-    /// `[overload]` of the file.
+    /// Settings of fleet-wide overload control: `[overload]` in the configuration file.
     pub overload: Option<OverloadSettings>,
 }
 
-/// A coordinator, and where workers connect to it.
+/// A coordinator and the address for workers' connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatorAddress {
     /// Its name.
@@ -58,44 +58,44 @@
     pub address: String,
 }
 
-/// What the caller is to carry out.
+/// An action that the caller must execute.
 #[derive(Debug)]
 pub enum Output {
     /// Send a complete frame on a link.
     Frame(LinkId, Vec<u8>),
-    /// Close a link once what was written has been sent; nothing more is received on it.
+    /// Close a link after all queued data has been sent; nothing more is received on it.
     Close(LinkId),
-    /// Send a complete frame to the peer of this name, if it is connected.
+    /// Send a complete frame to the peer with this name, if it is connected.
     Peer(String, Vec<u8>),
-    /// Reconnect to all peers: this member's status has changed.
+    /// Reconnect to all peers, since this member's status has changed or it must query them.
     ReconnectPeers,
-    /// Carry out a job of the disk, and report its result under this number.
+    /// Execute a disk job, and report its result under this number.
     Disk(DiskJobId, DiskJob),
-    /// Report an event to operators.
+    /// Log an event.
     Log(CoordinatorEvent),
 }
 
-/// Why a frame comes from no worker, operator or coordinator of this fleet.
+/// Why a frame is not accepted: it does not come from a worker, operator or coordinator of this fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
     /// The frame's body is not a message.
-    #[error("a frame that can't be read: {0}")]
+    #[error("malformed frame: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A coordinator of the fleet of this name.
-    #[error("a coordinator of the fleet {0}")]
+    /// The sender is a coordinator of another fleet, which has this name.
+    #[error("coordinator of another fleet, {0}")]
     OtherFleet(String),
-    /// A coordinator of this name, which the file does not list.
-    #[error("a coordinator {0} that the file does not name")]
+    /// The sender is a coordinator with this name, which the configuration file does not list.
+    #[error("coordinator {0} is not in the configuration file")]
     UnknownPeer(String),
-    /// A peer's message that the replica can't take.
+    /// The replica rejected a peer's message.
     #[error(transparent)]
     Step(#[from] StepError),
 }
 
-/// Who is on a link.
+/// The role of the other end of a link.
 #[derive(Clone, Debug, PartialEq)]
 enum Role {
-    /// Has not introduced itself.
+    /// Unknown: it has sent no hello or query yet.
     New,
     Worker,
     /// A coordinator, by its member number.
@@ -105,26 +105,26 @@
 
 /// One coordinator.
 pub struct Coordinator {
-    /// Its settings; `epoch` and `tasks` change on a reload.
+    /// The settings; `epoch` and `tasks` change on a reload.
     pub config: CoordinatorConfig,
-    /// Its part of the quorum.
+    /// Its replica of the log and the state.
     pub replica: Replica,
-    /// What it does as a leader.
+    /// Its state as a leader.
     pub leader_state: LeaderState,
     roles: BTreeMap<LinkId, Role>,
-    /// Names of members by number, as they introduced themselves.
+    /// Names of members by number, from their hellos and answers.
     peer_names: BTreeMap<MemberId, String>,
-    /// What peers answered while this member is uninitialized.
+    /// Peers' answers by name, since this member's status last changed.
     peer_answers: BTreeMap<String, PeerAnswer>,
     pending_queries: Vec<PendingQuery>,
     last_query: u64,
-    peers_asked_at: f64,
+    peers_queried_at: f64,
     reported_status: MemberStatus,
     outputs: Vec<Output>,
 }
 
 impl Coordinator {
-    /// A coordinator whose disk has yet to be opened; `seed` determines its election timeouts.
+    /// Returns a coordinator that starts by opening its disk; `seed` determines its election timeouts.
     #[must_use]
     pub fn new(now: f64, config: CoordinatorConfig, seed: u64) -> Coordinator {
         let mut coordinator = Coordinator {
@@ -136,7 +136,7 @@
             peer_answers: BTreeMap::new(),
             pending_queries: Vec::new(),
             last_query: FIRST_QUERY_NUMBER,
-            peers_asked_at: now,
+            peers_queried_at: now,
             reported_status: MemberStatus::Recovering,
             outputs: Vec::new(),
         };
@@ -144,43 +144,43 @@
         coordinator
     }
 
-    /// Takes what is to be carried out since the last call, in order.
+    /// Returns the outputs since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Does what is due at this time.
+    /// Performs the periodic work that is due at this time.
     pub fn tick(&mut self, now: f64) {
         self.replica.tick(now);
         self.leader_state.tick(now, &self.replica.state_machine);
         self.expire_queries(now);
         let is_uninitialized = matches!(self.replica.status, MemberStatus::Uninitialized(_));
-        if is_uninitialized && now - self.peers_asked_at >= PEER_QUERY_INTERVAL_S {
-            self.peers_asked_at = now;
+        if is_uninitialized && now - self.peers_queried_at >= PEER_QUERY_INTERVAL_S {
+            self.peers_queried_at = now;
             self.outputs.push(Output::ReconnectPeers);
         }
         self.process_events(now);
     }
 
-    /// A job of the disk has ended.
+    /// Handles the result of a disk job.
     pub fn on_disk_result(&mut self, now: f64, job: DiskJobId, result: DiskResult) {
         self.replica.on_disk_result(now, job, result);
         self.process_events(now);
     }
 
-    /// A link was accepted.
+    /// Called when a link was accepted.
     pub fn on_link_opened(&mut self, link: LinkId) {
         self.roles.insert(link, Role::New);
     }
 
-    /// A link is gone.
+    /// Called when a link was closed.
     pub fn on_link_closed(&mut self, link: LinkId) {
         self.roles.remove(&link);
         self.leader_state.on_link_closed(link);
         self.pending_queries.retain(|query| query.link != link);
     }
 
-    /// The largest frame that this link may send now (bytes, without the header).
+    /// Returns the maximum size of the next frame from this link (bytes, without the header).
     #[must_use]
     pub fn max_frame_bytes(&self, link: LinkId) -> usize {
         match self.roles.get(&link) {
@@ -189,10 +189,10 @@
         }
     }
 
-    /// A frame's body was received.
+    /// Handles the body of a received frame.
     ///
     /// # Errors
-    /// The frame comes from no worker, operator or coordinator of this fleet; the link is to be closed.
+    /// The frame does not come from a worker, operator or coordinator of this fleet; the caller must close the link.
     pub fn receive(&mut self, now: f64, link: LinkId, body: &[u8]) -> Result<(), ReceiveError> {
         let result = match self.roles.get(&link).cloned() {
             None => Ok(()),
@@ -203,7 +203,7 @@
         result
     }
 
-    /// The tasks of the coordinators' file have changed.
+    /// Applies the tasks of a reloaded configuration file.
     pub fn reload(&mut self, now: f64, epoch: u64, tasks: Vec<Task>) {
         self.config.epoch = epoch;
         self.config.tasks = tasks;
@@ -226,7 +226,7 @@
     fn not_leader(&self) -> ServerMessage {
         let status = &self.replica.status;
         let reason = match status {
-            MemberStatus::Active => "another coordinator leads, or none does yet".to_owned(),
+            MemberStatus::Active => "another coordinator is the leader, or none is elected yet".to_owned(),
             _ => format!("{}: {}", status.label(), status.reason()),
         };
         ServerMessage::NotLeader { leader: self.leader_address(), reason }
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -1,4 +1,4 @@
-//! Operators' queries. What only a leader knows is answered after a quorum has confirmed it.
+//! Operators' queries. All but the status query are answered by the leader, after a quorum has confirmed it.
 
 use super::answers::{
     round_to_tenths, to_value, LeaseRow, MemberRow, OverloadAnswer, StatusAnswer, TaskRow, TasksAnswer,
@@ -12,18 +12,20 @@
 use port_worker::fleet::overload::MAX_TIERS;
 use serde_json::{json, Value};
 
-/// Confirmations for operators' queries are numbered above this, those for heartbeats below.
+/// Confirmations for queries have numbers above this, those for heartbeats below.
 pub(super) const FIRST_QUERY_NUMBER: u64 = 1 << 40;
-/// The largest number of queries that wait for a confirmation.
+/// The maximum number of queries that wait for a confirmation.
 const MAX_PENDING_QUERIES: usize = 64;
 /// How long a query waits for a confirmation (seconds).
 const QUERY_TIMEOUT_S: f64 = 3.0;
-/// The longest time for which a shedding level is pinned (seconds), so that a forgotten one ends.
+/// The maximum time for which a shedding level can be pinned (seconds), so that a forgotten pin expires.
 const MAX_PIN_S: f64 = 3600.0;
 
-/// Why a level can't be pinned.
+/// A shedding level can't be pinned: the arguments are invalid or overload control is not configured.
 #[derive(Debug, thiserror::Error)]
-#[error("expected [overload], a share of 0 to 1, and 0 to {MAX_PIN_S} s")]
+#[error(
+    "can't pin: needs [overload] in the configuration, a share of 0 to 1, and a time of 0 to {MAX_PIN_S} s"
+)]
 struct PinRejected;
 
 /// A query that waits for a quorum to confirm this leader.
@@ -45,7 +47,7 @@
             return self.send(link, &answer);
         }
         if self.pending_queries.len() >= MAX_PENDING_QUERIES {
-            return self.reject(link, "too many questions wait");
+            return self.reject(link, "too many pending queries");
         }
         self.last_query += 1;
         let number = self.last_query;
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Answers the query with this confirmation; `false` where the confirmation is not a query's.
+    /// Answers the query that waits for this confirmation; returns whether the number is that of a query.
     pub(super) fn answer_confirmed_query(&mut self, now: f64, number: u64) -> bool {
         if number <= FIRST_QUERY_NUMBER {
             return false;
@@ -169,7 +171,7 @@
         Ok(summary)
     }
 
-    /// This member's status, as any coordinator answers it.
+    /// Returns this member's status, which also followers answer.
     #[must_use]
     pub fn status(&self) -> Value {
         let replica = &self.replica;
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -1,4 +1,4 @@
-//! How coordinators introduce themselves to each other, and how an uninitialized one finds out who it is.
+//! The hello exchange between coordinators, and how an uninitialized coordinator determines its identity.
 
 use super::{Coordinator, Output, ReceiveError, Role};
 use crate::events::CoordinatorEvent;
@@ -7,13 +7,13 @@
 use port_worker::fleet::frame;
 use serde::{Deserialize, Serialize};
 
-/// The first frame on a link from another coordinator. All that follow are the consensus library's messages.
+/// The first frame on a link from another coordinator. All later frames are messages of the Raft library.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct PeerHello {
     /// The sender's name.
     #[serde(rename = "peer")]
     pub name: String,
-    /// Its fleet's name.
+    /// The name of its fleet.
     pub fleet: String,
     /// Its member number; 0 while its disk holds no member.
     pub member: MemberId,
@@ -24,7 +24,7 @@
     pub version: u32,
 }
 
-/// The one frame that is sent back.
+/// The answer to a [`PeerHello`], which is the only frame sent back on the link.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct PeerAnswer {
@@ -32,22 +32,22 @@
     pub member: MemberId,
     /// The latest version that its program can apply.
     pub version: u32,
-    /// The number under which the caller is known; 0 where the answering member knows of no members.
+    /// The caller's member number; 0 if the answering member does not know the caller.
     #[serde(rename = "yours")]
     pub caller_member: MemberId,
-    /// The log index up to which the caller's disk is known to have been written.
+    /// The log index up to which the caller is known to have persisted.
     #[serde(rename = "kept")]
     pub caller_persisted: u64,
-    /// The caller is one of the fleet's founders.
+    /// Whether the caller is an initial member of the fleet.
     #[serde(rename = "founder")]
     pub caller_is_initial_member: bool,
-    /// Why nothing is accepted from the caller, if so.
+    /// If messages from the caller are not accepted, the reason.
     #[serde(rename = "barred")]
     pub exclusion: Option<String>,
 }
 
 impl Coordinator {
-    /// The first frame that this member sends on a new link to a peer.
+    /// Returns the first frame that this member sends on a new link to a peer.
     #[must_use]
     pub fn peer_hello(&self) -> Vec<u8> {
         let is_active = self.replica.status == MemberStatus::Active;
@@ -60,7 +60,7 @@
         })
     }
 
-    /// A peer has answered that frame.
+    /// Handles a peer's answer to this member's hello.
     pub fn on_peer_answer(&mut self, now: f64, peer: &str, answer: PeerAnswer) {
         if answer.member != MemberId::NONE {
             self.record_peer(answer.member, answer.version, peer);
@@ -79,13 +79,13 @@
         self.peer_names.insert(member, name.to_owned());
     }
 
-    /// An uninitialized member finds out whether it founds the fleet, joins it, or has lost its disk.
+    /// Determines whether an uninitialized member bootstraps the fleet, joins it, or has lost its disk.
     fn identify_member(&mut self, now: f64) {
         let MemberStatus::Uninitialized(uninitialized) = self.replica.status.clone() else { return };
         let all_answered = self.peer_answers.len() + 1 == self.config.coordinators.len();
         let known = self.peer_answers.values().filter(|answer| answer.caller_member != MemberId::NONE);
         let Some(newest) = known.max_by_key(|answer| answer.caller_member).cloned() else {
-            // Nobody knows of a fleet: it is founded once all have answered and are uninitialized.
+            // No peer knows this coordinator as a member. The fleet is new if all peers answer so.
             if all_answered {
                 self.bootstrap(now);
             }
@@ -98,12 +98,12 @@
         } else if !newest.caller_is_initial_member {
             self.replica.join(now, newest.caller_member);
         } else if all_answered {
-            // The others have begun; this disk has never acknowledged anything.
+            // The other initial members have started; this disk has never acknowledged anything.
             self.bootstrap(now);
         }
     }
 
-    /// The first index that peers name stays: later ones are the same loss.
+    /// Records that the disk was lost. The first index reported by peers is kept, since later ones are about the same loss.
     fn record_lost_disk(&mut self, uninitialized: Uninitialized, persisted: u64) {
         if uninitialized.lost_index.is_none() {
             let lost = Uninitialized { lost_index: Some(persisted), ..uninitialized };
@@ -116,8 +116,8 @@
         self.replica.bootstrap(now, &names, &self.config.name);
     }
 
-    /// Another coordinator introduces itself: checks that it is in the file, has not been replaced, and that its disk
-    /// holds at least what is recorded of it.
+    /// Handles another coordinator's hello. Checks that the configuration file lists it, that it has not been replaced, and
+    /// that its disk holds at least the log that it is known to have persisted.
     pub(super) fn on_peer_hello(&mut self, link: LinkId, hello: &PeerHello) -> Result<(), ReceiveError> {
         if hello.fleet != self.config.fleet {
             return Err(ReceiveError::OtherFleet(hello.fleet.clone()));
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    /// Why nothing is accepted from the peer, if so.
+    /// Returns why messages from the peer are not accepted; `None` if they are.
     fn exclusion_of(&self, hello: &PeerHello) -> Option<ExclusionCause> {
         if hello.member == MemberId::NONE {
             return None;
@@ -175,10 +175,10 @@
     }
 }
 
-/// What the replicated state records of the coordinator of a name.
+/// What the replicated state records about a coordinator.
 struct KnownMember {
-    /// Its member number; 0 for none.
+    /// Its member number; 0 if it is not a member.
     member: MemberId,
-    /// The log index up to which its disk is known to have been written.
+    /// The log index up to which it is known to have persisted.
     persisted: u64,
 }
--- a/fleet-coordinator/src/coordinator/reporting.rs
+++ b/fleet-coordinator/src/coordinator/reporting.rs
@@ -1,4 +1,4 @@
-//! Passes events and actions between the replica, the leader's state and the caller, and reports changes of status.
+//! Passing of events and actions between the replica, the leader's state and the caller, and reporting of status changes.
 
 use super::{frames, Coordinator, Output};
 use crate::events::CoordinatorEvent;
@@ -7,7 +7,7 @@
 use crate::state_machine::Command;
 
 impl Coordinator {
-    /// Passes events and actions between the parts until there are none, then collects what is to be carried out.
+    /// Processes events and actions until there are none left, then collects the replica's outputs.
     pub(super) fn process_events(&mut self, now: f64) {
         loop {
             let events = self.replica.take_events();
@@ -65,7 +65,7 @@
     fn on_leader_action(&mut self, now: f64, action: LeaderAction) {
         match action {
             LeaderAction::Send(link, message) => self.send(link, &message),
-            // What can't be proposed now is proposed again by whoever still wants it.
+            // A rejected proposal needs no handling: its sender retries it if it is still needed.
             LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
             LeaderAction::Confirm(number) => self.replica.request_read_index(now, number),
             LeaderAction::Log(event) => self.log(CoordinatorEvent::Overload(event)),
@@ -94,10 +94,10 @@
         self.outputs.push(Output::ReconnectPeers);
     }
 
-    /// The event for operators of a status that has changed.
+    /// Returns the log event for the changed status, if any.
     fn status_event(&self) -> Option<CoordinatorEvent> {
         let event = match &self.replica.status {
-            // A member recovers once, before it reports anything.
+            // A member recovers only at startup, before it reports anything.
             MemberStatus::Recovering => return None,
             MemberStatus::Active => {
                 let member = self.replica.member();
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -1,11 +1,11 @@
-//! Messages of workers and operators' commands: each goes to the part that answers it.
+//! Dispatch of messages from workers and operators' commands.
 
 use super::{Coordinator, PeerHello, ReceiveError, Role};
 use crate::ids::LinkId;
 use crate::leader_state::{BeginRequest, Heartbeat, Hello, ReleaseRequest};
 use port_worker::fleet::frame::{ClientMessage, OperatorQuery, ServerMessage};
 
-/// The zone of a worker that names none.
+/// The zone of a worker that has none configured.
 const NO_ZONE: &str = "none";
 
 impl Coordinator {
@@ -28,7 +28,7 @@
                 self.on_worker_hello(now, link, &fleet, hello);
             }
             ClientMessage::Query { fleet, what } => self.on_operator_query(now, link, &fleet, what),
-            // No hello was received on this link, or this member does not lead any more.
+            // No hello was received on this link while this member was the leader.
             _ if *role != Role::Worker => self.send(link, &ServerMessage::SessionExpired),
             _ if !self.replica.is_leader() => {
                 let answer = self.not_leader();
@@ -36,7 +36,7 @@
             }
             message => self.on_session_message(now, link, message),
         }
-        // Whatever else is due waits for the tick, which looks at every session.
+        // Other work waits for the tick, since it iterates over all sessions.
         self.leader_state.request_confirmation(now, &self.replica.state_machine);
         Ok(())
     }
@@ -88,7 +88,7 @@
                 self.leader_state.on_period_ended(lease, period, outcome);
             }
             ClientMessage::Goodbye => self.leader_state.on_goodbye(now, link, state),
-            // Hello and queries need no session and are answered before; a later version's messages are ignored.
+            // Hellos and queries need no session and were handled above; messages of later versions are ignored.
             ClientMessage::Hello { .. } | ClientMessage::Query { .. } | ClientMessage::Unknown => {}
         }
     }
