--- a/durable-log/src/disk.rs
+++ b/durable-log/src/disk.rs
@@ -1,78 +1,78 @@
-//! The file system as the store uses it, and the system's.
+//! The file system interface of the store, and its implementation on the operating system.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The file whose lock keeps other processes out of a folder.
+/// The file that is locked to keep other processes out of the folder.
 const LOCK_FILE: &str = "lock";
 
-/// One folder of files, whose names have no separators. What is written counts as persisted only after a sync: of the
-/// file for its bytes, of the folder for names.
+/// A flat folder of files. Written bytes are persisted only by a sync of the file, changes of names only by a sync of the
+/// folder.
 pub trait Disk {
-    /// Reads a complete file; `None` where there is none.
+    /// Reads a complete file; returns `None` if it does not exist.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// The names of all files.
+    /// Lists the names of all files.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
-    /// Creates an empty file, which replaces one of this name.
+    /// Creates an empty file, replacing an existing one.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
     /// Appends bytes to a file.
     ///
     /// # Errors
-    /// The system's; a part of the bytes may have been written.
+    /// The operating system's error; some of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Persists a file's bytes.
+    /// Persists the bytes of a file.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Renames a file, which replaces one of the new name.
+    /// Renames a file, replacing an existing one with the new name.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Persists which names there are.
+    /// Persists creations, renames and removals.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the system's, locked against other processes.
+/// A folder of the operating system's file system, locked against other processes.
 pub struct Folder {
     path: PathBuf,
-    /// Files that are open for appending.
+    /// Files that are open for appending, by name.
     open: HashMap<String, File>,
     _lock: File,
 }
 
 impl Folder {
-    /// Creates the folder if need be, and locks it.
+    /// Creates the folder if necessary, and locks it.
     ///
     /// # Errors
-    /// The system's, or `WouldBlock` where another process has the folder.
+    /// The operating system's error; `WouldBlock` if another process has locked the folder.
     pub fn lock(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
--- a/durable-log/src/error.rs
+++ b/durable-log/src/error.rs
@@ -1,31 +1,31 @@
-//! What can go wrong while a store is read or written.
+//! Errors of the store.
 
 use crate::MAX_RECORD_BYTES;
 use std::io;
 
-/// Why a store can't be read or written. After a failed write the store must be opened anew.
+/// Why a store can't be read or written. After a failed write the store must be reopened.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A call to the disk failed.
+    /// A disk operation failed.
     #[error("{operation} {file}: {source}")]
     Disk {
-        /// The call.
+        /// The operation.
         operation: &'static str,
-        /// The file that it was for.
+        /// The file.
         file: String,
         /// The disk's error.
         source: io::Error,
     },
     /// A record or snapshot of this size (bytes) is too large.
-    #[error("a record of {0} bytes; at most {MAX_RECORD_BYTES} are kept")]
+    #[error("record of {0} bytes exceeds the limit of {MAX_RECORD_BYTES}")]
     TooLarge(usize),
     /// An earlier write failed.
-    #[error("the store failed before; it must be opened anew")]
-    FailedBefore,
+    #[error("an earlier write failed; the store must be reopened")]
+    PreviousWriteFailed,
 }
 
-/// Adds to a disk's error what was called for which file.
-pub(crate) fn in_operation<T>(
+/// Adds the operation and the file to a disk error.
+pub(crate) fn with_context<T>(
     operation: &'static str,
     file: &str,
     result: io::Result<T>,
--- a/durable-log/src/record.rs
+++ b/durable-log/src/record.rs
@@ -1,24 +1,24 @@
-//! Records as bytes: length, checksum, sequence number, first sequence number of the batch that was synced with it, body.
-//! All numbers are little-endian; the checksum (CRC-32) covers all but itself.
+//! The encoding of records: length, checksum, sequence number, first sequence number of the record's batch, body. A batch
+//! is the records that are synced together. All numbers are little-endian; the checksum (CRC-32) covers all other fields.
 
 use crate::MAX_RECORD_BYTES;
 
-/// Everything before the body (bytes).
+/// The size of the header before the body (bytes).
 pub(crate) const HEADER_BYTES: usize = 24;
 const CHECKSUM_OFFSET: usize = 4;
 const SEQUENCE_OFFSET: usize = 8;
 const BATCH_OFFSET: usize = 16;
 
-/// A complete record.
+/// A decoded record.
 pub(crate) struct Record<'a> {
     pub(crate) sequence: u64,
-    /// The first sequence number of the batch that was synced with it.
+    /// The first sequence number of the record's batch.
     pub(crate) batch: u64,
     pub(crate) body: &'a [u8],
 }
 
 impl Record<'_> {
-    /// The length with the header (bytes).
+    /// Returns the length including the header (bytes).
     pub(crate) fn encoded_bytes(&self) -> usize {
         HEADER_BYTES + self.body.len()
     }
@@ -32,7 +32,7 @@
     out.extend_from_slice(body);
 }
 
-/// The record at the front of these bytes, if it is complete and its checksum is right.
+/// Decodes the record at the start of `bytes`; `None` if it is incomplete or its checksum does not match.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
     let length = read_u32(bytes, 0)? as usize;
     if length > MAX_RECORD_BYTES {
@@ -41,8 +41,8 @@
     let sequence = read_u64(bytes, SEQUENCE_OFFSET)?;
     let batch = read_u64(bytes, BATCH_OFFSET)?;
     let body = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
-    let is_sound = checksum(sequence, batch, body) == read_u32(bytes, CHECKSUM_OFFSET)?;
-    is_sound.then_some(Record { sequence, batch, body })
+    let is_valid = checksum(sequence, batch, body) == read_u32(bytes, CHECKSUM_OFFSET)?;
+    is_valid.then_some(Record { sequence, batch, body })
 }
 
 fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
--- a/durable-log/src/recovery.rs
+++ b/durable-log/src/recovery.rs
@@ -1,63 +1,64 @@
-//! Reading what a folder holds after a crash.
+//! Recovery of a folder's content, after a crash or a normal exit.
 
-use crate::error::in_operation;
+use crate::error::with_context;
 use crate::layout::{first_sequence, log_name, FOLDER, MAGIC, SNAPSHOT};
 use crate::record::{self, Record, HEADER_BYTES};
 use crate::{Disk, StoreError};
 
-/// What was recovered when a store was opened.
+/// The content of a store when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The newest complete snapshot.
+    /// The latest complete snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// Records after it, in order.
+    /// The records after the snapshot, in order.
     pub records: Vec<RecoveredRecord>,
-    /// What was dropped.
+    /// Data that could not be recovered.
     pub dropped: Vec<DroppedData>,
-    /// Something is missing that no crash explains: complete records follow a bad one, or a snapshot can't be read.
+    /// Whether data is missing that a crash can't explain: a corrupt record is followed by complete ones, or the snapshot is
+    /// unreadable or missing.
     pub damaged: bool,
 }
 
-/// A record that was recovered.
+/// A recovered record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredRecord {
     /// Its sequence number.
     pub sequence: u64,
-    /// What was appended.
+    /// The appended data.
     pub body: Vec<u8>,
 }
 
-/// Data that was found and could not be recovered.
+/// Data that was found but could not be recovered.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DroppedData {
-    /// A snapshot without a valid header or checksum. It was synced before it was renamed, so no crash explains it.
-    #[error("snapshot: {bytes} bytes that can't be read")]
+    /// A snapshot without a valid header or checksum. It is synced before it is renamed, so a crash can't explain this.
+    #[error("snapshot: {bytes} unreadable bytes")]
     UnreadableSnapshot {
         /// The size of the file (bytes).
         bytes: usize,
     },
-    /// A log whose snapshot is lost.
-    #[error("{file}: the snapshot before it is missing")]
+    /// A log whose preceding snapshot is missing.
+    #[error("{file}: the preceding snapshot is missing")]
     LogWithoutSnapshot {
         /// The log file.
         file: String,
     },
-    /// The end of a log from a record on that was not written completely, as a crash leaves it.
-    #[error("{file}: {bytes} bytes after record {last_sequence}: a record that is not whole")]
+    /// The end of a log, starting with a record that was not completely written: the expected result of a crash.
+    #[error("{file}: {bytes} bytes after record {last_sequence}: incomplete record")]
     IncompleteRecord {
         /// The log file.
         file: String,
-        /// The size of the end (bytes).
+        /// The size of the dropped data (bytes).
         bytes: usize,
         /// The last complete record before it.
         last_sequence: u64,
     },
-    /// The end of a log from a bad record on that later batches follow. No crash explains it.
-    #[error("{file}: {bytes} bytes after record {last_sequence}: whole records lie behind a bad one")]
+    /// The end of a log, starting with a corrupt record that is followed by a later batch. A crash can't explain this.
+    #[error("{file}: {bytes} bytes after record {last_sequence}: corrupt record followed by complete ones")]
     CorruptRecord {
         /// The log file.
         file: String,
-        /// The size of the end (bytes).
+        /// The size of the dropped data (bytes).
         bytes: usize,
         /// The last complete record before it.
         last_sequence: u64,
@@ -65,7 +66,7 @@
 }
 
 impl DroppedData {
-    /// Whether no crash explains this.
+    /// Returns whether a crash can't explain the loss.
     fn is_damage(&self) -> bool {
         !matches!(self, DroppedData::IncompleteRecord { .. })
     }
@@ -78,10 +79,10 @@
     }
 }
 
-/// What a folder holds.
+/// The content of a folder.
 pub(crate) struct FolderContents {
     pub(crate) recovered: Recovered,
-    /// The sequence number of the last record, or the last that the snapshot covers.
+    /// The last record's sequence number, or the last one that the snapshot covers.
     pub(crate) last_sequence: u64,
 }
 
@@ -94,9 +95,9 @@
     Ok(FolderContents { recovered, last_sequence })
 }
 
-/// Returns the last sequence number that the snapshot covers; 0 without one.
+/// Reads the snapshot. Returns the last sequence number that it covers; 0 if there is no valid snapshot.
 fn read_snapshot<D: Disk>(disk: &mut D, recovered: &mut Recovered) -> Result<u64, StoreError> {
-    let Some(bytes) = in_operation("read", SNAPSHOT, disk.read(SNAPSHOT))? else { return Ok(0) };
+    let Some(bytes) = with_context("read", SNAPSHOT, disk.read(SNAPSHOT))? else { return Ok(0) };
     if let Some(record) = bytes.strip_prefix(MAGIC).and_then(record::decode) {
         recovered.snapshot = Some(record.body.to_vec());
         return Ok(record.sequence);
@@ -105,29 +106,29 @@
     Ok(0)
 }
 
-/// A log that begins before the snapshot's end is covered by it: its removal may not have been synced. One that begins
-/// later is empty, unless the snapshot before it is lost.
+/// Checks for logs whose snapshot is missing. A log that begins before the snapshot's end is covered by it and ignored,
+/// since its removal may not have been synced. A log that begins later is empty unless its snapshot was lost.
 fn check_for_later_logs<D: Disk>(
     disk: &mut D,
     snapshot_end: u64,
     recovered: &mut Recovered,
 ) -> Result<(), StoreError> {
-    for name in in_operation("list", FOLDER, disk.list())? {
+    for name in with_context("list", FOLDER, disk.list())? {
         let Some(first) = first_sequence(&name) else { continue };
         if first <= snapshot_end + 1 {
             continue;
         }
-        if in_operation("read", &name, disk.read(&name))?.is_some_and(|bytes| !bytes.is_empty()) {
+        if with_context("read", &name, disk.read(&name))?.is_some_and(|bytes| !bytes.is_empty()) {
             recovered.drop_data(DroppedData::LogWithoutSnapshot { file: name });
         }
     }
     Ok(())
 }
 
-/// Returns the last sequence number.
+/// Reads the log after the snapshot. Returns the last sequence number.
 fn read_log<D: Disk>(disk: &mut D, snapshot_end: u64, recovered: &mut Recovered) -> Result<u64, StoreError> {
     let file = log_name(snapshot_end + 1);
-    let bytes = in_operation("read", &file, disk.read(&file))?.unwrap_or_default();
+    let bytes = with_context("read", &file, disk.read(&file))?.unwrap_or_default();
     let mut last_sequence = snapshot_end;
     let mut at = 0;
     while let Some(record) = record::decode(&bytes[at..]).filter(|r| r.sequence == last_sequence + 1) {
@@ -138,7 +139,7 @@
     let rest = &bytes[at..];
     if !rest.is_empty() {
         let bytes = rest.len();
-        // Parts of one unsynced batch may reach the disk in any order; a later batch only after a sync.
+        // Parts of an unsynced batch may reach the disk in any order, but a later batch is written only after a sync.
         recovered.drop_data(if has_later_batch(rest, last_sequence) {
             DroppedData::CorruptRecord { file, bytes, last_sequence }
         } else {
@@ -148,7 +149,7 @@
     Ok(last_sequence)
 }
 
-/// Whether these bytes hold a complete record that was written after what follows `last` had been synced.
+/// Returns whether the bytes contain a complete record of a batch later than the one that starts after `last`.
 fn has_later_batch(bytes: &[u8], last: u64) -> bool {
     let is_later = |record: Record| record.batch > last + 1;
     let starts = 0..bytes.len().saturating_sub(HEADER_BYTES - 1);
--- a/durable-log/src/simulated.rs
+++ b/durable-log/src/simulated.rs
@@ -1,36 +1,36 @@
-//! A disk in memory that distinguishes what was written from what has been synced, and that can lose power.
+//! An in-memory disk that distinguishes written from synced data and simulates power loss.
 //!
-//! The model: a file's bytes are persisted by a sync of the file, names by a sync of the folder. What was not synced may
-//! survive a loss of power or not, each part by itself: any prefix of an unsynced tail, with a part of it never written,
-//! and any of the unsynced names. A seeded source chooses, so that a run can be repeated.
+//! The model: a file's bytes are persisted by a sync of the file, names by a sync of the folder. Unsynced changes may or
+//! may not survive a power loss, each independently: any prefix of a file's unsynced tail, possibly with a range that was
+//! never written, and any of the unsynced names. A seeded random source decides, so that a run can be repeated.
 
 use crate::Disk;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The system's number for "no space left on the device".
-const NO_SPACE: i32 = 28;
-/// What [`SimulatedDisk::corrupt_byte`] flips.
+/// The operating system's error code for "no space left on device".
+const ENOSPC: i32 = 28;
+/// The bits that [`SimulatedDisk::corrupt_byte`] flips.
 const CORRUPTION_MASK: u8 = 0x55;
-/// One in so many surviving tails has a part that was never written.
-const GARBLED_ONE_IN: usize = 3;
+/// One in this many surviving tails contains a range that was never written (zeros).
+const UNWRITTEN_RANGE_ONE_IN: usize = 3;
 
 #[derive(Clone, Debug, Default)]
 struct FileState {
     bytes: Vec<u8>,
-    /// How many of the bytes have been synced.
+    /// The number of synced bytes.
     synced: usize,
 }
 
 impl FileState {
-    /// Keeps a part of what was not synced.
+    /// Keeps the synced bytes and a random part of the unsynced ones.
     fn lose_power(&mut self, random: &mut impl RandomSource) {
         let tail = self.bytes.len() - self.synced;
         if tail > 0 {
             let surviving = random.below(tail + 1);
             self.bytes.truncate(self.synced + surviving);
-            if surviving > 0 && random.below(GARBLED_ONE_IN) == 0 {
+            if surviving > 0 && random.below(UNWRITTEN_RANGE_ONE_IN) == 0 {
                 let from = self.synced + random.below(surviving);
                 let to = from + 1 + random.below(self.bytes.len() - from);
                 self.bytes[from..to].fill(0);
@@ -43,19 +43,19 @@
 #[derive(Clone, Debug, Default)]
 struct DiskState {
     files: Vec<FileState>,
-    /// Names as the system has them.
+    /// The current names, before any power loss.
     names: BTreeMap<String, usize>,
-    /// Names as of the folder's last sync.
+    /// The names as of the folder's last sync.
     synced_names: BTreeMap<String, usize>,
     calls: u64,
-    /// Calls from this number on fail.
+    /// All calls from this number on fail.
     fail_at: Option<u64>,
-    /// Every call that writes fails.
+    /// All writing calls fail.
     full: bool,
 }
 
 impl DiskState {
-    /// The names after a loss of power: each that was not synced survives or not.
+    /// Returns the names after a power loss; each unsynced change randomly survives or not.
     fn surviving_names(&self, random: &mut impl RandomSource) -> BTreeMap<String, usize> {
         let mut surviving = self.synced_names.clone();
         for name in self.names.keys().chain(self.synced_names.keys()) {
@@ -72,16 +72,16 @@
     }
 }
 
-/// What a call does with the disk.
+/// Whether a call reads or writes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Access {
     Read,
     Write,
 }
 
-/// Chooses what survives a loss of power.
+/// Decides what survives a power loss.
 pub trait RandomSource {
-    /// A number below `bound`.
+    /// Returns a number below `bound`.
     fn below(&mut self, bound: usize) -> usize;
 }
 
@@ -91,12 +91,12 @@
     }
 }
 
-/// A handle on the disk; clones share it, as a process and its successor do.
+/// A handle to the disk. Clones share the same disk, like a process and its successor.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk(Arc<Mutex<DiskState>>);
 
 impl SimulatedDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     #[must_use]
     pub fn new() -> SimulatedDisk {
         SimulatedDisk::default()
@@ -106,30 +106,30 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The number of calls so far.
+    /// Returns the number of calls so far.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Lets the call with this number fail, and all after it, as if the process had ended. A failing append writes a part
-    /// of its bytes, as on a disk that fills up.
+    /// Makes the call with this number and all later ones fail, as if the process had ended. A failing append writes some
+    /// of its bytes, as on a disk that becomes full.
     pub fn fail_at(&self, call: Option<u64>) {
         self.state().fail_at = call;
     }
 
-    /// Lets every call that writes fail while `full` is set.
+    /// Makes all writing calls fail while `full` is set.
     pub fn set_full(&self, full: bool) {
         self.state().full = full;
     }
 
-    /// A separate disk with everything that the system has, as a backup would have it.
+    /// Returns an independent copy of the disk, including unsynced data, like a backup.
     #[must_use]
     pub fn copy(&self) -> SimulatedDisk {
         SimulatedDisk(Arc::new(Mutex::new(self.state().clone())))
     }
 
-    /// Flips bits of one byte of a file.
+    /// Flips bits in one byte of a file.
     pub fn corrupt_byte(&self, name: &str, at: usize) {
         let mut state = self.state();
         let Some(file) = state.names.get(name).copied() else { return };
@@ -138,14 +138,14 @@
         }
     }
 
-    /// The lengths of all files by name (bytes).
+    /// Returns the name and length (bytes) of each file.
     #[must_use]
     pub fn lengths(&self) -> Vec<(String, usize)> {
         let state = self.state();
         state.names.iter().map(|(name, file)| (name.clone(), state.files[*file].bytes.len())).collect()
     }
 
-    /// Loses power: what was not synced survives or not, as `random` chooses. Failures that were set are over.
+    /// Simulates a power loss: `random` decides which unsynced changes survive. Clears configured failures.
     pub fn lose_power(&self, random: &mut impl RandomSource) {
         let mut state = self.state();
         let names = state.surviving_names(random);
@@ -158,13 +158,13 @@
         state.full = false;
     }
 
-    /// Counts a call; `Err` where it is to fail.
+    /// Counts a call; returns an error if it should fail.
     fn call(&self, access: Access) -> io::Result<MutexGuard<'_, DiskState>> {
         let mut state = self.state();
         state.calls += 1;
         let fails = state.fail_at.is_some_and(|at| state.calls >= at);
         if fails || access == Access::Write && state.full {
-            return Err(io::Error::from_raw_os_error(NO_SPACE));
+            return Err(io::Error::from_raw_os_error(ENOSPC));
         }
         Ok(state)
     }
--- a/durable-log/src/store.rs
+++ b/durable-log/src/store.rs
@@ -1,31 +1,32 @@
-//! The open store.
+//! The open store: appends and snapshots.
 
-use crate::error::in_operation;
+use crate::error::with_context;
 use crate::layout::{is_log, log_name, FOLDER, MAGIC, NEW_SNAPSHOT, SNAPSHOT};
 use crate::recovery::{self, FolderContents, Recovered};
 use crate::{record, Disk, StoreError, MAX_RECORD_BYTES};
 
-/// A snapshot is written in steps of this size, so that no single call blocks the disk for long (bytes).
+/// The size of a single write of a snapshot (bytes), so that no call blocks the disk for long.
 const WRITE_STEP_BYTES: usize = 64 * 1024;
 
 /// An open store.
 pub struct Store<D: Disk> {
     disk: D,
     next_sequence: u64,
-    /// The name of the log file that is appended to.
+    /// The name of the current log file.
     log: String,
-    /// A write has failed, or runs now: the store can't be written to.
+    /// Set during a write, and after one failed: no further writes are accepted.
     failed: bool,
-    /// Bytes in the log since the snapshot.
+    /// The size of the log since the last snapshot (bytes).
     log_bytes: u64,
 }
 
 impl<D: Disk> Store<D> {
-    /// Reads what is there, and writes it to new files before anything is added: that removes a torn tail, and what an
-    /// earlier failed sync left in the system's cache only. `encode` makes a snapshot of what was recovered.
+    /// Recovers the folder's content and rewrites it to new files. That removes an incomplete record at the end of the log,
+    /// and data that after a failed sync exists only in the operating system's cache. `encode` creates a snapshot of the
+    /// recovered data.
     ///
     /// # Errors
-    /// The disk's, where the folder can't be read or written now; nothing is lost by that.
+    /// The folder can't be read or written now. No data is lost.
     pub fn open(
         mut disk: D,
         encode: impl FnOnce(&Recovered) -> Vec<u8>,
@@ -38,21 +39,21 @@
         Ok((store, recovered))
     }
 
-    /// The disk.
+    /// Returns the disk.
     pub fn disk(&self) -> &D {
         &self.disk
     }
 
-    /// Bytes written to the log since the last snapshot.
+    /// Returns the size of the log since the last snapshot (bytes).
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// Appends records, and syncs once for all of them.
+    /// Appends records as one batch, with a single sync.
     ///
     /// # Errors
-    /// A record that is too large, which writes nothing; else the disk's, after which any of the records may be
-    /// recovered or not.
+    /// A record is too large, in which case nothing is written; or the disk fails, in which case any of the records may or
+    /// may not be recovered.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Result<(), StoreError> {
         let mut lengths = records.iter().map(|record| record.as_ref().len());
         if let Some(length) = lengths.find(|length| *length > MAX_RECORD_BYTES) {
@@ -68,17 +69,17 @@
             record::encode(&mut bytes, self.next_sequence, batch, record.as_ref());
             self.next_sequence += 1;
         }
-        in_operation("append", &self.log, self.disk.append(&self.log, &bytes))?;
-        in_operation("sync", &self.log, self.disk.sync(&self.log))?;
+        with_context("append", &self.log, self.disk.append(&self.log, &bytes))?;
+        with_context("sync", &self.log, self.disk.sync(&self.log))?;
         self.log_bytes += bytes.len() as u64;
         Ok(())
     }
 
-    /// Replaces all that was written before by a snapshot, and begins a new log.
+    /// Replaces all previous data with a snapshot and starts a new log.
     ///
     /// # Errors
-    /// A snapshot that is too large, which writes nothing; else the disk's, after which the next opening finds the state
-    /// before or the new one.
+    /// The snapshot is too large, in which case nothing is written; or the disk fails, in which case the next opening
+    /// recovers either the previous state or the snapshot.
     pub fn replace(&mut self, snapshot: &[u8]) -> Result<(), StoreError> {
         if snapshot.len() > MAX_RECORD_BYTES {
             return Err(StoreError::TooLarge(snapshot.len()));
@@ -90,26 +91,26 @@
         let disk = &mut self.disk;
         let covered = self.next_sequence - 1;
         write_new_snapshot(disk, covered, snapshot)?;
-        // The log is created first: a snapshot without its log would be complete, but a log that is created later could
-        // not be distinguished from one that was lost.
+        // Create the log before the snapshot is renamed. A snapshot without its log would be complete too, but if the log were
+        // created later, a log that was lost could not be distinguished from one that was never created.
         let log = log_name(self.next_sequence);
-        in_operation("create", &log, disk.create(&log))?;
-        in_operation("sync", &log, disk.sync(&log))?;
-        in_operation("rename", NEW_SNAPSHOT, disk.rename(NEW_SNAPSHOT, SNAPSHOT))?;
-        in_operation("sync", FOLDER, disk.sync_folder())?;
+        with_context("create", &log, disk.create(&log))?;
+        with_context("sync", &log, disk.sync(&log))?;
+        with_context("rename", NEW_SNAPSHOT, disk.rename(NEW_SNAPSHOT, SNAPSHOT))?;
+        with_context("sync", FOLDER, disk.sync_folder())?;
         remove_other_logs(disk, &log)?;
         self.log = log;
         self.log_bytes = 0;
         Ok(())
     }
 
-    /// Runs a write; after one that failed the store can't be written to.
+    /// Runs a write operation. Once one has failed, all later ones are rejected.
     fn write(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StoreError>,
     ) -> Result<(), StoreError> {
         if self.failed {
-            return Err(StoreError::FailedBefore);
+            return Err(StoreError::PreviousWriteFailed);
         }
         self.failed = true;
         operation(self)?;
@@ -121,17 +122,17 @@
 fn write_new_snapshot<D: Disk>(disk: &mut D, covered: u64, snapshot: &[u8]) -> Result<(), StoreError> {
     let mut bytes = MAGIC.to_vec();
     record::encode(&mut bytes, covered, covered, snapshot);
-    in_operation("create", NEW_SNAPSHOT, disk.create(NEW_SNAPSHOT))?;
+    with_context("create", NEW_SNAPSHOT, disk.create(NEW_SNAPSHOT))?;
     for step in bytes.chunks(WRITE_STEP_BYTES) {
-        in_operation("append", NEW_SNAPSHOT, disk.append(NEW_SNAPSHOT, step))?;
+        with_context("append", NEW_SNAPSHOT, disk.append(NEW_SNAPSHOT, step))?;
     }
-    in_operation("sync", NEW_SNAPSHOT, disk.sync(NEW_SNAPSHOT))
+    with_context("sync", NEW_SNAPSHOT, disk.sync(NEW_SNAPSHOT))
 }
 
 fn remove_other_logs<D: Disk>(disk: &mut D, log: &str) -> Result<(), StoreError> {
-    let names = in_operation("list", FOLDER, disk.list())?;
+    let names = with_context("list", FOLDER, disk.list())?;
     for name in names.iter().filter(|name| is_log(name) && *name != log) {
-        in_operation("remove", name, disk.remove(name))?;
+        with_context("remove", name, disk.remove(name))?;
     }
     Ok(())
 }
--- a/durable-log/src/tests.rs
+++ b/durable-log/src/tests.rs
@@ -4,7 +4,7 @@
 use crate::{Disk, Folder, Recovered, Store, StoreError};
 use std::io;
 
-/// A seeded random source (xorshift).
+/// Returns a seeded random source (xorshift).
 fn random_source(seed: u64) -> impl FnMut(usize) -> usize {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     move |n| {
@@ -15,14 +15,14 @@
     }
 }
 
-/// All values that were recovered, in order, from the snapshot and the records.
+/// Returns all recovered values, in order, from the snapshot and the records.
 fn values(found: &Recovered) -> Vec<u8> {
     let mut all = found.snapshot.clone().unwrap_or_default();
     all.extend(found.records.iter().map(|record| record.body[0]));
     all
 }
 
-/// Runs appends and snapshots up to the first failure; returns what was acknowledged, and what was attempted.
+/// Runs appends and snapshots until the first failure; returns the acknowledged and the attempted values.
 fn run_history(disk: &SimulatedDisk, steps: usize) -> (Vec<u8>, Vec<u8>) {
     let mut acknowledged = Vec::new();
     let mut attempted = Vec::new();
@@ -63,7 +63,7 @@
             );
             assert!(
                 !found.damaged,
-                "call {call}, seed {seed}: a crash was taken for damage: {:?}",
+                "call {call}, seed {seed}: a crash was reported as damage: {:?}",
                 found.dropped
             );
         }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Proves the check itself: a store that syncs neither the file nor the folder is found to lose what it acknowledged.
+/// Checks the test itself: with a disk that ignores file syncs, acknowledged data is lost for some seed.
 #[test]
 fn without_syncs_the_same_check_finds_a_loss() {
     #[derive(Clone)]
@@ -151,13 +151,13 @@
     disk.corrupt_byte("log.1", HEADER_BYTES + 20 + 6);
     let (_, found) = Store::open(disk, values).unwrap();
     assert!(found.damaged && values(&found) == [1], "{found:?}");
-    let rest = "log.1: 176 bytes after record 1: whole records lie behind a bad one";
+    let rest = "log.1: 176 bytes after record 1: corrupt record followed by complete ones";
     assert_eq!(found.dropped[0].to_string(), rest);
     let length = torn_tail.lengths().iter().find(|(name, _)| name == "log.1").unwrap().1;
     torn_tail.corrupt_byte("log.1", length - 1);
     let (_, found) = Store::open(torn_tail, values).unwrap();
     assert!(!found.damaged && values(&found) == [1, 2, 3, 4] && found.dropped.len() == 1, "{found:?}");
-    let rest = "log.1: 44 bytes after record 4: a record that is not whole";
+    let rest = "log.1: 44 bytes after record 4: incomplete record";
     assert_eq!(found.dropped[0].to_string(), rest);
 }
 
@@ -171,7 +171,7 @@
     let (_, found) = Store::open(disk, values).unwrap();
     assert!(found.damaged && found.snapshot.is_none(), "{found:?}");
     let dropped: Vec<String> = found.dropped.iter().map(ToString::to_string).collect();
-    assert_eq!(dropped, ["snapshot: 33 bytes that can't be read"]);
+    assert_eq!(dropped, ["snapshot: 33 unreadable bytes"]);
 }
 
 #[test]
@@ -183,8 +183,8 @@
     assert!(matches!(store.append(&[[2u8]]), Err(StoreError::Disk { .. })));
     disk.set_full(false);
     assert!(
-        matches!(store.append(&[[3u8]]), Err(StoreError::FailedBefore)),
-        "it went on after a failed write"
+        matches!(store.append(&[[3u8]]), Err(StoreError::PreviousWriteFailed)),
+        "a write was accepted after a failed one"
     );
     let (mut store, found) = Store::open(disk.clone(), values).unwrap();
     assert_eq!(values(&found), [1]);
