--- a/fleet-coordinator/src/bin/fleetctl.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -1,4 +1,5 @@
-//! The operators' command line of a fleet. Exit status: 0 done, 1 rejected, 2 unusable arguments, 3 no quorum in time.
+//! Command-line tool for operators of a fleet. Exit status: 0 success, 1 rejected, 2 invalid arguments, 3 no quorum in
+//! time.
 
 use clap::{Parser, Subcommand};
 use fleet_coordinator::client::{query_all, query_leader, QueryOutcome};
@@ -9,26 +10,26 @@
 use std::time::Duration;
 
 const EXIT_REJECTED: u8 = 1;
-const EXIT_UNUSABLE: u8 = 2;
+const EXIT_INVALID_ARGUMENTS: u8 = 2;
 const EXIT_NO_QUORUM: u8 = 3;
-/// The longest `--wait` (seconds).
+/// The maximum of `--wait` (seconds).
 const MAX_WAIT_S: f64 = 3600.0;
-/// What separates a table's columns.
+/// Separates the columns of a table.
 const COLUMN_SEPARATOR: &str = "  ";
 
 #[derive(Parser)]
-#[command(name = "fleetctl", version, about = "Asks a fleet's coordinators")]
+#[command(name = "fleetctl", version, about = "Queries and controls a fleet's coordinators")]
 struct Arguments {
-    /// Their addresses, with commas between.
+    /// Comma-separated addresses of the coordinators.
     #[arg(long, value_delimiter = ',', env = "HONEYPOST_COORDINATORS", required = true)]
     coordinators: Vec<SocketAddr>,
     /// The fleet's name.
     #[arg(long, env = "HONEYPOST_FLEET", default_value = "polderlijn")]
     fleet: String,
-    /// One JSON value instead of a table.
+    /// Print JSON instead of tables.
     #[arg(long)]
     json: bool,
-    /// How long a quorum is waited for (seconds).
+    /// How long to wait for a quorum (seconds).
     #[arg(long, default_value_t = 5.0)]
     wait: f64,
     #[command(subcommand)]
@@ -37,30 +38,30 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// How each coordinator stands.
+    /// Show the status of each coordinator.
     Status,
-    /// Which workers are in session.
+    /// List the workers' sessions.
     Members,
-    /// Who holds what.
+    /// List the leases and their holders.
     Leases,
-    /// Tasks, their latest periods, and calls whose outcome nobody knows.
+    /// List the tasks, their latest periods, and calls with an indeterminate outcome.
     Tasks,
-    /// How deep the fleet sheds, what is short of it, and who tries a service again.
+    /// Show the fleet's shedding level, its load and capacity, and which worker probes a service.
     Overload,
-    /// Sets how deep the fleet sheds, for a while or until the leader changes: tiers before TIER are let in, and SHARE of it.
+    /// Pin the shedding level for a time or until the leader changes: admits all tiers before TIER, and SHARE of it.
     Pin {
         tier: usize,
         share: f32,
-        /// For how long (seconds).
+        /// Duration (seconds).
         #[arg(long = "for", default_value_t = 60.0)]
         for_s: f64,
     },
-    /// Puts a fresh member in the place of a coordinator that has lost its disk.
+    /// Replace the member of a coordinator that has lost its disk with a new one.
     Replace { coordinator: String },
 }
 
 impl Command {
-    /// What is asked of the leader, or of every coordinator for its status.
+    /// Returns the query to send to the leader, or to every coordinator for its status.
     fn into_query(self) -> OperatorQuery {
         match self {
             Command::Status => OperatorQuery::Status,
@@ -79,7 +80,7 @@
     let wait_s = arguments.wait;
     if !(0.0..=MAX_WAIT_S).contains(&wait_s) {
         eprintln!("fleetctl: --wait is {wait_s}; expected 0 to {MAX_WAIT_S}");
-        return ExitCode::from(EXIT_UNUSABLE);
+        return ExitCode::from(EXIT_INVALID_ARGUMENTS);
     }
     let timeout = Duration::from_secs_f64(wait_s);
     let coordinators = &arguments.coordinators;
@@ -111,7 +112,7 @@
     }
 }
 
-/// Lists of objects become tables, an object's members one after the other; other values are printed as JSON.
+/// Formats lists of objects as tables, and the members of an object one after the other; other values as JSON.
 fn format_answer(answer: &Value) -> String {
     match answer {
         Value::Array(rows) => format_table(rows),
@@ -127,7 +128,7 @@
     format!("{name}:\n{}", indented.concat())
 }
 
-/// The first row's keys are the columns.
+/// Formats a table with the first row's keys as columns.
 fn format_table(rows: &[Value]) -> String {
     let Some(Value::Object(first)) = rows.first() else { return "none\n".to_owned() };
     let columns: Vec<&String> = first.keys().collect();
--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -1,4 +1,4 @@
-//! Queries to coordinators from a command: one query a connection, in blocking calls with a timeout.
+//! A blocking client for operators' queries to coordinators, with one connection per query.
 
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES,
@@ -8,28 +8,28 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long one coordinator may take.
+/// The timeout of a query to one coordinator.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The shortest timeout of one coordinator's attempt at a leader's query, before [`ATTEMPT_TIMEOUT`] is added.
+/// The minimum timeout of one attempt at a query for the leader, before [`ATTEMPT_TIMEOUT`] is added.
 const MIN_LEADER_TIMEOUT: Duration = Duration::from_millis(100);
-/// The pause before all coordinators are asked again.
+/// The pause before all coordinators are queried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The shortest timeout of a connection; the system accepts no zero.
+/// The minimum timeout of a connection, since the operating system rejects zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 const READ_BYTES: usize = 16 * 1024;
 
-/// What became of a query.
+/// The outcome of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryOutcome {
     /// The answer.
     Answer(Value),
-    /// The query was rejected, for this reason.
+    /// The query was rejected for this reason.
     Rejected(String),
-    /// No leader was confirmed in time; this is what was last found.
+    /// No leader was confirmed in time; the value describes the last attempt.
     NoQuorum(String),
 }
 
-/// Why a coordinator gave no complete answer.
+/// Why no complete answer was received from a coordinator.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The connection failed.
@@ -37,7 +37,7 @@
     Connection {
         /// The coordinator.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The answer is not a valid frame.
@@ -45,27 +45,27 @@
     InvalidFrame {
         /// The coordinator.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// The error in it.
         reason: String,
     },
     /// The answer was not complete in time.
-    #[error("{address}: no whole answer in time")]
+    #[error("{address}: timed out waiting for the answer")]
     Timeout {
         /// The coordinator.
         address: SocketAddr,
     },
     /// The connection was closed before the answer was complete.
-    #[error("{address}: closed without an answer")]
+    #[error("{address}: connection closed before the answer was complete")]
     Closed {
         /// The coordinator.
         address: SocketAddr,
     },
 }
 
-/// Sends a query to one coordinator, and waits for the answer.
+/// Sends a query to one coordinator and waits for the answer.
 ///
 /// # Errors
-/// Why there is no complete answer.
+/// The reason why there is no complete answer.
 pub fn query_coordinator(
     address: SocketAddr,
     fleet: &str,
@@ -108,8 +108,8 @@
     Ok(stream)
 }
 
-/// Asks every coordinator for its own status. One that does not answer is in the list with the reason; no leader among
-/// those that answer counts as no quorum.
+/// Queries the status of every coordinator. A coordinator that does not answer is listed with the reason. If no
+/// coordinator that answers is the leader, the outcome is [`QueryOutcome::NoQuorum`].
 #[must_use]
 pub fn query_all(addresses: &[SocketAddr], fleet: &str, timeout: Duration) -> QueryOutcome {
     let deadline = Instant::now() + timeout;
@@ -119,7 +119,7 @@
             return QueryOutcome::Rejected(refused["why"].as_str().unwrap_or_default().to_owned());
         }
         if rows.iter().any(|row| row["leads"] == true) {
-            // A table takes its columns from the first row, which must be one that answered.
+            // A table takes its columns from the first row, so a coordinator that answered must come first.
             let (mut sorted, silent): (Vec<Value>, Vec<Value>) =
                 rows.into_iter().partition(|row| row.get("term").is_some());
             sorted.extend(silent);
@@ -143,7 +143,7 @@
     }
 }
 
-/// Asks for what only the leader answers, after a quorum has confirmed it.
+/// Sends a query that only the leader answers, after a quorum has confirmed it.
 #[must_use]
 pub fn query_leader(
     addresses: &[SocketAddr],
@@ -153,7 +153,7 @@
 ) -> QueryOutcome {
     let deadline = Instant::now() + timeout;
     let attempt_timeout = ATTEMPT_TIMEOUT.min(timeout).max(MIN_LEADER_TIMEOUT) + ATTEMPT_TIMEOUT;
-    let mut last_failure = "no coordinator was asked".to_owned();
+    let mut last_failure = "no coordinator was queried".to_owned();
     loop {
         for address in addresses {
             last_failure = match query_coordinator(*address, fleet, query, attempt_timeout) {
--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -1,10 +1,10 @@
-//! Checks of a coordinator's file beyond its syntax.
+//! Semantic validation of the configuration file.
 
 use super::{ConfigError, File, Overload};
 use crate::state_machine::LATEST_VERSION;
 use port_worker::fleet::frame::{is_valid_name, MAX_TASKS};
 
-/// The largest number of coordinators: more delay every command without making it safer.
+/// The maximum number of coordinators. More of them delay every command without making it safer.
 const MAX_COORDINATORS: usize = 9;
 const MIN_WRITE_OVERDUE_MS: u64 = 50;
 const MAX_WRITE_OVERDUE_MS: u64 = 60_000;
@@ -15,7 +15,7 @@
 const MAX_RETRY_PERCENT: f64 = 100.0;
 
 impl File {
-    /// Errors come in a fixed order, so that a file with several has the same line each time.
+    /// Validates the file. Checks run in a fixed order, so that a file with several errors always reports the same one.
     pub(super) fn check(&self) -> Result<(), ConfigError> {
         self.check_names()?;
         self.check_coordinators()?;
--- a/fleet-coordinator/src/config/error.rs
+++ b/fleet-coordinator/src/config/error.rs
@@ -1,9 +1,9 @@
-//! Why a coordinator's file can't be used.
+//! Errors in the coordinator's configuration file.
 
 use port_worker::fleet::frame::MAX_NAME_BYTES;
 use std::path::PathBuf;
 
-/// Why a coordinator's file can't be used: the place, what was found and what was expected, in one line.
+/// Why the configuration file can't be used: the place, the value found and the value expected, in one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -11,26 +11,26 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file was read and can't be used.
+    /// The file was read but is invalid.
     #[error("{}: {source}", path.display())]
     File {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in it.
         source: Box<ConfigError>,
     },
-    /// Not TOML, or not the expected keys and types.
+    /// The file is not valid TOML, or has unexpected keys or types.
     #[error("line {line}: {}", source.message().replace('\n', " "))]
     Syntax {
-        /// The line, from 1 on.
+        /// The line, starting at 1.
         line: usize,
         /// The parser's error.
         source: Box<toml::de::Error>,
     },
-    /// A number is out of its range.
+    /// A number is out of range.
     #[error("{key} is {found}; expected {min} to {max}")]
     OutOfRange {
         /// The key.
@@ -42,7 +42,7 @@
         /// The largest valid value.
         max: u64,
     },
-    /// A fraction is out of its range, which begins at 0.
+    /// A fraction is out of range; the minimum is 0.
     #[error("{key} is {found}; expected 0 to {max}")]
     FractionOutOfRange {
         /// The key.
@@ -52,7 +52,7 @@
         /// The largest valid value.
         max: f64,
     },
-    /// Not a valid name.
+    /// A name is not valid.
     #[error("{key} is {found:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
     InvalidName {
         /// The key.
@@ -60,26 +60,26 @@
         /// Its value.
         found: String,
     },
-    /// An even number of coordinators tolerates no more failures than one fewer.
-    #[error("coordinator: {found} are named; expected an odd number, 3 or 5")]
+    /// The number of coordinators is even, which tolerates no more failures than one fewer.
+    #[error("coordinator: found {found}; expected an odd number, 3 or 5")]
     EvenCoordinators {
         /// How many are listed.
         found: usize,
     },
-    /// The file's own name is not in the list of coordinators.
-    #[error("name is {found:?}, which no [[coordinator]] has")]
+    /// The coordinator's own name is not in the list of coordinators.
+    #[error("name is {found:?}; expected the name of a [[coordinator]]")]
     UnlistedName {
         /// The name.
         found: String,
     },
     /// Two coordinators have the same name or address.
-    #[error("coordinator {name}: its name or address is another's as well")]
+    #[error("coordinator {name}: duplicate name or address")]
     DuplicateCoordinator {
-        /// The second one's name.
+        /// The name of the second one.
         name: String,
     },
     /// Two tasks have the same name.
-    #[error("task {name}: named twice")]
+    #[error("task {name}: duplicate name")]
     DuplicateTask {
         /// The name.
         name: String,
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! A coordinator's file (TOML). Its keys are the operators' and are fixed.
+//! The coordinator's configuration file (TOML). Its keys are an interface to operators and must not change.
 
 mod check;
 mod error;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The file's content.
+/// The content of the configuration file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct File {
@@ -21,26 +21,26 @@
     pub fleet: String,
     /// This coordinator's name.
     pub name: String,
-    /// The folder of its log; nothing else may be in it.
+    /// The data folder, which must contain nothing else.
     pub folder: PathBuf,
-    /// Where it listens, unless at its own address in the list.
+    /// The listen address, if different from the coordinator's address in the list.
     pub listen: Option<SocketAddr>,
-    /// The tasks of this file come into force if this is higher than the fleet's current epoch.
+    /// The version of the task list. The tasks take effect if it is higher than the fleet's current epoch.
     pub epoch: u64,
     /// A write that takes longer suspends the coordinator (milliseconds).
     #[serde(default = "default_write_overdue_ms")]
     pub write_overdue_ms: u64,
-    /// The latest version that this program may claim to understand: holds a fleet at an older version until all
-    /// coordinators run the new one.
+    /// The latest protocol version to report as supported. Keeps a fleet at an older version until all coordinators run
+    /// the new program.
     #[serde(default = "default_version")]
     pub version: u32,
-    /// All coordinators, this one among them.
+    /// All coordinators, including this one.
     #[serde(rename = "coordinator")]
     pub coordinators: Vec<CoordinatorEntry>,
     /// The fleet's tasks.
     #[serde(default, rename = "task")]
     pub tasks: Vec<Task>,
-    /// The fleet's overload control; the same in all coordinators' files.
+    /// Fleet-wide overload control; must be the same in all coordinators' files.
     pub overload: Option<Overload>,
 }
 
@@ -48,10 +48,10 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Overload {
-    /// What one worker may have in flight at the downstream service by itself (mean number of calls). A worker lends at
-    /// most a quarter of that, whatever it reports.
+    /// A worker's base allocation: the calls that it may have in flight at the downstream service (mean number). A worker
+    /// lends at most a quarter of that, whatever it reports.
     pub calls_part: f64,
-    /// Retries that the fleet admits per first attempt while it is at capacity (percent).
+    /// Retries admitted while the fleet is at capacity, as a percentage of first attempts.
     #[serde(default = "default_retry_percent")]
     pub retry_percent: f64,
 }
@@ -62,7 +62,7 @@
 pub struct CoordinatorEntry {
     /// The coordinator's name.
     pub name: String,
-    /// Where workers and other coordinators connect to it.
+    /// The address to which workers and other coordinators connect.
     pub address: SocketAddr,
 }
 
@@ -79,10 +79,10 @@
 }
 
 impl File {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
-    /// One line: the file, the key, and what was expected.
+    /// One line with the file, the key and the expected value.
     pub fn read(path: &Path) -> Result<File, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
@@ -90,10 +90,10 @@
             .map_err(|error| ConfigError::File { path: path.to_owned(), source: Box::new(error) })
     }
 
-    /// Decodes and checks a file's text.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
-    /// One line: the key, and what was expected.
+    /// One line with the key and the expected value.
     pub fn decode(text: &str) -> Result<File, ConfigError> {
         let file: File = toml::from_str(text).map_err(|error| {
             let line = error.span().map_or(1, |span| line_of(text, span.start));
@@ -103,14 +103,14 @@
         Ok(file)
     }
 
-    /// Where this coordinator listens.
+    /// Returns the listen address.
     #[must_use]
     pub fn listen_address(&self) -> Option<SocketAddr> {
         let own = || self.coordinators.iter().find(|coordinator| coordinator.name == self.name);
         self.listen.or_else(|| own().map(|coordinator| coordinator.address))
     }
 
-    /// The keys that have another value in `other` and are applied at the next start only: all but `epoch` and `task`.
+    /// Returns the keys whose value differs in `other` and that are applied only at a restart: all except `epoch` and `task`.
     #[must_use]
     pub fn restart_keys(&self, other: &File) -> Vec<&'static str> {
         let changes = [
@@ -126,7 +126,7 @@
         changes.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
     }
 
-    /// The coordinator's settings.
+    /// Returns the coordinator's settings.
     #[must_use]
     pub fn coordinator_config(&self) -> CoordinatorConfig {
         let coordinators = self
@@ -150,7 +150,7 @@
     }
 }
 
-/// The line of a place in the text, from 1 on.
+/// Returns the line number of a byte offset, starting at 1.
 fn line_of(text: &str, at: usize) -> usize {
     let before = &text.as_bytes()[..at.min(text.len())];
     before.split(|byte| *byte == b'\n').count()
--- a/fleet-coordinator/src/config/tests.rs
+++ b/fleet-coordinator/src/config/tests.rs
@@ -6,8 +6,8 @@
     let file = File::decode(good).unwrap();
     assert_eq!(file.listen_address().unwrap().port(), 7101);
     for (from, to, expected) in [
-        ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\", which no [[coordinator]] has"),
-        ("127.0.0.1:7102", "127.0.0.1:7101", "coordinator c2: its name or address"),
+        ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\"; expected the name of a [[coordinator]]"),
+        ("127.0.0.1:7102", "127.0.0.1:7101", "coordinator c2: duplicate name or address"),
         ("epoch = 1", "epoch = 0", "epoch is 0; expected 1"),
         ("ttl_ms = 3000", "ttl_ms = 3", "task totals.ttl_ms is 3; expected 500"),
         ("ttl_ms = 3000", "tll_ms = 3000", "line 26: unknown field `tll_ms`"),
@@ -17,7 +17,11 @@
             "overload = { calls_part = -1.0 }\nepoch = 1",
             "overload.calls_part is -1; expected 0 to",
         ),
-        ("[[coordinator]]\nname = \"c3\"\naddress = \"127.0.0.1:7103\"\n", "", "coordinator: 2 are named"),
+        (
+            "[[coordinator]]\nname = \"c3\"\naddress = \"127.0.0.1:7103\"\n",
+            "",
+            "coordinator: found 2; expected an odd number",
+        ),
     ] {
         let text = good.replacen(from, to, 1);
         assert_ne!(text, good, "{from} is not in the file");
--- a/fleet-coordinator/src/events/log_lines.rs
+++ b/fleet-coordinator/src/events/log_lines.rs
@@ -1,4 +1,4 @@
-//! Names, levels and fields of a coordinator's events in the log.
+//! Names, levels and fields of a coordinator's log events.
 
 use super::{CoordinatorEvent, ServerEvent};
 use port_worker::fleet::overload::level::SheddingLevel;
@@ -25,7 +25,7 @@
                 let detail = cause.to_string();
                 error!(name: "member_excluded", coordinator, cause = cause.key(), detail = excerpt(&detail));
             }
-            // The peer connects again and again.
+            // Folded, since the peer reconnects repeatedly.
             CoordinatorEvent::PeerExcluded { coordinator, cause } => {
                 warn!(
                     name: "peer_excluded",
@@ -41,7 +41,7 @@
     }
 }
 
-/// An open level has neither tier nor share, as in `shedding_level_changed`.
+/// Logs a pinned level. An open level has neither tier nor share, as in `shedding_level_changed`.
 fn emit_pinned_level(level: SheddingLevel, for_s: f64) {
     let is_open = level.is_open();
     let tier = (!is_open).then_some(level.tier);
--- a/fleet-coordinator/src/events/mod.rs
+++ b/fleet-coordinator/src/events/mod.rs
@@ -1,5 +1,5 @@
-//! What a coordinator reports to operators, as values without text. `log_lines` gives each its name, level and fields;
-//! `docs/operators/log.md` is the table of all events.
+//! A coordinator's log events as typed values. `log_lines` defines their names, levels and fields;
+//! `docs/operators/log.md` lists all events.
 
 mod log_lines;
 
@@ -9,70 +9,70 @@
 use port_worker::fleet::overload::level::SheddingLevel;
 use std::net::SocketAddr;
 
-/// An event of the coordinator itself: its status in the quorum, its leadership, and the fleet's overload control.
+/// An event of the coordinator: its membership in the quorum, leadership, and fleet-wide overload control.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorEvent {
-    /// This coordinator leads, and has applied all that earlier leaders decided.
+    /// This coordinator is the leader, and has applied all entries of earlier terms.
     LeaderElected {
         /// The term.
         term: u64,
     },
-    /// This coordinator leads no more.
+    /// This coordinator is no longer the leader.
     LeadershipLost,
-    /// This coordinator takes part in the quorum, after its start or after it was initialized.
+    /// This coordinator participates in the quorum, after its start or its initialization.
     MemberStarted {
         /// Its member number.
         member: MemberId,
     },
-    /// The disk holds no member: the coordinator asks its peers whether it founds the fleet, joins it, or has lost its
-    /// disk.
+    /// The disk holds no member. The coordinator queries its peers whether to bootstrap the fleet, join it, or report a
+    /// lost disk.
     MemberUninitialized {
-        /// What the disk holds instead.
+        /// Why the disk holds no member.
         cause: UninitializedCause,
     },
-    /// The disk holds no member, and peers know that it had been written to.
+    /// The disk holds no member, but peers know that the member had persisted data.
     DiskLost {
-        /// What the disk holds instead.
+        /// Why the disk holds no member.
         cause: UninitializedCause,
-        /// The log index up to which it had been written.
+        /// The log index up to which it had persisted.
         lost_index: u64,
     },
-    /// This coordinator takes no part in the quorum until its disk has been opened anew.
+    /// This coordinator does not participate in the quorum until its disk has been reopened.
     DiskSuspended {
         /// Why.
         cause: SuspensionCause,
     },
-    /// The disk was opened anew, and this coordinator takes part again.
+    /// The disk was reopened, and this coordinator participates again.
     DiskResumed {
         /// Its member number.
         member: MemberId,
     },
-    /// The quorum accepts nothing from this coordinator any more.
+    /// The peers no longer accept messages from this coordinator.
     MemberExcluded {
         /// This coordinator's name.
         coordinator: String,
         /// Why.
         cause: ExclusionCause,
     },
-    /// This coordinator accepts nothing from a peer.
+    /// This coordinator accepts no messages from a peer.
     PeerExcluded {
         /// The peer's name.
         coordinator: String,
         /// Why.
         cause: ExclusionCause,
     },
-    /// An operator has set how deep the fleet sheds.
+    /// An operator pinned the fleet's shedding level.
     SheddingLevelPinned {
         /// The level.
         level: SheddingLevel,
         /// For how long (seconds).
         for_s: f64,
     },
-    /// An event of the fleet's overload control.
+    /// An event of fleet-wide overload control.
     Overload(OverloadEvent),
 }
 
-/// An event of the process around the coordinator: its sockets, its file, its end.
+/// An event of the coordinator's process: its listener, links, configuration file and shutdown.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerEvent {
     /// The coordinator accepts links.
@@ -81,33 +81,33 @@
         coordinator: String,
         /// Its fleet's name.
         fleet: String,
-        /// Where it listens.
+        /// The listen address.
         address: SocketAddr,
     },
-    /// The tasks of the coordinators' file are in force here, and proposed to the log by the leader.
+    /// The configuration file's tasks were reloaded; the leader proposes them for the log.
     ConfigReloaded {
         /// The file's epoch.
         epoch: u64,
         /// The number of its tasks.
         tasks: usize,
     },
-    /// The file can't be used; what was read before stays in force.
+    /// The configuration file can't be used; the previous configuration stays in effect.
     ConfigReloadRejected {
-        /// What is wrong with it, in one line.
+        /// The error in it, in one line.
         cause: String,
     },
-    /// Keys of the file have changed that are applied at the next start only.
+    /// Keys of the configuration file have changed that are applied only at a restart.
     ConfigReloadDeferred {
         /// The keys.
         keys: Vec<&'static str>,
     },
-    /// A link was closed since it sent what no worker, operator or coordinator of this fleet sends.
+    /// A link was closed because it sent data that does not come from a worker, operator or coordinator of this fleet.
     LinkRejected {
         /// The link's number.
         link: LinkId,
-        /// What was wrong.
+        /// The error.
         cause: String,
     },
-    /// The process ends as it was asked to.
+    /// The process exits after a termination signal.
     ShutdownComplete,
 }
--- a/fleet-coordinator/src/net/disk_thread.rs
+++ b/fleet-coordinator/src/net/disk_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that alone accesses the data folder: one job after the other.
+//! The disk thread, the only one that accesses the data folder. It executes one job at a time.
 
 use crate::ids::DiskJobId;
 use crate::replica::{execute_job, DiskJob, DiskResult};
--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -1,4 +1,4 @@
-//! Links that were accepted: workers', operators' and other coordinators'.
+//! Accepted links, from workers, operators and other coordinators.
 
 use super::limits::MAX_QUEUED_BYTES;
 use crate::coordinator::{next_frame, FRAME_HEADER_BYTES};
@@ -9,17 +9,17 @@
 use port_worker::net::io::source::Source;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A link without a complete frame for so long is closed (seconds): workers send a heartbeat every second.
+/// A link is closed after this time without a complete frame (seconds). Workers send a heartbeat every second.
 const LINK_TIMEOUT_S: f64 = 30.0;
-/// How often all links are checked, since nothing else notices silent ones (seconds).
+/// How often all links are checked for timeouts (seconds), since a silent link causes no event.
 const SWEEP_INTERVAL_S: f64 = 1.0;
 
-/// All links that were accepted, by number.
+/// All accepted links, by number.
 #[derive(Default)]
 pub(super) struct InboundLinks {
     links: BTreeMap<LinkId, Inbound>,
-    /// Links on which something may have been received.
-    touched: BTreeSet<LinkId>,
+    /// Links that may have received data.
+    readable_links: BTreeSet<LinkId>,
     /// When all links were last checked.
     swept_at: f64,
 }
@@ -28,39 +28,39 @@
     link: Link,
     /// When the last complete frame was received.
     received_at: f64,
-    /// Nothing is received any more; the link is closed once everything has been written.
+    /// Nothing is received any more; the link is closed once all queued data has been written.
     closing: bool,
 }
 
 impl Inbound {
-    /// Writes what waits; `true` where the link has ended.
-    fn flush_or_end(&mut self) -> bool {
-        let broken = self.link.flush().is_err() || self.link.queued() > MAX_QUEUED_BYTES;
-        broken || self.closing && self.link.queued() == 0
+    /// Writes queued data; returns whether the link must be closed.
+    fn flush(&mut self) -> bool {
+        let failed = self.link.flush().is_err() || self.link.queued() > MAX_QUEUED_BYTES;
+        failed || self.closing && self.link.queued() == 0
     }
 }
 
-/// Whether a link goes on after it was read from.
+/// The state of a link after it was read from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkState {
-    /// More may come.
+    /// More data may arrive.
     Open,
-    /// It has ended or was silent for too long: what has been received is still to be processed.
+    /// It has ended or timed out; data received before is still to be processed.
     Ended,
 }
 
-/// The result of an attempt to take a frame from a link.
-pub(super) enum Taken<E> {
-    /// A frame was taken, and its receiver returned this.
+/// The result of reading a frame from a link.
+pub(super) enum ReadResult<E> {
+    /// A frame was read, and its receiver returned this.
     Frame(Result<(), E>),
-    /// No complete frame has been received, or the link is closing.
+    /// There is no complete frame, or the link is closing.
     Nothing,
-    /// The link sends a frame that is too long.
+    /// The frame exceeds the limit.
     TooLong(String),
 }
 
 impl InboundLinks {
-    /// Accepts links that wait at the socket; returns their numbers.
+    /// Accepts pending connections; returns the numbers of the new links.
     pub(super) fn accept(&mut self, now: f64, poll: &Poll, acceptor: &mut Acceptor) -> Vec<LinkId> {
         let mut opened = Vec::new();
         let mut accepted = 0;
@@ -73,7 +73,7 @@
                 .set_nonblocking(true)
                 .and_then(|()| Link::new(poll, stream, Source::Coordinator(number), buffer_bytes));
             if let Ok(link) = link {
-                self.touched.insert(id);
+                self.readable_links.insert(id);
                 self.links.insert(id, Inbound { link, received_at: now, closing: false });
                 opened.push(id);
             }
@@ -81,56 +81,56 @@
         opened
     }
 
-    /// The link's buffers; `None` where it is not one of these.
+    /// Returns the link's buffers; `None` if it is not an accepted link.
     pub(super) fn link(&mut self, id: LinkId) -> Option<&mut Link> {
         self.links.get_mut(&id).map(|inbound| &mut inbound.link)
     }
 
-    /// Something may have been received on this link.
-    pub(super) fn touch(&mut self, id: LinkId) {
-        self.touched.insert(id);
+    /// Marks a link that may have received data.
+    pub(super) fn mark_readable(&mut self, id: LinkId) {
+        self.readable_links.insert(id);
     }
 
-    /// Takes the numbers of links that are to be read from.
-    pub(super) fn take_touched(&mut self, now: f64) -> BTreeSet<LinkId> {
+    /// Returns the links to read from.
+    pub(super) fn take_readable(&mut self, now: f64) -> BTreeSet<LinkId> {
         if now - self.swept_at >= SWEEP_INTERVAL_S {
             self.swept_at = now;
-            self.touched.extend(self.links.keys());
+            self.readable_links.extend(self.links.keys());
         }
-        std::mem::take(&mut self.touched)
+        std::mem::take(&mut self.readable_links)
     }
 
-    /// Reads from the link; `None` where nothing is received on it any more.
+    /// Reads from the link; returns `None` if nothing is received on it any more.
     pub(super) fn fill(&mut self, now: f64, id: LinkId) -> Option<LinkState> {
         let inbound = self.open_link(id)?;
         let is_open = inbound.link.fill() == Filled::Open && now - inbound.received_at <= LINK_TIMEOUT_S;
         Some(if is_open { LinkState::Open } else { LinkState::Ended })
     }
 
-    /// Passes one frame with a body of at most `limit` bytes to `receive`.
+    /// Passes the next frame, whose body may have at most `limit` bytes, to `receive`.
     pub(super) fn take_frame<E>(
         &mut self,
         now: f64,
         id: LinkId,
         limit: usize,
         receive: impl FnOnce(&[u8]) -> Result<(), E>,
-    ) -> Taken<E> {
-        let Some(inbound) = self.open_link(id) else { return Taken::Nothing };
+    ) -> ReadResult<E> {
+        let Some(inbound) = self.open_link(id) else { return ReadResult::Nothing };
         inbound.link.set_max_unread_bytes(limit + FRAME_HEADER_BYTES);
         let taken = match next_frame(inbound.link.data(), limit) {
-            Err(error) => return Taken::TooLong(error.to_string()),
-            Ok(None) => Taken::Nothing,
+            Err(error) => return ReadResult::TooLong(error.to_string()),
+            Ok(None) => ReadResult::Nothing,
             Ok(Some(frame)) => {
                 let length = frame.length;
                 let result = receive(frame.body);
                 inbound.received_at = now;
                 inbound.link.consume(length);
-                Taken::Frame(result)
+                ReadResult::Frame(result)
             }
         };
         if inbound.link.unread() {
-            // The buffer was full: the rest is in the socket, which will not become readable again.
-            self.touched.insert(id);
+            // The buffer was full. The rest is still in the socket, which will not signal readiness again.
+            self.readable_links.insert(id);
         }
         taken
     }
@@ -139,23 +139,23 @@
         self.links.get_mut(&id).filter(|inbound| !inbound.closing)
     }
 
-    /// Receives no more on the link, and closes it once everything has been written.
+    /// Stops receiving on the link, and closes it once all queued data has been written.
     pub(super) fn start_closing(&mut self, id: LinkId) {
         if let Some(inbound) = self.links.get_mut(&id) {
             inbound.closing = true;
         }
     }
 
-    /// Writes what waits on all links; returns those that have ended.
+    /// Writes queued data on all links; returns those that must be closed.
     pub(super) fn flush(&mut self) -> Vec<LinkId> {
-        let ended = self.links.iter_mut().filter_map(|(id, inbound)| inbound.flush_or_end().then_some(*id));
+        let ended = self.links.iter_mut().filter_map(|(id, inbound)| inbound.flush().then_some(*id));
         ended.collect()
     }
 
-    /// Closes a link; `false` where it was closed before.
+    /// Closes a link; returns `false` if it was closed already.
     pub(super) fn close(&mut self, id: LinkId) -> bool {
         let Some(mut inbound) = self.links.remove(&id) else { return false };
-        // The last message may still be sent.
+        // Try to send the last message.
         let _ = inbound.link.flush();
         true
     }
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -1,15 +1,15 @@
-//! A coordinator's sockets, disk and clock around [`crate::coordinator`].
+//! Sockets, disk and clock for [`crate::coordinator`].
 //!
-//! One event loop does everything but the disk's jobs: those have a thread of their own, since a sync may take seconds
-//! and the loop must go on answering.
+//! A single event loop does all work except disk jobs. They run on a separate thread, since a sync may take seconds, during
+//! which the event loop must keep answering.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `server` | joins the coordinator with its links and the disk's thread |
-//! | `inbound` | links that were accepted: reading, frames, silence |
-//! | `peers` | links to other coordinators: connecting, introductions |
+//! | `server` | connects the coordinator with its links and the disk thread |
+//! | `inbound` | accepted links: reading, frames, timeouts |
+//! | `peers` | links to other coordinators: connecting, hellos |
 //! | `disk_thread` | the thread that accesses the data folder |
-//! | `clock`, `limits` | the clock that coordinators count by; limits of links |
+//! | `clock`, `limits` | the clock of coordinators; limits of links |
 
 mod clock;
 mod disk_thread;
@@ -44,29 +44,29 @@
 /// Why a coordinator can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum NetError {
-    /// Its file can't be used.
+    /// The configuration file can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The event loop, or one of its sources, fails.
+    /// The event loop or one of its sources failed.
     #[error("{what}: {source}")]
     EventLoop {
-        /// What fails.
+        /// The part that failed.
         what: &'static str,
         /// The event loop's error.
         source: Box<dyn Error>,
     },
-    /// Its file names no address for it.
-    #[error("listen: there is no address")]
+    /// The configuration file has no listen address for this coordinator.
+    #[error("listen: no address configured")]
     NoListenAddress,
-    /// It can't listen.
+    /// The listen address can't be bound.
     #[error("listen {address}: {source}")]
     Listen {
-        /// The address from the file.
+        /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The system does not say where it listens.
+    /// The operating system does not return the listener's address.
     #[error(transparent)]
     LocalAddress(std::io::Error),
 }
@@ -77,13 +77,13 @@
     }
 }
 
-/// Results of the disk that the event loop has received and the server has not.
+/// Results of disk jobs that the event loop has received and the server has not processed yet.
 type ResultInbox = Rc<RefCell<Vec<JobResult>>>;
 
-/// Runs a coordinator until it receives SIGTERM or SIGINT. Its events go to `log`.
+/// Runs a coordinator until it receives SIGTERM or SIGINT. Its events are logged to `log`.
 ///
 /// # Errors
-/// Why it can't run, in one line.
+/// The reason why it can't run, in one line.
 pub fn run(path: &Path, log: &LogHandle) -> Result<(), NetError> {
     let file = File::read(path)?;
     let mut event_loop: EventLoop<Gathered> =
@@ -118,7 +118,7 @@
     handle
         .insert_source(signals, |event, (), gathered: &mut Gathered| match event.signal() {
             Signal::SIGHUP => gathered.reload = true,
-            // A write beyond the limit on file sizes has failed: the disk's thread reports it.
+            // A write exceeded the file size limit; the disk thread reports the failure.
             Signal::SIGXFSZ => {}
             _ => gathered.shutdown = true,
         })
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -1,4 +1,4 @@
-//! Links to the other coordinators, for what this member sends.
+//! Outgoing links to the other coordinators.
 
 use super::limits::MAX_QUEUED_BYTES;
 use crate::config::{CoordinatorEntry, File};
@@ -10,9 +10,9 @@
 use port_worker::net::io::source::{Readiness, Source};
 use std::net::SocketAddr;
 
-/// How often a peer that is not connected is tried (seconds).
+/// The interval between attempts to connect to a peer (seconds).
 const CONNECT_INTERVAL_S: f64 = 0.2;
-/// How long an attempt to connect may take (seconds).
+/// The timeout of an attempt to connect (seconds).
 const CONNECT_TIMEOUT_S: f64 = 2.0;
 
 /// The links to all peers.
@@ -20,7 +20,7 @@
     peers: Vec<Peer>,
 }
 
-/// What a peer has answered to this member's hello.
+/// A peer's answer to this member's hello.
 pub(super) struct PeerAnswered {
     /// The peer's name.
     pub(super) peer: String,
@@ -45,26 +45,26 @@
 enum Stage {
     Connecting,
     /// This member's hello was sent.
-    Greeted,
+    HelloSent,
     /// The peer has answered.
-    Up,
+    Established,
 }
 
-/// A link that is to be made anew.
-struct Broken;
+/// The link failed and must be re-established.
+struct LinkFailed;
 
-/// What was found on a peer's link.
+/// The result of polling a peer's link.
 #[derive(Default)]
 struct Polled {
-    /// What the peer answered; also from a link that has ended with that.
+    /// The peer's answer, if one was received; also if the link has ended after it.
     answer: Option<PeerAnswer>,
-    /// The link is to be made anew.
-    broken: bool,
+    /// Whether the link failed and must be re-established.
+    failed: bool,
 }
 
 impl Polled {
-    fn broken() -> Polled {
-        Polled { answer: None, broken: true }
+    fn failed() -> Polled {
+        Polled { answer: None, failed: true }
     }
 }
 
@@ -83,9 +83,10 @@
         Some(&mut connection.link)
     }
 
-    fn is_up(&self, name: &str) -> bool {
-        let up = self.connection.as_ref().is_some_and(|connection| connection.stage == Stage::Up);
-        self.name == name && up
+    fn is_established(&self, name: &str) -> bool {
+        let established =
+            self.connection.as_ref().is_some_and(|connection| connection.stage == Stage::Established);
+        self.name == name && established
     }
 
     fn push(&mut self, bytes: Vec<u8>) {
@@ -98,7 +99,7 @@
         self.connection = None;
     }
 
-    /// Connects, or reads what the peer has answered.
+    /// Connects to the peer or reads its answer.
     fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Option<PeerAnswered> {
         let waited_s = now - self.connect_started_at;
         let Some(connection) = &mut self.connection else {
@@ -107,9 +108,9 @@
         };
         let polled = match connection.connect(waited_s, hello) {
             Ok(()) => connection.read_answer(),
-            Err(Broken) => Polled::broken(),
+            Err(LinkFailed) => Polled::failed(),
         };
-        if polled.broken {
+        if polled.failed {
             self.connection = None;
         }
         polled.answer.map(|answer| PeerAnswered { peer: self.name.clone(), answer })
@@ -126,7 +127,7 @@
             link.ok().map(|link| Connection { id: LinkId(number), link, stage: Stage::Connecting });
     }
 
-    /// Writes what waits, and disconnects where that fails.
+    /// Writes queued data, and disconnects if that fails.
     fn flush(&mut self) {
         let Some(connection) = self.connection.as_mut().filter(|c| c.stage != Stage::Connecting) else {
             return;
@@ -139,79 +140,79 @@
 
 impl Connection {
     /// Sends this member's hello once the link is connected.
-    fn connect(&mut self, waited_s: f64, hello: impl FnOnce() -> Vec<u8>) -> Result<(), Broken> {
+    fn connect(&mut self, waited_s: f64, hello: impl FnOnce() -> Vec<u8>) -> Result<(), LinkFailed> {
         if self.stage != Stage::Connecting {
             return Ok(());
         }
         match self.link.connected() {
             None if waited_s < CONNECT_TIMEOUT_S => Ok(()),
-            None | Some(Err(_)) => Err(Broken),
+            None | Some(Err(_)) => Err(LinkFailed),
             Some(Ok(())) => {
                 self.link.mark(Readiness { readable: true, writable: true });
                 self.link.push(hello());
-                self.stage = Stage::Greeted;
+                self.stage = Stage::HelloSent;
                 Ok(())
             }
         }
     }
 
-    /// Reads the peer's answer, if there is one.
+    /// Reads the peer's answer, if one has arrived.
     fn read_answer(&mut self) -> Polled {
         if self.stage == Stage::Connecting {
             return Polled::default();
         }
-        let broken = self.link.fill() != Filled::Open;
+        let failed = self.link.fill() != Filled::Open;
         match next_frame(self.link.data(), MAX_SERVER_FRAME_BYTES) {
-            Ok(None) => Polled { answer: None, broken },
-            Err(_) => Polled::broken(),
+            Ok(None) => Polled { answer: None, failed },
+            Err(_) => Polled::failed(),
             Ok(Some(frame)) => {
                 let length = frame.length;
                 let answer = serde_json::from_slice::<PeerAnswer>(frame.body).ok();
                 self.link.consume(length);
                 if answer.is_none() {
-                    return Polled::broken();
+                    return Polled::failed();
                 }
-                self.stage = Stage::Up;
-                Polled { answer, broken }
+                self.stage = Stage::Established;
+                Polled { answer, failed }
             }
         }
     }
 }
 
 impl PeerLinks {
-    /// Links to all other coordinators of the file; none is connected yet.
+    /// Returns links to all other configured coordinators, none of them connected yet.
     pub(super) fn new(file: &File) -> PeerLinks {
         let others = file.coordinators.iter().filter(|coordinator| coordinator.name != file.name);
         PeerLinks { peers: others.map(Peer::new).collect() }
     }
 
-    /// The buffers of the link with this number; `None` where it is not one of these.
+    /// Returns the link's buffers; `None` if it is not a link to a peer.
     pub(super) fn link(&mut self, id: LinkId) -> Option<&mut Link> {
         self.peers.iter_mut().find_map(|peer| peer.link_with_id(id))
     }
 
-    /// Sends a frame to the peer of this name, if it is connected.
+    /// Sends a frame to the peer with this name, if it is connected.
     pub(super) fn send(&mut self, name: &str, bytes: Vec<u8>) {
-        if let Some(peer) = self.peers.iter_mut().find(|peer| peer.is_up(name)) {
+        if let Some(peer) = self.peers.iter_mut().find(|peer| peer.is_established(name)) {
             peer.push(bytes);
         }
     }
 
-    /// Closes all links; they are made anew.
+    /// Closes all links; they are re-established by [`PeerLinks::poll`].
     pub(super) fn disconnect_all(&mut self) {
         for peer in &mut self.peers {
             peer.disconnect();
         }
     }
 
-    /// Writes what waits on all links.
+    /// Writes queued data on all links.
     pub(super) fn flush(&mut self) {
         for peer in &mut self.peers {
             peer.flush();
         }
     }
 
-    /// Connects to peers, sends each this member's hello, and returns what they have answered.
+    /// Connects to the peers, sends this member's hello to each, and returns their answers.
     pub(super) fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Vec<PeerAnswered> {
         let mut answers = Vec::new();
         for peer in &mut self.peers {
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -1,9 +1,9 @@
-//! The coordinator with its links: what is received goes in, and what it puts out is carried out.
+//! The server: passes received messages to the coordinator and executes its outputs.
 
 use super::clock::boot_time_s;
 use super::disk_thread::{self, JobResult, NumberedJob};
-use super::inbound::{InboundLinks, LinkState, Taken};
-use super::limits::MAX_FRAMES_AT_ONCE;
+use super::inbound::{InboundLinks, LinkState, ReadResult};
+use super::limits::MAX_FRAMES_PER_TURN;
 use super::peers::PeerLinks;
 use crate::config::File;
 use crate::coordinator::{Coordinator, Output};
@@ -20,7 +20,7 @@
 pub(super) struct Server {
     poll: Poll,
     acceptor: Acceptor,
-    /// On the boot clock: the coordinator's time is counted from here.
+    /// The zero of the coordinator's time, on the boot clock.
     started_at: f64,
     inbound: InboundLinks,
     peers: PeerLinks,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Processes what the event loop has gathered, and all that is due.
+    /// Processes the events gathered by the event loop, and periodic work.
     pub(super) fn poll_once(&mut self, gathered: &mut Gathered, results: Vec<JobResult>, path: &Path) {
         let now = boot_time_s() - self.started_at;
         for ready in gathered.take() {
@@ -78,7 +78,7 @@
                 if let Some(link) = self.link(id) {
                     link.mark(ready.readiness);
                 }
-                self.inbound.touch(id);
+                self.inbound.mark_readable(id);
             }
             _ => {}
         }
@@ -88,7 +88,7 @@
         self.inbound.link(id).or_else(|| self.peers.link(id))
     }
 
-    /// Applies the tasks of a valid file; all other changes need a restart.
+    /// Reloads the configuration file. Only its tasks and epoch are applied; other changes need a restart.
     fn reload(&mut self, now: f64, path: &Path) {
         match File::read(path) {
             Ok(file) => {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Connects to peers, and passes on what they answer.
+    /// Connects to peers and passes their answers to the coordinator.
     fn poll_peers(&mut self, now: f64) {
         let answers = self.peers.poll(now, &self.poll, || self.coordinator.peer_hello());
         for answered in answers {
@@ -121,25 +121,25 @@
     }
 
     fn receive(&mut self, now: f64) {
-        for id in self.inbound.take_touched(now) {
+        for id in self.inbound.take_readable(now) {
             self.receive_on(now, id);
         }
     }
 
     fn receive_on(&mut self, now: f64, id: LinkId) {
         let Some(mut state) = self.inbound.fill(now, id) else { return };
-        for count in 1..=MAX_FRAMES_AT_ONCE {
-            if count == MAX_FRAMES_AT_ONCE {
-                self.inbound.touch(id);
+        for count in 1..=MAX_FRAMES_PER_TURN {
+            if count == MAX_FRAMES_PER_TURN {
+                self.inbound.mark_readable(id);
             }
             let limit = self.coordinator.max_frame_bytes(id);
             let coordinator = &mut self.coordinator;
             let taken = self.inbound.take_frame(now, id, limit, |body| coordinator.receive(now, id, body));
             let cause = match taken {
-                Taken::Nothing => break,
-                Taken::Frame(Ok(())) => None,
-                Taken::Frame(Err(error)) => Some(error.to_string()),
-                Taken::TooLong(cause) => Some(cause),
+                ReadResult::Nothing => break,
+                ReadResult::Frame(Ok(())) => None,
+                ReadResult::Frame(Err(error)) => Some(error.to_string()),
+                ReadResult::TooLong(cause) => Some(cause),
             };
             self.execute_outputs();
             if let Some(cause) = cause {
@@ -168,11 +168,11 @@
                     }
                 }
                 Output::Close(id) => self.inbound.start_closing(id),
-                // The consensus library repeats what is lost.
+                // The Raft library resends lost messages.
                 Output::Peer(name, bytes) => self.peers.send(&name, bytes),
                 Output::ReconnectPeers => self.peers.disconnect_all(),
                 Output::Disk(number, job) => {
-                    // The thread ends only with this server.
+                    // The send can't fail, since the thread ends only with this server.
                     let _ = self.disk_jobs.send(NumberedJob { number, job });
                 }
                 Output::Log(event) => event.emit(),
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -85,9 +85,9 @@
         ("epoch = 1", "", "line 1: missing field `epoch`"),
         ("epoch = 1", "epoch = \"one\"", "line 7: invalid type: string \"one\", expected u64"),
         ("write_overdue_ms = 1000", "write_overdue_ms = 10", "write_overdue_ms is 10; expected 50 to 60000"),
-        ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\", which no [[coordinator]] has"),
-        ("127.0.0.1:7102", "127.0.0.1:7101", "coordinator c2: its name or address is another's as well"),
-        ("nightly-report", "totals", "task totals: named twice"),
+        ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\"; expected the name of a [[coordinator]]"),
+        ("127.0.0.1:7102", "127.0.0.1:7101", "coordinator c2: duplicate name or address"),
+        ("nightly-report", "totals", "task totals: duplicate name"),
         ("ttl_ms = 3000", "ttl_ms = 3", "task totals.ttl_ms is 3; expected 500 to 600000"),
         ("\"totals\"", "\"to tals\"", "task.name is \"to tals\"; expected letters, digits, - _ . and at most 64 of them"),
     ];
