--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -1,6 +1,6 @@
 //! Semantic validation of the configuration file.
 
-use super::{ConfigError, File, Overload};
+use super::{ConfigError, ConfigFile, Overload};
 use crate::state_machine::LATEST_VERSION;
 use port_worker::fleet::frame::{is_valid_name, MAX_TASKS};
 
@@ -14,7 +14,7 @@
 const MAX_CALLS_PART: f64 = 1e6;
 const MAX_RETRY_PERCENT: f64 = 100.0;
 
-impl File {
+impl ConfigFile {
     /// Validates the file. Checks run in a fixed order, so that a file with several errors always reports the same one.
     pub(super) fn check(&self) -> Result<(), ConfigError> {
         self.check_names()?;
--- a/fleet-coordinator/src/config/error.rs
+++ b/fleet-coordinator/src/config/error.rs
@@ -16,7 +16,7 @@
     },
     /// The file was read but is invalid.
     #[error("{}: {source}", path.display())]
-    File {
+    Invalid {
         /// The file.
         path: PathBuf,
         /// The error in it.
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -16,7 +16,7 @@
 /// The content of the configuration file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct File {
+pub struct ConfigFile {
     /// The fleet's name.
     pub fleet: String,
     /// This coordinator's name.
@@ -78,24 +78,24 @@
     LATEST_VERSION
 }
 
-impl File {
+impl ConfigFile {
     /// Reads and validates a configuration file.
     ///
     /// # Errors
     /// One line with the file, the key and the expected value.
-    pub fn read(path: &Path) -> Result<File, ConfigError> {
+    pub fn read(path: &Path) -> Result<ConfigFile, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
-        File::decode(&text)
-            .map_err(|error| ConfigError::File { path: path.to_owned(), source: Box::new(error) })
+        ConfigFile::decode(&text)
+            .map_err(|error| ConfigError::Invalid { path: path.to_owned(), source: Box::new(error) })
     }
 
     /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
     /// One line with the key and the expected value.
-    pub fn decode(text: &str) -> Result<File, ConfigError> {
-        let file: File = toml::from_str(text).map_err(|error| {
+    pub fn decode(text: &str) -> Result<ConfigFile, ConfigError> {
+        let file: ConfigFile = toml::from_str(text).map_err(|error| {
             let line = error.span().map_or(1, |span| line_of(text, span.start));
             ConfigError::Syntax { line, source: Box::new(error) }
         })?;
@@ -112,7 +112,7 @@
 
     /// Returns the keys whose value differs in `other` and that are applied only at a restart: all except `epoch` and `task`.
     #[must_use]
-    pub fn restart_keys(&self, other: &File) -> Vec<&'static str> {
+    pub fn restart_keys(&self, other: &ConfigFile) -> Vec<&'static str> {
         let changes = [
             ("fleet", self.fleet != other.fleet),
             ("name", self.name != other.name),
--- a/fleet-coordinator/src/config/tests.rs
+++ b/fleet-coordinator/src/config/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn an_unusable_file_is_rejected_with_one_line_that_says_what_was_expected() {
     let good = include_str!("../../../deploy/coordinator.toml");
-    let file = File::decode(good).unwrap();
+    let file = ConfigFile::decode(good).unwrap();
     assert_eq!(file.listen_address().unwrap().port(), 7101);
     for (from, to, expected) in [
         ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\"; expected the name of a [[coordinator]]"),
@@ -25,7 +25,7 @@
     ] {
         let text = good.replacen(from, to, 1);
         assert_ne!(text, good, "{from} is not in the file");
-        let error = File::decode(&text).expect_err(expected).to_string();
+        let error = ConfigFile::decode(&text).expect_err(expected).to_string();
         assert!(error.starts_with(expected) && !error.contains('\n'), "{error}, not {expected}");
     }
 }
@@ -33,11 +33,11 @@
 #[test]
 fn keys_that_need_a_restart_are_named_in_the_order_of_the_file_and_epoch_and_tasks_are_not_among_them() {
     let shipped = include_str!("../../../deploy/coordinator.toml");
-    let file = File::decode(shipped).unwrap();
+    let file = ConfigFile::decode(shipped).unwrap();
     let changed = |from: &str, to: &str| {
         let text = shipped.replacen(from, to, 1);
         assert_ne!(text, shipped, "{from} is not in the file");
-        file.restart_keys(&File::decode(&text).unwrap())
+        file.restart_keys(&ConfigFile::decode(&text).unwrap())
     };
     assert_eq!(changed("epoch = 1", "epoch = 2"), [""; 0]);
     assert_eq!(changed("ttl_ms = 3000", "ttl_ms = 4000"), [""; 0]);
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -18,7 +18,7 @@
 mod peers;
 mod server;
 
-use crate::config::{ConfigError, File};
+use crate::config::{ConfigError, ConfigFile};
 use crate::events::ServerEvent;
 use calloop::channel::{channel, Channel, Event as ChannelEvent, Sender};
 use calloop::signals::{Signal, Signals};
@@ -85,7 +85,7 @@
 /// # Errors
 /// The reason why it can't run, in one line.
 pub fn run(path: &Path, log: &LogHandle) -> Result<(), NetError> {
-    let file = File::read(path)?;
+    let file = ConfigFile::read(path)?;
     let mut event_loop: EventLoop<Gathered> =
         EventLoop::try_new().map_err(NetError::event_loop("event loop"))?;
     let handle = event_loop.handle();
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-fn listen(poll: &Poll, file: &File) -> Result<Acceptor, NetError> {
+fn listen(poll: &Poll, file: &ConfigFile) -> Result<Acceptor, NetError> {
     let address = file.listen_address().ok_or(NetError::NoListenAddress)?;
     Acceptor::bind(poll, address, Source::CoordinatorListener)
         .map_err(|source| NetError::Listen { address, source })
@@ -156,7 +156,7 @@
     Ok(())
 }
 
-fn start_server(poll: Poll, acceptor: Acceptor, file: File, results: Sender<JobResult>) -> Server {
+fn start_server(poll: Poll, acceptor: Acceptor, file: ConfigFile, results: Sender<JobResult>) -> Server {
     let started_at = boot_time_s();
     let seed = u64::from(std::process::id()) << 32 ^ (started_at * 1e9) as u64;
     Server::new(poll, acceptor, file, results, started_at, seed)
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -1,7 +1,7 @@
 //! Outgoing links to the other coordinators.
 
 use super::limits::MAX_QUEUED_BYTES;
-use crate::config::{CoordinatorEntry, File};
+use crate::config::{ConfigFile, CoordinatorEntry};
 use crate::coordinator::{next_frame, PeerAnswer, MAX_PEER_FRAME_BYTES};
 use crate::ids::LinkId;
 use port_worker::fleet::frame::MAX_SERVER_FRAME_BYTES;
@@ -181,7 +181,7 @@
 
 impl PeerLinks {
     /// Returns links to all other configured coordinators, none of them connected yet.
-    pub(super) fn new(file: &File) -> PeerLinks {
+    pub(super) fn new(file: &ConfigFile) -> PeerLinks {
         let others = file.coordinators.iter().filter(|coordinator| coordinator.name != file.name);
         PeerLinks { peers: others.map(Peer::new).collect() }
     }
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -5,7 +5,7 @@
 use super::inbound::{InboundLinks, LinkState, ReadResult};
 use super::limits::MAX_FRAMES_PER_TURN;
 use super::peers::PeerLinks;
-use crate::config::File;
+use crate::config::ConfigFile;
 use crate::coordinator::{Coordinator, Output};
 use crate::events::ServerEvent;
 use crate::ids::LinkId;
@@ -26,14 +26,14 @@
     peers: PeerLinks,
     disk_jobs: mpsc::Sender<NumberedJob>,
     coordinator: Coordinator,
-    pub(super) file: File,
+    pub(super) file: ConfigFile,
 }
 
 impl Server {
     pub(super) fn new(
         poll: Poll,
         acceptor: Acceptor,
-        file: File,
+        file: ConfigFile,
         results: Sender<JobResult>,
         started_at: f64,
         seed: u64,
@@ -90,7 +90,7 @@
 
     /// Reloads the configuration file. Only its tasks and epoch are applied; other changes need a restart.
     fn reload(&mut self, now: f64, path: &Path) {
-        match File::read(path) {
+        match ConfigFile::read(path) {
             Ok(file) => {
                 ServerEvent::ConfigReloaded { epoch: file.epoch, tasks: file.tasks.len() }.emit();
                 let keys = self.file.restart_keys(&file);
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -1,6 +1,6 @@
 //! The coordinators' file: values that the shipped one decodes to, and the line for one that can't be used.
 
-use fleet_coordinator::config::File;
+use fleet_coordinator::config::ConfigFile;
 use fleet_coordinator::coordinator::CoordinatorAddress;
 use fleet_coordinator::state_machine::LATEST_VERSION;
 use std::path::Path;
@@ -9,7 +9,7 @@
 
 #[test]
 fn the_shipped_file_decodes_to_its_values_and_defaults() {
-    let file = File::decode(SHIPPED).unwrap();
+    let file = ConfigFile::decode(SHIPPED).unwrap();
 
     assert_eq!(file.fleet, "polderlijn");
     assert_eq!(file.name, "c1");
@@ -34,7 +34,7 @@
 
 #[test]
 fn every_key_is_read_and_reaches_the_coordinator_config() {
-    let file = File::decode(concat!(
+    let file = ConfigFile::decode(concat!(
         "fleet = 'f'\nname = 'a'\nfolder = '/data'\nlisten = '0.0.0.0:9'\nepoch = 7\n",
         "write_overdue_ms = 250\nversion = 1\n",
         "[[coordinator]]\nname = 'a'\naddress = '[::1]:1'\n",
@@ -71,10 +71,10 @@
         .replace("#[overload]", "[overload]")
         .replace("#calls_part", "calls_part")
         .replace("#retry_percent", "retry_percent");
-    let overload = File::decode(&text).unwrap().overload.unwrap();
+    let overload = ConfigFile::decode(&text).unwrap().overload.unwrap();
     assert_eq!((overload.calls_part, overload.retry_percent), (4.0, 10.0));
     let without = text.replace("retry_percent = 10.0", "");
-    assert_eq!(File::decode(&without).unwrap().overload, Some(overload), "10 percent is the default");
+    assert_eq!(ConfigFile::decode(&without).unwrap().overload, Some(overload), "10 percent is the default");
 }
 
 #[test]
@@ -94,12 +94,12 @@
     for (from, to, expected) in cases {
         let text = SHIPPED.replacen(from, to, 1);
         assert_ne!(text, SHIPPED, "{from} is not in the file");
-        assert_eq!(File::decode(&text).unwrap_err().to_string(), expected);
+        assert_eq!(ConfigFile::decode(&text).unwrap_err().to_string(), expected);
     }
 }
 
 #[test]
 fn a_file_that_cannot_be_read_is_named() {
-    let error = File::read(Path::new("/nowhere/coordinator.toml")).unwrap_err().to_string();
+    let error = ConfigFile::read(Path::new("/nowhere/coordinator.toml")).unwrap_err().to_string();
     assert_eq!(error, "/nowhere/coordinator.toml: No such file or directory (os error 2)");
 }
--- a/fleet-coordinator/tests/operator_file.rs
+++ b/fleet-coordinator/tests/operator_file.rs
@@ -1,11 +1,11 @@
 //! Pins coordinators' files: what came with the program at commit c001dc7 stands under the root's
 //! `tests/fixtures/operator_files` and must go on being read with the same meaning. Tests never write there.
 
-use fleet_coordinator::config::{File, Overload};
+use fleet_coordinator::config::{ConfigFile, Overload};
 use std::path::Path;
 
-fn read(path: &str) -> File {
-    File::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(path)).unwrap()
+fn read(path: &str) -> ConfigFile {
+    ConfigFile::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(path)).unwrap()
 }
 
 fn text_of_every_key() -> String {
@@ -63,7 +63,7 @@
     }
     assert_eq!(wrong.len(), 4);
     for text in wrong {
-        let error = File::decode(&text).expect_err(&text).to_string();
+        let error = ConfigFile::decode(&text).expect_err(&text).to_string();
         assert!(error.contains("unknown field `misspelt`"), "{error}");
     }
 }
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -2,7 +2,7 @@
 //! States are compared as JSON, which is how they are stored. `fixtures/README.md` says what the folders hold.
 
 use durable_log::{Folder, Store};
-use fleet_coordinator::config::File;
+use fleet_coordinator::config::ConfigFile;
 use fleet_coordinator::coordinator::{Coordinator, Output};
 use fleet_coordinator::ids::{MemberId, SessionId};
 use fleet_coordinator::replica::{
@@ -99,7 +99,7 @@
 fn start_c3(folder: &Path) -> Coordinator {
     let text =
         include_str!("../../deploy/coordinator.toml").replacen("name = \"c1\"  ", "name = \"c3\"  ", 1);
-    let config = File::decode(&text).unwrap().coordinator_config();
+    let config = ConfigFile::decode(&text).unwrap().coordinator_config();
     let mut coordinator = Coordinator::new(0.0, config, 1);
     let mut store: Option<Store<Folder>> = None;
     loop {
