--- a/durable-log/src/tests.rs
+++ b/durable-log/src/tests.rs
@@ -16,9 +16,9 @@
 }
 
 /// Returns all recovered values, in order, from the snapshot and the records.
-fn values(found: &Recovered) -> Vec<u8> {
-    let mut all = found.snapshot.clone().unwrap_or_default();
-    all.extend(found.records.iter().map(|record| record.body[0]));
+fn values(recovered: &Recovered) -> Vec<u8> {
+    let mut all = recovered.snapshot.clone().unwrap_or_default();
+    all.extend(recovered.records.iter().map(|record| record.body[0]));
     all
 }
 
@@ -54,24 +54,24 @@
             disk.fail_at(Some(call));
             let (acknowledged, attempted) = run_history(&disk, 8);
             disk.lose_power(&mut random_source(seed));
-            let (_, found) = Store::open(disk, values).unwrap();
-            let recovered = values(&found);
+            let (_, recovered) = Store::open(disk, values).unwrap();
+            let recovered_values = values(&recovered);
             assert!(
-                recovered.starts_with(&acknowledged) && attempted.starts_with(&recovered),
-                "call {call}, seed {seed}: acknowledged {acknowledged:?}, attempted {attempted:?}, found {recovered:?} {:?}",
-                found.dropped
+                recovered_values.starts_with(&acknowledged) && attempted.starts_with(&recovered_values),
+                "call {call}, seed {seed}: acknowledged {acknowledged:?}, attempted {attempted:?}, recovered {recovered_values:?} {:?}",
+                recovered.dropped
             );
             assert!(
-                !found.damaged,
+                !recovered.damaged,
                 "call {call}, seed {seed}: a crash was reported as damage: {:?}",
-                found.dropped
+                recovered.dropped
             );
         }
     }
 }
 
 #[test]
-fn repeated_power_losses_keep_what_was_acknowledged() {
+fn repeated_power_losses_keep_acknowledged_data() {
     for seed in 0..40 {
         let mut random = random_source(seed + 1000);
         let disk = SimulatedDisk::new();
@@ -79,9 +79,9 @@
         for _ in 0..25 {
             disk.fail_at(Some(disk.calls() + 1 + random(40) as u64));
             let mut attempted = acknowledged.clone();
-            if let Ok((mut store, found)) = Store::open(disk.clone(), values) {
-                assert!(values(&found).starts_with(&acknowledged), "seed {seed}");
-                acknowledged = values(&found);
+            if let Ok((mut store, recovered)) = Store::open(disk.clone(), values) {
+                assert!(values(&recovered).starts_with(&acknowledged), "seed {seed}");
+                acknowledged = values(&recovered);
                 attempted.clone_from(&acknowledged);
                 while attempted.len() < 200 {
                     attempted.push(random(250) as u8);
@@ -101,7 +101,7 @@
 
 /// Checks the test itself: with a disk that ignores file syncs, acknowledged data is lost for some seed.
 #[test]
-fn without_syncs_the_same_check_finds_a_loss() {
+fn a_disk_that_ignores_file_syncs_loses_acknowledged_data() {
     #[derive(Clone)]
     struct Unsynced(SimulatedDisk);
     impl Disk for Unsynced {
@@ -149,16 +149,19 @@
     }
     let torn_tail = disk.copy();
     disk.corrupt_byte("log.1", HEADER_BYTES + 20 + 6);
-    let (_, found) = Store::open(disk, values).unwrap();
-    assert!(found.damaged && values(&found) == [1], "{found:?}");
+    let (_, recovered) = Store::open(disk, values).unwrap();
+    assert!(recovered.damaged && values(&recovered) == [1], "{recovered:?}");
     let rest = "log.1: 176 bytes after record 1: corrupt record followed by complete ones";
-    assert_eq!(found.dropped[0].to_string(), rest);
+    assert_eq!(recovered.dropped[0].to_string(), rest);
     let length = torn_tail.lengths().iter().find(|(name, _)| name == "log.1").unwrap().1;
     torn_tail.corrupt_byte("log.1", length - 1);
-    let (_, found) = Store::open(torn_tail, values).unwrap();
-    assert!(!found.damaged && values(&found) == [1, 2, 3, 4] && found.dropped.len() == 1, "{found:?}");
+    let (_, recovered) = Store::open(torn_tail, values).unwrap();
+    assert!(
+        !recovered.damaged && values(&recovered) == [1, 2, 3, 4] && recovered.dropped.len() == 1,
+        "{recovered:?}"
+    );
     let rest = "log.1: 44 bytes after record 4: incomplete record";
-    assert_eq!(found.dropped[0].to_string(), rest);
+    assert_eq!(recovered.dropped[0].to_string(), rest);
 }
 
 #[test]
@@ -168,9 +171,9 @@
     store.append(&[[1u8]]).unwrap();
     store.replace(&[1]).unwrap();
     disk.corrupt_byte("snapshot", MAGIC.len() + HEADER_BYTES);
-    let (_, found) = Store::open(disk, values).unwrap();
-    assert!(found.damaged && found.snapshot.is_none(), "{found:?}");
-    let dropped: Vec<String> = found.dropped.iter().map(ToString::to_string).collect();
+    let (_, recovered) = Store::open(disk, values).unwrap();
+    assert!(recovered.damaged && recovered.snapshot.is_none(), "{recovered:?}");
+    let dropped: Vec<String> = recovered.dropped.iter().map(ToString::to_string).collect();
     assert_eq!(dropped, ["snapshot: 33 unreadable bytes"]);
 }
 
@@ -186,24 +189,24 @@
         matches!(store.append(&[[3u8]]), Err(StoreError::PreviousWriteFailed)),
         "a write was accepted after a failed one"
     );
-    let (mut store, found) = Store::open(disk.clone(), values).unwrap();
-    assert_eq!(values(&found), [1]);
+    let (mut store, recovered) = Store::open(disk.clone(), values).unwrap();
+    assert_eq!(values(&recovered), [1]);
     store.append(&[[4u8]]).unwrap();
     assert_eq!(values(&Store::open(disk, values).unwrap().1), [1, 4]);
 }
 
 #[test]
-fn a_system_folder_keeps_records_and_locks_out_a_second_process() {
+fn a_folder_keeps_records_and_is_locked_against_a_second_process() {
     let path = std::env::temp_dir().join(format!("durable-log-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    let (mut store, found) = Store::open(Folder::lock(&path).unwrap(), values).unwrap();
-    assert_eq!(found, Recovered::default());
+    let (mut store, recovered) = Store::open(Folder::lock(&path).unwrap(), values).unwrap();
+    assert_eq!(recovered, Recovered::default());
     store.append(&[[1u8], [2]]).unwrap();
     store.replace(&[1, 2]).unwrap();
     store.append(&[[3u8]]).unwrap();
     assert!(Folder::lock(&path).is_err());
     drop(store);
-    let (_, found) = Store::open(Folder::lock(&path).unwrap(), values).unwrap();
-    assert_eq!(values(&found), [1, 2, 3]);
+    let (_, recovered) = Store::open(Folder::lock(&path).unwrap(), values).unwrap();
+    assert_eq!(values(&recovered), [1, 2, 3]);
     std::fs::remove_dir_all(&path).unwrap();
 }
--- a/fleet-coordinator/src/config/tests.rs
+++ b/fleet-coordinator/src/config/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn an_unusable_file_is_rejected_with_one_line_that_says_what_was_expected() {
-    let good = include_str!("../../../deploy/coordinator.toml");
-    let file = ConfigFile::decode(good).unwrap();
+fn an_invalid_file_is_rejected_with_one_line_that_names_the_expected_value() {
+    let valid = include_str!("../../../deploy/coordinator.toml");
+    let file = ConfigFile::decode(valid).unwrap();
     assert_eq!(file.listen_address().unwrap().port(), 7101);
     for (from, to, expected) in [
         ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\"; expected the name of a [[coordinator]]"),
@@ -23,20 +23,20 @@
             "coordinator: found 2; expected an odd number",
         ),
     ] {
-        let text = good.replacen(from, to, 1);
-        assert_ne!(text, good, "{from} is not in the file");
+        let text = valid.replacen(from, to, 1);
+        assert_ne!(text, valid, "{from} is not in the file");
         let error = ConfigFile::decode(&text).expect_err(expected).to_string();
         assert!(error.starts_with(expected) && !error.contains('\n'), "{error}, not {expected}");
     }
 }
 
 #[test]
-fn keys_that_need_a_restart_are_named_in_the_order_of_the_file_and_epoch_and_tasks_are_not_among_them() {
-    let shipped = include_str!("../../../deploy/coordinator.toml");
-    let file = ConfigFile::decode(shipped).unwrap();
+fn restart_keys_are_listed_in_file_order_without_epoch_and_tasks() {
+    let valid = include_str!("../../../deploy/coordinator.toml");
+    let file = ConfigFile::decode(valid).unwrap();
     let changed = |from: &str, to: &str| {
-        let text = shipped.replacen(from, to, 1);
-        assert_ne!(text, shipped, "{from} is not in the file");
+        let text = valid.replacen(from, to, 1);
+        assert_ne!(text, valid, "{from} is not in the file");
         file.restart_keys(&ConfigFile::decode(&text).unwrap())
     };
     assert_eq!(changed("epoch = 1", "epoch = 2"), [""; 0]);
--- a/fleet-coordinator/src/leader_state/granting.rs
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -14,7 +14,7 @@
 
 /// A worker and a task at which it failed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct HolderOfTask {
+pub(super) struct BackoffKey {
     task: String,
     worker: String,
 }
@@ -51,7 +51,7 @@
             for (worker, failure) in by_name {
                 let log_until_ms = failure.backoff_until_ms;
                 let remaining_s = log_until_ms.saturating_sub(state.log_time_ms) as f64 / 1000.0;
-                let key = HolderOfTask { task: task.clone(), worker: worker.clone() };
+                let key = BackoffKey { task: task.clone(), worker: worker.clone() };
                 let backoff = self.backoffs.entry(key).or_insert(Backoff { log_until_ms: 0, until: now });
                 if backoff.log_until_ms != log_until_ms {
                     backoff.log_until_ms = log_until_ms;
@@ -92,7 +92,7 @@
         // Of two processes with the same name, the older one is granted leases; it hands them off when it leaves.
         let has_older_process = state.sessions.iter().any(|(other, s)| *other < id && s.name == session.name);
         let ready = live.link.is_some() && live.closing_since.is_none() && now < live.expires_at;
-        let key = HolderOfTask { task: task.name.clone(), worker: session.name.clone() };
+        let key = BackoffKey { task: task.name.clone(), worker: session.name.clone() };
         let in_backoff = self.backoffs.get(&key).is_some_and(|backoff| now < backoff.until);
         if has_older_process || !ready || in_backoff {
             return None;
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -22,7 +22,7 @@
 use crate::ids::SessionId;
 use crate::lease_clock::{LeaseClock, ReadIndexQueue};
 use crate::state_machine::{Command, LeaseStateMachine, LogEntry, Outcome, Rejection};
-use granting::{Backoff, HolderOfTask, PendingGrant};
+use granting::{Backoff, BackoffKey, PendingGrant};
 use port_worker::fleet::frame::{Counters, FleetTotals, ServerMessage};
 use port_worker::fleet::overload::events::OverloadEvent;
 use port_worker::fleet::overload::leader::{Leader, Settings};
@@ -115,7 +115,7 @@
     hand_offs: BTreeMap<u64, HandOff>,
     /// Grants that were proposed and are not applied yet, by task.
     pending_grants: BTreeMap<String, PendingGrant>,
-    backoffs: BTreeMap<HolderOfTask, Backoff>,
+    backoffs: BTreeMap<BackoffKey, Backoff>,
     renewals: ReadIndexQueue<Renewal>,
     /// The last queue position assigned.
     last_queue_position: u64,
--- a/fleet-coordinator/src/leader_state/tests.rs
+++ b/fleet-coordinator/src/leader_state/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_renewal_is_answered_with_no_more_than_was_counted_when_it_was_received() {
+fn a_renewal_is_answered_with_at_most_the_ttl_in_force_at_its_receipt() {
     let mut state = LeaseStateMachine::default();
     apply(&mut state, 0, set_tasks(1, 1000, 0));
     apply(&mut state, 0, open_session());
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_failed_holder_s_backoff_goes_on_under_the_next_leader() {
+fn a_backoff_continues_under_the_next_leader() {
     let mut state = LeaseStateMachine::default();
     apply(&mut state, 0, set_tasks(1, 1000, 4000));
     apply(&mut state, 0, open_session());
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -21,7 +21,7 @@
 }
 
 /// A peer's answer to this member's hello.
-pub(super) struct PeerAnswered {
+pub(super) struct ReceivedAnswer {
     /// The peer's name.
     pub(super) peer: String,
     pub(super) answer: PeerAnswer,
@@ -55,16 +55,16 @@
 
 /// The result of polling a peer's link.
 #[derive(Default)]
-struct Polled {
+struct PollResult {
     /// The peer's answer, if one was received; also if the link has ended after it.
     answer: Option<PeerAnswer>,
     /// Whether the link failed and must be re-established.
     failed: bool,
 }
 
-impl Polled {
-    fn failed() -> Polled {
-        Polled { answer: None, failed: true }
+impl PollResult {
+    fn failed() -> PollResult {
+        PollResult { answer: None, failed: true }
     }
 }
 
@@ -100,7 +100,7 @@
     }
 
     /// Connects to the peer or reads its answer.
-    fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Option<PeerAnswered> {
+    fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Option<ReceivedAnswer> {
         let waited_s = now - self.connect_started_at;
         let Some(connection) = &mut self.connection else {
             self.start_connecting(now, poll);
@@ -108,12 +108,12 @@
         };
         let polled = match connection.connect(waited_s, hello) {
             Ok(()) => connection.read_answer(),
-            Err(LinkFailed) => Polled::failed(),
+            Err(LinkFailed) => PollResult::failed(),
         };
         if polled.failed {
             self.connection = None;
         }
-        polled.answer.map(|answer| PeerAnswered { peer: self.name.clone(), answer })
+        polled.answer.map(|answer| ReceivedAnswer { peer: self.name.clone(), answer })
     }
 
     fn start_connecting(&mut self, now: f64, poll: &Poll) {
@@ -157,23 +157,23 @@
     }
 
     /// Reads the peer's answer, if one has arrived.
-    fn read_answer(&mut self) -> Polled {
+    fn read_answer(&mut self) -> PollResult {
         if self.stage == Stage::Connecting {
-            return Polled::default();
+            return PollResult::default();
         }
         let failed = self.link.fill() != Filled::Open;
         match next_frame(self.link.data(), MAX_SERVER_FRAME_BYTES) {
-            Ok(None) => Polled { answer: None, failed },
-            Err(_) => Polled::failed(),
+            Ok(None) => PollResult { answer: None, failed },
+            Err(_) => PollResult::failed(),
             Ok(Some(frame)) => {
                 let length = frame.length;
                 let answer = serde_json::from_slice::<PeerAnswer>(frame.body).ok();
                 self.link.consume(length);
                 if answer.is_none() {
-                    return Polled::failed();
+                    return PollResult::failed();
                 }
                 self.stage = Stage::Established;
-                Polled { answer, failed }
+                PollResult { answer, failed }
             }
         }
     }
@@ -213,7 +213,7 @@
     }
 
     /// Connects to the peers, sends this member's hello to each, and returns their answers.
-    pub(super) fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Vec<PeerAnswered> {
+    pub(super) fn poll(&mut self, now: f64, poll: &Poll, hello: impl Fn() -> Vec<u8>) -> Vec<ReceivedAnswer> {
         let mut answers = Vec::new();
         for peer in &mut self.peers {
             answers.extend(peer.poll(now, poll, &hello));
--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -106,7 +106,7 @@
         let Some(job) = self.pending_jobs.pop_front() else { return };
         debug_assert_eq!(job.number, number, "results of disk jobs out of order");
         match result {
-            DiskResult::Opened(recovered) => self.on_opened(now, now - job.started_at, &recovered),
+            DiskResult::Opened(recovered) => self.on_store_opened(now, now - job.started_at, &recovered),
             DiskResult::Written => {
                 if self.node.is_some() {
                     self.on_persisted(Some(number));
--- a/fleet-coordinator/src/replica/membership.rs
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -23,7 +23,7 @@
     UnknownCoordinator(String),
     /// The coordinator with this name is the leader, so it has not lost its disk.
     #[error("{0} is the leader, which can't be replaced")]
-    Leads(String),
+    IsLeader(String),
     /// The Raft library changes one member at a time.
     #[error("another membership change is in progress")]
     ChangePending,
@@ -134,7 +134,7 @@
         let old = self.state_machine.member(name);
         let old = old.ok_or_else(|| ReplaceError::UnknownCoordinator(name.to_owned()))?;
         if old == self.member {
-            return Err(ReplaceError::Leads(name.to_owned()));
+            return Err(ReplaceError::IsLeader(name.to_owned()));
         }
         let replacement = self.state_machine.last_member.next();
         if !self.change_members(ConfChangeType::RemoveNode, old, Some(replacement)) {
--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -37,7 +37,7 @@
     /// Processes the library's output until there is no more.
     pub(super) fn process_ready(&mut self, now: f64) {
         while let Some(ready) = self.next_ready() {
-            if let Err(UnreadableSnapshot(error)) = self.process_one(now, ready) {
+            if let Err(UnreadableSnapshot(error)) = self.process_one_ready(now, ready) {
                 return self.suspend(now, SuspensionCause::UnreadableLeaderSnapshot(error.to_string()));
             }
         }
@@ -48,7 +48,7 @@
         self.node.as_mut().filter(|node| node.has_ready()).map(raft::RawNode::ready)
     }
 
-    fn process_one(&mut self, now: f64, mut ready: Ready) -> Result<(), UnreadableSnapshot> {
+    fn process_one_ready(&mut self, now: f64, mut ready: Ready) -> Result<(), UnreadableSnapshot> {
         send(&mut self.outputs, ready.take_messages());
         let mut records = Vec::new();
         let mut snapshot_index = None;
--- a/fleet-coordinator/src/replica/scan/mod.rs
+++ b/fleet-coordinator/src/replica/scan/mod.rs
@@ -33,38 +33,38 @@
 }
 
 /// The fields of a message that are themselves messages, by field number.
-pub struct Shape(&'static [(u64, &'static Shape)]);
+pub struct MessageFields(&'static [(u64, &'static MessageFields)]);
 
-const FLAT: Shape = Shape(&[]);
-const METADATA: Shape = Shape(&[(1, &FLAT)]);
-const SNAPSHOT: Shape = Shape(&[(2, &METADATA)]);
+const NO_MESSAGE_FIELDS: MessageFields = MessageFields(&[]);
+const METADATA_FIELDS: MessageFields = MessageFields(&[(1, &NO_MESSAGE_FIELDS)]);
+const SNAPSHOT_FIELDS: MessageFields = MessageFields(&[(2, &METADATA_FIELDS)]);
 
 /// A message of the Raft library whose nested messages are known.
-pub trait Shaped: Message {
+pub trait NestedMessages: Message {
     /// The fields that are messages.
-    const SHAPE: Shape = FLAT;
+    const MESSAGE_FIELDS: MessageFields = NO_MESSAGE_FIELDS;
 }
 
-impl Shaped for Entry {}
-impl Shaped for HardState {}
-impl Shaped for ConfChange {}
-impl Shaped for Snapshot {
-    const SHAPE: Shape = SNAPSHOT;
+impl NestedMessages for Entry {}
+impl NestedMessages for HardState {}
+impl NestedMessages for ConfChange {}
+impl NestedMessages for Snapshot {
+    const MESSAGE_FIELDS: MessageFields = SNAPSHOT_FIELDS;
 }
-impl Shaped for RaftMessage {
-    const SHAPE: Shape = Shape(&[(7, &FLAT), (9, &SNAPSHOT)]);
+impl NestedMessages for RaftMessage {
+    const MESSAGE_FIELDS: MessageFields = MessageFields(&[(7, &NO_MESSAGE_FIELDS), (9, &SNAPSHOT_FIELDS)]);
 }
 
 /// Parses a message and rejects groups.
 ///
 /// # Errors
 /// The data is not a valid message or contains a group.
-pub fn parse<M: Shaped>(bytes: &[u8]) -> Result<M, ParseError> {
-    reject_groups(bytes, &M::SHAPE)?;
+pub fn parse<M: NestedMessages>(bytes: &[u8]) -> Result<M, ParseError> {
+    reject_groups(bytes, &M::MESSAGE_FIELDS)?;
     Ok(M::parse_from_bytes(bytes)?)
 }
 
-fn reject_groups(bytes: &[u8], shape: &Shape) -> Result<(), ParseError> {
+fn reject_groups(bytes: &[u8], fields: &MessageFields) -> Result<(), ParseError> {
     let mut at = 0usize;
     while at < bytes.len() {
         let key = read_varint(bytes, &mut at).ok_or(ParseError::TruncatedKey)?;
@@ -78,7 +78,7 @@
         let end = length.and_then(|length| at.checked_add(usize::try_from(length).ok()?));
         let field = end.and_then(|end| bytes.get(at..end)).ok_or(ParseError::TruncatedField)?;
         let is_message = |number: u64| key == number << WIRE_TYPE_BITS | LENGTH_DELIMITED;
-        if let Some((_, inner)) = shape.0.iter().find(|(number, _)| is_message(*number)) {
+        if let Some((_, inner)) = fields.0.iter().find(|(number, _)| is_message(*number)) {
             reject_groups(field, inner)?;
         }
         at += field.len();
--- a/fleet-coordinator/src/replica/startup.rs
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -46,7 +46,7 @@
         self.start(now, log);
     }
 
-    pub(super) fn on_opened(&mut self, now: f64, took_s: f64, recovered: &Recovered) {
+    pub(super) fn on_store_opened(&mut self, now: f64, took_s: f64, recovered: &Recovered) {
         if !matches!(self.status, MemberStatus::Recovering | MemberStatus::Suspended(_)) {
             return;
         }
--- a/fleet-coordinator/src/state_machine/sessions.rs
+++ b/fleet-coordinator/src/state_machine/sessions.rs
@@ -45,7 +45,7 @@
                 return Err(Rejection::InvalidName(text.to_owned()));
             }
         }
-        // The same process asked again, over another link or another leader: it keeps its session.
+        // The same process repeated its request, over another link or to another leader: it keeps its session.
         if let Some(id) = self.session_of(name, incarnation) {
             return Ok(Outcome::Opened(id));
         }
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_task_has_one_holder_and_tokens_only_grow() {
+fn a_task_has_one_holder_and_tokens_only_increase() {
     let state = run(vec![
         (0, grant(1), "UnknownTask"),
         (0, tasks(1, 3000), "Done"),
@@ -116,11 +116,12 @@
 }
 
 #[test]
-fn a_period_is_begun_once_unless_its_call_surely_had_no_effect() {
-    let ready = [(0, tasks(1, 3000), "Done"), (0, open(1), "Opened"), (0, grant(1), "Granted")];
-    let with = |more: Vec<(u64, Command, &'static str)>| run(ready.iter().cloned().chain(more).collect());
+fn a_period_is_begun_once_unless_its_call_had_no_effect_or_is_idempotent() {
+    let setup = [(0, tasks(1, 3000), "Done"), (0, open(1), "Opened"), (0, grant(1), "Granted")];
+    let run_after_setup =
+        |more: Vec<(u64, Command, &'static str)>| run(setup.iter().cloned().chain(more).collect());
     // A call with an indeterminate outcome is listed once, and not repeated within its period.
-    let state = with(vec![
+    let state = run_after_setup(vec![
         (10, begin(1, false), "Begun(1)"),
         (20, begin(1, false), "NotDue(990)"),
         (30, end(1, 1, CallOutcome::Unknown), "Done"),
@@ -141,7 +142,7 @@
         (1, 1, 1)
     );
     // A holder dies during its call: the next holder may repeat the call only if it is idempotent.
-    let idempotent = with(vec![
+    let idempotent = run_after_setup(vec![
         (10, begin(1, true), "Begun(1)"),
         (20, begin(1, true), "NotDue"),
         (30, free(1), "Done"),
@@ -152,7 +153,7 @@
         (60, end(2, 1, CallOutcome::Done), "Done"),
     ]);
     assert!(idempotent.indeterminate_calls.is_empty());
-    let not_idempotent = with(vec![
+    let not_idempotent = run_after_setup(vec![
         (10, begin(1, false), "Begun(1)"),
         (30, free(1), "Done"),
         (30, grant(1), "Granted"),
