--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -1,27 +1,27 @@
-//! Checks of a coordinator's file beyond its syntax.
+//! Semantic validation of the configuration file.
 
-use super::{ConfigError, File, Overload};
-use crate::state_machine::LATEST;
+use super::{ConfigError, ConfigFile, Overload};
+use crate::state_machine::LATEST_VERSION;
 use port_worker::fleet::frame::{is_valid_name, MAX_TASKS};
 
-/// The largest number of coordinators: more delay every command without making it safer.
+/// The maximum number of coordinators. More of them delay every command without making it safer.
 const MAX_COORDINATORS: usize = 9;
 const MIN_WRITE_OVERDUE_MS: u64 = 50;
 const MAX_WRITE_OVERDUE_MS: u64 = 60_000;
 const MIN_TTL_MS: u64 = 500;
 const MAX_TTL_MS: u64 = 600_000;
-const MAX_PAUSE_MS: u64 = 600_000;
+const MAX_BACKOFF_MS: u64 = 600_000;
 const MAX_CALLS_PART: f64 = 1e6;
 const MAX_RETRY_PERCENT: f64 = 100.0;
 
-impl File {
-    /// Errors come in a fixed order, so that a file with several has the same line each time.
+impl ConfigFile {
+    /// Validates the file. Checks run in a fixed order, so that a file with several errors always reports the same one.
     pub(super) fn check(&self) -> Result<(), ConfigError> {
         self.check_names()?;
         self.check_coordinators()?;
         check_range("epoch", self.epoch, 1, u64::MAX)?;
         check_range("write_overdue_ms", self.write_overdue_ms, MIN_WRITE_OVERDUE_MS, MAX_WRITE_OVERDUE_MS)?;
-        check_range("version", u64::from(self.version), 1, u64::from(LATEST))?;
+        check_range("version", u64::from(self.version), 1, u64::from(LATEST_VERSION))?;
         self.check_tasks()?;
         self.overload.as_ref().map_or(Ok(()), Overload::check)
     }
@@ -65,7 +65,7 @@
                 return Err(ConfigError::DuplicateTask { name: name.clone() });
             }
             check_range(&format!("task {name}.ttl_ms"), task.ttl_ms, MIN_TTL_MS, MAX_TTL_MS)?;
-            check_range(&format!("task {name}.pause_ms"), task.pause_ms, 0, MAX_PAUSE_MS)?;
+            check_range(&format!("task {name}.pause_ms"), task.backoff_ms, 0, MAX_BACKOFF_MS)?;
         }
         Ok(())
     }
--- a/fleet-coordinator/src/leader_state/tests.rs
+++ b/fleet-coordinator/src/leader_state/tests.rs
@@ -4,8 +4,8 @@
 
 const LINK: LinkId = LinkId(5);
 
-fn set_tasks(epoch: u64, ttl_ms: u64, pause_ms: u64) -> Command {
-    let task = Task { name: "t".into(), ttl_ms, zones: Vec::new(), pause_ms };
+fn set_tasks(epoch: u64, ttl_ms: u64, backoff_ms: u64) -> Command {
+    let task = Task { name: "t".into(), ttl_ms, zones: Vec::new(), backoff_ms };
     Command::SetTasks { epoch, tasks: vec![task] }
 }
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_renewal_is_answered_with_no_more_than_was_counted_when_it_was_received() {
+fn a_renewal_is_answered_with_at_most_the_ttl_in_force_at_its_receipt() {
     let mut state = LeaseStateMachine::default();
     apply(&mut state, 0, set_tasks(1, 1000, 0));
     apply(&mut state, 0, open_session());
@@ -38,7 +38,7 @@
     let heartbeat = Heartbeat { sequence: 1, leases: leases.clone(), ..Heartbeat::default() };
     leader.on_heartbeat(1.0, LINK, heartbeat, &state);
     leader.request_confirmation(1.0, &state);
-    // The TTL grows between the renewal and the quorum's confirmation.
+    // The TTL is raised between the renewal and the quorum's confirmation.
     apply(&mut state, 0, set_tasks(2, 9000, 0));
     leader.on_confirmed(1.1, 1, &state);
     let leases = vec![RenewedLease { lease: leases[0].clone(), ttl_ms: 1000 }];
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn a_failed_holder_s_backoff_goes_on_under_the_next_leader() {
+fn a_backoff_continues_under_the_next_leader() {
     let mut state = LeaseStateMachine::default();
     apply(&mut state, 0, set_tasks(1, 1000, 4000));
     apply(&mut state, 0, open_session());
     apply(&mut state, 0, grant_lease());
     let lease = LeaseRef { task: "t".into(), token: 1 };
     apply(&mut state, 500, Command::ReleaseLease { lease, reason: ReleaseReason::Failed });
-    // This leader's clock began long before the log's.
+    // This leader's clock is far ahead of the log's time.
     let mut leader = LeaderState::new(SafetyChecks::default(), None);
     leader.start_term(900.0, &state);
     leader.on_hello(900.0, LINK, hello(), &state);
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -1,15 +1,15 @@
 //! The coordinators' file: values that the shipped one decodes to, and the line for one that can't be used.
 
-use fleet_coordinator::config::File;
+use fleet_coordinator::config::ConfigFile;
 use fleet_coordinator::coordinator::CoordinatorAddress;
-use fleet_coordinator::state_machine::LATEST;
+use fleet_coordinator::state_machine::LATEST_VERSION;
 use std::path::Path;
 
 const SHIPPED: &str = include_str!("../../deploy/coordinator.toml");
 
 #[test]
 fn the_shipped_file_decodes_to_its_values_and_defaults() {
-    let file = File::decode(SHIPPED).unwrap();
+    let file = ConfigFile::decode(SHIPPED).unwrap();
 
     assert_eq!(file.fleet, "polderlijn");
     assert_eq!(file.name, "c1");
@@ -18,7 +18,7 @@
     assert_eq!(file.listen_address().unwrap().to_string(), "127.0.0.1:7101");
     assert_eq!(file.epoch, 1);
     assert_eq!(file.write_overdue_ms, 1000);
-    assert_eq!(file.version, LATEST);
+    assert_eq!(file.version, LATEST_VERSION);
     let peers: Vec<_> = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.to_string())).collect();
     let expected = [("c1", "127.0.0.1:7101"), ("c2", "127.0.0.1:7102"), ("c3", "127.0.0.1:7103")];
     assert_eq!(peers, expected.map(|(name, address)| (name, address.to_owned())));
@@ -34,7 +34,7 @@
 
 #[test]
 fn every_key_is_read_and_reaches_the_coordinator_config() {
-    let file = File::decode(concat!(
+    let file = ConfigFile::decode(concat!(
         "fleet = 'f'\nname = 'a'\nfolder = '/data'\nlisten = '0.0.0.0:9'\nepoch = 7\n",
         "write_overdue_ms = 250\nversion = 1\n",
         "[[coordinator]]\nname = 'a'\naddress = '[::1]:1'\n",
@@ -71,10 +71,10 @@
         .replace("#[overload]", "[overload]")
         .replace("#calls_part", "calls_part")
         .replace("#retry_percent", "retry_percent");
-    let overload = File::decode(&text).unwrap().overload.unwrap();
+    let overload = ConfigFile::decode(&text).unwrap().overload.unwrap();
     assert_eq!((overload.calls_part, overload.retry_percent), (4.0, 10.0));
     let without = text.replace("retry_percent = 10.0", "");
-    assert_eq!(File::decode(&without).unwrap().overload, Some(overload), "10 percent is the default");
+    assert_eq!(ConfigFile::decode(&without).unwrap().overload, Some(overload), "10 percent is the default");
 }
 
 #[test]
@@ -85,21 +85,21 @@
         ("epoch = 1", "", "line 1: missing field `epoch`"),
         ("epoch = 1", "epoch = \"one\"", "line 7: invalid type: string \"one\", expected u64"),
         ("write_overdue_ms = 1000", "write_overdue_ms = 10", "write_overdue_ms is 10; expected 50 to 60000"),
-        ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\", which no [[coordinator]] has"),
-        ("127.0.0.1:7102", "127.0.0.1:7101", "coordinator c2: its name or address is another's as well"),
-        ("nightly-report", "totals", "task totals: named twice"),
+        ("name = \"c1\"  ", "name = \"c9\"  ", "name is \"c9\"; expected the name of a [[coordinator]]"),
+        ("127.0.0.1:7102", "127.0.0.1:7101", "coordinator c2: duplicate name or address"),
+        ("nightly-report", "totals", "task totals: duplicate name"),
         ("ttl_ms = 3000", "ttl_ms = 3", "task totals.ttl_ms is 3; expected 500 to 600000"),
         ("\"totals\"", "\"to tals\"", "task.name is \"to tals\"; expected letters, digits, - _ . and at most 64 of them"),
     ];
     for (from, to, expected) in cases {
         let text = SHIPPED.replacen(from, to, 1);
         assert_ne!(text, SHIPPED, "{from} is not in the file");
-        assert_eq!(File::decode(&text).unwrap_err().to_string(), expected);
+        assert_eq!(ConfigFile::decode(&text).unwrap_err().to_string(), expected);
     }
 }
 
 #[test]
 fn a_file_that_cannot_be_read_is_named() {
-    let error = File::read(Path::new("/nowhere/coordinator.toml")).unwrap_err().to_string();
+    let error = ConfigFile::read(Path::new("/nowhere/coordinator.toml")).unwrap_err().to_string();
     assert_eq!(error, "/nowhere/coordinator.toml: No such file or directory (os error 2)");
 }
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -7,8 +7,8 @@
 use fleet_coordinator::events::CoordinatorEvent;
 use fleet_coordinator::ids::{DiskJobId, LinkId, MemberId};
 use fleet_coordinator::leader_state::SafetyChecks;
-use fleet_coordinator::replica::{carry_out, DiskResult, MemberStatus};
-use fleet_coordinator::state_machine::LATEST;
+use fleet_coordinator::replica::{execute_job, DiskResult, MemberStatus};
+use fleet_coordinator::state_machine::LATEST_VERSION;
 use port_worker::fleet::frame::{decode, encode, ClientMessage, ServerMessage, MAX_SERVER_FRAME_BYTES};
 
 const WRITE_OVERDUE_S: f64 = 0.5;
@@ -35,7 +35,7 @@
             epoch: 1,
             tasks: Vec::new(),
             write_overdue_s: WRITE_OVERDUE_S,
-            version: LATEST,
+            version: LATEST_VERSION,
             safety_checks: SafetyChecks::default(),
             overload: None,
         };
@@ -52,9 +52,9 @@
         // A coordinator without peers founds its fleet when it ticks.
         scenario.until("it leads", 10.0, |scenario| {
             if matches!(scenario.coordinator.replica.status, MemberStatus::Uninitialized(_)) {
-                scenario.coordinator.replica.found(scenario.now, &["c1".to_owned()], "c1");
+                scenario.coordinator.replica.bootstrap(scenario.now, &["c1".to_owned()], "c1");
             }
-            scenario.coordinator.replica.leads()
+            scenario.coordinator.replica.is_leader()
         });
         scenario
     }
@@ -65,7 +65,7 @@
         loop {
             let due = self.answers.iter().position(|(at, ..)| *at <= self.now);
             if let Some((_, job, done)) = due.map(|at| self.answers.remove(at)) {
-                self.coordinator.disk_done(self.now, job, done);
+                self.coordinator.on_disk_result(self.now, job, done);
             }
             let out = self.coordinator.take_outputs();
             if out.is_empty() && due.is_none() {
@@ -75,7 +75,7 @@
                 match one {
                     Output::Disk(number, job) => {
                         let disk = self.disk.clone();
-                        let done = carry_out(&mut self.store, &job, || Ok(disk));
+                        let done = execute_job(&mut self.store, &job, || Ok(disk));
                         self.answers.push((self.now + self.job_duration_s, number, done));
                     }
                     Output::Frame(_, bytes) => {
@@ -107,10 +107,10 @@
     /// A worker connects over a new link; its session has to be written to the log.
     fn hello(&mut self, number: u64) {
         let link = LinkId(number);
-        self.coordinator.opened(link);
+        self.coordinator.on_link_opened(link);
         let hello = ClientMessage::Hello {
             fleet: "f".into(),
-            version: LATEST,
+            version: LATEST_VERSION,
             name: format!("w{number}"),
             zone: "z".into(),
             process: number,
@@ -174,10 +174,10 @@
         // It stays suspended while the disk fails, and takes part again without help once it works.
         for _ in 0..200 {
             scenario.step();
-            assert!(name.contains("call") || !scenario.coordinator.replica.leads(), "{name}");
+            assert!(name.contains("call") || !scenario.coordinator.replica.is_leader(), "{name}");
         }
         repair(&mut scenario);
-        scenario.until("it leads again", 10.0, |s| s.coordinator.replica.leads());
+        scenario.until("it leads again", 10.0, |s| s.coordinator.replica.is_leader());
         assert!(scenario.events.contains(&CoordinatorEvent::DiskResumed { member: MemberId(1) }), "{name}");
         scenario.hello(90);
         scenario.until("another session", 1.0, |s| s.welcomed() == 2);
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -5,8 +5,8 @@
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::ids::LinkId;
 use fleet_coordinator::leader_state::SafetyChecks;
-use fleet_coordinator::replica::{carry_out, MemberStatus};
-use fleet_coordinator::state_machine::{Task, LATEST};
+use fleet_coordinator::replica::{execute_job, MemberStatus};
+use fleet_coordinator::state_machine::{Task, LATEST_VERSION};
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, LeaseRef, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES,
 };
@@ -28,7 +28,7 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let task = Task { name: "totals".into(), ttl_ms: 3000, zones: vec!["east".into()], pause_ms: 2000 };
+        let task = Task { name: "totals".into(), ttl_ms: 3000, zones: vec!["east".into()], backoff_ms: 2000 };
         let config = CoordinatorConfig {
             fleet: "f".into(),
             name: "c1".into(),
@@ -36,7 +36,7 @@
             epoch: 1,
             tasks: vec![task],
             write_overdue_s: 1.0,
-            version: LATEST,
+            version: LATEST_VERSION,
             safety_checks: SafetyChecks::default(),
             overload: Some(Settings { base_calls: 4.0, retry_share: 0.1 }),
         };
@@ -49,16 +49,16 @@
         for _ in 0..200 {
             fleet.step();
             if matches!(fleet.coordinator.replica.status, MemberStatus::Uninitialized(_)) {
-                fleet.coordinator.replica.found(fleet.now, &["c1".to_owned()], "c1");
+                fleet.coordinator.replica.bootstrap(fleet.now, &["c1".to_owned()], "c1");
             }
         }
-        assert!(fleet.coordinator.replica.leads());
-        fleet.coordinator.opened(WORKER);
+        assert!(fleet.coordinator.replica.is_leader());
+        fleet.coordinator.on_link_opened(WORKER);
         fleet.send(
             WORKER,
             &ClientMessage::Hello {
                 fleet: "f".into(),
-                version: LATEST,
+                version: LATEST_VERSION,
                 name: "w".into(),
                 zone: "east".into(),
                 process: 7,
@@ -84,8 +84,8 @@
                 match output {
                     Output::Disk(number, job) => {
                         let disk = self.disk.clone();
-                        let result = carry_out(&mut self.store, &job, || Ok(disk));
-                        self.coordinator.disk_done(self.now, number, result);
+                        let result = execute_job(&mut self.store, &job, || Ok(disk));
+                        self.coordinator.on_disk_result(self.now, number, result);
                     }
                     Output::Frame(_, bytes) => {
                         messages.push(decode(&bytes, MAX_SERVER_FRAME_BYTES).unwrap().unwrap().0);
@@ -111,7 +111,7 @@
     }
 
     fn ask(&mut self, query: OperatorQuery) -> Value {
-        self.coordinator.opened(OPERATOR);
+        self.coordinator.on_link_opened(OPERATOR);
         let messages = self.send(OPERATOR, &ClientMessage::Query { fleet: "f".into(), query });
         let answer = messages.into_iter().find_map(|message| match message {
             ServerMessage::QueryResult { answer } => Some(answer),
--- a/fleet-coordinator/tests/operator_file.rs
+++ b/fleet-coordinator/tests/operator_file.rs
@@ -1,11 +1,11 @@
 //! Pins coordinators' files: what came with the program at commit c001dc7 stands under the root's
 //! `tests/fixtures/operator_files` and must go on being read with the same meaning. Tests never write there.
 
-use fleet_coordinator::config::{File, Overload};
+use fleet_coordinator::config::{ConfigFile, Overload};
 use std::path::Path;
 
-fn read(path: &str) -> File {
-    File::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(path)).unwrap()
+fn read(path: &str) -> ConfigFile {
+    ConfigFile::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(path)).unwrap()
 }
 
 fn text_of_every_key() -> String {
@@ -24,9 +24,9 @@
         let peers = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.port()));
         assert_eq!(peers.collect::<Vec<_>>(), [("c1", 7101), ("c2", 7102), ("c3", 7103)]);
         let [totals, report] = &file.tasks[..] else { panic!("two tasks, not {:?}", file.tasks) };
-        assert_eq!((totals.name.as_str(), totals.ttl_ms, totals.pause_ms), ("totals", 3000, 2000));
+        assert_eq!((totals.name.as_str(), totals.ttl_ms, totals.backoff_ms), ("totals", 3000, 2000));
         assert!(totals.zones.is_empty());
-        assert_eq!((report.name.as_str(), report.ttl_ms, report.pause_ms), ("nightly-report", 3000, 2000));
+        assert_eq!((report.name.as_str(), report.ttl_ms, report.backoff_ms), ("nightly-report", 3000, 2000));
         assert_eq!(report.zones, ["east"]);
         assert!(file.overload.is_none());
     }
@@ -38,7 +38,7 @@
     assert_eq!((file.epoch, file.write_overdue_ms, file.version), (4, 750, 1));
     assert_eq!(file.listen_address(), Some("0.0.0.0:7201".parse().unwrap()));
     let task = &file.tasks[0];
-    assert_eq!((task.name.as_str(), task.ttl_ms, task.pause_ms), ("nightly-report", 2500, 1500));
+    assert_eq!((task.name.as_str(), task.ttl_ms, task.backoff_ms), ("nightly-report", 2500, 1500));
     assert_eq!(task.zones, ["east", "west"]);
     let overload = file.overload.unwrap();
     assert_eq!((overload.calls_part, overload.retry_percent), (4.5, 12.5));
@@ -50,7 +50,7 @@
     assert_eq!((file.write_overdue_ms, file.version), (1000, 2));
     assert_eq!(file.listen_address(), Some("127.0.0.1:7101".parse().unwrap()));
     let task = &file.tasks[0];
-    assert_eq!((task.ttl_ms, task.pause_ms, task.zones.len()), (3000, 2000, 0));
+    assert_eq!((task.ttl_ms, task.backoff_ms, task.zones.len()), (3000, 2000, 0));
     assert_eq!(file.overload, Some(Overload { calls_part: 4.0, retry_percent: 10.0 }));
 }
 
@@ -63,7 +63,7 @@
     }
     assert_eq!(wrong.len(), 4);
     for text in wrong {
-        let error = File::decode(&text).expect_err(&text).to_string();
+        let error = ConfigFile::decode(&text).expect_err(&text).to_string();
         assert!(error.contains("unknown field `misspelt`"), "{error}");
     }
 }
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -2,14 +2,14 @@
 //! States are compared as JSON, which is how they are stored. `fixtures/README.md` says what the folders hold.
 
 use durable_log::{Folder, Store};
-use fleet_coordinator::config::File;
+use fleet_coordinator::config::ConfigFile;
 use fleet_coordinator::coordinator::{Coordinator, Output};
 use fleet_coordinator::ids::{MemberId, SessionId};
 use fleet_coordinator::replica::{
-    carry_out, LogPosition, MemberStatus, Replica, ReplicaEvent, ReplicaOutput,
+    execute_job, LogPosition, MemberStatus, Replica, ReplicaEvent, ReplicaOutput,
 };
 use fleet_coordinator::state_machine::{
-    Command, LeaseStateMachine, LogEntry, MemberProgress, ReleaseReason, Task, LATEST,
+    Command, LeaseStateMachine, LogEntry, MemberProgress, ReleaseReason, Task, LATEST_VERSION,
 };
 use port_worker::fleet::frame::{CallOutcome, LeaseRef};
 use serde_json::{json, Value};
@@ -99,7 +99,7 @@
 fn start_c3(folder: &Path) -> Coordinator {
     let text =
         include_str!("../../deploy/coordinator.toml").replacen("name = \"c1\"  ", "name = \"c3\"  ", 1);
-    let config = File::decode(&text).unwrap().coordinator_config();
+    let config = ConfigFile::decode(&text).unwrap().coordinator_config();
     let mut coordinator = Coordinator::new(0.0, config, 1);
     let mut store: Option<Store<Folder>> = None;
     loop {
@@ -109,8 +109,8 @@
         }
         for one in out {
             if let Output::Disk(number, job) = one {
-                let done = carry_out(&mut store, &job, || Folder::lock(folder));
-                coordinator.disk_done(0.0, number, done);
+                let done = execute_job(&mut store, &job, || Folder::lock(folder));
+                coordinator.on_disk_result(0.0, number, done);
             }
         }
     }
@@ -126,7 +126,7 @@
     assert_eq!((replica.member(), replica.term()), (MEMBER_C3, 2));
     // What is behind the snapshot is applied once a quorum has confirmed it.
     assert_eq!(replica.log_position(), LogPosition { last: LAST_INDEX, applied: SNAPSHOT_INDEX });
-    assert_eq!((replica.leads(), replica.leader()), (false, None));
+    assert_eq!((replica.is_leader(), replica.leader()), (false, None));
     assert_eq!(sorted(replica.voters()), [MEMBER_C1, MEMBER_C3]);
     let status = serde_json::to_string(&coordinator.status()).unwrap();
     assert_eq!(status, fixture_text("expected/status.json").trim_end());
@@ -215,7 +215,7 @@
 impl Quorum {
     fn start(data: &DataCopy) -> Quorum {
         let folders = MEMBERS.map(|name| data.member(name));
-        let start = |(seed, folder)| (Replica::new(0.0, seed, OVERDUE_S, LATEST), None, folder);
+        let start = |(seed, folder)| (Replica::new(0.0, seed, OVERDUE_S, LATEST_VERSION), None, folder);
         let mut quorum = Quorum { now: 0.0, members: (1..).zip(folders).map(start).collect() };
         quorum.exchange();
         quorum
@@ -231,7 +231,7 @@
                     idle = false;
                     match effect {
                         ReplicaOutput::Disk(number, job) => {
-                            let done = carry_out(store, &job, || Folder::lock(folder));
+                            let done = execute_job(store, &job, || Folder::lock(folder));
                             replica.on_disk_result(now, number, done);
                         }
                         ReplicaOutput::Send(to, bytes) => messages.push((replica.member(), to, bytes)),
@@ -264,7 +264,7 @@
     }
 
     fn leader(&mut self) -> Option<&mut Replica> {
-        self.members.iter_mut().map(|(replica, ..)| replica).find(|replica| replica.leads())
+        self.members.iter_mut().map(|(replica, ..)| replica).find(|replica| replica.is_leader())
     }
 
     fn propose(&mut self, command: Command) {
@@ -334,7 +334,7 @@
         name: "archive".into(),
         ttl_ms: 4000,
         zones: vec!["east".into(), "west".into()],
-        pause_ms: 2000,
+        backoff_ms: 2000,
     };
     let commands = vec![
         open("worker-a", "east", u64::MAX),
@@ -362,7 +362,7 @@
 }
 
 fn open(name: &str, zone: &str, incarnation: u64) -> Command {
-    Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST }
+    Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST_VERSION }
 }
 
 fn sorted(mut numbers: Vec<MemberId>) -> Vec<MemberId> {
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -8,7 +8,7 @@
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::events::CoordinatorEvent;
 use fleet_coordinator::leader_state::SafetyChecks;
-use fleet_coordinator::state_machine::{Task, LATEST};
+use fleet_coordinator::state_machine::{Task, LATEST_VERSION};
 use port_worker::fleet::frame;
 use port_worker::fleet::tasks::{Schedule, ScheduledCall};
 use port_worker::fleet::{FleetMember, Incarnation, MemberAction, MembershipConfig};
@@ -48,7 +48,7 @@
     pub fn task_configs(&self) -> Vec<Task> {
         let zones = vec!["z0".to_owned()];
         let ttl_ms = if self.epoch % 2 == 0 { self.shape.ttl_ms / 2 } else { self.shape.ttl_ms };
-        let task = |n| Task { name: task_name(n), ttl_ms, zones: zones.clone(), pause_ms: TASK_PAUSE_MS };
+        let task = |n| Task { name: task_name(n), ttl_ms, zones: zones.clone(), backoff_ms: TASK_PAUSE_MS };
         (0..self.shape.tasks).map(task).collect()
     }
 
@@ -62,7 +62,7 @@
             epoch: self.epoch,
             tasks: self.task_configs(),
             write_overdue_s: WRITE_OVERDUE_S,
-            version: LATEST,
+            version: LATEST_VERSION,
             safety_checks: SafetyChecks {
                 wait_full_ttl: self.shape.weak != Weakness::NoWholeTtl,
                 read_index: self.shape.weak != Weakness::NoConfirm,
@@ -195,7 +195,7 @@
                     }
                 }
                 Output::Peer(name, bytes) => self.send_to_peer(coordinator, &name, &bytes),
-                Output::Relink => {
+                Output::ReconnectPeers => {
                     for to in 0..self.shape.coordinators {
                         self.drop_peer(NodePair { from: coordinator, to });
                     }
