--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -32,7 +32,7 @@
     }
 
     /// Exits if it is time to.
-    pub(in crate::net) fn follow_exit(&mut self, now: f64) {
+    pub(in crate::net) fn advance_exit_after_hand_off(&mut self, now: f64) {
         let Some(exit_by) = self.hot_restart.as_ref().and_then(|r| r.exit_by) else { return };
         let must_exit = now >= exit_by;
         let all_handed_off = self.has_handed_off_everything();
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -18,7 +18,7 @@
 
 /// The memory limit is so many times what the predecessor's keys and results may take before they are acted on. That is
 /// twice the room for results, since the predecessor may hold what an older one has sent it.
-const MEMORY_PER_STAGED_KEYS: f64 = crate::net::RESULT_PART / 2.0;
+const MEMORY_PER_STAGED_KEYS: f64 = crate::net::RESULT_MEMORY_DIVISOR / 2.0;
 
 impl Worker {
     pub(super) fn on_predecessor_frame(
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -10,7 +10,7 @@
     /// end where they were made. A file that is half written or wrong leaves the old configuration in place.
     pub(in crate::net) fn reload(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.reload_operator(inputs);
-        let next = match self.configuration.files.config() {
+        let next = match self.configuration.options.config() {
             Ok(next) => next,
             Err(error) => {
                 let file = ConfigFile::Configuration;
@@ -39,7 +39,7 @@
     /// Applies changed pools of the operator's file. They are checked against the platform's settings that this worker
     /// serves by, which a reload does not change.
     pub(in crate::net) fn reload_operator(&mut self, inputs: &mut Vec<Input>) {
-        let next = self.configuration.files.operator(&self.configuration.platform).and_then(|next| {
+        let next = self.configuration.options.operator(&self.configuration.platform).and_then(|next| {
             let plan =
                 next.pools.as_ref().map(|p| p.plan(&self.configuration.platform.settings)).transpose()?;
             Ok((next, plan))
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -26,4 +26,4 @@
 pub use worker::{run, Worker};
 
 /// Retained results may take one part in this many of the memory limit.
-const RESULT_PART: f64 = 8.0;
+const RESULT_MEMORY_DIVISOR: f64 = 8.0;
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the dispatcher's commands.
+//! Execution of the dispatcher's commands.
 
 use super::Worker;
 use crate::dispatch::{Command, Input, Response};
@@ -8,21 +8,21 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Health;
 
-/// Retry-After of a rejection while the executor is not up yet (seconds).
+/// Retry-After of rejections before the executor is up (seconds).
 const NOT_UP_RETRY_AFTER_S: f64 = 1.0;
 
 impl Worker {
-    /// Carries out one command; an outcome that is known at once becomes an input.
+    /// Executes one command. An outcome that is known at once is added to `inputs`.
     pub(in crate::net) fn execute(&mut self, now: f64, command: Command, inputs: &mut Vec<Input>) {
         match command {
             Command::Respond(ticket, response) => {
                 self.frontends.respond(now, ticket, response, &self.context);
             }
             Command::Run { name, class, body, deadline } => {
-                if let Some(servers) = &mut self.upstreams.ajp_backend {
-                    servers.run(now, name, class, body, deadline, &mut self.wheel);
+                if let Some(ajp_backend) = &mut self.upstreams.ajp_backend {
+                    ajp_backend.run(now, name, class, body, deadline, &mut self.wheel);
                 } else if !self.upstreams.executor.run(&name, class, &body, &self.context.catalog) {
-                    // Not even queued: it has not run, and will not.
+                    // The command was not even queued, so the request has not run and will not run.
                     inputs.push(Input::NeverRan { name });
                 }
             }
@@ -45,9 +45,9 @@
                     ExecutorEvent::QueueFull { dropped: DroppedCommand::Skip }.emit();
                 }
             }
-            Command::Health(good) => self.set_health(good),
-            Command::Publish(level) => self.context.availability.published_weight = Some(level),
-            Command::WakeIn(after) => self.wheel.set(now, after, Timer::Wake),
+            Command::Health(healthy) => self.set_health(healthy),
+            Command::Publish(weight) => self.context.availability.published_weight = Some(weight),
+            Command::WakeIn(delay_s) => self.wheel.set(now, delay_s, Timer::Wake),
             Command::Log(event) => event.emit(),
             Command::IdempotencyUpdate(update) => self.send_key_update(&update),
         }
@@ -58,7 +58,8 @@
         self.report_load(false);
     }
 
-    /// Sends a load report to the registry once the executor is up: a worker that is not good reports `draining`.
+    /// Sends a load report to the registry once the executor is up. A worker that is not ready reports `draining`. Unless
+    /// a report is `due`, it is sent only if the readiness has changed.
     pub(in crate::net) fn report_load(&mut self, due: bool) {
         let ready = self.context.availability.is_ready();
         let listed = self.dispatcher.is_some() && self.owns_listeners();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Rejects what arrives before the executor is up: nothing has run.
+    /// Rejects requests that arrive before the executor is up. None of them has run, so a retry is safe.
     pub(super) fn reject_early(&mut self, now: f64, inputs: &mut Vec<Input>) {
         for input in inputs.drain(..) {
             if let Input::Arrived(request) = input {
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -1,6 +1,6 @@
-//! The event loop: signals, the one timer, and a turn of the worker whenever something is ready or due.
+//! The event loop: signals, a single timer, and a turn of the worker whenever a source is ready or a timer is due.
 
-use super::{Worker, STALL_S};
+use super::{Worker, STALL_THRESHOLD_S};
 use crate::config::StartupOptions;
 use crate::log::LogHandle;
 use crate::net::error::WorkerError;
@@ -10,18 +10,18 @@
 use calloop::{EventLoop, LoopHandle, RegistrationToken};
 use std::time::Duration;
 
-/// Runs a port worker until it has shut down; `log` is the log of this process.
+/// Runs a port worker until it has shut down. `log` is the handle of this process's log.
 ///
 /// # Errors
-/// A configuration that can't be used, an address that can't be listened on, or a failing event loop.
-pub fn run(files: StartupOptions, log: LogHandle) -> Result<(), WorkerError> {
-    let mut events: EventLoop<Gathered> = EventLoop::try_new().map_err(WorkerError::EventLoop)?;
-    let handle = events.handle();
-    // Before anything else: from here on a shutdown notice is read in turn and does not kill the process.
+/// The configuration is invalid, a socket can't be bound, or the event loop fails.
+pub fn run(options: StartupOptions, log: LogHandle) -> Result<(), WorkerError> {
+    let mut event_loop: EventLoop<Gathered> = EventLoop::try_new().map_err(WorkerError::EventLoop)?;
+    let handle = event_loop.handle();
+    // First of all: from here on a shutdown notice is handled by the loop instead of killing the process.
     watch_signals(&handle)?;
-    let config = files.config()?;
+    let config = options.config()?;
     let poll = Poll::new(handle.clone(), config.socket_budget());
-    let mut worker = Worker::new(files, config, &poll, log)?;
+    let mut worker = Worker::new(options, config, &poll, log)?;
     worker.find_predecessor(worker.clock.now())?;
     let mut timer = WheelTimer::new(handle);
     let mut gathered = Gathered::default();
@@ -29,10 +29,10 @@
     while !worker.loop_state.finished {
         let next = worker.wheel.next();
         timer.set(&worker, next)?;
-        events.dispatch(None, &mut gathered).map_err(WorkerError::EventLoop)?;
-        if next.is_some_and(|due| worker.clock.now() > due + STALL_S) {
-            // The process stalled. What the wait returned is older than the stall: look again.
-            events.dispatch(Some(Duration::ZERO), &mut gathered).map_err(WorkerError::EventLoop)?;
+        event_loop.dispatch(None, &mut gathered).map_err(WorkerError::EventLoop)?;
+        if next.is_some_and(|due| worker.clock.now() > due + STALL_THRESHOLD_S) {
+            // The process stalled, so the readiness that the wait returned predates the stall: poll again.
+            event_loop.dispatch(Some(Duration::ZERO), &mut gathered).map_err(WorkerError::EventLoop)?;
         }
         worker.poll_once(&mut gathered);
     }
@@ -47,11 +47,11 @@
             Signal::SIGHUP => gathered.reload = true,
             _ => gathered.shutdown = true,
         })
-        .map_err(|fault| WorkerError::WatchSignals(fault.error))?;
+        .map_err(|insert_error| WorkerError::WatchSignals(insert_error.error))?;
     Ok(())
 }
 
-/// The loop's one timer: it is set anew only when the wheel's next tick has moved.
+/// The loop's only timer. It is registered again only when the wheel's next expiry has changed.
 struct WheelTimer {
     handle: LoopHandle<'static, Gathered>,
     token: Option<RegistrationToken>,
@@ -75,7 +75,7 @@
             let token = self
                 .handle
                 .insert_source(timer, |_, (), _: &mut Gathered| TimeoutAction::Drop)
-                .map_err(|fault| WorkerError::Timer(fault.error))?;
+                .map_err(|insert_error| WorkerError::Timer(insert_error.error))?;
             self.token = Some(token);
         }
         self.due = due;
--- a/src/net/worker/gather.rs
+++ b/src/net/worker/gather.rs
@@ -1,4 +1,4 @@
-//! Reads what is ready: outcomes from upstreams first, which make room for what arrives at the frontends.
+//! Reads from ready sources: outcomes from upstreams first, since they free capacity for requests from the frontends.
 
 use super::Worker;
 use crate::dispatch::Input;
@@ -7,7 +7,7 @@
 use crate::net::io::timer_wheel::Timer;
 
 impl Worker {
-    /// Takes in all that is ready: operators' calls, upstreams, then frontends.
+    /// Reads from all ready sources: the console, then upstreams, then frontends.
     pub(super) fn gather(&mut self, inputs: &mut Vec<Input>) {
         let now = self.clock.now();
         let console_paused = self.serve_console(now);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Reads from the frontends, and completes their requests that wait for the directory. Returns whether accepting was
+    /// Reads from the frontends and completes requests that wait for a directory lookup. Returns `true` if accepting was
     /// paused.
     fn gather_frontends(&mut self, now: f64, inputs: &mut Vec<Input>) -> bool {
         let mut turn =
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -1,16 +1,16 @@
-//! The worker: all of its state in one place, by the part that owns it.
+//! The worker: a single struct that holds all state, grouped by the module that owns it.
 //!
-//! | file | what it does |
+//! | file | purpose |
 //! | --- | --- |
 //! | `setup.rs` | builds a worker from its configuration |
-//! | `event_loop.rs` | runs it: signals, the timer, a turn whenever something is ready or due |
-//! | `loop_state.rs` | what one turn leaves to the next |
-//! | `turn.rs` | one turn: readiness, notices, inputs, timers, commands |
-//! | `gather.rs` | reads what is ready from upstreams and frontends |
-//! | `commands.rs` | carries out the dispatcher's commands |
+//! | `event_loop.rs` | runs it: signals, the timer, and a turn whenever a source is ready or a timer is due |
+//! | `loop_state.rs` | state that is carried from one turn to the next |
+//! | `turn.rs` | one turn: readiness, signals, inputs, timers, commands |
+//! | `gather.rs` | reads from upstreams and frontends that are ready |
+//! | `commands.rs` | executes the dispatcher's commands |
 //! | `start.rs` | starts the dispatcher once the executor is up |
 //!
-//! What the worker does at a reload, a shutdown, a hot restart or an operator's call is in `net/lifecycle`.
+//! Reload, shutdown, hot restart and the handling of console requests are in `net/lifecycle`.
 
 mod commands;
 mod event_loop;
@@ -35,11 +35,11 @@
 pub use event_loop::run;
 pub(in crate::net) use loop_state::{Deferral, LoopState};
 
-/// How often idle and slow connections are looked for (seconds).
-const SWEEP_S: f64 = 0.25;
-/// A process that wakes this much later than it meant to was stopped, or had no core: signals may have come meanwhile
-/// that the loop has not reported yet (seconds).
-const STALL_S: f64 = 0.05;
+/// Interval between checks for idle and slow connections (seconds).
+const SWEEP_INTERVAL_S: f64 = 0.25;
+/// Delay of a wake-up from which the process counts as stalled: it was stopped or got no CPU time, and signals may have
+/// arrived meanwhile that the loop has not reported yet (seconds).
+const STALL_THRESHOLD_S: f64 = 0.05;
 
 /// One port worker.
 pub struct Worker {
@@ -51,32 +51,32 @@
     pub(in crate::net) context: FrontendContext,
     pub(in crate::net) frontends: Frontends,
     pub(in crate::net) upstreams: Upstreams,
-    /// Absent until the executor is up.
+    /// `None` until the executor is up.
     pub(in crate::net) dispatcher: Option<Dispatcher>,
-    /// Requests that were rejected before there was a dispatcher.
+    /// Counts of requests that were rejected before the dispatcher was started.
     pub(in crate::net) early_metrics: Metrics,
     pub(in crate::net) loop_state: LoopState,
     pub(in crate::net) hot_restart: Option<HotRestart>,
     pub(in crate::net) shutdown: Option<Shutdown>,
 }
 
-/// What the worker was set up with, and the files that a reload reads again.
+/// The worker's configuration, and the start-up options that name the files to read on a reload.
 pub struct Configuration {
-    pub(in crate::net) files: StartupOptions,
+    pub(in crate::net) options: StartupOptions,
     /// The platform's configuration.
     pub(in crate::net) platform: Config,
-    /// The operator's file.
+    /// The settings from the operator's file.
     pub(in crate::net) operator: OperatorSettings,
-    /// The controller's settings, made of both.
+    /// The admission controller's settings, derived from both.
     pub(in crate::net) settings: Settings,
 }
 
 impl Configuration {
-    /// How long a connection may be idle (seconds).
+    /// Maximum time that a connection may be idle (seconds).
     pub(in crate::net) fn idle_timeout_s(&self) -> f64 {
         self.settings.max_connection_idle_s.max(MIN_IDLE_TIMEOUT_S)
     }
 }
 
-/// The shortest idle timeout of connections, whatever the settings say (seconds).
+/// Lower bound of the idle timeout of connections, which applies whatever the settings say (seconds).
 const MIN_IDLE_TIMEOUT_S: f64 = 1.0;
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -1,6 +1,6 @@
-//! Builds a worker from its configuration and the operator's file.
+//! Construction of a worker from its configuration and the operator's file.
 
-use super::{Configuration, LoopState, Worker, SWEEP_S};
+use super::{Configuration, LoopState, Worker, SWEEP_INTERVAL_S};
 use crate::config::{Config, FleetSettings, OperatorSettings, StartupOptions};
 use crate::dispatch::metrics::Metrics;
 use crate::fleet::MembershipConfig;
@@ -32,28 +32,28 @@
 use std::rc::Rc;
 
 impl Worker {
-    /// A worker whose sockets listen, unless another process has them.
+    /// Creates a worker and binds its listening sockets, except those that another process may own.
     pub(super) fn new(
-        files: StartupOptions,
+        options: StartupOptions,
         platform: Config,
         poll: &Poll,
         log: LogHandle,
     ) -> Result<Worker, WorkerError> {
         let clock = Clock::new();
-        let operator = files.operator(&platform)?;
+        let operator = options.operator(&platform)?;
         let settings = controller_settings(&platform, &operator)?;
-        let configuration = Configuration { files, platform, operator, settings };
+        let configuration = Configuration { options, platform, operator, settings };
         let catalog = Rc::new(Catalog::new(&configuration.platform.settings, &configuration.settings));
-        let socket = inherited_socket(&configuration.files)?;
-        let mut frontends = frontends(&configuration, poll, socket.is_some())?;
-        let upstreams = upstreams(&configuration, poll)?;
+        let socket = inherited_socket(&configuration.options)?;
+        let mut frontends = build_frontends(&configuration, poll, socket.is_some())?;
+        let upstreams = build_upstreams(&configuration, poll)?;
         report_start(&configuration, &frontends, socket.is_some());
         let hot_restart = match socket {
             Some(socket) => prepare_hot_restart(&configuration, poll, &mut frontends, socket)?,
             None => None,
         };
         let mut wheel = Wheel::new(clock.now());
-        wheel.set(clock.now(), SWEEP_S, Timer::Sweep);
+        wheel.set(clock.now(), SWEEP_INTERVAL_S, Timer::Sweep);
         Ok(Worker {
             context: FrontendContext { catalog, availability: Availability::default() },
             early_metrics: Metrics::new(configuration.settings.classes.len()),
@@ -72,24 +72,24 @@
     }
 }
 
-/// The platform's settings with what the operator's file adds to them.
+/// Derives the admission controller's settings from the platform's settings and the operator's file.
 fn controller_settings(config: &Config, operator: &OperatorSettings) -> Result<Settings, WorkerError> {
     let mut settings = config.settings.settings(config.seed_number());
-    // Retained keys and results lie in this process's own memory: the platform books none for them.
+    // Retained keys and results are kept in this process's own memory, so the platform accounts no memory for them.
     settings.key_entry_kb = 0.0;
     settings.fleet_overload_control = operator.fleet.as_ref().is_some_and(FleetSettings::overload_enabled);
     settings.pools = operator.pools.as_ref().map(|pools| pools.plan(&config.settings)).transpose()?;
     Ok(settings)
 }
 
-/// All frontends; they listen, unless a predecessor may have their addresses and hand them over.
-fn frontends(
+/// Creates all frontends. They start to listen, except those whose addresses a predecessor may own and hand off.
+fn build_frontends(
     configuration: &Configuration,
     poll: &Poll,
     socket_inherited: bool,
 ) -> Result<Frontends, WorkerError> {
-    let Configuration { files, platform, operator, .. } = configuration;
-    let may_have_predecessor = socket_inherited && files.folder.is_some();
+    let Configuration { options, platform, operator, .. } = configuration;
+    let may_have_predecessor = socket_inherited && options.folder.is_some();
     let console = bind_console(platform, poll)?;
     let mut http1 = Http1Frontend::closed(poll, platform.listen);
     if !socket_inherited {
@@ -121,12 +121,12 @@
     Some(AjpFrontend::closed(poll, settings, identity, platform.seed_number()))
 }
 
-fn inherited_socket(files: &StartupOptions) -> Result<Option<Rc<TcpListener>>, WorkerError> {
-    let Some(number) = files.socket.as_deref() else { return Ok(None) };
+fn inherited_socket(options: &StartupOptions) -> Result<Option<Rc<TcpListener>>, WorkerError> {
+    let Some(number) = options.socket.as_deref() else { return Ok(None) };
     Ok(Some(inherited_listener(number)?))
 }
 
-fn upstreams(configuration: &Configuration, poll: &Poll) -> Result<Upstreams, WorkerError> {
+fn build_upstreams(configuration: &Configuration, poll: &Poll) -> Result<Upstreams, WorkerError> {
     let Configuration { platform, operator, .. } = configuration;
     Ok(Upstreams {
         executor: Executor::new(poll, platform.executor, platform.settings.domain.own_stats.clone()),
@@ -153,7 +153,7 @@
     Ok(Some(registry))
 }
 
-/// Reports the listeners by the order of their kinds, and what of the configuration is not used.
+/// Logs the listeners in the order of their kinds, and a configured console address that is overridden.
 fn report_start(configuration: &Configuration, frontends: &Frontends, socket_inherited: bool) {
     let platform = &configuration.platform;
     let worker = &platform.name;
@@ -173,15 +173,15 @@
     }
 }
 
-/// With an inherited listening socket this process may succeed another, and be succeeded. Without a shared folder it
-/// can't meet the other, and listens at once.
+/// Sets up hot restart, which requires an inherited listening socket and a shared folder. Without the folder the two
+/// processes can't find each other, so hot restart is unavailable and the HTTP frontend listens immediately.
 fn prepare_hot_restart(
     configuration: &Configuration,
     poll: &Poll,
     frontends: &mut Frontends,
     socket: Rc<TcpListener>,
 ) -> Result<Option<HotRestart>, WorkerError> {
-    let Some(folder) = &configuration.files.folder else {
+    let Some(folder) = &configuration.options.folder else {
         HotRestartEvent::Unavailable(UnavailableCause::NoSharedFolder).emit();
         let opened = frontends.http1.open(Some(socket));
         opened.map_err(|error| WorkerError::InheritedSocket(error.source))?;
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -9,22 +9,24 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::lifecycle::hot_restart::HotRestart;
 use crate::net::upstreams::executor::Welcome;
-use crate::net::RESULT_PART;
+use crate::net::RESULT_MEMORY_DIVISOR;
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
 impl Worker {
-    /// Starts the dispatcher once the executor has reported that it is up, and whether it is warm.
+    /// Starts the dispatcher once the executor has reported that it is up and whether it is cold.
     pub(super) fn start_dispatcher(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let Some(welcome) = self.upstreams.welcome(now) else { return };
         let settings = self.settings_at_start(now, welcome);
-        let result_bytes = self.configuration.platform.limits.memory_mb * BYTES_PER_MB / RESULT_PART;
+        let result_bytes =
+            self.configuration.platform.limits.memory_mb * BYTES_PER_MB / RESULT_MEMORY_DIVISOR;
         let mut commands = Vec::new();
-        // The controller's time begins now, not with the executor: with a past start its first run looks hung.
+        // The controller's time starts now rather than with the executor: given a start in the past, it would take the
+        // first run for a hung one.
         let mut dispatcher = Dispatcher::new(settings, now, result_bytes as usize, &mut commands);
-        // Random keys: a client can't make up bodies that have the same fingerprint.
+        // Random keys, so that clients can't construct bodies with equal fingerprints.
         let random = RandomState::new();
         dispatcher.set_fingerprint_key(FingerprintKey(random.hash_one(1), random.hash_one(2)));
         dispatcher.add_metrics(&self.early_metrics);
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -1,28 +1,29 @@
-//! One turn of the loop: what is ready is gathered, handed to the dispatcher in one go, and its commands are carried
-//! out.
+//! One turn of the event loop: gathers input from ready sources, passes it to the dispatcher in one batch and executes
+//! the dispatcher's commands.
 
 use super::loop_state::Deferral;
-use super::{Worker, STALL_S, SWEEP_S};
+use super::{Worker, STALL_THRESHOLD_S, SWEEP_INTERVAL_S};
 use crate::dispatch::Input;
 use crate::net::io::poll::Gathered;
 use crate::net::io::source::{ReadySource, Source};
 use crate::net::io::timer_wheel::Timer;
 use crate::net::upstreams::registry::HEARTBEAT_INTERVAL_S;
 
-/// Rounds of one turn at most: requests that lie behind answered ones, and outcomes of commands that were just carried out.
+/// Maximum number of rounds in one turn. Later rounds process requests that were read behind answered ones, and outcomes
+/// of commands that were just executed.
 const MAX_ROUNDS: usize = 8;
 
 impl Worker {
-    /// Takes one turn. The order of its steps:
+    /// Runs one turn. The order of its steps matters:
     ///
     /// 1. Readiness is recorded, so that every later step sees it.
-    /// 2. Frames of another process: once a successor owns the listeners, a shutdown notice is no graceful shutdown.
-    /// 3. Signals: a shutdown notice counts before all that was read in this turn, since it may have come before it.
-    /// 4. Sockets are read before timers run: what came in time goes before the end of that time.
-    /// 5. Inputs are handed over, and commands carried out.
-    /// 6. The fleet: its heartbeat carries what the steps before have counted.
-    /// 7. The sweep, after all that is ready was read: a request may have lain unread while the process was stopped.
-    /// 8. The steps of a shutdown, which see whether anything is still pending.
+    /// 2. Hot restart frames: once a successor owns the listeners, a shutdown notice does not start a graceful shutdown.
+    /// 3. Signals: a shutdown notice is dispatched before all input read in this turn, since it may have arrived first.
+    /// 4. Sockets are read before timers run, so that data that arrived in time precedes the expiry of its timeout.
+    /// 5. Inputs are dispatched, and commands are executed.
+    /// 6. Fleet membership: its heartbeat includes the counts of the preceding steps.
+    /// 7. The sweep, after all ready sockets were read: a request may have been waiting while the process was stopped.
+    /// 8. The next steps of a shutdown, which depend on whether anything is still pending.
     pub(super) fn poll_once(&mut self, gathered: &mut Gathered) {
         let now = self.clock.now();
         self.loop_state.begin_turn(now);
@@ -41,7 +42,7 @@
         self.advance_exit(now);
     }
 
-    /// Tells the owner of a socket that it is ready.
+    /// Records a socket's readiness with its owner.
     fn mark_ready(&mut self, ready: ReadySource) {
         let ReadySource { source, readiness } = ready;
         match source {
@@ -63,17 +64,17 @@
 
     fn handle_signals(&mut self, now: f64, gathered: &mut Gathered, inputs: &mut Vec<Input>) {
         if std::mem::take(&mut gathered.shutdown) {
-            let mut first = Vec::new();
-            self.begin_shutdown(now, &mut first);
-            inputs.splice(0..0, first);
+            let mut shutdown_inputs = Vec::new();
+            self.begin_shutdown(now, &mut shutdown_inputs);
+            inputs.splice(0..0, shutdown_inputs);
         }
         if std::mem::take(&mut gathered.reload) {
             self.reload(now, inputs);
         }
     }
 
-    /// Gathers what is ready, hands it over and carries out what comes back, until nothing is left that the loop would
-    /// not report.
+    /// Gathers input, dispatches it and executes the resulting commands, until no work is left that the event loop would
+    /// not report by itself.
     pub(in crate::net) fn process_ready(&mut self, mut inputs: Vec<Input>) {
         inputs.splice(0..0, self.loop_state.deferred_inputs.drain(..));
         for round in 0..MAX_ROUNDS {
@@ -93,21 +94,23 @@
                 self.wheel.set(now, 0.0, Timer::Again);
             }
         }
-        // Guards the last round's outcomes: a run given back there would otherwise never be answered.
+        // Outcomes of the last round's commands: if they were dropped, a request whose run was returned there as never
+        // started would not be answered.
         self.loop_state.deferred_inputs = inputs;
     }
 
-    /// Whether the inputs of this round wait for the next turn, since the process stalled in this one. Guards the grace of
-    /// a shutdown notice that lies unread: nothing starts before it has been looked for.
+    /// Whether the inputs of this round are deferred to the next turn because the process stalled during this one. This
+    /// enforces the grace of a shutdown notice that has not been read yet: no request starts before signals are checked.
     fn defers_inputs(&mut self, now: f64) -> bool {
-        let stalled = now > self.loop_state.turn_began + STALL_S;
+        let stalled = now > self.loop_state.turn_began + STALL_THRESHOLD_S;
         let may_defer = self.loop_state.deferral == Deferral::Allowed && self.shutdown.is_none();
         let defers = may_defer && stalled;
         self.loop_state.deferral = if defers { Deferral::Used } else { Deferral::Allowed };
         defers
     }
 
-    /// Hands the inputs to the dispatcher and carries out its commands; outcomes of commands become inputs again.
+    /// Passes the inputs to the dispatcher and executes its commands. Outcomes that are known at once are left in
+    /// `inputs`.
     pub(in crate::net) fn dispatch(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let mut commands = Vec::new();
         match &mut self.dispatcher {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Whether something waits that the loop will not report.
+    /// Whether work is pending that the event loop will not report.
     pub(in crate::net) fn has_pending(&self) -> bool {
         self.frontends.has_pending() || self.upstreams.has_pending()
     }
@@ -147,8 +150,8 @@
                 }
             }
             Timer::Run(number) => {
-                if let Some(servers) = &mut self.upstreams.ajp_backend {
-                    servers.due(now, number, inputs, &mut self.wheel);
+                if let Some(ajp_backend) = &mut self.upstreams.ajp_backend {
+                    ajp_backend.due(now, number, inputs, &mut self.wheel);
                 }
             }
             Timer::Search(number) => {
@@ -162,26 +165,25 @@
             }
             Timer::Sweep => {
                 self.loop_state.sweep_due = true;
-                self.wheel.set(now, SWEEP_S, Timer::Sweep);
+                self.wheel.set(now, SWEEP_INTERVAL_S, Timer::Sweep);
             }
             Timer::Reconnect => self.loop_state.timers.reconnect = false,
             Timer::Accept => self.loop_state.timers.accept = false,
-            // Waking up was all that these were for.
+            // These timers only wake the loop.
             Timer::Fleet | Timer::Again => {}
         }
     }
 
-    /// Ends connections that are idle or too slow, where that is due.
     fn sweep_if_due(&mut self) {
         if std::mem::take(&mut self.loop_state.sweep_due) {
             self.sweep();
         }
     }
 
-    /// Takes the steps that are due of the end of the process.
+    /// Performs the steps of a shutdown, or of an exit after a hand-off, that are due.
     fn advance_exit(&mut self, now: f64) {
         if self.has_handed_off() {
-            self.follow_exit(now);
+            self.advance_exit_after_hand_off(now);
         } else {
             self.advance_shutdown();
         }
