--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -1,8 +1,8 @@
-//! The operators' console: HTTP/1.1, one call on a connection, answered before anything else of a turn.
+//! The operators' console: HTTP/1.1 with one request per connection, answered before any other work of a turn.
 //!
-//! It has a descriptor budget of its own, so that clients can't exhaust it. Where it is used up, the oldest connection
-//! without a complete call is closed for the next one, so that callers who hold connections open can't exhaust it
-//! either.
+//! The console has its own descriptor budget, so that clients can't exhaust it. When the budget is used up, each new
+//! connection closes the oldest one that has not sent a complete request, so that peers that hold connections open
+//! can't exhaust it either.
 
 use crate::config::max_console_calls;
 use crate::dispatch::metrics::Metrics;
@@ -15,53 +15,53 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The longest head of a call (bytes).
+/// Maximum length of a request's head (bytes).
 const MAX_HEAD_BYTES: usize = 4 * 1024;
-/// Headers of a call at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
 
-/// A call of an operator.
+/// An operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// `GET /-/ready`: whether this process can serve.
+pub enum ConsoleRequest {
+    /// `GET /-/ready`: reports whether this process can serve requests.
     Ready,
-    /// `GET /-/metrics`.
+    /// `GET /-/metrics`: returns the metrics.
     Metrics,
-    /// `POST /-/drain`: send clients away.
+    /// `POST /-/drain`: begins a drain, which directs clients to other workers.
     Drain,
-    /// `POST /-/resume`: the end of the drain.
+    /// `POST /-/resume`: ends the drain.
     Resume,
 }
 
-/// The reply to a call.
+/// The response to a [`ConsoleRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reply {
-    /// The status.
-    pub code: u16,
-    /// The methods that the path allows, where the method was wrong; else empty.
+pub struct ConsoleResponse {
+    /// The HTTP status code.
+    pub status: u16,
+    /// The value of the `Allow` header if the request's method is not allowed, otherwise empty.
     pub allow: &'static str,
     /// The body.
-    pub text: String,
+    pub body: String,
 }
 
-impl Reply {
-    /// A reply with a status and a body.
-    pub fn new(code: u16, text: impl Into<String>) -> Reply {
-        Reply { code, allow: "", text: text.into() }
+impl ConsoleResponse {
+    /// Creates a response with a status and a body.
+    pub fn new(status: u16, body: impl Into<String>) -> ConsoleResponse {
+        ConsoleResponse { status, allow: "", body: body.into() }
     }
 }
 
 /// The console's listening socket and connections.
 pub struct Console {
-    /// Its connections.
+    /// The listening socket and the connections that it accepted.
     pub connections: Connections<()>,
 }
 
 impl Console {
-    /// Listens with a descriptor budget of its own, sized by the limit on the process.
+    /// Listens on `address` with a descriptor budget of its own, derived from the process's limit on sockets.
     ///
     /// # Errors
-    /// The system can't listen there.
+    /// The address can't be listened on.
     pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> Result<Console, ListenError> {
         let own = poll.with_own_budget(max_console_calls(sockets));
         let mut connections = Connections::closed(&own, FrontendKind::Console, MAX_HEAD_BYTES);
@@ -70,17 +70,17 @@
         Ok(Console { connections })
     }
 
-    /// Accepts and reads, and adds the calls that are complete. Malformed ones are answered here. Returns `true` if
-    /// accepting was paused.
-    pub fn gather(&mut self, now: f64, calls: &mut Vec<(u64, Call)>) -> bool {
+    /// Accepts connections, reads from them and adds complete requests to `requests`. Malformed requests are answered
+    /// here. Returns `true` if accepting was paused.
+    pub fn gather(&mut self, now: f64, requests: &mut Vec<(u64, ConsoleRequest)>) -> bool {
         let paused = self.connections.accept(now);
         for id in self.connections.take_touched() {
-            self.process_connection(id, now, calls);
+            self.process_connection(id, now, requests);
         }
         paused
     }
 
-    fn process_connection(&mut self, id: u64, now: f64, calls: &mut Vec<(u64, Call)>) {
+    fn process_connection(&mut self, id: u64, now: f64, requests: &mut Vec<(u64, ConsoleRequest)>) {
         let Some(c) = self.connections.get_mut(id) else { return };
         match c.advance(now) {
             NextStep::Read => {}
@@ -93,24 +93,24 @@
             c.set_state(now, ConnectionState::Reading);
         }
         match parse(c.link.data()) {
-            // The peer has ended: the call will never be complete.
+            // The peer has closed its side, so the request will never be complete.
             Ok(None) if filled != Filled::Open => self.connections.close(id),
             Ok(None) => {}
-            Ok(Some(call)) => {
+            Ok(Some(request)) => {
                 c.set_state(now, ConnectionState::AwaitingResponse);
-                calls.push((id, call));
+                requests.push((id, request));
             }
-            Err(reply) => self.answer(id, now, &reply),
+            Err(response) => self.respond(id, now, &response),
         }
     }
 
-    /// Answers a call and closes the connection behind the reply.
-    pub fn answer(&mut self, id: u64, now: f64, reply: &Reply) {
+    /// Sends the response to a request and closes the connection after it.
+    pub fn respond(&mut self, id: u64, now: f64, response: &ConsoleResponse) {
         let Some(c) = self.connections.get_mut(id) else { return };
-        // Bytes beyond the head belong to no call.
+        // Discards bytes after the head: a connection carries one request, and none has a body.
         c.link.consume(c.link.data().len());
         c.close = true;
-        c.link.push(encode(reply));
+        c.link.push(encode(response));
         c.set_state(now, ConnectionState::Responding);
         if c.advance(now) == NextStep::Close {
             self.connections.close(id);
@@ -118,54 +118,54 @@
     }
 }
 
-/// Parses a call where it lies; `None` while its head is not complete. No call has a body.
-fn parse(data: &[u8]) -> Result<Option<Call>, Reply> {
+/// Parses a request without consuming it. Returns `None` while its head is incomplete. No request has a body.
+fn parse(data: &[u8]) -> Result<Option<ConsoleRequest>, ConsoleResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(data) {
         Ok(httparse::Status::Complete(_)) => {}
         Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
-        _ => return Err(Reply::new(400, "the call can't be read\n")),
+        _ => return Err(ConsoleResponse::new(400, "the call can't be read\n")),
     }
     let path = head.path.unwrap_or("");
     let (path, _) = path.split_once('?').unwrap_or((path, ""));
-    let (call, method) = match path {
-        "/-/ready" => (Call::Ready, "GET"),
-        "/-/metrics" => (Call::Metrics, "GET"),
-        "/-/drain" => (Call::Drain, "POST"),
-        "/-/resume" => (Call::Resume, "POST"),
-        _ => return Err(Reply::new(404, "no such call\n")),
+    let (request, method) = match path {
+        "/-/ready" => (ConsoleRequest::Ready, "GET"),
+        "/-/metrics" => (ConsoleRequest::Metrics, "GET"),
+        "/-/drain" => (ConsoleRequest::Drain, "POST"),
+        "/-/resume" => (ConsoleRequest::Resume, "POST"),
+        _ => return Err(ConsoleResponse::new(404, "no such call\n")),
     };
     if head.method != Some(method) {
-        let text = format!("this is asked for with {method}\n");
-        return Err(Reply { code: 405, allow: method, text });
+        let body = format!("this is asked for with {method}\n");
+        return Err(ConsoleResponse { status: 405, allow: method, body });
     }
-    Ok(Some(call))
+    Ok(Some(request))
 }
 
-fn encode(reply: &Reply) -> Vec<u8> {
-    let reason = match reply.code {
+fn encode(response: &ConsoleResponse) -> Vec<u8> {
+    let reason = match response.status {
         200 => "OK",
         400 => "Bad Request",
         404 => "Not Found",
         405 => "Method Not Allowed",
         _ => "Service Unavailable",
     };
-    let mut text = String::with_capacity(160 + reply.text.len());
-    let _ = write!(text, "HTTP/1.1 {} {reason}\r\n", reply.code);
-    if !reply.allow.is_empty() {
-        let _ = write!(text, "Allow: {}\r\n", reply.allow);
+    let mut text = String::with_capacity(160 + response.body.len());
+    let _ = write!(text, "HTTP/1.1 {} {reason}\r\n", response.status);
+    if !response.allow.is_empty() {
+        let _ = write!(text, "Allow: {}\r\n", response.allow);
     }
-    let length = reply.text.len();
+    let length = response.body.len();
     let _ = write!(
         text,
         "Content-Type: text/plain; charset=utf-8\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{}",
-        reply.text
+        response.body
     );
     text.into_bytes()
 }
 
-/// The metrics, a line each: all classes from the start on, zeros included.
+/// Formats the metrics, one per line. All classes are present from the start, including those with zero counts.
 #[must_use]
 pub fn metrics_text(catalog: &Catalog, metrics: &Metrics, pending_responses: usize) -> String {
     let mut text = String::new();
--- a/src/net/lifecycle/hot_restart/effects.rs
+++ b/src/net/lifecycle/hot_restart/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the state machine of listener ownership decides.
+//! Execution of the effects that the state machine of listener ownership returns.
 
 use super::staged_state::StagedState;
 use crate::dispatch::Input;
@@ -10,7 +10,7 @@
 use crate::net::Worker;
 
 impl Worker {
-    pub(super) fn carry_out_hot_restart_effect(&mut self, now: f64, effect: Effect, inputs: &mut Vec<Input>) {
+    pub(super) fn execute_hot_restart_effect(&mut self, now: f64, effect: Effect, inputs: &mut Vec<Input>) {
         match effect {
             Effect::SendHello => self.send_hello(),
             Effect::RequestListeners => self.send_to_predecessor(&Frame::RequestListeners),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Accepts clients, and a successor.
+    /// Starts to accept clients, and listens for a successor.
     fn become_listener_owner(&mut self, now: f64) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         if let Err(error) = hot_restart.links.listen_for_successor() {
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -1,4 +1,4 @@
-//! The exit of a process that has handed off and has had the shutdown notice.
+//! Exit of a process that has handed off the listeners and then received the shutdown notice.
 
 use crate::dispatch::Dispatcher;
 use crate::log::LogEvent;
@@ -6,21 +6,21 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Worker;
 
-/// SIGKILL follows SIGTERM after the longest deadline, which counts as this where it is shorter (seconds).
+/// SIGKILL follows SIGTERM after the longest deadline of all classes, or after this time if that is longer (seconds).
 const MIN_LONGEST_DEADLINE_S: f64 = 3.0;
-/// And so much later (seconds).
+/// Time between that deadline and SIGKILL (seconds).
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
-/// The process exits so long before (seconds).
+/// The process exits this long before SIGKILL (seconds).
 const EXIT_MARGIN_S: f64 = 0.1;
 
 impl Worker {
-    /// From here on the process exits once no response is pending, and before it is killed in any case.
+    /// Makes the process exit once no response is pending, and in any case before it is killed.
     pub(super) fn exit_when_idle(&mut self, now: f64) {
         let deadlines = self.configuration.settings.classes.iter().map(|c| c.deadline_s);
         let longest_deadline_s = deadlines.fold(MIN_LONGEST_DEADLINE_S, f64::max);
-        // A shutdown that was under way when the listeners went has its own end.
+        // A shutdown that was in progress when the listeners were handed off keeps its own stop time.
         let kill_at = match &self.shutdown {
-            Some(leaving) => leaving.at.kill_at,
+            Some(shutdown) => shutdown.timeline.kill_at,
             None => now + longest_deadline_s + KILL_AFTER_DEADLINE_S,
         };
         let exit_by = kill_at - EXIT_MARGIN_S;
@@ -31,7 +31,7 @@
         HotRestartEvent::ExitPending.emit();
     }
 
-    /// Exits if it is time to.
+    /// Exits if everything has been handed off and connections have ended, or the time to exit has come.
     pub(in crate::net) fn advance_exit_after_hand_off(&mut self, now: f64) {
         let Some(exit_by) = self.hot_restart.as_ref().and_then(|r| r.exit_by) else { return };
         let must_exit = now >= exit_by;
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Whether no response is pending and the successor has been sent everything.
+    /// Whether no response is pending and everything has been sent to the successor.
     fn has_handed_off_everything(&self) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
         let idle = self.dispatcher.as_ref().is_none_or(Dispatcher::is_idle);
-        // Without a successor nobody takes idle connections.
+        // Without a successor, idle connections can't be handed off.
         let frontends_done = if hot_restart.links.has_successor() {
             self.frontends.all_handed_off()
         } else {
--- a/src/net/lifecycle/hot_restart/frontends.rs
+++ b/src/net/lifecycle/hot_restart/frontends.rs
@@ -1,4 +1,4 @@
-//! Opens the frontends of a process that owns the listeners.
+//! Opening the frontends of a process that owns the listeners.
 
 use crate::log::LogEvent;
 use crate::net::events::FrontendEvent;
@@ -8,18 +8,18 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Worker;
 
-/// Frontends of an operator's file that have a socket of their own.
+/// Frontends that the operator's file can enable, each with its own listening socket.
 const OPERATOR_FRONTENDS: [FrontendKind; 2] = [FrontendKind::Ajp, FrontendKind::Http2];
-/// The most listening sockets that a predecessor sends.
+/// Maximum number of listening sockets that a predecessor sends.
 pub(super) const MAX_LISTENERS: usize = OPERATOR_FRONTENDS.len();
 
-/// The frontend of an operator's file that a hand-off frame names.
+/// Returns the operator's frontend that has this name in a hand-off frame.
 pub(super) fn operator_frontend(name: &str) -> Option<FrontendKind> {
     OPERATOR_FRONTENDS.into_iter().find(|kind| kind.as_str() == name)
 }
 
 impl Worker {
-    /// Opens all frontends; nothing is handed off any more.
+    /// Opens all frontends and ends any hand-off.
     pub(super) fn accept_clients(&mut self, now: f64) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         self.context.availability.handing_off = false;
@@ -28,8 +28,8 @@
             dispatcher.set_indeterminate_keys(hot_restart.indeterminate_keys);
             self.wheel.set(now, 0.0, Timer::Heartbeat);
         }
-        // A shutdown may have closed the listeners for good.
-        if self.shutdown.as_ref().is_some_and(|l| l.closed.is_some()) {
+        // A shutdown closes the listeners permanently.
+        if self.shutdown.as_ref().is_some_and(|shutdown| shutdown.listeners_closed_at.is_some()) {
             return;
         }
         let opened = self.frontends.http1.open(Some(hot_restart.http_socket.clone()));
@@ -40,7 +40,7 @@
         self.open_operator_frontends();
     }
 
-    /// Accepts clients at the operator's frontends, on sockets that the predecessor has sent or else at their addresses.
+    /// Opens the operator's frontends, on the sockets that the predecessor has sent or otherwise on newly bound ones.
     pub(super) fn open_operator_frontends(&mut self) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let listeners = std::mem::take(&mut hot_restart.frontend_listeners);
--- a/src/net/lifecycle/hot_restart/inherited_listener.rs
+++ b/src/net/lifecycle/hot_restart/inherited_listener.rs
@@ -1,32 +1,32 @@
-//! The listening socket that the platform passes to this process by number.
+//! The listening socket that the platform passes to this process as a descriptor number.
 
 use std::io;
 use std::net::TcpListener;
 use std::os::fd::{BorrowedFd, RawFd};
 use std::rc::Rc;
 
-/// The highest descriptor of the standard streams.
-const STANDARD_ERROR: RawFd = 2;
+/// The highest descriptor number of the standard streams.
+const STDERR_DESCRIPTOR: RawFd = 2;
 
-/// Why the descriptor that the platform names can't be used.
+/// Why the descriptor that the platform passes can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedListenerError {
-    /// The setting is no number, or that of a standard stream.
+    /// The setting is not a number, or is the number of a standard stream.
     #[error("{EXPECTED}, found {setting:?}")]
     NotADescriptor {
-        /// The setting.
+        /// The value of the setting.
         setting: String,
     },
     /// The socket does not listen.
     #[error("{EXPECTED}, found {descriptor}, a socket that does not")]
     NotListening {
-        /// The descriptor.
+        /// The descriptor number.
         descriptor: RawFd,
     },
-    /// The system refuses an operation on it.
+    /// A system call on the descriptor failed.
     #[error("{EXPECTED}, found {descriptor}: {source}")]
     System {
-        /// The descriptor.
+        /// The descriptor number.
         descriptor: RawFd,
         /// The system's error.
         source: io::Error,
@@ -35,14 +35,14 @@
 
 const EXPECTED: &str = "ROUTER_SOCKET_FD: expected the number of a descriptor that listens";
 
-/// Takes over the listening socket that the platform names: another descriptor for it, in non-blocking mode.
+/// Opens the listening socket that the platform passes: returns a duplicate of the descriptor, in non-blocking mode.
 pub(in crate::net) fn inherited_listener(setting: &str) -> Result<Rc<TcpListener>, InheritedListenerError> {
-    let descriptor = setting.parse().ok().filter(|number: &RawFd| *number > STANDARD_ERROR);
+    let descriptor = setting.parse().ok().filter(|number: &RawFd| *number > STDERR_DESCRIPTOR);
     let descriptor =
         descriptor.ok_or_else(|| InheritedListenerError::NotADescriptor { setting: setting.to_owned() })?;
     let system_error = |source: io::Error| InheritedListenerError::System { descriptor, source };
-    // The platform has opened it for this process and nothing here closes it, so it stays what it is while it is
-    // borrowed; a number that names nothing shows in the first call.
+    // The platform opened the descriptor for this process and nothing here closes it, so it stays valid while it is
+    // borrowed. If the number is not an open descriptor, the first system call fails.
     #[allow(unsafe_code)]
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     let listens = rustix::net::sockopt::socket_acceptconn(borrowed).map_err(io::Error::from);
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -1,5 +1,5 @@
-//! The links of one process to its predecessor and its successor, and the Unix socket in `$TMPDIR` where they meet. What
-//! is done about the frames is decided by [`crate::hot_restart`].
+//! The links of a process to its predecessor and its successor, and the Unix socket in `$TMPDIR` on which a successor
+//! connects. The frames are interpreted by [`crate::hot_restart`].
 
 use super::peer_link::{LinkError, LinkFailure, PeerLink, ReceivedFrame};
 use crate::hot_restart::frame::Frame;
@@ -11,46 +11,47 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The socket's name in `$TMPDIR`.
+/// File name of the Unix socket in `$TMPDIR`.
 const SOCKET_NAME: &str = "honeypost-handover.sock";
-/// Links and listeners of this kind: to the predecessor, to the successor, and one that waits.
+/// Descriptor budget of the links: those to the predecessor and the successor, the listener, and a connection that
+/// waits.
 const MAX_LINKS: usize = 4;
 
-/// What happened on the links, in order.
+/// An event on one of the links.
 pub(super) enum LinkEvent {
     FromPredecessor(ReceivedFrame),
-    /// What the predecessor sends can't be used.
-    PredecessorDamaged(LinkError),
+    /// The predecessor has sent invalid data.
+    InvalidFromPredecessor(LinkError),
     PredecessorDisconnected,
     FromSuccessor(Frame),
-    /// What the successor sends can't be used.
-    SuccessorDamaged(LinkError),
+    /// The successor has sent invalid data.
+    InvalidFromSuccessor(LinkError),
     SuccessorDisconnected,
 }
 
-/// What a search for a predecessor has found.
+/// The result of a search for a predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Predecessor {
-    /// There is none.
+    /// No socket file exists.
     Absent,
-    /// Its socket is there, and nobody listens on it.
+    /// The socket file exists, but no process listens on it.
     Dead,
-    /// A link to it is established.
+    /// A link to the predecessor is established.
     Connected,
 }
 
-/// The socket where a successor connects.
+/// The socket on which a successor connects.
 struct SuccessorListener {
     socket: Rc<UnixListener>,
     _watch: Watch,
 }
 
-/// The links of one process.
+/// The links of a process.
 pub(in crate::net) struct Links {
     path: PathBuf,
     poll: Poll,
     listener: Option<SuccessorListener>,
-    /// A successor may wait to be accepted.
+    /// A connection from a successor may be waiting to be accepted.
     accept_pending: bool,
     predecessor: Option<PeerLink>,
     successor: Option<PeerLink>,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Looks for a process that serves already, and connects to it.
+    /// Looks for a process that is already serving, and connects to it.
     pub(super) fn find_predecessor(&mut self) -> io::Result<Predecessor> {
         match UnixStream::connect(&self.path).and_then(|stream| PeerLink::new(&self.poll, stream)) {
             Ok(link) => {
@@ -81,45 +82,45 @@
         }
     }
 
-    /// Lets a successor connect from here on: this process replaces any earlier one at the socket.
+    /// Starts to listen for a successor. This process's socket replaces that of any earlier process.
     pub(super) fn listen_for_successor(&mut self) -> io::Result<()> {
-        let new_path = self.path.with_extension(format!("{}", std::process::id()));
-        // What a process of the same number has left behind.
-        let _ = std::fs::remove_file(&new_path);
-        let socket = Rc::new(UnixListener::bind(&new_path)?);
+        let temporary_path = self.path.with_extension(format!("{}", std::process::id()));
+        // A process with the same process id may have left its file behind.
+        let _ = std::fs::remove_file(&temporary_path);
+        let socket = Rc::new(UnixListener::bind(&temporary_path)?);
         socket.set_nonblocking(true)?;
         let watch = self.poll.watch(socket.clone(), Source::SuccessorListener)?;
-        std::fs::rename(&new_path, &self.path)?;
+        std::fs::rename(&temporary_path, &self.path)?;
         self.listener = Some(SuccessorListener { socket, _watch: watch });
         self.accept_pending = true;
         Ok(())
     }
 
-    /// No successor can connect any more; the socket's file is another process's by now.
+    /// Stops listening for a successor. The socket file stays, since it belongs to another process by now.
     pub(super) fn stop_listening(&mut self) {
         self.listener = None;
     }
 
-    /// Leaves no file behind that the next process would take for that of a dead predecessor.
+    /// Stops listening and removes the socket file, which the next process would take for that of a dead predecessor.
     pub(in crate::net) fn remove_socket(&mut self) {
         if self.listener.take().is_some() {
             let _ = std::fs::remove_file(&self.path);
         }
     }
 
-    /// Notes that the loop has found the listener ready.
+    /// Records that the loop has reported the listener as ready.
     pub(in crate::net) fn mark_listener(&mut self) {
         self.accept_pending = true;
     }
 
-    /// Notes that the loop has found a link ready.
-    pub(in crate::net) fn mark(&mut self, number: u64, readiness: Readiness) {
+    /// Records that the loop has reported a link as ready.
+    pub(in crate::net) fn mark(&mut self, id: u64, readiness: Readiness) {
         for link in self.links_mut() {
-            link.mark(number, readiness);
+            link.mark(id, readiness);
         }
     }
 
-    /// The next event on one of the links; the predecessor's come first.
+    /// Returns the next event on one of the links. Those of the predecessor's link come first.
     pub(super) fn next_event(&mut self) -> Option<LinkEvent> {
         self.next_predecessor_event().or_else(|| {
             self.accept_successor();
@@ -130,7 +131,7 @@
     fn next_predecessor_event(&mut self) -> Option<LinkEvent> {
         match self.predecessor.as_mut()?.receive() {
             Ok(received) => received.map(LinkEvent::FromPredecessor),
-            Err(LinkFailure::Damaged(error)) => Some(LinkEvent::PredecessorDamaged(error)),
+            Err(LinkFailure::InvalidInput(error)) => Some(LinkEvent::InvalidFromPredecessor(error)),
             Err(LinkFailure::Closed) => {
                 self.predecessor = None;
                 Some(LinkEvent::PredecessorDisconnected)
@@ -141,7 +142,7 @@
     fn next_successor_event(&mut self) -> Option<LinkEvent> {
         match self.successor.as_mut()?.receive() {
             Ok(received) => received.map(|received| LinkEvent::FromSuccessor(received.frame)),
-            Err(LinkFailure::Damaged(error)) => Some(LinkEvent::SuccessorDamaged(error)),
+            Err(LinkFailure::InvalidInput(error)) => Some(LinkEvent::InvalidFromSuccessor(error)),
             Err(LinkFailure::Closed) => {
                 self.disconnect_successor();
                 Some(LinkEvent::SuccessorDisconnected)
@@ -172,13 +173,13 @@
         }
     }
 
-    /// Closes the link to the successor; another one may connect.
+    /// Closes the link to the successor, so that another one can connect.
     pub(super) fn disconnect_successor(&mut self) {
         self.successor = None;
         self.accept_pending = true;
     }
 
-    /// Replaces the link to the predecessor by a silent one, whose end is the end of that process.
+    /// Replaces the link to the predecessor by one that only reports the end of that process.
     pub(super) fn watch_predecessor(&mut self) {
         self.predecessor = None;
         if let Ok(Predecessor::Connected) = self.find_predecessor() {
@@ -197,7 +198,8 @@
         [&self.predecessor, &self.successor].into_iter().flatten().all(PeerLink::all_sent)
     }
 
-    /// Sends what the others take; `true` if the rest must be tried again without an event.
+    /// Sends queued frames as far as the sockets accept them. Returns `true` if the rest must be retried without
+    /// waiting for a readiness event.
     pub(super) fn flush(&mut self) -> bool {
         let mut try_again = false;
         for link in self.links_mut() {
--- a/src/net/lifecycle/hot_restart/messages.rs
+++ b/src/net/lifecycle/hot_restart/messages.rs
@@ -1,4 +1,4 @@
-//! Conversion between the dispatcher's types and the frames on the link between two processes.
+//! Conversion between the dispatcher's types and the frames that are sent between two processes.
 
 use crate::dispatch::idempotency::{IdempotencyKey, IdempotencyUpdate, KeyProgress};
 use crate::dispatch::{HandedOffRequest, Request, Ticket};
@@ -6,17 +6,18 @@
 use crate::net::frontends::connections::DetachedConnection;
 use crate::net::Clock;
 
-/// The Unix time of the loop's zero (milliseconds): times on the link mean the same in both processes.
-pub(super) fn loop_zero_unix_ms(clock: &Clock) -> f64 {
+/// Returns the Unix time at which the loop's clock was zero (milliseconds). Frames carry Unix times, since the two
+/// processes' loop clocks differ.
+pub(super) fn loop_epoch_unix_ms(clock: &Clock) -> f64 {
     clock.unix_ms() - clock.now() * 1000.0
 }
 
-pub(super) fn to_key_state(update: &IdempotencyUpdate, zero_unix_ms: f64) -> KeyState {
+pub(super) fn to_key_state(update: &IdempotencyUpdate, epoch_unix_ms: f64) -> KeyState {
     let IdempotencyKey { class, tenant, key } = update.key.clone();
     KeyState {
         key: Key { class, tenant, key },
         body_fingerprint: update.body_fingerprint,
-        expires_at_ms: zero_unix_ms + update.expires_at * 1000.0,
+        expires_at_ms: epoch_unix_ms + update.expires_at * 1000.0,
         outcome: match &update.progress {
             Some(KeyProgress::Open) => KeyOutcome::Open,
             Some(KeyProgress::Served(result)) => KeyOutcome::Served(result.clone().map(Bytes)),
@@ -26,14 +27,14 @@
     }
 }
 
-/// `latest_expiry` is the end of the longest window that may begin now (loop's clock, seconds): no key matches retries
-/// for longer.
-pub(super) fn to_key_update(state: KeyState, zero_unix_ms: f64, latest_expiry: f64) -> IdempotencyUpdate {
+/// `latest_expiry` is the end of the longest window that could begin now (loop's clock, seconds). It caps the expiry, since
+/// no key matches retries for longer.
+pub(super) fn to_key_update(state: KeyState, epoch_unix_ms: f64, latest_expiry: f64) -> IdempotencyUpdate {
     let Key { class, tenant, key } = state.key;
     IdempotencyUpdate {
         key: IdempotencyKey { class, tenant, key },
         body_fingerprint: state.body_fingerprint,
-        expires_at: ((state.expires_at_ms - zero_unix_ms) / 1000.0).min(latest_expiry),
+        expires_at: ((state.expires_at_ms - epoch_unix_ms) / 1000.0).min(latest_expiry),
         progress: match state.outcome {
             KeyOutcome::Open => Some(KeyProgress::Open),
             KeyOutcome::Served(result) => Some(KeyProgress::Served(result.map(|bytes| bytes.0))),
@@ -43,7 +44,7 @@
     }
 }
 
-pub(super) fn to_queued_request(handed_off: &HandedOffRequest, zero_unix_ms: f64) -> QueuedRequest {
+pub(super) fn to_queued_request(handed_off: &HandedOffRequest, epoch_unix_ms: f64) -> QueuedRequest {
     let request = &handed_off.request;
     QueuedRequest {
         name: request.name.clone(),
@@ -51,8 +52,8 @@
         tenant: request.tenant,
         caller: request.caller,
         memory_kb: request.memory_kb,
-        arrived_at_ms: zero_unix_ms + handed_off.arrived * 1000.0,
-        deadline_ms: zero_unix_ms + handed_off.deadline * 1000.0,
+        arrived_at_ms: epoch_unix_ms + handed_off.arrived * 1000.0,
+        deadline_ms: epoch_unix_ms + handed_off.deadline * 1000.0,
         estimate_s: request.estimate_s,
         key: request.key.clone(),
         retry: request.retry,
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -1,4 +1,4 @@
-//! Hot restart of a worker: the effects that [`crate::hot_restart`] decides on, carried out on the frontends, the
+//! Hot restart of a worker: executes the effects that [`crate::hot_restart`] decides on, on the frontends, the
 //! dispatcher and the links to the other processes.
 #![warn(missing_docs)]
 
@@ -30,32 +30,34 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// The part of a worker that exists where the listening socket is inherited and there is a folder to meet in.
+/// The hot restart state of a worker. It exists only if the listening socket is inherited and there is a shared folder
+/// for the Unix socket.
 pub(in crate::net) struct HotRestart {
     pub(in crate::net) links: Links,
     pub(in crate::net) ownership: ListenerOwnership,
     /// The inherited socket of the HTTP frontend.
     http_socket: Rc<TcpListener>,
     staged: StagedState,
-    /// Requests that the successor has been sent and has not confirmed.
+    /// Requests that were sent to the successor, which has not confirmed the takeover yet.
     handed_off: Vec<HandedOffRequest>,
-    /// Sockets that the predecessor has sent, or those that the successor has been sent.
+    /// Listening sockets that were received from the predecessor or sent to the successor.
     frontend_listeners: Vec<FrontendListener>,
     /// Why a frontend could not be opened.
     frontend_error: Option<ListenError>,
     /// The usage that was last reported to the successor.
     reported_usage: Usage,
-    /// This process and its successor understand each other.
+    /// The successor's hello was accepted.
     successor_accepted: bool,
-    /// What was assumed of keys before they were handed off.
+    /// How unknown keys were treated before the hand-off.
     indeterminate_keys: IndeterminateKeys,
-    /// When the process exits at the latest, once it has had the shutdown notice and has no listeners (loop's clock,
+    /// Latest time of the exit, set after the shutdown notice once the listeners are handed off (loop's clock,
     /// seconds).
     exit_by: Option<f64>,
 }
 
 impl HotRestart {
-    /// A process that has not looked for a predecessor yet. A key matches retries for `longest_window_s` at most.
+    /// Creates the state of a process that has not looked for a predecessor yet. `longest_window_s` is the maximum time
+    /// for which a key matches retries.
     pub(in crate::net) fn new(links: Links, http_socket: Rc<TcpListener>, longest_window_s: f64) -> Self {
         HotRestart {
             links,
@@ -72,28 +74,28 @@
         }
     }
 
-    /// What is to be assumed of keys by a dispatcher that begins now.
+    /// Returns how a dispatcher that starts now must treat unknown keys.
     pub(in crate::net) fn indeterminate_keys(&self) -> IndeterminateKeys {
         self.indeterminate_keys
     }
 }
 
 impl Worker {
-    /// Whether clients are accepted.
+    /// Whether this process owns the listeners. Always true without hot restart.
     pub(in crate::net) fn owns_listeners(&self) -> bool {
         self.hot_restart.as_ref().is_none_or(|r| r.ownership.is_owner())
     }
 
-    /// Whether a successor owns the listeners, or has been sent everything for it.
+    /// Whether a successor owns the listeners, or has been sent everything that it needs to own them.
     pub(in crate::net) fn has_handed_off(&self) -> bool {
         self.hot_restart.as_ref().is_some_and(|r| r.ownership.has_handed_off())
     }
 
-    /// Looks for a process that serves already, right after the start.
+    /// Looks for a process that is already serving. Called once, right after the start.
     ///
     /// # Errors
     ///
-    /// There is none, and an address of the operator's file can't be used.
+    /// There is no predecessor, and an address of the operator's file can't be listened on.
     pub(in crate::net) fn find_predecessor(&mut self, now: f64) -> Result<(), ListenError> {
         let Some(hot_restart) = &mut self.hot_restart else { return Ok(()) };
         let event = match hot_restart.links.find_predecessor() {
@@ -115,7 +117,7 @@
         frontend_error.map_or(Ok(()), Err)
     }
 
-    /// Tells the state machine what happened, and carries out what it decides.
+    /// Passes an event to the state machine and executes the effects that it returns.
     pub(in crate::net) fn on_hot_restart_event(&mut self, now: f64, event: Event, inputs: &mut Vec<Input>) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let mut effects = Vec::new();
@@ -124,29 +126,30 @@
             self.wheel.set(now, PREDECESSOR_TIMEOUT_S, Timer::Again);
         }
         for effect in effects {
-            self.carry_out_hot_restart_effect(now, effect, inputs);
+            self.execute_hot_restart_effect(now, effect, inputs);
         }
     }
 
-    /// Handles what the other processes have sent, before any frontend is looked at.
+    /// Handles frames of the other processes, before any frontend is read.
     pub(in crate::net) fn receive_hot_restart_frames(&mut self, now: f64, inputs: &mut Vec<Input>) {
         while let Some(event) = self.hot_restart.as_mut().and_then(|r| r.links.next_event()) {
             self.on_link_event(now, event, inputs);
         }
-        // Only now: what it waits for may have come while this process got no time.
+        // Timeouts are checked only after reading: the awaited frame may have arrived while this process was not
+        // running.
         self.on_hot_restart_event(now, Event::Tick, inputs);
     }
 
     fn on_link_event(&mut self, now: f64, event: LinkEvent, inputs: &mut Vec<Input>) {
         match event {
             LinkEvent::FromPredecessor(received) => self.on_predecessor_frame(now, received, inputs),
-            LinkEvent::PredecessorDamaged(error) => {
+            LinkEvent::InvalidFromPredecessor(error) => {
                 HotRestartEvent::FrameDamaged { peer: Peer::Predecessor, error: &error }.emit();
                 self.on_hot_restart_event(now, Event::Incompatible, inputs);
             }
             LinkEvent::PredecessorDisconnected => self.on_predecessor_disconnected(now, inputs),
             LinkEvent::FromSuccessor(frame) => self.on_successor_frame(now, frame, inputs),
-            LinkEvent::SuccessorDamaged(error) => {
+            LinkEvent::InvalidFromSuccessor(error) => {
                 HotRestartEvent::FrameDamaged { peer: Peer::Successor, error: &error }.emit();
                 if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.links.disconnect_successor();
@@ -160,8 +163,8 @@
         }
     }
 
-    /// At the end of a round of the loop: connections that have fallen idle go to the successor, and what is queued for
-    /// the other processes is sent.
+    /// Runs at the end of each round: hands connections that have become idle to the successor, and sends the queued
+    /// frames to the other processes.
     pub(in crate::net) fn send_hot_restart_frames(&mut self, now: f64) {
         let Some(hot_restart) = &self.hot_restart else { return };
         if hot_restart.ownership.is_released() && hot_restart.links.has_successor() {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// How long a key matches retries at most: its window, and what the controller adds to be safe (seconds).
+    /// Maximum time for which a key matches retries: the longest window plus the controller's safety margin (seconds).
     fn longest_window_s(&self) -> f64 {
         self.configuration.settings.classes.iter().map(|c| c.window_s).fold(0.0, f64::max) + 1.0
     }
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -1,4 +1,4 @@
-//! One link to another process: a Unix socket that carries frames, and file descriptors with some of them.
+//! A link to another process: a Unix socket that carries frames, some of them with a file descriptor.
 
 use crate::hot_restart::frame::{Frame, FrameError, HEADER_BYTES, MAX_FRAME_BYTES};
 use crate::net::io::poll::{Poll, Watch};
@@ -14,73 +14,73 @@
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
 
-/// Descriptors that one message of the system may carry here.
+/// Maximum number of descriptors received with one system message.
 const MAX_DESCRIPTORS_PER_MESSAGE: usize = 8;
-/// Descriptors that may wait for their frames.
+/// Maximum number of received descriptors whose frames are incomplete.
 const MAX_UNCLAIMED_DESCRIPTORS: usize = 4096;
-/// Bytes read in one step.
-const READ_STEP_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes read with one system call.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Why what came on a link can't be used.
+/// Why data received on a link is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(in crate::net) enum LinkError {
-    /// The bytes are not a frame.
+    /// The bytes are not a valid frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// A frame that needs a descriptor came without one.
+    /// A frame that requires a descriptor was received without one.
     #[error("a frame came without its descriptor")]
     MissingDescriptor,
-    /// More descriptors came than frames can claim.
+    /// Too many descriptors were received without frames that claim them.
     #[error("descriptors without frames")]
     UnclaimedDescriptors,
 }
 
-/// A frame, with the descriptor that it carries.
+/// A received frame with the descriptor that it carries, if any.
 pub(super) struct ReceivedFrame {
     pub(super) frame: Frame,
     pub(super) descriptor: Option<OwnedFd>,
 }
 
-/// Why no frame will be received any more.
+/// Why no more frames will be received.
 pub(super) enum LinkFailure {
-    /// What came can't be used. Nothing is read as a frame after it.
-    Damaged(LinkError),
+    /// The data received is invalid. Everything after it is discarded.
+    InvalidInput(LinkError),
     /// The other process has closed the link.
     Closed,
 }
 
-/// A frame that is being sent.
+/// A frame that waits to be sent or is partially sent.
 struct OutgoingFrame {
     bytes: Vec<u8>,
     descriptor: Option<OwnedFd>,
 }
 
-/// One link.
+/// A link to another process.
 pub(super) struct PeerLink {
-    number: u64,
+    id: u64,
     stream: Rc<UnixStream>,
     _watch: Watch,
     input: Vec<u8>,
-    /// Where the first frame begins in the input.
+    /// Offset of the first unprocessed frame in `input`.
     input_start: usize,
     descriptors: VecDeque<OwnedFd>,
     output: VecDeque<OutgoingFrame>,
-    /// Bytes of the first outgoing frame that have been sent.
+    /// Number of bytes of the first outgoing frame that have been sent.
     written: usize,
     readiness: Readiness,
     closed: bool,
-    /// What comes is discarded: only the end of the link still counts.
+    /// Input is discarded; only the end of the link is still reported.
     discards_input: bool,
 }
 
 impl PeerLink {
     pub(super) fn new(poll: &Poll, stream: UnixStream) -> io::Result<PeerLink> {
         stream.set_nonblocking(true)?;
-        let number = poll.next_id();
+        let id = poll.next_id();
         let stream = Rc::new(stream);
-        let watch = poll.watch(stream.clone(), Source::HotRestartPeer(number))?;
+        let watch = poll.watch(stream.clone(), Source::HotRestartPeer(id))?;
         Ok(PeerLink {
-            number,
+            id,
             stream,
             _watch: watch,
             input: Vec::new(),
@@ -94,15 +94,15 @@
         })
     }
 
-    /// Notes that the loop has found the socket ready.
-    pub(super) fn mark(&mut self, number: u64, readiness: Readiness) {
-        if self.number == number {
+    /// Records the socket's readiness if `id` is that of this link.
+    pub(super) fn mark(&mut self, id: u64, readiness: Readiness) {
+        if self.id == id {
             self.readiness.readable |= readiness.readable;
             self.readiness.writable |= readiness.writable;
         }
     }
 
-    /// From here on only the end of the link counts.
+    /// Discards all input from here on; only the end of the link is still reported.
     pub(super) fn discard_input(&mut self) {
         self.discards_input = true;
     }
@@ -117,7 +117,7 @@
         self.output.push_back(OutgoingFrame { bytes: frame.encode(), descriptor });
     }
 
-    /// The next frame, if one has been received completely.
+    /// Returns the next frame if one has been received completely.
     pub(super) fn receive(&mut self) -> Result<Option<ReceivedFrame>, LinkFailure> {
         self.read();
         if self.discards_input {
@@ -131,7 +131,7 @@
             Ok(received) => Ok(received),
             Err(error) => {
                 self.discard_input();
-                Err(LinkFailure::Damaged(error))
+                Err(LinkFailure::InvalidInput(error))
             }
         }
     }
@@ -151,23 +151,24 @@
         Ok(Some(ReceivedFrame { frame, descriptor: Some(descriptor) }))
     }
 
-    /// Reads until a frame of any length would be complete, or nothing more is there.
+    /// Reads until a frame of maximum length would be complete or no more data is available.
     fn read(&mut self) {
         while self.readiness.readable
             && !self.closed
             && self.input.len() - self.input_start < MAX_FRAME_BYTES + HEADER_BYTES
         {
-            // Only here, not with each frame: what waits would be moved for every one.
+            // Consumed bytes are removed here rather than after each frame, which would move the remaining input each
+            // time.
             self.input.drain(..std::mem::take(&mut self.input_start));
-            self.read_step();
+            self.read_chunk();
         }
     }
 
-    fn read_step(&mut self) {
+    fn read_chunk(&mut self) {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let end = self.input.len();
-        self.input.resize(end + READ_STEP_BYTES, 0);
+        self.input.resize(end + READ_CHUNK_BYTES, 0);
         let mut buffers = [IoSliceMut::new(&mut self.input[end..])];
         let received = recvmsg(self.stream.as_fd(), &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC);
         for message in control.drain() {
@@ -184,18 +185,19 @@
         }
     }
 
-    /// Sends what the other process takes; `true` if the rest must be tried again without an event.
+    /// Sends queued frames as far as the socket accepts them. Returns `true` if the rest must be retried without
+    /// waiting for a readiness event.
     pub(super) fn flush(&mut self) -> bool {
         while self.readiness.writable && !self.output.is_empty() {
-            match self.write_step() {
+            match self.write_chunk() {
                 Ok(()) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.readiness.writable = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Too many descriptors are on their way: no event tells when there are fewer.
+                // Too many descriptors are in flight; no readiness event reports when there are fewer.
                 Err(e) if e.raw_os_error() == Some(rustix::io::Errno::TOOMANYREFS.raw_os_error()) => {
                     return true;
                 }
-                // The other process has gone, which shows in reading.
+                // The other process has closed the link, which the next read reports.
                 Err(_) => {
                     self.output.clear();
                     self.written = 0;
@@ -206,8 +208,8 @@
         false
     }
 
-    /// Sends a part of the first outgoing frame; a descriptor goes with its first byte.
-    fn write_step(&mut self) -> io::Result<()> {
+    /// Sends a part of the first outgoing frame. Its descriptor is sent with the first byte.
+    fn write_chunk(&mut self) -> io::Result<()> {
         let Some(frame) = self.output.front() else { return Ok(()) };
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -1,7 +1,8 @@
-//! The successor's side: frames of the predecessor, and taking over what it hands off.
+//! The successor's side of a hot restart: handling of the predecessor's frames, and adoption of the state that it hands
+//! off.
 
 use super::frontends::{operator_frontend, MAX_LISTENERS};
-use super::messages::{loop_zero_unix_ms, to_key_update, to_request};
+use super::messages::{loop_epoch_unix_ms, to_key_update, to_request};
 use super::peer_link::ReceivedFrame;
 use super::staged_state::{PredecessorState, ReceivedConnection};
 use crate::dispatch::{Input, ResourceUsage, Ticket};
@@ -16,9 +17,9 @@
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 
-/// The memory limit is so many times what the predecessor's keys and results may take before they are acted on. That is
-/// twice the room for results, since the predecessor may hold what an older one has sent it.
-const MEMORY_PER_STAGED_KEYS: f64 = crate::net::RESULT_MEMORY_DIVISOR / 2.0;
+/// The predecessor's keys and results may take the memory limit divided by this before they are adopted. That is twice
+/// the limit of retained results, since the predecessor may also hold results that an older process has sent it.
+const STAGED_KEYS_MEMORY_DIVISOR: f64 = crate::net::RESULT_MEMORY_DIVISOR / 2.0;
 
 impl Worker {
     pub(super) fn on_predecessor_frame(
@@ -28,7 +29,7 @@
         inputs: &mut Vec<Input>,
     ) {
         let ReceivedFrame { frame, descriptor } = received;
-        let staged_too_much = self.has_staged_too_much();
+        let exceeds_limits = self.exceeds_staging_limits();
         let Some(hot_restart) = &mut self.hot_restart else { return };
         match frame {
             Frame::Welcome => self.on_hot_restart_event(now, Event::HelloAccepted, inputs),
@@ -41,8 +42,8 @@
                 hot_restart.staged.state = Some(state);
             }
             Frame::Key(state) if hot_restart.staged.adopted => self.update_keys(now, vec![state], inputs),
-            // More than a process can have: no port worker is sending.
-            _ if staged_too_much => {
+            // More than a worker can have, so the sender is not a port worker.
+            _ if exceeds_limits => {
                 HotRestartEvent::StateTooLarge.emit();
                 self.on_hot_restart_event(now, Event::Incompatible, inputs);
             }
@@ -64,23 +65,23 @@
         self.on_hot_restart_event(now, Event::PredecessorDisconnected, inputs);
         inputs.push(Input::PredecessorExited);
         if self.owns_listeners() {
-            // Its addresses are free now.
+            // The predecessor's addresses are free now.
             self.open_operator_frontends();
         }
     }
 
-    fn has_staged_too_much(&self) -> bool {
+    fn exceeds_staging_limits(&self) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
         let limits = &self.configuration.platform.limits;
-        let max_key_bytes = (limits.memory_mb * 1024.0 * 1024.0 / MEMORY_PER_STAGED_KEYS) as usize;
+        let max_key_bytes = (limits.memory_mb * 1024.0 * 1024.0 / STAGED_KEYS_MEMORY_DIVISOR) as usize;
         let staged = &hot_restart.staged;
         staged.key_bytes > max_key_bytes || staged.connections.len() > limits.sockets
     }
 
     fn update_keys(&self, now: f64, states: Vec<KeyState>, inputs: &mut Vec<Input>) {
-        let zero_unix_ms = loop_zero_unix_ms(&self.clock);
+        let epoch_unix_ms = loop_epoch_unix_ms(&self.clock);
         let latest_expiry = now + self.longest_window_s();
-        let updates = states.into_iter().map(|state| to_key_update(state, zero_unix_ms, latest_expiry));
+        let updates = states.into_iter().map(|state| to_key_update(state, epoch_unix_ms, latest_expiry));
         inputs.extend(updates.map(Input::IdempotencyUpdate));
     }
 
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Acts on all that the predecessor has sent.
+    /// Adopts all state that the predecessor has sent.
     pub(super) fn adopt_staged_state(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let staged = hot_restart.staged.adopt();
@@ -145,7 +146,7 @@
             dispatcher.inherit_from_predecessor(state.fingerprint_key, state.running);
         }
         inputs.push(Input::LearnedState(state.learned));
-        // Whoever asked this process for a drain while it waited means it all the same.
+        // A drain that was requested from this process while it waited for the hand-off remains in effect.
         self.set_draining(state.draining || self.context.availability.draining);
     }
 
@@ -158,7 +159,7 @@
 
     fn adopt_connection(&mut self, now: f64, received: ReceivedConnection, inputs: &mut Vec<Input>) {
         let ReceivedConnection { connection, stream } = received;
-        // The controller ignores what it can't place, and nobody would respond to it.
+        // The controller ignores requests with an unknown class or tenant, so they would never be answered.
         if connection.queued_request.as_ref().is_some_and(|request| !self.is_valid_request(request)) {
             return HotRestartEvent::RequestRejected.emit();
         }
--- a/src/net/lifecycle/hot_restart/staged_state.rs
+++ b/src/net/lifecycle/hot_restart/staged_state.rs
@@ -1,4 +1,4 @@
-//! What the predecessor has sent and this process has not acted on yet.
+//! State that the predecessor has sent and this process has not adopted yet.
 
 use crate::hot_restart::frame::{HandedOffConnection, KeyOutcome, KeyState, Usage};
 use crate::hot_restart::FingerprintKey;
@@ -6,7 +6,7 @@
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 
-/// What a key without a result counts for (bytes).
+/// Estimated size of a key without its text and result (bytes).
 const KEY_BYTES: usize = 256;
 
 /// The fields of [`Frame::State`](crate::hot_restart::frame::Frame::State).
@@ -23,16 +23,16 @@
     pub(super) stream: OwnedFd,
 }
 
-/// What the predecessor has sent, until it marks its state as complete.
+/// State received from the predecessor, collected until it is complete.
 #[derive(Default)]
 pub(super) struct StagedState {
     pub(super) state: Option<PredecessorState>,
     pub(super) keys: Vec<KeyState>,
-    /// What the keys take, roughly (bytes).
+    /// Estimated size of the keys with their results (bytes).
     pub(super) key_bytes: usize,
     pub(super) usage: Usage,
     pub(super) connections: Vec<ReceivedConnection>,
-    /// It has been acted on: what comes now is acted on as it comes.
+    /// The state has been adopted: later frames are acted on immediately.
     pub(super) adopted: bool,
 }
 
@@ -46,7 +46,7 @@
         self.keys.push(state);
     }
 
-    /// Takes everything; what comes from now on is acted on as it comes.
+    /// Takes the staged state. Later frames are acted on immediately.
     pub(super) fn adopt(&mut self) -> StagedState {
         let adopted = StagedState { adopted: true, ..StagedState::default() };
         std::mem::replace(self, adopted)
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -1,6 +1,6 @@
-//! The predecessor's side: frames of the successor, and handing off to it.
+//! The predecessor's side of a hot restart: handling of the successor's frames, and the hand-off.
 
-use super::messages::{loop_zero_unix_ms, to_connection, to_key_state, to_queued_request};
+use super::messages::{loop_epoch_unix_ms, to_connection, to_key_state, to_queued_request};
 use crate::dispatch::idempotency::IdempotencyUpdate;
 use crate::dispatch::{Command, HandOffState, HandedOffRequest, Input, ResourceUsage};
 use crate::hot_restart::frame::{Frame, Usage, VERSION};
@@ -10,7 +10,7 @@
 use crate::net::frontends::connections::{Connection, ConnectionState};
 use crate::net::Worker;
 
-/// Descriptors that a process holds outside its budget: standard streams, the loop's, links.
+/// Descriptors that a process holds outside its budget: the standard streams, the event loop's and the links.
 const OVERHEAD_DESCRIPTORS: usize = 10;
 
 /// Why a process is not accepted as the successor.
@@ -32,7 +32,7 @@
         match frame {
             Frame::Hello { version, name, classes, tenants } => {
                 let compatible = self.check_successor(version, &name, &classes, &tenants);
-                self.answer_hello(compatible);
+                self.reply_to_hello(compatible);
             }
             Frame::RequestListeners if self.hot_restart.as_ref().is_some_and(|r| r.successor_accepted) => {
                 self.on_hot_restart_event(now, Event::ListenersRequested, inputs);
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    fn answer_hello(&mut self, compatible: Result<(), SuccessorMismatch>) {
+    fn reply_to_hello(&mut self, compatible: Result<(), SuccessorMismatch>) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         hot_restart.successor_accepted = compatible.is_ok();
         match compatible {
@@ -74,9 +74,10 @@
         }
     }
 
-    /// Sends everything that the successor needs, in one go; what it gets is retained until it confirms.
+    /// Sends everything that the successor needs, all at once. What is sent is also retained until the successor
+    /// confirms.
     pub(super) fn hand_off(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        // What was gathered concerns requests that are about to be handed off.
+        // Inputs gathered so far concern requests that are about to be handed off, so they are dispatched first.
         self.dispatch(now, inputs);
         let mut commands = Vec::new();
         self.close_listeners_for_hand_off();
@@ -89,7 +90,7 @@
         }
         let queued = self.hot_restart.as_ref().map_or(0, |r| r.handed_off.len());
         HotRestartEvent::RequestsHandedOff { queued }.emit();
-        // Connections that were handed off count there.
+        // Handed-off connections are counted by the successor.
         let handed_off =
             self.frontends.http1.connections.ids_where(|c| c.state == ConnectionState::HandedOff).len();
         self.report_usage(handed_off);
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Closes the listeners of all frontends. Those that the successor does not inherit are retained for it.
+    /// Closes the listeners of all frontends. Those that the successor does not inherit from the platform are retained,
+    /// to be sent to it.
     fn close_listeners_for_hand_off(&mut self) {
         self.context.availability.handing_off = true;
         let Some(hot_restart) = &mut self.hot_restart else { return };
@@ -111,7 +113,7 @@
     fn send_listeners(&mut self) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         for listener in &hot_restart.frontend_listeners {
-            // Without a descriptor for it the successor binds the address once this process has ended.
+            // If the descriptor can't be duplicated, the successor binds the address once this process has ended.
             if let Ok(socket) = listener.socket.try_clone() {
                 let frame = Frame::Listener { frontend: listener.kind.as_str().to_owned() };
                 hot_restart.links.send_to_successor(&frame, Some(socket.into()));
@@ -128,7 +130,7 @@
     }
 
     fn send_handed_off(&mut self, now: f64, handed_off: HandOffState, inputs: &mut Vec<Input>) {
-        let zero_unix_ms = loop_zero_unix_ms(&self.clock);
+        let epoch_unix_ms = loop_epoch_unix_ms(&self.clock);
         self.send_to_successor(&Frame::State {
             fingerprint_key: handed_off.fingerprint_key,
             draining: self.context.availability.draining,
@@ -136,19 +138,20 @@
             running: handed_off.running,
         });
         for update in &handed_off.keys {
-            self.send_to_successor(&Frame::Key(to_key_state(update, zero_unix_ms)));
+            self.send_to_successor(&Frame::Key(to_key_state(update, epoch_unix_ms)));
         }
         for request in handed_off.requests {
-            self.send_request(now, request, zero_unix_ms, inputs);
+            self.send_request(now, request, epoch_unix_ms, inputs);
         }
     }
 
-    /// Sends a request with its connection. It stays here and gets its response here if the connection can't go.
+    /// Sends a request together with its connection. If the connection can't be handed off, the request stays here and
+    /// is answered here.
     fn send_request(
         &mut self,
         now: f64,
         request: HandedOffRequest,
-        zero_unix_ms: f64,
+        epoch_unix_ms: f64,
         inputs: &mut Vec<Input>,
     ) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
@@ -156,13 +159,13 @@
             inputs.push(Input::Arrived(request.at(now)));
             return;
         };
-        let queued = to_queued_request(&request, zero_unix_ms);
+        let queued = to_queued_request(&request, epoch_unix_ms);
         let frame = Frame::Connection(to_connection(&detached, Some(queued)));
         hot_restart.links.send_to_successor(&frame, Some(detached.stream));
         hot_restart.handed_off.push(request);
     }
 
-    /// Sends a connection without a request.
+    /// Sends a connection that has no pending request.
     fn send_connection(&mut self, id: u64) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         if let Some(detached) = self.frontends.http1.connections.detach(id) {
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Sends connections that have fallen idle since the hand-off, and closes them here.
+    /// Sends connections that have become idle since the hand-off, and closes them here.
     pub(super) fn hand_off_idle_connections(&mut self) {
         for id in self.frontends.http1.connections.ids_where(is_idle) {
             self.send_connection(id);
@@ -179,7 +182,8 @@
         }
     }
 
-    /// The successor has ended before it confirmed: everything is as it was before the hand-off.
+    /// Undoes the hand-off after the successor has ended without confirming: accepts clients again and takes back the
+    /// requests and connections that were sent.
     pub(super) fn reclaim(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.accept_clients(now);
         let Some(hot_restart) = &mut self.hot_restart else { return };
@@ -199,13 +203,14 @@
         }
     }
 
-    /// Tells the successor about a key.
+    /// Sends the successor an update of an idempotency key.
     pub(in crate::net) fn send_key_update(&mut self, update: &IdempotencyUpdate) {
-        let state = to_key_state(update, loop_zero_unix_ms(&self.clock));
+        let state = to_key_state(update, loop_epoch_unix_ms(&self.clock));
         self.send_to_successor(&Frame::Key(state));
     }
 
-    /// Tells the successor about a drain that operators began or ended here; `false` where there is no successor.
+    /// Forwards a drain that operators began or ended here to the successor. Returns `false` if this process has not
+    /// handed off.
     pub(in crate::net) fn forward_drain(&mut self, draining: bool) -> bool {
         let has_handed_off = self.has_handed_off();
         if has_handed_off {
@@ -214,7 +219,8 @@
         has_handed_off
     }
 
-    /// Tells the successor what this process uses, if that has changed. So many connections are not counted.
+    /// Reports the resources that this process uses to the successor, if they have changed. `uncounted_connections` are
+    /// left out.
     pub(super) fn report_usage(&mut self, uncounted_connections: usize) {
         let Some(dispatcher) = &self.dispatcher else { return };
         let ResourceUsage { on_cores, downstream_calls, memory_kb } = dispatcher.usage();
--- a/src/net/lifecycle/mod.rs
+++ b/src/net/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The life of the process: the operators' console, reload, graceful shutdown, hot restart, fleet membership.
+//! Lifecycle of the process: the operators' console, reload, graceful shutdown, hot restart and fleet membership.
 
 pub mod console;
 pub(in crate::net) mod fleet;
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -1,54 +1,54 @@
-//! What the calls at the console do to a worker.
+//! Handling of console requests by a worker.
 
 use crate::log::LogEvent;
 use crate::net::events::LifecycleEvent;
-use crate::net::lifecycle::console::{self, Call, Reply};
+use crate::net::lifecycle::console::{self, ConsoleRequest, ConsoleResponse};
 use crate::net::Worker;
 
 impl Worker {
-    /// Answers the calls at the console, before any frontend is processed. Returns `true` if accepting was paused.
+    /// Handles pending console requests, before any frontend is processed. Returns `true` if accepting was paused.
     pub(in crate::net) fn serve_console(&mut self, now: f64) -> bool {
         let Some(console) = &mut self.frontends.console else { return false };
-        let mut calls = Vec::new();
-        let paused = console.gather(now, &mut calls);
-        for (id, call) in calls {
-            let reply = self.handle_operator_call(call);
+        let mut requests = Vec::new();
+        let paused = console.gather(now, &mut requests);
+        for (id, request) in requests {
+            let response = self.handle_console_request(request);
             if let Some(console) = &mut self.frontends.console {
-                console.answer(id, now, &reply);
+                console.respond(id, now, &response);
             }
         }
         paused
     }
 
-    fn handle_operator_call(&mut self, call: Call) -> Reply {
-        match call {
-            Call::Ready => self.readiness(),
-            Call::Metrics => Reply::new(200, self.metrics_text()),
-            Call::Drain => {
+    fn handle_console_request(&mut self, request: ConsoleRequest) -> ConsoleResponse {
+        match request {
+            ConsoleRequest::Ready => self.readiness(),
+            ConsoleRequest::Metrics => ConsoleResponse::new(200, self.metrics_text()),
+            ConsoleRequest::Drain => {
                 self.set_draining(true);
-                Reply::new(200, "draining\n")
+                ConsoleResponse::new(200, "draining\n")
             }
-            Call::Resume => {
+            ConsoleRequest::Resume => {
                 self.set_draining(false);
                 let shutting_down = self.context.availability.shutting_down;
-                Reply::new(200, if shutting_down { "leaving all the same\n" } else { "serving\n" })
+                ConsoleResponse::new(200, if shutting_down { "leaving all the same\n" } else { "serving\n" })
             }
         }
     }
 
-    /// Whether this process can serve. The reasons are the words of the operators' pages.
-    fn readiness(&self) -> Reply {
+    /// Whether this process can serve requests. The reasons are documented for operators.
+    fn readiness(&self) -> ConsoleResponse {
         let can_run = self.dispatcher.is_some() && self.upstreams.can_run();
         if self.context.availability.shutting_down {
-            Reply::new(503, "leaving\n")
+            ConsoleResponse::new(503, "leaving\n")
         } else if self.has_handed_off() {
-            Reply::new(503, "handed over\n")
+            ConsoleResponse::new(503, "handed over\n")
         } else if !self.owns_listeners() {
-            Reply::new(503, "waiting for the process before\n")
+            ConsoleResponse::new(503, "waiting for the process before\n")
         } else if can_run {
-            Reply::new(200, "ready\n")
+            ConsoleResponse::new(200, "ready\n")
         } else {
-            Reply::new(503, "no link to the executor\n")
+            ConsoleResponse::new(503, "no link to the executor\n")
         }
     }
 
@@ -60,7 +60,8 @@
         console::metrics_text(&self.context.catalog, metrics, pending_responses) + &self.fleet_metrics()
     }
 
-    /// Begins or ends a drain: health checks and load reports change immediately, admission does not.
+    /// Begins or ends a drain. Health checks and load reports change immediately, admission is unaffected. After a
+    /// hand-off the change is forwarded to the successor instead.
     pub(in crate::net) fn set_draining(&mut self, draining: bool) {
         if self.forward_drain(draining) {
             return;
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: what a running worker applies of a changed configuration and operator's file.
+//! Reload on SIGHUP: applies those changes to the configuration and the operator's file that need no restart.
 
 use crate::dispatch::Input;
 use crate::log::LogEvent;
@@ -6,8 +6,9 @@
 use crate::net::Worker;
 
 impl Worker {
-    /// Applies a changed configuration: addresses and the stop time. Runs, keys and queued requests go on; calls in flight
-    /// end where they were made. A file that is half written or wrong leaves the old configuration in place.
+    /// Applies a changed configuration: upstream addresses and the stop time. Runs, keys and queued requests are kept,
+    /// and calls in flight complete at the old address. If the file is incomplete or invalid, the old configuration
+    /// stays.
     pub(in crate::net) fn reload(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.reload_operator(inputs);
         let next = match self.configuration.options.config() {
@@ -17,27 +18,27 @@
                 return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
             }
         };
-        let fixed = next.changes_requiring_restart(&self.configuration.platform);
-        if !fixed.is_empty() {
+        let deferred_keys = next.changes_requiring_restart(&self.configuration.platform);
+        if !deferred_keys.is_empty() {
             let file = ConfigFile::Configuration;
-            LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
+            LifecycleEvent::ConfigReloadDeferred { file, keys: &deferred_keys }.emit();
         }
         self.configuration.platform.stop_ms = next.stop_ms;
         self.upstreams.executor.move_to(now, next.executor);
-        if let (Some(records), Some(to)) = (&mut self.upstreams.records, next.records) {
-            records.move_to(to);
+        if let (Some(records), Some(new_address)) = (&mut self.upstreams.records, next.records) {
+            records.move_to(new_address);
         }
-        if let (Some(registry), Some(to)) = (&mut self.upstreams.registry, next.registry) {
-            if let Err(error) = registry.move_to(to) {
-                UpstreamEvent::RegistryUnusable { address: to, error: &error }.emit();
+        if let (Some(registry), Some(new_address)) = (&mut self.upstreams.registry, next.registry) {
+            if let Err(error) = registry.move_to(new_address) {
+                UpstreamEvent::RegistryUnusable { address: new_address, error: &error }.emit();
             }
         }
         LifecycleEvent::ConfigReloaded { executor: next.executor }.emit();
         self.report_load(true);
     }
 
-    /// Applies changed pools of the operator's file. They are checked against the platform's settings that this worker
-    /// serves by, which a reload does not change.
+    /// Applies changed pools of the operator's file. They are validated against the platform's settings in use, which a
+    /// reload does not change.
     pub(in crate::net) fn reload_operator(&mut self, inputs: &mut Vec<Input>) {
         let next = self.configuration.options.operator(&self.configuration.platform).and_then(|next| {
             let plan =
@@ -51,16 +52,16 @@
                 return LifecycleEvent::ConfigReloadRejected { file, error: &error }.emit();
             }
         };
-        let fixed = next.changes_requiring_restart(&self.configuration.operator);
-        if !fixed.is_empty() {
+        let deferred_keys = next.changes_requiring_restart(&self.configuration.operator);
+        if !deferred_keys.is_empty() {
             let file = ConfigFile::Operator;
-            LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
+            LifecycleEvent::ConfigReloadDeferred { file, keys: &deferred_keys }.emit();
         }
         if plan != self.configuration.settings.pools {
             let pools = plan.as_ref().map_or(0, |p| p.pools.len());
             LifecycleEvent::PoolsReloaded { pools }.emit();
             self.configuration.settings.pools.clone_from(&plan);
-            // Before the core is there it will start with them.
+            // A dispatcher that has not started yet will be created with the new pools.
             if self.dispatcher.is_some() {
                 inputs.push(Input::Pools(plan));
             }
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: the notice, the grace, closing the listeners, the exit. Also the sweep of idle connections.
+//! Graceful shutdown: handling of the notice, the grace, closing the listeners and the exit. Also the sweep of idle
+//! connections.
 
 mod timeline;
 
@@ -12,25 +13,26 @@
 use crate::net::Worker;
 use timeline::Timeline;
 
-/// Idle connections are ended this long after the listeners were closed. A client sends a request anew that crosses the
-/// close within 50 ms; until then its connection must stay open (seconds).
-const CROSSING_S: f64 = 0.15;
-/// How long the process waits for peers to close, once all responses are written (seconds).
+/// Delay between closing the listeners and ending idle connections. Clients resend a request that crosses the close of
+/// its connection within 50 ms; the connection must stay open for that time (seconds).
+const IDLE_CLOSE_DELAY_S: f64 = 0.15;
+/// How long the process waits for peers to close after all responses have been written (seconds).
 const LINGER_S: f64 = 0.3;
-/// Rounds of accepting before the listeners close: each accepts some dozens, and the system queues a thousand.
+/// Maximum number of accept rounds before the listeners close. Each round accepts some dozens of connections, and the
+/// system queues about a thousand.
 const MAX_ACCEPT_ROUNDS: usize = 64;
 
-/// A shutdown under way.
+/// The state of a shutdown in progress.
 pub(in crate::net) struct Shutdown {
-    pub(in crate::net) at: Timeline,
+    pub(in crate::net) timeline: Timeline,
     /// When the listeners were closed.
-    pub(in crate::net) closed: Option<f64>,
-    /// The responses that were still pending have been given.
-    responded: bool,
+    pub(in crate::net) listeners_closed_at: Option<f64>,
+    /// All pending requests have been answered because the deadline for responses was reached.
+    responded_all: bool,
 }
 
 impl Worker {
-    /// Handles the shutdown notice: the grace begins, and the close of connections is announced.
+    /// Handles the shutdown notice: starts the grace and announces to peers that connections will be closed.
     pub(in crate::net) fn begin_shutdown(&mut self, now: f64, inputs: &mut Vec<Input>) {
         if self.has_handed_off() {
             return self.on_hot_restart_event(now, Event::ShutdownNotice, inputs);
@@ -39,63 +41,63 @@
             return;
         }
         self.on_hot_restart_event(now, Event::ShutdownNotice, inputs);
-        let in_s = self.configuration.platform.stop_ms / 1000.0;
-        LifecycleEvent::ShutdownStarted { stop_in_s: in_s }.emit();
-        // The notice may have come at any time since the turn before began: a process that was stopped meanwhile reads it
-        // late, and its grace counts from when it was sent.
-        let at = Timeline::new(
+        let stop_s = self.configuration.platform.stop_ms / 1000.0;
+        LifecycleEvent::ShutdownStarted { stop_in_s: stop_s }.emit();
+        // The notice may have arrived at any time since the previous turn began. A process that was stopped meanwhile
+        // reads it late, but the grace counts from when the notice was sent.
+        let timeline = Timeline::new(
             self.loop_state.previous_turn_began,
-            in_s,
+            stop_s,
             self.configuration.settings.shutdown_grace_s,
         );
-        self.shutdown = Some(Shutdown { at, closed: None, responded: false });
-        // The loop must wake at each of these even if nothing else is ready.
-        for at in [at.accept_until, at.answer_by, at.exit_by] {
-            self.wheel.set(now, at - now, Timer::Again);
+        self.shutdown = Some(Shutdown { timeline, listeners_closed_at: None, responded_all: false });
+        // The loop must wake at each of these times even if no source is ready.
+        for step_at in [timeline.accept_until, timeline.answer_by, timeline.exit_by] {
+            self.wheel.set(now, step_at - now, Timer::Again);
         }
         self.context.availability.shutting_down = true;
-        inputs.push(Input::Shutdown { noticed_at: at.notice, stop_at: at.kill_at });
+        inputs.push(Input::Shutdown { noticed_at: timeline.noticed_at, stop_at: timeline.kill_at });
         self.frontends.announce_close();
         self.report_load(false);
     }
 
-    /// Ends connections that are idle or too slow. Only after all that is ready has been read: a request may have lain
-    /// unread while this process was stopped.
+    /// Ends connections that are idle or too slow. Must run only after all ready sockets have been read: a request may
+    /// have been waiting while this process was stopped.
     pub(in crate::net) fn sweep(&mut self) {
         let now = self.clock.now();
         let availability = &self.context.availability;
-        let closing = self.shutdown.as_ref().is_some_and(|shutdown| shutdown.closed.is_some());
+        let closing = self.shutdown.as_ref().is_some_and(|shutdown| shutdown.listeners_closed_at.is_some());
         let closing = closing || availability.handing_off;
         let idle_s = self.configuration.idle_timeout_s();
         self.frontends.sweep_connections(now, idle_s, closing, availability);
         self.frontends.sweep_protocols(now, availability, &mut self.loop_state.deferred_inputs);
         self.upstreams.sweep(now);
-        // Connections are ended in this turn, and those on which something was found are processed: the longer that takes,
-        // the more requests can cross it.
+        // Connections on which input was found are processed in this turn, as the others are ended in it: the longer
+        // this takes, the more requests can cross the close.
         if self.has_pending() {
             self.process_ready(Vec::new());
         }
     }
 
-    /// Takes the steps of the shutdown that are due: closes the listeners when nothing more may run, and exits when all is
-    /// answered, written and read.
+    /// Performs the steps of the shutdown that are due: closes the listeners when no further request may be accepted,
+    /// and exits when all responses are written and no request is partially read.
     pub(in crate::net) fn advance_shutdown(&mut self) {
         let now = self.clock.now();
-        let Some(Shutdown { at, closed, responded }) = self.shutdown else { return };
-        if closed.is_none() && now >= at.accept_until {
+        let Some(Shutdown { timeline, listeners_closed_at, responded_all }) = self.shutdown else { return };
+        if listeners_closed_at.is_none() && now >= timeline.accept_until {
             self.stop_accepting(now);
         }
-        let must_answer = now >= at.answer_by;
-        if must_answer && !responded {
-            self.update_shutdown(|shutdown| shutdown.responded = true);
+        let must_answer = now >= timeline.answer_by;
+        if must_answer && !responded_all {
+            self.update_shutdown(|shutdown| shutdown.responded_all = true);
             self.respond_all();
         }
-        let closed = self.shutdown.as_ref().and_then(|shutdown| shutdown.closed);
-        let crossings_over = closed.is_some_and(|at| now >= at + CROSSING_S);
+        let listeners_closed_at = self.shutdown.as_ref().and_then(|shutdown| shutdown.listeners_closed_at);
+        let idle_close_due = listeners_closed_at.is_some_and(|at| now >= at + IDLE_CLOSE_DELAY_S);
         let answered = self.all_answered();
-        let may_end = crossings_over && answered || must_answer;
+        let may_end = idle_close_due && answered || must_answer;
         let ended = may_end && self.end_connections(now, must_answer);
-        if ended || now >= at.exit_by {
+        if ended || now >= timeline.exit_by {
             self.log_pools();
             if let Some(hot_restart) = &mut self.hot_restart {
                 hot_restart.links.remove_socket();
@@ -106,14 +108,14 @@
         }
     }
 
-    /// Closes the listeners; what was still accepted, and what came just now, is answered.
+    /// Closes the listeners. Requests on the last accepted connections, and those that have just arrived, are answered.
     fn stop_accepting(&mut self, now: f64) {
         self.close_listeners(now);
         let idle_s = self.configuration.idle_timeout_s();
         self.frontends.sweep_connections(now, idle_s, true, &self.context.availability);
-        self.update_shutdown(|shutdown| shutdown.closed = Some(now));
+        self.update_shutdown(|shutdown| shutdown.listeners_closed_at = Some(now));
         self.process_ready(Vec::new());
-        self.wheel.set(now, CROSSING_S, Timer::Again);
+        self.wheel.set(now, IDLE_CLOSE_DELAY_S, Timer::Again);
     }
 
     fn log_pools(&mut self) {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Notes a step of the shutdown, and wakes the loop for the next.
+    /// Records a step of the shutdown and wakes the loop for the next one.
     fn update_shutdown(&mut self, change: impl FnOnce(&mut Shutdown)) {
         if let Some(shutdown) = &mut self.shutdown {
             change(shutdown);
@@ -130,13 +132,13 @@
         self.wheel.set(self.clock.now(), 0.0, Timer::Again);
     }
 
-    /// Whether no response is pending, everything is written, and no request is half read.
+    /// Whether no response is pending or partially written and no request is partially read.
     fn all_answered(&self) -> bool {
         let pending_responses = self.dispatcher.as_ref().map_or(0, Dispatcher::pending_responses);
         pending_responses == 0 && self.frontends.is_quiet()
     }
 
-    /// Closes the listeners of all frontends, after all connections that the system has accepted by now were taken.
+    /// Closes the listeners of all frontends after accepting the connections that the system has queued by now.
     fn close_listeners(&mut self, now: f64) {
         for _ in 0..MAX_ACCEPT_ROUNDS {
             if self.frontends.close_listeners(now) {
@@ -147,8 +149,8 @@
         self.frontends.stop_listening();
     }
 
-    /// Gives all responses that are still pending: the stop may be too near for the controller to cancel requests in time,
-    /// and a directory may be silent.
+    /// Answers all pending requests. The stop may be too close for the controller to cancel requests in time, and a
+    /// directory may not respond.
     pub(in crate::net) fn respond_all(&mut self) {
         let mut inputs = vec![Input::RespondAll];
         self.frontends.respond_all(&mut FrontendTurn {
@@ -157,16 +159,16 @@
             inputs: &mut inputs,
             lookups: &mut Vec::new(),
         });
-        // Nothing of this may wait for another turn: there may be none.
+        // These inputs must not be deferred: no further turn may follow.
         self.loop_state.deferral = Deferral::Used;
         self.process_ready(inputs);
     }
 
-    /// Ends all idle connections, and with `at_once` those too that have sent half a request. Returns `true` when their
-    /// peers have closed too, or were waited for long enough.
+    /// Ends all idle connections and, with `at_once`, those with a partially read request too. Returns `true` once
+    /// their peers have closed as well, or the linger time is over.
     pub(in crate::net) fn end_connections(&mut self, now: f64, at_once: bool) -> bool {
         let is_first = self.frontends.end_connections(now, at_once);
-        // Written and read as far as that goes in this turn.
+        // Completes the reads and writes that are possible in this turn.
         if self.has_pending() {
             self.process_ready(Vec::new());
         }
@@ -177,8 +179,8 @@
         self.frontends.all_ended() || self.all_answered() && has_lingered
     }
 
-    /// Ends the process: operators' calls that have come are answered, and no socket is closed over unread bytes, since
-    /// that would reset the connection and lose written responses.
+    /// Ends the process. Console requests that have arrived are answered, and unread bytes are discarded first, since
+    /// closing a socket with unread bytes would reset the connection and lose written responses.
     pub(in crate::net) fn exit(&mut self, now: f64) {
         self.serve_console(now);
         self.frontends.drop_unread();
--- a/src/net/lifecycle/shutdown/timeline.rs
+++ b/src/net/lifecycle/shutdown/timeline.rs
@@ -1,42 +1,43 @@
-//! When what happens after the notice to leave. Decided without I/O; times are seconds on whatever clock the notice is
-//! given in.
+//! The times of a shutdown's steps, computed without I/O. Times are seconds on the clock of the notice's time.
 //!
-//! Every margin is a share of the stop where the stop is short: the settings may name any grace and any stop, and an
-//! response is pending at the end under any of them.
+//! If the time to the stop is short, each margin is a share of it: the settings allow any grace and any stop time, and
+//! responses may be pending at the end under all of them.
 
-/// The listeners close this long before the kill at the latest, where the grace reaches beyond it (seconds, share).
+/// The listeners close at least this long before the kill, even if the grace is longer (seconds, share of the stop
+/// time).
 const ACCEPT_MARGIN: (f64, f64) = (0.4, 0.5);
-/// All pending responses are given this long before the kill: the controller rejects before, unless the stop was too
-/// short for it (seconds, share).
+/// All pending requests are answered this long before the kill. The controller rejects them earlier unless the stop
+/// time is too short (seconds, share of the stop time).
 const ANSWER_MARGIN: (f64, f64) = (0.15, 0.4);
-/// The process exits this long before the kill at the latest: SIGKILL closes sockets without reading them (seconds,
-/// share).
+/// The process exits at least this long before the kill, since SIGKILL closes sockets without reading them (seconds,
+/// share of the stop time).
 const EXIT_MARGIN: (f64, f64) = (0.05, 0.2);
 
-/// The course of a graceful shutdown.
+/// The times of a graceful shutdown's steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timeline {
-    /// SIGTERM.
-    pub notice: f64,
-    /// Nobody is let in from then on, and idle connections are ended.
+    /// When SIGTERM was received.
+    pub noticed_at: f64,
+    /// When the listeners close and idle connections are ended.
     pub accept_until: f64,
-    /// All answers are given, and half requests are waited for no more.
+    /// When all pending requests are answered and partially read requests are abandoned.
     pub answer_by: f64,
-    /// The process exits, whatever connections are left.
+    /// When the process exits, whatever connections are left.
     pub exit_by: f64,
-    /// SIGKILL.
+    /// When SIGKILL follows.
     pub kill_at: f64,
 }
 
 impl Timeline {
-    /// `stop_s` is the time from SIGTERM to SIGKILL, `grace_s` that in which requests are still taken (seconds).
-    pub fn new(notice: f64, stop_s: f64, grace_s: f64) -> Timeline {
+    /// Computes the times from the time of SIGTERM, the time from SIGTERM to SIGKILL (`stop_s`) and the time in which
+    /// requests are still accepted (`grace_s`), both in seconds.
+    pub fn new(noticed_at: f64, stop_s: f64, grace_s: f64) -> Timeline {
         let stop_s = stop_s.max(0.0);
-        let kill_at = notice + stop_s;
+        let kill_at = noticed_at + stop_s;
         let before = |(margin_s, share): (f64, f64)| kill_at - margin_s.min(stop_s * share);
-        let accept_until = (notice + grace_s.max(0.0)).min(before(ACCEPT_MARGIN));
+        let accept_until = (noticed_at + grace_s.max(0.0)).min(before(ACCEPT_MARGIN));
         let (answer_by, exit_by) = (before(ANSWER_MARGIN), before(EXIT_MARGIN));
-        Timeline { notice, accept_until, answer_by, exit_by, kill_at }
+        Timeline { noticed_at, accept_until, answer_by, exit_by, kill_at }
     }
 }
 
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -58,8 +58,8 @@
         self.report_load(false);
     }
 
-    /// Sends a load report to the registry once the executor is up. A worker that is not ready reports `draining`. Unless
-    /// a report is `due`, it is sent only if the readiness has changed.
+    /// Sends a load report to the registry once the executor is up. A worker that is not ready reports `draining`.
+    /// Unless a report is `due`, it is sent only if the readiness has changed.
     pub(in crate::net) fn report_load(&mut self, due: bool) {
         let ready = self.context.availability.is_ready();
         let listed = self.dispatcher.is_some() && self.owns_listeners();
--- a/src/net/worker/gather.rs
+++ b/src/net/worker/gather.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Reads from the frontends and completes requests that wait for a directory lookup. Returns `true` if accepting was
-    /// paused.
+    /// Reads from the frontends and completes requests that wait for a directory lookup. Returns `true` if accepting
+    /// was paused.
     fn gather_frontends(&mut self, now: f64, inputs: &mut Vec<Input>) -> bool {
         let mut turn =
             FrontendTurn { clock: &self.clock, context: &self.context, inputs, lookups: &mut Vec::new() };
--- a/src/net/worker/loop_state.rs
+++ b/src/net/worker/loop_state.rs
@@ -20,13 +20,14 @@
     pub finished: bool,
 }
 
-/// Whether a round that detects a stall of the process may defer its inputs to the next turn, which checks for a shutdown
-/// notice first.
+/// Whether a round that detects a stall of the process may defer its inputs to the next turn, which checks for a
+/// shutdown notice first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
     /// It may.
     Allowed,
-    /// The next round dispatches its inputs in any case: they were deferred once already, or no further turn may follow.
+    /// The next round dispatches its inputs in any case: they were deferred once already, or no further turn may
+    /// follow.
     Used,
 }
 
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -34,7 +34,10 @@
             self.hot_restart.as_ref().map_or(IndeterminateKeys::None, HotRestart::indeterminate_keys),
         );
         if let Some(shutdown) = &self.shutdown {
-            let input = Input::Shutdown { noticed_at: shutdown.at.notice, stop_at: shutdown.at.kill_at };
+            let input = Input::Shutdown {
+                noticed_at: shutdown.timeline.noticed_at,
+                stop_at: shutdown.timeline.kill_at,
+            };
             dispatcher.handle(now, [input], &mut commands);
         }
         self.dispatcher = Some(dispatcher);
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -9,8 +9,8 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::upstreams::registry::HEARTBEAT_INTERVAL_S;
 
-/// Maximum number of rounds in one turn. Later rounds process requests that were read behind answered ones, and outcomes
-/// of commands that were just executed.
+/// Maximum number of rounds in one turn. Later rounds process requests that were read behind answered ones, and
+/// outcomes of commands that were just executed.
 const MAX_ROUNDS: usize = 8;
 
 impl Worker {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Gathers input, dispatches it and executes the resulting commands, until no work is left that the event loop would
-    /// not report by itself.
+    /// Gathers input, dispatches it and executes the resulting commands, until no work is left that the event loop
+    /// would not report by itself.
     pub(in crate::net) fn process_ready(&mut self, mut inputs: Vec<Input>) {
         inputs.splice(0..0, self.loop_state.deferred_inputs.drain(..));
         for round in 0..MAX_ROUNDS {
@@ -100,7 +100,8 @@
     }
 
     /// Whether the inputs of this round are deferred to the next turn because the process stalled during this one. This
-    /// enforces the grace of a shutdown notice that has not been read yet: no request starts before signals are checked.
+    /// enforces the grace of a shutdown notice that has not been read yet: no request starts before signals are
+    /// checked.
     fn defers_inputs(&mut self, now: f64) -> bool {
         let stalled = now > self.loop_state.turn_began + STALL_THRESHOLD_S;
         let may_defer = self.loop_state.deferral == Deferral::Allowed && self.shutdown.is_none();
