--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! honeypost: an overload controller that runs inside each server of a fleet.
 //!
-//! A worker owns one [`Controller`]. It reports what happens to it, one [`Event`] at a time and with its
-//! clock, and carries out the [`Action`]s that come back, in their order. The controller does no input or
-//! output, starts no thread, reads no clock and draws nothing at random: the same events give the same actions.
+//! A worker owns one [`Controller`]. It passes [`Event`]s to it one at a time, each with the current time, and executes
+//! the [`Action`]s that are returned, in their order. The controller performs no I/O, starts no threads, reads no clock
+//! and uses no randomness: the same events always give the same actions.
 //!
 //! ```
 //! use port_worker::{Action, Arrival, Class, Controller, Event, Idempotency, Outcome, RequestId, Settings};
@@ -25,21 +25,21 @@
 //! let mut controller = Controller::new(settings, 0.0, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::WakeIn(_))));
 //!
-//! // A request has been read: a run slot is free, so it starts at once.
+//! // A request has arrived, and a run slot is free, so it starts immediately.
 //! actions.clear();
 //! let arrival = Arrival { id: RequestId(1), class: 0, memory_kb: 20.0, ..Arrival::default() };
 //! controller.handle(0.01, Event::Arrived(arrival), &mut actions);
 //! assert_eq!(actions, vec![Action::Start(RequestId(1))]);
 //!
-//! // The worker ran it and sent the answer.
+//! // The run has ended; the controller releases the request.
 //! actions.clear();
 //! controller.handle(0.2, Event::RunEnded { id: RequestId(1), outcome: Outcome::Ok }, &mut actions);
 //! assert_eq!(controller.take_released(), vec![RequestId(1)]);
 //! ```
 //!
-//! [`interface`] holds every type that crosses the border, [`Controller`] every decision. Two adapters stand round
-//! it, with the settings of [`config`]: [`net`] is a port worker on real sockets, whose bookkeeping is in [`dispatch`];
-//! [`simulator_adapter`] hosts many controllers behind the simulator's line protocol.
+//! [`interface`] defines all types of the controller's interface, and [`Controller`] makes all decisions. Two adapters
+//! use it with the settings of [`config`]: [`net`] is a port worker on real sockets, whose bookkeeping is in
+//! [`dispatch`]; [`simulator_adapter`] hosts many controllers behind the simulator's line protocol.
 
 pub mod admission;
 pub mod config;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,14 +1,14 @@
-//! Starts one port worker from the configuration that the platform names.
+//! The port worker's executable: runs a worker with the configuration that the platform names in the environment.
 
 use port_worker::config::StartupOptions;
 use port_worker::log;
 use port_worker::net::{self, WorkerError};
 use std::process::ExitCode;
 
-/// The exit status of a worker that can't start or go on.
-const UNUSABLE: u8 = 2;
+/// Exit status of a worker that can't start or can't continue.
+const EXIT_STATUS_UNUSABLE: u8 = 2;
 
-/// Why the program ends.
+/// Why the program can't start or ends with an error.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("usage: port-worker [--operator FILE]")]
@@ -24,24 +24,24 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("port-worker: {}", error.to_string().replace('\n', " "));
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_STATUS_UNUSABLE)
         }
     }
 }
 
 fn start() -> Result<(), StartError> {
-    let operator = operator_file()?;
+    let operator = operator_file_argument()?;
     let config = std::env::var("ROUTER_CONFIG").map_err(|_| StartError::NoConfiguration)?;
-    let console = set_variable("ROUTER_CONSOLE");
-    let socket = set_variable("ROUTER_SOCKET_FD");
-    let folder = set_variable("TMPDIR");
+    let console = non_empty_variable("ROUTER_CONSOLE");
+    let socket = non_empty_variable("ROUTER_SOCKET_FD");
+    let folder = non_empty_variable("TMPDIR");
     let log = log::install(None);
     net::run(StartupOptions { config, operator, console, socket, folder }, log)?;
     Ok(())
 }
 
-/// The operator's file that the command line names.
-fn operator_file() -> Result<Option<String>, StartError> {
+/// Returns the path of the operator's file from the command line, if given.
+fn operator_file_argument() -> Result<Option<String>, StartError> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.as_slice() {
         [] => Ok(None),
@@ -50,7 +50,7 @@
     }
 }
 
-/// An environment variable that is set and not empty.
-fn set_variable(name: &str) -> Option<String> {
+/// Returns the value of an environment variable, or `None` if it is unset or empty.
+fn non_empty_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,8 +1,8 @@
-//! The loop's clock.
+//! The event loop's clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Monotonic seconds since the start. The Unix clock serves to read and write stamps alone.
+/// A monotonic clock that counts seconds since the start. The Unix clock is used only to read and write time stamps.
 pub struct Clock {
     start: Instant,
 }
@@ -12,7 +12,7 @@
         Clock { start: Instant::now() }
     }
 
-    /// Seconds since the start.
+    /// Returns the seconds since the start.
     #[must_use]
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
@@ -22,7 +22,7 @@
         self.start + Duration::from_secs_f64(at.max(0.0))
     }
 
-    /// Milliseconds since 1970, as the system has them.
+    /// Returns the system's Unix time (milliseconds since 1970).
     #[must_use]
     pub fn unix_ms(&self) -> f64 {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1000.0)
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -1,27 +1,27 @@
-//! Why a worker could not start or go on.
+//! Errors that prevent a worker from starting or end it.
 
 use crate::config::ConfigError;
 use crate::net::lifecycle::hot_restart::InheritedListenerError;
 use std::io;
 use std::net::SocketAddr;
 
-/// A fault that ends the process. Its text is one line.
+/// An error that ends the process. Its message is a single line.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum WorkerError {
-    /// The configuration or the operator's file can't be used.
+    /// The configuration or the operator's file is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The event loop failed.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// Signals can't be received.
+    /// The signal source can't be created.
     #[error("signals: {0}")]
     Signals(#[source] calloop::Error),
-    /// The loop can't watch for signals.
+    /// The signal source can't be registered with the event loop.
     #[error("signals: error inserting event source: {0}")]
     WatchSignals(#[source] calloop::Error),
-    /// The loop's timer can't be set.
+    /// The timer can't be registered with the event loop.
     #[error("timer: error inserting event source: {0}")]
     Timer(#[source] calloop::Error),
     /// A frontend can't listen.
@@ -30,7 +30,7 @@
     /// The console can't listen.
     #[error("console {address}: {source}")]
     Console {
-        /// Where it was to listen.
+        /// The address to listen on.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
@@ -38,7 +38,7 @@
     /// The registry's socket can't be opened.
     #[error("registry {address}: {source}")]
     Registry {
-        /// Where the registry is.
+        /// The registry's address.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
@@ -55,7 +55,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{address}: {source}")]
 pub struct ListenError {
-    /// Where it was to listen.
+    /// The address to listen on.
     pub address: SocketAddr,
     /// The system's error.
     pub source: io::Error,
--- a/src/net/events/executor.rs
+++ b/src/net/events/executor.rs
@@ -4,33 +4,33 @@
 use std::io;
 use tracing::{info, warn};
 
-/// What the link to the executor reports.
+/// An event of the link to the executor.
 #[derive(Debug)]
 pub enum ExecutorEvent<'a> {
-    /// The executor is up: requests can run.
+    /// The executor is up, and requests can run.
     Ready {
-        /// It has just started, and is slow at first.
+        /// The executor was started recently and is still slow.
         cold: bool,
-        /// How long ago it was started (seconds).
+        /// Time since the executor was started (seconds).
         started_ago_s: f64,
     },
-    /// The link is lost; it is connected anew.
+    /// The link was lost and is being re-established.
     LinkLost(LinkLossCause<'a>),
-    /// No link could be established; another attempt follows.
+    /// No link could be established; the attempt will be repeated.
     ConnectFailed(&'a io::Error),
-    /// The executor is another process than before: the runs that it had are lost.
+    /// The executor was replaced by a new process; the runs of the old one are lost.
     Restarted,
-    /// A notice can't be read.
+    /// A notice from the executor can't be parsed.
     NoticeMalformed(MalformedNotice),
     /// A notice is of a kind that this version does not know.
     NoticeUnknown,
-    /// The executor does not know a request that it was to run.
+    /// The executor does not know a request that it was told to run.
     RequestUnknown,
-    /// The executor did not carry out a command.
+    /// The executor rejected a command.
     CommandRejected,
-    /// The queue of commands is at capacity.
+    /// The queue of commands to the executor is full.
     QueueFull {
-        /// What was not sent.
+        /// The command that was dropped.
         dropped: DroppedCommand,
     },
 }
@@ -38,35 +38,35 @@
 /// Why the link to the executor was lost.
 #[derive(Debug)]
 pub enum LinkLossCause<'a> {
-    /// A link to another address takes its place.
+    /// The executor's address has changed, and a link to the new address replaces this one.
     Replaced,
-    /// A line is longer than a notice may be.
+    /// A line exceeds the maximum length of a notice.
     LineTooLong,
-    /// The executor has closed it.
+    /// The executor closed the link.
     Closed,
-    /// It was reset.
+    /// The connection was reset.
     Reset,
-    /// Writing failed.
+    /// Writing to the link failed.
     WriteFailed(&'a io::Error),
 }
 
-/// A notice that can't be read.
+/// The kind of a notice that can't be parsed.
 #[derive(Clone, Copy, Debug)]
 pub enum MalformedNotice {
-    /// A line that is no notice.
+    /// A line that is not a notice.
     Line,
-    /// The end of a run.
+    /// The notice that a run has ended.
     Exit,
-    /// A downstream call of a run.
+    /// The notice of a run's downstream call.
     Callout,
 }
 
-/// A command that was dropped.
+/// The kind of a command that was dropped.
 #[derive(Clone, Copy, Debug)]
 pub enum DroppedCommand {
     /// The reply to a downstream call.
     Reply,
-    /// A run was to go on without its call.
+    /// The command to continue a run without its downstream call.
     Skip,
 }
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// Each kind has a place of its own, so that its repeats are folded apart from the others.
+/// Each kind has its own call site, so that repeats of one kind are folded separately from those of the others.
 fn emit_malformed(notice: MalformedNotice) {
     match notice {
         MalformedNotice::Line => {
--- a/src/net/events/frontends.rs
+++ b/src/net/events/frontends.rs
@@ -6,50 +6,51 @@
 use std::net::SocketAddr;
 use tracing::{error, info, warn};
 
-/// What a frontend reports.
+/// An event of a frontend or the console's listener.
 #[derive(Debug)]
 pub enum FrontendEvent<'a> {
-    /// A frontend listens.
+    /// A frontend started to listen.
     ListenerOpened {
-        /// Name of the worker.
+        /// The worker's name.
         worker: &'a str,
-        /// The frontend.
+        /// The frontend's name.
         frontend: &'static str,
-        /// The address.
+        /// The address that it listens on.
         address: SocketAddr,
         /// The listening socket was inherited from the platform.
         inherited: bool,
     },
-    /// A frontend can't listen.
+    /// A frontend failed to listen.
     ListenerFailed {
-        /// The frontend.
+        /// The frontend's name.
         frontend: &'static str,
-        /// Why.
+        /// The cause.
         error: &'a dyn Error,
     },
-    /// The environment names another address for the console than the configuration, and goes before it.
+    /// The environment sets a console address that takes precedence over the configured one.
     ConsoleAddressOverridden {
-        /// The configuration's address.
+        /// The configured address, which is not used.
         configured: SocketAddr,
     },
-    /// An AJP connection is closed: after a packet like this nobody can tell where the next begins.
+    /// An AJP connection was closed because of a malformed packet, after which the start of the next packet can't be
+    /// determined.
     AjpPacketMalformed(&'a PacketError),
-    /// An AJP connection is closed for a body packet that can't be read.
+    /// An AJP connection was closed because of a malformed body packet.
     AjpBodyMalformed,
-    /// An AJP connection is closed for a message that can't be read.
+    /// An AJP connection was closed because of a malformed message.
     AjpMessageMalformed,
-    /// An HTTP/2 client sends many frames that carry no request, and is read slowly.
+    /// An HTTP/2 client sends many frames that carry no request, so its session is read more slowly.
     Http2SessionThrottled,
-    /// An HTTP/2 session is ended.
+    /// An HTTP/2 session was terminated.
     Http2SessionTerminated(SessionEndCause),
 }
 
-/// Why an HTTP/2 session is ended.
+/// Why an HTTP/2 session was terminated.
 #[derive(Clone, Copy, Debug)]
 pub enum SessionEndCause {
-    /// Its client goes on sending frames that carry no request.
+    /// The client keeps sending frames that carry no request.
     IdleFrames,
-    /// Too many bytes of responses wait in all, and most of them for this client.
+    /// The backlog of unread responses is too large in total, and this client's share is the largest.
     ResponseBacklog,
 }
 
--- a/src/net/events/hot_restart.rs
+++ b/src/net/events/hot_restart.rs
@@ -6,74 +6,74 @@
 use std::io;
 use tracing::{error, info, warn};
 
-/// What a process reports of its predecessor and its successor.
+/// An event of a hot restart, from the point of view of one of the two processes.
 #[derive(Debug)]
 pub enum HotRestartEvent<'a> {
-    /// This process can neither replace another nor be replaced.
+    /// Hot restart is unavailable: this process can neither replace another one nor be replaced.
     Unavailable(UnavailableCause<'a>),
-    /// No link to a predecessor could be established: this process serves as if there were none.
+    /// No link to a predecessor could be established; this process serves as if there were no predecessor.
     PredecessorUnreachable(&'a dyn Error),
-    /// A predecessor has left its socket and is gone: what it ran is not known.
+    /// A predecessor has exited and left its socket file behind; the outcomes of its runs are unknown.
     PredecessorDead,
-    /// The predecessor does not hand off to this process.
+    /// The predecessor refused to hand off to this process.
     PredecessorIncompatible {
-        /// The reason that it sent.
+        /// The reason that the predecessor sent.
         reason: &'a str,
     },
-    /// The predecessor has sent more than a process can have.
+    /// The predecessor sent more state than a worker can have.
     StateTooLarge,
-    /// All of the predecessor's state is in use here.
+    /// The predecessor's state was adopted completely.
     StateAdopted {
-        /// Idempotency keys.
+        /// Number of idempotency keys.
         keys: usize,
-        /// Connections.
+        /// Number of connections.
         connections: usize,
-        /// Queued requests.
+        /// Number of queued requests.
         queued: usize,
-        /// Runs that the predecessor still has on the cores.
+        /// Number of runs that the predecessor still has on the cores.
         predecessor_runs: usize,
     },
-    /// What is assumed of idempotency keys that are not known here.
+    /// The treatment of idempotency keys that this process does not know has changed.
     IndeterminateKeysSet(IndeterminateKeys),
     /// This process accepts clients.
     ListenersAcquired,
-    /// The successor accepts clients, and has confirmed it.
+    /// The successor has confirmed that it accepts clients.
     ListenersHandedOff,
-    /// The successor has ended before it confirmed: this process accepts clients again.
+    /// The successor ended without confirming the takeover; this process accepts clients again.
     ListenersReclaimed,
     /// Queued requests were sent to the successor.
     RequestsHandedOff {
         /// Number of requests.
         queued: usize,
     },
-    /// A process that wants to be the successor is not accepted.
+    /// A process that connected as a successor was rejected.
     SuccessorIncompatible {
-        /// Why.
+        /// The reason.
         reason: &'a dyn Error,
     },
-    /// A frame of the other process can't be read.
+    /// A frame from the other process is invalid.
     FrameDamaged {
         /// The other process.
         peer: Peer,
-        /// What is wrong with it.
+        /// Why the frame is invalid.
         error: &'a dyn Error,
     },
-    /// The other process has sent a frame that is not its to send.
+    /// The other process sent a frame of a kind that its role does not send.
     FrameUnexpected(Peer),
     /// The other process has ended.
     PeerExited(Peer),
-    /// A handed-off request names a class or tenant that does not exist here.
+    /// A handed-off request was rejected because its class or tenant does not exist here.
     RequestRejected,
     /// A handed-off connection could not be adopted.
     ConnectionRejected,
-    /// The process has had the shutdown notice after its hand-off, and exits once no response is pending.
+    /// The process received the shutdown notice after its hand-off, and exits once no response is pending.
     ExitPending,
 }
 
-/// Why a hot restart is not possible.
+/// Why hot restart is unavailable.
 #[derive(Debug)]
 pub enum UnavailableCause<'a> {
-    /// `TMPDIR` names no folder in which two processes could meet.
+    /// `TMPDIR` is unset or empty, so there is no shared folder for the Unix socket.
     NoSharedFolder,
     /// This process can't listen for a successor.
     NoSocket(&'a io::Error),
@@ -82,9 +82,9 @@
 /// The other process of a hot restart.
 #[derive(Clone, Copy, Debug)]
 pub enum Peer {
-    /// The process before this one.
+    /// The process that this one replaces.
     Predecessor,
-    /// The process after this one.
+    /// The process that replaces this one.
     Successor,
 }
 
--- a/src/net/events/lifecycle.rs
+++ b/src/net/events/lifecycle.rs
@@ -6,44 +6,44 @@
 use std::net::SocketAddr;
 use tracing::{error, info, warn};
 
-/// What happens in the life of a worker.
+/// An event of a worker's lifecycle.
 #[derive(Debug)]
 pub enum LifecycleEvent<'a> {
-    /// The configuration was read again and applies.
+    /// The configuration was reloaded and applied.
     ConfigReloaded {
-        /// The executor's address, as configured now.
+        /// The executor's address in the new configuration.
         executor: SocketAddr,
     },
-    /// A changed file can't be used: the old values stay.
+    /// A changed file is invalid; the old values stay in effect.
     ConfigReloadRejected {
         /// The file.
         file: ConfigFile,
-        /// Why.
+        /// Why it is invalid.
         error: &'a ConfigError,
     },
-    /// A changed file names values that only a restart applies.
+    /// A changed file contains changes that only a restart applies.
     ConfigReloadDeferred {
         /// The file.
         file: ConfigFile,
-        /// The keys or blocks.
+        /// The keys or blocks with such changes.
         keys: &'a [&'static str],
     },
-    /// The pools of the operator's file apply from now on.
+    /// The changed pools of the operator's file are in effect.
     PoolsReloaded {
         /// Number of pools.
         pools: usize,
     },
-    /// An operator drains this worker, or the drain is over.
+    /// An operator began or ended a drain of this worker.
     DrainChanged {
-        /// Clients are sent away.
+        /// Whether clients are being directed to other workers.
         draining: bool,
     },
-    /// The shutdown notice has come.
+    /// The shutdown notice was received.
     ShutdownStarted {
-        /// Time to the stop (seconds).
+        /// Time until the process is stopped (seconds).
         stop_in_s: f64,
     },
-    /// The pools as they are when the process ends.
+    /// The state of the pools when the process ends.
     PoolsState(&'a PoolsState),
     /// The process ends.
     ShutdownComplete(ResponseState),
@@ -58,14 +58,14 @@
     Operator,
 }
 
-/// What has become of all responses when the process ends.
+/// The state of all responses when the process ends.
 #[derive(Clone, Copy, Debug)]
 pub enum ResponseState {
-    /// All were sent.
+    /// All responses were sent.
     AllSent,
-    /// All were sent, or are the successor's.
+    /// All responses were sent, or their requests were handed off to the successor.
     AllHandedOff,
-    /// Some could not be sent in time.
+    /// Some responses could not be sent in time.
     Pending,
 }
 
--- a/src/net/events/mod.rs
+++ b/src/net/events/mod.rs
@@ -1,5 +1,5 @@
-//! What the shell reports to operators: one enum for each part, and in the same file the name, level and fields of each
-//! event. `docs/operators/log.md` explains each, and what to do about it.
+//! Log events of the network code: one enum for each part, and in the same file the name, level and fields of each
+//! event. `docs/operators/log.md` documents each event and what operators should do about it.
 
 mod executor;
 mod frontends;
--- a/src/net/events/upstreams.rs
+++ b/src/net/events/upstreams.rs
@@ -9,22 +9,22 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// What an upstream reports.
+/// An event of an upstream other than the executor.
 #[derive(Debug)]
 pub enum UpstreamEvent<'a> {
     /// A connection to an AJP server failed while it carried a run.
     AjpBackendFailed(&'a ConnectionError),
-    /// A request does not fit into the one packet that AJP has for its head.
+    /// The head of a request does not fit into the single packet that AJP allows for it.
     AjpBackendRequestTooLarge,
-    /// A reply of the records service can't be read: the outcome of its call is indeterminate.
+    /// A reply of the records service is malformed, so the outcome of its call is indeterminate.
     RecordsReplyMalformed(ReplyError),
-    /// The link to the directory is lost while lookups wait.
+    /// The link to the directory was lost while lookups were pending.
     DirectoryLinkLost(&'a LinkError),
-    /// The directory has ended a search with an error.
+    /// The directory answered a search with an error.
     DirectorySearchFailed(&'a LdapResultCode),
-    /// A reload names a registry that can't be used.
+    /// The registry address of a reloaded configuration can't be used.
     RegistryUnusable {
-        /// The address.
+        /// The new address.
         address: SocketAddr,
         /// The system's error.
         error: &'a io::Error,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Each fault has a place of its own, so that its repeats are folded apart from the others.
+/// Each fault has its own call site, so that repeats of one fault are folded separately from those of the others.
 fn emit_malformed_reply(error: ReplyError) {
     match error {
         ReplyError::Head => {
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -63,8 +63,8 @@
     /// # Errors
     /// The address can't be listened on.
     pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> Result<Console, ListenError> {
-        let own = poll.with_own_budget(max_console_calls(sockets));
-        let mut connections = Connections::closed(&own, FrontendKind::Console, MAX_HEAD_BYTES);
+        let console_poll = poll.with_own_budget(max_console_calls(sockets));
+        let mut connections = Connections::closed(&console_poll, FrontendKind::Console, MAX_HEAD_BYTES);
         connections.open(None, address)?;
         connections.prefer_newest();
         Ok(Console { connections })
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,13 +1,14 @@
-//! The port worker on real sockets: one thread, one loop. Each turn gathers what is ready, hands it to the dispatcher
-//! in one go, and carries out the commands that come back.
+//! The port worker on real sockets: a single thread with an event loop. Each turn gathers input from ready sockets,
+//! passes it to the dispatcher in one batch and executes the commands that the dispatcher returns.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`worker`] | the worker's state, its construction, the loop and a turn of it |
+//! | [`worker`] | the worker's state, its construction, the event loop and its turns |
 //! | [`io`] | descriptors and their budget, buffers, idle connections, timers |
 //! | [`frontends`] | HTTP/1.1, HTTP/2 and AJP |
 //! | [`upstreams`] | the executor, AJP servers, records service, registry, directory, coordinators |
 //! | [`lifecycle`] | console, reload, graceful shutdown, hot restart, fleet membership |
+//! | [`events`] | log events of these modules |
 
 mod availability;
 mod clock;
@@ -25,5 +26,5 @@
 pub use error::{ListenError, WorkerError};
 pub use worker::{run, Worker};
 
-/// Retained results may take one part in this many of the memory limit.
+/// Retained results may take up to the memory limit divided by this.
 const RESULT_MEMORY_DIVISOR: f64 = 8.0;
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -9,7 +9,7 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::upstreams::registry::HEARTBEAT_INTERVAL_S;
 
-/// Maximum number of rounds in one turn. Later rounds process requests that were read behind answered ones, and
+/// Maximum number of rounds in one turn. Later rounds process requests that were read after answered ones, and
 /// outcomes of commands that were just executed.
 const MAX_ROUNDS: usize = 8;
 
