--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -17,7 +17,9 @@
 use crate::net::io::buffer::Filled;
 use crate::net::io::poll::Poll;
 use crate::net::io::source::FrontendKind;
-use crate::net::upstreams::ajp_codec::{self, ToContainer, Way, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES};
+use crate::net::upstreams::ajp_codec::{
+    self, Direction, ToContainer, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES,
+};
 use crate::net::upstreams::directory::{Lookup, LookupResult};
 use crate::net::{FrontendContext, ListenError};
 use head::{check_head, PendingRequest, Rejection};
@@ -65,7 +67,7 @@
             if connection.state == ConnectionState::Idle && !connection.link.data().is_empty() {
                 connection.set_state(now, ConnectionState::Reading);
             }
-            match ajp_codec::packet(connection.link.data(), Way::ToContainer) {
+            match ajp_codec::packet(connection.link.data(), Direction::ToContainer) {
                 Ok(Some(payload)) if connection.memory.0.is_some() => {
                     self.on_body_packet(now, id, payload, turn);
                 }
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -22,7 +22,7 @@
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
-use crate::net::upstreams::ajp_codec::{self, Forward, Way, MAX_PACKET_BYTES};
+use crate::net::upstreams::ajp_codec::{self, Direction, Forward, MAX_PACKET_BYTES};
 use run::{Reaction, Run};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -217,7 +217,7 @@
         }
         connection.link.flush().map_err(|_| ConnectionError::Write)?;
         let filled = connection.link.fill();
-        let packet = ajp_codec::packet(connection.link.data(), Way::ToWebServer);
+        let packet = ajp_codec::packet(connection.link.data(), Direction::ToWebServer);
         let payload = match packet.map_err(ConnectionError::Packet)? {
             Some(payload) => payload,
             None if filled != Filled::Open => return Err(ConnectionError::Closed),
--- a/src/net/upstreams/ajp_codec/mod.rs
+++ b/src/net/upstreams/ajp_codec/mod.rs
@@ -34,18 +34,18 @@
 
 /// The direction of a packet, given by its magic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From a web server to a container.
     ToContainer,
     /// From a container to a web server.
     ToWebServer,
 }
 
-impl Way {
+impl Direction {
     fn magic(self) -> [u8; 2] {
         match self {
-            Way::ToContainer => [0x12, 0x34],
-            Way::ToWebServer => *b"AB",
+            Direction::ToContainer => [0x12, 0x34],
+            Direction::ToWebServer => *b"AB",
         }
     }
 }
@@ -122,7 +122,7 @@
 /// # Errors
 ///
 /// [`PacketError::Magic`] or [`PacketError::Length`]; after either there is no telling where a packet begins.
-pub fn packet(data: &[u8], way: Way) -> Result<Option<Range<usize>>, PacketError> {
+pub fn packet(data: &[u8], way: Direction) -> Result<Option<Range<usize>>, PacketError> {
     let magic = way.magic();
     if data.iter().zip(&magic).any(|(found, expected)| found != expected) {
         return Err(PacketError::Magic);
--- a/src/net/upstreams/ajp_codec/writer.rs
+++ b/src/net/upstreams/ajp_codec/writer.rs
@@ -5,13 +5,13 @@
     FORWARD_REQUEST, GET_BODY_CHUNK, METHODS, REQUEST_HEADERS, RESPONSE_HEADERS, SEND_BODY_CHUNK,
     SEND_HEADERS,
 };
-use super::{Forward, Way, HEAD_BYTES, MAX_PAYLOAD_BYTES, MAX_RESPONSE_CHUNK_BYTES};
+use super::{Direction, Forward, HEAD_BYTES, MAX_PAYLOAD_BYTES, MAX_RESPONSE_CHUNK_BYTES};
 
 /// Writes one packet: its length is set when it is closed.
 struct Writer(Vec<u8>);
 
 impl Writer {
-    fn new(way: Way) -> Writer {
+    fn new(way: Direction) -> Writer {
         let [first, second] = way.magic();
         Writer(vec![first, second, 0, 0])
     }
@@ -56,7 +56,7 @@
 #[must_use]
 pub fn write_forward(forward: &Forward) -> Option<Vec<u8>> {
     let method = METHODS.iter().position(|known| *known == forward.method)? as u8 + 1;
-    let mut writer = Writer::new(Way::ToContainer)
+    let mut writer = Writer::new(Direction::ToContainer)
         .byte(FORWARD_REQUEST)
         .byte(method)
         .string(b"HTTP/1.1")
@@ -82,7 +82,7 @@
 /// Writes a packet of body bytes; an empty one ends the body. `None` where they don't fit into a packet.
 #[must_use]
 pub fn write_body(bytes: &[u8]) -> Option<Vec<u8>> {
-    let mut writer = Writer::new(Way::ToContainer);
+    let mut writer = Writer::new(Direction::ToContainer);
     if !bytes.is_empty() {
         writer = writer.int(u16::try_from(bytes.len()).ok()?);
         writer.0.extend_from_slice(bytes);
@@ -91,7 +91,7 @@
 }
 
 /// A packet that is nothing but a message type.
-fn type_only(way: Way, message_type: u8) -> Vec<u8> {
+fn type_only(way: Direction, message_type: u8) -> Vec<u8> {
     let [first, second] = way.magic();
     vec![first, second, 0, 1, message_type]
 }
@@ -99,13 +99,13 @@
 /// Writes a `CPing`: the web server asks whether the connection is alive.
 #[must_use]
 pub fn write_cping() -> Vec<u8> {
-    type_only(Way::ToContainer, CPING)
+    type_only(Direction::ToContainer, CPING)
 }
 
 /// Writes a `CPong`, the response to a `CPing`.
 #[must_use]
 pub fn write_cpong() -> Vec<u8> {
-    type_only(Way::ToWebServer, CPONG)
+    type_only(Direction::ToWebServer, CPONG)
 }
 
 /// Writes a Get Body Chunk: the container requests at most so many bytes of the body.
@@ -124,7 +124,7 @@
 /// Writes the head of a response; `None` where it does not fit into a packet.
 #[must_use]
 pub fn write_headers(status: u16, reason: &str, headers: &[(&str, String)]) -> Option<Vec<u8>> {
-    let mut writer = Writer::new(Way::ToWebServer)
+    let mut writer = Writer::new(Direction::ToWebServer)
         .byte(SEND_HEADERS)
         .int(status)
         .string(reason.as_bytes())
--- a/tests/ajp/backend.rs
+++ b/tests/ajp/backend.rs
@@ -1,7 +1,7 @@
 //! Runs at AJP servers.
 
 use crate::{forward, order, Ajp, FRONTEND, WORKER};
-use port_worker::net::upstreams::ajp_codec::{self, ToContainer, Way};
+use port_worker::net::upstreams::ajp_codec::{self, Direction, ToContainer};
 use std::net::{SocketAddr, TcpListener};
 use test_support::{accept_link, reserve_address, Client, RequestBuilder, WorkerUnderTest};
 
@@ -16,7 +16,7 @@
 /// Reads a request with its body as an AJP server does, after pings.
 fn serve(server: &mut Ajp, path: &str, body: &[u8]) {
     let payload = loop {
-        let payload = server.packet(Way::ToContainer).expect("a request");
+        let payload = server.packet(Direction::ToContainer).expect("a request");
         if ajp_codec::to_container(&payload) != Ok(ToContainer::CPing) {
             break payload;
         }
@@ -24,7 +24,7 @@
     };
     let Ok(ToContainer::Forward(f)) = ajp_codec::to_container(&payload) else { panic!("no request") };
     assert_eq!((f.method, f.uri, f.secret), ("POST", path, Some(&b"below"[..])));
-    assert_eq!(ajp_codec::body(&server.packet(Way::ToContainer).unwrap()), Ok(body));
+    assert_eq!(ajp_codec::body(&server.packet(Direction::ToContainer).unwrap()), Ok(body));
 }
 
 fn reply(server: &mut Ajp, status: u16, body: &[u8]) {
@@ -48,7 +48,7 @@
     reply(&mut server, 200, b"seen");
     assert_eq!(portal.read_response().0.body, b"seen");
     router.send(&RequestBuilder::new("look"));
-    let ping = server.packet(Way::ToContainer).unwrap();
+    let ping = server.packet(Direction::ToContainer).unwrap();
     assert_eq!(ajp_codec::to_container(&ping), Ok(ToContainer::CPing));
     server.write(&ajp_codec::write_cpong());
     serve(&mut server, "/do/look", b"hello");
@@ -56,7 +56,7 @@
     assert_eq!(router.read_response().status, 500);
     // It ends the kept connection unasked, or while it is pinged: the request goes out on a new one.
     router.send(&RequestBuilder::new("look"));
-    server.packet(Way::ToContainer).unwrap();
+    server.packet(Direction::ToContainer).unwrap();
     drop(server);
     let mut server = Ajp::on(accept_link(&listener));
     serve(&mut server, "/do/look", b"hello");
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -1,7 +1,7 @@
 //! Requests of portals at the AJP frontend.
 
 use crate::{forward, order, Ajp, FRONTEND, WORKER};
-use port_worker::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way};
+use port_worker::net::upstreams::ajp_codec::{self, Direction, Forward, ToWebServer};
 use serde_json::json;
 use test_support::{encode, unix_ms, Client};
 
@@ -13,7 +13,7 @@
     for (body, pieces) in [("hello", 1), ("hello", 2), ("unmeasured", 3)] {
         portal.write(&ajp_codec::write_cping());
         assert_eq!(
-            ajp_codec::to_web_server(&portal.packet(Way::ToWebServer).unwrap()),
+            ajp_codec::to_web_server(&portal.packet(Direction::ToWebServer).unwrap()),
             Ok(ToWebServer::CPong)
         );
         let mut f = forward("/portal/look/17?a=b", "");
@@ -24,7 +24,7 @@
             portal.send(&f, &body.as_bytes()[..if pieces == 2 { 2 } else { 5 }]);
         }
         for piece in [&body.as_bytes()[2..], b""].iter().take(pieces - 1) {
-            let payload = portal.packet(Way::ToWebServer).unwrap();
+            let payload = portal.packet(Direction::ToWebServer).unwrap();
             let Ok(ToWebServer::GetBody(wanted)) = ajp_codec::to_web_server(&payload) else {
                 panic!("no GET_BODY_CHUNK")
             };
--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -4,7 +4,7 @@
 mod directory;
 mod frontend;
 
-use port_worker::net::upstreams::ajp_codec::{self, Forward, ToWebServer, Way};
+use port_worker::net::upstreams::ajp_codec::{self, Direction, Forward, ToWebServer};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -45,7 +45,7 @@
     }
 
     /// The payload of the next packet; `None` at the end.
-    fn packet(&mut self, way: Way) -> Option<Vec<u8>> {
+    fn packet(&mut self, way: Direction) -> Option<Vec<u8>> {
         let mut bytes = vec![0; 4];
         self.stream.read_exact(&mut bytes).ok()?;
         bytes.resize(4 + usize::from(u16::from_be_bytes([bytes[2], bytes[3]])), 0);
@@ -65,7 +65,7 @@
     fn read_response(&mut self) -> (Reply, bool) {
         let mut reply = Reply { status: 0, head: String::new(), body: Vec::new() };
         loop {
-            let payload = self.packet(Way::ToWebServer).expect("an answer");
+            let payload = self.packet(Direction::ToWebServer).expect("an answer");
             match ajp_codec::to_web_server(&payload).unwrap() {
                 ToWebServer::Headers { status, headers } => {
                     reply.status = status;
