--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -4,7 +4,7 @@
 use crate::coordinator::{next_frame, FRAME_HEADER_BYTES};
 use crate::ids::LinkId;
 use port_worker::fleet::frame::MAX_CLIENT_FRAME_BYTES;
-use port_worker::net::io::buffer::{Filled, Link};
+use port_worker::net::io::buffer::{Link, ReadStatus};
 use port_worker::net::io::poll::{Accepted, Acceptor, Poll};
 use port_worker::net::io::source::Source;
 use std::collections::{BTreeMap, BTreeSet};
@@ -103,7 +103,7 @@
     /// Reads from the link; `None` where nothing is received on it any more.
     pub(super) fn fill(&mut self, now: f64, id: LinkId) -> Option<LinkState> {
         let inbound = self.open_link(id)?;
-        let is_open = inbound.link.fill() == Filled::Open && now - inbound.received_at <= LINK_TIMEOUT_S;
+        let is_open = inbound.link.fill() == ReadStatus::Open && now - inbound.received_at <= LINK_TIMEOUT_S;
         Some(if is_open { LinkState::Open } else { LinkState::Ended })
     }
 
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -5,7 +5,7 @@
 use crate::coordinator::{next_frame, PeerAnswer, MAX_PEER_FRAME_BYTES};
 use crate::ids::LinkId;
 use port_worker::fleet::frame::MAX_SERVER_FRAME_BYTES;
-use port_worker::net::io::buffer::{Filled, Link};
+use port_worker::net::io::buffer::{Link, ReadStatus};
 use port_worker::net::io::poll::Poll;
 use port_worker::net::io::source::{Readiness, Source};
 use std::net::SocketAddr;
@@ -160,7 +160,7 @@
         if self.stage == Stage::Connecting {
             return Polled::default();
         }
-        let broken = self.link.fill() != Filled::Open;
+        let broken = self.link.fill() != ReadStatus::Open;
         match next_frame(self.link.data(), MAX_SERVER_FRAME_BYTES) {
             Ok(None) => Polled { answer: None, broken },
             Err(_) => Polled::broken(),
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -14,7 +14,7 @@
 };
 use crate::net::frontends::frontend::{Frontend, FrontendTurn};
 use crate::net::frontends::request_fields::MAX_BODY_BYTES;
-use crate::net::io::buffer::Filled;
+use crate::net::io::buffer::ReadStatus;
 use crate::net::io::poll::Poll;
 use crate::net::io::source::FrontendKind;
 use crate::net::upstreams::ajp_codec::{
@@ -73,7 +73,7 @@
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
                 // A client that is gone before its last byte: the request never reaches the dispatcher.
-                Ok(None) if filled != Filled::Open => return self.connections.close(id),
+                Ok(None) if filled != ReadStatus::Open => return self.connections.close(id),
                 Ok(None) => return,
                 // After a wrong magic or length there is no telling where a message begins.
                 Err(error) => {
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -1,6 +1,6 @@
 //! One connection: its state, what it does next and how it is closed.
 
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::source::Readiness;
 
 /// The most steps that one connection takes in a turn: a peer that sends without end must not occupy the event loop.
@@ -94,7 +94,7 @@
             match self.state {
                 // One request at a time: what comes meanwhile waits in the buffer, then with the system. Only reading
                 // shows a reset, and the dispatcher need not go on for a client that is gone.
-                AwaitingResponse if self.link.fill() == Filled::Broken => return NextStep::Close,
+                AwaitingResponse if self.link.fill() == ReadStatus::Broken => return NextStep::Close,
                 AwaitingResponse | HandedOff => return NextStep::Wait,
                 Responding if self.link.queued() > 0 => return NextStep::Wait,
                 Responding if self.close => self.half_close(now),
@@ -142,8 +142,8 @@
             self.last_received_at = now;
         }
         match filled {
-            Filled::Open if self.link.unread() => NextStep::Later,
-            Filled::Open => NextStep::Wait,
+            ReadStatus::Open if self.link.unread() => NextStep::Later,
+            ReadStatus::Open => NextStep::Wait,
             _ => NextStep::Close,
         }
     }
@@ -155,7 +155,7 @@
         self.link.mark(Readiness { readable: true, writable: false });
         let filled = self.link.fill();
         self.has_unseen_bytes |= self.link.data().len() > length_before;
-        self.has_unseen_bytes || filled != Filled::Open
+        self.has_unseen_bytes || filled != ReadStatus::Open
     }
 
     /// Whether a connection that is being closed is still read; discards what has come where it is not.
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -12,7 +12,7 @@
 use crate::net::frontends::frontend::{Frontend, FrontendTurn};
 use crate::net::frontends::request_fields::MAX_BODY_BYTES;
 use crate::net::frontends::status_mapping::map_response;
-use crate::net::io::buffer::Filled;
+use crate::net::io::buffer::ReadStatus;
 use crate::net::io::poll::Poll;
 use crate::net::io::source::FrontendKind;
 use crate::net::{FrontendContext, ListenError};
@@ -71,7 +71,7 @@
             }
             let filled = connection.link.fill();
             if connection.link.data().is_empty() {
-                if filled != Filled::Open {
+                if filled != ReadStatus::Open {
                     self.connections.close(id);
                 }
                 return;
@@ -157,14 +157,14 @@
 fn on_parsed(
     connection: &mut Connection<bool>,
     parsed: Parsed,
-    filled: Filled,
+    filled: ReadStatus,
     now: f64,
     context: &FrontendContext,
     inputs: &mut Vec<Input>,
 ) -> Progress {
     match parsed {
         // A request that will never be complete is none; the peer may have closed within the body.
-        Parsed::Partial { .. } if filled != Filled::Open => Progress::Close,
+        Parsed::Partial { .. } if filled != ReadStatus::Open => Progress::Close,
         Parsed::Partial { wants_continue } => {
             let continue_sent = connection.memory;
             if !wants_continue || continue_sent {
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -7,7 +7,7 @@
 use crate::log::LogEvent;
 use crate::net::events::{FrontendEvent, SessionEndCause};
 use crate::net::frontends::connections::{Connection, ConnectionState, NextStep};
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::poll::Poll;
 use crate::net::{Clock, FrontendContext};
 use std::io;
@@ -122,7 +122,7 @@
             return self.close(id, turn.inputs);
         }
         let filled = connection.link.fill();
-        if filled == Filled::Broken {
+        if filled == ReadStatus::Broken {
             return self.close(id, turn.inputs);
         }
         let has_session = connection.memory.active.is_some();
@@ -146,7 +146,7 @@
     }
 
     /// Gives a connection a session once its preface is complete and it is admitted; `true` if it has one.
-    fn start_session(&mut self, id: u64, filled: Filled, turn: &mut Turn) -> bool {
+    fn start_session(&mut self, id: u64, filled: ReadStatus, turn: &mut Turn) -> bool {
         let Some(connection) = self.connections.get_mut(id) else { return false };
         match Preface::read(connection.link.data()) {
             Preface::Complete => {}
@@ -171,8 +171,8 @@
         true
     }
 
-    fn await_preface(&mut self, id: u64, filled: Filled, turn: &mut Turn) {
-        if filled == Filled::Ended {
+    fn await_preface(&mut self, id: u64, filled: ReadStatus, turn: &mut Turn) {
+        if filled == ReadStatus::Ended {
             return self.close(id, turn.inputs);
         }
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -183,7 +183,7 @@
         }
     }
 
-    fn process_session(&mut self, id: u64, filled: Filled, turn: &mut Turn) {
+    fn process_session(&mut self, id: u64, filled: ReadStatus, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(exchange) = exchange(connection, filled, &self.poll, &mut self.pressure, turn) else {
             return;
@@ -229,7 +229,7 @@
 /// Feeds the session as much as its account allows, polls it, and writes its output.
 fn exchange(
     connection: &mut Connection<SessionEntry>,
-    filled: Filled,
+    filled: ReadStatus,
     poll: &Poll,
     pressure: &mut PressureMonitor,
     turn: &mut Turn,
@@ -259,10 +259,10 @@
 }
 
 /// Moves so many bytes from the socket's buffer to the codec, and signals the end of the client's input.
-fn feed(session: &Session, link: &mut Link, length: usize, filled: Filled) {
+fn feed(session: &Session, link: &mut Link, length: usize, filled: ReadStatus) {
     session.pipe().feed(&link.data()[..length]);
     link.consume(length);
-    if filled == Filled::Ended && link.data().is_empty() {
+    if filled == ReadStatus::Ended && link.data().is_empty() {
         session.pipe().end();
     }
 }
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -37,7 +37,7 @@
 
 /// The result of reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Filled {
+pub enum ReadStatus {
     /// All there was has been read, or the buffer is full.
     Open,
     /// The peer will send no more.
@@ -137,7 +137,7 @@
     }
 
     /// Reads what is there, up to the limit of the buffer; the rest waits, and so does the peer.
-    pub fn fill(&mut self) -> Filled {
+    pub fn fill(&mut self) -> ReadStatus {
         while self.readable && !self.ended && self.data().len() < self.max_unread_bytes {
             if self.start > 0 {
                 self.input.drain(..self.start);
@@ -153,20 +153,20 @@
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Filled::Broken,
+                Err(_) => return ReadStatus::Broken,
             }
         }
         if self.ended {
-            Filled::Ended
+            ReadStatus::Ended
         } else {
-            Filled::Open
+            ReadStatus::Open
         }
     }
 
     /// Discards what is there, up to `most` bytes, without copying it: a peer that goes on sending after its rejection
     /// must not cost processor time. Returns the result of reading and whether anything came.
     #[expect(clippy::large_stack_arrays, reason = "it is never initialized, and the stack has room for it")]
-    pub fn discard(&mut self, most: usize) -> (Filled, bool) {
+    pub fn discard(&mut self, most: usize) -> (ReadStatus, bool) {
         self.consume(self.input.len());
         let mut scratch = [MaybeUninit::uninit(); DISCARD_BYTES];
         let mut dropped = 0;
@@ -176,10 +176,10 @@
                 Ok(n) => dropped += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return (Filled::Broken, dropped > 0),
+                Err(_) => return (ReadStatus::Broken, dropped > 0),
             }
         }
-        (if self.ended { Filled::Ended } else { Filled::Open }, dropped > 0)
+        (if self.ended { ReadStatus::Ended } else { ReadStatus::Open }, dropped > 0)
     }
 
     /// Sets how many unread bytes are buffered at most.
--- a/src/net/io/idle_pool.rs
+++ b/src/net/io/idle_pool.rs
@@ -1,6 +1,6 @@
 //! Idle connections to upstreams that are used again, for the records service and for AJP servers.
 
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use std::collections::HashMap;
 use std::hash::BuildHasher;
 
@@ -30,7 +30,7 @@
         let (id, since) = idle.max_by(|a, b| a.1.total_cmp(&b.1))?;
         let link = all.get_mut(&id)?.link();
         // A request must not be lost to a connection that the peer has just closed.
-        let sound = link.fill() == Filled::Open && link.data().is_empty();
+        let sound = link.fill() == ReadStatus::Open && link.data().is_empty();
         if sound && now - since < keep_s {
             return Some(id);
         }
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::metrics::Metrics;
 use crate::net::frontends::connections::{ConnectionState, Connections, NextStep};
 use crate::net::frontends::request_fields::Catalog;
-use crate::net::io::buffer::Filled;
+use crate::net::io::buffer::ReadStatus;
 use crate::net::io::poll::Poll;
 use crate::net::io::source::FrontendKind;
 use crate::net::ListenError;
@@ -94,7 +94,7 @@
         }
         match parse(c.link.data()) {
             // The peer has ended: the call will never be complete.
-            Ok(None) if filled != Filled::Open => self.connections.close(id),
+            Ok(None) if filled != ReadStatus::Open => self.connections.close(id),
             Ok(None) => {}
             Ok(Some(call)) => {
                 c.set_state(now, ConnectionState::AwaitingResponse);
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -17,7 +17,7 @@
 use crate::log::LogEvent;
 use crate::net::events::UpstreamEvent;
 use crate::net::frontends::request_fields::Catalog;
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::idle_pool::{full, take_idle, Pooled, MAX_IDLE};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
@@ -220,7 +220,7 @@
         let packet = ajp_codec::packet(connection.link.data(), Direction::ToWebServer);
         let payload = match packet.map_err(ConnectionError::Packet)? {
             Some(payload) => payload,
-            None if filled != Filled::Open => return Err(ConnectionError::Closed),
+            None if filled != ReadStatus::Open => return Err(ConnectionError::Closed),
             None => return Ok(Progress::Wait),
         };
         let packet_end = payload.end;
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -9,7 +9,7 @@
 use crate::fleet::tasks::ScheduledCall;
 use crate::fleet::{FleetMember, Incarnation, MemberAction, MembershipConfig};
 use crate::log::LogEvent;
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
@@ -131,7 +131,7 @@
         for message in &messages {
             self.member.receive(now, message);
         }
-        if is_malformed || filled != Filled::Open {
+        if is_malformed || filled != ReadStatus::Open {
             self.close_connection(now);
         }
     }
--- a/src/net/upstreams/coordinator_link/scheduled_call.rs
+++ b/src/net/upstreams/coordinator_link/scheduled_call.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::frame::CallOutcome;
 use crate::fleet::tasks::{Schedule, ScheduledCall};
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use std::io;
@@ -88,13 +88,13 @@
         }
     }
 
-    fn read_head(&self, filled: Filled) -> Option<CallOutcome> {
+    fn read_head(&self, filled: ReadStatus) -> Option<CallOutcome> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let is_incomplete = match head.parse(self.link.data()) {
             Ok(httparse::Status::Complete(_)) => return Some(outcome_of(head.code)),
             Ok(httparse::Status::Partial) => {
-                filled == Filled::Open && self.link.data().len() < MAX_HEAD_BYTES
+                filled == ReadStatus::Open && self.link.data().len() < MAX_HEAD_BYTES
             }
             Err(_) => false,
         };
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -14,7 +14,7 @@
 use crate::dispatch::Ticket;
 use crate::log::LogEvent;
 use crate::net::events::UpstreamEvent;
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
@@ -236,7 +236,7 @@
                 }
                 Ok(Progress::Continue)
             }
-            Ok(None) if filled != Filled::Open => Err(LinkError::Closed),
+            Ok(None) if filled != ReadStatus::Open => Err(LinkError::Closed),
             Ok(None) if unread >= MAX_MESSAGE_BYTES => Err(LinkError::MessageTooLong),
             Ok(None) => Ok(Progress::Wait),
             Err(_) => Err(LinkError::MalformedMessage),
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -12,7 +12,7 @@
 use crate::log::LogEvent;
 use crate::net::events::{ExecutorEvent, LinkLossCause, MalformedNotice};
 use crate::net::frontends::request_fields::Catalog;
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use base64::engine::general_purpose::STANDARD;
@@ -251,10 +251,10 @@
                 return self.link_lost(now, LinkLossCause::LineTooLong);
             }
             match filled {
-                Filled::Open if lines.length == 0 => return,
-                Filled::Open => {}
-                Filled::Ended => return self.link_lost(now, LinkLossCause::Closed),
-                Filled::Broken => return self.link_lost(now, LinkLossCause::Reset),
+                ReadStatus::Open if lines.length == 0 => return,
+                ReadStatus::Open => {}
+                ReadStatus::Ended => return self.link_lost(now, LinkLossCause::Closed),
+                ReadStatus::Broken => return self.link_lost(now, LinkLossCause::Reset),
             }
         }
     }
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -9,7 +9,7 @@
 use crate::interface::Outcome;
 use crate::log::LogEvent;
 use crate::net::events::UpstreamEvent;
-use crate::net::io::buffer::{Filled, Link};
+use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::idle_pool::{full, take_idle, Pooled};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
@@ -192,7 +192,7 @@
         let filled = c.link.fill();
         if c.call.is_none() {
             // An idle connection that sends something or ends can't be used again.
-            if filled != Filled::Open || !c.link.data().is_empty() {
+            if filled != ReadStatus::Open || !c.link.data().is_empty() {
                 self.connections.remove(&id);
             }
             return;
@@ -204,14 +204,14 @@
                 let body = (reply.outcome == Outcome::Ok).then(|| Rc::from(body));
                 c.link.consume(reply.length);
                 // Bytes beyond the reply spoil the connection, not the reply.
-                (reply.outcome, body, reply.keep && filled == Filled::Open && c.link.data().is_empty())
+                (reply.outcome, body, reply.keep && filled == ReadStatus::Open && c.link.data().is_empty())
             }
             // Neither a reply that can't be read nor a break proves that the call did not run.
             Err(error) => {
                 UpstreamEvent::RecordsReplyMalformed(error).emit();
                 (Outcome::Interrupted, None, false)
             }
-            Ok(None) if filled != Filled::Open || flushed.is_err() => (Outcome::Interrupted, None, false),
+            Ok(None) if filled != ReadStatus::Open || flushed.is_err() => (Outcome::Interrupted, None, false),
             Ok(None) => return,
         };
         c.idle_since = now;
