--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -28,7 +28,7 @@
 use disk_thread::JobResult;
 use limits::MAX_LINKS;
 use port_worker::log::{LogEvent, LogHandle};
-use port_worker::net::io::poll::{Acceptor, Gathered, Poll};
+use port_worker::net::io::poll::{Acceptor, Poll, ReadyEvents};
 use port_worker::net::io::source::Source;
 use server::Server;
 use std::cell::RefCell;
@@ -86,7 +86,7 @@
 /// Why it can't run, in one line.
 pub fn run(path: &Path, log: &LogHandle) -> Result<(), NetError> {
     let file = File::read(path)?;
-    let mut event_loop: EventLoop<Gathered> =
+    let mut event_loop: EventLoop<ReadyEvents> =
         EventLoop::try_new().map_err(NetError::event_loop("event loop"))?;
     let handle = event_loop.handle();
     watch_signals(&handle)?;
@@ -100,7 +100,7 @@
     let coordinator = server.file.name.clone();
     let fleet = server.file.fleet.clone();
     ServerEvent::ListenerOpened { coordinator, fleet, address: local_address }.emit();
-    let mut gathered = Gathered::default();
+    let mut gathered = ReadyEvents::default();
     server.carry_out();
     while !gathered.shutdown {
         event_loop.dispatch(None, &mut gathered).map_err(NetError::event_loop("event loop"))?;
@@ -112,11 +112,11 @@
     Ok(())
 }
 
-fn watch_signals(handle: &LoopHandle<'static, Gathered>) -> Result<(), NetError> {
+fn watch_signals(handle: &LoopHandle<'static, ReadyEvents>) -> Result<(), NetError> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ])
         .map_err(NetError::event_loop("signals"))?;
     handle
-        .insert_source(signals, |event, (), gathered: &mut Gathered| match event.signal() {
+        .insert_source(signals, |event, (), gathered: &mut ReadyEvents| match event.signal() {
             Signal::SIGHUP => gathered.reload = true,
             // A write beyond the limit on file sizes has failed: the disk's thread reports it.
             Signal::SIGXFSZ => {}
@@ -133,13 +133,13 @@
 }
 
 fn watch_disk(
-    handle: &LoopHandle<'static, Gathered>,
+    handle: &LoopHandle<'static, ReadyEvents>,
     channel: Channel<JobResult>,
 ) -> Result<ResultInbox, NetError> {
     let inbox = ResultInbox::default();
     let received = inbox.clone();
     handle
-        .insert_source(channel, move |event, (), _: &mut Gathered| {
+        .insert_source(channel, move |event, (), _: &mut ReadyEvents| {
             if let ChannelEvent::Msg(result) = event {
                 received.borrow_mut().push(result);
             }
@@ -148,7 +148,7 @@
     Ok(inbox)
 }
 
-fn watch_timer(handle: &LoopHandle<'static, Gathered>) -> Result<(), NetError> {
+fn watch_timer(handle: &LoopHandle<'static, ReadyEvents>) -> Result<(), NetError> {
     let interval = Duration::from_secs_f64(TICK_S);
     handle
         .insert_source(Timer::from_duration(interval), move |_, (), _| TimeoutAction::ToDuration(interval))
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -12,7 +12,7 @@
 use calloop::channel::Sender;
 use port_worker::log::LogEvent;
 use port_worker::net::io::buffer::Link;
-use port_worker::net::io::poll::{Acceptor, Gathered, Poll};
+use port_worker::net::io::poll::{Acceptor, Poll, ReadyEvents};
 use port_worker::net::io::source::{ReadySource, Source};
 use std::path::Path;
 use std::sync::mpsc;
@@ -51,7 +51,7 @@
     }
 
     /// Processes what the event loop has gathered, and all that is due.
-    pub(super) fn poll_once(&mut self, gathered: &mut Gathered, results: Vec<JobResult>, path: &Path) {
+    pub(super) fn poll_once(&mut self, gathered: &mut ReadyEvents, results: Vec<JobResult>, path: &Path) {
         let now = boot_time_s() - self.started_at;
         for ready in gathered.take() {
             self.mark_ready(ready);
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -1,13 +1,13 @@
 use super::eviction::Eviction;
 use super::*;
-use crate::net::io::poll::Gathered;
+use crate::net::io::poll::ReadyEvents;
 use crate::net::io::source::FrontendKind;
 use calloop::EventLoop;
 use std::net::TcpListener;
 
 /// Connections with a clock of the test's own.
 struct Fixture {
-    _events: EventLoop<'static, Gathered>,
+    _events: EventLoop<'static, ReadyEvents>,
     listener: TcpListener,
     clients: Vec<TcpStream>,
     connections: Connections<()>,
@@ -15,7 +15,7 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let events: EventLoop<Gathered> = EventLoop::try_new().unwrap();
+        let events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
         let poll = Poll::new(events.handle(), 100);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let connections = Connections::closed(&poll, FrontendKind::Http1, 1024);
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -29,7 +29,7 @@
 
 /// What was ready after one wait.
 #[derive(Default)]
-pub struct Gathered {
+pub struct ReadyEvents {
     /// In the order in which they were first seen.
     sources: Vec<Source>,
     readiness: HashMap<Source, Readiness>,
@@ -39,7 +39,7 @@
     pub reload: bool,
 }
 
-impl Gathered {
+impl ReadyEvents {
     /// Takes each source once, in the order in which they were first seen.
     pub fn take(&mut self) -> Vec<ReadySource> {
         let readiness = &mut self.readiness;
@@ -54,7 +54,7 @@
 /// The loop's handle, and the one budget of descriptors.
 #[derive(Clone)]
 pub struct Poll {
-    handle: LoopHandle<'static, Gathered>,
+    handle: LoopHandle<'static, ReadyEvents>,
     available: Rc<Cell<usize>>,
     /// Descriptors that another process holds under the same limit.
     other_process: Rc<Cell<usize>>,
@@ -65,7 +65,7 @@
 impl Poll {
     /// A handle with this many descriptors to give out.
     #[must_use]
-    pub fn new(handle: LoopHandle<'static, Gathered>, descriptors: usize) -> Poll {
+    pub fn new(handle: LoopHandle<'static, ReadyEvents>, descriptors: usize) -> Poll {
         Poll::with_budget(handle, descriptors, Rc::new(Cell::new(1)))
     }
 
@@ -76,7 +76,11 @@
         Poll::with_budget(self.handle.clone(), budget, self.last_number.clone())
     }
 
-    fn with_budget(handle: LoopHandle<'static, Gathered>, budget: usize, last_number: Rc<Cell<u64>>) -> Poll {
+    fn with_budget(
+        handle: LoopHandle<'static, ReadyEvents>,
+        budget: usize,
+        last_number: Rc<Cell<u64>>,
+    ) -> Poll {
         let available = Rc::new(Cell::new(budget));
         let other_process = Rc::new(Cell::new(0));
         Poll { handle, available, other_process, budget, last_number }
@@ -124,7 +128,7 @@
         let watched = Generic::new(fd, Interest::BOTH, Mode::Edge);
         let token = self
             .handle
-            .insert_source(watched, move |readiness, _, gathered: &mut Gathered| {
+            .insert_source(watched, move |readiness, _, gathered: &mut ReadyEvents| {
                 let seen = gathered.readiness.entry(source).or_insert_with(|| {
                     gathered.sources.push(source);
                     Readiness::default()
--- a/src/net/io/poll/tests.rs
+++ b/src/net/io/poll/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn what_another_process_holds_is_not_given_away_here_as_well() {
-    let events: EventLoop<Gathered> = EventLoop::try_new().unwrap();
+    let events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
     let poll = Poll::new(events.handle(), 100);
     poll.set_other_process_usage(100 - RESERVED_FOR_UPSTREAMS);
     assert!(poll.has_capacity() && !poll.has_capacity_for_client());
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -1,6 +1,6 @@
 use super::reply::MAX_HEAD_BYTES;
 use super::*;
-use crate::net::io::poll::Gathered;
+use crate::net::io::poll::ReadyEvents;
 use crate::net::io::source::Source;
 use calloop::EventLoop;
 use std::io::{Read, Write};
@@ -36,8 +36,8 @@
 }
 
 /// One wait of a loop of its own, and what the pool makes of it.
-fn turn(events: &mut EventLoop<Gathered>, records: &mut Records, wheel: &mut Wheel) -> Vec<Input> {
-    let (mut gathered, mut inputs) = (Gathered::default(), Vec::new());
+fn turn(events: &mut EventLoop<ReadyEvents>, records: &mut Records, wheel: &mut Wheel) -> Vec<Input> {
+    let (mut gathered, mut inputs) = (ReadyEvents::default(), Vec::new());
     events.dispatch(Some(Duration::from_millis(5)), &mut gathered).unwrap();
     for ready in gathered.take() {
         if let Source::Records(id) = ready.source {
@@ -51,7 +51,7 @@
 /// It lay there until the loop woke for something else.
 #[test]
 fn a_call_on_a_kept_connection_leaves_without_an_event() {
-    let mut events: EventLoop<Gathered> = EventLoop::try_new().unwrap();
+    let mut events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut records = Records::new(&Poll::new(events.handle(), 8), listener.local_addr().unwrap());
     let mut wheel = Wheel::new(0.0);
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::config::StartupOptions;
 use crate::log::LogHandle;
 use crate::net::error::WorkerError;
-use crate::net::io::poll::{Gathered, Poll};
+use crate::net::io::poll::{Poll, ReadyEvents};
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle, RegistrationToken};
@@ -15,7 +15,7 @@
 /// # Errors
 /// A configuration that can't be used, an address that can't be listened on, or a failing event loop.
 pub fn run(files: StartupOptions, log: LogHandle) -> Result<(), WorkerError> {
-    let mut events: EventLoop<Gathered> = EventLoop::try_new().map_err(WorkerError::EventLoop)?;
+    let mut events: EventLoop<ReadyEvents> = EventLoop::try_new().map_err(WorkerError::EventLoop)?;
     let handle = events.handle();
     // Before anything else: from here on a shutdown notice is read in turn and does not kill the process.
     watch_signals(&handle)?;
@@ -24,7 +24,7 @@
     let mut worker = Worker::new(files, config, &poll, log)?;
     worker.find_predecessor(worker.clock.now())?;
     let mut timer = WheelTimer::new(handle);
-    let mut gathered = Gathered::default();
+    let mut gathered = ReadyEvents::default();
     worker.poll_once(&mut gathered);
     while !worker.loop_state.finished {
         let next = worker.wheel.next();
@@ -39,11 +39,11 @@
     Ok(())
 }
 
-fn watch_signals(handle: &LoopHandle<'static, Gathered>) -> Result<(), WorkerError> {
+fn watch_signals(handle: &LoopHandle<'static, ReadyEvents>) -> Result<(), WorkerError> {
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(WorkerError::Signals)?;
     handle
-        .insert_source(signals, |event, (), gathered: &mut Gathered| match event.signal() {
+        .insert_source(signals, |event, (), gathered: &mut ReadyEvents| match event.signal() {
             Signal::SIGHUP => gathered.reload = true,
             _ => gathered.shutdown = true,
         })
@@ -53,13 +53,13 @@
 
 /// The loop's one timer: it is set anew only when the wheel's next tick has moved.
 struct WheelTimer {
-    handle: LoopHandle<'static, Gathered>,
+    handle: LoopHandle<'static, ReadyEvents>,
     token: Option<RegistrationToken>,
     due: Option<f64>,
 }
 
 impl WheelTimer {
-    fn new(handle: LoopHandle<'static, Gathered>) -> WheelTimer {
+    fn new(handle: LoopHandle<'static, ReadyEvents>) -> WheelTimer {
         WheelTimer { handle, token: None, due: None }
     }
 
@@ -74,7 +74,7 @@
             let timer = Timer::from_deadline(worker.clock.instant(at));
             let token = self
                 .handle
-                .insert_source(timer, |_, (), _: &mut Gathered| TimeoutAction::Drop)
+                .insert_source(timer, |_, (), _: &mut ReadyEvents| TimeoutAction::Drop)
                 .map_err(|fault| WorkerError::Timer(fault.error))?;
             self.token = Some(token);
         }
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -4,7 +4,7 @@
 use super::loop_state::Deferral;
 use super::{Worker, STALL_S, SWEEP_S};
 use crate::dispatch::Input;
-use crate::net::io::poll::Gathered;
+use crate::net::io::poll::ReadyEvents;
 use crate::net::io::source::{ReadySource, Source};
 use crate::net::io::timer_wheel::Timer;
 use crate::net::upstreams::registry::HEARTBEAT_INTERVAL_S;
@@ -23,7 +23,7 @@
     /// 6. The fleet: its heartbeat carries what the steps before have counted.
     /// 7. The sweep, after all that is ready was read: a request may have lain unread while the process was stopped.
     /// 8. The steps of a shutdown, which see whether anything is still pending.
-    pub(super) fn poll_once(&mut self, gathered: &mut Gathered) {
+    pub(super) fn poll_once(&mut self, gathered: &mut ReadyEvents) {
         let now = self.clock.now();
         self.loop_state.begin_turn(now);
         self.log.report_suppressed();
@@ -61,7 +61,7 @@
         }
     }
 
-    fn handle_signals(&mut self, now: f64, gathered: &mut Gathered, inputs: &mut Vec<Input>) {
+    fn handle_signals(&mut self, now: f64, gathered: &mut ReadyEvents, inputs: &mut Vec<Input>) {
         if std::mem::take(&mut gathered.shutdown) {
             let mut first = Vec::new();
             self.begin_shutdown(now, &mut first);
