--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -117,7 +117,7 @@
     fn resolve_descriptor_shortage(&mut self, now: f64) -> bool {
         match self.evict_one(now) {
             Eviction::Evicted => true,
-            Eviction::NoCandidate => self.acceptor.as_mut().is_some_and(Acceptor::turn_away),
+            Eviction::NoCandidate => self.acceptor.as_mut().is_some_and(Acceptor::accept_and_close),
             Eviction::Later => false,
         }
     }
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -221,7 +221,7 @@
     }
 
     /// Accepts a client and closes its connection; `false` where nobody waits or the system has no descriptor.
-    pub fn turn_away(&mut self) -> bool {
+    pub fn accept_and_close(&mut self) -> bool {
         self.listener.accept().is_ok()
     }
 
