--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -43,7 +43,7 @@
         let stream = TcpStream::from(detached.stream);
         let mut link =
             Link::new(&self.poll, stream, Source::Client(self.kind, id), self.max_unread_bytes).ok()?;
-        link.put_back(&detached.unread);
+        link.prepend_input(&detached.unread);
         let mut connection = Connection::new(link, now, detached.memory);
         connection.state = resumed_state(&connection.link, request_in_flight);
         connection.requests_read = detached.requests_read;
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -295,7 +295,7 @@
     }
 
     /// Puts bytes that another process has read in front of what is still to be read.
-    pub fn put_back(&mut self, bytes: &[u8]) {
+    pub fn prepend_input(&mut self, bytes: &[u8]) {
         self.input.splice(self.start..self.start, bytes.iter().copied());
     }
 
