--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -161,7 +161,7 @@
             }
         }
         if !self.admission.admit(turn.now, id) {
-            connection.link.tighten();
+            connection.link.shrink_input();
             return false;
         }
         let session = Session::new(&self.settings);
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -202,7 +202,7 @@
     }
 
     /// Frees what the input buffer holds beyond its bytes, for a connection that may wait for long.
-    pub fn tighten(&mut self) {
+    pub fn shrink_input(&mut self) {
         self.input.drain(..self.start);
         self.start = 0;
         self.input.shrink_to_fit();
