--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -87,7 +87,7 @@
             let accepted = pending.map_or_else(|| acceptor.accept(accepted_count), Accepted::Stream);
             let stream = match accepted {
                 Accepted::Stream(stream) => stream,
-                Accepted::Nobody => return false,
+                Accepted::NonePending => return false,
                 Accepted::Full if self.resolve_descriptor_shortage(now) => continue,
                 // Guards against spinning: the connection stays in the queue, and the next attempt is left to a timer.
                 Accepted::Full | Accepted::Pause => return true,
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -169,7 +169,7 @@
     /// A client's connection.
     Stream(TcpStream),
     /// Nobody waits.
-    Nobody,
+    NonePending,
     /// Somebody may wait, but there is no descriptor for them.
     Full,
     /// Somebody may wait, but this was enough for one turn.
@@ -228,7 +228,7 @@
     /// Accepts a client; `taken` counts those of this turn.
     pub fn accept(&mut self, taken: usize) -> Accepted {
         if !self.waiting {
-            return Accepted::Nobody;
+            return Accepted::NonePending;
         }
         if taken >= MAX_ACCEPTS_PER_TURN {
             return Accepted::Pause;
@@ -241,7 +241,7 @@
                 Ok((stream, _)) => return Accepted::Stream(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.waiting = false;
-                    return Accepted::Nobody;
+                    return Accepted::NonePending;
                 }
                 Err(e) if matches!(e.raw_os_error(), Some(EMFILE | ENFILE)) => return Accepted::Full,
                 // A client that has gone already: the next may still be there.
