--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -88,9 +88,9 @@
             let stream = match accepted {
                 Accepted::Stream(stream) => stream,
                 Accepted::NonePending => return false,
-                Accepted::Full if self.resolve_descriptor_shortage(now) => continue,
+                Accepted::NoDescriptor if self.resolve_descriptor_shortage(now) => continue,
                 // Guards against spinning: the connection stays in the queue, and the next attempt is left to a timer.
-                Accepted::Full | Accepted::Pause => return true,
+                Accepted::NoDescriptor | Accepted::Pause => return true,
             };
             if self.by_id.len() >= self.limit {
                 match self.evict_one(now) {
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -171,7 +171,7 @@
     /// Nobody waits.
     NonePending,
     /// Somebody may wait, but there is no descriptor for them.
-    Full,
+    NoDescriptor,
     /// Somebody may wait, but this was enough for one turn.
     Pause,
 }
@@ -234,7 +234,7 @@
             return Accepted::Pause;
         }
         if !self.poll.has_capacity_for_client() {
-            return Accepted::Full;
+            return Accepted::NoDescriptor;
         }
         loop {
             match self.listener.accept() {
@@ -243,7 +243,7 @@
                     self.waiting = false;
                     return Accepted::NonePending;
                 }
-                Err(e) if matches!(e.raw_os_error(), Some(EMFILE | ENFILE)) => return Accepted::Full,
+                Err(e) if matches!(e.raw_os_error(), Some(EMFILE | ENFILE)) => return Accepted::NoDescriptor,
                 // A client that has gone already: the next may still be there.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
