--- a/src/net/io/timer_wheel.rs
+++ b/src/net/io/timer_wheel.rs
@@ -27,7 +27,7 @@
     /// Accepting is to be resumed.
     Accept,
     /// Something put off to the next tick.
-    Again,
+    NextTurn,
 }
 
 /// A wheel of ticks; times are seconds on the loop's clock.
--- a/src/net/io/timer_wheel/tests.rs
+++ b/src/net/io/timer_wheel/tests.rs
@@ -37,6 +37,6 @@
     wheel.set(0.0, 0.02, Timer::Wake);
     wheel.set(0.0, 7.0, Timer::Heartbeat);
     assert_eq!(fired(&mut wheel, 60.0), vec![Timer::Wake, Timer::Heartbeat]);
-    wheel.set(60.0, 0.0, Timer::Again);
-    assert_eq!(fired(&mut wheel, 60.01), vec![Timer::Again]);
+    wheel.set(60.0, 0.0, Timer::NextTurn);
+    assert_eq!(fired(&mut wheel, 60.01), vec![Timer::NextTurn]);
 }
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -27,7 +27,7 @@
         if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.exit_by = Some(exit_by);
         }
-        self.wheel.set(now, exit_by - now, Timer::Again);
+        self.wheel.set(now, exit_by - now, Timer::NextTurn);
         HotRestartEvent::ExitPending.emit();
     }
 
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -121,7 +121,7 @@
         let mut effects = Vec::new();
         hot_restart.ownership.handle(now, event, &mut effects);
         if matches!(event, Event::PredecessorConnected | Event::HelloAccepted | Event::ReadyToServe) {
-            self.wheel.set(now, PREDECESSOR_TIMEOUT_S, Timer::Again);
+            self.wheel.set(now, PREDECESSOR_TIMEOUT_S, Timer::NextTurn);
         }
         for effect in effects {
             self.carry_out_hot_restart_effect(now, effect, inputs);
@@ -170,7 +170,7 @@
         }
         let Some(hot_restart) = &mut self.hot_restart else { return };
         if hot_restart.links.flush() {
-            self.wheel.set(now, 0.0, Timer::Again);
+            self.wheel.set(now, 0.0, Timer::NextTurn);
         }
     }
 
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -51,7 +51,7 @@
         self.shutdown = Some(Shutdown { at, closed: None, responded: false });
         // The loop must wake at each of these even if nothing else is ready.
         for at in [at.accept_until, at.answer_by, at.exit_by] {
-            self.wheel.set(now, at - now, Timer::Again);
+            self.wheel.set(now, at - now, Timer::NextTurn);
         }
         self.context.availability.shutting_down = true;
         inputs.push(Input::Shutdown { noticed_at: at.notice, stop_at: at.kill_at });
@@ -113,7 +113,7 @@
         self.frontends.sweep_connections(now, idle_s, true, &self.context.availability);
         self.update_shutdown(|shutdown| shutdown.closed = Some(now));
         self.process_ready(Vec::new());
-        self.wheel.set(now, CROSSING_S, Timer::Again);
+        self.wheel.set(now, CROSSING_S, Timer::NextTurn);
     }
 
     fn log_pools(&mut self) {
@@ -127,7 +127,7 @@
         if let Some(shutdown) = &mut self.shutdown {
             change(shutdown);
         }
-        self.wheel.set(self.clock.now(), 0.0, Timer::Again);
+        self.wheel.set(self.clock.now(), 0.0, Timer::NextTurn);
     }
 
     /// Whether no response is pending, everything is written, and no request is half read.
@@ -171,7 +171,7 @@
             self.process_ready(Vec::new());
         }
         if is_first {
-            self.wheel.set(now, LINGER_S, Timer::Again);
+            self.wheel.set(now, LINGER_S, Timer::NextTurn);
         }
         let has_lingered = self.frontends.ended_for(now, LINGER_S);
         self.frontends.all_ended() || self.all_answered() && has_lingered
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -189,7 +189,7 @@
 
     fn schedule_next_turn(&mut self, now: f64, loop_now: f64, wheel: &mut Wheel) {
         if self.work_left {
-            wheel.set(loop_now, 0.0, Timer::Again);
+            wheel.set(loop_now, 0.0, Timer::NextTurn);
         }
         let due = self.calls.iter().map(|call| call.deadline).fold(self.member.next_wakeup(now), f64::min);
         let wakes_at = loop_now + (due - now).clamp(TIMER_RESOLUTION_S, MAX_SLEEP_S);
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -80,7 +80,7 @@
             self.gather(&mut inputs);
             let now = self.clock.now();
             if self.defers_inputs(now) {
-                self.wheel.set(now, 0.0, Timer::Again);
+                self.wheel.set(now, 0.0, Timer::NextTurn);
                 break;
             }
             self.dispatch(now, &mut inputs);
@@ -90,7 +90,7 @@
                 break;
             }
             if round + 1 == MAX_ROUNDS {
-                self.wheel.set(now, 0.0, Timer::Again);
+                self.wheel.set(now, 0.0, Timer::NextTurn);
             }
         }
         // Guards the last round's outcomes: a run given back there would otherwise never be answered.
@@ -167,7 +167,7 @@
             Timer::Reconnect => self.loop_state.timers.reconnect = false,
             Timer::Accept => self.loop_state.timers.accept = false,
             // Waking up was all that these were for.
-            Timer::Fleet | Timer::Again => {}
+            Timer::Fleet | Timer::NextTurn => {}
         }
     }
 
