--- a/src/net/frontends/ajp/response.rs
+++ b/src/net/frontends/ajp/response.rs
@@ -82,7 +82,7 @@
     if let Some(body) = response.body {
         for start in (0..body_length).step_by(MAX_RESPONSE_CHUNK_BYTES) {
             let end = body_length.min(start + MAX_RESPONSE_CHUNK_BYTES);
-            connection.link.push(ajp_codec::chunk_head(end - start));
+            connection.link.push(ajp_codec::write_chunk_head(end - start));
             connection.link.push_part(body.clone(), start..end);
             connection.link.push(vec![0]);
         }
--- a/src/net/upstreams/ajp_codec/mod.rs
+++ b/src/net/upstreams/ajp_codec/mod.rs
@@ -12,7 +12,8 @@
 
 pub use reader::{body, to_container, to_web_server};
 pub use writer::{
-    chunk_head, write_body, write_cping, write_cpong, write_end, write_forward, write_get_body, write_headers,
+    write_body, write_chunk_head, write_cping, write_cpong, write_end, write_forward, write_get_body,
+    write_headers,
 };
 
 use std::ops::Range;
--- a/src/net/upstreams/ajp_codec/tests.rs
+++ b/src/net/upstreams/ajp_codec/tests.rs
@@ -81,7 +81,7 @@
         to_web_server(&head.unwrap()[4..]),
         Ok(ToWebServer::Headers { status: 503, headers: expected })
     );
-    let mut chunk = chunk_head(3);
+    let mut chunk = write_chunk_head(3);
     chunk.extend(b"abc\0");
     assert_eq!(packet(&chunk, Direction::ToWebServer), Ok(Some(4..chunk.len())));
     assert_eq!(to_web_server(&chunk[4..]), Ok(ToWebServer::Chunk(b"abc")));
--- a/src/net/upstreams/ajp_codec/writer.rs
+++ b/src/net/upstreams/ajp_codec/writer.rs
@@ -137,7 +137,7 @@
 
 /// The head of a body chunk of a response; the bytes follow it, and a zero follows them.
 #[must_use]
-pub fn chunk_head(length: usize) -> Vec<u8> {
+pub fn write_chunk_head(length: usize) -> Vec<u8> {
     let length = length.min(MAX_RESPONSE_CHUNK_BYTES) as u16;
     let [payload_high, payload_low] = (length + 4).to_be_bytes();
     let [high, low] = length.to_be_bytes();
--- a/tests/ajp/backend.rs
+++ b/tests/ajp/backend.rs
@@ -29,7 +29,7 @@
 
 fn reply(server: &mut Ajp, status: u16, body: &[u8]) {
     let mut bytes = ajp_codec::write_headers(status, "", &[]).unwrap();
-    bytes.extend(ajp_codec::chunk_head(body.len()));
+    bytes.extend(ajp_codec::write_chunk_head(body.len()));
     bytes.extend(body);
     bytes.push(0);
     bytes.extend(ajp_codec::write_end(true));
