--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -110,7 +110,7 @@
     fn on_message(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
-        let message = connection.link.data().get(payload).map(ajp_codec::to_container);
+        let message = connection.link.data().get(payload).map(ajp_codec::parse_to_container);
         let checked = match message {
             Some(Ok(ToContainer::Forward(forward))) => {
                 check_head(&self.settings, self.directory, &forward, turn.context, turn.clock.unix_ms())
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -224,7 +224,7 @@
             None => return Ok(Progress::Wait),
         };
         let packet_end = payload.end;
-        let message = connection.link.data().get(payload).map(ajp_codec::to_web_server);
+        let message = connection.link.data().get(payload).map(ajp_codec::parse_to_web_server);
         let run = connection.run.as_mut().ok_or(ConnectionError::MessageWithoutRequest)?;
         let Some(Ok(message)) = message else { return Err(ConnectionError::UnexpectedMessage) };
         let reaction = run.on_message(&message)?;
--- a/src/net/upstreams/ajp_codec/mod.rs
+++ b/src/net/upstreams/ajp_codec/mod.rs
@@ -10,7 +10,7 @@
 mod reader;
 mod writer;
 
-pub use reader::{body, to_container, to_web_server};
+pub use reader::{body, parse_to_container, parse_to_web_server};
 pub use writer::{
     write_body, write_chunk_head, write_cping, write_cpong, write_end, write_forward, write_get_body,
     write_headers,
--- a/src/net/upstreams/ajp_codec/reader.rs
+++ b/src/net/upstreams/ajp_codec/reader.rs
@@ -82,7 +82,7 @@
 /// # Errors
 ///
 /// [`PacketError::Message`] where the payload is no such message.
-pub fn to_container(payload: &[u8]) -> Result<ToContainer<'_>, PacketError> {
+pub fn parse_to_container(payload: &[u8]) -> Result<ToContainer<'_>, PacketError> {
     let mut reader = Reader(payload);
     match reader.byte()? {
         FORWARD_REQUEST => read_forward(reader).map(|forward| ToContainer::Forward(Box::new(forward))),
@@ -158,7 +158,7 @@
 /// # Errors
 ///
 /// [`PacketError::Message`] where the payload is no such message.
-pub fn to_web_server(payload: &[u8]) -> Result<ToWebServer<'_>, PacketError> {
+pub fn parse_to_web_server(payload: &[u8]) -> Result<ToWebServer<'_>, PacketError> {
     let mut reader = Reader(payload);
     match reader.byte()? {
         SEND_BODY_CHUNK => {
--- a/src/net/upstreams/ajp_codec/tests.rs
+++ b/src/net/upstreams/ajp_codec/tests.rs
@@ -17,7 +17,7 @@
     assert!(bytes.windows(2).any(|w| w == [0xA0, 0x08]));
     assert!(!bytes.windows(14).any(|w| w.eq_ignore_ascii_case(b"content-length")));
     let range = packet(&bytes, Direction::ToContainer).unwrap().unwrap();
-    assert_eq!(to_container(&bytes[range]).unwrap(), ToContainer::Forward(Box::new(sample())));
+    assert_eq!(parse_to_container(&bytes[range]).unwrap(), ToContainer::Forward(Box::new(sample())));
 }
 
 #[test]
@@ -26,14 +26,14 @@
     for n in 0..bytes.len() {
         assert_eq!(packet(&bytes[..n], Direction::ToContainer), Ok(None));
         if n > 4 {
-            assert!(to_container(&bytes[4..n]).is_err(), "{n}");
+            assert!(parse_to_container(&bytes[4..n]).is_err(), "{n}");
         }
     }
     for i in 4..bytes.len() {
         let mut odd = bytes.clone();
         odd[i] = odd[i].wrapping_add(0x91);
-        let _ = to_container(&odd[4..]);
-        let _ = to_web_server(&odd[4..]);
+        let _ = parse_to_container(&odd[4..]);
+        let _ = parse_to_web_server(&odd[4..]);
     }
 }
 
@@ -59,10 +59,10 @@
     string(&mut payload, b"AJP_REMOTE_PORT");
     string(&mut payload, b"4711");
     payload.extend([0x0B, 1, 0, 0xFF]);
-    let Ok(ToContainer::Forward(f)) = to_container(&payload) else { panic!("not read") };
+    let Ok(ToContainer::Forward(f)) = parse_to_container(&payload) else { panic!("not read") };
     assert_eq!((f.method, f.uri, f.server_name), ("GET", "/", "h"));
     assert_eq!(f.headers, vec![("host", &b"h"[..])]);
-    assert_eq!(to_container(&[10]), Ok(ToContainer::CPing));
+    assert_eq!(parse_to_container(&[10]), Ok(ToContainer::CPing));
 }
 
 #[test]
@@ -78,14 +78,14 @@
     let head = write_headers(503, "Busy", &[("Content-Length", "0".into()), ("Retry-After", "1".into())]);
     let expected: Vec<(&str, &[u8])> = vec![("Content-Length", b"0"), ("Retry-After", b"1")];
     assert_eq!(
-        to_web_server(&head.unwrap()[4..]),
+        parse_to_web_server(&head.unwrap()[4..]),
         Ok(ToWebServer::Headers { status: 503, headers: expected })
     );
     let mut chunk = write_chunk_head(3);
     chunk.extend(b"abc\0");
     assert_eq!(packet(&chunk, Direction::ToWebServer), Ok(Some(4..chunk.len())));
-    assert_eq!(to_web_server(&chunk[4..]), Ok(ToWebServer::Chunk(b"abc")));
-    assert_eq!(to_web_server(&write_end(true)[4..]), Ok(ToWebServer::End { reuse: true }));
-    assert_eq!(to_web_server(&write_get_body(77)[4..]), Ok(ToWebServer::GetBody(77)));
-    assert_eq!(to_web_server(&write_cpong()[4..]), Ok(ToWebServer::CPong));
+    assert_eq!(parse_to_web_server(&chunk[4..]), Ok(ToWebServer::Chunk(b"abc")));
+    assert_eq!(parse_to_web_server(&write_end(true)[4..]), Ok(ToWebServer::End { reuse: true }));
+    assert_eq!(parse_to_web_server(&write_get_body(77)[4..]), Ok(ToWebServer::GetBody(77)));
+    assert_eq!(parse_to_web_server(&write_cpong()[4..]), Ok(ToWebServer::CPong));
 }
--- a/tests/ajp/backend.rs
+++ b/tests/ajp/backend.rs
@@ -17,12 +17,12 @@
 fn serve(server: &mut Ajp, path: &str, body: &[u8]) {
     let payload = loop {
         let payload = server.packet(Direction::ToContainer).expect("a request");
-        if ajp_codec::to_container(&payload) != Ok(ToContainer::CPing) {
+        if ajp_codec::parse_to_container(&payload) != Ok(ToContainer::CPing) {
             break payload;
         }
         server.write(&ajp_codec::write_cpong());
     };
-    let Ok(ToContainer::Forward(f)) = ajp_codec::to_container(&payload) else { panic!("no request") };
+    let Ok(ToContainer::Forward(f)) = ajp_codec::parse_to_container(&payload) else { panic!("no request") };
     assert_eq!((f.method, f.uri, f.secret), ("POST", path, Some(&b"below"[..])));
     assert_eq!(ajp_codec::body(&server.packet(Direction::ToContainer).unwrap()), Ok(body));
 }
@@ -49,7 +49,7 @@
     assert_eq!(portal.read_response().0.body, b"seen");
     router.send(&RequestBuilder::new("look"));
     let ping = server.packet(Direction::ToContainer).unwrap();
-    assert_eq!(ajp_codec::to_container(&ping), Ok(ToContainer::CPing));
+    assert_eq!(ajp_codec::parse_to_container(&ping), Ok(ToContainer::CPing));
     server.write(&ajp_codec::write_cpong());
     serve(&mut server, "/do/look", b"hello");
     reply(&mut server, 500, b"");
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -13,7 +13,7 @@
     for (body, pieces) in [("hello", 1), ("hello", 2), ("unmeasured", 3)] {
         portal.write(&ajp_codec::write_cping());
         assert_eq!(
-            ajp_codec::to_web_server(&portal.packet(Direction::ToWebServer).unwrap()),
+            ajp_codec::parse_to_web_server(&portal.packet(Direction::ToWebServer).unwrap()),
             Ok(ToWebServer::CPong)
         );
         let mut f = forward("/portal/look/17?a=b", "");
@@ -25,7 +25,7 @@
         }
         for piece in [&body.as_bytes()[2..], b""].iter().take(pieces - 1) {
             let payload = portal.packet(Direction::ToWebServer).unwrap();
-            let Ok(ToWebServer::GetBody(wanted)) = ajp_codec::to_web_server(&payload) else {
+            let Ok(ToWebServer::GetBody(wanted)) = ajp_codec::parse_to_web_server(&payload) else {
                 panic!("no GET_BODY_CHUNK")
             };
             assert!(usize::from(wanted) >= piece.len());
--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -66,7 +66,7 @@
         let mut reply = Reply { status: 0, head: String::new(), body: Vec::new() };
         loop {
             let payload = self.packet(Direction::ToWebServer).expect("an answer");
-            match ajp_codec::to_web_server(&payload).unwrap() {
+            match ajp_codec::parse_to_web_server(&payload).unwrap() {
                 ToWebServer::Headers { status, headers } => {
                     reply.status = status;
                     for (name, value) in headers {
