--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Takes the expiry of a run's timer.
-    pub fn due(&mut self, now: f64, number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
+    pub fn on_timer(&mut self, now: f64, number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
         let waits =
             |connection: &Connection| connection.run.as_ref().is_some_and(|run| run.timer_number == number);
         let expired = self.connections.iter().find(|(_, connection)| waits(connection)).map(|(id, _)| *id);
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -184,7 +184,7 @@
     }
 
     /// Takes the expiry of a lookup's timer.
-    pub fn due(&mut self, now: f64, timer_number: u64) {
+    pub fn on_timer(&mut self, now: f64, timer_number: u64) {
         let has_timer = |waiting: &WaitingLookup| waiting.timer_number == timer_number;
         let Some(index) = self.waiting.iter().position(has_timer) else { return };
         let expired = self.waiting.swap_remove(index);
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -160,7 +160,7 @@
     }
 
     /// A timer of a call is due: the call is abandoned, or reported as never sent.
-    pub fn due(&mut self, number: u64, inputs: &mut Vec<Input>) {
+    pub fn on_timer(&mut self, number: u64, inputs: &mut Vec<Input>) {
         if let Some(name) = self.refused.remove(&number) {
             inputs.push(Input::CallEnded { name, outcome: Outcome::Unreachable, reply: None });
             return;
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -143,17 +143,17 @@
             }
             Timer::Call(number) => {
                 if let Some(records) = &mut self.upstreams.records {
-                    records.due(number, inputs);
+                    records.on_timer(number, inputs);
                 }
             }
             Timer::Run(number) => {
                 if let Some(servers) = &mut self.upstreams.ajp_backend {
-                    servers.due(now, number, inputs, &mut self.wheel);
+                    servers.on_timer(now, number, inputs, &mut self.wheel);
                 }
             }
             Timer::Search(number) => {
                 if let Some(directory) = &mut self.upstreams.directory {
-                    directory.due(now, number);
+                    directory.on_timer(now, number);
                 }
             }
             Timer::Heartbeat => {
