--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -23,12 +23,12 @@
             LifecycleEvent::ConfigReloadDeferred { file, keys: &fixed }.emit();
         }
         self.configuration.platform.stop_ms = next.stop_ms;
-        self.upstreams.executor.move_to(now, next.executor);
+        self.upstreams.executor.set_address(now, next.executor);
         if let (Some(records), Some(to)) = (&mut self.upstreams.records, next.records) {
-            records.move_to(to);
+            records.set_address(to);
         }
         if let (Some(registry), Some(to)) = (&mut self.upstreams.registry, next.registry) {
-            if let Err(error) = registry.move_to(to) {
+            if let Err(error) = registry.set_address(to) {
                 UpstreamEvent::RegistryUnusable { address: to, error: &error }.emit();
             }
         }
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -145,7 +145,7 @@
     }
 
     /// The executor has another address. The old link is used until the new one is established.
-    pub fn move_to(&mut self, now: f64, address: SocketAddr) {
+    pub fn set_address(&mut self, now: f64, address: SocketAddr) {
         if address == self.address {
             return;
         }
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -90,7 +90,7 @@
     }
 
     /// Sends new calls to another address; calls in flight end where they are.
-    pub fn move_to(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.connections.retain(|_, c| c.address == address || c.call.is_some());
     }
--- a/src/net/upstreams/registry.rs
+++ b/src/net/upstreams/registry.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// The system has no socket for it; reports go on to the old one.
-    pub fn move_to(&mut self, address: SocketAddr) -> io::Result<()> {
+    pub fn set_address(&mut self, address: SocketAddr) -> io::Result<()> {
         if address != self.address {
             self.socket = socket(address)?;
             self.address = address;
