--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -128,7 +128,7 @@
                 Taken::Frame(result)
             }
         };
-        if inbound.link.unread() {
+        if inbound.link.has_unread() {
             // The buffer was full: the rest is in the socket, which will not become readable again.
             self.touched.insert(id);
         }
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -142,7 +142,7 @@
             self.last_received_at = now;
         }
         match filled {
-            ReadStatus::Open if self.link.unread() => NextStep::Later,
+            ReadStatus::Open if self.link.has_unread() => NextStep::Later,
             ReadStatus::Open => NextStep::Wait,
             _ => NextStep::Close,
         }
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -247,8 +247,9 @@
         queue_output(session, link);
     }
     // What could not be fed waits in the link. A client over its budget waits for the sweep.
-    let has_more =
-        read_bytes == MAX_BYTES_PER_POLL || session.pipe().unread() > 0 && read_bytes > 0 || link.unread();
+    let has_more = read_bytes == MAX_BYTES_PER_POLL
+        || session.pipe().unread() > 0 && read_bytes > 0
+        || link.has_unread();
     Some(Exchange {
         output,
         accepted: session.accepted_streams() > accepted_before,
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -189,7 +189,7 @@
 
     /// Whether more may be there to be read.
     #[must_use]
-    pub fn unread(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         self.readable && !self.ended
     }
 
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -127,7 +127,7 @@
         let link = &mut connection.link;
         let filled = link.fill();
         let (messages, is_malformed) = read_messages(link);
-        self.work_left |= messages.len() == MAX_MESSAGES_PER_TURN || link.unread();
+        self.work_left |= messages.len() == MAX_MESSAGES_PER_TURN || link.has_unread();
         for message in &messages {
             self.member.receive(now, message);
         }
