--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -35,7 +35,7 @@
     pub fn open(&mut self, socket: Option<Rc<TcpListener>>, address: SocketAddr) -> Result<(), ListenError> {
         let source = Source::Listener(self.kind);
         let opened = match socket {
-            Some(socket) => Acceptor::on(&self.poll, socket, source),
+            Some(socket) => Acceptor::from_listener(&self.poll, socket, source),
             None => Acceptor::bind(&self.poll, address, source),
         };
         self.acceptor = Some(opened.map_err(|source| ListenError { address, source })?);
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -188,7 +188,7 @@
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
         socket.listen(ACCEPT_QUEUE)?;
-        Acceptor::on(poll, Rc::new(TcpListener::from(socket)), source)
+        Acceptor::from_listener(poll, Rc::new(TcpListener::from(socket)), source)
     }
 
     /// Accepts on a socket that listens already and does not block. Dropping this leaves it listening for whoever
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// No descriptor is left.
-    pub fn on(poll: &Poll, listener: Rc<TcpListener>, source: Source) -> io::Result<Acceptor> {
+    pub fn from_listener(poll: &Poll, listener: Rc<TcpListener>, source: Source) -> io::Result<Acceptor> {
         let watch = poll.watch(listener.clone(), source)?;
         Ok(Acceptor { listener, poll: poll.clone(), _watch: watch, waiting: true })
     }
