--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -67,7 +67,7 @@
             if connection.state == ConnectionState::Idle && !connection.link.data().is_empty() {
                 connection.set_state(now, ConnectionState::Reading);
             }
-            match ajp_codec::packet(connection.link.data(), Direction::ToContainer) {
+            match ajp_codec::find_packet(connection.link.data(), Direction::ToContainer) {
                 Ok(Some(payload)) if connection.memory.0.is_some() => {
                     self.on_body_packet(now, id, payload, turn);
                 }
@@ -89,7 +89,7 @@
     fn on_body_packet(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
-        let chunk = connection.link.data().get(payload).map(ajp_codec::body);
+        let chunk = connection.link.data().get(payload).map(ajp_codec::parse_body);
         let Some(Ok(chunk)) = chunk else {
             FrontendEvent::AjpBodyMalformed.emit();
             connection.finish(now);
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -217,7 +217,7 @@
         }
         connection.link.flush().map_err(|_| ConnectionError::Write)?;
         let filled = connection.link.fill();
-        let packet = ajp_codec::packet(connection.link.data(), Direction::ToWebServer);
+        let packet = ajp_codec::find_packet(connection.link.data(), Direction::ToWebServer);
         let payload = match packet.map_err(ConnectionError::Packet)? {
             Some(payload) => payload,
             None if filled != ReadStatus::Open => return Err(ConnectionError::Closed),
--- a/src/net/upstreams/ajp_codec/mod.rs
+++ b/src/net/upstreams/ajp_codec/mod.rs
@@ -10,7 +10,7 @@
 mod reader;
 mod writer;
 
-pub use reader::{body, parse_to_container, parse_to_web_server};
+pub use reader::{parse_body, parse_to_container, parse_to_web_server};
 pub use writer::{
     write_body, write_chunk_head, write_cping, write_cpong, write_end, write_forward, write_get_body,
     write_headers,
@@ -82,7 +82,7 @@
     pub secret: Option<&'a [u8]>,
 }
 
-/// What a web server sends. A body comes in packets without a type, see [`body`].
+/// What a web server sends. A body comes in packets without a type, see [`parse_body`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToContainer<'a> {
     /// A request.
@@ -123,7 +123,7 @@
 /// # Errors
 ///
 /// [`PacketError::Magic`] or [`PacketError::Length`]; after either there is no telling where a packet begins.
-pub fn packet(data: &[u8], way: Direction) -> Result<Option<Range<usize>>, PacketError> {
+pub fn find_packet(data: &[u8], way: Direction) -> Result<Option<Range<usize>>, PacketError> {
     let magic = way.magic();
     if data.iter().zip(&magic).any(|(found, expected)| found != expected) {
         return Err(PacketError::Magic);
--- a/src/net/upstreams/ajp_codec/reader.rs
+++ b/src/net/upstreams/ajp_codec/reader.rs
@@ -144,7 +144,7 @@
 /// # Errors
 ///
 /// [`PacketError::Message`] where the payload is shorter than the length that it states.
-pub fn body(payload: &[u8]) -> Result<&[u8], PacketError> {
+pub fn parse_body(payload: &[u8]) -> Result<&[u8], PacketError> {
     if payload.is_empty() {
         return Ok(payload);
     }
--- a/src/net/upstreams/ajp_codec/tests.rs
+++ b/src/net/upstreams/ajp_codec/tests.rs
@@ -16,7 +16,7 @@
     let bytes = write_forward(&sample()).unwrap();
     assert!(bytes.windows(2).any(|w| w == [0xA0, 0x08]));
     assert!(!bytes.windows(14).any(|w| w.eq_ignore_ascii_case(b"content-length")));
-    let range = packet(&bytes, Direction::ToContainer).unwrap().unwrap();
+    let range = find_packet(&bytes, Direction::ToContainer).unwrap().unwrap();
     assert_eq!(parse_to_container(&bytes[range]).unwrap(), ToContainer::Forward(Box::new(sample())));
 }
 
@@ -24,7 +24,7 @@
 fn every_cut_of_a_message_is_partial_or_bad_and_never_a_panic() {
     let bytes = write_forward(&sample()).unwrap();
     for n in 0..bytes.len() {
-        assert_eq!(packet(&bytes[..n], Direction::ToContainer), Ok(None));
+        assert_eq!(find_packet(&bytes[..n], Direction::ToContainer), Ok(None));
         if n > 4 {
             assert!(parse_to_container(&bytes[4..n]).is_err(), "{n}");
         }
@@ -67,10 +67,10 @@
 
 #[test]
 fn wrong_magic_and_wrong_length_are_told_apart() {
-    assert_eq!(packet(b"AB\0\x01\x09", Direction::ToContainer), Err(PacketError::Magic));
-    assert_eq!(packet(&[0x12, 0x34, 0xFF, 0xFF], Direction::ToContainer), Err(PacketError::Length));
-    assert_eq!(packet(&[0x12, 0x34, 0, 0], Direction::ToContainer), Ok(Some(4..4)));
-    assert_eq!(body(&[0, 9, 1]), Err(PacketError::Message));
+    assert_eq!(find_packet(b"AB\0\x01\x09", Direction::ToContainer), Err(PacketError::Magic));
+    assert_eq!(find_packet(&[0x12, 0x34, 0xFF, 0xFF], Direction::ToContainer), Err(PacketError::Length));
+    assert_eq!(find_packet(&[0x12, 0x34, 0, 0], Direction::ToContainer), Ok(Some(4..4)));
+    assert_eq!(parse_body(&[0, 9, 1]), Err(PacketError::Message));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     );
     let mut chunk = write_chunk_head(3);
     chunk.extend(b"abc\0");
-    assert_eq!(packet(&chunk, Direction::ToWebServer), Ok(Some(4..chunk.len())));
+    assert_eq!(find_packet(&chunk, Direction::ToWebServer), Ok(Some(4..chunk.len())));
     assert_eq!(parse_to_web_server(&chunk[4..]), Ok(ToWebServer::Chunk(b"abc")));
     assert_eq!(parse_to_web_server(&write_end(true)[4..]), Ok(ToWebServer::End { reuse: true }));
     assert_eq!(parse_to_web_server(&write_get_body(77)[4..]), Ok(ToWebServer::GetBody(77)));
--- a/tests/ajp/backend.rs
+++ b/tests/ajp/backend.rs
@@ -24,7 +24,7 @@
     };
     let Ok(ToContainer::Forward(f)) = ajp_codec::parse_to_container(&payload) else { panic!("no request") };
     assert_eq!((f.method, f.uri, f.secret), ("POST", path, Some(&b"below"[..])));
-    assert_eq!(ajp_codec::body(&server.packet(Direction::ToContainer).unwrap()), Ok(body));
+    assert_eq!(ajp_codec::parse_body(&server.packet(Direction::ToContainer).unwrap()), Ok(body));
 }
 
 fn reply(server: &mut Ajp, status: u16, body: &[u8]) {
--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -50,7 +50,7 @@
         self.stream.read_exact(&mut bytes).ok()?;
         bytes.resize(4 + usize::from(u16::from_be_bytes([bytes[2], bytes[3]])), 0);
         self.stream.read_exact(&mut bytes[4..]).unwrap();
-        ajp_codec::packet(&bytes, way).unwrap().map(|range| bytes[range].to_vec())
+        ajp_codec::find_packet(&bytes, way).unwrap().map(|range| bytes[range].to_vec())
     }
 
     fn send(&mut self, f: &Forward, body: &[u8]) {
--- a/tests/http2/requests.rs
+++ b/tests/http2/requests.rs
@@ -61,7 +61,7 @@
         stream.read_exact(&mut bytes).unwrap();
         bytes.resize(4 + usize::from(u16::from_be_bytes([bytes[2], bytes[3]])), 0);
         stream.read_exact(&mut bytes[4..]).unwrap();
-        let range = ajp_codec::packet(&bytes, Direction::ToWebServer).unwrap().unwrap();
+        let range = ajp_codec::find_packet(&bytes, Direction::ToWebServer).unwrap().unwrap();
         match ajp_codec::parse_to_web_server(&bytes[range]).unwrap() {
             ToWebServer::Chunk(chunk) => result.extend(chunk),
             ToWebServer::End { .. } => return result,
