--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -1,5 +1,5 @@
-//! Downstream calls to the records service: HTTP/1.1, one at a time on a connection, idle connections used again. A
-//! call is abandoned by closing its connection.
+//! Client for downstream calls to the records service: HTTP/1.1, one call at a time per connection, idle connections
+//! reused. Closing the connection cancels a call.
 
 mod reply;
 
@@ -19,23 +19,24 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The service closes a connection idle for 10 s; one that may be about to close is not used (seconds).
-const MAX_IDLE_S: f64 = 5.0;
-/// A connection is used again only after this long without another byte: what comes late behind a reply would be
-/// taken for the reply to the next call (seconds).
-const QUIET_S: f64 = 0.004;
-/// A refused connection is reported after this pause: the controller tries again at once, and without the pause the
-/// two would spin while the service is down (seconds).
-const REFUSED_PAUSE_S: f64 = 0.04;
+/// Idle connections older than this are closed instead of reused (seconds). The service closes its side after 10 s
+/// idle, and a call must not race with that.
+const IDLE_TIMEOUT_S: f64 = 5.0;
+/// How long a connection must be idle before reuse (seconds). Stray bytes that arrive late after a reply would
+/// otherwise be parsed as the reply to the next call.
+const MIN_IDLE_S: f64 = 0.004;
+/// Delay before a failed connection attempt is reported (seconds). The controller retries immediately, so without the
+/// delay the worker would busy-loop while the service is down.
+const UNREACHABLE_DELAY_S: f64 = 0.04;
 
 /// A call in flight.
 struct Call {
-    /// The number of its timer.
-    number: u64,
+    /// Identifies its timer.
+    timer_number: u64,
     name: Rc<str>,
 }
 
-/// A connection to the service.
+/// One TCP connection to the service.
 struct Connection {
     link: Link,
     address: SocketAddr,
@@ -54,56 +55,57 @@
     }
 }
 
-/// The connections to the records service, and the calls in flight.
+/// Connection pool for the records service, with the calls in flight.
 pub struct Records {
     address: SocketAddr,
     poll: Poll,
     connections: HashMap<u64, Connection>,
-    /// By the name of the run: the connection of its call.
-    by_name: HashMap<Rc<str>, u64>,
-    /// Calls that were never sent, by the numbers of the timers at which that is reported.
-    refused: HashMap<u64, Rc<str>>,
-    /// Connections that something happened to.
-    touched: Vec<u64>,
+    /// Connection id of each call in flight, by run name.
+    connection_by_run: HashMap<Rc<str>, u64>,
+    /// Run names of calls that could not be sent, by the number of the timer that reports it.
+    unreachable: HashMap<u64, Rc<str>>,
+    /// Ids of connections to process in the next [`Records::gather`].
+    pending_ids: Vec<u64>,
 }
 
 impl Records {
-    /// A service without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(poll: &Poll, address: SocketAddr) -> Records {
         Records {
             address,
             poll: poll.clone(),
             connections: HashMap::new(),
-            by_name: HashMap::new(),
-            refused: HashMap::new(),
-            touched: Vec::new(),
+            connection_by_run: HashMap::new(),
+            unreachable: HashMap::new(),
+            pending_ids: Vec::new(),
         }
     }
 
-    /// Notes the readiness that the loop reports.
+    /// Records the readiness that the event loop reported for a connection.
     pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(c) = self.connections.get_mut(&id) {
             c.link.mark(readiness);
-            self.touched.push(id);
+            self.pending_ids.push(id);
         }
     }
 
-    /// Sends new calls to another address; calls in flight end where they are.
+    /// Sets the address for new calls; calls in flight finish at the old address.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.connections.retain(|_, c| c.address == address || c.call.is_some());
     }
 
-    /// Whether a call waits to be written: the loop reports nothing of one on an idle connection.
+    /// Whether a connection must be processed without a readiness event: a call queued on an idle connection, which is
+    /// already writable, triggers none.
     #[must_use]
     pub fn has_pending(&self) -> bool {
-        !self.touched.is_empty()
+        !self.pending_ids.is_empty()
     }
 
-    /// Makes a call for a run, to be abandoned after `timeout_s` seconds. A second call for a run abandons the first. A call
-    /// that is not retryable goes on a new connection: the peer may close an idle one as the call is written, and then it is
-    /// indeterminate whether the call ran.
+    /// Starts a call for a run, with a timeout of `timeout_s` seconds. A second call for the same run cancels the
+    /// first. A call that is not retryable always gets a new connection: the peer may close an idle one while the call
+    /// is written, and then it is unknown whether the call ran.
     pub fn call(
         &mut self,
         now: f64,
@@ -114,12 +116,15 @@
         wheel: &mut Wheel,
     ) {
         self.abandon(&name);
-        let number = self.poll.next_id();
-        let idle =
-            if is_retryable { take_idle(&mut self.connections, now, QUIET_S, MAX_IDLE_S) } else { None };
+        let timer_number = self.poll.next_id();
+        let idle = if is_retryable {
+            take_idle(&mut self.connections, now, MIN_IDLE_S, IDLE_TIMEOUT_S)
+        } else {
+            None
+        };
         let Some(id) = idle.or_else(|| self.open(now)) else {
-            // No descriptor is left, or the system refused at once: the call was never sent.
-            return self.refuse(now, name, wheel);
+            // Out of descriptors, or connecting failed immediately: the call was never sent.
+            return self.report_unreachable(now, name, wheel);
         };
         let Some(c) = self.connections.get_mut(&id) else { return };
         let head = format!(
@@ -130,16 +135,16 @@
         );
         c.link.push(head.into_bytes());
         c.link.push_shared(body);
-        c.call = Some(Call { number, name: name.clone() });
-        self.by_name.insert(name, id);
-        self.touched.push(id);
-        wheel.set(now, timeout_s, Timer::Call(number));
+        c.call = Some(Call { timer_number, name: name.clone() });
+        self.connection_by_run.insert(name, id);
+        self.pending_ids.push(id);
+        wheel.set(now, timeout_s, Timer::Call(timer_number));
     }
 
-    fn refuse(&mut self, now: f64, name: Rc<str>, wheel: &mut Wheel) {
-        let number = self.poll.next_id();
-        self.refused.insert(number, name);
-        wheel.set(now, REFUSED_PAUSE_S, Timer::Call(number));
+    fn report_unreachable(&mut self, now: f64, name: Rc<str>, wheel: &mut Wheel) {
+        let timer_number = self.poll.next_id();
+        self.unreachable.insert(timer_number, name);
+        wheel.set(now, UNREACHABLE_DELAY_S, Timer::Call(timer_number));
     }
 
     fn open(&mut self, now: f64) -> Option<u64> {
@@ -151,83 +156,90 @@
         Some(id)
     }
 
-    /// Abandons the call of a run, if there is one.
+    /// Cancels a run's call, if it has one.
     pub fn abandon(&mut self, name: &str) {
-        if let Some(id) = self.by_name.remove(name) {
+        if let Some(id) = self.connection_by_run.remove(name) {
             self.connections.remove(&id);
         }
-        self.refused.retain(|_, refused| &**refused != name);
+        self.unreachable.retain(|_, unreachable| &**unreachable != name);
     }
 
-    /// A timer of a call is due: the call is abandoned, or reported as never sent.
-    pub fn on_timer(&mut self, number: u64, inputs: &mut Vec<Input>) {
-        if let Some(name) = self.refused.remove(&number) {
+    /// Handles an expired call timer: the call times out, or is reported as never sent.
+    pub fn on_timer(&mut self, timer_number: u64, inputs: &mut Vec<Input>) {
+        if let Some(name) = self.unreachable.remove(&timer_number) {
             inputs.push(Input::CallEnded { name, outcome: Outcome::Unreachable, reply: None });
             return;
         }
-        let of = |c: &Connection| c.call.as_ref().is_some_and(|call| call.number == number);
-        let Some(id) = self.connections.iter().find(|(_, c)| of(c)).map(|(id, _)| *id) else { return };
+        let has_timer =
+            |c: &Connection| c.call.as_ref().is_some_and(|call| call.timer_number == timer_number);
+        let Some(id) = self.connections.iter().find(|(_, c)| has_timer(c)).map(|(id, _)| *id) else { return };
         if let Some(call) = self.connections.remove(&id).and_then(|c| c.call) {
-            self.by_name.remove(&call.name);
+            self.connection_by_run.remove(&call.name);
             inputs.push(Input::CallEnded { name: call.name, outcome: Outcome::TimedOut, reply: None });
         }
     }
 
-    /// Reads and writes on all connections that something happened to.
+    /// Reads and writes on all connections marked for processing, and appends the ended calls to `inputs`.
     pub fn gather(&mut self, now: f64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
-        let mut touched = std::mem::take(&mut self.touched);
-        touched.sort_unstable();
-        touched.dedup();
-        for id in touched {
+        let mut pending_ids = std::mem::take(&mut self.pending_ids);
+        pending_ids.sort_unstable();
+        pending_ids.dedup();
+        for id in pending_ids {
             self.process_connection(now, id, inputs, wheel);
         }
     }
 
     fn process_connection(&mut self, now: f64, id: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
-        if !self.establish(now, id, wheel) {
+        if !self.check_established(now, id, wheel) {
             return;
         }
         let Some(c) = self.connections.get_mut(&id) else { return };
-        let flushed = c.link.flush();
-        let filled = c.link.fill();
+        let flush_result = c.link.flush();
+        let read_status = c.link.fill();
         if c.call.is_none() {
-            // An idle connection that sends something or ends can't be used again.
-            if filled != ReadStatus::Open || !c.link.data().is_empty() {
+            // An idle connection that received data or was closed by the peer can't be reused.
+            if read_status != ReadStatus::Open || !c.link.data().is_empty() {
                 self.connections.remove(&id);
             }
             return;
         }
         let reply = parse(c.link.data());
-        let (outcome, body, keep) = match reply {
+        let (outcome, body, keep_open) = match reply {
             Ok(Some(reply)) => {
                 let body = c.link.data().get(reply.body).unwrap_or(&[]);
                 let body = (reply.outcome == Outcome::Ok).then(|| Rc::from(body));
                 c.link.consume(reply.length);
-                // Bytes beyond the reply spoil the connection, not the reply.
-                (reply.outcome, body, reply.keep && filled == ReadStatus::Open && c.link.data().is_empty())
+                // Data after the reply makes the connection unusable, but the reply is valid.
+                (
+                    reply.outcome,
+                    body,
+                    reply.keep_open && read_status == ReadStatus::Open && c.link.data().is_empty(),
+                )
             }
-            // Neither a reply that can't be read nor a break proves that the call did not run.
+            // After a malformed reply or a lost connection the call may still have run.
             Err(error) => {
                 UpstreamEvent::RecordsReplyMalformed(error).emit();
                 (Outcome::Interrupted, None, false)
             }
-            Ok(None) if filled != ReadStatus::Open || flushed.is_err() => (Outcome::Interrupted, None, false),
+            Ok(None) if read_status != ReadStatus::Open || flush_result.is_err() => {
+                (Outcome::Interrupted, None, false)
+            }
             Ok(None) => return,
         };
         c.idle_since = now;
         let call = c.call.take();
-        let keep = keep && c.address == self.address;
-        if !keep || full(&self.connections) {
+        let keep_open = keep_open && c.address == self.address;
+        if !keep_open || full(&self.connections) {
             self.connections.remove(&id);
         }
         if let Some(call) = call {
-            self.by_name.remove(&call.name);
+            self.connection_by_run.remove(&call.name);
             inputs.push(Input::CallEnded { name: call.name, outcome, reply: body });
         }
     }
 
-    /// Whether a connection is established; a call on one that can't be was never sent.
-    fn establish(&mut self, now: f64, id: u64, wheel: &mut Wheel) -> bool {
+    /// Returns whether a connection is established. If connecting failed, its call is reported as never sent.
+    fn check_established(&mut self, now: f64, id: u64, wheel: &mut Wheel) -> bool {
         let Some(c) = self.connections.get_mut(&id) else { return false };
         if c.connected {
             return true;
@@ -240,17 +252,17 @@
             }
             Some(Err(_)) => {
                 if let Some(call) = self.connections.remove(&id).and_then(|c| c.call) {
-                    self.by_name.remove(&call.name);
-                    self.refuse(now, call.name, wheel);
+                    self.connection_by_run.remove(&call.name);
+                    self.report_unreachable(now, call.name, wheel);
                 }
                 false
             }
         }
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&mut self, now: f64) {
-        self.connections.retain(|_, c| c.call.is_some() || now - c.idle_since < MAX_IDLE_S);
+        self.connections.retain(|_, c| c.call.is_some() || now - c.idle_since < IDLE_TIMEOUT_S);
     }
 }
 
--- a/src/net/upstreams/records/reply.rs
+++ b/src/net/upstreams/records/reply.rs
@@ -1,50 +1,50 @@
-//! Replies of the records service, parsed where they lie.
+//! Parser for the HTTP replies of the records service; works on the input buffer without copying.
 
 use crate::interface::Outcome;
 use std::ops::Range;
 
-/// The longest head of a reply (bytes).
+/// Maximum length of a reply's head, interim responses included (bytes).
 pub(super) const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest reply with its head (bytes).
+/// Maximum length of a reply, head included (bytes).
 pub(super) const MAX_REPLY_BYTES: usize = 64 * 1024;
-/// The most headers of a reply.
+/// Maximum number of headers in a reply.
 const MAX_HEADERS: usize = 64;
 
-/// A complete reply in the input buffer.
+/// A complete reply; `body` is a range of the input buffer, `length` the total length with head and body.
 pub(super) struct Reply {
     pub(super) outcome: Outcome,
     pub(super) body: Range<usize>,
     pub(super) length: usize,
-    /// The connection can be used again.
-    pub(super) keep: bool,
+    /// Whether the connection can be reused.
+    pub(super) keep_open: bool,
 }
 
-/// Why a reply can't be read.
+/// Why a reply is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyError {
-    /// The head is malformed or too large.
+    /// The head is malformed or exceeds a limit.
     Head,
-    /// The reply changes the protocol, which was not requested.
+    /// The reply has status 101 (Switching Protocols), which was not requested.
     ProtocolChange,
-    /// The Content-Length is missing, ambiguous or out of range.
+    /// The Content-Length is missing, duplicated, invalid or too large.
     Length,
-    /// The body comes in a transfer encoding.
+    /// The reply has a Transfer-Encoding, which is not supported.
     Encoding,
 }
 
-/// Parses a reply where it lies, behind interim ones if there are any; `None` while it is not complete.
+/// Parses one reply, skipping interim (1xx) responses before it. Returns `None` while the reply is incomplete.
 pub(super) fn parse(data: &[u8]) -> Result<Option<Reply>, ReplyError> {
     let mut start = 0;
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        let rest = data.get(start..).unwrap_or(&[]);
-        match head.parse(rest) {
+        let unparsed = data.get(start..).unwrap_or(&[]);
+        match head.parse(unparsed) {
             Ok(httparse::Status::Complete(n)) if start + n <= MAX_HEAD_BYTES => start += n,
             Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
             _ => return Err(ReplyError::Head),
         }
-        // An interim response has no body, and the reply follows it. A change of protocol was not requested.
+        // An interim response has no body and is followed by the final one. 101 changes the protocol unrequested.
         match head.code {
             Some(101) => return Err(ReplyError::ProtocolChange),
             Some(100..=199) => {}
@@ -55,36 +55,36 @@
 
 fn parse_body(head: &httparse::Response, start: usize, data: &[u8]) -> Result<Option<Reply>, ReplyError> {
     let mut length = None;
-    let mut never_ran = false;
-    let mut keep = head.version == Some(1);
-    for h in head.headers.iter() {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("Content-Length") {
+    let mut not_begun = false;
+    let mut keep_open = head.version == Some(1);
+    for header in head.headers.iter() {
+        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+        if header.name.eq_ignore_ascii_case("Content-Length") {
             let digits = value.bytes().all(|b| b.is_ascii_digit());
-            // Two lengths, or one with a sign, could be read two ways.
+            // Duplicate or signed lengths are ambiguous.
             length = value.parse::<usize>().ok().filter(|_| digits && length.is_none());
             if length.is_none() {
                 return Err(ReplyError::Length);
             }
-        } else if h.name.eq_ignore_ascii_case("Transfer-Encoding") {
+        } else if header.name.eq_ignore_ascii_case("Transfer-Encoding") {
             return Err(ReplyError::Encoding);
-        } else if h.name.eq_ignore_ascii_case("Op-Not-Begun") {
-            never_ran = value == "1";
-        } else if h.name.eq_ignore_ascii_case("Connection") {
-            keep &= !value.eq_ignore_ascii_case("close");
+        } else if header.name.eq_ignore_ascii_case("Op-Not-Begun") {
+            not_begun = value == "1";
+        } else if header.name.eq_ignore_ascii_case("Connection") {
+            keep_open &= !value.eq_ignore_ascii_case("close");
         }
     }
-    let fit = |n: &usize| *n <= MAX_REPLY_BYTES - MAX_HEAD_BYTES;
-    let length = length.filter(fit).ok_or(ReplyError::Length)?;
+    let fits = |n: &usize| *n <= MAX_REPLY_BYTES - MAX_HEAD_BYTES;
+    let length = length.filter(fits).ok_or(ReplyError::Length)?;
     if data.len() < start + length {
         return Ok(None);
     }
-    let outcome = match (head.code.unwrap_or(0), never_ran) {
+    let outcome = match (head.code.unwrap_or(0), not_begun) {
         (200, _) => Outcome::Ok,
         (503, true) => Outcome::Rejected,
         (409, true) => Outcome::NotStarted,
         (504, _) => Outcome::TimedOut,
         _ => Outcome::Error,
     };
-    Ok(Some(Reply { outcome, body: start..start + length, length: start + length, keep }))
+    Ok(Some(Reply { outcome, body: start..start + length, length: start + length, keep_open }))
 }
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn replies_are_read_whole_and_only_the_mark_proves_that_a_call_never_ran() {
+fn only_complete_replies_are_parsed_and_only_op_not_begun_proves_that_a_call_did_not_run() {
     let outcome = |head: &str| {
         let text = format!("HTTP/1.1 {head}\r\nContent-Length: 2\r\n\r\nok");
         assert!(parse(&text.as_bytes()[..text.len() - 1]).unwrap().is_none());
@@ -21,7 +21,7 @@
     assert_eq!(outcome("409 Gone\r\nOp-Not-Begun: 1"), Outcome::NotStarted);
     assert!(parse(b"nonsense\r\n\r\n").is_err());
     assert_eq!(outcome("100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK"), Outcome::Ok);
-    // Noise, an endless head, lengths that do not fit: told at once, whatever else would come.
+    // Invalid lengths, encodings and oversized heads are rejected without waiting for more data.
     for bad in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
         "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok",
@@ -35,8 +35,8 @@
     }
 }
 
-/// One wait of a loop of its own, and what the pool makes of it.
-fn turn(events: &mut EventLoop<ReadyEvents>, records: &mut Records, wheel: &mut Wheel) -> Vec<Input> {
+/// Polls the event loop once, processes the ready connections and returns the inputs.
+fn poll_once(events: &mut EventLoop<ReadyEvents>, records: &mut Records, wheel: &mut Wheel) -> Vec<Input> {
     let (mut gathered, mut inputs) = (ReadyEvents::default(), Vec::new());
     events.dispatch(Some(Duration::from_millis(5)), &mut gathered).unwrap();
     for ready in gathered.take() {
@@ -48,9 +48,10 @@
     inputs
 }
 
-/// It lay there until the loop woke for something else.
+/// Regression test: a call queued on an idle connection, which triggers no readiness event, was not written until the
+/// event loop woke up for another reason.
 #[test]
-fn a_call_on_a_kept_connection_leaves_without_an_event() {
+fn call_on_reused_connection_is_sent_without_readiness_event() {
     let mut events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut records = Records::new(&Poll::new(events.handle(), 8), listener.local_addr().unwrap());
@@ -59,18 +60,18 @@
     records.call(0.0, "r1".into(), body, 5.0, true, &mut wheel);
     let (mut service, _) = listener.accept().unwrap();
     service.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
-    turn(&mut events, &mut records, &mut wheel);
+    poll_once(&mut events, &mut records, &mut wheel);
     let mut bytes = [0; 1024];
-    let n = service.read(&mut bytes).unwrap();
-    assert!(bytes[..n].ends_with(b"first"));
+    let length = service.read(&mut bytes).unwrap();
+    assert!(bytes[..length].ends_with(b"first"));
     service.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
-    let ended = (0..1000).find_map(|_| turn(&mut events, &mut records, &mut wheel).pop());
+    let ended = (0..1000).find_map(|_| poll_once(&mut events, &mut records, &mut wheel).pop());
     assert!(matches!(ended, Some(Input::CallEnded { outcome: Outcome::Ok, .. })), "{ended:?}");
     assert!(!records.has_pending());
-    // Now without another wait of the loop.
+    // The second call must be written without another poll of the event loop.
     records.call(1.0, "r2".into(), Rc::from(*b"second"), 5.0, true, &mut wheel);
     assert!(records.has_pending());
     records.gather(1.0, &mut Vec::new(), &mut wheel);
-    let n = service.read(&mut bytes).unwrap();
-    assert!(bytes[..n].ends_with(b"second"));
+    let length = service.read(&mut bytes).unwrap();
+    assert!(bytes[..length].ends_with(b"second"));
 }
