--- a/src/net/upstreams/executor/messages.rs
+++ b/src/net/upstreams/executor/messages.rs
@@ -1,35 +1,35 @@
-//! The lines of the executor's link: one JSON object each.
+//! Messages of the executor protocol: one JSON object per line.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::rc::Rc;
 
-/// A command to the executor.
+/// A command sent to the executor.
 #[derive(Serialize)]
 #[serde(tag = "type", rename_all = "UPPERCASE")]
 pub(super) enum Command<'a> {
-    /// Take up the notices after this number.
+    /// Resumes the notices after number `n`.
     Join { n: u64 },
-    /// Start a run.
+    /// Starts a run.
     Exec { job: &'a str, kind: &'a str, data: &'a str },
-    /// Give a run the reply to its downstream call.
+    /// Delivers the reply to a run's downstream call.
     Return { job: &'a str, data: &'a str },
-    /// Let a run go on without the downstream call that the notice of this number requested.
+    /// Lets a run continue without the downstream call that was requested in notice `n`.
     Bypass { job: &'a str, n: u64 },
-    /// Report the gauges; the answer carries the same reference.
+    /// Requests the gauges; the response carries the same reference.
     Meter { r#ref: &'a str },
 }
 
 impl Command<'_> {
     pub(super) fn to_line(&self) -> Vec<u8> {
-        // These types hold nothing that JSON can't.
+        // Serializing strings and integers to JSON can't fail.
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 }
 
-/// A notice as it lies in the input buffer.
+/// A notice whose strings borrow from the input buffer where possible.
 #[derive(Deserialize)]
 struct BorrowedNotice<'a> {
     #[serde(borrow, rename = "type")]
@@ -47,19 +47,19 @@
     reference: Option<Cow<'a, str>>,
 }
 
-/// A notice of the executor.
+/// A notice received from the executor.
 pub(super) struct Notice {
     pub(super) kind: String,
-    /// Its number, where it is numbered.
+    /// Sequence number; some kinds of notices have none.
     pub(super) number: Option<u64>,
     pub(super) job: Option<Rc<str>>,
     pub(super) state: Option<String>,
-    /// How long ago the executor started (milliseconds).
+    /// Time since the executor started (milliseconds).
     pub(super) started_ms_ago: Option<f64>,
-    /// A result or a call's body, in base64.
+    /// Base64 of a result or of a downstream call's body.
     pub(super) data: Option<String>,
     pub(super) gauges: Option<Vec<f64>>,
-    /// The reference of the command that it answers.
+    /// Reference of the command that this notice responds to.
     pub(super) reference: Option<String>,
 }
 
@@ -78,13 +78,13 @@
     }
 }
 
-/// The complete lines of an input buffer.
+/// The notices parsed from the complete lines of an input buffer.
 #[derive(Default)]
 pub(super) struct Lines {
     pub(super) notices: Vec<Notice>,
-    /// The length of all complete lines (bytes).
+    /// Total length of the complete lines (bytes).
     pub(super) length: usize,
-    /// A line was no notice.
+    /// Whether a line could not be parsed as a notice.
     pub(super) malformed: bool,
 }
 
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -1,8 +1,9 @@
-//! The link to the executor: one JSON object a line, notices numbered, resumed where it broke.
+//! Client for the executor: JSON objects, one per line. Notices are numbered, so that a new link resumes after the last
+//! notice received.
 //!
-//! Commands of the last moments before a break may be lost with it. The next link begins with JOIN and a METER command
-//! that serves as a fence: once it is answered, all notices from before have been read, and the dispatcher learns
-//! which commands may be lost. It alone decides which are sent again.
+//! Commands sent shortly before a link is lost may be lost with it. The next link starts with JOIN and a METER command
+//! that serves as a fence: once its response arrives, all earlier notices have been read, and the dispatcher is told
+//! the time span of the commands that may be lost. Only the dispatcher decides which of them to resend.
 
 mod messages;
 mod notices;
@@ -20,74 +21,75 @@
 use messages::{Command, Lines};
 use std::net::SocketAddr;
 
-/// The longest line that is accepted (bytes): a result of 4 KiB in base64 leaves much room.
+/// Maximum length of a line (bytes); ample for a result of 4 KiB in base64.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// Commands that wait for the executor to read or to come back (bytes). A queued request is smaller.
+/// Maximum size of the commands queued for a slow or disconnected executor (bytes); larger than any single request.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
-/// Commands sent this long before a break may be lost with it: 50 ms, and what this loop may lag (seconds).
+/// Commands sent within this time before the link is lost may be lost too (seconds): 50 ms, plus an allowance for lag
+/// of the event loop.
 const LOSS_WINDOW_S: f64 = 0.15;
-/// Backoff between attempts to connect (seconds).
+/// Bounds of the exponential backoff between connection attempts (seconds).
 const MIN_RECONNECT_S: f64 = 0.02;
 const MAX_RECONNECT_S: f64 = 0.5;
-/// Gauges older than this are not used (seconds).
+/// Gauges older than this are ignored (seconds).
 const MAX_GAUGE_AGE_S: f64 = 0.5;
-/// References of commands for gauges: a fence's has its number behind the prefix.
+/// References of METER commands: one constant for plain requests; for fences, a prefix followed by the fence number.
 const GAUGES_REFERENCE: &str = "g";
 const FENCE_PREFIX: char = 'f';
 
-/// What the executor reports of its start.
+/// What the executor reports about its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Welcome {
-    /// It started with empty caches.
+    /// Whether it started with empty caches.
     pub cold: bool,
-    /// When it started, on the loop's clock.
+    /// When it started (event loop's clock, seconds).
     pub started: f64,
 }
 
-/// A span of time whose commands may be lost (loop's clock, seconds).
+/// Time span in which commands were sent that may be lost (event loop's clock, seconds).
 #[derive(Clone, Copy)]
 struct LostCommands {
     from: f64,
     to: f64,
 }
 
-/// A connection to the executor, by its number in the loop.
+/// A connection to the executor, with its number as an event source.
 struct NumberedLink {
     number: u64,
     link: Link,
 }
 
-/// The executor as this worker sees it.
+/// Client for the executor.
 pub struct Executor {
     address: SocketAddr,
     poll: Poll,
     /// The link in use.
     link: Option<NumberedLink>,
-    /// The link that is being established to take its place.
+    /// A link being established, which will replace `link`.
     next_link: Option<NumberedLink>,
-    /// Commands for the next link, given since the last one broke.
-    waiting: Vec<Vec<u8>>,
-    waiting_bytes: usize,
-    /// When all commands were last seen to have gone out.
+    /// Commands queued while there is no link; sent on the next one.
+    queued_commands: Vec<Vec<u8>>,
+    queued_command_bytes: usize,
+    /// Last time at which the write queue was empty.
     flushed_at: f64,
-    /// Set by a break until the fence of the next link is answered.
+    /// Set when a link is lost, until the response to the next link's fence arrives.
     lost_commands: Option<LostCommands>,
-    /// The number of the last fence.
-    fence: u64,
-    /// The number of the last notice.
-    last_notice: u64,
-    /// When the last notice came, on the loop's clock.
-    last_heard: f64,
+    /// Number of the last fence sent.
+    last_fence: u64,
+    /// Number of the last notice received.
+    last_notice_number: u64,
+    /// When the last notice was received (event loop's clock, seconds).
+    last_notice_at: f64,
     welcome: Option<Welcome>,
     gauge_names: Vec<String>,
-    /// The last gauges, and when they came.
+    /// The last gauges, with the time at which they were received.
     gauges: Option<(f64, Gauges)>,
-    reconnect_pause_s: f64,
+    reconnect_backoff_s: f64,
     reconnect_at: Option<f64>,
 }
 
 impl Executor {
-    /// An executor that is connected to with the first turn.
+    /// Creates a client that connects in the first turn.
     #[must_use]
     pub fn new(poll: &Poll, address: SocketAddr, gauge_names: Vec<String>) -> Executor {
         Executor {
@@ -95,22 +97,22 @@
             poll: poll.clone(),
             link: None,
             next_link: None,
-            waiting: Vec::new(),
-            waiting_bytes: 0,
+            queued_commands: Vec::new(),
+            queued_command_bytes: 0,
             flushed_at: 0.0,
             lost_commands: None,
-            fence: 0,
-            last_notice: 0,
-            last_heard: 0.0,
+            last_fence: 0,
+            last_notice_number: 0,
+            last_notice_at: 0.0,
             welcome: None,
             gauge_names,
             gauges: None,
-            reconnect_pause_s: MIN_RECONNECT_S,
+            reconnect_backoff_s: MIN_RECONNECT_S,
             reconnect_at: Some(0.0),
         }
     }
 
-    /// What the executor reported of its start, once it is up.
+    /// What the executor reported about its start; `None` before its first WELCOME.
     #[must_use]
     pub fn welcome(&self) -> Option<Welcome> {
         self.welcome
@@ -122,20 +124,20 @@
         self.link.is_some()
     }
 
-    /// The gauges, unless they are stale.
+    /// The last gauges, or the default if they are older than [`MAX_GAUGE_AGE_S`].
     #[must_use]
     pub fn gauges(&self, now: f64) -> Gauges {
         let fresh = self.gauges.filter(|(at, _)| now - at < MAX_GAUGE_AGE_S);
         fresh.map_or(Gauges::default(), |(_, gauges)| gauges)
     }
 
-    /// How long until the next attempt to connect; `None` while there is a link or an attempt.
+    /// Time until the next connection attempt (seconds); `None` while connected or connecting.
     #[must_use]
     pub fn reconnect_in(&self, now: f64) -> Option<f64> {
         self.reconnect_at.map(|at| (at - now).max(0.0))
     }
 
-    /// Notes the readiness that the loop reports.
+    /// Records the readiness that the event loop reported for a link.
     pub fn mark(&mut self, number: u64, readiness: Readiness) {
         for connection in [&mut self.link, &mut self.next_link].into_iter().flatten() {
             if connection.number == number {
@@ -144,76 +146,76 @@
         }
     }
 
-    /// The executor has another address. The old link is used until the new one is established.
+    /// Sets a new address. The old link stays in use until one to the new address is established.
     pub fn set_address(&mut self, now: f64, address: SocketAddr) {
         if address == self.address {
             return;
         }
         self.address = address;
         self.next_link = None;
-        self.reconnect_pause_s = MIN_RECONNECT_S;
+        self.reconnect_backoff_s = MIN_RECONNECT_S;
         self.reconnect_at = Some(now);
     }
 
-    /// Connects when it is time, and handles what the executor has sent.
+    /// Connects if an attempt is due, and handles the notices received.
     pub fn gather(&mut self, now: f64, inputs: &mut Vec<Input>) {
-        let established = self.establish(now);
+        let is_established = self.poll_next_link(now);
         self.read(now, inputs);
-        if established {
+        if is_established {
             self.switch_links(now);
             self.read(now, inputs);
         }
     }
 
-    /// Makes the link that has been established the one in use.
+    /// Replaces the current link by the one that has just been established.
     fn switch_links(&mut self, now: f64) {
-        self.link_lost(now, LinkLossCause::Replaced);
+        self.on_link_lost(now, LinkLossCause::Replaced);
         if let Some(next) = &mut self.next_link {
-            next.link.push(Command::Join { n: self.last_notice }.to_line());
+            next.link.push(Command::Join { n: self.last_notice_number }.to_line());
             if self.lost_commands.is_some() {
-                self.fence += 1;
-                let reference = format!("{FENCE_PREFIX}{}", self.fence);
+                self.last_fence += 1;
+                let reference = format!("{FENCE_PREFIX}{}", self.last_fence);
                 next.link.push(Command::Meter { r#ref: &reference }.to_line());
             }
-            self.waiting.drain(..).for_each(|command| next.link.push(command));
-            self.waiting_bytes = 0;
+            self.queued_commands.drain(..).for_each(|command| next.link.push(command));
+            self.queued_command_bytes = 0;
             self.flushed_at = now;
         }
         self.link = self.next_link.take();
     }
 
-    /// The link is broken, or replaced by another.
-    fn link_lost(&mut self, now: f64, cause: LinkLossCause<'_>) {
+    /// Handles the loss or replacement of the link: records which commands may be lost and schedules a reconnect.
+    fn on_link_lost(&mut self, now: f64, cause: LinkLossCause<'_>) {
         if let Some(lost) = self.link.take() {
             ExecutorEvent::LinkLost(cause).emit();
-            let unflushed_since = if lost.link.queued() > 0 { self.flushed_at } else { now };
-            // A break before the fence of an earlier one is answered leaves both spans in doubt.
+            let unsent_since = if lost.link.queued() > 0 { self.flushed_at } else { now };
+            // If the fence for an earlier loss is still outstanding, the spans of both losses are merged.
             let earlier = self.lost_commands.map_or(f64::INFINITY, |lost| lost.from);
-            let from = earlier.min(unflushed_since - LOSS_WINDOW_S);
+            let from = earlier.min(unsent_since - LOSS_WINDOW_S);
             self.lost_commands = Some(LostCommands { from, to: now });
         }
         if self.next_link.is_none() {
-            self.back_off(now);
+            self.schedule_reconnect(now);
         }
     }
 
-    fn back_off(&mut self, now: f64) {
-        self.reconnect_at = Some(now + self.reconnect_pause_s);
-        self.reconnect_pause_s = (self.reconnect_pause_s * 2.0).min(MAX_RECONNECT_S);
+    fn schedule_reconnect(&mut self, now: f64) {
+        self.reconnect_at = Some(now + self.reconnect_backoff_s);
+        self.reconnect_backoff_s = (self.reconnect_backoff_s * 2.0).min(MAX_RECONNECT_S);
     }
 
-    /// Connects when it is time; `true` once a new link is established.
-    fn establish(&mut self, now: f64) -> bool {
+    /// Connects if an attempt is due; returns whether a new link is established.
+    fn poll_next_link(&mut self, now: f64) -> bool {
         if self.next_link.is_none() && self.reconnect_at.is_some_and(|at| now >= at) {
             self.connect(now);
         }
         match self.next_link.as_ref().and_then(|next| next.link.connected()) {
             None => false,
             Some(Ok(())) => true,
-            Some(Err(fault)) => {
-                ExecutorEvent::ConnectFailed(&fault).emit();
+            Some(Err(error)) => {
+                ExecutorEvent::ConnectFailed(&error).emit();
                 self.next_link = None;
-                self.back_off(now);
+                self.schedule_reconnect(now);
                 false
             }
         }
@@ -226,9 +228,9 @@
                 self.next_link = Some(NumberedLink { number, link });
                 self.reconnect_at = None;
             }
-            Err(fault) => {
-                ExecutorEvent::ConnectFailed(&fault).emit();
-                self.back_off(now);
+            Err(error) => {
+                ExecutorEvent::ConnectFailed(&error).emit();
+                self.schedule_reconnect(now);
             }
         }
     }
@@ -236,60 +238,60 @@
     fn read(&mut self, now: f64, inputs: &mut Vec<Input>) {
         loop {
             let Some(NumberedLink { link, .. }) = &mut self.link else { return };
-            let filled = link.fill();
+            let read_status = link.fill();
             let lines = Lines::parse(link.data());
-            let endless = lines.length == 0 && link.data().len() >= MAX_LINE_BYTES;
+            let exceeds_max_line = lines.length == 0 && link.data().len() >= MAX_LINE_BYTES;
             link.consume(lines.length);
             if lines.malformed {
                 ExecutorEvent::NoticeMalformed(MalformedNotice::Line).emit();
             }
             for notice in lines.notices {
                 self.handle_notice(now, notice, inputs);
-                self.last_heard = now;
+                self.last_notice_at = now;
             }
-            if endless {
-                return self.link_lost(now, LinkLossCause::LineTooLong);
+            if exceeds_max_line {
+                return self.on_link_lost(now, LinkLossCause::LineTooLong);
             }
-            match filled {
+            match read_status {
                 ReadStatus::Open if lines.length == 0 => return,
                 ReadStatus::Open => {}
-                ReadStatus::Ended => return self.link_lost(now, LinkLossCause::Closed),
-                ReadStatus::Broken => return self.link_lost(now, LinkLossCause::Reset),
+                ReadStatus::Ended => return self.on_link_lost(now, LinkLossCause::Closed),
+                ReadStatus::Broken => return self.on_link_lost(now, LinkLossCause::Reset),
             }
         }
     }
 
-    /// Queues a command; `false` where too much is queued already.
+    /// Queues a command; returns `false` if the queue is full.
     fn send(&mut self, command: &Command) -> bool {
         let line = command.to_line();
         match &mut self.link {
             Some(NumberedLink { link, .. }) if link.queued() < MAX_QUEUED_BYTES => link.push(line),
-            None if self.waiting_bytes < MAX_QUEUED_BYTES => {
-                self.waiting_bytes += line.len();
-                self.waiting.push(line);
+            None if self.queued_command_bytes < MAX_QUEUED_BYTES => {
+                self.queued_command_bytes += line.len();
+                self.queued_commands.push(line);
             }
             _ => return false,
         }
         true
     }
 
-    /// Starts a run; `false` where the command could not even be queued, so that nothing has run.
-    pub fn run(&mut self, name: &str, class: usize, body: &[u8], known: &Catalog) -> bool {
+    /// Starts a run; returns `false` if the command could not be queued, so that the run certainly did not start.
+    pub fn run(&mut self, name: &str, class: usize, body: &[u8], catalog: &Catalog) -> bool {
         let data = STANDARD.encode(body);
-        self.send(&Command::Exec { job: name, kind: known.class_name(class), data: &data })
+        self.send(&Command::Exec { job: name, kind: catalog.class_name(class), data: &data })
     }
 
-    /// Gives a run the reply to its downstream call; `false` where the command could not be queued.
+    /// Delivers the reply to a run's downstream call; returns `false` if the command could not be queued.
     pub fn resume(&mut self, name: &str, reply: &[u8]) -> bool {
         self.send(&Command::Return { job: name, data: &STANDARD.encode(reply) })
     }
 
-    /// Lets a run go on without its downstream call; `false` where the command could not be queued.
+    /// Lets a run continue without its downstream call; returns `false` if the command could not be queued.
     pub fn skip(&mut self, name: &str, sequence: u64) -> bool {
         self.send(&Command::Bypass { job: name, n: sequence })
     }
 
-    /// Asks for the gauges, unless commands wait to be written: then the executor is not reading.
+    /// Requests the gauges, unless commands are still queued, which means that the executor is not reading.
     pub fn request_gauges(&mut self) {
         let idle = self.link.as_mut().filter(|connection| connection.link.queued() == 0);
         if let Some(NumberedLink { link, .. }) = idle {
@@ -297,15 +299,15 @@
         }
     }
 
-    /// Writes what the executor takes.
+    /// Writes queued commands until the socket would block.
     pub fn flush(&mut self, now: f64) {
         let Some(NumberedLink { link, .. }) = &mut self.link else { return };
-        let flushed = link.flush();
+        let flush_result = link.flush();
         if link.queued() == 0 {
             self.flushed_at = now;
         }
-        if let Err(fault) = flushed {
-            self.link_lost(now, LinkLossCause::WriteFailed(&fault));
+        if let Err(error) = flush_result {
+            self.on_link_lost(now, LinkLossCause::WriteFailed(&error));
         }
     }
 }
