--- a/src/net/upstreams/ajp_codec/codes.rs
+++ b/src/net/upstreams/ajp_codec/codes.rs
@@ -1,6 +1,6 @@
-//! The codes of AJP/1.3: message types, methods, header names and attributes.
+//! Codes of AJP/1.3: message types, methods, header names and attributes.
 
-/// The header names of requests that have a code, from code 1 on.
+/// Request header names that have a code; codes start at 1.
 pub(super) const REQUEST_HEADERS: [&str; 14] = [
     "accept",
     "accept-charset",
@@ -18,7 +18,7 @@
     "user-agent",
 ];
 
-/// The header names of responses that have a code, from code 1 on.
+/// Response header names that have a code; codes start at 1.
 pub(super) const RESPONSE_HEADERS: [&str; 11] = [
     "Content-Type",
     "Content-Language",
@@ -33,7 +33,7 @@
     "WWW-Authenticate",
 ];
 
-/// The methods that have a code, from code 1 on.
+/// Methods that have a code; codes start at 1.
 pub(super) const METHODS: [&str; 27] = [
     "OPTIONS",
     "GET",
@@ -64,22 +64,22 @@
     "MKACTIVITY",
 ];
 
-/// The method is not in [`METHODS`], but in the attribute [`ATTRIBUTE_METHOD`].
-pub(super) const STORED_METHOD: u8 = 0xFF;
+/// Code for a method that is not in [`METHODS`]; its name is in the attribute [`ATTRIBUTE_METHOD`].
+pub(super) const METHOD_IN_ATTRIBUTE: u8 = 0xFF;
 
-/// The first byte of a header name that is sent as a code.
-pub(super) const CODED_NAME: u8 = 0xA0;
+/// First byte of a header name that is encoded as a code.
+pub(super) const CODED_NAME_PREFIX: u8 = 0xA0;
 
-/// The length of a string that is absent.
-pub(super) const ABSENT_STRING: u16 = 0xFFFF;
+/// Length field of a null string.
+pub(super) const NULL_STRING_LENGTH: u16 = 0xFFFF;
 
-/// Messages to a container.
+/// Types of messages to a container.
 pub(super) const FORWARD_REQUEST: u8 = 2;
 pub(super) const SHUTDOWN: u8 = 7;
 pub(super) const PING: u8 = 8;
 pub(super) const CPING: u8 = 10;
 
-/// Messages to a web server.
+/// Types of messages to a web server.
 pub(super) const SEND_BODY_CHUNK: u8 = 3;
 pub(super) const SEND_HEADERS: u8 = 4;
 pub(super) const END_RESPONSE: u8 = 5;
--- a/src/net/upstreams/ajp_codec/reader.rs
+++ b/src/net/upstreams/ajp_codec/reader.rs
@@ -1,14 +1,14 @@
-//! Reads AJP messages off payloads.
+//! Parses AJP messages.
 
 use super::codes::{
-    ABSENT_STRING, ATTRIBUTES_DONE, ATTRIBUTE_CONTEXT, ATTRIBUTE_METHOD, ATTRIBUTE_REMOTE_USER,
-    ATTRIBUTE_REQUEST, ATTRIBUTE_SECRET, ATTRIBUTE_SSL_KEY_SIZE, ATTRIBUTE_SSL_SESSION, CODED_NAME, CPING,
-    CPONG, END_RESPONSE, FORWARD_REQUEST, GET_BODY_CHUNK, METHODS, PING, REQUEST_HEADERS, RESPONSE_HEADERS,
-    SEND_BODY_CHUNK, SEND_HEADERS, SHUTDOWN, STORED_METHOD,
+    ATTRIBUTES_DONE, ATTRIBUTE_CONTEXT, ATTRIBUTE_METHOD, ATTRIBUTE_REMOTE_USER, ATTRIBUTE_REQUEST,
+    ATTRIBUTE_SECRET, ATTRIBUTE_SSL_KEY_SIZE, ATTRIBUTE_SSL_SESSION, CODED_NAME_PREFIX, CPING, CPONG,
+    END_RESPONSE, FORWARD_REQUEST, GET_BODY_CHUNK, METHODS, METHOD_IN_ATTRIBUTE, NULL_STRING_LENGTH, PING,
+    REQUEST_HEADERS, RESPONSE_HEADERS, SEND_BODY_CHUNK, SEND_HEADERS, SHUTDOWN,
 };
 use super::{Forward, PacketError, ToContainer, ToWebServer};
 
-/// Reads numbers and strings off a payload; beyond its end every read fails.
+/// Reads integers and strings from a payload; a read beyond its end fails.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -30,10 +30,10 @@
         Ok(u16::from_be_bytes([bytes[0], bytes[1]]))
     }
 
-    /// A string with its length before it and a zero behind it; `None` where it is absent.
+    /// Reads a string with a length prefix and a terminating zero; `None` for a null string.
     fn string(&mut self) -> Result<Option<&'a [u8]>, PacketError> {
         let length = self.int()?;
-        if length == ABSENT_STRING {
+        if length == NULL_STRING_LENGTH {
             return Ok(None);
         }
         let text = self.bytes(usize::from(length))?;
@@ -43,16 +43,16 @@
         Ok(Some(text))
     }
 
-    /// A string in UTF-8; empty where it is absent.
+    /// Reads a UTF-8 string; empty for a null string.
     fn text(&mut self) -> Result<&'a str, PacketError> {
         std::str::from_utf8(self.string()?.unwrap_or(b"")).map_err(|_| PacketError::Message)
     }
 
-    /// A header's name: a string, or a code in its place.
-    fn header_name(&mut self, coded: &[&'static str]) -> Result<&'a str, PacketError> {
+    /// Reads a header name, which is either a code or a string.
+    fn header_name(&mut self, coded_names: &[&'static str]) -> Result<&'a str, PacketError> {
         match self.0 {
-            [CODED_NAME, code, ..] => {
-                let name = from_code(coded, *code);
+            [CODED_NAME_PREFIX, code, ..] => {
+                let name = from_code(coded_names, *code);
                 self.bytes(2)?;
                 name
             }
@@ -60,28 +60,28 @@
         }
     }
 
-    /// A number of headers, and these.
-    fn headers(&mut self, coded: &[&'static str]) -> Result<Vec<(&'a str, &'a [u8])>, PacketError> {
+    /// Reads the number of headers and the headers.
+    fn headers(&mut self, coded_names: &[&'static str]) -> Result<Vec<(&'a str, &'a [u8])>, PacketError> {
         let mut headers = Vec::new();
         for _ in 0..self.int()? {
-            let name = self.header_name(coded)?;
+            let name = self.header_name(coded_names)?;
             headers.push((name, self.string()?.unwrap_or(b"")));
         }
         Ok(headers)
     }
 }
 
-/// The entry of a table whose codes begin at 1.
+/// Looks up a code in a table whose codes start at 1.
 fn from_code(table: &[&'static str], code: u8) -> Result<&'static str, PacketError> {
     let entry = usize::from(code).checked_sub(1).and_then(|index| table.get(index));
     entry.copied().ok_or(PacketError::Message)
 }
 
-/// Reads a message to a container.
+/// Parses a message from a web server to a container.
 ///
 /// # Errors
 ///
-/// [`PacketError::Message`] where the payload is no such message.
+/// [`PacketError::Message`] if the payload is not such a message.
 pub fn parse_to_container(payload: &[u8]) -> Result<ToContainer<'_>, PacketError> {
     let mut reader = Reader(payload);
     match reader.byte()? {
@@ -104,26 +104,26 @@
     reader.int()?; // The server's port.
     reader.byte()?; // Whether TLS was used.
     forward.headers = reader.headers(&REQUEST_HEADERS)?;
-    let stored_method = read_attributes(&mut reader, &mut forward)?;
+    let method_attribute = read_attributes(&mut reader, &mut forward)?;
     forward.method = match method {
-        STORED_METHOD => stored_method.ok_or(PacketError::Message)?,
+        METHOD_IN_ATTRIBUTE => method_attribute.ok_or(PacketError::Message)?,
         code => from_code(&METHODS, code)?,
     };
     Ok(forward)
 }
 
-/// Reads the attributes of a Forward Request; gives the method back where one of them states it.
+/// Reads the attributes of a Forward Request; returns the method if one of them contains it.
 fn read_attributes<'a>(
     reader: &mut Reader<'a>,
     forward: &mut Forward<'a>,
 ) -> Result<Option<&'a str>, PacketError> {
-    let mut stored_method = None;
+    let mut method_attribute = None;
     loop {
         match reader.byte()? {
-            ATTRIBUTES_DONE => return Ok(stored_method),
+            ATTRIBUTES_DONE => return Ok(method_attribute),
             ATTRIBUTE_REMOTE_USER => forward.remote_user = Some(reader.text()?),
             ATTRIBUTE_SECRET => forward.secret = reader.string()?,
-            ATTRIBUTE_METHOD => stored_method = Some(reader.text()?),
+            ATTRIBUTE_METHOD => method_attribute = Some(reader.text()?),
             ATTRIBUTE_REQUEST => {
                 reader.string()?; // The name.
                 reader.string()?; // The value.
@@ -139,11 +139,11 @@
     }
 }
 
-/// Reads a body packet: empty at the end of the body.
+/// Parses a body packet; the result is empty at the end of the body.
 ///
 /// # Errors
 ///
-/// [`PacketError::Message`] where the payload is shorter than the length that it states.
+/// [`PacketError::Message`] if the payload is shorter than its length field says.
 pub fn parse_body(payload: &[u8]) -> Result<&[u8], PacketError> {
     if payload.is_empty() {
         return Ok(payload);
@@ -153,11 +153,11 @@
     reader.bytes(usize::from(length))
 }
 
-/// Reads a message to a web server.
+/// Parses a message from a container to a web server.
 ///
 /// # Errors
 ///
-/// [`PacketError::Message`] where the payload is no such message.
+/// [`PacketError::Message`] if the payload is not such a message.
 pub fn parse_to_web_server(payload: &[u8]) -> Result<ToWebServer<'_>, PacketError> {
     let mut reader = Reader(payload);
     match reader.byte()? {
--- a/src/net/upstreams/ajp_codec/tests.rs
+++ b/src/net/upstreams/ajp_codec/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn sample() -> Forward<'static> {
+fn sample_request() -> Forward<'static> {
     Forward {
         method: "POST",
         uri: "/portal/submit",
@@ -12,17 +12,17 @@
 }
 
 #[test]
-fn a_forward_request_is_read_as_it_was_written_and_known_headers_are_coded() {
-    let bytes = write_forward(&sample()).unwrap();
+fn forward_request_round_trips_with_known_headers_encoded_as_codes() {
+    let bytes = write_forward(&sample_request()).unwrap();
     assert!(bytes.windows(2).any(|w| w == [0xA0, 0x08]));
     assert!(!bytes.windows(14).any(|w| w.eq_ignore_ascii_case(b"content-length")));
     let range = find_packet(&bytes, Direction::ToContainer).unwrap().unwrap();
-    assert_eq!(parse_to_container(&bytes[range]).unwrap(), ToContainer::Forward(Box::new(sample())));
+    assert_eq!(parse_to_container(&bytes[range]).unwrap(), ToContainer::Forward(Box::new(sample_request())));
 }
 
 #[test]
-fn every_cut_of_a_message_is_partial_or_bad_and_never_a_panic() {
-    let bytes = write_forward(&sample()).unwrap();
+fn truncated_or_corrupted_messages_are_incomplete_or_rejected_without_panic() {
+    let bytes = write_forward(&sample_request()).unwrap();
     for n in 0..bytes.len() {
         assert_eq!(find_packet(&bytes[..n], Direction::ToContainer), Ok(None));
         if n > 4 {
@@ -30,21 +30,22 @@
         }
     }
     for i in 4..bytes.len() {
-        let mut odd = bytes.clone();
-        odd[i] = odd[i].wrapping_add(0x91);
-        let _ = parse_to_container(&odd[4..]);
-        let _ = parse_to_web_server(&odd[4..]);
+        let mut corrupted = bytes.clone();
+        corrupted[i] = corrupted[i].wrapping_add(0x91);
+        let _ = parse_to_container(&corrupted[4..]);
+        let _ = parse_to_web_server(&corrupted[4..]);
     }
 }
 
 #[test]
-fn bytes_of_the_published_protocol_are_read() {
-    // GET / HTTP/1.1 for host "h", one coded header, a query string, an attribute, a key size.
+fn hand_encoded_forward_request_is_parsed() {
+    // Hand-encoded GET / HTTP/1.1 for host "h" with one coded header, a query string, a request attribute and a key
+    // size.
     let mut payload = vec![2, 2];
-    let string = |p: &mut Vec<u8>, s: &[u8]| {
-        p.extend([0, s.len() as u8]);
-        p.extend(s);
-        p.push(0);
+    let string = |packet: &mut Vec<u8>, s: &[u8]| {
+        packet.extend([0, s.len() as u8]);
+        packet.extend(s);
+        packet.push(0);
     };
     string(&mut payload, b"HTTP/1.1");
     string(&mut payload, b"/");
@@ -59,14 +60,16 @@
     string(&mut payload, b"AJP_REMOTE_PORT");
     string(&mut payload, b"4711");
     payload.extend([0x0B, 1, 0, 0xFF]);
-    let Ok(ToContainer::Forward(f)) = parse_to_container(&payload) else { panic!("not read") };
-    assert_eq!((f.method, f.uri, f.server_name), ("GET", "/", "h"));
-    assert_eq!(f.headers, vec![("host", &b"h"[..])]);
+    let Ok(ToContainer::Forward(forward)) = parse_to_container(&payload) else {
+        panic!("the request was not parsed")
+    };
+    assert_eq!((forward.method, forward.uri, forward.server_name), ("GET", "/", "h"));
+    assert_eq!(forward.headers, vec![("host", &b"h"[..])]);
     assert_eq!(parse_to_container(&[10]), Ok(ToContainer::CPing));
 }
 
 #[test]
-fn wrong_magic_and_wrong_length_are_told_apart() {
+fn wrong_magic_and_wrong_length_are_distinct_errors() {
     assert_eq!(find_packet(b"AB\0\x01\x09", Direction::ToContainer), Err(PacketError::Magic));
     assert_eq!(find_packet(&[0x12, 0x34, 0xFF, 0xFF], Direction::ToContainer), Err(PacketError::Length));
     assert_eq!(find_packet(&[0x12, 0x34, 0, 0], Direction::ToContainer), Ok(Some(4..4)));
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn answers_are_read_as_they_were_written() {
+fn responses_round_trip() {
     let head = write_headers(503, "Busy", &[("Content-Length", "0".into()), ("Retry-After", "1".into())]);
     let expected: Vec<(&str, &[u8])> = vec![("Content-Length", b"0"), ("Retry-After", b"1")];
     assert_eq!(
--- a/src/net/upstreams/ajp_codec/writer.rs
+++ b/src/net/upstreams/ajp_codec/writer.rs
@@ -1,18 +1,18 @@
-//! Writes AJP packets.
+//! Encodes AJP packets.
 
 use super::codes::{
-    ATTRIBUTES_DONE, ATTRIBUTE_REMOTE_USER, ATTRIBUTE_SECRET, CODED_NAME, CPING, CPONG, END_RESPONSE,
+    ATTRIBUTES_DONE, ATTRIBUTE_REMOTE_USER, ATTRIBUTE_SECRET, CODED_NAME_PREFIX, CPING, CPONG, END_RESPONSE,
     FORWARD_REQUEST, GET_BODY_CHUNK, METHODS, REQUEST_HEADERS, RESPONSE_HEADERS, SEND_BODY_CHUNK,
     SEND_HEADERS,
 };
-use super::{Direction, Forward, HEAD_BYTES, MAX_PAYLOAD_BYTES, MAX_RESPONSE_CHUNK_BYTES};
+use super::{Direction, Forward, HEADER_BYTES, MAX_PAYLOAD_BYTES, MAX_RESPONSE_CHUNK_BYTES};
 
-/// Writes one packet: its length is set when it is closed.
+/// Builds one packet; [`Writer::finish`] fills in its length.
 struct Writer(Vec<u8>);
 
 impl Writer {
-    fn new(way: Direction) -> Writer {
-        let [first, second] = way.magic();
+    fn new(direction: Direction) -> Writer {
+        let [first, second] = direction.magic();
         Writer(vec![first, second, 0, 0])
     }
 
@@ -33,17 +33,17 @@
         writer.byte(0)
     }
 
-    /// A header's name: a code where it has one, else a string.
-    fn header_name(self, name: &str, coded: &[&str]) -> Writer {
-        match coded.iter().position(|known| known.eq_ignore_ascii_case(name)) {
-            Some(index) => self.byte(CODED_NAME).byte(index as u8 + 1),
+    /// Writes a header name as a code if it has one, otherwise as a string.
+    fn header_name(self, name: &str, coded_names: &[&str]) -> Writer {
+        match coded_names.iter().position(|known| known.eq_ignore_ascii_case(name)) {
+            Some(index) => self.byte(CODED_NAME_PREFIX).byte(index as u8 + 1),
             None => self.string(name.as_bytes()),
         }
     }
 
-    /// `None` where the message is larger than a packet.
-    fn close(mut self) -> Option<Vec<u8>> {
-        let length = u16::try_from(self.0.len() - HEAD_BYTES).ok()?;
+    /// Sets the length field and returns the packet; `None` if it exceeds the maximum size.
+    fn finish(mut self) -> Option<Vec<u8>> {
+        let length = u16::try_from(self.0.len() - HEADER_BYTES).ok()?;
         if usize::from(length) > MAX_PAYLOAD_BYTES {
             return None;
         }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Writes a Forward Request; `None` where it does not fit into a packet or its method has no code.
+/// Encodes a Forward Request; `None` if it does not fit into a packet or its method has no code.
 #[must_use]
 pub fn write_forward(forward: &Forward) -> Option<Vec<u8>> {
     let method = METHODS.iter().position(|known| *known == forward.method)? as u8 + 1;
@@ -76,10 +76,10 @@
     if let Some(secret) = forward.secret {
         writer = writer.byte(ATTRIBUTE_SECRET).string(secret);
     }
-    writer.byte(ATTRIBUTES_DONE).close()
+    writer.byte(ATTRIBUTES_DONE).finish()
 }
 
-/// Writes a packet of body bytes; an empty one ends the body. `None` where they don't fit into a packet.
+/// Encodes a body packet; an empty one ends the body. `None` if the bytes do not fit into a packet.
 #[must_use]
 pub fn write_body(bytes: &[u8]) -> Option<Vec<u8>> {
     let mut writer = Writer::new(Direction::ToContainer);
@@ -87,41 +87,41 @@
         writer = writer.int(u16::try_from(bytes.len()).ok()?);
         writer.0.extend_from_slice(bytes);
     }
-    writer.close()
+    writer.finish()
 }
 
-/// A packet that is nothing but a message type.
-fn type_only(way: Direction, message_type: u8) -> Vec<u8> {
-    let [first, second] = way.magic();
+/// Encodes a packet that consists only of a message type.
+fn type_only(direction: Direction, message_type: u8) -> Vec<u8> {
+    let [first, second] = direction.magic();
     vec![first, second, 0, 1, message_type]
 }
 
-/// Writes a `CPing`: the web server asks whether the connection is alive.
+/// Encodes a `CPing`, with which a web server checks whether the connection is alive.
 #[must_use]
 pub fn write_cping() -> Vec<u8> {
     type_only(Direction::ToContainer, CPING)
 }
 
-/// Writes a `CPong`, the response to a `CPing`.
+/// Encodes a `CPong`, the response to a `CPing`.
 #[must_use]
 pub fn write_cpong() -> Vec<u8> {
     type_only(Direction::ToWebServer, CPONG)
 }
 
-/// Writes a Get Body Chunk: the container requests at most so many bytes of the body.
+/// Encodes a Get Body Chunk, with which a container requests up to `length` further bytes of the body.
 #[must_use]
 pub fn write_get_body(length: u16) -> Vec<u8> {
     let [high, low] = length.to_be_bytes();
     vec![b'A', b'B', 0, 3, GET_BODY_CHUNK, high, low]
 }
 
-/// Writes an End Response; with `reuse` the connection may carry another request.
+/// Encodes an End Response; `reuse` says whether the connection may be reused for another request.
 #[must_use]
 pub fn write_end(reuse: bool) -> Vec<u8> {
     vec![b'A', b'B', 0, 2, END_RESPONSE, u8::from(reuse)]
 }
 
-/// Writes the head of a response; `None` where it does not fit into a packet.
+/// Encodes the head of a response; `None` if it does not fit into a packet.
 #[must_use]
 pub fn write_headers(status: u16, reason: &str, headers: &[(&str, String)]) -> Option<Vec<u8>> {
     let mut writer = Writer::new(Direction::ToWebServer)
@@ -132,10 +132,10 @@
     for (name, value) in headers {
         writer = writer.header_name(name, &RESPONSE_HEADERS).string(value.as_bytes());
     }
-    writer.close()
+    writer.finish()
 }
 
-/// The head of a body chunk of a response; the bytes follow it, and a zero follows them.
+/// Encodes the header of a Send Body Chunk; the caller appends the `length` bytes and a terminating zero.
 #[must_use]
 pub fn write_chunk_head(length: usize) -> Vec<u8> {
     let length = length.min(MAX_RESPONSE_CHUNK_BYTES) as u16;
