--- a/src/net/upstreams/directory/error.rs
+++ b/src/net/upstreams/directory/error.rs
@@ -1,4 +1,4 @@
-//! Why the link to the directory ends.
+//! Errors of the link to the directory.
 
 use ldap3_proto::LdapResultCode;
 use std::io;
@@ -9,19 +9,19 @@
     /// Connecting, reading or writing failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The server has closed it.
+    /// The server has closed the link.
     #[error("closed")]
     Closed,
-    /// A message is longer than it may be.
-    #[error("a message has no end")]
+    /// A message exceeds the maximum length.
+    #[error("LDAP message exceeds the maximum length")]
     MessageTooLong,
-    /// A message can't be read.
-    #[error("a message can't be read")]
+    /// A message can't be decoded.
+    #[error("malformed LDAP message")]
     MalformedMessage,
     /// The server has rejected the bind.
-    #[error("the bind was refused: {0:?}")]
+    #[error("LDAP bind rejected: {0:?}")]
     BindRejected(LdapResultCode),
-    /// A message came that nothing asked for.
-    #[error("an unfit message")]
+    /// The server has sent a message that is not valid in this state.
+    #[error("unexpected LDAP message")]
     UnexpectedMessage,
 }
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -1,6 +1,7 @@
-//! The directory of tenants: an LDAP server that maps a portal's identity to a tenant's name.
+//! Client for the tenant directory, an LDAP server that maps a portal's identity to a tenant's name.
 //!
-//! One link, bound once; searches share it. Results are cached for a while, for a bounded number of identities.
+//! All searches share one connection, which is bound once. Results are cached for a limited time and a limited number
+//! of identities.
 
 #![warn(missing_docs)]
 
@@ -28,31 +29,31 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest message that is read or written (bytes).
+/// Maximum length of a message, in either direction (bytes).
 const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// The most lookups that wait; for further ones the directory is unavailable.
+/// Maximum number of waiting lookups; further ones fail with [`LookupResult::Unavailable`].
 const MAX_WAITING_LOOKUPS: usize = 1024;
 
-/// How long the directory counts as unavailable after a failed link (seconds).
-const UNAVAILABLE_S: f64 = 0.2;
+/// How long lookups fail immediately after the link has failed (seconds).
+const RECONNECT_DELAY_S: f64 = 0.2;
 
-/// The longest time that an unknown identity is cached (seconds): it may be new.
+/// Maximum time for which an unknown identity is cached (seconds); short, since it may be added at any time.
 const MAX_UNKNOWN_CACHE_S: f64 = 5.0;
 
-/// The most entries that the directory is asked for: the second one shows that an identity is ambiguous.
+/// Size limit of a search: a second entry suffices to detect an ambiguous identity.
 const MAX_ENTRIES: i32 = 2;
 
-/// A lookup that waits for the directory.
+/// A lookup waiting for the directory's response.
 struct WaitingLookup {
     timer_number: u64,
     ticket: Ticket,
     identity: Rc<str>,
-    /// Whether the request's own time is shorter than the directory's timeout.
+    /// Whether the request's own time limit is shorter than the directory timeout.
     limited_by_request: bool,
 }
 
-/// A search in flight, with the tenants of the entries that have come.
+/// A search in flight, with the tenants of the entries received so far.
 struct Search {
     identity: Rc<str>,
     tenants: Vec<Rc<str>>,
@@ -60,12 +61,12 @@
 
 /// A cached result.
 struct CacheEntry {
-    /// `None` where the directory knows no tenant of the identity.
+    /// `None` if the directory has no unique tenant for the identity.
     tenant: Option<Rc<str>>,
     expires_at: f64,
 }
 
-/// Where the link stands.
+/// State of the link.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LinkState {
     Connecting,
@@ -73,20 +74,21 @@
     Bound,
 }
 
-/// What becomes of the link after a step.
+/// Whether [`Directory::step`] can be called again or must wait for the socket.
 enum Progress {
     Continue,
     Wait,
 }
 
-/// The link to the directory, its waiting lookups and the cache.
+/// Client for the directory, with its link, waiting lookups and cache.
 pub struct Directory {
     settings: DirectorySettings,
     poll: Poll,
     link: Option<Link>,
     link_id: u64,
     link_state: LinkState,
-    /// The link has answered a search: if it breaks, that may be the server's idle limit, so a new one is tried.
+    /// Whether a search has completed on this link. If such a link is lost, the server may just have closed it for
+    /// idleness, so a reconnect is tried.
     link_has_served: bool,
     unavailable_until: f64,
     last_message_id: i32,
@@ -98,7 +100,7 @@
 }
 
 impl Directory {
-    /// A directory that is not connected yet: the first lookup connects.
+    /// Creates a client that is not connected yet; the first lookup connects.
     #[must_use]
     pub fn new(poll: &Poll, settings: DirectorySettings) -> Directory {
         Directory {
@@ -117,19 +119,19 @@
         }
     }
 
-    /// Records the readiness of the link with this id.
+    /// Records the readiness that the event loop reported for a link.
     pub fn mark(&mut self, link_id: u64, readiness: Readiness) {
         if let Some(link) = self.link.as_mut().filter(|_| self.link_id == link_id) {
             link.mark(readiness);
         }
     }
 
-    /// Takes the results that have come since the last call.
+    /// Returns the results that have become available since the last call.
     pub fn take_results(&mut self) -> Vec<(Ticket, LookupResult)> {
         std::mem::take(&mut self.results)
     }
 
-    /// Looks the tenant of an identity up; the result comes with [`Directory::take_results`].
+    /// Starts a lookup of an identity's tenant; [`Directory::take_results`] returns the result.
     pub fn look_up(&mut self, now: f64, lookup: Lookup, wheel: &mut Wheel) {
         let identity: Rc<str> = lookup.identity.into();
         if let Some(cached) = self.cache.get(&identity).filter(|cached| now < cached.expires_at) {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Ends the waiting lookups, or connects again where a link that has served was merely closed.
+    /// Handles the loss of the link: reconnects if a search had completed on it, otherwise fails the waiting lookups.
     fn on_link_lost(&mut self, now: f64, error: &LinkError) {
         self.link = None;
         self.searches.clear();
@@ -178,12 +180,12 @@
         if self.link_has_served {
             return self.connect(now);
         }
-        self.unavailable_until = now + UNAVAILABLE_S;
-        let ended = self.waiting.drain(..);
-        self.results.extend(ended.map(|waiting| (waiting.ticket, LookupResult::Unavailable)));
+        self.unavailable_until = now + RECONNECT_DELAY_S;
+        let failed = self.waiting.drain(..);
+        self.results.extend(failed.map(|waiting| (waiting.ticket, LookupResult::Unavailable)));
     }
 
-    /// Takes the expiry of a lookup's timer.
+    /// Handles the expiry of a lookup's timer.
     pub fn on_timer(&mut self, now: f64, timer_number: u64) {
         let has_timer = |waiting: &WaitingLookup| waiting.timer_number == timer_number;
         let Some(index) = self.waiting.iter().position(has_timer) else { return };
@@ -193,14 +195,14 @@
         }
         self.results.push((expired.ticket, LookupResult::Unavailable));
         if self.waiting.is_empty() {
-            // The server accepts links and doesn't answer: the next lookup connects again.
+            // The server accepts connections but does not respond: drop the link, so that a later lookup reconnects.
             self.link = None;
             self.searches.clear();
-            self.unavailable_until = now + UNAVAILABLE_S;
+            self.unavailable_until = now + RECONNECT_DELAY_S;
         }
     }
 
-    /// Takes what has come from the directory.
+    /// Processes the messages received from the directory.
     pub fn gather(&mut self, now: f64) {
         loop {
             match self.step(now) {
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Binds, or takes one message.
+    /// Sends the bind request once connected, or processes one message.
     fn step(&mut self, now: f64) -> Result<Progress, LinkError> {
         let Some(link) = &mut self.link else { return Ok(Progress::Wait) };
         if self.link_state == LinkState::Connecting {
@@ -223,21 +225,21 @@
             return Ok(Progress::Continue);
         }
         link.flush()?;
-        let filled = link.fill();
+        let read_status = link.fill();
         let mut bytes = BytesMut::from(link.data());
-        let unread = bytes.len();
+        let unread_bytes = bytes.len();
         let message = LdapCodec::new(Some(MAX_MESSAGE_BYTES)).decode(&mut bytes);
-        link.consume(unread - bytes.len());
+        link.consume(unread_bytes - bytes.len());
         match message {
             Ok(Some(message)) => {
                 if let Err(error) = self.on_message(now, message) {
-                    // The new link, where there is one, is processed in the same turn.
+                    // If this has started a new link, it is processed in the same turn.
                     self.on_link_lost(now, &error);
                 }
                 Ok(Progress::Continue)
             }
-            Ok(None) if filled != ReadStatus::Open => Err(LinkError::Closed),
-            Ok(None) if unread >= MAX_MESSAGE_BYTES => Err(LinkError::MessageTooLong),
+            Ok(None) if read_status != ReadStatus::Open => Err(LinkError::Closed),
+            Ok(None) if unread_bytes >= MAX_MESSAGE_BYTES => Err(LinkError::MessageTooLong),
             Ok(None) => Ok(Progress::Wait),
             Err(_) => Err(LinkError::MalformedMessage),
         }
@@ -267,7 +269,7 @@
         Ok(())
     }
 
-    /// Searches each identity that lookups wait for.
+    /// Starts one search for each identity that lookups wait for.
     fn search_waiting(&mut self) {
         let mut identities: Vec<Rc<str>> =
             self.waiting.iter().map(|waiting| waiting.identity.clone()).collect();
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Collects the tenants of an entry.
+    /// Adds the tenants of an entry to its search.
     fn on_entry(&mut self, message_id: i32, entry: &LdapSearchResultEntry) {
         let Some(search) = self.searches.get_mut(&message_id) else { return };
         let wanted_name = &self.settings.tenant_attribute;
@@ -292,7 +294,7 @@
         let Some(search) = self.searches.remove(&message_id) else { return };
         let result = match (code, &search.tenants[..]) {
             (LdapResultCode::Success, [tenant]) => LookupResult::Tenant(tenant.clone()),
-            // No tenant, or more than one: whose requests these are is not known.
+            // No tenant, or more than one, so that the identity is ambiguous.
             (
                 LdapResultCode::Success | LdapResultCode::SizeLimitExceeded | LdapResultCode::NoSuchObject,
                 _,
@@ -306,12 +308,12 @@
         self.complete_lookups(now, search.identity, &result);
     }
 
-    /// Ends all lookups of an identity, and caches what the directory knows of it.
+    /// Completes all lookups of an identity, and caches the result unless it is a failure.
     fn complete_lookups(&mut self, now: f64, identity: Rc<str>, result: &LookupResult) {
         let waiting = std::mem::take(&mut self.waiting);
-        let (completed, rest): (Vec<_>, Vec<_>) =
+        let (completed, still_waiting): (Vec<_>, Vec<_>) =
             waiting.into_iter().partition(|waiting| waiting.identity == identity);
-        self.waiting = rest;
+        self.waiting = still_waiting;
         self.results.extend(completed.into_iter().map(|lookup| (lookup.ticket, result.clone())));
         let cache_s = self.settings.cache_s;
         match result {
@@ -321,7 +323,8 @@
         }
     }
 
-    /// Caches a result. In a full cache expired entries go first, then the one that would expire soonest.
+    /// Caches a result. If the cache is full, it evicts expired entries; if there are none, the entry that expires
+    /// soonest.
     fn cache(&mut self, now: f64, identity: Rc<str>, tenant: Option<Rc<str>>, cache_s: f64) {
         let max_entries = self.settings.cache_entries;
         if self.cache.len() >= max_entries {
@@ -345,7 +348,7 @@
             sizelimit: MAX_ENTRIES,
             timelimit: (self.settings.timeout_ms / 1000.0).ceil() as i32,
             typesonly: false,
-            // The value goes as bytes of its own, so that nothing in it is read as a filter.
+            // The value is encoded as a separate octet string, so that it can't inject filter syntax.
             filter: LdapFilter::Equality(self.settings.identity_attribute.clone(), identity.to_string()),
             attrs: vec![self.settings.tenant_attribute.clone()],
         };
@@ -353,12 +356,12 @@
         self.searches.insert(message_id, Search { identity, tenants: Vec::new() });
     }
 
-    /// Queues a message; gives its id back.
+    /// Queues a message and returns its id.
     fn send(&mut self, op: LdapOp) -> i32 {
         self.last_message_id = self.last_message_id % i32::MAX + 1;
         let message = LdapMsg { msgid: self.last_message_id, op, ctrl: Vec::new() };
         let mut bytes = BytesMut::new();
-        // What can't be encoded is not sent, and its lookup times out.
+        // A message that can't be encoded is not sent, and its lookup times out.
         if LdapCodec::new(Some(MAX_MESSAGE_BYTES)).encode(message, &mut bytes).is_ok() {
             if let Some(link) = &mut self.link {
                 link.push(bytes.to_vec());
@@ -367,7 +370,7 @@
         self.last_message_id
     }
 
-    /// Writes what lookups of this turn have queued.
+    /// Writes queued messages.
     pub fn flush(&mut self, now: f64) {
         if self.link_state == LinkState::Connecting {
             return;
--- a/tests/ajp/directory.rs
+++ b/tests/ajp/directory.rs
@@ -172,6 +172,6 @@
     portal.send(&by("anna"), b"hello");
     Ldap::accept(&listener).bind(LdapResultCode::InvalidCredentials);
     assert_eq!(portal.read_response().0.status, 503);
-    worker.wait_log("bind was refused");
+    worker.wait_log("LDAP bind rejected");
     executor.expect_no_command(&worker);
 }
