--- a/src/net/upstreams/ajp_backend/error.rs
+++ b/src/net/upstreams/ajp_backend/error.rs
@@ -1,4 +1,4 @@
-//! Why connections to AJP servers end.
+//! Errors of connections to AJP servers.
 
 use crate::net::upstreams::ajp_codec::PacketError;
 use std::io;
@@ -6,8 +6,8 @@
 /// Why a connection to an AJP server is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The server did not answer in time.
-    #[error("no answer in time")]
+    /// The server did not accept the connection or respond in time.
+    #[error("AJP server did not respond in time")]
     Timeout,
     /// The connection could not be established.
     #[error("{0}")]
@@ -15,16 +15,16 @@
     /// Writing failed.
     #[error("broken")]
     Write,
-    /// The server has closed it.
+    /// The server has closed the connection.
     #[error("closed")]
     Closed,
-    /// A packet can't be read.
-    #[error("a bad packet: {0:?}")]
+    /// A packet is invalid.
+    #[error("invalid AJP packet: {0:?}")]
     Packet(#[source] PacketError),
-    /// A message came while no request was open.
-    #[error("a message without a request")]
+    /// The server has sent a message while no request was in flight.
+    #[error("AJP message received without a request in flight")]
     MessageWithoutRequest,
-    /// A message came that does not fit the request's state.
-    #[error("an unfit message")]
+    /// The server has sent a message that is invalid or not allowed in the request's state.
+    #[error("unexpected AJP message")]
     UnexpectedMessage,
 }
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -1,8 +1,8 @@
-//! AJP servers as the backend: a run is a Forward Request to one of them.
+//! Backend for AJP servers: each run is a Forward Request to one of them.
 //!
-//! A connection that has carried a request is asked with `CPing` first. As long as no byte of the request has gone out,
-//! the run can go elsewhere or be returned as never run; from the first byte on any break means that it may have run,
-//! and it is never repeated.
+//! A reused connection is first checked with a `CPing`. Until a byte of the request has been sent, the run can be moved
+//! to another connection or reported as never run. After the first byte, losing the connection means that it may have
+//! run, and it is never retried.
 
 #![warn(missing_docs)]
 
@@ -28,16 +28,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long a server may take to accept a connection or to answer a `CPing` (seconds).
-const PONG_TIMEOUT_S: f64 = 1.0;
+/// Timeout for connecting and for the response to a `CPing` (seconds).
+const ALIVE_TIMEOUT_S: f64 = 1.0;
 
-/// How long a run may go on after its deadline: its result may still be asked for (seconds).
-const OVERTIME_S: f64 = 10.0;
+/// How long the backend waits for a response after the run's deadline (seconds): a client may still request the result.
+const POST_DEADLINE_WAIT_S: f64 = 10.0;
 
-/// How long an idle connection is kept (seconds).
+/// Idle connections are closed after this time (seconds).
 const IDLE_TIMEOUT_S: f64 = 30.0;
 
-/// What becomes of a connection after a step.
+/// Whether [`AjpBackend::step`] can be called again or must wait for the socket.
 enum Progress {
     Continue,
     Wait,
@@ -46,7 +46,7 @@
 struct Connection {
     link: Link,
     connected: bool,
-    /// Whether it has carried a request.
+    /// Whether a request has completed on it.
     used: bool,
     run: Option<Run>,
     idle_since: f64,
@@ -62,55 +62,55 @@
     }
 }
 
-/// The parts of the worker that the backend uses in one turn of the loop.
+/// Parts of the worker that the backend uses in one turn of the event loop.
 struct Turn<'a> {
     now: f64,
     inputs: &'a mut Vec<Input>,
     wheel: &'a mut Wheel,
 }
 
-/// The connections to the servers, and the runs on them.
+/// Connection pool for the AJP servers, with the runs in flight.
 pub struct AjpBackend {
     settings: BackendSettings,
     poll: Poll,
     connections: HashMap<u64, Connection>,
-    /// Connections that are to be processed.
-    touched: Vec<u64>,
-    /// Counts connections opened, to take the servers in turn.
+    /// Ids of connections to process in the next [`AjpBackend::gather`].
+    pending_ids: Vec<u64>,
+    /// Counts the connections opened, to select the servers round-robin.
     next_server: usize,
-    /// Runs that could not be begun, returned with the next [`AjpBackend::gather`].
+    /// Runs that could not be started; reported by the next [`AjpBackend::gather`].
     never_ran: Vec<Rc<str>>,
 }
 
 impl AjpBackend {
-    /// A backend without connections.
+    /// Creates a backend without connections.
     #[must_use]
     pub fn new(poll: &Poll, settings: BackendSettings) -> AjpBackend {
         AjpBackend {
             settings,
             poll: poll.clone(),
             connections: HashMap::new(),
-            touched: Vec::new(),
+            pending_ids: Vec::new(),
             next_server: 0,
             never_ran: Vec::new(),
         }
     }
 
-    /// Records a connection's readiness, and has it processed.
+    /// Records the readiness that the event loop reported for a connection.
     pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.link.mark(readiness);
-            self.touched.push(id);
+            self.pending_ids.push(id);
         }
     }
 
-    /// Whether there is something to process without an event of the poll.
+    /// Whether there is something to process without a readiness event.
     #[must_use]
     pub fn has_pending(&self) -> bool {
-        !self.touched.is_empty() || !self.never_ran.is_empty()
+        !self.pending_ids.is_empty() || !self.never_ran.is_empty()
     }
 
-    /// Starts a run; `deadline` is on the loop's clock (seconds).
+    /// Starts a run; `deadline` is in seconds on the event loop's clock.
     pub fn run(
         &mut self,
         now: f64,
@@ -120,20 +120,20 @@
         deadline: f64,
         wheel: &mut Wheel,
     ) {
-        self.place(now, Run::new(name, class, body, deadline), wheel);
+        self.assign_connection(now, Run::new(name, class, body, deadline), wheel);
     }
 
-    /// Finds a connection for a run of which no byte has gone out, or returns it as never run.
-    fn place(&mut self, now: f64, mut run: Run, wheel: &mut Wheel) {
+    /// Assigns a connection to a run of which no byte has been sent, or reports the run as never run.
+    fn assign_connection(&mut self, now: f64, mut run: Run, wheel: &mut Wheel) {
         run.attempts += 1;
-        run.sent_before = None;
-        // Idle connections may all be stale: beyond them each server is tried once.
+        run.request_offset = None;
+        // All idle connections may be stale; after them, each server is tried once.
         let max_attempts = self.settings.servers.len() + MAX_IDLE;
         let id = match take_idle(&mut self.connections, now, 0.0, IDLE_TIMEOUT_S) {
             Some(id) => id,
             None if run.attempts <= max_attempts => match self.open(now) {
                 Some(id) => id,
-                None => return self.place_elsewhere(now, run, wheel),
+                None => return self.try_next_server(now, run, wheel),
             },
             None => return self.never_ran.push(run.name),
         };
@@ -142,21 +142,22 @@
             connection.link.push(ajp_codec::write_cping());
         }
         run.timer_number = self.poll.next_id();
-        wheel.set(now, PONG_TIMEOUT_S, Timer::Run(run.timer_number));
+        wheel.set(now, ALIVE_TIMEOUT_S, Timer::Run(run.timer_number));
         connection.run = Some(run);
-        self.touched.push(id);
+        self.pending_ids.push(id);
     }
 
-    /// Tries the next server after one that could not be connected to, while there are any.
-    fn place_elsewhere(&mut self, now: f64, run: Run, wheel: &mut Wheel) {
+    /// Tries the next server after connecting to one failed immediately; reports the run as never run once all were
+    /// tried.
+    fn try_next_server(&mut self, now: f64, run: Run, wheel: &mut Wheel) {
         if run.attempts < self.settings.servers.len() {
-            self.place(now, run, wheel);
+            self.assign_connection(now, run, wheel);
         } else {
             self.never_ran.push(run.name);
         }
     }
 
-    /// Begins a connection to the next server.
+    /// Starts connecting to the next server.
     fn open(&mut self, now: f64) -> Option<u64> {
         let servers: &[SocketAddr] = &self.settings.servers;
         let address = *servers.get(self.next_server % servers.len().max(1))?;
@@ -168,23 +169,24 @@
         Some(id)
     }
 
-    /// Takes the expiry of a run's timer.
+    /// Handles the expiry of a run's timer.
     pub fn on_timer(&mut self, now: f64, number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
-        let waits =
+        let has_timer =
             |connection: &Connection| connection.run.as_ref().is_some_and(|run| run.timer_number == number);
-        let expired = self.connections.iter().find(|(_, connection)| waits(connection)).map(|(id, _)| *id);
-        if let Some(id) = expired {
-            self.on_broken(id, &ConnectionError::Timeout, &mut Turn { now, inputs, wheel });
+        let expired_id =
+            self.connections.iter().find(|(_, connection)| has_timer(connection)).map(|(id, _)| *id);
+        if let Some(id) = expired_id {
+            self.on_connection_lost(id, &ConnectionError::Timeout, &mut Turn { now, inputs, wheel });
         }
     }
 
-    /// Processes the connections that something happened to.
+    /// Processes the connections in `pending_ids`, and reports the runs that have ended or never ran in `inputs`.
     pub fn gather(&mut self, now: f64, catalog: &Catalog, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
-        let mut touched = std::mem::take(&mut self.touched);
-        touched.sort_unstable();
-        touched.dedup();
+        let mut pending_ids = std::mem::take(&mut self.pending_ids);
+        pending_ids.sort_unstable();
+        pending_ids.dedup();
         let mut turn = Turn { now, inputs, wheel };
-        for id in touched {
+        for id in pending_ids {
             self.process_connection(id, catalog, &mut turn);
         }
         turn.inputs.extend(self.never_ran.drain(..).map(|name| Input::NeverRan { name }));
@@ -195,12 +197,12 @@
             match self.step(id, catalog, turn) {
                 Ok(Progress::Continue) => {}
                 Ok(Progress::Wait) => return,
-                Err(error) => return self.on_broken(id, &error, turn),
+                Err(error) => return self.on_connection_lost(id, &error, turn),
             }
         }
     }
 
-    /// Connects, sends a request, or takes one message.
+    /// Finishes connecting, sends a request or processes one message.
     fn step(&mut self, id: u64, catalog: &Catalog, turn: &mut Turn) -> Result<Progress, ConnectionError> {
         let Some(connection) = self.connections.get_mut(&id) else { return Ok(Progress::Wait) };
         if !connection.connected {
@@ -210,17 +212,17 @@
                 Some(Ok(())) => connection.connected = true,
             }
         }
-        let request_waits = connection.run.as_ref().is_some_and(|run| run.sent_before.is_none());
-        if !connection.used && request_waits {
+        let has_unsent_request = connection.run.as_ref().is_some_and(|run| run.request_offset.is_none());
+        if !connection.used && has_unsent_request {
             self.send_request(id, catalog, turn);
             return Ok(Progress::Continue);
         }
         connection.link.flush().map_err(|_| ConnectionError::Write)?;
-        let filled = connection.link.fill();
+        let read_status = connection.link.fill();
         let packet = ajp_codec::find_packet(connection.link.data(), Direction::ToWebServer);
         let payload = match packet.map_err(ConnectionError::Packet)? {
             Some(payload) => payload,
-            None if filled != ReadStatus::Open => return Err(ConnectionError::Closed),
+            None if read_status != ReadStatus::Open => return Err(ConnectionError::Closed),
             None => return Ok(Progress::Wait),
         };
         let packet_end = payload.end;
@@ -230,7 +232,7 @@
         let reaction = run.on_message(&message)?;
         connection.link.consume(packet_end);
         match reaction {
-            Reaction::ReadOn => {}
+            Reaction::AwaitMessage => {}
             Reaction::SendRequest => self.send_request(id, catalog, turn),
             Reaction::EndBody => connection.link.push(ajp_codec::write_body(&[]).unwrap_or_default()),
             Reaction::Complete { reuse } => self.on_complete(id, reuse, turn),
@@ -238,7 +240,7 @@
         Ok(Progress::Continue)
     }
 
-    /// Ends a run with its response, and keeps its connection where there is room in the pool.
+    /// Reports a run that has completed, and returns its connection to the pool if that has room.
     fn on_complete(&mut self, id: u64, reuse: bool, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.used = true;
@@ -250,7 +252,7 @@
         turn.inputs.extend(run.map(Run::into_ended));
     }
 
-    /// Queues the request: from its first byte on the run may have begun.
+    /// Queues the request. Once its first byte is sent, the run may have started.
     fn send_request(&mut self, id: u64, catalog: &Catalog, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Some(run) = &mut connection.run else { return };
@@ -265,32 +267,33 @@
             secret: self.settings.secret.as_deref().map(str::as_bytes),
         };
         run.timer_number = self.poll.next_id();
-        run.sent_before = Some(connection.link.sent + connection.link.queued() as u64);
-        let timeout_s = (run.deadline - turn.now).max(0.0) + OVERTIME_S;
+        run.request_offset = Some(connection.link.sent + connection.link.queued() as u64);
+        let timeout_s = (run.deadline - turn.now).max(0.0) + POST_DEADLINE_WAIT_S;
         turn.wheel.set(turn.now, timeout_s, Timer::Run(run.timer_number));
         match ajp_codec::write_forward(&forward) {
             Some(head) => connection.link.push(head),
             None => UpstreamEvent::AjpBackendRequestTooLarge.emit(),
         }
         if !run.body.is_empty() {
-            // A body is 2 KiB at most and goes in one packet, unasked, behind the head.
+            // A body is 2 KiB at most, so it fits into one packet, which is sent right after the head without a request
+            // for it.
             connection.link.push(ajp_codec::write_body(&run.body).unwrap_or_default());
         }
-        self.touched.push(id);
+        self.pending_ids.push(id);
     }
 
-    /// Gives a connection up. What it carried goes elsewhere only if no byte of it has gone out.
-    fn on_broken(&mut self, id: u64, error: &ConnectionError, turn: &mut Turn) {
+    /// Closes a connection after an error. Its run moves to another connection only if no byte of its request was sent.
+    fn on_connection_lost(&mut self, id: u64, error: &ConnectionError, turn: &mut Turn) {
         let Some(connection) = self.connections.remove(&id) else { return };
         let Some(run) = connection.run else { return };
         UpstreamEvent::AjpBackendFailed(error).emit();
-        if run.sent_before.is_none_or(|sent_before| connection.link.sent <= sent_before) {
-            return self.place(turn.now, run, turn.wheel);
+        if run.request_offset.is_none_or(|request_offset| connection.link.sent <= request_offset) {
+            return self.assign_connection(turn.now, run, turn.wheel);
         }
         turn.inputs.push(Input::RunEnded { name: run.name, outcome: Outcome::Interrupted, result: None });
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&mut self, now: f64) {
         self.connections
             .retain(|_, connection| connection.run.is_some() || now - connection.idle_since < IDLE_TIMEOUT_S);
--- a/src/net/upstreams/ajp_backend/run.rs
+++ b/src/net/upstreams/ajp_backend/run.rs
@@ -1,4 +1,4 @@
-//! A run at an AJP server: what has been sent, and what the server's messages ask for.
+//! State of a run on an AJP server, and the reactions to the server's messages.
 
 use super::ConnectionError;
 use crate::dispatch::Input;
@@ -6,40 +6,40 @@
 use crate::net::upstreams::ajp_codec::ToWebServer;
 use std::rc::Rc;
 
-/// The longest result of a run (bytes).
+/// Maximum length of a run's result (bytes).
 const MAX_RESULT_BYTES: usize = 64 * 1024;
 
-/// A run that a server executes, or is to execute.
+/// A run assigned to a server, before or after its request was sent.
 pub(super) struct Run {
-    /// Changes with each timer that is set for the run, so that an old timer finds nothing.
+    /// Number of the latest timer set for the run; earlier timers no longer match and are ignored.
     pub(super) timer_number: u64,
     pub(super) name: Rc<str>,
     pub(super) class: usize,
     pub(super) body: Rc<[u8]>,
-    /// Its deadline (loop's clock, seconds).
+    /// Its deadline (event loop's clock, seconds).
     pub(super) deadline: f64,
-    /// Connections tried so far without a byte of the request having gone out.
+    /// Number of connections tried so far, on none of which a byte of the request was sent.
     pub(super) attempts: usize,
-    /// How many bytes the link had sent before the request; `None` before the request is queued.
-    pub(super) sent_before: Option<u64>,
+    /// Number of bytes sent on the link before the request's first byte; `None` until the request is queued.
+    pub(super) request_offset: Option<u64>,
     pub(super) status: u16,
     pub(super) result: Vec<u8>,
 }
 
-/// What a message of the server asks for.
+/// What to do after a message from the server.
 pub(super) enum Reaction {
-    /// Nothing: more of the response comes.
-    ReadOn,
-    /// The connection is alive: the request is sent.
+    /// Wait for the next message.
+    AwaitMessage,
+    /// The server has answered the `CPing`: send the request.
     SendRequest,
-    /// All of the body has been sent unasked: its end is sent too.
+    /// The server requests more of the body, all of which has been sent: send an empty body packet as its end.
     EndBody,
-    /// The run has ended; `reuse` tells whether the connection may carry another.
+    /// The run has ended; `reuse` says whether the connection may be reused.
     Complete { reuse: bool },
 }
 
 impl Run {
-    /// A run that no server has been tried for.
+    /// Creates a run that is not assigned to a connection yet.
     pub(super) fn new(name: Rc<str>, class: usize, body: Rc<[u8]>, deadline: f64) -> Run {
         Run {
             timer_number: 0,
@@ -48,15 +48,15 @@
             body,
             deadline,
             attempts: 0,
-            sent_before: None,
+            request_offset: None,
             status: 0,
             result: Vec::new(),
         }
     }
 
-    /// Takes a message of the server.
+    /// Processes a message from the server.
     pub(super) fn on_message(&mut self, message: &ToWebServer) -> Result<Reaction, ConnectionError> {
-        if self.sent_before.is_none() {
+        if self.request_offset.is_none() {
             return match message {
                 ToWebServer::CPong => Ok(Reaction::SendRequest),
                 _ => Err(ConnectionError::UnexpectedMessage),
@@ -65,11 +65,11 @@
         match message {
             ToWebServer::Headers { status, .. } => {
                 self.status = *status;
-                Ok(Reaction::ReadOn)
+                Ok(Reaction::AwaitMessage)
             }
             ToWebServer::Chunk(bytes) if self.result.len() + bytes.len() <= MAX_RESULT_BYTES => {
                 self.result.extend_from_slice(bytes);
-                Ok(Reaction::ReadOn)
+                Ok(Reaction::AwaitMessage)
             }
             ToWebServer::GetBody(_) => Ok(Reaction::EndBody),
             ToWebServer::End { reuse } => Ok(Reaction::Complete { reuse: *reuse }),
@@ -77,10 +77,10 @@
         }
     }
 
-    /// A status of success carries the result; any other is a failed run.
+    /// Converts the ended run to the dispatcher's input. It succeeded, with a result, if the status is 2xx.
     pub(super) fn into_ended(self) -> Input {
-        let served = (200..300).contains(&self.status);
-        let outcome = if served { Outcome::Ok } else { Outcome::Error };
-        Input::RunEnded { name: self.name, outcome, result: served.then(|| self.result.into()) }
+        let succeeded = (200..300).contains(&self.status);
+        let outcome = if succeeded { Outcome::Ok } else { Outcome::Error };
+        Input::RunEnded { name: self.name, outcome, result: succeeded.then(|| self.result.into()) }
     }
 }
