--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -1,7 +1,8 @@
-//! The link to the coordinators, and the scheduled calls of a lease holder: sockets around [`crate::fleet`].
+//! The link to the coordinators and the scheduled calls of a lease holder: the network side of [`crate::fleet`].
 //!
-//! No turn of the worker waits for it. There is one link, with bounded buffers in both directions, and at most one call for
-//! each of the operator's tasks. Its clock goes on while the machine is suspended, since leases expire meanwhile.
+//! It never blocks a turn of the worker. There is one link, with bounded buffers in both directions, and at most one
+//! call in flight per task. Its clock includes time during which the machine is suspended, since leases expire
+//! meanwhile.
 
 mod scheduled_call;
 
@@ -19,17 +20,18 @@
 use std::hash::BuildHasher;
 use std::net::SocketAddr;
 
-/// Most bytes that may wait to be written to a coordinator; a link that accepts no more is closed.
+/// Maximum number of bytes queued for a coordinator; a link with more is closed.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
-/// Most messages that are read in a turn: the rest waits for the next.
+/// Maximum number of messages read in one turn; further ones are read in the next turn.
 const MAX_MESSAGES_PER_TURN: usize = 64;
-/// Most times in a turn that actions are taken which follow from earlier ones: the rest waits for the next.
+/// Maximum number of rounds in one turn in which actions are executed that result from earlier actions; further ones
+/// are executed in the next turn.
 const MAX_ACTION_ROUNDS: usize = 8;
-/// Room in the receive buffer for the length in front of a frame.
-const FRAME_HEAD_BYTES: usize = 4;
-/// Resolution of the worker's timers (seconds).
+/// Size of a frame's length prefix.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// Resolution of the worker's timer wheel (seconds).
 const TIMER_RESOLUTION_S: f64 = 0.004;
-/// The longest time until the next turn (seconds).
+/// Maximum time until the next turn (seconds).
 const MAX_SLEEP_S: f64 = 3600.0;
 
 /// The connection to one coordinator.
@@ -39,28 +41,28 @@
     connected: bool,
 }
 
-/// A worker's membership with its sockets.
+/// A worker's fleet membership with its sockets.
 pub struct CoordinatorLink {
     poll: Poll,
-    /// The membership itself.
+    /// The state machine of the membership.
     pub member: FleetMember,
     connection: Option<CoordinatorConnection>,
     calls: Vec<CallInFlight>,
-    /// When the timer wheel wakes for it next, on the wheel's clock.
-    wakes_at: f64,
+    /// When the next [`Timer::Fleet`] expires (event loop's clock, seconds).
+    next_wakeup_at: f64,
     started_at: f64,
-    /// Something is left for the next turn.
-    work_left: bool,
+    /// Whether messages or actions are left for the next turn.
+    has_pending_work: bool,
 }
 
-/// Seconds on a clock that is never set, and goes on while the machine is suspended.
+/// Seconds on a monotonic clock that includes time during which the machine is suspended.
 fn boot_time_s() -> f64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
 impl CoordinatorLink {
-    /// A membership that is not connected yet.
+    /// Creates a membership that is not connected yet.
     #[must_use]
     pub fn new(poll: &Poll, config: MembershipConfig) -> CoordinatorLink {
         let random = RandomState::new();
@@ -72,19 +74,19 @@
             member: FleetMember::new(0.0, config, Incarnation(incarnation), backoff_seed),
             connection: None,
             calls: Vec::new(),
-            wakes_at: f64::INFINITY,
+            next_wakeup_at: f64::INFINITY,
             started_at,
-            work_left: false,
+            has_pending_work: false,
         }
     }
 
-    /// Time on the membership's own clock (seconds since it was made).
+    /// Time on the membership's clock (seconds since its creation).
     #[must_use]
     pub fn now(&self) -> f64 {
         boot_time_s() - self.started_at
     }
 
-    /// Notes that a socket has become ready.
+    /// Records the readiness that the event loop reported for a socket.
     pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.connection.as_mut().filter(|connection| connection.id == id) {
             connection.link.mark(readiness);
@@ -93,14 +95,15 @@
         }
     }
 
-    /// Handles what has arrived and what is due, and writes what is to be sent. `counters` is called when they are due.
+    /// Handles received messages and expired timers, and writes queued messages. `counters` is only called if a report
+    /// of them is due.
     pub fn turn(&mut self, loop_now: f64, counters: impl Fn() -> Counters, wheel: &mut Wheel) {
-        self.work_left = false;
+        self.has_pending_work = false;
         let now = self.now();
         self.receive(now);
         self.poll_calls(now);
         self.member.tick(now, &counters);
-        self.carry_out_actions(now);
+        self.execute_actions(now);
         self.flush(now);
         self.schedule_next_turn(now, loop_now, wheel);
     }
@@ -110,7 +113,7 @@
         self.member.disconnected(now);
     }
 
-    /// Completes the connection, and handles the messages that have arrived on it.
+    /// Finishes connecting if necessary, and handles the messages received on the connection.
     fn receive(&mut self, now: f64) {
         let Some(connection) = &mut self.connection else { return };
         if !connection.connected {
@@ -125,31 +128,31 @@
             }
         }
         let link = &mut connection.link;
-        let filled = link.fill();
+        let read_status = link.fill();
         let (messages, is_malformed) = read_messages(link);
-        self.work_left |= messages.len() == MAX_MESSAGES_PER_TURN || link.has_unread();
+        self.has_pending_work |= messages.len() == MAX_MESSAGES_PER_TURN || link.has_unread();
         for message in &messages {
             self.member.receive(now, message);
         }
-        if is_malformed || filled != ReadStatus::Open {
+        if is_malformed || read_status != ReadStatus::Open {
             self.close_connection(now);
         }
     }
 
-    fn carry_out_actions(&mut self, now: f64) {
+    fn execute_actions(&mut self, now: f64) {
         for round in 1..=MAX_ACTION_ROUNDS {
             let actions = self.member.take_actions();
             if actions.is_empty() {
                 break;
             }
             for action in actions {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
-            self.work_left |= round == MAX_ACTION_ROUNDS;
+            self.has_pending_work |= round == MAX_ACTION_ROUNDS;
         }
     }
 
-    fn carry_out(&mut self, now: f64, action: MemberAction) {
+    fn execute(&mut self, now: f64, action: MemberAction) {
         match action {
             MemberAction::Connect(address) => self.connect(now, address),
             MemberAction::Send(message) => {
@@ -159,7 +162,7 @@
             }
             MemberAction::Close => {
                 if let Some(connection) = &mut self.connection {
-                    // The last messages may still go out.
+                    // Best effort to deliver the last messages.
                     let _ = connection.link.flush();
                 }
                 self.connection = None;
@@ -171,8 +174,8 @@
 
     fn connect(&mut self, now: f64, address: SocketAddr) {
         let id = self.poll.next_id();
-        let room = MAX_SERVER_FRAME_BYTES + FRAME_HEAD_BYTES;
-        match Link::connect(&self.poll, address, Source::Coordinator(id), room) {
+        let buffer_bytes = MAX_SERVER_FRAME_BYTES + LENGTH_PREFIX_BYTES;
+        match Link::connect(&self.poll, address, Source::Coordinator(id), buffer_bytes) {
             Ok(link) => self.connection = Some(CoordinatorConnection { id, link, connected: false }),
             Err(_) => self.member.disconnected(now),
         }
@@ -188,15 +191,16 @@
     }
 
     fn schedule_next_turn(&mut self, now: f64, loop_now: f64, wheel: &mut Wheel) {
-        if self.work_left {
+        if self.has_pending_work {
             wheel.set(loop_now, 0.0, Timer::NextTurn);
         }
-        let due = self.calls.iter().map(|call| call.deadline).fold(self.member.next_wakeup(now), f64::min);
-        let wakes_at = loop_now + (due - now).clamp(TIMER_RESOLUTION_S, MAX_SLEEP_S);
-        // Timers are never taken off the wheel: one that is early does no harm, but there must not be many.
-        if wakes_at < self.wakes_at - TIMER_RESOLUTION_S || self.wakes_at <= loop_now {
-            self.wakes_at = wakes_at;
-            wheel.set(loop_now, wakes_at - loop_now, Timer::Fleet);
+        let next_due =
+            self.calls.iter().map(|call| call.deadline).fold(self.member.next_wakeup(now), f64::min);
+        let next_wakeup_at = loop_now + (next_due - now).clamp(TIMER_RESOLUTION_S, MAX_SLEEP_S);
+        // Timers can't be removed from the wheel. An early one is harmless, but their number must stay small.
+        if next_wakeup_at < self.next_wakeup_at - TIMER_RESOLUTION_S || self.next_wakeup_at <= loop_now {
+            self.next_wakeup_at = next_wakeup_at;
+            wheel.set(loop_now, next_wakeup_at - loop_now, Timer::Fleet);
         }
     }
 
@@ -224,7 +228,8 @@
     }
 }
 
-/// Takes the messages that have arrived completely, up to the limit of a turn, and whether a malformed one followed.
+/// Takes the complete messages from the receive buffer, up to the limit of a turn; also returns whether a malformed one
+/// followed.
 fn read_messages(link: &mut Link) -> (Vec<ServerMessage>, bool) {
     let mut messages = Vec::new();
     while messages.len() < MAX_MESSAGES_PER_TURN {
--- a/src/net/upstreams/coordinator_link/scheduled_call.rs
+++ b/src/net/upstreams/coordinator_link/scheduled_call.rs
@@ -1,4 +1,4 @@
-//! One scheduled call: a request without a body, of whose response only the head is read.
+//! A scheduled call: an HTTP request without a body; only the head of its response is read.
 
 use crate::fleet::frame::CallOutcome;
 use crate::fleet::tasks::{Schedule, ScheduledCall};
@@ -7,29 +7,29 @@
 use crate::net::io::source::{Readiness, Source};
 use std::io;
 
-/// Largest head of a response (bytes); what follows it is not read.
+/// Maximum length of a response's head (bytes); the body is not read.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Most headers in a response.
+/// Maximum number of headers in a response.
 const MAX_HEADERS: usize = 64;
 
-/// A call whose response is awaited.
+/// A call in flight.
 pub(super) struct CallInFlight {
     pub(super) id: u64,
     pub(super) link: Link,
-    /// When it has failed at the latest.
+    /// Time at which it times out.
     pub(super) deadline: f64,
     /// Index of its task in the configuration.
     pub(super) task: usize,
     connected: bool,
-    /// The request, until it is handed to the link.
+    /// The request; taken once it is queued on the link.
     request: Option<Vec<u8>>,
 }
 
 impl CallInFlight {
-    /// Connects to the task's address.
+    /// Starts connecting to the task's address.
     ///
     /// # Errors
-    /// The connection could not even be begun: the call certainly had no effect.
+    /// Connecting failed immediately, so the call certainly had no effect.
     pub(super) fn start(
         poll: &Poll,
         id: u64,
@@ -45,30 +45,30 @@
             deadline: now + task.deadline_s,
             task: call.task,
             connected: false,
-            request: Some(request(task, holder, call)),
+            request: Some(encode_request(task, holder, call)),
         })
     }
 
-    /// Advances the call; its outcome once it has ended.
+    /// Advances the call; returns its outcome once it has ended.
     pub(super) fn poll(&mut self, now: f64) -> Option<CallOutcome> {
-        if !self.connected && self.connect().is_err() {
+        if !self.connected && self.poll_connect().is_err() {
             return Some(CallOutcome::NotDone);
         }
         if now >= self.deadline {
-            return Some(self.interrupted());
+            return Some(self.outcome_without_response());
         }
         if !self.connected {
             return None;
         }
         if self.link.flush().is_err() {
-            return Some(self.interrupted());
+            return Some(self.outcome_without_response());
         }
-        let filled = self.link.fill();
-        self.read_head(filled)
+        let read_status = self.link.fill();
+        self.read_head(read_status)
     }
 
-    /// Sends the request once the connection stands.
-    fn connect(&mut self) -> io::Result<()> {
+    /// Queues the request once the connection is established.
+    fn poll_connect(&mut self) -> io::Result<()> {
         let Some(result) = self.link.connected() else { return Ok(()) };
         result?;
         self.connected = true;
@@ -79,8 +79,8 @@
         Ok(())
     }
 
-    /// The outcome of a call without a response. Until a byte has been sent, it can't have had an effect.
-    fn interrupted(&self) -> CallOutcome {
+    /// The outcome of a call that ended without a response. If no byte was sent, it can't have had an effect.
+    fn outcome_without_response(&self) -> CallOutcome {
         if self.link.sent == 0 {
             CallOutcome::NotDone
         } else {
@@ -88,21 +88,21 @@
         }
     }
 
-    fn read_head(&self, filled: ReadStatus) -> Option<CallOutcome> {
+    fn read_head(&self, read_status: ReadStatus) -> Option<CallOutcome> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let is_incomplete = match head.parse(self.link.data()) {
-            Ok(httparse::Status::Complete(_)) => return Some(outcome_of(head.code)),
+            Ok(httparse::Status::Complete(_)) => return Some(outcome_of_status(head.code)),
             Ok(httparse::Status::Partial) => {
-                filled == ReadStatus::Open && self.link.data().len() < MAX_HEAD_BYTES
+                read_status == ReadStatus::Open && self.link.data().len() < MAX_HEAD_BYTES
             }
             Err(_) => false,
         };
-        (!is_incomplete).then(|| self.interrupted())
+        (!is_incomplete).then(|| self.outcome_without_response())
     }
 }
 
-fn request(task: &Schedule, holder: &str, call: &ScheduledCall) -> Vec<u8> {
+fn encode_request(task: &Schedule, holder: &str, call: &ScheduledCall) -> Vec<u8> {
     format!(
         "POST {} HTTP/1.1\r\nHost: {}\r\nFencing-Token: {}\r\nTask-Period: {}\r\nTask: {}\r\nTask-Holder: {}\r\n\
          Content-Length: 0\r\nConnection: close\r\n\r\n",
@@ -111,10 +111,10 @@
     .into_bytes()
 }
 
-fn outcome_of(status: Option<u16>) -> CallOutcome {
+fn outcome_of_status(status: Option<u16>) -> CallOutcome {
     match status {
         Some(200..=299) => CallOutcome::Done,
-        // Rejected before anything was done: a lower token, or no time for it now.
+        // Rejected without any effect: the service knows a higher fencing token, or can't handle the call now.
         Some(409 | 412 | 429 | 503) => CallOutcome::NotDone,
         _ => CallOutcome::Unknown,
     }
--- a/src/net/upstreams/mod.rs
+++ b/src/net/upstreams/mod.rs
@@ -1,4 +1,5 @@
-//! What the worker speaks to: where runs go, calls below, reports, the directory of tenants.
+//! Clients for the services that the worker connects to: executor or AJP servers, records service, registry, tenant
+//! directory and coordinators.
 
 pub mod ajp_backend;
 pub mod ajp_codec;
--- a/src/net/upstreams/registry.rs
+++ b/src/net/upstreams/registry.rs
@@ -1,57 +1,59 @@
-//! Load reports to the registry: datagrams of three words, without an answer.
+//! Load reports to the registry: UDP datagrams of three words, without a response.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// How often a report is due (seconds). A worker is delisted 3 s after its last one. A quarter of the reports may be
-/// lost: all of those within 3 s are then lost once in 10^9 times.
+/// Interval between reports (seconds). The registry delists a worker 3 s after its last report. Even if a quarter of
+/// the reports is lost, the probability that all reports within 3 s are lost is 10^-9.
 pub const HEARTBEAT_INTERVAL_S: f64 = 0.2;
 
-/// The registry, and what was reported last.
+/// Sends load reports to the registry.
 pub struct Registry {
     address: SocketAddr,
     socket: UdpSocket,
     name: String,
-    /// The last reported readiness.
-    reported: Option<bool>,
+    /// The last reported readiness; `None` if nothing was reported to this address yet.
+    last_reported: Option<bool>,
 }
 
 impl Registry {
-    /// Opens a socket for reports about the worker of this name.
+    /// Opens a socket for reports on the worker called `name`.
     ///
     /// # Errors
-    /// The system has no socket for the address.
+    /// No socket can be opened for the address.
     pub fn new(address: SocketAddr, name: &str) -> io::Result<Registry> {
-        Ok(Registry { address, socket: socket(address)?, name: name.to_owned(), reported: None })
+        Ok(Registry { address, socket: open_socket(address)?, name: name.to_owned(), last_reported: None })
     }
 
-    /// Sends later reports to another address.
+    /// Sets the address for later reports.
     ///
     /// # Errors
-    /// The system has no socket for it; reports go on to the old one.
+    /// No socket can be opened for it; reports still go to the old address.
     pub fn set_address(&mut self, address: SocketAddr) -> io::Result<()> {
         if address != self.address {
-            self.socket = socket(address)?;
+            self.socket = open_socket(address)?;
             self.address = address;
-            self.reported = None;
+            self.last_reported = None;
         }
         Ok(())
     }
 
-    /// Reports if the readiness has changed, or if a report is due. A lost datagram is made up for by the next.
+    /// Sends a report if one is due or the readiness has changed. A lost datagram is not resent; the next report
+    /// replaces it.
     pub fn report(&mut self, ready: bool, due: bool) {
-        if due || self.reported != Some(ready) {
+        if due || self.last_reported != Some(ready) {
             let state = if ready { "ready" } else { "draining" };
-            // The registry may be down; the next report tells it the same.
+            // An error is ignored: the registry may be down, and the next report repeats the state.
             let _ = self.socket.send(format!("BEAT {} {state}", self.name).as_bytes());
-            self.reported = Some(ready);
+            self.last_reported = Some(ready);
         }
     }
 }
 
-fn socket(address: SocketAddr) -> io::Result<UdpSocket> {
-    let any: SocketAddr = if address.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
-    let socket = UdpSocket::bind(any)?;
+fn open_socket(address: SocketAddr) -> io::Result<UdpSocket> {
+    let local_address: SocketAddr =
+        if address.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
+    let socket = UdpSocket::bind(local_address)?;
     socket.set_nonblocking(true)?;
     socket.connect(address)?;
     Ok(socket)
--- a/src/net/upstreams/set.rs
+++ b/src/net/upstreams/set.rs
@@ -1,4 +1,4 @@
-//! The owner of all upstreams: what runs requests, what they call, and what the worker reports to.
+//! The set of all upstreams of the worker.
 
 use super::ajp_backend::AjpBackend;
 use super::coordinator_link::CoordinatorLink;
@@ -11,30 +11,30 @@
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::Wheel;
 
-/// All that this process connects to.
+/// All services that the worker connects to.
 pub struct Upstreams {
-    /// Runs requests, unless AJP servers do.
+    /// The executor; unused if `ajp_backend` is set.
     pub executor: Executor,
-    /// AJP servers that run requests in the place of the executor.
+    /// AJP servers that run requests instead of the executor.
     pub ajp_backend: Option<AjpBackend>,
-    /// Takes downstream calls.
+    /// The records service, which handles downstream calls.
     pub records: Option<Records>,
-    /// Takes load reports.
+    /// The registry, which receives load reports.
     pub registry: Option<Registry>,
-    /// Knows the tenants of AJP clients.
+    /// The directory, which maps AJP clients to tenants.
     pub directory: Option<Directory>,
     /// The coordinators of the fleet.
     pub coordinators: Option<CoordinatorLink>,
 }
 
 impl Upstreams {
-    /// Records what a connection to an upstream is ready for. Other sources are none of its own.
+    /// Records the readiness of a connection to an upstream; ignores other sources.
     pub fn mark(&mut self, source: Source, readiness: Readiness) {
         match source {
             Source::Executor(id) => self.executor.mark(id, readiness),
             Source::AjpServer(id) => {
-                if let Some(servers) = &mut self.ajp_backend {
-                    servers.mark(id, readiness);
+                if let Some(backend) = &mut self.ajp_backend {
+                    backend.mark(id, readiness);
                 }
             }
             Source::Records(id) => {
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Reads from whatever runs requests.
+    /// Reads from the executor or the AJP servers.
     pub fn gather_runs(&mut self, now: f64, catalog: &Catalog, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
         match &mut self.ajp_backend {
-            Some(servers) => servers.gather(now, catalog, inputs, wheel),
+            Some(backend) => backend.gather(now, catalog, inputs, wheel),
             None => self.executor.gather(now, inputs),
         }
     }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// How far the start of whatever runs requests has come; none while it is not up. AJP servers report nothing of their
-    /// start: they count as up and warm.
+    /// What the executor reported about its start; `None` while it is not up. AJP servers report nothing about their
+    /// start and count as up and warm.
     #[must_use]
     pub fn welcome(&self, now: f64) -> Option<Welcome> {
         if self.ajp_backend.is_some() {
@@ -81,13 +81,13 @@
         self.executor.welcome()
     }
 
-    /// Whether requests can be handed to something that runs them.
+    /// Whether requests can be run: the executor is connected, or AJP servers are configured.
     #[must_use]
     pub fn can_run(&self) -> bool {
         self.ajp_backend.is_some() || self.executor.is_connected()
     }
 
-    /// When the link to the executor is to be connected anew, where it is lost and in use (seconds from now).
+    /// Time until the next attempt to connect to the executor (seconds); `None` if it is connected or not used.
     #[must_use]
     pub fn reconnect_in(&self, now: f64) -> Option<f64> {
         if self.ajp_backend.is_some() {
@@ -96,24 +96,24 @@
         self.executor.reconnect_in(now)
     }
 
-    /// Whether a connection is to be processed without an event of the poll.
+    /// Whether a connection must be processed without a readiness event.
     #[must_use]
     pub fn has_pending(&self) -> bool {
         self.ajp_backend.as_ref().is_some_and(AjpBackend::has_pending)
             || self.records.as_ref().is_some_and(Records::has_pending)
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&mut self, now: f64) {
-        if let Some(servers) = &mut self.ajp_backend {
-            servers.sweep(now);
+        if let Some(backend) = &mut self.ajp_backend {
+            backend.sweep(now);
         }
         if let Some(records) = &mut self.records {
             records.sweep(now);
         }
     }
 
-    /// Writes what waits for the executor and the directory.
+    /// Writes data queued for the executor and the directory.
     pub fn flush(&mut self, now: f64) {
         self.executor.flush(now);
         if let Some(directory) = &mut self.directory {
