--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -90,7 +90,7 @@
                 Accepted::NonePending => return false,
                 Accepted::NoDescriptor if self.resolve_descriptor_shortage(now) => continue,
                 // Guards against spinning: the connection stays in the queue, and the next attempt is left to a timer.
-                Accepted::NoDescriptor | Accepted::TurnLimit => return true,
+                Accepted::NoDescriptor | Accepted::RetryLater => return true,
             };
             if self.by_id.len() >= self.limit {
                 match self.evict_one(now) {
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -173,7 +173,7 @@
     /// Somebody may wait, but there is no descriptor for them.
     NoDescriptor,
     /// Somebody may wait, but this was enough for one turn.
-    TurnLimit,
+    RetryLater,
 }
 
 impl Acceptor {
@@ -231,7 +231,7 @@
             return Accepted::NonePending;
         }
         if taken >= MAX_ACCEPTS_PER_TURN {
-            return Accepted::TurnLimit;
+            return Accepted::RetryLater;
         }
         if !self.poll.has_capacity_for_client() {
             return Accepted::NoDescriptor;
@@ -247,7 +247,7 @@
                 // A client that has gone already: the next may still be there.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Accepted::TurnLimit,
+                Err(_) => return Accepted::RetryLater,
             }
         }
     }
