--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -1,5 +1,5 @@
-//! A watched TCP connection with a bounded input buffer, in which heads are parsed where they lie, and an output
-//! queue that is written with gathered writes.
+//! A watched TCP connection with a bounded input buffer, in which messages are parsed in place, and an output queue
+//! that is written with vectored writes.
 
 use crate::net::io::poll::{self, Poll, Watch};
 use crate::net::io::source::{Readiness, Source};
@@ -11,16 +11,16 @@
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 
-/// Slices handed to one gathered write.
+/// Maximum number of slices in one vectored write.
 const MAX_SLICES: usize = 16;
-/// Bytes discarded with one call.
+/// Maximum number of bytes discarded with one system call.
 const DISCARD_BYTES: usize = 64 * 1024;
-/// How far the input buffer grows at a time, and what an empty one keeps (bytes).
+/// Increment by which the input buffer grows, and the capacity that an empty buffer keeps (bytes).
 const READ_BYTES: usize = 4096;
-/// The system's flag that discards received bytes without copying them.
+/// Flag for `recv`: discards the received bytes without copying them.
 const MSG_TRUNC: i32 = 0x20;
 
-/// Bytes to be written: owned, or a part of shared ones.
+/// Bytes to be written: an owned vector or a range of a shared buffer.
 enum Chunk {
     Owned(Vec<u8>),
     Shared(Rc<[u8]>, std::ops::Range<usize>),
@@ -35,14 +35,14 @@
     }
 }
 
-/// The result of reading.
+/// State of the connection after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadStatus {
-    /// All there was has been read, or the buffer is full.
+    /// The connection is open; all available data has been read, or a limit was reached.
     Open,
-    /// The peer will send no more.
+    /// The peer has closed its sending side.
     Ended,
-    /// The connection is broken.
+    /// The connection has failed.
     Broken,
 }
 
@@ -51,23 +51,23 @@
     stream: Rc<TcpStream>,
     _watch: Watch,
     input: Vec<u8>,
-    start: usize,
+    consumed: usize,
     max_unread_bytes: usize,
     output: VecDeque<Chunk>,
-    written: usize,
+    front_written: usize,
     queued: usize,
-    /// Bytes given to the system so far.
+    /// Total number of bytes written to the socket.
     pub sent: u64,
     readable: bool,
     writable: bool,
-    ended: bool,
+    read_ended: bool,
 }
 
 impl Link {
-    /// Takes a stream in non-blocking mode; at most `max_unread_bytes` unread bytes are buffered.
+    /// Wraps a stream, which must be in non-blocking mode; at most `max_unread_bytes` unread bytes are buffered.
     ///
     /// # Errors
-    /// No descriptor is left in the budget.
+    /// The descriptor budget is exhausted, or the system can't watch the socket.
     pub fn new(poll: &Poll, stream: TcpStream, source: Source, max_unread_bytes: usize) -> io::Result<Link> {
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
@@ -76,23 +76,23 @@
             stream,
             _watch: watch,
             input: Vec::new(),
-            start: 0,
+            consumed: 0,
             max_unread_bytes,
             output: VecDeque::new(),
-            written: 0,
+            front_written: 0,
             queued: 0,
             sent: 0,
-            // What is there before the first event counts too.
+            // Data may be available before the first event is reported.
             readable: true,
             writable: true,
-            ended: false,
+            read_ended: false,
         })
     }
 
-    /// Begins to connect; [`Link::connected`] returns the result once the socket is ready.
+    /// Starts connecting; [`Link::connected`] returns the result once the socket is ready.
     ///
     /// # Errors
-    /// No descriptor is left, or the system refuses at once.
+    /// The descriptor budget is exhausted, or connecting fails immediately.
     pub fn connect(
         poll: &Poll,
         to: std::net::SocketAddr,
@@ -116,7 +116,7 @@
         Ok(link)
     }
 
-    /// Whether the connection is established: `None` while it is being established.
+    /// The result of connecting; `None` while it is still in progress.
     #[must_use]
     pub fn connected(&self) -> Option<io::Result<()>> {
         match self.stream.take_error() {
@@ -130,70 +130,72 @@
         }
     }
 
-    /// Notes the readiness that the loop reports.
+    /// Records the readiness that the event loop reported.
     pub fn mark(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable;
         self.writable |= readiness.writable;
     }
 
-    /// Reads what is there, up to the limit of the buffer; the rest waits, and so does the peer.
+    /// Reads the available data up to the limit of the input buffer. The rest stays in the kernel's buffer, which slows
+    /// the peer down by flow control.
     pub fn fill(&mut self) -> ReadStatus {
-        while self.readable && !self.ended && self.data().len() < self.max_unread_bytes {
-            if self.start > 0 {
-                self.input.drain(..self.start);
-                self.start = 0;
+        while self.readable && !self.read_ended && self.data().len() < self.max_unread_bytes {
+            if self.consumed > 0 {
+                self.input.drain(..self.consumed);
+                self.consumed = 0;
             }
-            let len = self.input.len();
-            let target = self.max_unread_bytes.min(len + READ_BYTES);
-            self.input.resize(target, 0);
-            let got = (&*self.stream).read(&mut self.input[len..]);
-            self.input.truncate(len + got.as_ref().map_or(0, |n| *n));
-            match got {
-                Ok(0) => self.ended = true,
+            let old_length = self.input.len();
+            let target_length = self.max_unread_bytes.min(old_length + READ_BYTES);
+            self.input.resize(target_length, 0);
+            let result = (&*self.stream).read(&mut self.input[old_length..]);
+            self.input.truncate(old_length + result.as_ref().map_or(0, |n| *n));
+            match result {
+                Ok(0) => self.read_ended = true,
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return ReadStatus::Broken,
             }
         }
-        if self.ended {
+        if self.read_ended {
             ReadStatus::Ended
         } else {
             ReadStatus::Open
         }
     }
 
-    /// Discards what is there, up to `most` bytes, without copying it: a peer that goes on sending after its rejection
-    /// must not cost processor time. Returns the result of reading and whether anything came.
+    /// Discards the available data without copying it, and stops after `max_bytes` bytes or somewhat more: a peer that
+    /// keeps sending after it was rejected must not cost processor time. Returns the state of the connection and
+    /// whether any data was received.
     #[expect(clippy::large_stack_arrays, reason = "it is never initialized, and the stack has room for it")]
-    pub fn discard(&mut self, most: usize) -> (ReadStatus, bool) {
+    pub fn discard(&mut self, max_bytes: usize) -> (ReadStatus, bool) {
         self.consume(self.input.len());
         let mut scratch = [MaybeUninit::uninit(); DISCARD_BYTES];
-        let mut dropped = 0;
-        while self.readable && !self.ended && dropped < most {
+        let mut discarded_bytes = 0;
+        while self.readable && !self.read_ended && discarded_bytes < max_bytes {
             match SockRef::from(&*self.stream).recv_with_flags(&mut scratch, MSG_TRUNC) {
-                Ok(0) => self.ended = true,
-                Ok(n) => dropped += n,
+                Ok(0) => self.read_ended = true,
+                Ok(n) => discarded_bytes += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return (ReadStatus::Broken, dropped > 0),
+                Err(_) => return (ReadStatus::Broken, discarded_bytes > 0),
             }
         }
-        (if self.ended { ReadStatus::Ended } else { ReadStatus::Open }, dropped > 0)
+        (if self.read_ended { ReadStatus::Ended } else { ReadStatus::Open }, discarded_bytes > 0)
     }
 
-    /// Sets how many unread bytes are buffered at most.
+    /// Sets the maximum number of unread bytes that are buffered.
     pub fn set_max_unread_bytes(&mut self, max_unread_bytes: usize) {
         self.max_unread_bytes = max_unread_bytes;
     }
 
-    /// Whether more may be there to be read.
+    /// Whether there may be more data to read from the socket.
     #[must_use]
     pub fn has_unread(&self) -> bool {
-        self.readable && !self.ended
+        self.readable && !self.read_ended
     }
 
-    /// Frees the memory of an idle connection's buffers.
+    /// Frees the memory of the buffers if both are empty.
     pub fn shrink(&mut self) {
         if self.input.is_empty() && self.output.is_empty() {
             self.input = Vec::new();
@@ -201,26 +203,26 @@
         }
     }
 
-    /// Frees what the input buffer holds beyond its bytes, for a connection that may wait for long.
+    /// Shrinks the input buffer to its unread bytes, for a connection that may stay inactive for long.
     pub fn shrink_input(&mut self) {
-        self.input.drain(..self.start);
-        self.start = 0;
+        self.input.drain(..self.consumed);
+        self.consumed = 0;
         self.input.shrink_to_fit();
     }
 
-    /// What has been read and not yet consumed.
+    /// The bytes read from the socket and not consumed yet.
     #[must_use]
     pub fn data(&self) -> &[u8] {
-        &self.input[self.start..]
+        &self.input[self.consumed..]
     }
 
-    /// Consumes the first `n` bytes of the input.
+    /// Consumes the first `n` bytes of [`Link::data`].
     pub fn consume(&mut self, n: usize) {
-        self.start = (self.start + n).min(self.input.len());
-        if self.start == self.input.len() {
+        self.consumed = (self.consumed + n).min(self.input.len());
+        if self.consumed == self.input.len() {
             self.input.clear();
-            self.start = 0;
-            // An idle connection keeps no large buffer.
+            self.consumed = 0;
+            // An idle connection must not keep a large buffer.
             self.input.shrink_to(READ_BYTES);
         }
     }
@@ -231,34 +233,34 @@
         self.output.push_back(Chunk::Owned(bytes));
     }
 
-    /// Queues shared bytes.
+    /// Queues a shared buffer to be written.
     pub fn push_shared(&mut self, bytes: Rc<[u8]>) {
         let all = 0..bytes.len();
         self.push_part(bytes, all);
     }
 
-    /// Queues a part of shared bytes.
-    pub fn push_part(&mut self, bytes: Rc<[u8]>, part: std::ops::Range<usize>) {
-        self.queued += part.len();
-        self.output.push_back(Chunk::Shared(bytes, part));
+    /// Queues a range of a shared buffer to be written.
+    pub fn push_part(&mut self, bytes: Rc<[u8]>, range: std::ops::Range<usize>) {
+        self.queued += range.len();
+        self.output.push_back(Chunk::Shared(bytes, range));
     }
 
-    /// Bytes still to be written.
+    /// Number of bytes queued and not written yet.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// Writes as much as the peer takes, with gathered writes.
+    /// Writes queued bytes until the socket would block, with vectored writes.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The connection has failed.
     pub fn flush(&mut self) -> io::Result<()> {
         while self.writable && !self.output.is_empty() {
             let mut slices = [IoSlice::new(&[]); MAX_SLICES];
             let mut count = 0;
             for (slice, chunk) in slices.iter_mut().zip(&self.output) {
-                let skip = if count == 0 { self.written } else { 0 };
+                let skip = if count == 0 { self.front_written } else { 0 };
                 *slice = IoSlice::new(&chunk.bytes()[skip..]);
                 count += 1;
             }
@@ -274,19 +276,19 @@
             };
             self.sent += sent as u64;
             self.queued -= sent;
-            self.written += sent;
-            while let Some(first) = self.output.front().map(|c| c.bytes().len()) {
-                if self.written < first {
+            self.front_written += sent;
+            while let Some(front_bytes) = self.output.front().map(|c| c.bytes().len()) {
+                if self.front_written < front_bytes {
                     break;
                 }
-                self.written -= first;
+                self.front_written -= front_bytes;
                 self.output.pop_front();
             }
         }
         Ok(())
     }
 
-    /// Another descriptor of the same connection, for another process.
+    /// Duplicates the connection's descriptor, to be handed to another process.
     ///
     /// # Errors
     /// The system has no descriptor left.
@@ -294,14 +296,14 @@
         Ok(self.stream.try_clone()?.into())
     }
 
-    /// Puts bytes that another process has read in front of what is still to be read.
+    /// Inserts bytes that another process has read from the connection before the unread ones.
     pub fn prepend_input(&mut self, bytes: &[u8]) {
-        self.input.splice(self.start..self.start, bytes.iter().copied());
+        self.input.splice(self.consumed..self.consumed, bytes.iter().copied());
     }
 
-    /// Ends the writing side: the peer sees that no more will come.
+    /// Shuts down the sending side (half-close).
     pub fn end_writing(&self) {
-        // A peer that has gone already does not care.
+        // An error means that the connection is closed already.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
--- a/src/net/io/idle_pool.rs
+++ b/src/net/io/idle_pool.rs
@@ -1,10 +1,10 @@
-//! Idle connections to upstreams that are used again, for the records service and for AJP servers.
+//! Reuse of idle connections to the records service and to AJP servers.
 
 use crate::net::io::buffer::{Link, ReadStatus};
 use std::collections::HashMap;
 use std::hash::BuildHasher;
 
-/// Idle connections at most.
+/// Maximum number of idle connections in a pool.
 pub const MAX_IDLE: usize = 16;
 
 /// A connection that can be pooled while idle.
@@ -12,34 +12,35 @@
     /// The connection itself.
     fn link(&mut self) -> &mut Link;
 
-    /// Since when it is idle (loop's clock, seconds); `None` while it is in use or being connected.
+    /// When it became idle (event loop's clock, seconds); `None` while it is in use or connecting.
     fn idle_since(&self) -> Option<f64>;
 }
 
-/// Takes the connection used last, but not within the last `quiet_s` seconds, if it is usable as far as can be seen;
-/// unusable ones are closed.
+/// Returns the id of the most recently used connection that has been idle for at least `min_idle_s` seconds. Unusable
+/// ones found in the search are closed: those that the peer has closed, that have unexpected data, or that have been
+/// idle for `max_idle_s` seconds.
 pub fn take_idle<C: Pooled, S: BuildHasher>(
-    all: &mut HashMap<u64, C, S>,
+    connections: &mut HashMap<u64, C, S>,
     now: f64,
-    quiet_s: f64,
-    keep_s: f64,
+    min_idle_s: f64,
+    max_idle_s: f64,
 ) -> Option<u64> {
     loop {
-        let idle = all.iter().filter_map(|(id, c)| Some((*id, c.idle_since()?)));
-        let idle = idle.filter(|(_, since)| now - since >= quiet_s);
-        let (id, since) = idle.max_by(|a, b| a.1.total_cmp(&b.1))?;
-        let link = all.get_mut(&id)?.link();
-        // A request must not be lost to a connection that the peer has just closed.
-        let sound = link.fill() == ReadStatus::Open && link.data().is_empty();
-        if sound && now - since < keep_s {
+        let idle = connections.iter().filter_map(|(id, c)| Some((*id, c.idle_since()?)));
+        let idle = idle.filter(|(_, idle_since)| now - idle_since >= min_idle_s);
+        let (id, idle_since) = idle.max_by(|a, b| a.1.total_cmp(&b.1))?;
+        let link = connections.get_mut(&id)?.link();
+        // Detects connections that the peer has closed already, so that no request is lost on them.
+        let is_usable = link.fill() == ReadStatus::Open && link.data().is_empty();
+        if is_usable && now - idle_since < max_idle_s {
             return Some(id);
         }
-        all.remove(&id);
+        connections.remove(&id);
     }
 }
 
-/// Whether there are more idle connections than the pool holds.
+/// Whether there are more than [`MAX_IDLE`] idle connections.
 #[must_use]
-pub fn full<C: Pooled, S: BuildHasher>(all: &HashMap<u64, C, S>) -> bool {
-    all.values().filter(|c| c.idle_since().is_some()).count() > MAX_IDLE
+pub fn exceeds_max_idle<C: Pooled, S: BuildHasher>(connections: &HashMap<u64, C, S>) -> bool {
+    connections.values().filter(|c| c.idle_since().is_some()).count() > MAX_IDLE
 }
--- a/src/net/io/mod.rs
+++ b/src/net/io/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets and time as the loop sees them: readiness and the budget of descriptors, buffered connections, idle
-//! connections to upstreams, timers.
+//! I/O primitives of the event loop: readiness and the descriptor budget, buffered connections, pools of idle
+//! connections to upstreams, and timers.
 
 #![warn(missing_docs)]
 
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -1,6 +1,6 @@
-//! Readiness: the sockets that the loop watches, the budget of descriptors, and listening sockets.
+//! Readiness of the sockets that the event loop watches, the descriptor budget, and listening sockets.
 //!
-//! Callbacks of the loop only gather what is ready; all work is done between two waits.
+//! The event loop's callbacks only collect readiness events; all processing happens between two polls.
 
 use super::source::{Readiness, ReadySource, Source};
 use calloop::generic::Generic;
@@ -12,35 +12,35 @@
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
-/// The system's number for "too many open files".
+/// Error number: too many open files in the process.
 pub const EMFILE: i32 = 24;
-/// The system's number for "too many open files in the system".
+/// Error number: too many open files in the system.
 const ENFILE: i32 = 23;
-/// The system's number for a connection that is under way.
+/// Error number: a non-blocking connect is in progress.
 pub const EINPROGRESS: i32 = 115;
-/// Connections accepted in one turn at most, so that a flood of them leaves time for other work.
+/// Maximum number of connections accepted in one turn, so that a flood of connections leaves time for other work.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// Descriptors that clients can't take: a flood of clients must leave some for upstreams.
+/// Descriptors that are not available to clients, so that a flood of clients leaves some for upstreams.
 const RESERVED_FOR_UPSTREAMS: usize = 24;
-/// Connections that wait in the system's accept queue at most.
-const ACCEPT_QUEUE: i32 = 1024;
-/// How long accepting pauses when there is no descriptor left, or enough have come for one turn (seconds).
+/// Backlog of a listening socket: maximum number of connections in the kernel's accept queue.
+const LISTEN_BACKLOG: i32 = 1024;
+/// How long accepting pauses when no descriptor is available or the limit of a turn is reached (seconds).
 pub const ACCEPT_PAUSE_S: f64 = 0.02;
 
-/// What was ready after one wait.
+/// The events collected by one poll.
 #[derive(Default)]
 pub struct ReadyEvents {
-    /// In the order in which they were first seen.
+    /// The ready sources, in the order in which they were first reported.
     sources: Vec<Source>,
     readiness: HashMap<Source, Readiness>,
-    /// The shutdown notice has come.
+    /// The shutdown notice has been received.
     pub shutdown: bool,
-    /// The configuration is to be read again.
+    /// A reload of the configuration was requested.
     pub reload: bool,
 }
 
 impl ReadyEvents {
-    /// Takes each source once, in the order in which they were first seen.
+    /// Takes the ready sources, each of them once, in the order in which they were first reported.
     pub fn take(&mut self) -> Vec<ReadySource> {
         let readiness = &mut self.readiness;
         let with_readiness = |source: Source| {
@@ -51,76 +51,72 @@
     }
 }
 
-/// The loop's handle, and the one budget of descriptors.
+/// Handle of the event loop, with the descriptor budget; its clones share both.
 #[derive(Clone)]
 pub struct Poll {
     handle: LoopHandle<'static, ReadyEvents>,
     available: Rc<Cell<usize>>,
-    /// Descriptors that another process holds under the same limit.
-    other_process: Rc<Cell<usize>>,
+    /// Number of descriptors that another process holds and that count against the same limit.
+    other_process_descriptors: Rc<Cell<usize>>,
     budget: usize,
-    last_number: Rc<Cell<u64>>,
+    last_id: Rc<Cell<u64>>,
 }
 
 impl Poll {
-    /// A handle with this many descriptors to give out.
+    /// Creates a handle with a budget of this many descriptors.
     #[must_use]
     pub fn new(handle: LoopHandle<'static, ReadyEvents>, descriptors: usize) -> Poll {
         Poll::with_budget(handle, descriptors, Rc::new(Cell::new(1)))
     }
 
-    /// The same loop with a budget of its own: a listener and so many clients, whatever the others hold.
+    /// Returns a handle of the same event loop with a separate budget for one listener and this many clients.
     #[must_use]
     pub fn with_own_budget(&self, clients: usize) -> Poll {
         let budget = RESERVED_FOR_UPSTREAMS + 1 + clients;
-        Poll::with_budget(self.handle.clone(), budget, self.last_number.clone())
+        Poll::with_budget(self.handle.clone(), budget, self.last_id.clone())
     }
 
-    fn with_budget(
-        handle: LoopHandle<'static, ReadyEvents>,
-        budget: usize,
-        last_number: Rc<Cell<u64>>,
-    ) -> Poll {
+    fn with_budget(handle: LoopHandle<'static, ReadyEvents>, budget: usize, last_id: Rc<Cell<u64>>) -> Poll {
         let available = Rc::new(Cell::new(budget));
-        let other_process = Rc::new(Cell::new(0));
-        Poll { handle, available, other_process, budget, last_number }
+        let other_process_descriptors = Rc::new(Cell::new(0));
+        Poll { handle, available, other_process_descriptors, budget, last_id }
     }
 
-    /// Whether the budget allows one more socket.
+    /// Whether the budget has room for another socket.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
-        self.available.get() > self.other_process.get()
+        self.available.get() > self.other_process_descriptors.get()
     }
 
-    /// Another process holds this many descriptors that count against the budget.
-    pub fn set_other_process_usage(&self, held: usize) {
-        self.other_process.set(held);
+    /// Sets the number of descriptors that another process holds and that count against the budget.
+    pub fn set_other_process_usage(&self, descriptors: usize) {
+        self.other_process_descriptors.set(descriptors);
     }
 
-    /// Descriptors of the budget that are taken, those of the other process included.
+    /// Number of descriptors in use, including those of the other process.
     #[must_use]
     pub fn used(&self) -> usize {
-        self.budget - self.available.get() + self.other_process.get()
+        self.budget - self.available.get() + self.other_process_descriptors.get()
     }
 
-    /// Whether the budget allows one more client.
+    /// Whether the budget has room for another client.
     #[must_use]
     pub fn has_capacity_for_client(&self) -> bool {
-        self.available.get() > RESERVED_FOR_UPSTREAMS + self.other_process.get()
+        self.available.get() > RESERVED_FOR_UPSTREAMS + self.other_process_descriptors.get()
     }
 
-    /// A number that no other connection, call or search has had.
+    /// Returns a new id, unique among all connections, calls and searches of this event loop.
     #[must_use]
     pub fn next_id(&self) -> u64 {
-        self.last_number.set(self.last_number.get() + 1);
-        self.last_number.get()
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
     }
 
-    /// Watches a socket until the watch is dropped. Readiness is edge-triggered: read and write until the call
-    /// would block.
+    /// Watches a socket until the returned [`Watch`] is dropped. Readiness is edge-triggered: the owner must read and
+    /// write until the call would block.
     ///
     /// # Errors
-    /// No descriptor is left in the budget, or the system can't watch the socket.
+    /// The budget is exhausted, or the system can't watch the socket.
     pub fn watch<F: AsFd + 'static>(&self, fd: F, source: Source) -> io::Result<Watch> {
         let Some(available) = self.available.get().checked_sub(1) else {
             return Err(io::Error::from_raw_os_error(EMFILE));
@@ -128,13 +124,13 @@
         let watched = Generic::new(fd, Interest::BOTH, Mode::Edge);
         let token = self
             .handle
-            .insert_source(watched, move |readiness, _, gathered: &mut ReadyEvents| {
-                let seen = gathered.readiness.entry(source).or_insert_with(|| {
-                    gathered.sources.push(source);
+            .insert_source(watched, move |readiness, _, ready_events: &mut ReadyEvents| {
+                let merged = ready_events.readiness.entry(source).or_insert_with(|| {
+                    ready_events.sources.push(source);
                     Readiness::default()
                 });
-                seen.readable |= readiness.readable || readiness.error;
-                seen.writable |= readiness.writable || readiness.error;
+                merged.readable |= readiness.readable || readiness.error;
+                merged.writable |= readiness.writable || readiness.error;
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -143,7 +139,7 @@
     }
 }
 
-/// A watched socket; dropping this gives its descriptor back to the budget.
+/// Registration of a watched socket; dropping it returns the descriptor to the budget.
 pub struct Watch {
     poll: Poll,
     token: RegistrationToken,
@@ -156,23 +152,24 @@
     }
 }
 
-/// A listening socket that accepts while the budget allows it.
+/// A listening socket that accepts connections as long as the budget allows.
 pub struct Acceptor {
     listener: Rc<TcpListener>,
     poll: Poll,
     _watch: Watch,
-    waiting: bool,
+    may_have_pending: bool,
 }
 
 /// The result of accepting.
 pub enum Accepted {
     /// A client's connection.
     Stream(TcpStream),
-    /// Nobody waits.
+    /// No connection is pending.
     NonePending,
-    /// Somebody may wait, but there is no descriptor for them.
+    /// Connections may be pending, but no descriptor is available.
     NoDescriptor,
-    /// Somebody may wait, but this was enough for one turn.
+    /// Connections may be pending, but accepting must pause: the limit of this turn is reached, or accepting has
+    /// failed.
     RetryLater,
 }
 
@@ -180,57 +177,58 @@
     /// Listens at an address.
     ///
     /// # Errors
-    /// The system can't listen there, or no descriptor is left.
+    /// The system can't listen at the address, or the budget is exhausted.
     pub fn bind(poll: &Poll, address: SocketAddr, source: Source) -> io::Result<Acceptor> {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
-        socket.listen(ACCEPT_QUEUE)?;
+        socket.listen(LISTEN_BACKLOG)?;
         Acceptor::from_listener(poll, Rc::new(TcpListener::from(socket)), source)
     }
 
-    /// Accepts on a socket that listens already and does not block. Dropping this leaves it listening for whoever
-    /// else holds it.
+    /// Accepts connections on a socket that is already listening and non-blocking. The socket keeps listening after
+    /// this is dropped if another owner, such as another process, still holds it.
     ///
     /// # Errors
-    /// No descriptor is left.
+    /// The budget is exhausted.
     pub fn from_listener(poll: &Poll, listener: Rc<TcpListener>, source: Source) -> io::Result<Acceptor> {
         let watch = poll.watch(listener.clone(), source)?;
-        Ok(Acceptor { listener, poll: poll.clone(), _watch: watch, waiting: true })
+        Ok(Acceptor { listener, poll: poll.clone(), _watch: watch, may_have_pending: true })
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     ///
     /// # Errors
-    /// The system does not know it.
+    /// The system can't determine the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The socket itself, for another process that is to accept on it.
+    /// The listening socket, to be handed to another process.
     #[must_use]
     pub fn socket(&self) -> Rc<TcpListener> {
         self.listener.clone()
     }
 
-    /// Notes that somebody may wait.
+    /// Records that connections may be pending.
     pub fn mark(&mut self) {
-        self.waiting = true;
+        self.may_have_pending = true;
     }
 
-    /// Accepts a client and closes its connection; `false` where nobody waits or the system has no descriptor.
+    /// Accepts a connection and closes it immediately; returns `false` if none is pending or no descriptor is
+    /// available.
     pub fn accept_and_close(&mut self) -> bool {
         self.listener.accept().is_ok()
     }
 
-    /// Accepts a client; `taken` counts those of this turn.
-    pub fn accept(&mut self, taken: usize) -> Accepted {
-        if !self.waiting {
+    /// Accepts a connection; `accepted_in_turn` is the number already accepted in this turn.
+    pub fn accept(&mut self, accepted_in_turn: usize) -> Accepted {
+        if !self.may_have_pending {
             return Accepted::NonePending;
         }
-        if taken >= MAX_ACCEPTS_PER_TURN {
+        if accepted_in_turn >= MAX_ACCEPTS_PER_TURN {
             return Accepted::RetryLater;
         }
         if !self.poll.has_capacity_for_client() {
@@ -240,11 +238,11 @@
             match self.listener.accept() {
                 Ok((stream, _)) => return Accepted::Stream(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.waiting = false;
+                    self.may_have_pending = false;
                     return Accepted::NonePending;
                 }
                 Err(e) if matches!(e.raw_os_error(), Some(EMFILE | ENFILE)) => return Accepted::NoDescriptor,
-                // A client that has gone already: the next may still be there.
+                // This client has disconnected already, but others may be pending.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Accepted::RetryLater,
--- a/src/net/io/poll/tests.rs
+++ b/src/net/io/poll/tests.rs
@@ -2,7 +2,7 @@
 use calloop::EventLoop;
 
 #[test]
-fn what_another_process_holds_is_not_given_away_here_as_well() {
+fn descriptors_held_by_another_process_reduce_the_budget() {
     let events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
     let poll = Poll::new(events.handle(), 100);
     poll.set_other_process_usage(100 - RESERVED_FOR_UPSTREAMS);
--- a/src/net/io/source.rs
+++ b/src/net/io/source.rs
@@ -1,6 +1,6 @@
-//! What a watched socket belongs to, and what is ready at it.
+//! Identification of watched sockets, and their readiness.
 
-/// What accepts connections of clients or operators.
+/// The kinds of frontends, which accept connections from clients or operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FrontendKind {
     /// The operators' console.
@@ -14,7 +14,7 @@
 }
 
 impl FrontendKind {
-    /// The name in the log, in hand-off frames and in the operator's file.
+    /// The name used in log lines, hand-off frames and the operator's configuration file.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -26,14 +26,14 @@
     }
 }
 
-/// The owner of a watched socket; numbers come from [`Poll::next_id`](super::poll::Poll::next_id).
+/// The owner of a watched socket; the ids come from [`Poll::next_id`](super::poll::Poll::next_id).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
     /// The listening socket of a frontend.
     Listener(FrontendKind),
-    /// A connection to a frontend.
+    /// A connection accepted by a frontend.
     Client(FrontendKind, u64),
-    /// The socket on which a successor connects.
+    /// The listening socket for a successor.
     SuccessorListener,
     /// The link to a predecessor or successor.
     HotRestartPeer(u64),
@@ -43,28 +43,28 @@
     Records(u64),
     /// A connection to an AJP server.
     AjpServer(u64),
-    /// The connection to the LDAP directory.
+    /// The link to the LDAP directory.
     Directory(u64),
     /// A coordinator's listening socket.
     CoordinatorListener,
-    /// A worker's link to the coordinators or a scheduled call; at a coordinator, one of its links.
+    /// In a worker, its link to the coordinators or a scheduled call; in a coordinator, one of its links.
     Coordinator(u64),
 }
 
-/// What a socket is ready for.
+/// The operations for which a socket is ready.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Readiness {
-    /// It can be read, or has failed.
+    /// It can be read or has failed.
     pub readable: bool,
-    /// It can be written, or has failed.
+    /// It can be written or has failed.
     pub writable: bool,
 }
 
-/// A socket that is ready.
+/// A ready socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadySource {
     /// The socket's owner.
     pub source: Source,
-    /// What it is ready for.
+    /// The operations for which it is ready.
     pub readiness: Readiness,
 }
--- a/src/net/io/timer_wheel.rs
+++ b/src/net/io/timer_wheel.rs
@@ -1,88 +1,90 @@
-//! Timers as coarse ticks on a wheel. A timer never fires early, and at most two ticks late by its own doing.
+//! Timer wheel with coarse ticks. A timer never fires early, and the wheel itself delays it by two ticks at most.
 
 /// The length of a tick (seconds).
 pub const TICK_S: f64 = 0.004;
-/// Slots of the wheel; a timer further ahead than that waits in its slot for a later round.
+/// Number of slots; a timer that is further ahead stays in its slot for a later round of the wheel.
 const SLOTS: usize = 512;
 
-/// What is due. Timers are never removed: the owner ignores one that no longer applies.
+/// The kinds of timers. Timers can't be cancelled; the owner ignores those that no longer apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The controller requested a wake-up.
+    /// A wake-up requested by the admission controller.
     Wake,
-    /// A downstream call has run out of time, by its number.
+    /// Timeout of a downstream call, with the timer's number.
     Call(u64),
-    /// A run at an AJP server has run out of time, by its number.
+    /// Timeout of a run on an AJP server, with the timer's number.
     Run(u64),
-    /// A search in the directory has run out of time, by its number.
+    /// Timeout of a directory lookup, with the timer's number.
     Search(u64),
     /// A load report to the registry is due.
     Heartbeat,
-    /// Something is due in the worker's membership of its fleet.
+    /// The worker's fleet membership has work to do.
     Fleet,
-    /// Idle and slow connections are to be looked for.
+    /// A check for idle and slow connections is due.
     Sweep,
-    /// The executor is to be connected to again.
+    /// The next attempt to connect to the executor is due.
     Reconnect,
-    /// Accepting is to be resumed.
+    /// Accepting connections resumes.
     Accept,
-    /// Something put off to the next tick.
+    /// Starts a turn of the event loop, and has no handler of its own.
     NextTurn,
 }
 
-/// A wheel of ticks; times are seconds on the loop's clock.
+/// The timer wheel; times are in seconds on the event loop's clock.
 pub struct Wheel {
     slots: Vec<Vec<(u64, Timer)>>,
-    /// The last tick that has fired.
-    at: u64,
-    count: usize,
+    /// The last tick processed.
+    last_tick: u64,
+    timer_count: usize,
 }
 
 impl Wheel {
-    /// An empty wheel.
+    /// Creates an empty wheel.
     #[must_use]
     pub fn new(now: f64) -> Self {
-        Wheel { slots: vec![Vec::new(); SLOTS], at: (now / TICK_S) as u64, count: 0 }
+        Wheel { slots: vec![Vec::new(); SLOTS], last_tick: (now / TICK_S) as u64, timer_count: 0 }
     }
 
-    /// Sets a timer; one for the past or for now fires with the next tick.
+    /// Sets a timer that expires `after` seconds from now; if that is not positive and finite, at the next tick.
     pub fn set(&mut self, now: f64, after: f64, timer: Timer) {
         let due = now + if after.is_finite() { after.max(0.0) } else { 0.0 };
-        let tick = ((due / TICK_S).ceil() as u64).max(self.at + 1);
+        let tick = ((due / TICK_S).ceil() as u64).max(self.last_tick + 1);
         self.slots[tick as usize % SLOTS].push((tick, timer));
-        self.count += 1;
+        self.timer_count += 1;
     }
 
-    /// Takes what is due, earlier ticks first.
+    /// Appends the expired timers to `due`, ordered by tick.
     pub fn expire(&mut self, now: f64, due: &mut Vec<Timer>) {
-        let to = (now / TICK_S) as u64;
-        // After a long stall one turn of the wheel sees every slot; the order is then by tick all the same.
-        let mut fired: Vec<(u64, Timer)> = Vec::new();
-        for tick in self.at + 1..=to.min(self.at + SLOTS as u64) {
+        let current_tick = (now / TICK_S) as u64;
+        // After a long stall, one round of the wheel covers every slot. The timers are sorted below, since slot order
+        // is not tick order then.
+        let mut expired: Vec<(u64, Timer)> = Vec::new();
+        for tick in self.last_tick + 1..=current_tick.min(self.last_tick + SLOTS as u64) {
             let slot = &mut self.slots[tick as usize % SLOTS];
             let mut i = 0;
             while i < slot.len() {
-                if slot[i].0 <= to {
-                    fired.push(slot.remove(i));
+                if slot[i].0 <= current_tick {
+                    expired.push(slot.remove(i));
                 } else {
                     i += 1;
                 }
             }
         }
-        self.count -= fired.len();
-        fired.sort_by_key(|(tick, _)| *tick);
-        due.extend(fired.into_iter().map(|(_, timer)| timer));
-        self.at = self.at.max(to);
+        self.timer_count -= expired.len();
+        expired.sort_by_key(|(tick, _)| *tick);
+        due.extend(expired.into_iter().map(|(_, timer)| timer));
+        self.last_tick = self.last_tick.max(current_tick);
     }
 
-    /// When the loop should wake: the next slot in use. It may turn out to hold only timers of later rounds.
+    /// When the event loop should wake up: the time of the next non-empty slot, which may hold only timers of later
+    /// rounds.
     #[must_use]
     pub fn next(&self) -> Option<f64> {
-        if self.count == 0 {
+        if self.timer_count == 0 {
             return None;
         }
-        let slot =
-            (self.at + 1..=self.at + SLOTS as u64).find(|t| !self.slots[*t as usize % SLOTS].is_empty());
+        let slot = (self.last_tick + 1..=self.last_tick + SLOTS as u64)
+            .find(|t| !self.slots[*t as usize % SLOTS].is_empty());
         slot.map(|tick| tick as f64 * TICK_S)
     }
 }
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -18,7 +18,7 @@
 use crate::net::events::UpstreamEvent;
 use crate::net::frontends::request_fields::Catalog;
 use crate::net::io::buffer::{Link, ReadStatus};
-use crate::net::io::idle_pool::{full, take_idle, Pooled, MAX_IDLE};
+use crate::net::io::idle_pool::{exceeds_max_idle, take_idle, Pooled, MAX_IDLE};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
@@ -246,7 +246,7 @@
         connection.used = true;
         connection.idle_since = turn.now;
         let run = connection.run.take();
-        if !reuse || full(&self.connections) {
+        if !reuse || exceeds_max_idle(&self.connections) {
             self.connections.remove(&id);
         }
         turn.inputs.extend(run.map(Run::into_ended));
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -10,7 +10,7 @@
 use crate::log::LogEvent;
 use crate::net::events::UpstreamEvent;
 use crate::net::io::buffer::{Link, ReadStatus};
-use crate::net::io::idle_pool::{full, take_idle, Pooled};
+use crate::net::io::idle_pool::{exceeds_max_idle, take_idle, Pooled};
 use crate::net::io::poll::Poll;
 use crate::net::io::source::{Readiness, Source};
 use crate::net::io::timer_wheel::{Timer, Wheel};
@@ -229,7 +229,7 @@
         c.idle_since = now;
         let call = c.call.take();
         let keep_open = keep_open && c.address == self.address;
-        if !keep_open || full(&self.connections) {
+        if !keep_open || exceeds_max_idle(&self.connections) {
             self.connections.remove(&id);
         }
         if let Some(call) = call {
