--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -147,7 +147,7 @@
             None if waited_s < CONNECT_TIMEOUT_S => Ok(()),
             None | Some(Err(_)) => Err(Broken),
             Some(Ok(())) => {
-                self.link.mark(Readiness { readable: true, writable: true });
+                self.link.mark_ready(Readiness { readable: true, writable: true });
                 self.link.push(hello());
                 self.stage = Stage::Greeted;
                 Ok(())
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -72,11 +72,11 @@
 
     fn mark_ready(&mut self, ready: ReadySource) {
         match ready.source {
-            Source::CoordinatorListener => self.acceptor.mark(),
+            Source::CoordinatorListener => self.acceptor.mark_ready(),
             Source::Coordinator(number) => {
                 let id = LinkId(number);
                 if let Some(link) = self.link(id) {
-                    link.mark(ready.readiness);
+                    link.mark_ready(ready.readiness);
                 }
                 self.inbound.touch(id);
             }
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -56,7 +56,7 @@
     /// Records that connections wait to be accepted.
     pub fn mark_listener(&mut self) {
         if let Some(acceptor) = &mut self.acceptor {
-            acceptor.mark();
+            acceptor.mark_ready();
         }
     }
 
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -152,7 +152,7 @@
     /// Guards against a decision to close that rests on readiness the event loop saw a moment ago.
     pub(super) fn check_for_input(&mut self) -> bool {
         let length_before = self.link.data().len();
-        self.link.mark(Readiness { readable: true, writable: false });
+        self.link.mark_ready(Readiness { readable: true, writable: false });
         let filled = self.link.fill();
         self.has_unseen_bytes |= self.link.data().len() > length_before;
         self.has_unseen_bytes || filled != ReadStatus::Open
@@ -170,7 +170,7 @@
 
     /// Discards what has come, so that the close that follows is no reset.
     pub(super) fn drop_unread(&mut self) {
-        self.link.mark(Readiness { readable: true, writable: false });
+        self.link.mark_ready(Readiness { readable: true, writable: false });
         self.link.discard(MAX_DISCARD_BYTES);
     }
 }
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -117,9 +117,9 @@
     }
 
     /// Records a connection's readiness, and has it processed.
-    pub fn mark(&mut self, id: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.by_id.get_mut(&id) {
-            connection.link.mark(readiness);
+            connection.link.mark_ready(readiness);
             self.touched.push(id);
         }
     }
--- a/src/net/frontends/connections/set.rs
+++ b/src/net/frontends/connections/set.rs
@@ -14,7 +14,7 @@
     /// Records that connections wait to be accepted.
     fn mark_listener(&mut self);
     /// Records a connection's readiness.
-    fn mark(&mut self, id: u64, readiness: Readiness);
+    fn mark_ready(&mut self, id: u64, readiness: Readiness);
     /// Whether a connection is to be processed without an event of the poll.
     fn has_pending(&self) -> bool;
     /// Whether there are no connections.
@@ -48,8 +48,8 @@
         self.mark_listener();
     }
 
-    fn mark(&mut self, id: u64, readiness: Readiness) {
-        self.mark(id, readiness);
+    fn mark_ready(&mut self, id: u64, readiness: Readiness) {
+        self.mark_ready(id, readiness);
     }
 
     fn has_pending(&self) -> bool {
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -87,12 +87,12 @@
     }
 
     /// Records a connection's readiness.
-    pub fn mark(&mut self, kind: FrontendKind, id: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, kind: FrontendKind, id: u64, readiness: Readiness) {
         match (kind, &mut self.console) {
-            (FrontendKind::Console, Some(console)) => console.connections.mark(id, readiness),
+            (FrontendKind::Console, Some(console)) => console.connections.mark_ready(id, readiness),
             _ => {
                 if let Some(frontend) = self.of_kind(kind) {
-                    frontend.connections_mut().mark(id, readiness);
+                    frontend.connections_mut().mark_ready(id, readiness);
                 }
             }
         }
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -131,7 +131,7 @@
     }
 
     /// Records the readiness that the event loop reported.
-    pub fn mark(&mut self, readiness: Readiness) {
+    pub fn mark_ready(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable;
         self.writable |= readiness.writable;
     }
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -213,7 +213,7 @@
     }
 
     /// Records that connections may be pending.
-    pub fn mark(&mut self) {
+    pub fn mark_ready(&mut self) {
         self.may_have_pending = true;
     }
 
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -113,9 +113,9 @@
     }
 
     /// Notes that the loop has found a link ready.
-    pub(in crate::net) fn mark(&mut self, number: u64, readiness: Readiness) {
+    pub(in crate::net) fn mark_ready(&mut self, number: u64, readiness: Readiness) {
         for link in self.links_mut() {
-            link.mark(number, readiness);
+            link.mark_ready(number, readiness);
         }
     }
 
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -95,7 +95,7 @@
     }
 
     /// Notes that the loop has found the socket ready.
-    pub(super) fn mark(&mut self, number: u64, readiness: Readiness) {
+    pub(super) fn mark_ready(&mut self, number: u64, readiness: Readiness) {
         if self.number == number {
             self.readiness.readable |= readiness.readable;
             self.readiness.writable |= readiness.writable;
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -97,9 +97,9 @@
     }
 
     /// Records the readiness that the event loop reported for a connection.
-    pub fn mark(&mut self, id: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.link.mark(readiness);
+            connection.link.mark_ready(readiness);
             self.pending_ids.push(id);
         }
     }
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -87,11 +87,11 @@
     }
 
     /// Records the readiness that the event loop reported for a socket.
-    pub fn mark(&mut self, id: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.connection.as_mut().filter(|connection| connection.id == id) {
-            connection.link.mark(readiness);
+            connection.link.mark_ready(readiness);
         } else if let Some(call) = self.calls.iter_mut().find(|call| call.id == id) {
-            call.link.mark(readiness);
+            call.link.mark_ready(readiness);
         }
     }
 
@@ -121,7 +121,7 @@
                 None => return,
                 Some(Ok(())) => {
                     connection.connected = true;
-                    connection.link.mark(Readiness { readable: true, writable: true });
+                    connection.link.mark_ready(Readiness { readable: true, writable: true });
                     self.member.connected();
                 }
                 Some(Err(_)) => return self.close_connection(now),
--- a/src/net/upstreams/coordinator_link/scheduled_call.rs
+++ b/src/net/upstreams/coordinator_link/scheduled_call.rs
@@ -72,7 +72,7 @@
         let Some(result) = self.link.connected() else { return Ok(()) };
         result?;
         self.connected = true;
-        self.link.mark(Readiness { readable: true, writable: true });
+        self.link.mark_ready(Readiness { readable: true, writable: true });
         if let Some(request) = self.request.take() {
             self.link.push(request);
         }
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -120,9 +120,9 @@
     }
 
     /// Records the readiness that the event loop reported for a link.
-    pub fn mark(&mut self, link_id: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, link_id: u64, readiness: Readiness) {
         if let Some(link) = self.link.as_mut().filter(|_| self.link_id == link_id) {
-            link.mark(readiness);
+            link.mark_ready(readiness);
         }
     }
 
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -138,10 +138,10 @@
     }
 
     /// Records the readiness that the event loop reported for a link.
-    pub fn mark(&mut self, number: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, number: u64, readiness: Readiness) {
         for connection in [&mut self.link, &mut self.next_link].into_iter().flatten() {
             if connection.number == number {
-                connection.link.mark(readiness);
+                connection.link.mark_ready(readiness);
             }
         }
     }
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -83,9 +83,9 @@
     }
 
     /// Records the readiness that the event loop reported for a connection.
-    pub fn mark(&mut self, id: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         if let Some(c) = self.connections.get_mut(&id) {
-            c.link.mark(readiness);
+            c.link.mark_ready(readiness);
             self.pending_ids.push(id);
         }
     }
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -41,7 +41,7 @@
     events.dispatch(Some(Duration::from_millis(5)), &mut gathered).unwrap();
     for ready in gathered.take() {
         if let Source::Records(id) = ready.source {
-            records.mark(id, ready.readiness);
+            records.mark_ready(id, ready.readiness);
         }
     }
     records.gather(0.0, &mut inputs, wheel);
--- a/src/net/upstreams/set.rs
+++ b/src/net/upstreams/set.rs
@@ -29,27 +29,27 @@
 
 impl Upstreams {
     /// Records the readiness of a connection to an upstream; ignores other sources.
-    pub fn mark(&mut self, source: Source, readiness: Readiness) {
+    pub fn mark_ready(&mut self, source: Source, readiness: Readiness) {
         match source {
-            Source::Executor(id) => self.executor.mark(id, readiness),
+            Source::Executor(id) => self.executor.mark_ready(id, readiness),
             Source::AjpServer(id) => {
                 if let Some(backend) = &mut self.ajp_backend {
-                    backend.mark(id, readiness);
+                    backend.mark_ready(id, readiness);
                 }
             }
             Source::Records(id) => {
                 if let Some(records) = &mut self.records {
-                    records.mark(id, readiness);
+                    records.mark_ready(id, readiness);
                 }
             }
             Source::Directory(id) => {
                 if let Some(directory) = &mut self.directory {
-                    directory.mark(id, readiness);
+                    directory.mark_ready(id, readiness);
                 }
             }
             Source::Coordinator(id) => {
                 if let Some(coordinators) = &mut self.coordinators {
-                    coordinators.mark(id, readiness);
+                    coordinators.mark_ready(id, readiness);
                 }
             }
             _ => {}
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -46,7 +46,7 @@
         let ReadySource { source, readiness } = ready;
         match source {
             Source::Listener(frontend) => self.frontends.mark_listener(frontend),
-            Source::Client(frontend, id) => self.frontends.mark(frontend, id, readiness),
+            Source::Client(frontend, id) => self.frontends.mark_ready(frontend, id, readiness),
             Source::SuccessorListener => {
                 if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.links.mark_listener();
@@ -54,10 +54,10 @@
             }
             Source::HotRestartPeer(id) => {
                 if let Some(hot_restart) = &mut self.hot_restart {
-                    hot_restart.links.mark(id, readiness);
+                    hot_restart.links.mark_ready(id, readiness);
                 }
             }
-            upstream => self.upstreams.mark(upstream, readiness),
+            upstream => self.upstreams.mark_ready(upstream, readiness),
         }
     }
 
