--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -37,9 +37,9 @@
 
 /// Polls the event loop once, processes the ready connections and returns the inputs.
 fn poll_once(events: &mut EventLoop<ReadyEvents>, records: &mut Records, wheel: &mut Wheel) -> Vec<Input> {
-    let (mut gathered, mut inputs) = (ReadyEvents::default(), Vec::new());
-    events.dispatch(Some(Duration::from_millis(5)), &mut gathered).unwrap();
-    for ready in gathered.take() {
+    let (mut ready_events, mut inputs) = (ReadyEvents::default(), Vec::new());
+    events.dispatch(Some(Duration::from_millis(5)), &mut ready_events).unwrap();
+    for ready in ready_events.take() {
         if let Source::Records(id) = ready.source {
             records.mark_ready(id, ready.readiness);
         }
--- a/src/net/upstreams/registry.rs
+++ b/src/net/upstreams/registry.rs
@@ -40,12 +40,12 @@
 
     /// Sends a report if one is due or the readiness has changed. A lost datagram is not resent; the next report
     /// replaces it.
-    pub fn report(&mut self, ready: bool, due: bool) {
-        if due || self.last_reported != Some(ready) {
-            let state = if ready { "ready" } else { "draining" };
+    pub fn report(&mut self, is_ready: bool, is_due: bool) {
+        if is_due || self.last_reported != Some(is_ready) {
+            let state = if is_ready { "ready" } else { "draining" };
             // An error is ignored: the registry may be down, and the next report repeats the state.
             let _ = self.socket.send(format!("BEAT {} {state}", self.name).as_bytes());
-            self.last_reported = Some(ready);
+            self.last_reported = Some(is_ready);
         }
     }
 }
