--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -5,7 +5,7 @@
 use crate::coordinator::{next_frame, PeerAnswer, MAX_PEER_FRAME_BYTES};
 use crate::ids::LinkId;
 use port_worker::fleet::frame::MAX_SERVER_FRAME_BYTES;
-use port_worker::net::io::buffer::{Filled, Link};
+use port_worker::net::io::buffer::{Link, ReadStatus};
 use port_worker::net::io::poll::Poll;
 use port_worker::net::io::source::{Readiness, Source};
 use std::net::SocketAddr;
@@ -148,7 +148,7 @@
             None if waited_s < CONNECT_TIMEOUT_S => Ok(()),
             None | Some(Err(_)) => Err(LinkFailed),
             Some(Ok(())) => {
-                self.link.mark(Readiness { readable: true, writable: true });
+                self.link.mark_ready(Readiness { readable: true, writable: true });
                 self.link.push(hello());
                 self.stage = Stage::HelloSent;
                 Ok(())
@@ -161,7 +161,7 @@
         if self.stage == Stage::Connecting {
             return PollResult::default();
         }
-        let failed = self.link.fill() != Filled::Open;
+        let failed = self.link.fill() != ReadStatus::Open;
         match next_frame(self.link.data(), MAX_SERVER_FRAME_BYTES) {
             Ok(None) => PollResult { answer: None, failed },
             Err(_) => PollResult::failed(),
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -115,7 +115,7 @@
         matches!(self.state, TaskState::Calling(_))
     }
 
-    /// Whether the holder should release the lease because [`MAX_CONSECUTIVE_FAILURES`] calls have failed. If so, the count
+    /// Whether the holder should release the lease because `MAX_CONSECUTIVE_FAILURES` calls have failed. If so, the count
     /// is reset.
     pub fn take_failure_limit_reached(&mut self) -> bool {
         let is_reached = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && !self.is_calling();
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -14,10 +14,12 @@
 };
 use crate::net::frontends::frontend::{Frontend, FrontendTurn};
 use crate::net::frontends::request_fields::MAX_BODY_BYTES;
-use crate::net::io::buffer::Filled;
+use crate::net::io::buffer::ReadStatus;
 use crate::net::io::poll::Poll;
 use crate::net::io::source::FrontendKind;
-use crate::net::upstreams::ajp_codec::{self, ToContainer, Way, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES};
+use crate::net::upstreams::ajp_codec::{
+    self, Direction, ToContainer, MAX_BODY_CHUNK_BYTES, MAX_PACKET_BYTES,
+};
 use crate::net::upstreams::directory::{Lookup, LookupResult};
 use crate::net::{FrontendContext, ListenError};
 use head::{check_head, PendingRequest, Rejection};
@@ -65,13 +67,13 @@
             if connection.state == ConnectionState::Idle && !connection.link.data().is_empty() {
                 connection.set_state(now, ConnectionState::Reading);
             }
-            match ajp_codec::packet(connection.link.data(), Way::ToContainer) {
+            match ajp_codec::find_packet(connection.link.data(), Direction::ToContainer) {
                 Ok(Some(payload)) if connection.memory.0.is_some() => {
                     self.on_body_packet(now, id, payload, turn);
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
                 // A client that is gone before its last byte: the request never reaches the dispatcher.
-                Ok(None) if filled != Filled::Open => return self.connections.close(id),
+                Ok(None) if filled != ReadStatus::Open => return self.connections.close(id),
                 Ok(None) => return,
                 // After a wrong magic or length there is no telling where a message begins.
                 Err(error) => {
@@ -87,7 +89,7 @@
     fn on_body_packet(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
-        let chunk = connection.link.data().get(payload).map(ajp_codec::body);
+        let chunk = connection.link.data().get(payload).map(ajp_codec::parse_body);
         let Some(Ok(chunk)) = chunk else {
             FrontendEvent::AjpBodyMalformed.emit();
             connection.finish(now);
@@ -108,7 +110,7 @@
     fn on_message(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
-        let message = connection.link.data().get(payload).map(ajp_codec::to_container);
+        let message = connection.link.data().get(payload).map(ajp_codec::parse_to_container);
         let checked = match message {
             Some(Ok(ToContainer::Forward(forward))) => {
                 check_head(&self.settings, self.directory, &forward, turn.context, turn.clock.unix_ms())
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -35,7 +35,7 @@
     pub fn open(&mut self, socket: Option<Rc<TcpListener>>, address: SocketAddr) -> Result<(), ListenError> {
         let source = Source::Listener(self.kind);
         let opened = match socket {
-            Some(socket) => Acceptor::on(&self.poll, socket, source),
+            Some(socket) => Acceptor::from_listener(&self.poll, socket, source),
             None => Acceptor::bind(&self.poll, address, source),
         };
         self.acceptor = Some(opened.map_err(|source| ListenError { address, source })?);
@@ -56,7 +56,7 @@
     /// Records that connections wait to be accepted.
     pub fn mark_listener(&mut self) {
         if let Some(acceptor) = &mut self.acceptor {
-            acceptor.mark();
+            acceptor.mark_ready();
         }
     }
 
@@ -87,10 +87,10 @@
             let accepted = pending.map_or_else(|| acceptor.accept(accepted_count), Accepted::Stream);
             let stream = match accepted {
                 Accepted::Stream(stream) => stream,
-                Accepted::Nobody => return false,
-                Accepted::Full if self.resolve_descriptor_shortage(now) => continue,
+                Accepted::NonePending => return false,
+                Accepted::NoDescriptor if self.resolve_descriptor_shortage(now) => continue,
                 // Guards against spinning: the connection stays in the queue, and the next attempt is left to a timer.
-                Accepted::Full | Accepted::Pause => return true,
+                Accepted::NoDescriptor | Accepted::RetryLater => return true,
             };
             if self.by_id.len() >= self.limit {
                 match self.evict_one(now) {
@@ -117,7 +117,7 @@
     fn resolve_descriptor_shortage(&mut self, now: f64) -> bool {
         match self.evict_one(now) {
             Eviction::Evicted => true,
-            Eviction::NoCandidate => self.acceptor.as_mut().is_some_and(Acceptor::turn_away),
+            Eviction::NoCandidate => self.acceptor.as_mut().is_some_and(Acceptor::accept_and_close),
             Eviction::Later => false,
         }
     }
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -114,9 +114,9 @@
     }
 
     /// Records that the loop has reported a link as ready.
-    pub(in crate::net) fn mark(&mut self, id: u64, readiness: Readiness) {
+    pub(in crate::net) fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         for link in self.links_mut() {
-            link.mark(id, readiness);
+            link.mark_ready(id, readiness);
         }
     }
 
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -95,7 +95,7 @@
     }
 
     /// Records the socket's readiness if `id` is that of this link.
-    pub(super) fn mark(&mut self, id: u64, readiness: Readiness) {
+    pub(super) fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         if self.id == id {
             self.readiness.readable |= readiness.readable;
             self.readiness.writable |= readiness.writable;
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -24,12 +24,12 @@
             LifecycleEvent::ConfigReloadDeferred { file, keys: &deferred_keys }.emit();
         }
         self.configuration.platform.stop_ms = next.stop_ms;
-        self.upstreams.executor.move_to(now, next.executor);
+        self.upstreams.executor.set_address(now, next.executor);
         if let (Some(records), Some(new_address)) = (&mut self.upstreams.records, next.records) {
-            records.move_to(new_address);
+            records.set_address(new_address);
         }
         if let (Some(registry), Some(new_address)) = (&mut self.upstreams.registry, next.registry) {
-            if let Err(error) = registry.move_to(new_address) {
+            if let Err(error) = registry.set_address(new_address) {
                 UpstreamEvent::RegistryUnusable { address: new_address, error: &error }.emit();
             }
         }
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -53,7 +53,7 @@
         self.shutdown = Some(Shutdown { timeline, listeners_closed_at: None, responded_all: false });
         // The loop must wake at each of these times even if no source is ready.
         for step_at in [timeline.accept_until, timeline.answer_by, timeline.exit_by] {
-            self.wheel.set(now, step_at - now, Timer::Again);
+            self.wheel.set(now, step_at - now, Timer::NextTurn);
         }
         self.context.availability.shutting_down = true;
         inputs.push(Input::Shutdown { noticed_at: timeline.noticed_at, stop_at: timeline.kill_at });
@@ -115,7 +115,7 @@
         self.frontends.sweep_connections(now, idle_s, true, &self.context.availability);
         self.update_shutdown(|shutdown| shutdown.listeners_closed_at = Some(now));
         self.process_ready(Vec::new());
-        self.wheel.set(now, IDLE_CLOSE_DELAY_S, Timer::Again);
+        self.wheel.set(now, IDLE_CLOSE_DELAY_S, Timer::NextTurn);
     }
 
     fn log_pools(&mut self) {
@@ -129,7 +129,7 @@
         if let Some(shutdown) = &mut self.shutdown {
             change(shutdown);
         }
-        self.wheel.set(self.clock.now(), 0.0, Timer::Again);
+        self.wheel.set(self.clock.now(), 0.0, Timer::NextTurn);
     }
 
     /// Whether no response is pending or partially written and no request is partially read.
@@ -173,7 +173,7 @@
             self.process_ready(Vec::new());
         }
         if is_first {
-            self.wheel.set(now, LINGER_S, Timer::Again);
+            self.wheel.set(now, LINGER_S, Timer::NextTurn);
         }
         let has_lingered = self.frontends.ended_for(now, LINGER_S);
         self.frontends.all_ended() || self.all_answered() && has_lingered
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -4,7 +4,7 @@
 use super::loop_state::Deferral;
 use super::{Worker, STALL_THRESHOLD_S, SWEEP_INTERVAL_S};
 use crate::dispatch::Input;
-use crate::net::io::poll::Gathered;
+use crate::net::io::poll::ReadyEvents;
 use crate::net::io::source::{ReadySource, Source};
 use crate::net::io::timer_wheel::Timer;
 use crate::net::upstreams::registry::HEARTBEAT_INTERVAL_S;
@@ -24,7 +24,7 @@
     /// 6. Fleet membership: its heartbeat includes the counts of the preceding steps.
     /// 7. The sweep, after all ready sockets were read: a request may have been waiting while the process was stopped.
     /// 8. The next steps of a shutdown, which depend on whether anything is still pending.
-    pub(super) fn poll_once(&mut self, gathered: &mut Gathered) {
+    pub(super) fn poll_once(&mut self, gathered: &mut ReadyEvents) {
         let now = self.clock.now();
         self.loop_state.begin_turn(now);
         self.log.report_suppressed();
@@ -47,7 +47,7 @@
         let ReadySource { source, readiness } = ready;
         match source {
             Source::Listener(frontend) => self.frontends.mark_listener(frontend),
-            Source::Client(frontend, id) => self.frontends.mark(frontend, id, readiness),
+            Source::Client(frontend, id) => self.frontends.mark_ready(frontend, id, readiness),
             Source::SuccessorListener => {
                 if let Some(hot_restart) = &mut self.hot_restart {
                     hot_restart.links.mark_listener();
@@ -55,14 +55,14 @@
             }
             Source::HotRestartPeer(id) => {
                 if let Some(hot_restart) = &mut self.hot_restart {
-                    hot_restart.links.mark(id, readiness);
+                    hot_restart.links.mark_ready(id, readiness);
                 }
             }
-            upstream => self.upstreams.mark(upstream, readiness),
+            upstream => self.upstreams.mark_ready(upstream, readiness),
         }
     }
 
-    fn handle_signals(&mut self, now: f64, gathered: &mut Gathered, inputs: &mut Vec<Input>) {
+    fn handle_signals(&mut self, now: f64, gathered: &mut ReadyEvents, inputs: &mut Vec<Input>) {
         if std::mem::take(&mut gathered.shutdown) {
             let mut shutdown_inputs = Vec::new();
             self.begin_shutdown(now, &mut shutdown_inputs);
@@ -81,7 +81,7 @@
             self.gather(&mut inputs);
             let now = self.clock.now();
             if self.defers_inputs(now) {
-                self.wheel.set(now, 0.0, Timer::Again);
+                self.wheel.set(now, 0.0, Timer::NextTurn);
                 break;
             }
             self.dispatch(now, &mut inputs);
@@ -91,7 +91,7 @@
                 break;
             }
             if round + 1 == MAX_ROUNDS {
-                self.wheel.set(now, 0.0, Timer::Again);
+                self.wheel.set(now, 0.0, Timer::NextTurn);
             }
         }
         // Outcomes of the last round's commands: if they were dropped, a request whose run was returned there as never
@@ -147,17 +147,17 @@
             }
             Timer::Call(number) => {
                 if let Some(records) = &mut self.upstreams.records {
-                    records.due(number, inputs);
+                    records.on_timer(number, inputs);
                 }
             }
             Timer::Run(number) => {
                 if let Some(ajp_backend) = &mut self.upstreams.ajp_backend {
-                    ajp_backend.due(now, number, inputs, &mut self.wheel);
+                    ajp_backend.on_timer(now, number, inputs, &mut self.wheel);
                 }
             }
             Timer::Search(number) => {
                 if let Some(directory) = &mut self.upstreams.directory {
-                    directory.due(now, number);
+                    directory.on_timer(now, number);
                 }
             }
             Timer::Heartbeat => {
@@ -171,7 +171,7 @@
             Timer::Reconnect => self.loop_state.timers.reconnect = false,
             Timer::Accept => self.loop_state.timers.accept = false,
             // These timers only wake the loop.
-            Timer::Fleet | Timer::Again => {}
+            Timer::Fleet | Timer::NextTurn => {}
         }
     }
 
