--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -66,7 +66,7 @@
                 connection.set_state(now, ConnectionState::Reading);
             }
             match ajp_codec::packet(connection.link.data(), Way::ToContainer) {
-                Ok(Some(payload)) if connection.memory.0.is_some() => {
+                Ok(Some(payload)) if connection.protocol_state.0.is_some() => {
                     self.on_body_packet(now, id, payload, turn);
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
@@ -97,7 +97,7 @@
         // Beyond the limit the request is rejected anyway: what is kept stays bounded.
         let has_room =
             |pending: &&mut PendingRequest| pending.body.len() < MAX_BODY_BYTES + MAX_BODY_CHUNK_BYTES;
-        if let Some(pending) = connection.memory.0.as_mut().filter(has_room) {
+        if let Some(pending) = connection.protocol_state.0.as_mut().filter(has_room) {
             pending.body.extend_from_slice(chunk);
         }
         connection.link.consume(packet_end);
@@ -147,7 +147,7 @@
         if content_length.is_none() {
             connection.link.push(ajp_codec::write_get_body(MAX_BODY_CHUNK_BYTES as u16));
         }
-        connection.memory.0 = Some(pending);
+        connection.protocol_state.0 = Some(pending);
         if content_length == Some(0) {
             self.on_complete(id, turn);
         }
@@ -156,7 +156,7 @@
     /// Rejects a body of the wrong length, goes on with a complete one, or requests more of it.
     fn on_body_chunk(&mut self, id: u64, body_ended: bool, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(pending) = &connection.memory.0 else { return };
+        let Some(pending) = &connection.protocol_state.0 else { return };
         let received = pending.body.len();
         let content_length = pending.content_length;
         let rejection = if received > content_length.unwrap_or(MAX_BODY_BYTES) {
@@ -167,7 +167,7 @@
             None
         };
         if let Some(rejection) = rejection {
-            connection.memory.0 = None;
+            connection.protocol_state.0 = None;
             connection.close = true;
             return write_response(connection, turn.clock.now(), rejection.into(), turn.context);
         }
@@ -185,7 +185,7 @@
     /// A complete request goes to the directory where its tenant has to be looked up, or else to the dispatcher.
     fn on_complete(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(pending) = &mut connection.memory.0 else { return };
+        let Some(pending) = &mut connection.protocol_state.0 else { return };
         if pending.fields.id.is_none() {
             self.generated_ids += 1;
             pending.fields.id = Some(generated_id(self.seed, self.generated_ids).into());
@@ -202,7 +202,7 @@
     /// Hands the pending request to the dispatcher.
     fn dispatch(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(pending) = connection.memory.0.take() else { return };
+        let Some(pending) = connection.protocol_state.0.take() else { return };
         let PendingRequest { class, tenant, fields, body, .. } = pending;
         match fields.request(Ticket(id), class, tenant, &body, &turn.context.catalog, turn.clock) {
             Ok(request) => turn.inputs.push(Input::Arrived(request)),
@@ -247,7 +247,7 @@
     /// The directory's results would come too late: clients get a response with Retry-After.
     fn respond_all(&mut self, turn: &mut FrontendTurn<'_>) {
         let waits_for_directory = |connection: &Connection<Memory>| {
-            connection.state == ConnectionState::AwaitingResponse && connection.memory.0.is_some()
+            connection.state == ConnectionState::AwaitingResponse && connection.protocol_state.0.is_some()
         };
         for id in self.connections.ids_where(waits_for_directory) {
             self.complete_lookup(Ticket(id), LookupResult::Unavailable, turn);
@@ -260,11 +260,11 @@
             LookupResult::Tenant(name) => turn.context.catalog.tenant(name),
             _ => None,
         };
-        if let (Some(tenant), Some(pending)) = (tenant, &mut connection.memory.0) {
+        if let (Some(tenant), Some(pending)) = (tenant, &mut connection.protocol_state.0) {
             pending.tenant = Some(tenant);
             return self.dispatch(ticket.0, turn);
         }
-        connection.memory.0 = None;
+        connection.protocol_state.0 = None;
         let response = failed_lookup_response(&result);
         write_response(connection, turn.clock.now(), response, turn.context);
         self.connections.touch(ticket.0);
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -65,12 +65,12 @@
     /// Bytes have come that its frontend has not processed.
     pub(super) has_unseen_bytes: bool,
     /// The protocol's own state.
-    pub memory: P,
+    pub protocol_state: P,
 }
 
 impl<P> Connection<P> {
     /// A connection that has received nothing.
-    pub(super) fn new(link: Link, now: f64, memory: P) -> Connection<P> {
+    pub(super) fn new(link: Link, now: f64, protocol_state: P) -> Connection<P> {
         Connection {
             link,
             state: ConnectionState::Idle,
@@ -80,7 +80,7 @@
             requests_read: 0,
             close: false,
             has_unseen_bytes: false,
-            memory,
+            protocol_state,
         }
     }
 
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -17,7 +17,7 @@
     /// Whether it is closed after the current response.
     pub close: bool,
     /// The protocol's own state.
-    pub memory: P,
+    pub protocol_state: P,
 }
 
 impl<P: Default> Connections<P> {
@@ -44,7 +44,7 @@
         let mut link =
             Link::new(&self.poll, stream, Source::Client(self.kind, id), self.max_unread_bytes).ok()?;
         link.put_back(&detached.unread);
-        let mut connection = Connection::new(link, now, detached.memory);
+        let mut connection = Connection::new(link, now, detached.protocol_state);
         connection.state = resumed_state(&connection.link, request_in_flight);
         connection.requests_read = detached.requests_read;
         connection.close = detached.close;
@@ -68,7 +68,7 @@
             unread,
             requests_read: connection.requests_read,
             close: connection.close,
-            memory: connection.memory,
+            protocol_state: connection.protocol_state,
         })
     }
 }
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -28,8 +28,13 @@
         let stream = self.listener.accept().unwrap().0;
         stream.set_nonblocking(true).unwrap();
         let stream = stream.into();
-        let detached =
-            DetachedConnection { stream, unread: Vec::new(), requests_read, close: false, memory: () };
+        let detached = DetachedConnection {
+            stream,
+            unread: Vec::new(),
+            requests_read,
+            close: false,
+            protocol_state: (),
+        };
         let id = self.connections.adopt(opened_at, detached, false).unwrap();
         self.connections.get_mut(id).unwrap().set_state(idle_since, ConnectionState::Idle);
         id
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -166,11 +166,11 @@
         // A request that will never be complete is none; the peer may have closed within the body.
         Parsed::Partial { .. } if filled != Filled::Open => Progress::Close,
         Parsed::Partial { wants_continue } => {
-            let continue_sent = connection.memory;
+            let continue_sent = connection.protocol_state;
             if !wants_continue || continue_sent {
                 return Progress::Wait;
             }
-            connection.memory = true;
+            connection.protocol_state = true;
             connection.link.push(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec());
             Progress::Continue
         }
@@ -184,7 +184,7 @@
         Parsed::Complete { request, length, keep_alive } => {
             connection.link.consume(length);
             connection.close = !keep_alive;
-            connection.memory = false;
+            connection.protocol_state = false;
             connection.set_state(now, ConnectionState::AwaitingResponse);
             inputs.push(Input::Arrived(*request));
             Progress::Wait
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -125,7 +125,7 @@
         if filled == Filled::Broken {
             return self.close(id, turn.inputs);
         }
-        let has_session = connection.memory.active.is_some();
+        let has_session = connection.protocol_state.active.is_some();
         if has_session || self.start_session(id, filled, turn) {
             self.process_session(id, filled, turn);
         }
@@ -135,7 +135,7 @@
     fn process_ending(&mut self, id: u64, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         // Ended by the sweep: whatever its codec still has to send goes out before the end.
-        if connection.memory.active.is_some() {
+        if connection.protocol_state.active.is_some() {
             return self.finish(id, turn.now, turn.inputs);
         }
         match connection.advance(turn.now) {
@@ -167,7 +167,7 @@
         let session = Session::new(&self.settings);
         let budget = overhead_budget(&self.settings);
         let overhead = AbuseDetector::new(turn.now, budget, self.pressure.is_elevated(turn.now));
-        connection.memory.active = Some(Box::new(ActiveSession { session, overhead }));
+        connection.protocol_state.active = Some(Box::new(ActiveSession { session, overhead }));
         true
     }
 
@@ -235,7 +235,7 @@
     turn: &mut Turn,
 ) -> Option<Exchange> {
     let link = &mut connection.link;
-    let active = connection.memory.active.as_deref_mut()?;
+    let active = connection.protocol_state.active.as_deref_mut()?;
     let available = link.data().len().min(active.session.pipe().free_bytes()).min(MAX_BYTES_PER_POLL);
     let decision = decide_read(active, available, pressure, turn);
     let read_bytes = decision.read_bytes();
@@ -299,9 +299,9 @@
 
 /// Notes what the socket has taken, and moves the connection to the stage that its streams call for.
 fn record_progress(connection: &mut Connection<SessionEntry>, exchange: &Exchange, now: f64) {
-    if connection.link.sent != connection.memory.sent_bytes || connection.link.queued() == 0 {
-        connection.memory.sent_bytes = connection.link.sent;
-        connection.memory.send_progress_at = now;
+    if connection.link.sent != connection.protocol_state.sent_bytes || connection.link.queued() == 0 {
+        connection.protocol_state.sent_bytes = connection.link.sent;
+        connection.protocol_state.send_progress_at = now;
     }
     if exchange.accepted && connection.state != ConnectionState::AwaitingResponse {
         // By way of reading: a connection that has sent a request is not among the silent ones, which are closed first
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -97,7 +97,7 @@
         self.disconnect_pending(id, inputs);
         self.admission.release(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if let Some(active) = connection.memory.active.take() {
+        if let Some(active) = connection.protocol_state.active.take() {
             queue_output(&active.session, &mut connection.link);
         }
         connection.finish(now);
@@ -114,7 +114,7 @@
     /// Tells the dispatcher that nobody waits any more for the responses that are pending on a connection.
     fn disconnect_pending(&mut self, id: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(active) = &connection.memory.active else { return };
+        let Some(active) = &connection.protocol_state.active else { return };
         for ticket in active.session.awaiting_response() {
             self.owners.remove(&ticket.0);
             inputs.push(Input::ClientDisconnected(ticket));
@@ -159,7 +159,7 @@
     fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         let Some(id) = self.owners.remove(&ticket.0) else { return };
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if let Some(active) = connection.memory.active.as_deref_mut() {
+        if let Some(active) = connection.protocol_state.active.as_deref_mut() {
             active.session.respond(now, ticket, response, context);
         }
         self.connections.touch(id);
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -27,7 +27,7 @@
         let stalled = self.connections.ids_where(|connection| {
             connection.state == ConnectionState::AwaitingResponse
                 && connection.link.queued() > 0
-                && connection.memory.send_stalled_s(now) > MAX_SEND_STALL_S
+                && connection.protocol_state.send_stalled_s(now) > MAX_SEND_STALL_S
         });
         for id in stalled {
             self.close(id, inputs);
@@ -40,7 +40,7 @@
         for id in largest_beyond(backlogs, self.settings.waiting_kb as usize * 1024) {
             FrontendEvent::Http2SessionTerminated(SessionEndCause::ResponseBacklog).emit();
             let connection = self.connections.get_mut(id);
-            if let Some(active) = connection.and_then(|c| c.memory.active.as_deref_mut()) {
+            if let Some(active) = connection.and_then(|c| c.protocol_state.active.as_deref_mut()) {
                 active.session.abort_for_abuse();
             }
             self.finish(id, now, inputs);
@@ -49,9 +49,9 @@
 
     fn response_backlogs(&mut self) -> Vec<ResponseBacklog> {
         let mut backlogs = Vec::new();
-        for id in self.connections.ids_where(|c| c.memory.active.is_some()) {
+        for id in self.connections.ids_where(|c| c.protocol_state.active.is_some()) {
             let Some(connection) = self.connections.get_mut(id) else { continue };
-            let Some(active) = &connection.memory.active else { continue };
+            let Some(active) = &connection.protocol_state.active else { continue };
             let bytes = active.session.pending_response_bytes() + connection.link.queued();
             backlogs.push(ResponseBacklog { id, bytes });
         }
@@ -64,7 +64,7 @@
         for id in self.connections.ids_where(|connection| connection.state == ConnectionState::Idle) {
             let Some(connection) = self.connections.get_mut(id) else { continue };
             let idle_since = connection.since();
-            let Some(active) = &mut connection.memory.active else { continue };
+            let Some(active) = &mut connection.protocol_state.active else { continue };
             let outcome = active.session.poll_idle(now, idle_since, &self.settings, draining);
             if outcome == IdleOutcome::Close {
                 overdue.push(id);
--- a/src/net/lifecycle/hot_restart/messages.rs
+++ b/src/net/lifecycle/hot_restart/messages.rs
@@ -84,7 +84,7 @@
 ) -> HandedOffConnection {
     HandedOffConnection {
         unread: Bytes(detached.unread.as_slice().into()),
-        continued: detached.memory,
+        continued: detached.protocol_state,
         requests_read: detached.requests_read,
         close_after_response: detached.close,
         queued_request,
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -167,7 +167,7 @@
             unread: connection.unread.0.to_vec(),
             requests_read: connection.requests_read,
             close: connection.close_after_response,
-            memory: connection.continued,
+            protocol_state: connection.continued,
         };
         let has_request = connection.queued_request.is_some();
         let Some(id) = self.frontends.http1.connections.adopt(now, detached, has_request) else {
