--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -80,7 +80,7 @@
 
     /// Whether all requests have been answered and the responses written out, and nothing is on its way in.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
+    pub fn all_idle(&self) -> bool {
         use ConnectionState::{Closing, HandedOff, Idle};
         self.by_id.values().all(|connection| matches!(connection.state, Idle | Closing | HandedOff))
     }
--- a/src/net/frontends/connections/set.rs
+++ b/src/net/frontends/connections/set.rs
@@ -20,7 +20,7 @@
     /// Whether there are no connections.
     fn is_empty(&self) -> bool;
     /// Whether no response is pending or being written, and no request is half read.
-    fn is_quiet(&self) -> bool;
+    fn all_idle(&self) -> bool;
     /// Whether no connection is left but those that another process has.
     fn all_ended(&self) -> bool;
     /// Ends connections that have been idle for `idle_s` or are too slow; with `closing` all idle ones.
@@ -60,8 +60,8 @@
         self.is_empty()
     }
 
-    fn is_quiet(&self) -> bool {
-        self.is_quiet()
+    fn all_idle(&self) -> bool {
+        self.all_idle()
     }
 
     fn all_ended(&self) -> bool {
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -150,8 +150,8 @@
 
     /// Whether no response is pending or being written, and no request is half read.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
-        self.all().all(|frontend| frontend.connections().is_quiet())
+    pub fn all_idle(&self) -> bool {
+        self.all().all(|frontend| frontend.connections().all_idle())
     }
 
     /// Whether nothing is left here for a successor: frontends that hand off their connections have none.
@@ -161,7 +161,7 @@
             if frontend.hands_off_connections() {
                 frontend.connections().is_empty()
             } else {
-                frontend.connections().is_quiet()
+                frontend.connections().all_idle()
             }
         };
         self.all().all(is_done)
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -54,7 +54,7 @@
         let frontends_done = if hot_restart.links.has_successor() {
             self.frontends.all_handed_off()
         } else {
-            self.frontends.is_quiet()
+            self.frontends.all_idle()
         };
         let all_sent = hot_restart.links.all_sent();
         idle && frontends_done && all_sent && !hot_restart.ownership.has_predecessor()
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -133,7 +133,7 @@
     /// Whether no response is pending, everything is written, and no request is half read.
     fn all_answered(&self) -> bool {
         let pending_responses = self.dispatcher.as_ref().map_or(0, Dispatcher::pending_responses);
-        pending_responses == 0 && self.frontends.is_quiet()
+        pending_responses == 0 && self.frontends.all_idle()
     }
 
     /// Closes the listeners of all frontends, after all connections that the system has accepted by now were taken.
