--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the connections accepted there.
+//! Listening sockets and accepting connections on them.
 
 use super::eviction::Eviction;
 use super::{Connection, Connections};
@@ -11,11 +11,11 @@
 use std::rc::Rc;
 
 impl<P: Default> Connections<P> {
-    /// Listens at an address; each connection keeps at most `max_unread_bytes` unread.
+    /// Listens at an address; each connection buffers at most `max_unread_bytes` of unread input.
     ///
     /// # Errors
     ///
-    /// Where the system doesn't let it listen there.
+    /// If the address can't be bound.
     pub fn bind(
         poll: &Poll,
         address: SocketAddr,
@@ -27,11 +27,12 @@
         Ok(connections)
     }
 
-    /// Accepts from now on: at a socket that listens already, or else at `address`, which the error names too.
+    /// Starts accepting: on `socket` if it is given, otherwise on a new socket bound to `address`. The error names
+    /// `address` in both cases.
     ///
     /// # Errors
     ///
-    /// Where the system doesn't let it listen there, or the socket can't be polled.
+    /// If the address can't be bound or the socket can't be polled.
     pub fn open(&mut self, socket: Option<Rc<TcpListener>>, address: SocketAddr) -> Result<(), ListenError> {
         let source = Source::Listener(self.kind);
         let opened = match socket {
@@ -42,35 +43,35 @@
         Ok(())
     }
 
-    /// The socket that it accepts on.
+    /// The listening socket.
     pub fn socket(&self) -> Option<Rc<TcpListener>> {
         self.acceptor.as_ref().map(Acceptor::socket)
     }
 
-    /// The address that it listens at, as the system states it.
+    /// The address of the listening socket, as reported by the system.
     #[must_use]
     pub fn address(&self) -> Option<SocketAddr> {
         self.acceptor.as_ref().and_then(|acceptor| acceptor.address().ok())
     }
 
-    /// Records that connections wait to be accepted.
+    /// Records that connections are waiting to be accepted.
     pub fn mark_listener(&mut self) {
         if let Some(acceptor) = &mut self.acceptor {
             acceptor.mark();
         }
     }
 
-    /// Accepts no more; another process goes on listening at the same socket.
+    /// Stops accepting; another process continues to listen on the same socket.
     pub fn stop_listening(&mut self) {
         self.acceptor = None;
         self.pending_stream = None;
     }
 
-    /// Accepts no more, and nobody else listens: connections that wait at the socket are accepted first, since closing
-    /// it resets them, requests and all. Between the last accept and the close there is no more than a system call.
-    /// `false` where some may still wait, until other connections have been processed.
+    /// Closes the listener when no other process listens on its socket. Waiting connections are accepted first, since
+    /// the close resets them even if they have sent a request; the last accept and the close are only a system call
+    /// apart. Returns `false` if connections may still be waiting: the caller retries after it has processed others.
     pub fn close_listener(&mut self, now: f64) -> bool {
-        // The system knows better than the readiness that the event loop saw a moment ago.
+        // Asks the system again: the readiness that the event loop reported may be out of date.
         self.mark_listener();
         if self.accept(now) {
             return false;
@@ -79,7 +80,7 @@
         true
     }
 
-    /// Accepts the connections that wait; `true` if it had to stop early and wants to be called again.
+    /// Accepts the waiting connections. Returns `true` if it had to stop early and must be called again.
     pub fn accept(&mut self, now: f64) -> bool {
         for accepted_count in 0.. {
             let Some(acceptor) = &mut self.acceptor else { return false };
@@ -89,18 +90,18 @@
                 Accepted::Stream(stream) => stream,
                 Accepted::Nobody => return false,
                 Accepted::Full if self.resolve_descriptor_shortage(now) => continue,
-                // Guards against spinning: the connection stays in the queue, and the next attempt is left to a timer.
+                // Guards against a busy loop: the connection stays in the backlog, and a timer triggers a retry.
                 Accepted::Full | Accepted::Pause => return true,
             };
             if self.by_id.len() >= self.limit {
                 match self.evict_one(now) {
                     Eviction::Evicted => {}
-                    Eviction::Later => {
+                    Eviction::Deferred => {
                         self.pending_stream = Some(stream);
                         return true;
                     }
-                    // Closed with its request unread, which makes it a reset: as with a refused connection, nothing
-                    // has run. All are busy, and the limit forbids one more.
+                    // All connections are busy and the limit is reached. The new one is dropped with its request
+                    // unread, which sends a reset: as with a refused connection, nothing has run.
                     Eviction::NoCandidate => continue,
                 }
             }
@@ -109,20 +110,20 @@
         false
     }
 
-    /// Evicts a connection, or closes the waiting one. `false` where neither could be done now.
+    /// Frees a descriptor by an eviction, or closes the waiting connection. Returns `false` if neither is possible now.
     ///
-    /// An idle connection may be closed at any time: one that waits is worth more. Where all are busy, the waiting
-    /// one is closed immediately: a request that lies unread until its deadline is lost, and one on a
-    /// connection closed before anything ran may be retried elsewhere.
+    /// An idle connection may be closed at any time, so a waiting one takes precedence. If all are busy, the waiting
+    /// one is closed immediately: a request that stays unread until its deadline is lost, whereas a client whose
+    /// connection was closed before anything ran can retry elsewhere.
     fn resolve_descriptor_shortage(&mut self, now: f64) -> bool {
         match self.evict_one(now) {
             Eviction::Evicted => true,
             Eviction::NoCandidate => self.acceptor.as_mut().is_some_and(Acceptor::turn_away),
-            Eviction::Later => false,
+            Eviction::Deferred => false,
         }
     }
 
-    /// Adds an accepted connection; one that can't be polled is closed.
+    /// Adds an accepted connection, or closes it if it can't be polled.
     fn register(&mut self, now: f64, stream: TcpStream) {
         let id = self.poll.next_id();
         if stream.set_nonblocking(true).is_err() {
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -1,75 +1,75 @@
-//! One connection: its state, what it does next and how it is closed.
+//! A single connection: its state, its next step, and its closing.
 
 use crate::net::io::buffer::{Filled, Link};
 use crate::net::io::source::Readiness;
 
-/// The most steps that one connection takes in a turn: a peer that sends without end must not occupy the event loop.
+/// Limit on the steps of one connection per turn: a peer that sends continuously must not monopolize the event loop.
 pub const MAX_STEPS_PER_TURN: usize = 32;
 
-/// A connection that is being closed is read so long after the last byte: a peer that goes on sending after its
+/// Idle timeout of a lingering close, measured from the last byte received: a peer that continues to send after its
 /// rejection must not lose the response to a reset (seconds).
 const LINGER_IDLE_TIMEOUT_S: f64 = 1.0;
 
-/// A connection that is being closed is read for so long at most (seconds).
+/// Upper bound on the duration of a lingering close (seconds).
 const MAX_LINGER_S: f64 = 4.0;
 
-/// The most that is read and discarded in one step (bytes).
+/// Limit on the input discarded in one step (bytes).
 const MAX_DISCARD_BYTES: usize = 1024 * 1024;
 
-/// Where a connection stands; it has one request at a time.
+/// The state of a connection, which handles one request at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub enum ConnectionState {
-    /// Nothing of the next request has come.
+    /// No byte of the next request has been received.
     Idle,
-    /// A part of a request has come.
+    /// A request has been received in part.
     Reading,
-    /// A response is pending at the dispatcher, or a lookup at the directory before it.
+    /// Waits for the dispatcher's response, or for a directory lookup that precedes it.
     AwaitingResponse,
     /// The response is being written.
     Responding,
-    /// The writing side has ended: what still comes is discarded until the peer closes.
+    /// The writing side has been shut down; input is discarded until the peer closes.
     Closing,
-    /// Another process has it, or is about to.
+    /// Handed off to another process, or about to be.
     HandedOff,
 }
 
-/// What a frontend is to do with a connection.
+/// What a frontend has to do next with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Read its next request.
     Read,
-    /// Wait for an event, or for the dispatcher.
+    /// Wait for a poll event or for the dispatcher.
     Wait,
-    /// Go on with it after the other connections.
+    /// Continue after the other connections have been processed.
     Later,
-    /// Close it.
+    /// Close the connection.
     Close,
 }
 
-/// A connection, with the protocol's own state between two turns.
+/// A connection, with protocol-specific state that is kept between turns.
 pub struct Connection<P> {
     /// The socket and its buffers.
     pub link: Link,
-    /// Where it stands.
+    /// The current state.
     pub state: ConnectionState,
-    /// When it entered its state (seconds).
+    /// When the current state was entered (seconds).
     pub(super) state_since: f64,
-    /// When it was accepted or taken over (seconds).
+    /// When it was accepted, or adopted from another process (seconds).
     pub(super) opened_at: f64,
-    /// When the last of the discarded bytes came (seconds).
+    /// When input was last received and discarded (seconds).
     last_received_at: f64,
-    /// How many requests have come complete.
+    /// The number of complete requests received.
     pub(super) requests_read: u32,
-    /// Whether it is closed after the current response.
+    /// Whether to close after the current response.
     pub close: bool,
-    /// Bytes have come that its frontend has not processed.
+    /// Whether input has been buffered since the frontend last processed the connection.
     pub(super) has_unseen_bytes: bool,
-    /// The protocol's own state.
+    /// The protocol-specific state.
     pub protocol_state: P,
 }
 
 impl<P> Connection<P> {
-    /// A connection that has received nothing.
+    /// A connection on which nothing has been received.
     pub(super) fn new(link: Link, now: f64, protocol_state: P) -> Connection<P> {
         Connection {
             link,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Writes what can be written, and takes the state transitions that every protocol shares.
+    /// Flushes pending output and performs the state transitions common to all protocols.
     pub fn advance(&mut self, now: f64) -> NextStep {
         use ConnectionState::{AwaitingResponse, Closing, HandedOff, Idle, Reading, Responding};
         for _ in 0..MAX_STEPS_PER_TURN {
@@ -92,8 +92,8 @@
                 return NextStep::Close;
             }
             match self.state {
-                // One request at a time: what comes meanwhile waits in the buffer, then with the system. Only reading
-                // shows a reset, and the dispatcher need not go on for a client that is gone.
+                // One request at a time: further input stays in the buffer, and beyond that in the kernel. It is read
+                // because only a read reveals a reset, and the dispatcher need not continue for a client that is gone.
                 AwaitingResponse if self.link.fill() == Filled::Broken => return NextStep::Close,
                 AwaitingResponse | HandedOff => return NextStep::Wait,
                 Responding if self.link.queued() > 0 => return NextStep::Wait,
@@ -106,13 +106,13 @@
         NextStep::Later
     }
 
-    /// Takes no further request: what is queued is written, then the connection is closed.
+    /// Reads no further request: writes the queued output, then closes the connection.
     pub fn finish(&mut self, now: f64) {
         self.close = true;
         self.set_state(now, ConnectionState::Responding);
     }
 
-    /// Enters a state, and counts a request that has come complete.
+    /// Enters a state. Leaving `Reading` with a complete request counts that request.
     pub fn set_state(&mut self, now: f64, state: ConnectionState) {
         let request_complete =
             matches!(state, ConnectionState::AwaitingResponse | ConnectionState::Responding);
@@ -123,19 +123,19 @@
         self.state_since = now;
     }
 
-    /// When it entered its state (seconds).
-    pub fn since(&self) -> f64 {
+    /// When the current state was entered (seconds).
+    pub fn state_since(&self) -> f64 {
         self.state_since
     }
 
-    /// Ends the writing side. From here on nothing that comes is read as a request.
+    /// Shuts down the writing side. Input received from now on is not parsed as a request.
     fn half_close(&mut self, now: f64) {
         self.link.end_writing();
         self.last_received_at = now;
         self.set_state(now, ConnectionState::Closing);
     }
 
-    /// Reads and discards what comes after the half-close.
+    /// Reads and discards input received after the half-close.
     fn discard_input(&mut self, now: f64) -> NextStep {
         let (filled, received) = self.link.discard(MAX_DISCARD_BYTES);
         if received {
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Reads what has come since its frontend last processed it; `true` if anything has, or the peer has ended.
-    /// Guards against a decision to close that rests on readiness the event loop saw a moment ago.
+    /// Reads input received since the frontend last processed the connection. Returns `true` if there is any or the
+    /// peer has closed. Guards against a decision to close that is based on out-of-date readiness.
     pub(super) fn check_for_input(&mut self) -> bool {
         let length_before = self.link.data().len();
         self.link.mark(Readiness { readable: true, writable: false });
@@ -158,7 +158,7 @@
         self.has_unseen_bytes || filled != Filled::Open
     }
 
-    /// Whether a connection that is being closed is still read; discards what has come where it is not.
+    /// Whether a lingering close continues. If it doesn't, discards the unread input.
     pub(super) fn keep_lingering(&mut self, now: f64) -> bool {
         let recently_received = now - self.last_received_at < LINGER_IDLE_TIMEOUT_S;
         let lingers = recently_received && now - self.state_since < MAX_LINGER_S;
@@ -168,7 +168,7 @@
         lingers
     }
 
-    /// Discards what has come, so that the close that follows is no reset.
+    /// Discards unread input, so that the close that follows doesn't send a reset.
     pub(super) fn drop_unread(&mut self) {
         self.link.mark(Readiness { readable: true, writable: false });
         self.link.discard(MAX_DISCARD_BYTES);
--- a/src/net/frontends/connections/eviction.rs
+++ b/src/net/frontends/connections/eviction.rs
@@ -1,57 +1,57 @@
-//! Which connection is closed where another needs its descriptor.
+//! Selects the connection to close when another one needs its descriptor.
 
 use super::{Connection, ConnectionState, Connections};
 
-/// Clients send a request as soon as they have connected: one that has been silent for so long may be evicted
-/// (seconds).
+/// Clients send a request as soon as they have connected: a connection without a complete request after this time may
+/// be evicted (seconds).
 pub(super) const SILENCE_LIMIT_S: f64 = 0.05;
 
-/// A connection that has had one request and been idle for so long may be evicted: a request that crosses the close
-/// within that time is retried by the client (seconds).
+/// A connection that has served one request and been idle for this long may be evicted: if a request crosses the close
+/// within this time, the client retries it (seconds).
 const CLOSE_RACE_WINDOW_S: f64 = 0.05;
 
-/// The order in which connections are evicted, first to last.
+/// The order of eviction, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// It has sent no complete request for the silence limit.
+    /// No complete request within the silence limit.
     Silent,
-    /// It is being closed anyway.
+    /// Already being closed.
     Closing,
-    /// It has had one request and is idle.
+    /// Idle after a single request.
     IdleAfterOneRequest,
-    /// It was accepted a moment ago and has sent no complete request yet.
+    /// Accepted recently, with no complete request yet.
     JustAccepted,
-    /// It is idle, and was used for several requests or a moment ago.
+    /// Idle, and used recently or for several requests.
     Idle,
 }
 
-/// A connection that may be evicted.
+/// A connection that is eligible for eviction.
 struct Candidate {
     rank: EvictionRank,
     state_since: f64,
     id: u64,
 }
 
-/// What came of an eviction.
+/// The outcome of an eviction.
 pub(super) enum Eviction {
-    /// One connection was closed.
+    /// A connection was closed.
     Evicted,
-    /// One may be evicted once the frontends have processed what has just come.
-    Later,
+    /// A connection may become eligible once the frontends have processed new connections and new input.
+    Deferred,
     /// All connections are busy.
     NoCandidate,
 }
 
 impl<P> Connection<P> {
-    /// Its rank in the order of evictions; `None` while it is busy.
+    /// The connection's rank in the order of eviction; `None` while it is busy.
     fn eviction_rank(&self, now: f64, silence_limit_s: f64) -> Option<EvictionRank> {
-        let never_asked = self.requests_read == 0;
-        let is_silent = never_asked && now - self.opened_at >= silence_limit_s;
+        let no_request_yet = self.requests_read == 0;
+        let is_silent = no_request_yet && now - self.opened_at >= silence_limit_s;
         match self.state {
             ConnectionState::Idle | ConnectionState::Reading if is_silent => Some(EvictionRank::Silent),
             ConnectionState::Closing => Some(EvictionRank::Closing),
-            // One accepted in this turn has not been read yet: its request may be there.
-            ConnectionState::Idle if never_asked => {
+            // A connection accepted in this turn has not been read yet: its request may already be there.
+            ConnectionState::Idle if no_request_yet => {
                 (now > self.opened_at).then_some(EvictionRank::JustAccepted)
             }
             ConnectionState::Idle => {
@@ -69,19 +69,19 @@
 }
 
 impl<P> Connections<P> {
-    /// Closes one connection for another. Guards against a flood of silent clients: what has just been accepted is
-    /// processed before a connection of the last rank is closed.
+    /// Closes one connection to make room for another. Guards against a flood of silent clients: connections that were
+    /// just accepted are processed before one of the last rank is closed.
     ///
-    /// There is no descriptor to linger with, so the connection is closed without a half-close. That is safe where
-    /// nothing lies unread: it is read first, and one whose request has just come stays and is processed.
+    /// No descriptor is left for a lingering close, so the connection is closed without a half-close. That is safe if
+    /// it has no unread input: it is read first, and one whose request has just come is kept and processed.
     pub(super) fn evict_one(&mut self, now: f64) -> Eviction {
-        #[expect(clippy::float_cmp, reason = "both are copies of one reading of the clock")]
+        #[expect(clippy::float_cmp, reason = "both are copies of the same clock reading")]
         let any_just_opened = self.by_id.values().any(|connection| connection.opened_at == now);
         loop {
             let any_unseen = self.by_id.values().any(|connection| connection.has_unseen_bytes);
             let candidate = match self.eviction_candidate(now) {
                 Some(candidate) if candidate.rank < EvictionRank::Idle => candidate,
-                _ if any_just_opened || any_unseen => return Eviction::Later,
+                _ if any_just_opened || any_unseen => return Eviction::Deferred,
                 Some(candidate) => candidate,
                 None => return Eviction::NoCandidate,
             };
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The connection to be evicted next: of the lowest rank, and of these the longest in its state.
+    /// The next connection to evict: of the lowest rank, the one that entered its state first.
     fn eviction_candidate(&self, now: f64) -> Option<Candidate> {
         let seen = self.by_id.iter().filter(|(_, connection)| !connection.has_unseen_bytes);
         let candidates = seen.filter_map(|(id, connection)| {
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -1,4 +1,4 @@
-//! Connections that move between two processes in a hot restart.
+//! Transfer of connections between processes in a hot restart.
 
 use super::{Connection, ConnectionState, Connections};
 use crate::net::io::buffer::Link;
@@ -6,33 +6,33 @@
 use std::net::TcpStream;
 use std::os::fd::OwnedFd;
 
-/// A connection on its way to another process, with the protocol's own state.
+/// A connection in transfer to another process, with its protocol-specific state.
 pub struct DetachedConnection<P> {
     /// The socket.
     pub stream: OwnedFd,
-    /// Bytes that have come and were not processed.
+    /// Input that was received but not processed.
     pub unread: Vec<u8>,
-    /// How many requests have come complete.
+    /// The number of complete requests received.
     pub requests_read: u32,
-    /// Whether it is closed after the current response.
+    /// Whether to close after the current response.
     pub close: bool,
-    /// The protocol's own state.
+    /// The protocol-specific state.
     pub protocol_state: P,
 }
 
 impl<P: Default> Connections<P> {
-    /// Goes on with a connection that was detached; with `request_in_flight` its request is in flight.
+    /// Resumes a detached connection. `request_in_flight` tells whether its request is still in flight.
     pub fn reattach(&mut self, now: f64, id: u64, request_in_flight: bool) {
         let detached = self.by_id.get_mut(&id).filter(|c| c.state == ConnectionState::HandedOff);
         let Some(connection) = detached else { return };
-        // Not a new request: `set_state` is for those alone.
+        // Not through `set_state`, which would count a new request.
         connection.state = resumed_state(&connection.link, request_in_flight);
         connection.state_since = now;
         self.touched.push(id);
     }
 
-    /// Takes over a connection from another process, in non-blocking mode; with `request_in_flight` its request is in flight.
-    /// `None` where its socket can't be polled.
+    /// Adopts a connection from another process; its socket is in non-blocking mode. `request_in_flight` tells whether
+    /// its request is still in flight. Returns `None` if the socket can't be polled.
     pub fn adopt(
         &mut self,
         now: f64,
@@ -56,8 +56,8 @@
 }
 
 impl<P: Default + Copy> Connections<P> {
-    /// Detaches a connection for another process: nothing is read or written here until it is reattached. `None` where
-    /// there is no such connection, or the system gives no descriptor for it; then it stays as it is.
+    /// Detaches a connection for another process: this process neither reads nor writes it until it is reattached.
+    /// Returns `None`, and leaves the connection unchanged, if it doesn't exist or its descriptor can't be duplicated.
     pub fn detach(&mut self, id: u64) -> Option<DetachedConnection<P>> {
         let connection = self.by_id.get_mut(&id)?;
         let unread = connection.link.data().to_vec();
@@ -73,7 +73,7 @@
     }
 }
 
-/// The state in which a connection from another process goes on.
+/// The state in which a reattached or adopted connection resumes.
 fn resumed_state(link: &Link, request_in_flight: bool) -> ConnectionState {
     if request_in_flight {
         ConnectionState::AwaitingResponse
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -1,11 +1,11 @@
-//! What all frontends share: accepting, the states of a connection, and the one way to close.
+//! Shared by all frontends: accepting connections, the states of a connection, and closing it.
 //!
-//! A close over unread bytes is a reset, and a reset takes responses with it that the peer has not read. So every
-//! close that this side begins goes one way, the lingering close of RFC 9112, section 9.6: read until nothing is
-//! there; what came is processed by the frontend, and answered; else the writing side is ended (half-close), what
-//! still comes is discarded, and the socket is closed when the peer has ended too or a short time limit is over. What
-//! is discarded never reaches the dispatcher: its response could not be read, and the client sees that the connection
-//! had ended.
+//! Closing a socket with unread bytes sends a reset, and a reset discards responses that the peer has not read yet.
+//! Every close that this side starts is therefore the lingering close of RFC 9112, section 9.6: the socket is read
+//! until it is empty, and the frontend processes and answers whatever came. If nothing came, the writing side is shut
+//! down (half-close), further input is discarded, and the socket is closed once the peer has closed too or a short
+//! time limit has passed. Discarded input never reaches the dispatcher: the client could not read the response, and it
+//! sees that the connection had ended.
 
 #![warn(missing_docs)]
 
@@ -26,27 +26,27 @@
 use std::collections::HashMap;
 use std::net::TcpStream;
 
-/// A listener and its connections, each with the protocol's own state `P`.
+/// A listener and its connections, each with protocol-specific state `P`.
 pub struct Connections<P> {
-    /// `None` while nothing is accepted.
+    /// `None` while no connections are accepted.
     acceptor: Option<Acceptor>,
     poll: Poll,
     /// The frontend that they belong to.
     kind: FrontendKind,
-    /// The most that a connection keeps unread.
+    /// Size limit of a connection's input buffer.
     max_unread_bytes: usize,
     by_id: HashMap<u64, Connection<P>>,
-    /// Connections that their frontend is to process.
+    /// Connections that the frontend has to process.
     touched: Vec<u64>,
-    /// After so long without a complete request a connection may be evicted.
+    /// A connection that has sent no complete request for this long may be evicted.
     silence_limit_s: f64,
     limit: usize,
-    /// Accepted, and waits for an eviction until the frontend has processed what has just come.
+    /// Accepted, but over the limit: waits for an eviction until the frontend has processed the input that just came.
     pending_stream: Option<TcpStream>,
 }
 
 impl<P: Default> Connections<P> {
-    /// No connections, and nothing is accepted yet.
+    /// An empty set without a listener.
     #[must_use]
     pub fn closed(poll: &Poll, kind: FrontendKind, max_unread_bytes: usize) -> Connections<P> {
         Connections {
@@ -62,12 +62,13 @@
         }
     }
 
-    /// Limits the number of connections: beyond, a new one replaces an idle one, or is closed.
-    pub fn at_most(&mut self, max_connections: usize) {
+    /// Limits the number of connections. Above the limit a new connection replaces an idle one; if there is none, the
+    /// new one is closed.
+    pub fn set_max_connections(&mut self, max_connections: usize) {
         self.limit = max_connections;
     }
 
-    /// Lets a new connection take the place of the oldest that has sent no complete request, however young that is.
+    /// Lets a new connection replace the oldest one that has sent no complete request, regardless of its age.
     pub fn prefer_newest(&mut self) {
         self.silence_limit_s = 0.0;
     }
@@ -78,20 +79,20 @@
         self.by_id.is_empty()
     }
 
-    /// Whether all requests have been answered and the responses written out, and nothing is on its way in.
+    /// Whether all requests have been answered, all responses written, and no request is partly read.
     #[must_use]
     pub fn all_idle(&self) -> bool {
         use ConnectionState::{Closing, HandedOff, Idle};
         self.by_id.values().all(|connection| matches!(connection.state, Idle | Closing | HandedOff))
     }
 
-    /// Whether no connection is left but those that another process holds.
+    /// Whether all remaining connections are held by another process.
     #[must_use]
     pub fn all_ended(&self) -> bool {
         self.by_id.values().all(|connection| connection.state == ConnectionState::HandedOff)
     }
 
-    /// Whether a connection is to be processed without an event of the poll.
+    /// Whether a connection has to be processed without waiting for a poll event.
     #[must_use]
     pub fn has_pending(&self) -> bool {
         !self.touched.is_empty()
@@ -108,7 +109,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The ids of those that fulfil a condition, in the order in which they were accepted.
+    /// The ids of the connections that satisfy a condition, in the order in which they were accepted.
     pub fn ids_where(&self, condition: impl Fn(&Connection<P>) -> bool) -> Vec<u64> {
         let matching = self.by_id.iter().filter(|(_, connection)| condition(connection));
         let mut ids: Vec<u64> = matching.map(|(id, _)| *id).collect();
@@ -116,7 +117,7 @@
         ids
     }
 
-    /// Records a connection's readiness, and has it processed.
+    /// Records a connection's readiness and schedules the connection for processing.
     pub fn mark(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.by_id.get_mut(&id) {
             connection.link.mark(readiness);
@@ -124,17 +125,17 @@
         }
     }
 
-    /// Has all connections processed.
+    /// Schedules all connections for processing.
     pub fn touch_all(&mut self) {
         self.touched.extend(self.by_id.keys());
     }
 
-    /// Has this connection processed again in the same turn.
+    /// Schedules a connection for processing again in the same turn.
     pub fn touch(&mut self, id: u64) {
         self.touched.push(id);
     }
 
-    /// Takes the ids of connections to be processed, each once, in the order in which they were accepted.
+    /// Takes the ids of the connections to process, without duplicates, in the order in which they were accepted.
     pub fn take_touched(&mut self) -> Vec<u64> {
         let mut touched = std::mem::take(&mut self.touched);
         touched.sort_unstable();
@@ -147,12 +148,12 @@
         touched
     }
 
-    /// Closes a connection whose request is not in flight.
+    /// Closes a connection that has no request in flight.
     pub fn close(&mut self, id: u64) {
         self.by_id.remove(&id);
     }
 
-    /// Closes a broken connection, and notifies the dispatcher where its request is in flight.
+    /// Closes a broken connection; if it has a request in flight, notifies the dispatcher.
     pub fn disconnected(&mut self, id: u64, inputs: &mut Vec<Input>) {
         if self
             .by_id
--- a/src/net/frontends/connections/set.rs
+++ b/src/net/frontends/connections/set.rs
@@ -1,37 +1,37 @@
-//! Connections without their protocol's own state, as the lifecycle of the worker sees them.
+//! A protocol-independent view of connections, for the worker's lifecycle.
 
 use super::Connections;
 use crate::net::io::source::Readiness;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// A listener and its connections, of any protocol. Each method is that of [`Connections`] under the same name.
+/// A listener and its connections, of any protocol. Each method calls the method of [`Connections`] of the same name.
 pub trait ConnectionSet {
-    /// The address that it listens at; none while nothing is accepted.
+    /// The address of the listening socket; `None` while no connections are accepted.
     fn address(&self) -> Option<SocketAddr>;
-    /// The socket that it accepts on.
+    /// The listening socket.
     fn socket(&self) -> Option<Rc<TcpListener>>;
-    /// Records that connections wait to be accepted.
+    /// Records that connections are waiting to be accepted.
     fn mark_listener(&mut self);
     /// Records a connection's readiness.
     fn mark(&mut self, id: u64, readiness: Readiness);
-    /// Whether a connection is to be processed without an event of the poll.
+    /// Whether a connection has to be processed without waiting for a poll event.
     fn has_pending(&self) -> bool;
     /// Whether there are no connections.
     fn is_empty(&self) -> bool;
-    /// Whether no response is pending or being written, and no request is half read.
+    /// Whether no response is pending or being written, and no request is partly read.
     fn all_idle(&self) -> bool;
-    /// Whether no connection is left but those that another process has.
+    /// Whether all remaining connections are held by another process.
     fn all_ended(&self) -> bool;
-    /// Ends connections that have been idle for `idle_s` or are too slow; with `closing` all idle ones.
+    /// Closes connections that have been idle for `idle_s` or are too slow; with `closing`, all idle ones.
     fn sweep(&mut self, now: f64, idle_s: f64, closing: bool);
-    /// Accepts what waits at the listener, then closes it; `false` where some may still wait.
+    /// Accepts the waiting connections, then closes the listener. Returns `false` if some may still be waiting.
     fn close_listener(&mut self, now: f64) -> bool;
-    /// Accepts no more; another process goes on listening at the same socket.
+    /// Stops accepting; another process continues to listen on the same socket.
     fn stop_listening(&mut self);
-    /// Ends all idle connections, and with `at_once` those that have sent half a request.
-    fn end_all(&mut self, now: f64, at_once: bool);
-    /// Discards what lies unread, the last thing before the process ends.
+    /// Closes all idle connections; with `include_partial`, also those that have sent part of a request.
+    fn close_idle(&mut self, now: f64, include_partial: bool);
+    /// Discards unread input, as the last step before the process exits.
     fn drop_unread(&mut self);
 }
 
@@ -80,8 +80,8 @@
         self.stop_listening();
     }
 
-    fn end_all(&mut self, now: f64, at_once: bool) {
-        self.end_all(now, at_once);
+    fn close_idle(&mut self, now: f64, include_partial: bool) {
+        self.close_idle(now, include_partial);
     }
 
     fn drop_unread(&mut self) {
--- a/src/net/frontends/connections/sweeping.rs
+++ b/src/net/frontends/connections/sweeping.rs
@@ -1,33 +1,33 @@
-//! Timeouts of connections, and their end at a shutdown.
+//! Connection timeouts, and closing connections at shutdown.
 
 use super::{Connection, ConnectionState, Connections};
 
-/// How long a request may take to come complete, and the first one of a connection from its accept: a peer that is
-/// silent or sends half a request is closed within 3 s (seconds).
+/// Timeout for receiving a complete request; for a connection's first request it runs from the accept. A peer that is
+/// silent or sends only part of a request is closed within 3 s (seconds).
 const REQUEST_TIMEOUT_S: f64 = 2.0;
 
-/// How much longer a peer that still sends of its request may put that off: guards against one whose next byte is
-/// always on its way (seconds).
+/// How long a peer that is still sending may exceed the request timeout: guards against one that postpones the close
+/// by always having another byte under way (seconds).
 const REQUEST_TIMEOUT_GRACE_S: f64 = 0.25;
 
-/// How long a peer may take to read a response (seconds).
+/// Timeout for a peer to read a response (seconds).
 const RESPONSE_TIMEOUT_S: f64 = 10.0;
 
-/// An idle connection gives its buffers back after so long (seconds).
+/// An idle connection frees its buffers after this time (seconds).
 const SHRINK_AFTER_S: f64 = 1.0;
 
-/// Spare capacity that the table of connections keeps, as a multiple of its length.
+/// Capacity that the connection table keeps, as a multiple of its length.
 const SPARE_CAPACITY_FACTOR: usize = 4;
 
 impl<P: Default> Connections<P> {
-    /// Ends connections that have been idle for `idle_s`, and peers that are too slow to send or to read. With
-    /// `closing`, all idle ones. One with new input is processed instead: see [`Connections::has_pending`].
+    /// Closes connections that have been idle for `idle_s` and those whose peer sends or reads too slowly; with
+    /// `closing`, all idle ones. A connection with new input is processed instead: see [`Connections::has_pending`].
     pub fn sweep(&mut self, now: f64, idle_s: f64, closing: bool) {
         let touched = &mut self.touched;
         self.by_id.retain(|id, connection| {
             let in_state_s = now - connection.state_since;
             let first_request = connection.requests_read == 0;
-            // The first request of a connection is due from its accept, each other one from its first byte.
+            // The timeout of a connection's first request starts at its accept, that of later ones at their first byte.
             let request_age_s = if first_request { now - connection.opened_at } else { in_state_s };
             let expired = match connection.state {
                 ConnectionState::Idle if first_request => closing || request_age_s >= REQUEST_TIMEOUT_S,
@@ -39,7 +39,7 @@
                 }
                 ConnectionState::Reading => request_age_s >= REQUEST_TIMEOUT_S,
                 ConnectionState::AwaitingResponse | ConnectionState::HandedOff => false,
-                // The peer reads nothing, so there is nothing that a half-close could bring to it.
+                // The peer doesn't read, so it would not notice a half-close.
                 ConnectionState::Responding => return in_state_s < RESPONSE_TIMEOUT_S,
                 ConnectionState::Closing => return connection.keep_lingering(now),
             };
@@ -48,33 +48,34 @@
                 connection.finish(now);
                 touched.push(*id);
             } else if expired {
-                end(*id, connection, now, touched);
+                begin_close(*id, connection, now, touched);
             }
             true
         });
         self.by_id.shrink_to(SPARE_CAPACITY_FACTOR * self.by_id.len());
     }
 
-    /// Ends all idle connections before the process ends; with `at_once` those too that have sent half a request.
-    pub fn end_all(&mut self, now: f64, at_once: bool) {
+    /// Closes all idle connections before the process exits; with `include_partial`, also those that have sent part of
+    /// a request.
+    pub fn close_idle(&mut self, now: f64, include_partial: bool) {
         for (id, connection) in &mut self.by_id {
             let is_idle = connection.state == ConnectionState::Idle;
-            if is_idle || at_once && connection.state == ConnectionState::Reading {
-                end(*id, connection, now, &mut self.touched);
+            if is_idle || include_partial && connection.state == ConnectionState::Reading {
+                begin_close(*id, connection, now, &mut self.touched);
             }
         }
     }
 
-    /// Discards what lies unread, the last thing before the process ends: unread bytes would make its end a reset.
+    /// Discards unread input, as the last step before the process exits: with unread bytes, the exit would send resets.
     pub fn drop_unread(&mut self) {
         let own = self.by_id.values_mut().filter(|connection| connection.state != ConnectionState::HandedOff);
         own.for_each(Connection::drop_unread);
     }
 }
 
-/// Begins the lingering close, unless input has come: then the frontend processes it, and the next sweep decides
-/// anew. What comes is bounded by the buffer, so that no peer can put its end off for long.
-fn end<P>(id: u64, connection: &mut Connection<P>, now: f64, touched: &mut Vec<u64>) {
+/// Begins a lingering close unless new input has come; that is processed by the frontend, and the next sweep decides
+/// again. The input is bounded by the buffer, so a peer can't postpone the close for long.
+fn begin_close<P>(id: u64, connection: &mut Connection<P>, now: f64, touched: &mut Vec<u64>) {
     if !connection.check_for_input() {
         connection.finish(now);
     }
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -5,7 +5,7 @@
 use calloop::EventLoop;
 use std::net::TcpListener;
 
-/// Connections with a clock of the test's own.
+/// Connections whose clock is set by the test.
 struct Fixture {
     _events: EventLoop<'static, Gathered>,
     listener: TcpListener,
@@ -22,7 +22,7 @@
         Fixture { _events: events, listener, clients: Vec::new(), connections }
     }
 
-    /// Opens a connection that has sent so many requests and been idle since `idle_since`.
+    /// Opens a connection that has sent `requests_read` requests and been idle since `idle_since`.
     fn open(&mut self, opened_at: f64, requests_read: u32, idle_since: f64) -> u64 {
         self.clients.push(TcpStream::connect(self.listener.local_addr().unwrap()).unwrap());
         let stream = self.listener.accept().unwrap().0;
@@ -40,7 +40,7 @@
         id
     }
 
-    /// The connections that are closed, in order, where `count` descriptors are wanted at this time.
+    /// The connections that are closed, in order, when `count` descriptors are needed at time `now`.
     fn evicted(&mut self, now: f64, count: usize) -> Vec<u64> {
         let ids = |connections: &Connections<()>| connections.ids_where(|_| true);
         let mut evicted = Vec::new();
@@ -55,8 +55,8 @@
     }
 }
 
-/// Under a load in which every request came on a connection of its own, those just opened were closed before their
-/// request had come, beside hundreds that had sent one request and stayed idle.
+/// When every request came on a new connection, connections just opened were evicted before their request arrived,
+/// although hundreds were idle after a single request.
 #[test]
 fn a_connection_idle_after_one_request_is_evicted_before_one_just_accepted() {
     let mut fixture = Fixture::new();
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -66,7 +66,7 @@
     #[must_use]
     pub fn closed(poll: &Poll, settings: Http2Settings) -> Http2Frontend {
         let mut connections = Connections::closed(poll, FrontendKind::Http2, READ_BUFFER_BYTES);
-        connections.at_most(settings.connections);
+        connections.set_max_connections(settings.connections);
         Http2Frontend {
             connections,
             poll: poll.clone(),
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -63,7 +63,7 @@
         let mut overdue = Vec::new();
         for id in self.connections.ids_where(|connection| connection.state == ConnectionState::Idle) {
             let Some(connection) = self.connections.get_mut(id) else { continue };
-            let idle_since = connection.since();
+            let idle_since = connection.state_since();
             let Some(active) = &mut connection.protocol_state.active else { continue };
             let outcome = active.session.poll_idle(now, idle_since, &self.settings, draining);
             if outcome == IdleOutcome::Close {
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -231,7 +231,7 @@
     /// Ends all idle connections, and with `at_once` those that have sent half a request. Returns `true` the first time.
     pub fn end_connections(&mut self, now: f64, at_once: bool) -> bool {
         for frontend in self.all_mut() {
-            frontend.connections_mut().end_all(now, at_once);
+            frontend.connections_mut().close_idle(now, at_once);
         }
         let is_first = self.ended_at.is_none();
         self.ended_at.get_or_insert(now);
