--- a/src/net/frontends/ajp/head.rs
+++ b/src/net/frontends/ajp/head.rs
@@ -66,7 +66,7 @@
         return Err(Rejection::new(413, "the body is too long"));
     }
     // Without a key nothing could keep the request from running twice.
-    if fields.key.is_none() && context.catalog.effect(class) == Idempotency::Keyed {
+    if fields.key.is_none() && context.catalog.idempotency(class) == Idempotency::Keyed {
         return Err(Rejection::new(400, "X-Operation-Key"));
     }
     let mut identity = None;
@@ -96,7 +96,7 @@
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             is_chunked = true;
         } else {
-            fields.note(name, value)?;
+            fields.record(name, value)?;
         }
     }
     if is_chunked && content_length.is_some() {
@@ -122,7 +122,7 @@
     let path = forward.uri.split(['?', ';']).next().unwrap_or("");
     let class = settings.class_of(path).and_then(|name| context.catalog.class(name));
     let class = class.ok_or(Rejection::new(404, "no such class"))?;
-    let is_idempotent = context.catalog.effect(class) == Idempotency::Idempotent;
+    let is_idempotent = context.catalog.idempotency(class) == Idempotency::Idempotent;
     if forward.method == "POST" || is_idempotent && forward.method == "GET" {
         Ok(class)
     } else {
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -186,9 +186,9 @@
     fn on_complete(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = &mut connection.protocol_state.0 else { return };
-        if pending.fields.id.is_none() {
+        if pending.fields.correlation_id.is_none() {
             self.generated_ids += 1;
-            pending.fields.id = Some(generated_id(self.seed, self.generated_ids).into());
+            pending.fields.correlation_id = Some(generated_id(self.seed, self.generated_ids).into());
         }
         let identity = pending.identity.take();
         let timeout_s = pending.fields.time_left(pending.class, &turn.context.catalog, turn.clock);
--- a/src/net/frontends/frontend.rs
+++ b/src/net/frontends/frontend.rs
@@ -1,4 +1,4 @@
-//! What the worker does with a frontend, whatever its protocol.
+//! The protocol-independent interface between the worker and a frontend.
 
 use super::connections::ConnectionSet;
 use crate::dispatch::{Input, Response, Ticket};
@@ -8,70 +8,71 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// The parts of the worker that a frontend uses in one turn of the loop.
+/// The parts of the worker that a frontend uses in one turn of the event loop.
 pub struct FrontendTurn<'a> {
     /// The worker's clock.
     pub clock: &'a Clock,
-    /// What frontends know of the worker.
+    /// The worker's state as far as frontends need it.
     pub context: &'a FrontendContext,
-    /// Takes what goes to the dispatcher.
+    /// Collects inputs for the dispatcher.
     pub inputs: &'a mut Vec<Input>,
-    /// Takes what goes to the directory.
+    /// Collects lookups for the directory.
     pub lookups: &'a mut Vec<Lookup>,
 }
 
-/// A frontend of the worker: a listener, connections, and the protocol spoken on them.
+/// A frontend of the worker: a listener, its connections, and the protocol spoken on them.
 ///
-/// The dispatcher knows a request by its ticket, and the ticket identifies the frontend that the response belongs to.
+/// The dispatcher identifies a request by its ticket, which also determines the frontend that sends the response.
 pub trait Frontend {
     /// Which frontend this is.
     fn kind(&self) -> FrontendKind;
 
-    /// Its listener and connections.
+    /// The listener and its connections.
     fn connections(&self) -> &dyn ConnectionSet;
 
-    /// Its listener and connections.
+    /// The listener and its connections.
     fn connections_mut(&mut self) -> &mut dyn ConnectionSet;
 
-    /// Accepts clients from now on: at a socket that listens already, or else at the configured address.
+    /// Starts accepting clients: on `socket` if it is given, otherwise on a new socket at the configured address.
     ///
     /// # Errors
-    /// The system does not let it listen there, or can't poll the socket.
+    /// If the address can't be bound or the socket can't be polled.
     fn open(&mut self, socket: Option<Rc<TcpListener>>) -> Result<(), ListenError>;
 
-    /// Accepts and reads; requests become inputs. Returns `true` if accepting had to stop early and is to be resumed.
+    /// Accepts connections and reads from them; requests become inputs. Returns `true` if accepting had to stop early
+    /// and must be resumed.
     fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool;
 
-    /// Whether the response to this ticket belongs to one of its connections.
+    /// Whether the request with this ticket came on one of this frontend's connections.
     fn owns(&self, ticket: Ticket) -> bool;
 
-    /// Writes a response of the dispatcher to its connection.
+    /// Writes a response from the dispatcher to its connection.
     fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext);
 
-    /// The socket that a successor is sent; none where it inherits the socket as this process did.
+    /// The listening socket to send to a successor; `None` if the successor inherits it, as this process did.
     fn listener_to_hand_off(&self) -> Option<Rc<TcpListener>> {
         self.connections().socket()
     }
 
-    /// Whether connections are handed to a successor as they fall idle, and not closed here.
+    /// Whether idle connections are handed off to a successor rather than closed.
     fn hands_off_connections(&self) -> bool {
         false
     }
 
-    /// How long a connection may be idle, where the platform allows this long (seconds).
+    /// The idle timeout of connections, given the platform's (seconds).
     fn idle_timeout_s(&self, platform_s: f64) -> f64 {
         platform_s
     }
 
-    /// Ends connections by the protocol's own limits.
+    /// Enforces the protocol's own limits on connections.
     fn sweep(&mut self, _now: f64, _availability: &Availability, _inputs: &mut Vec<Input>) {}
 
-    /// Announces on all connections that this process will close them.
+    /// Announces on every connection that this process will close it.
     fn announce_close(&mut self) {}
 
-    /// Answers requests that wait for something else than the dispatcher, since the process ends.
+    /// Answers requests that wait for anything other than the dispatcher, since the process is about to exit.
     fn respond_all(&mut self, _turn: &mut FrontendTurn<'_>) {}
 
-    /// Takes what the directory found for a request of this frontend.
+    /// Receives the directory's result for a request of this frontend.
     fn complete_lookup(&mut self, _ticket: Ticket, _result: LookupResult, _turn: &mut FrontendTurn<'_>) {}
 }
--- a/src/net/frontends/http1/parsing.rs
+++ b/src/net/frontends/http1/parsing.rs
@@ -81,7 +81,7 @@
             headers.keep_alive = keeps_alive(value, head.version, headers.keep_alive);
         } else if is("Expect") {
             headers.wants_continue = value.eq_ignore_ascii_case("100-continue");
-        } else if let Err(FieldError::Field(name)) = headers.fields.note(header.name, header.value) {
+        } else if let Err(FieldError::Field(name)) = headers.fields.record(header.name, header.value) {
             return Err(HttpError::new(400, name));
         }
     }
--- a/src/net/frontends/http1/responses.rs
+++ b/src/net/frontends/http1/responses.rs
@@ -51,7 +51,7 @@
 /// The response to a request that the frontend rejects; the connection is closed after it.
 pub(super) fn error_response(error: &HttpError, context: &FrontendContext) -> Vec<u8> {
     let allow = if error.allow.is_empty() { String::new() } else { format!("Allow: {}\r\n", error.allow) };
-    let body = format!("{}\n", error.why);
+    let body = format!("{}\n", error.message);
     with_body(error.code, &body, &allow, context, true)
 }
 
--- a/src/net/frontends/http2/session/request.rs
+++ b/src/net/frontends/http2/session/request.rs
@@ -84,7 +84,7 @@
             if length.is_none_or(|bytes| bytes > MAX_BODY_BYTES) {
                 return Err(HttpError::new(413, "the body is too long"));
             }
-        } else if let Err(FieldError::Field(name)) = fields.note(name.as_str(), value.as_bytes()) {
+        } else if let Err(FieldError::Field(name)) = fields.record(name.as_str(), value.as_bytes()) {
             return Err(HttpError::new(400, name));
         }
     }
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -84,8 +84,8 @@
         context: &FrontendContext,
     ) {
         match target {
-            Target::Check if context.availability.is_ready() => self.send_text(200, "good\n", context),
-            Target::Check => self.send_text(503, "bad\n", context),
+            Target::HealthCheck if context.availability.is_ready() => self.send_text(200, "good\n", context),
+            Target::HealthCheck => self.send_text(503, "bad\n", context),
             Target::Run(class) => {
                 let fields = Box::new(fields);
                 let body = Vec::new();
@@ -230,7 +230,7 @@
     }
 
     fn fail(&mut self, fail: HttpError, context: &FrontendContext) {
-        let body = format!("{}\n", fail.why).into_bytes();
+        let body = format!("{}\n", fail.message).into_bytes();
         let mapping =
             StatusMapping { code: fail.code, body: Some(body.into()), pushback_ms: None, stop_trying: false };
         self.start_response(mapping, fail.allow, context);
--- a/src/net/frontends/mod.rs
+++ b/src/net/frontends/mod.rs
@@ -1,4 +1,4 @@
-//! What accepts clients: the HTTP/1.1, HTTP/2 and AJP frontends, and what their headers, targets and statuses mean.
+//! The HTTP/1.1, HTTP/2 and AJP frontends, which accept clients, and the meaning of headers, targets and statuses.
 
 pub mod ajp;
 pub mod connections;
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -1,5 +1,5 @@
-//! The platform's request headers, the same for every frontend: collected, checked, and made into the
-//! dispatcher's [`Request`].
+//! The platform's request headers, common to all frontends: collects and validates them, and builds the dispatcher's
+//! [`Request`].
 
 use crate::config::PlatformSettings;
 use crate::dispatch::{Request, Ticket};
@@ -8,28 +8,28 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The memory reserved for a queued request that states none (KB).
+/// The memory reserved for a queued request that doesn't state its own need (KB).
 pub const DEFAULT_NEED_KB: f64 = 32.0;
 
-/// The longest deadline and run estimate that a request may state (milliseconds).
+/// The maximum deadline and run estimate that a request may state (milliseconds).
 const MAX_DURATION_MS: f64 = 3_600_000.0;
 
 /// The latest arrival time that a request may state (milliseconds on the Unix clock).
 const MAX_UNIX_MS: f64 = 1e14;
 
-/// The limit on the memory that a request may state; the value itself is out of range (KB).
+/// The exclusive upper bound on the memory that a request may state (KB).
 const NEED_LIMIT_KB: f64 = 2000.0;
 
 /// The length of a correlation id (hex digits).
 const CORRELATION_ID_LENGTH: usize = 16;
 
-/// The longest idempotency key (bytes).
+/// The maximum length of an idempotency key (bytes).
 const MAX_KEY_LENGTH: usize = 128;
 
-/// The largest request body (bytes).
+/// The maximum length of a request body (bytes).
 pub const MAX_BODY_BYTES: usize = 2048;
 
-/// The classes and tenants of the settings by their names on the wire, for all frontends.
+/// The configured classes and tenants by their names on the wire, for all frontends.
 pub struct Catalog {
     /// Class indices by name.
     class_indices: HashMap<String, usize>,
@@ -62,7 +62,7 @@
         self.class_indices.get(name).copied()
     }
 
-    /// The name of a class; empty where there is no such class.
+    /// The name of a class; empty if there is no such class.
     #[must_use]
     pub fn class_name(&self, class: usize) -> &str {
         self.class_names.get(class).map_or("", |name| name)
@@ -72,9 +72,9 @@
     ///
     /// # Panics
     ///
-    /// Where there is no such class.
+    /// If there is no such class.
     #[must_use]
-    pub fn effect(&self, class: usize) -> Idempotency {
+    pub fn idempotency(&self, class: usize) -> Idempotency {
         self.classes[class].idempotency
     }
 
@@ -85,13 +85,13 @@
     }
 }
 
-/// The platform's headers of one request, as they stood in its head.
+/// The platform's headers of one request, as received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFields {
     /// X-Correlation-Id.
-    pub id: Option<Rc<str>>,
+    pub correlation_id: Option<Rc<str>>,
     /// X-Org: the tenant's name.
-    pub org: Option<Rc<str>>,
+    pub tenant_name: Option<Rc<str>>,
     /// X-Operation-Key: the idempotency key.
     pub key: Option<Rc<str>>,
     arrived_ms: Option<f64>,
@@ -103,12 +103,12 @@
     is_retry: Option<bool>,
 }
 
-/// Why a request is rejected for its headers.
+/// Why a request is rejected because of its headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldError {
     /// The header of this name is malformed, missing or repeated.
     Field(&'static str),
-    /// X-Org names no tenant of the settings.
+    /// X-Org names a tenant that is not configured.
     UnknownTenant,
 }
 
@@ -117,14 +117,14 @@
     ///
     /// # Errors
     ///
-    /// [`FieldError::Field`] where the value is malformed or the header is repeated.
-    pub fn note(&mut self, name: &str, value: &[u8]) -> Result<(), FieldError> {
+    /// [`FieldError::Field`] if the value is malformed or the header is repeated.
+    pub fn record(&mut self, name: &str, value: &[u8]) -> Result<(), FieldError> {
         let is = |known: &str| name.eq_ignore_ascii_case(known);
         let text = || std::str::from_utf8(value).map_or("", str::trim);
         if is("X-Correlation-Id") {
-            set(&mut self.id, parse_correlation_id(text()), "X-Correlation-Id")
+            set(&mut self.correlation_id, parse_correlation_id(text()), "X-Correlation-Id")
         } else if is("X-Org") {
-            set(&mut self.org, Some(text()).filter(|org| !org.is_empty()).map(Rc::from), "X-Org")
+            set(&mut self.tenant_name, Some(text()).filter(|name| !name.is_empty()).map(Rc::from), "X-Org")
         } else if is("X-Operation-Key") {
             set(&mut self.key, parse_key(text()), "X-Operation-Key")
         } else if is("X-Arrived-Ms") {
@@ -134,7 +134,7 @@
         } else if is("X-Estimate-Ms") {
             set(&mut self.estimate_ms, parse_number(text(), 0.0, MAX_DURATION_MS), "X-Estimate-Ms")
         } else if is("X-Criticality") {
-            // Nothing reads it, but a request with a value out of range is malformed.
+            // The value is not used, but a request with a value out of range is malformed.
             let criticality = parse_number(text(), 0.0, 1.0).filter(|value| *value < 1.0);
             set(&mut self.criticality, criticality, "X-Criticality")
         } else if is("X-Need-Kb") {
@@ -151,30 +151,31 @@
         }
     }
 
-    /// Sets the arrival time on the Unix clock (milliseconds) of a request that states none.
+    /// Sets the arrival time (Unix clock, milliseconds) of a request that doesn't state one.
     pub fn set_default_arrival(&mut self, unix_ms: f64) {
         self.arrived_ms.get_or_insert(unix_ms);
     }
 
-    /// The time until its deadline (seconds): that of the class where it states none, less the time it lay unread.
+    /// The time left until the deadline (seconds): the stated deadline, or else that of the class, minus the time that
+    /// the request spent unread.
     #[must_use]
     pub fn time_left(&self, class: usize, catalog: &Catalog, clock: &Clock) -> f64 {
         let deadline_s = self.deadline_ms.map_or(catalog.classes[class].deadline_s, |ms| ms / 1000.0);
         deadline_s - self.read_delay_s(clock)
     }
 
-    /// The time between arrival and reading (seconds).
+    /// The time between the request's arrival and its reading (seconds).
     fn read_delay_s(&self, clock: &Clock) -> f64 {
         self.arrived_ms.map_or(0.0, |arrived| ((clock.unix_ms() - arrived) / 1000.0).max(0.0))
     }
 
-    /// Makes the dispatcher's request. `tenant` is the one that the frontend determined; where it is `None`, X-Org
-    /// tells the tenant.
+    /// Builds the dispatcher's request. `tenant` is the tenant that the frontend has determined; if it is `None`, the
+    /// tenant is taken from X-Org.
     ///
     /// # Errors
     ///
-    /// [`FieldError`] where a required header is missing, X-Org names no tenant or X-Arrived-Ms is off by more than
-    /// an hour.
+    /// [`FieldError`] if a required header is missing, X-Org names an unknown tenant, or X-Arrived-Ms differs from the
+    /// current time by more than an hour.
     pub fn request(
         self,
         ticket: Ticket,
@@ -188,21 +189,21 @@
             Some(tenant) => Some(tenant),
             None => self.tenant(catalog)?,
         };
-        // Without its key nothing could keep the request from running twice.
-        let keyed = catalog.effect(class) == Idempotency::Keyed;
+        // Without its key, nothing would prevent the request from running twice.
+        let keyed = catalog.idempotency(class) == Idempotency::Keyed;
         if keyed && self.key.is_none() {
             return Err(FieldError::Field("X-Operation-Key"));
         }
-        // With an arrival time of another day the request would count as overdue, or as one that waits for ever.
-        let is_far_off = |arrived_ms: f64| (clock.unix_ms() - arrived_ms).abs() > MAX_DURATION_MS;
-        if self.arrived_ms.is_some_and(is_far_off) {
+        // With an implausible arrival time, the request would be taken for overdue, or for one that never is.
+        let is_implausible = |arrived_ms: f64| (clock.unix_ms() - arrived_ms).abs() > MAX_DURATION_MS;
+        if self.arrived_ms.is_some_and(is_implausible) {
             return Err(FieldError::Field("X-Arrived-Ms"));
         }
         let read_delay_s = self.read_delay_s(clock);
         let time_left_s = self.time_left(class, catalog, clock);
         Ok(Request {
             ticket,
-            name: self.id.ok_or(FieldError::Field("X-Correlation-Id"))?,
+            name: self.correlation_id.ok_or(FieldError::Field("X-Correlation-Id"))?,
             class,
             tenant,
             caller: self.caller.unwrap_or(0),
@@ -216,17 +217,17 @@
             body: body.into(),
         })
     }
-    /// The tenant of X-Org; `None` where the settings know no tenants.
+    /// The tenant that X-Org names; `None` if no tenants are configured.
     fn tenant(&self, catalog: &Catalog) -> Result<Option<usize>, FieldError> {
         if catalog.tenant_indices.is_empty() {
             return Ok(None);
         }
-        let org = self.org.as_ref().ok_or(FieldError::Field("X-Org"))?;
-        catalog.tenant(org).map(Some).ok_or(FieldError::UnknownTenant)
+        let name = self.tenant_name.as_ref().ok_or(FieldError::Field("X-Org"))?;
+        catalog.tenant(name).map(Some).ok_or(FieldError::UnknownTenant)
     }
 }
 
-/// Sets a field once. `None` stands for a malformed value; a repeated header could be read two ways.
+/// Sets a field that is not set yet; `None` stands for a malformed value. A repeated header would be ambiguous.
 fn set<T>(field: &mut Option<T>, value: Option<T>, name: &'static str) -> Result<(), FieldError> {
     if field.is_some() || value.is_none() {
         return Err(FieldError::Field(name));
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -1,5 +1,5 @@
-//! The owner of all frontends. What is done to every frontend is done here, over one list; the rest of the worker names
-//! no protocol, but for the hand-off of HTTP/1.1 connections.
+//! Owns all frontends. Operations on every frontend iterate over one list here; the rest of the worker is independent
+//! of protocols, except for the hand-off of HTTP/1.1 connections.
 
 use super::ajp::AjpFrontend;
 use super::frontend::{Frontend, FrontendTurn};
@@ -13,38 +13,38 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// All that accepts connections in this process.
+/// The console and all frontends of this process.
 pub struct Frontends {
-    /// The operators' console: served before the frontends, and open until the process ends.
+    /// The operators' console: served before the frontends, and open until the process exits.
     pub console: Option<Console>,
     /// The platform's frontend.
     pub http1: Http1Frontend,
-    /// Set up by an operator.
+    /// Present if an operator has configured it.
     http2: Option<Http2Frontend>,
-    /// Set up by an operator.
+    /// Present if an operator has configured it.
     ajp: Option<AjpFrontend>,
-    /// When idle connections were first ended for the end of the process (loop's clock, seconds).
+    /// When idle connections were first closed for the exit of the process (event loop's clock, seconds).
     ended_at: Option<f64>,
 }
 
-/// The socket that a frontend listens at.
+/// The listening socket of a frontend.
 pub struct FrontendListener {
-    /// Which frontend.
+    /// The frontend.
     pub kind: FrontendKind,
     /// The socket.
     pub socket: Rc<TcpListener>,
 }
 
-/// How the attempt to open a frontend went.
+/// The outcome of opening a frontend.
 pub struct OpenedFrontend {
-    /// Which frontend.
+    /// The frontend.
     pub kind: FrontendKind,
-    /// Its address, or why it can't listen.
+    /// The address it listens on, or the error.
     pub result: Result<SocketAddr, ListenError>,
 }
 
 impl Frontends {
-    /// Frontends that may listen already.
+    /// Takes the console and frontends, which may already be listening.
     #[must_use]
     pub fn new(
         console: Option<Console>,
@@ -55,7 +55,7 @@
         Frontends { console, http1, http2, ajp, ended_at: None }
     }
 
-    /// Every frontend, in the order in which they are processed. A further frontend is added here and in [`Self::all_mut`].
+    /// All frontends, in processing order. New frontends are added here and in [`Self::all_mut`].
     fn all(&self) -> impl Iterator<Item = &dyn Frontend> {
         let http1: Option<&dyn Frontend> = Some(&self.http1);
         let http2 = self.http2.as_ref().map(|http2| http2 as &dyn Frontend);
@@ -74,7 +74,7 @@
         self.all_mut().find(|frontend| frontend.kind() == kind)
     }
 
-    /// Records that connections wait at a listener.
+    /// Records that connections are waiting to be accepted at a listener.
     pub fn mark_listener(&mut self, kind: FrontendKind) {
         match (kind, &mut self.console) {
             (FrontendKind::Console, Some(console)) => console.connections.mark_listener(),
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Accepts and reads at all frontends. Returns `true` if accepting had to stop early and is to be resumed.
+    /// Accepts connections and reads requests on all frontends. Returns `true` if accepting had to stop early and must
+    /// be resumed.
     pub fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
         let mut paused = false;
         for frontend in self.all_mut() {
@@ -107,36 +108,36 @@
         paused
     }
 
-    /// Hands a response to the frontend that its ticket belongs to.
+    /// Passes a response to the frontend that owns its ticket.
     pub fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         if let Some(frontend) = self.all_mut().find(|frontend| frontend.owns(ticket)) {
             frontend.respond(now, ticket, response, context);
         }
     }
 
-    /// Hands the result of a lookup to the frontend that requested it.
+    /// Passes the result of a lookup to the frontend that requested it.
     pub fn complete_lookup(&mut self, ticket: Ticket, result: LookupResult, turn: &mut FrontendTurn<'_>) {
         if let Some(frontend) = self.all_mut().find(|frontend| frontend.owns(ticket)) {
             frontend.complete_lookup(ticket, result, turn);
         }
     }
 
-    /// Whether a connection is to be processed without an event of the poll.
+    /// Whether a connection has to be processed without waiting for a poll event.
     #[must_use]
     pub fn has_pending(&self) -> bool {
         self.console.as_ref().is_some_and(|console| console.connections.has_pending())
             || self.all().any(|frontend| frontend.connections().has_pending())
     }
 
-    /// Ends connections by the limits of their protocols.
+    /// Enforces the protocols' own limits on connections.
     pub fn sweep_protocols(&mut self, now: f64, availability: &Availability, inputs: &mut Vec<Input>) {
         for frontend in self.all_mut() {
             frontend.sweep(now, availability, inputs);
         }
     }
 
-    /// Ends connections that have been idle for `idle_s` or are too slow. With `closing` all idle ones are ended at once,
-    /// but for those that a successor is handed.
+    /// Closes connections that have been idle for `idle_s` or are too slow. With `closing`, all idle ones are closed
+    /// immediately, except those to be handed off to a successor.
     pub fn sweep_connections(&mut self, now: f64, idle_s: f64, closing: bool, availability: &Availability) {
         if let Some(console) = &mut self.console {
             console.connections.sweep(now, idle_s, false);
@@ -148,13 +149,14 @@
         }
     }
 
-    /// Whether no response is pending or being written, and no request is half read.
+    /// Whether no response is pending or being written, and no request is partly read.
     #[must_use]
     pub fn all_idle(&self) -> bool {
         self.all().all(|frontend| frontend.connections().all_idle())
     }
 
-    /// Whether nothing is left here for a successor: frontends that hand off their connections have none.
+    /// Whether nothing is left to hand off: frontends that hand off their connections have none left, and the others
+    /// have no request in progress.
     #[must_use]
     pub fn all_handed_off(&self) -> bool {
         let is_done = |frontend: &dyn Frontend| {
@@ -167,22 +169,22 @@
         self.all().all(is_done)
     }
 
-    /// Announces on all connections that this process will close them.
+    /// Announces on every connection that this process will close it.
     pub fn announce_close(&mut self) {
         for frontend in self.all_mut() {
             frontend.announce_close();
         }
     }
 
-    /// Answers requests that wait for something else than the dispatcher.
+    /// Answers requests that wait for anything other than the dispatcher.
     pub fn respond_all(&mut self, turn: &mut FrontendTurn<'_>) {
         for frontend in self.all_mut() {
             frontend.respond_all(turn);
         }
     }
 
-    /// Closes all listeners, after what waits there was accepted. Returns `false` where some may still wait, until other
-    /// connections have been processed.
+    /// Accepts the waiting connections, then closes all listeners. Returns `false` if some may still be waiting: the
+    /// caller retries after it has processed other connections.
     pub fn close_listeners(&mut self, now: f64) -> bool {
         let mut all_closed = true;
         for frontend in self.all_mut() {
@@ -191,14 +193,14 @@
         all_closed
     }
 
-    /// Accepts nothing more, whatever waits at the listeners.
+    /// Stops accepting, even if connections are waiting at the listeners.
     pub fn stop_listening(&mut self) {
         for frontend in self.all_mut() {
             frontend.connections_mut().stop_listening();
         }
     }
 
-    /// The sockets that a successor is sent.
+    /// The listening sockets to send to a successor.
     #[must_use]
     pub fn listeners_to_hand_off(&self) -> Vec<FrontendListener> {
         let listener_of = |frontend: &dyn Frontend| {
@@ -208,8 +210,8 @@
         self.all().filter_map(listener_of).collect()
     }
 
-    /// Opens the frontends that an operator set up and that don't listen yet: at a socket from the predecessor where there
-    /// is one, or else at the configured address.
+    /// Opens the operator-configured frontends that don't listen yet: on the predecessor's socket if there is one,
+    /// otherwise at the configured address.
     pub fn open_operator_frontends(&mut self, mut listeners: Vec<FrontendListener>) -> Vec<OpenedFrontend> {
         let mut opened = Vec::new();
         let operator_frontends = self.all_mut().filter(|frontend| frontend.kind() != FrontendKind::Http1);
@@ -228,29 +230,30 @@
         opened
     }
 
-    /// Ends all idle connections, and with `at_once` those that have sent half a request. Returns `true` the first time.
-    pub fn end_connections(&mut self, now: f64, at_once: bool) -> bool {
+    /// Closes all idle connections; with `include_partial`, also those that have sent part of a request. Returns `true`
+    /// on the first call.
+    pub fn end_connections(&mut self, now: f64, include_partial: bool) -> bool {
         for frontend in self.all_mut() {
-            frontend.connections_mut().close_idle(now, at_once);
+            frontend.connections_mut().close_idle(now, include_partial);
         }
         let is_first = self.ended_at.is_none();
         self.ended_at.get_or_insert(now);
         is_first
     }
 
-    /// Whether no connection is left but those that a successor has.
+    /// Whether all remaining connections are held by a successor.
     #[must_use]
     pub fn all_ended(&self) -> bool {
         self.all().all(|frontend| frontend.connections().all_ended())
     }
 
-    /// Whether connections were first ended this long ago (seconds).
+    /// Whether at least `duration_s` seconds have passed since connections were first closed for the exit.
     #[must_use]
     pub fn ended_for(&self, now: f64, duration_s: f64) -> bool {
         self.ended_at.is_some_and(|at| now >= at + duration_s)
     }
 
-    /// Discards what lies unread, the last thing before the process ends: unread bytes would make its end a reset.
+    /// Discards unread input, as the last step before the process exits: with unread bytes, the exit would send resets.
     pub fn drop_unread(&mut self) {
         for frontend in self.all_mut() {
             frontend.connections_mut().drop_unread();
@@ -260,7 +263,7 @@
         }
     }
 
-    /// The addresses at which frontends listen.
+    /// The addresses on which the console and the frontends listen.
     pub fn addresses(&self) -> impl Iterator<Item = (FrontendKind, SocketAddr)> + '_ {
         let console = self.console.as_ref().and_then(|console| console.connections.address());
         let console = console.map(|address| (FrontendKind::Console, address));
@@ -270,7 +273,7 @@
     }
 }
 
-/// Takes the socket of a frontend that the predecessor has sent.
+/// Takes the socket of a frontend from those that the predecessor sent.
 fn take_socket(listeners: &mut Vec<FrontendListener>, kind: FrontendKind) -> Option<Rc<TcpListener>> {
     let index = listeners.iter().position(|listener| listener.kind == kind)?;
     Some(listeners.swap_remove(index).socket)
