--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's frontend: HTTP/1.1, one request at a time on a connection, and health checks.
+//! The platform's HTTP/1.1 frontend, with health checks. Each connection handles one request at a time.
 
 #![warn(missing_docs)]
 
@@ -21,16 +21,16 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// The longest head (bytes).
+/// Limit on the length of a request's head (bytes).
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// The most headers in a head.
+/// Limit on the number of headers.
 const MAX_HEADERS: usize = 64;
 
-/// The most that a connection keeps unread: one complete request (bytes).
+/// Limit on the unread input of a connection: one complete request (bytes).
 const MAX_UNREAD_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
-/// The listener and its connections; each remembers whether it has sent `100 Continue`.
+/// The listener and its connections. The state of each is whether `100 Continue` has been sent.
 pub struct Http1Frontend {
     /// The connections.
     pub connections: Connections<bool>,
@@ -38,18 +38,18 @@
     address: SocketAddr,
 }
 
-/// What becomes of a connection after a parsed request.
+/// What to do with a connection after a parsed request.
 enum Progress {
-    /// Its next request may lie in the buffer.
+    /// Continue: the next request may already be in the buffer.
     Continue,
-    /// It waits for bytes or for the dispatcher.
+    /// Wait for input or for the dispatcher.
     Wait,
-    /// It is closed: its peer has ended within a request.
+    /// Close: the peer has closed within a request.
     Close,
 }
 
 impl Http1Frontend {
-    /// A frontend that doesn't listen yet; `address` is the configured one.
+    /// A frontend that doesn't listen yet; `address` is the configured address.
     #[must_use]
     pub fn closed(poll: &Poll, address: SocketAddr) -> Http1Frontend {
         let connections = Connections::closed(poll, FrontendKind::Http1, MAX_UNREAD_BYTES);
@@ -62,7 +62,7 @@
         let now = clock.now();
         for _ in 0..MAX_STEPS_PER_TURN {
             match connection.advance(now) {
-                // Its next request is for the successor.
+                // The next request is left to the successor.
                 NextStep::Read if context.availability.handing_off => return,
                 NextStep::Read => {}
                 NextStep::Wait => return,
@@ -143,7 +143,7 @@
         self.connections.touch(ticket.0);
     }
 
-    /// The platform gives every process of this worker the same socket.
+    /// `None`: every process of this worker inherits the same socket from the platform.
     fn listener_to_hand_off(&self) -> Option<Rc<TcpListener>> {
         None
     }
@@ -153,7 +153,7 @@
     }
 }
 
-/// Acts on what the buffer of a connection begins with.
+/// Acts on the parsed start of a connection's buffer.
 fn on_parsed(
     connection: &mut Connection<bool>,
     parsed: Parsed,
@@ -163,7 +163,7 @@
     inputs: &mut Vec<Input>,
 ) -> Progress {
     match parsed {
-        // A request that will never be complete is none; the peer may have closed within the body.
+        // The peer has closed, possibly within the body: the request can't become complete and is ignored.
         Parsed::Partial { .. } if filled != Filled::Open => Progress::Close,
         Parsed::Partial { wants_continue } => {
             let continue_sent = connection.protocol_state;
@@ -174,10 +174,10 @@
             connection.link.push(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec());
             Progress::Continue
         }
-        Parsed::Check { length, keep_alive } => {
+        Parsed::HealthCheck { length, keep_alive } => {
             connection.link.consume(length);
             connection.close = !keep_alive || context.availability.shutting_down;
-            connection.link.push(responses::check_response(context, connection.close));
+            connection.link.push(responses::health_check_response(context, connection.close));
             connection.set_state(now, ConnectionState::Responding);
             Progress::Continue
         }
--- a/src/net/frontends/http1/parsing.rs
+++ b/src/net/frontends/http1/parsing.rs
@@ -1,4 +1,4 @@
-//! Parses HTTP/1.1 requests where they lie in the buffer.
+//! Parses HTTP/1.1 requests in place in the input buffer.
 
 use super::{MAX_HEADERS, MAX_HEAD_BYTES};
 use crate::dispatch::{Request, Ticket};
@@ -6,19 +6,19 @@
 use crate::net::frontends::status_mapping::{target, HttpError, Target};
 use crate::net::Clock;
 
-/// What the buffer of a connection begins with.
+/// What the input buffer of a connection starts with.
 pub(super) enum Parsed {
-    /// A part of a request; `wants_continue` where its body is sent after a `100 Continue`.
+    /// An incomplete request; `wants_continue` if the client waits for `100 Continue` before it sends the body.
     Partial { wants_continue: bool },
-    /// A complete request of `length` bytes; with `keep_alive` another one may follow.
+    /// A complete request of `length` bytes; with `keep_alive`, another one may follow.
     Complete { request: Box<Request>, length: usize, keep_alive: bool },
     /// A health check of `length` bytes.
-    Check { length: usize, keep_alive: bool },
-    /// A request that is rejected.
+    HealthCheck { length: usize, keep_alive: bool },
+    /// A request to reject.
     Invalid(HttpError),
 }
 
-/// What the headers contain about the request, apart from the platform's fields.
+/// The headers that concern HTTP itself, and the platform's fields.
 struct Headers {
     content_length: Option<usize>,
     keep_alive: bool,
@@ -26,7 +26,7 @@
     fields: RequestFields,
 }
 
-/// Parses the request that the buffer begins with.
+/// Parses the request at the start of the buffer.
 pub(super) fn parse(data: &[u8], ticket: Ticket, catalog: &Catalog, clock: &Clock) -> Parsed {
     try_parse(data, ticket, catalog, clock).unwrap_or_else(Parsed::Invalid)
 }
@@ -54,7 +54,7 @@
         return Ok(Parsed::Partial { wants_continue: headers.wants_continue });
     };
     let keep_alive = headers.keep_alive;
-    let Target::Run(class) = target else { return Ok(Parsed::Check { length, keep_alive }) };
+    let Target::Run(class) = target else { return Ok(Parsed::HealthCheck { length, keep_alive }) };
     match headers.fields.request(ticket, class, None, body, catalog, clock) {
         Ok(request) => Ok(Parsed::Complete { request: Box::new(request), length, keep_alive }),
         Err(FieldError::UnknownTenant) => Err(HttpError::new(403, "unknown tenant")),
@@ -88,7 +88,7 @@
     Ok(headers)
 }
 
-/// Parses a Content-Length. Two of them, even equal ones, may be read differently by an intermediary.
+/// Parses a Content-Length. Rejects repeated ones, even if equal: an intermediary may interpret them differently.
 fn parse_content_length(value: &str, is_repeated: bool) -> Result<usize, HttpError> {
     let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
     if !is_number || is_repeated {
@@ -97,7 +97,7 @@
     value.parse().map_err(|_| HttpError::new(413, "the body is too long"))
 }
 
-/// Whether the connection stays open under this Connection header.
+/// Whether the Connection header keeps the connection open.
 fn keeps_alive(value: &str, version: Option<u8>, default: bool) -> bool {
     let mut keep_alive = default;
     for option in value.split(',').map(str::trim) {
--- a/src/net/frontends/http1/responses.rs
+++ b/src/net/frontends/http1/responses.rs
@@ -1,13 +1,13 @@
-//! Writes the heads of HTTP/1.1 responses, and the short responses of the frontend itself.
+//! Builds the heads of HTTP/1.1 responses, and the frontend's own short responses.
 
 use crate::net::frontends::status_mapping::HttpError;
 use crate::net::FrontendContext;
 use std::fmt::Write;
 
-/// Room for the head of a usual response (bytes).
-const USUAL_HEAD_BYTES: usize = 160;
+/// Initial buffer capacity, enough for the head of a typical response (bytes).
+const HEAD_CAPACITY_BYTES: usize = 160;
 
-/// The status line's text.
+/// The reason phrase of the status line.
 pub(super) fn reason(code: u16) -> &'static str {
     match code {
         400 => "Bad Request",
@@ -24,7 +24,7 @@
     }
 }
 
-/// The head of a response; `extra` holds further header lines, each with its line end.
+/// Builds the head of a response; `extra` holds further header lines, each with its line terminator.
 pub(super) fn head(
     code: u16,
     body_length: usize,
@@ -32,18 +32,18 @@
     context: &FrontendContext,
     close: bool,
 ) -> Vec<u8> {
-    let mut text = String::with_capacity(USUAL_HEAD_BYTES);
+    let mut text = String::with_capacity(HEAD_CAPACITY_BYTES);
     let reason = reason(code);
     let _ = write!(text, "HTTP/1.1 {code} {reason}\r\nContent-Length: {body_length}\r\n{extra}");
-    if let Some(level) = context.availability.published_weight {
-        let _ = write!(text, "X-Backend-Says: {level}\r\n");
+    if let Some(weight) = context.availability.published_weight {
+        let _ = write!(text, "X-Backend-Says: {weight}\r\n");
     }
     text.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
     text.into_bytes()
 }
 
 /// The response to a health check.
-pub(super) fn check_response(context: &FrontendContext, close: bool) -> Vec<u8> {
+pub(super) fn health_check_response(context: &FrontendContext, close: bool) -> Vec<u8> {
     let (code, body) = if context.availability.is_ready() { (200, "good\n") } else { (503, "bad\n") };
     with_body(code, body, "", context, close)
 }
