--- a/src/net/frontends/ajp/head.rs
+++ b/src/net/frontends/ajp/head.rs
@@ -1,4 +1,4 @@
-//! Checks of the head of a request, as far as they need no body.
+//! Validation of a request's head, before its body has arrived.
 
 use crate::config::{AjpSettings, Identity};
 use crate::interface::Idempotency;
@@ -6,20 +6,20 @@
 use crate::net::upstreams::ajp_codec::Forward;
 use crate::net::FrontendContext;
 
-/// A request whose head has come.
+/// A request whose head has been received.
 pub(super) struct PendingRequest {
     pub(super) class: usize,
     pub(super) tenant: Option<usize>,
-    /// The identity that is looked up in the directory.
+    /// The identity to look up in the directory.
     pub(super) identity: Option<String>,
     pub(super) fields: RequestFields,
-    /// The length of the body, where the head states it.
+    /// The length of the body, if the head states it.
     pub(super) content_length: Option<usize>,
-    /// What has come of the body.
+    /// The part of the body received so far.
     pub(super) body: Vec<u8>,
 }
 
-/// The status and reason of a request that the frontend rejects by itself.
+/// The status and reason phrase of a request that the frontend rejects without the dispatcher.
 #[derive(Clone, Copy)]
 pub(super) struct Rejection {
     pub(super) code: u16,
@@ -41,14 +41,14 @@
     }
 }
 
-/// The fields of a request's headers.
+/// The parsed headers of a request.
 struct Headers {
     fields: RequestFields,
-    /// The length of the body; `None` where it is chunked.
+    /// The length of the body; `None` if it is chunked.
     content_length: Option<usize>,
 }
 
-/// Checks the head of a request, and makes the pending request of it.
+/// Validates the head of a request and builds the pending request.
 pub(super) fn check_head(
     settings: &AjpSettings,
     directory: Option<Identity>,
@@ -56,8 +56,8 @@
     context: &FrontendContext,
     unix_ms: f64,
 ) -> Result<PendingRequest, Rejection> {
-    let given = forward.secret.unwrap_or(b"");
-    if settings.secret.as_ref().is_some_and(|secret| !secrets_equal(secret.as_bytes(), given)) {
+    let received = forward.secret.unwrap_or(b"");
+    if settings.secret.as_ref().is_some_and(|secret| !secrets_equal(secret.as_bytes(), received)) {
         return Err(Rejection::new(403, "the secret is wrong"));
     }
     let Headers { mut fields, content_length } = read_headers(forward)?;
@@ -65,7 +65,7 @@
     if content_length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(Rejection::new(413, "the body is too long"));
     }
-    // Without a key nothing could keep the request from running twice.
+    // Without a key, nothing would prevent the request from running twice.
     if fields.key.is_none() && context.catalog.idempotency(class) == Idempotency::Keyed {
         return Err(Rejection::new(400, "X-Operation-Key"));
     }
@@ -106,14 +106,14 @@
     Ok(Headers { fields, content_length })
 }
 
-/// Parses digits alone, as the HTTP frontend does: a sign could be read another way elsewhere.
+/// Parses a Content-Length. Accepts digits only, as the HTTP frontend does: others may interpret a sign differently.
 fn parse_content_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).map_or("", str::trim);
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     text.parse::<usize>().ok().filter(|_| only_digits)
 }
 
-/// The class of the path, where it takes the method.
+/// The class that the path selects, if it allows the method.
 fn check_class(
     settings: &AjpSettings,
     forward: &Forward,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The identity by which the directory knows the tenant.
+/// The identity under which the directory lists the tenant.
 fn directory_identity(kind: Identity, forward: &Forward) -> Result<String, Rejection> {
     let identity = match kind {
         Identity::RemoteUser => forward.remote_user.unwrap_or(""),
@@ -142,7 +142,7 @@
     Ok(identity.to_owned())
 }
 
-/// Compares in a time that doesn't depend on where two secrets differ.
+/// Compares two secrets in a time that doesn't depend on where they differ.
 fn secrets_equal(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |difference, (x, y)| difference | (x ^ y)) == 0
 }
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -1,4 +1,4 @@
-//! The AJP frontend: older portals speak AJP/1.3 to it. Its requests go to the same dispatcher as those of HTTP.
+//! The AJP/1.3 frontend, for older portals. Its requests go to the same dispatcher as HTTP requests.
 
 #![warn(missing_docs)]
 
@@ -26,20 +26,20 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// What a connection remembers: the request that is coming in, or waits for the directory.
+/// The state of a connection: the request that is being received, or that waits for the directory.
 #[derive(Default)]
-pub struct Memory(Option<PendingRequest>);
+pub struct ProtocolState(Option<PendingRequest>);
 
 /// The listener, its connections, and the operator's settings.
 pub struct AjpFrontend {
     /// The connections.
-    pub connections: Connections<Memory>,
+    pub connections: Connections<ProtocolState>,
     settings: AjpSettings,
-    /// The identity by which the directory decides on tenants, where there is a directory.
+    /// The kind of identity by which the directory finds the tenant; `None` without a directory.
     directory: Option<Identity>,
-    /// The seed of generated request ids.
+    /// The seed for generated request ids.
     seed: u64,
-    /// How many request ids have been generated.
+    /// The number of request ids generated so far.
     generated_ids: u64,
 }
 
@@ -70,10 +70,10 @@
                     self.on_body_packet(now, id, payload, turn);
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
-                // A client that is gone before its last byte: the request never reaches the dispatcher.
+                // The client is gone before the request was complete: it never reaches the dispatcher.
                 Ok(None) if filled != Filled::Open => return self.connections.close(id),
                 Ok(None) => return,
-                // After a wrong magic or length there is no telling where a message begins.
+                // After a wrong magic number or length, the start of the next message can't be found.
                 Err(error) => {
                     FrontendEvent::AjpPacketMalformed(&error).emit();
                     connection.finish(now);
@@ -83,7 +83,7 @@
         self.connections.touch(id);
     }
 
-    /// Takes a packet that carries a part of a request's body.
+    /// Processes a packet that carries part of a request's body.
     fn on_body_packet(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
@@ -94,7 +94,7 @@
             return;
         };
         let body_ended = chunk.is_empty();
-        // Beyond the limit the request is rejected anyway: what is kept stays bounded.
+        // Beyond the limit the request is rejected anyway; this bounds the memory it occupies.
         let has_room =
             |pending: &&mut PendingRequest| pending.body.len() < MAX_BODY_BYTES + MAX_BODY_CHUNK_BYTES;
         if let Some(pending) = connection.protocol_state.0.as_mut().filter(has_room) {
@@ -104,7 +104,7 @@
         self.on_body_chunk(id, body_ended, turn);
     }
 
-    /// Takes a packet that begins a request, or another message of a web server.
+    /// Processes a packet that starts a request, or another message from a web server.
     fn on_message(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
@@ -118,7 +118,7 @@
                 connection.link.consume(packet_end);
                 return connection.set_state(now, ConnectionState::Idle);
             }
-            // Nobody may shut a worker down this way; a ping of the old kind wants no response.
+            // A worker can't be shut down over AJP, and the old kind of ping expects no response: both are ignored.
             Some(Ok(ToContainer::Shutdown | ToContainer::Ping)) => {
                 connection.link.consume(packet_end);
                 return connection.set_state(now, ConnectionState::Idle);
@@ -132,18 +132,18 @@
         match checked {
             Ok(pending) => self.begin_request(id, pending, turn),
             Err(rejection) => {
-                // Its body, if it has one, may be on its way: the connection can't be used again.
+                // The request's body may still be on its way, so the connection can't be reused.
                 connection.close = true;
                 write_response(connection, now, rejection.into(), turn.context);
             }
         }
     }
 
-    /// Waits for the body of a request, or goes on at once where it has none.
+    /// Waits for the request's body, or completes the request immediately if it has none.
     fn begin_request(&mut self, id: u64, pending: PendingRequest, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let content_length = pending.content_length;
-        // A web server sends a body without a stated length only when it is asked for.
+        // A web server sends a body of unstated length only on request.
         if content_length.is_none() {
             connection.link.push(ajp_codec::write_get_body(MAX_BODY_CHUNK_BYTES as u16));
         }
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Rejects a body of the wrong length, goes on with a complete one, or requests more of it.
+    /// Rejects a body of the wrong length, completes the request, or asks for more of the body.
     fn on_body_chunk(&mut self, id: u64, body_ended: bool, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = &connection.protocol_state.0 else { return };
@@ -182,7 +182,7 @@
         }
     }
 
-    /// A complete request goes to the directory where its tenant has to be looked up, or else to the dispatcher.
+    /// Sends a complete request to the directory if its tenant has to be looked up, otherwise to the dispatcher.
     fn on_complete(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = &mut connection.protocol_state.0 else { return };
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Hands the pending request to the dispatcher.
+    /// Passes the pending request to the dispatcher.
     fn dispatch(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(pending) = connection.protocol_state.0.take() else { return };
@@ -244,9 +244,9 @@
         self.connections.owns(ticket.0)
     }
 
-    /// The directory's results would come too late: clients get a response with Retry-After.
+    /// Answers requests that wait for the directory, whose results would come too late, with Retry-After.
     fn respond_all(&mut self, turn: &mut FrontendTurn<'_>) {
-        let waits_for_directory = |connection: &Connection<Memory>| {
+        let waits_for_directory = |connection: &Connection<ProtocolState>| {
             connection.state == ConnectionState::AwaitingResponse && connection.protocol_state.0.is_some()
         };
         for id in self.connections.ids_where(waits_for_directory) {
@@ -280,7 +280,7 @@
     }
 }
 
-/// The response to a request whose lookup found no tenant of the settings.
+/// The response to a request for which the lookup found no configured tenant.
 fn failed_lookup_response(result: &LookupResult) -> AjpResponse {
     match result {
         LookupResult::Unavailable => AjpResponse::from(Rejection::new(503, "the directory is down"))
@@ -290,8 +290,8 @@
     }
 }
 
-/// An id for a request that came without one: 16 hex digits, unique in the life of a process. The mixing function is
-/// that of `SplitMix64`.
+/// Generates an id for a request that came without one: 16 hex digits, unique within a process. The mixing function
+/// is that of `SplitMix64`.
 fn generated_id(seed: u64, number: u64) -> String {
     let mut z = seed.wrapping_add(number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/src/net/frontends/ajp/response.rs
+++ b/src/net/frontends/ajp/response.rs
@@ -1,14 +1,14 @@
-//! Responses as AJP messages.
+//! Encodes responses as AJP messages.
 
 use super::head::Rejection;
-use super::Memory;
+use super::ProtocolState;
 use crate::dispatch::Response;
 use crate::net::frontends::connections::{Connection, ConnectionState};
 use crate::net::upstreams::ajp_codec::{self, MAX_RESPONSE_CHUNK_BYTES};
 use crate::net::FrontendContext;
 use std::rc::Rc;
 
-/// A response with the headers that depend on its cause.
+/// A response, with the headers specific to its status.
 pub(super) struct AjpResponse {
     code: u16,
     reason: &'static str,
@@ -61,9 +61,9 @@
     response
 }
 
-/// Queues a complete response: its head, its body in packets, its end.
+/// Queues a complete response: the head, the body in packets, and the end message.
 pub(super) fn write_response(
-    connection: &mut Connection<Memory>,
+    connection: &mut Connection<ProtocolState>,
     now: f64,
     response: AjpResponse,
     context: &FrontendContext,
@@ -73,10 +73,10 @@
     let body_length = response.body.as_ref().map_or(0, |body| body.len());
     let mut headers = vec![("Content-Length", body_length.to_string())];
     headers.extend(response.headers);
-    if let Some(level) = context.availability.published_weight {
-        headers.push(("X-Backend-Says", level.to_string()));
+    if let Some(weight) = context.availability.published_weight {
+        headers.push(("X-Backend-Says", weight.to_string()));
     }
-    // These few short headers fit into a packet.
+    // Can't fail: these few short headers fit into one packet.
     let head = ajp_codec::write_headers(response.code, response.reason, &headers);
     connection.link.push(head.unwrap_or_default());
     if let Some(body) = response.body {
