--- a/src/net/frontends/http2/abuse_detection.rs
+++ b/src/net/frontends/http2/abuse_detection.rs
@@ -1,51 +1,51 @@
-//! How much a client may send that belongs to no request, and what becomes of one that sends more. No I/O: sizes and
-//! the time come in, decisions come out.
+//! Limits what a client may send that belongs to no request, and terminates clients that keep exceeding the limit. No
+//! I/O: sizes and times come in, decisions come out.
 //!
-//! A token bucket for each connection. Each byte that goes to the codec is charged; a request is credited with the size
-//! of its unpacked fields (RFC 7541, section 4.1) and of its body, which is more than it took on the wire. So clients
-//! that send requests never exhaust their budget, while PING, SETTINGS, PRIORITY, `WINDOW_UPDATE`, empty DATA, and streams
-//! that are reset as soon as they are opened only cost. A client with an exhausted budget is read at the rate at which
-//! the budget refills, which it feels as back-pressure on its socket; one that goes on so for [`MAX_THROTTLED_S`] is
-//! terminated. For a time after a client exhausted its budget, or was ended for a protocol error, new connections begin
-//! with a reduced budget: a flood gains nothing by connecting anew.
-
-/// Fewer bytes than this are not worth a poll: an exhausted client waits until it may send so many.
+//! Each connection has a token bucket. Every byte passed to the codec is charged; a request is credited with the
+//! uncompressed size of its fields (RFC 7541, section 4.1) and the size of its body, which is more than it took on the
+//! wire. Clients that send requests therefore never exhaust their budget, whereas PING, SETTINGS, PRIORITY,
+//! `WINDOW_UPDATE`, empty DATA, and streams that are reset as soon as they are opened are only charged. A client with
+//! an exhausted budget is read at the refill rate, which puts back-pressure on its socket; it is terminated if that
+//! continues for [`MAX_THROTTLED_S`]. For some time after a client has exhausted its budget, or was disconnected for
+//! a protocol error, new connections start with a reduced budget: a flood gains nothing by reconnecting.
+
+/// Reads smaller than this are not worth a poll: a client with an exhausted budget waits until it has refilled so far.
 const MIN_READ_BYTES: f64 = 256.0;
 /// How long a client may be throttled before it is terminated (seconds).
 const MAX_THROTTLED_S: f64 = 10.0;
-/// The part of its budget that must be back before a client no longer counts as exhausted.
+/// The fraction of its budget that must be available before a client no longer counts as exhausted.
 const RECOVERED_FRACTION: f64 = 0.5;
-/// How long new connections begin with a reduced budget after abuse (seconds).
-const PRESSURE_S: f64 = 10.0;
+/// How long after abuse new connections start with a reduced budget (seconds).
+const PRESSURE_DURATION_S: f64 = 10.0;
 
-/// What each connection may send that belongs to no request: so much at once, and so much a second.
+/// The budget of a connection for traffic that belongs to no request: a burst size and a rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverheadBudget {
-    /// Size of the bucket; no less than `reduced_bytes`.
+    /// Size of the bucket; at least `reduced_bytes`.
     pub max_bytes: f64,
-    /// Rate at which it refills.
+    /// Refill rate.
     pub bytes_per_s: f64,
-    /// What a new connection begins with under pressure: the longest request must fit, since nothing is credited before
-    /// its fields are complete.
+    /// Initial budget of a new connection under pressure. The longest request must fit, since nothing is credited
+    /// before its fields are complete.
     pub reduced_bytes: f64,
 }
 
-/// What is to be done about what a client has sent.
+/// What to do with the input of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadDecision {
-    /// Read so many bytes of it.
+    /// Read this many bytes.
     Read(usize),
-    /// Read nothing for now; with `first` the budget has just been exhausted.
+    /// Read nothing for now.
     Throttle {
-        /// Whether this is the first such decision since the client last was within its budget.
+        /// Whether this is the first such decision since the client was last within its budget.
         first: bool,
     },
-    /// End the connection.
+    /// Terminate the connection.
     Terminate,
 }
 
 impl ReadDecision {
-    /// How many bytes are to be read.
+    /// The number of bytes to read.
     pub fn read_bytes(self) -> usize {
         match self {
             ReadDecision::Read(bytes) => bytes,
@@ -54,7 +54,7 @@
     }
 }
 
-/// One connection's account.
+/// The token bucket of one connection.
 #[derive(Clone, Debug)]
 pub struct AbuseDetector {
     budget: OverheadBudget,
@@ -64,13 +64,13 @@
 }
 
 impl AbuseDetector {
-    /// The account of a new connection, which begins with a reduced budget while others are abusive.
+    /// The token bucket of a new connection; with `under_pressure`, it starts with the reduced budget.
     pub fn new(now: f64, budget: OverheadBudget, under_pressure: bool) -> AbuseDetector {
         let balance_bytes = if under_pressure { budget.reduced_bytes } else { budget.max_bytes };
         AbuseDetector { budget, balance_bytes, refilled_at: now, exhausted_since: None }
     }
 
-    /// How many of `available` bytes may be read; those are charged with this call.
+    /// Decides how many of `available` bytes to read, and charges for them.
     pub fn charge(&mut self, now: f64, available: usize) -> ReadDecision {
         self.refill(now);
         if self.balance_bytes < MIN_READ_BYTES.min(available as f64) {
@@ -81,14 +81,14 @@
         ReadDecision::Read(read_bytes)
     }
 
-    /// Credits so many bytes of a request's fields or body.
+    /// Credits the size of a request's fields or body.
     pub fn credit(&mut self, bytes: usize) {
         self.add(bytes as f64);
     }
 
-    /// Takes back the credit for a request that the client has reset.
+    /// Revokes the credit for a request that the client has reset.
     pub fn revoke_credit(&mut self, bytes: usize) {
-        // Not below zero: credit is capped, and a request that was answered must not become a debt.
+        // Not below zero: credit is capped, and a request that was answered must not leave a negative balance.
         self.balance_bytes = (self.balance_bytes - bytes as f64).max(0.0);
     }
 
@@ -116,19 +116,19 @@
     }
 }
 
-/// Whether clients have been abusive of late, on any connection.
+/// Whether any client has recently been abusive.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PressureMonitor {
     elevated_until: f64,
 }
 
 impl PressureMonitor {
-    /// Notes that a client has exhausted its budget, or was ended for a protocol error.
+    /// Records that a client has exhausted its budget, or was disconnected for a protocol error.
     pub fn record_abuse(&mut self, now: f64) {
-        self.elevated_until = now + PRESSURE_S;
+        self.elevated_until = now + PRESSURE_DURATION_S;
     }
 
-    /// Whether new connections begin with a reduced budget.
+    /// Whether new connections start with a reduced budget.
     pub fn is_elevated(self, now: f64) -> bool {
         now < self.elevated_until
     }
--- a/src/net/frontends/http2/abuse_detection/tests.rs
+++ b/src/net/frontends/http2/abuse_detection/tests.rs
@@ -4,114 +4,122 @@
 const BUDGET: OverheadBudget =
     OverheadBudget { max_bytes: 64.0 * 1024.0, bytes_per_s: 4096.0, reduced_bytes: 12.0 * 1024.0 };
 
-/// Sends pieces at an interval; returns the bytes that were read in all, and when the client was terminated.
-fn flood(mut account: AbuseDetector, piece: usize, every_s: f64, for_s: f64) -> (usize, Option<f64>) {
-    let (mut now, mut taken) = (0.0, 0);
-    while now < for_s {
-        match account.charge(now, piece) {
-            ReadDecision::Read(n) => taken += n,
+/// Offers `chunk_bytes` every `interval_s`. Returns the total of bytes read, and when the client was terminated.
+fn flood(
+    mut detector: AbuseDetector,
+    chunk_bytes: usize,
+    interval_s: f64,
+    duration_s: f64,
+) -> (usize, Option<f64>) {
+    let (mut now, mut bytes_read) = (0.0, 0);
+    while now < duration_s {
+        match detector.charge(now, chunk_bytes) {
+            ReadDecision::Read(n) => bytes_read += n,
             ReadDecision::Throttle { .. } => {}
-            ReadDecision::Terminate => return (taken, Some(now)),
+            ReadDecision::Terminate => return (bytes_read, Some(now)),
         }
-        now += every_s;
+        now += interval_s;
     }
-    (taken, None)
+    (bytes_read, None)
 }
 
 #[test]
 fn a_flood_is_throttled_to_its_budget_and_then_terminated() {
-    let (taken, ended) = flood(AbuseDetector::new(0.0, BUDGET, false), 8192, 0.001, 60.0);
-    let ended = ended.expect("terminated");
-    assert!((MAX_THROTTLED_S..MAX_THROTTLED_S + 0.1).contains(&ended), "{ended}");
-    let most = BUDGET.max_bytes + ended * BUDGET.bytes_per_s;
-    assert!(taken as f64 <= most && taken as f64 > 0.9 * most, "{taken} of {most}");
+    let (bytes_read, terminated_at) = flood(AbuseDetector::new(0.0, BUDGET, false), 8192, 0.001, 60.0);
+    let terminated_at = terminated_at.expect("the flood was not terminated");
+    assert!((MAX_THROTTLED_S..MAX_THROTTLED_S + 0.1).contains(&terminated_at), "{terminated_at}");
+    let max_bytes = BUDGET.max_bytes + terminated_at * BUDGET.bytes_per_s;
+    assert!(
+        bytes_read as f64 <= max_bytes && bytes_read as f64 > 0.9 * max_bytes,
+        "{bytes_read} of {max_bytes}"
+    );
 }
 
-/// It connects anew whenever it has spent the budget with which a connection begins.
+/// Guards against floods that reconnect whenever they have spent a connection's initial budget.
 #[test]
-fn a_flood_gains_nothing_by_connecting_anew() {
+fn a_flood_gains_nothing_by_reconnecting() {
     let mut pressure = PressureMonitor::default();
-    let (mut taken, mut now) = (0, 0.0);
+    let (mut bytes_read, mut now) = (0, 0.0);
     for _ in 0..1000 {
-        let mut account = AbuseDetector::new(now, BUDGET, pressure.is_elevated(now));
+        let mut detector = AbuseDetector::new(now, BUDGET, pressure.is_elevated(now));
         loop {
-            match account.charge(now, 8192) {
-                ReadDecision::Read(n) => taken += n,
+            match detector.charge(now, 8192) {
+                ReadDecision::Read(n) => bytes_read += n,
                 ReadDecision::Throttle { first } => {
                     assert!(first);
                     pressure.record_abuse(now);
                     break;
                 }
-                ReadDecision::Terminate => panic!("at once"),
+                ReadDecision::Terminate => panic!("terminated without being throttled first"),
             }
         }
         now += 0.01;
     }
-    assert!(taken < 64 * 1024 + 1000 * 12 * 1024, "{taken}");
-    assert!(!pressure.is_elevated(now + PRESSURE_S));
+    assert!(bytes_read < 64 * 1024 + 1000 * 12 * 1024, "{bytes_read}");
+    assert!(!pressure.is_elevated(now + PRESSURE_DURATION_S));
 }
 
 #[test]
 fn a_throttled_client_that_sends_requests_recovers() {
-    let mut account = AbuseDetector::new(0.0, BUDGET, true);
-    assert_eq!(account.charge(0.0, 16 * 1024), ReadDecision::Read(12 * 1024));
-    assert_eq!(account.charge(0.0, 100), ReadDecision::Throttle { first: true });
-    assert_eq!(account.charge(0.0, 100), ReadDecision::Throttle { first: false });
-    account.credit(40 * 1024);
-    assert_eq!(account.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Read(8192));
-    // Requests that are reset immediately earn no credit.
-    account.revoke_credit(1 << 20);
-    assert_eq!(account.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Throttle { first: true });
-    // Without bytes to read a client is not terminated, however long it is idle.
-    assert_eq!(account.charge(3.0 * MAX_THROTTLED_S, 0), ReadDecision::Read(0));
+    let mut detector = AbuseDetector::new(0.0, BUDGET, true);
+    assert_eq!(detector.charge(0.0, 16 * 1024), ReadDecision::Read(12 * 1024));
+    assert_eq!(detector.charge(0.0, 100), ReadDecision::Throttle { first: true });
+    assert_eq!(detector.charge(0.0, 100), ReadDecision::Throttle { first: false });
+    detector.credit(40 * 1024);
+    assert_eq!(detector.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Read(8192));
+    // Requests that are reset immediately get no credit.
+    detector.revoke_credit(1 << 20);
+    assert_eq!(detector.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Throttle { first: true });
+    // A client with no input is not terminated, however long it has been idle.
+    assert_eq!(detector.charge(3.0 * MAX_THROTTLED_S, 0), ReadDecision::Read(0));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However its requests are cut, and however little it began with.
+    /// Holds for any segmentation of the requests and for both initial budgets.
     #[test]
     fn clients_that_send_requests_are_never_throttled(
         under_pressure in any::<bool>(),
         requests in prop::collection::vec((20usize..8192, 0usize..2048, 1usize..600), 1..200),
     ) {
-        let mut account = AbuseDetector::new(0.0, BUDGET, under_pressure);
-        for (head, body, cut) in requests {
-            // On the wire: frame heads of nine bytes, a settings or window update now and then.
+        let mut detector = AbuseDetector::new(0.0, BUDGET, under_pressure);
+        for (head, body, segment) in requests {
+            // On the wire: frame headers of 9 bytes, and 13 bytes for an occasional settings or window update.
             let mut wire = 9 + head + body + 9 * body.div_ceil(1024) + 13;
-            let unpacked = head + 32 * 8;
+            let uncompressed = head + 32 * 8;
             while wire > 0 {
-                let decision = account.charge(0.0, cut.min(wire));
+                let decision = detector.charge(0.0, segment.min(wire));
                 prop_assert!(matches!(decision, ReadDecision::Read(n) if n > 0), "{decision:?}");
                 if let ReadDecision::Read(n) = decision {
                     wire -= n;
                 }
             }
-            account.credit(unpacked);
-            account.credit(body);
+            detector.credit(uncompressed);
+            detector.credit(body);
         }
     }
 
-    /// Never more is read than the budget allows, whatever the order of events.
+    /// Holds for any order of events: no more is read than the budget allows.
     #[test]
     fn bytes_that_belong_to_no_request_are_bounded(events in prop::collection::vec((0u8..4, 0usize..10_000), 1..300)) {
-        let mut account = AbuseDetector::new(0.0, BUDGET, false);
-        let (mut now, mut taken, mut brought) = (0.0, 0usize, 0usize);
+        let mut detector = AbuseDetector::new(0.0, BUDGET, false);
+        let (mut now, mut bytes_read, mut credited) = (0.0, 0usize, 0usize);
         for (kind, n) in events {
             match kind {
                 0 => now += n as f64 / 1000.0,
                 1 => {
-                    account.credit(n);
-                    brought += n;
+                    detector.credit(n);
+                    credited += n;
                 }
-                2 => account.revoke_credit(n),
-                _ => if let ReadDecision::Read(m) = account.charge(now, n) {
+                2 => detector.revoke_credit(n),
+                _ => if let ReadDecision::Read(m) = detector.charge(now, n) {
                     prop_assert!(m <= n);
-                    taken += m;
+                    bytes_read += m;
                 },
             }
-            let most = BUDGET.max_bytes + now * BUDGET.bytes_per_s + brought as f64;
-            prop_assert!(taken as f64 <= most + 1.0, "{} of {}", taken, most);
+            let max_bytes = BUDGET.max_bytes + now * BUDGET.bytes_per_s + credited as f64;
+            prop_assert!(bytes_read as f64 <= max_bytes + 1.0, "{} of {}", bytes_read, max_bytes);
         }
     }
 }
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -1,4 +1,4 @@
-//! One connection in one turn: its preface is read, its session fed and polled, and what that produced is carried out.
+//! Processes one connection in a turn: reads its preface, feeds and polls its session, and acts on the output.
 
 use super::abuse_detection::{AbuseDetector, PressureMonitor, ReadDecision};
 use super::session::{PollInput, PollOutput, Session};
@@ -12,39 +12,39 @@
 use crate::net::{Clock, FrontendContext};
 use std::io;
 
-/// What a client sends first (RFC 9113, section 3.4).
+/// The client connection preface (RFC 9113, section 3.4).
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// New streams that a session accepts in one round of polling.
+/// Limit on the new streams that a session accepts in one round of polling.
 const MAX_STREAMS_PER_ROUND: usize = 16;
-/// Bytes taken from one connection in one poll; how often it is polled in a turn is bounded by the turn's rounds.
+/// Limit on the bytes read from one connection per poll; the rounds of a turn limit the number of polls.
 const MAX_BYTES_PER_POLL: usize = 8 * 1024;
-/// Output that waits for a client's socket before no more is taken from the codec (bytes).
+/// Amount of output queued for a client's socket above which no more is taken from the codec (bytes).
 const MAX_QUEUED_OUTPUT_BYTES: usize = 64 * 1024;
 /// The response to a client that doesn't speak HTTP/2.
 const PREFACE_EXPECTED: &str = "this port speaks HTTP/2 by prior knowledge\n";
 
-/// What a turn of the event loop gives to the connections that it processes.
+/// The parts of the worker that a connection uses in one turn of the event loop.
 pub(super) struct Turn<'a> {
     /// When processing of the connection began (seconds).
     pub(super) now: f64,
     /// The worker's clock.
     pub(super) clock: &'a Clock,
-    /// The worker's context, as far as frontends know it.
+    /// The worker's state as far as frontends need it.
     pub(super) context: &'a FrontendContext,
-    /// What goes to the dispatcher at the end of the turn.
+    /// Collects inputs for the dispatcher.
     pub(super) inputs: &'a mut Vec<Input>,
 }
 
-/// A session, and the account of what its client sends that belongs to no request.
+/// A session, with the budget for what its client sends that belongs to no request.
 pub(super) struct ActiveSession {
     /// The codec and its streams.
     pub(super) session: Session,
-    /// What the client may still send that belongs to no request.
+    /// Charges the client for traffic that belongs to no request.
     pub(super) overhead: AbuseDetector,
 }
 
 impl ActiveSession {
-    /// Polls the session, and settles what its requests have brought with the account.
+    /// Polls the session and credits its requests to the client's budget.
     fn poll(&mut self, poll: &Poll, turn: &Turn) -> PollOutput {
         let output = self.session.poll(&PollInput {
             clock: turn.clock,
@@ -58,31 +58,31 @@
     }
 }
 
-/// What the HTTP/2 frontend keeps of a connection.
+/// The HTTP/2 state of a connection.
 #[derive(Default)]
 pub struct SessionEntry {
-    /// Present from the admitted preface until the codec has ended.
+    /// Present from the admission of the session until the codec has ended.
     pub(super) active: Option<Box<ActiveSession>>,
-    /// What the socket had taken when it last took something (bytes since the connection was accepted).
+    /// The total sent when the socket last accepted output (bytes since the connection was accepted).
     sent_bytes: u64,
-    /// When that was, or when nothing waited to be sent.
+    /// When the socket last accepted output, or no output was queued (seconds).
     send_progress_at: f64,
 }
 
 impl SessionEntry {
-    /// How long the client has taken nothing of what waits for it (seconds).
+    /// How long the client has accepted none of its queued output (seconds).
     pub(super) fn send_stalled_s(&self, now: f64) -> f64 {
         now - self.send_progress_at
     }
 }
 
-/// What has come of a connection's preface.
+/// The state of a connection's preface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Preface {
     Complete,
-    /// The first bytes of it, or none yet.
+    /// Incomplete so far.
     Partial,
-    /// Something else.
+    /// Not an HTTP/2 preface.
     Mismatch,
 }
 
@@ -98,21 +98,21 @@
     }
 }
 
-/// What one exchange between socket and session has brought.
+/// The result of one exchange between socket and session.
 struct Exchange {
     output: PollOutput,
     /// Whether the session accepted a new stream.
     accepted: bool,
     /// Whether any stream is open.
     has_streams: bool,
-    /// More may be there than one poll takes.
+    /// Whether more input may be available than one poll processes.
     poll_again: bool,
-    /// Whether the socket could be written to.
+    /// The result of writing to the socket.
     flushed: io::Result<()>,
 }
 
 impl Http2Frontend {
-    /// Reads from a connection, polls its session, writes what that produced, and hands on its requests.
+    /// Reads from a connection, polls its session, writes the output, and passes its requests to the dispatcher.
     pub(super) fn process_connection(&mut self, id: u64, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.state == ConnectionState::Closing || connection.state == ConnectionState::Responding {
@@ -131,10 +131,10 @@
         }
     }
 
-    /// Goes on with a connection that is being closed.
+    /// Continues to close a connection.
     fn process_ending(&mut self, id: u64, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        // Ended by the sweep: whatever its codec still has to send goes out before the end.
+        // Closed by the sweep: the codec's remaining output is sent first.
         if connection.protocol_state.active.is_some() {
             return self.finish(id, turn.now, turn.inputs);
         }
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Gives a connection a session once its preface is complete and it is admitted; `true` if it has one.
+    /// Starts a session once the preface is complete and the connection is admitted. Returns `true` if it was started.
     fn start_session(&mut self, id: u64, filled: Filled, turn: &mut Turn) -> bool {
         let Some(connection) = self.connections.get_mut(id) else { return false };
         match Preface::read(connection.link.data()) {
@@ -216,7 +216,7 @@
     }
 }
 
-/// Answers a client that doesn't speak HTTP/2. Most likely it speaks HTTP/1.1, so the answer is one that it can read.
+/// Responds to a client that doesn't speak HTTP/2, with an HTTP/1.1 response, which it most likely understands.
 fn reject_protocol(connection: &mut Connection<SessionEntry>, now: f64) {
     let response = format!(
         "HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{PREFACE_EXPECTED}",
@@ -226,7 +226,7 @@
     connection.finish(now);
 }
 
-/// Feeds the session as much as its account allows, polls it, and writes its output.
+/// Feeds the session as much input as its budget allows, polls it, and writes its output.
 fn exchange(
     connection: &mut Connection<SessionEntry>,
     filled: Filled,
@@ -246,7 +246,7 @@
     if link.queued() < MAX_QUEUED_OUTPUT_BYTES {
         queue_output(session, link);
     }
-    // What could not be fed waits in the link. A client over its budget waits for the sweep.
+    // Input that could not be fed stays in the link. A client over its budget is read again at the next sweep.
     let has_more =
         read_bytes == MAX_BYTES_PER_POLL || session.pipe().unread() > 0 && read_bytes > 0 || link.unread();
     Some(Exchange {
@@ -258,7 +258,7 @@
     })
 }
 
-/// Moves so many bytes from the socket's buffer to the codec, and signals the end of the client's input.
+/// Moves `length` bytes from the socket's buffer to the codec, and signals the end of the client's input.
 fn feed(session: &Session, link: &mut Link, length: usize, filled: Filled) {
     session.pipe().feed(&link.data()[..length]);
     link.consume(length);
@@ -267,7 +267,7 @@
     }
 }
 
-/// Queues what the codec has written for the socket.
+/// Queues the codec's output for the socket.
 pub(super) fn queue_output(session: &Session, link: &mut Link) {
     let output = session.pipe().drain();
     if !output.is_empty() {
@@ -275,7 +275,7 @@
     }
 }
 
-/// Charges the client for what is read from it; one that goes on beyond its budget is terminated.
+/// Charges the client for its input, and terminates one that stays over its budget.
 fn decide_read(
     active: &mut ActiveSession,
     available: usize,
@@ -297,15 +297,15 @@
     decision
 }
 
-/// Notes what the socket has taken, and moves the connection to the stage that its streams call for.
+/// Records the progress of the socket's output, and updates the connection's state from its streams.
 fn record_progress(connection: &mut Connection<SessionEntry>, exchange: &Exchange, now: f64) {
     if connection.link.sent != connection.protocol_state.sent_bytes || connection.link.queued() == 0 {
         connection.protocol_state.sent_bytes = connection.link.sent;
         connection.protocol_state.send_progress_at = now;
     }
     if exchange.accepted && connection.state != ConnectionState::AwaitingResponse {
-        // By way of reading: a connection that has sent a request is not among the silent ones, which are closed first
-        // when descriptors run out.
+        // Via `Reading`, so that a request is counted: connections without one are evicted first when descriptors run
+        // out.
         connection.set_state(now, ConnectionState::Reading);
         connection.set_state(now, ConnectionState::AwaitingResponse);
     }
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -1,12 +1,12 @@
-//! The HTTP/2 frontend: cleartext by prior knowledge (RFC 9113), off unless an operator's file has `[http2]`.
+//! The HTTP/2 frontend: cleartext with prior knowledge (RFC 9113), disabled unless the operator's file has `[http2]`.
 //!
-//! `transport` and `session` hold one connection without a socket; this module and `connection` join them to the event
-//! loop. What the codec does not bound is bounded here:
+//! `transport` and `session` implement one connection without a socket; this module and `connection` connect them to
+//! the event loop. The frontend limits what the codec doesn't:
 //!
-//! - bytes and streams taken from one connection in a turn (`connection`), and the sizes of bodies (`session`);
+//! - bytes and streams processed per connection and turn (`connection`), and body sizes (`session`);
 //! - sessions of clients that have not sent a request (`session_admission`);
-//! - what clients send that belongs to no request (`abuse_detection`);
-//! - how long responses wait for a client (`session`, `sweep`), and how much waits in all (`response_backlog`).
+//! - traffic that belongs to no request (`abuse_detection`);
+//! - how long responses wait for a client (`session`, `sweep`), and their total size (`response_backlog`).
 
 #![warn(missing_docs)]
 
@@ -32,11 +32,11 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Unread bytes that a connection keeps.
+/// Limit on the unread input of a connection (bytes).
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// Bytes of a connection's first request beyond its fields: preface, settings, frame heads, a body.
+/// Size of a connection's first request without its fields: preface, settings, frame headers, a body (bytes).
 const FIRST_REQUEST_OVERHEAD_BYTES: f64 = 4096.0;
-/// How much longer than the settings an idle connection lasts at most (seconds).
+/// By how much an idle connection may exceed the configured idle timeout (seconds).
 const IDLE_MARGIN_S: f64 = 5.0;
 
 fn kb_to_bytes(kb: u32) -> f64 {
@@ -49,13 +49,13 @@
     OverheadBudget { max_bytes, bytes_per_s: kb_to_bytes(settings.overhead_kb_per_s), reduced_bytes }
 }
 
-/// The HTTP/2 frontend: its listener, its connections, and the bounds that they share.
+/// The HTTP/2 frontend: its listener, its connections, and the limits that they share.
 pub struct Http2Frontend {
-    /// Its listener and connections.
+    /// The listener and its connections.
     pub connections: Connections<SessionEntry>,
     settings: Http2Settings,
     poll: Poll,
-    /// By ticket: the connection on which its response is pending.
+    /// By ticket, the connection on which the response is pending.
     owners: HashMap<u64, u64>,
     pressure: PressureMonitor,
     admission: SessionAdmission,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Admits connections that wait for a session, as far as there is room.
+    /// Admits connections that wait for a session, as far as slots are available.
     fn admit_waiting(&mut self, now: f64, inputs: &mut Vec<Input>) {
         if !self.admission.has_waiting() {
             return;
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Ends a connection whose codec has ended: what is queued is written, then it is closed. Requests that are pending
-    /// on it have lost their client.
+    /// Closes a connection whose codec has ended, after its queued output is written. Its pending requests have lost
+    /// their client.
     fn finish(&mut self, id: u64, now: f64, inputs: &mut Vec<Input>) {
         self.disconnect_pending(id, inputs);
         self.admission.release(id);
@@ -111,7 +111,7 @@
         self.connections.close(id);
     }
 
-    /// Tells the dispatcher that nobody waits any more for the responses that are pending on a connection.
+    /// Notifies the dispatcher that the client of a connection's pending responses is gone.
     fn disconnect_pending(&mut self, id: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(active) = &connection.protocol_state.active else { return };
@@ -139,7 +139,7 @@
         self.connections.open(socket, self.settings.listen)
     }
 
-    /// Connections that wait for a session count as paused accepting: they are to be looked at again soon.
+    /// Connections that wait for a session count as paused accepting, so that this is called again soon.
     fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
         let now = turn.clock.now();
         let accept_paused = self.connections.accept(now);
@@ -165,7 +165,7 @@
         self.connections.touch(id);
     }
 
-    /// Longer than its sessions are idle, since these send a GOAWAY first.
+    /// Longer than the idle timeout of sessions, which send a GOAWAY first.
     fn idle_timeout_s(&self, _platform_s: f64) -> f64 {
         self.settings.idle_s + IDLE_MARGIN_S
     }
@@ -174,7 +174,7 @@
         self.sweep_sessions(now, availability.draining, inputs);
     }
 
-    /// Each connection is sent a GOAWAY when it is processed.
+    /// Schedules all connections for processing, which sends each a GOAWAY.
     fn announce_close(&mut self) {
         self.connections.touch_all();
     }
--- a/src/net/frontends/http2/response_backlog.rs
+++ b/src/net/frontends/http2/response_backlog.rs
@@ -1,36 +1,36 @@
-//! Bounds the responses that wait for clients to take them, over all connections. No I/O.
+//! Limits the total size of responses that wait for clients to read them, over all connections. No I/O.
 //!
-//! On each connection they are bounded by its streams, by the size of a response and by time; but many connections
-//! together could hold far more than the worker has memory for, while each of them keeps within its bounds.
+//! Per connection they are limited by the number of streams, the size of a response and time, but many connections
+//! within these limits could together exceed the worker's memory.
 
 use std::cmp::Reverse;
 
-/// What waits for one connection's client.
+/// The pending responses of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseBacklog {
     /// The connection.
     pub id: u64,
-    /// Size of its responses that the client has not taken.
+    /// Size of the responses that the client has not read.
     pub bytes: usize,
 }
 
-/// Connections that are to be ended so that no more than `max_bytes` wait: those with the largest backlog first, since
-/// they are the fewest, and no client that takes responses as they come loses anything. Equals are ordered by id.
-pub fn largest_beyond(mut backlogs: Vec<ResponseBacklog>, max_bytes: usize) -> Vec<u64> {
+/// Selects the connections to close so that at most `max_bytes` remain pending. The largest backlogs come first: that
+/// closes the fewest connections, and none whose client reads its responses as they come. Ties are ordered by id.
+pub fn connections_over_limit(mut backlogs: Vec<ResponseBacklog>, max_bytes: usize) -> Vec<u64> {
     let mut total_bytes: usize = backlogs.iter().map(|backlog| backlog.bytes).sum();
     if total_bytes <= max_bytes {
         return Vec::new();
     }
     backlogs.sort_unstable_by_key(|backlog| (Reverse(backlog.bytes), backlog.id));
-    let mut ended = Vec::new();
+    let mut selected = Vec::new();
     for backlog in backlogs {
         if total_bytes <= max_bytes {
             break;
         }
         total_bytes -= backlog.bytes;
-        ended.push(backlog.id);
+        selected.push(backlog.id);
     }
-    ended
+    selected
 }
 
 #[cfg(test)]
--- a/src/net/frontends/http2/session/idle.rs
+++ b/src/net/frontends/http2/session/idle.rs
@@ -1,21 +1,21 @@
-//! What becomes of a session without streams: keep-alive by PING, and graceful shutdown for idleness.
+//! Handling of sessions without streams: keep-alive by PING, and graceful shutdown of idle ones.
 
 use super::{Codec, Session};
 use crate::config::Http2Settings;
 use h2::{Ping, PingPong};
 use std::task::{Context, Poll};
 
-/// How long a client may take to answer a PING (seconds).
-const MAX_PONG_S: f64 = 5.0;
-/// How long a client may take to close the connection after a GOAWAY for idleness (seconds).
-const MAX_CLOSE_S: f64 = 2.0;
+/// Timeout for a client to answer a PING (seconds).
+const PONG_TIMEOUT_S: f64 = 5.0;
+/// Timeout for an idle client to close the connection after a GOAWAY (seconds).
+const CLOSE_TIMEOUT_S: f64 = 2.0;
 
-/// What is to be done with an idle connection.
+/// What to do with an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleOutcome {
-    /// It stays open.
+    /// Keep it open.
     Keep,
-    /// Its client is silent or does not close: the connection is to be closed.
+    /// Close it: the client has not answered a PING, or not closed after a GOAWAY.
     Close,
 }
 
@@ -29,21 +29,21 @@
     }
 }
 
-/// PINGs to an idle client, and the GOAWAY that ends its connection.
+/// The state of PINGs to an idle client, and of the GOAWAY that ends its connection.
 #[derive(Default)]
 pub(super) struct KeepAlive {
     /// Absent until the handshake is complete.
     ping_pong: Option<PingPong>,
-    /// When the PING that is in flight was sent.
+    /// When the outstanding PING was sent.
     ping_sent_at: Option<f64>,
     /// When the last PING was answered.
     pong_received_at: f64,
-    /// When the client was sent a GOAWAY for idleness.
+    /// When a GOAWAY was sent because the client was idle.
     goaway_sent_at: Option<f64>,
 }
 
 impl KeepAlive {
-    /// Begins once the handshake is complete.
+    /// Starts keep-alive; called when the handshake is complete.
     pub(super) fn start(&mut self, ping_pong: Option<PingPong>) {
         self.ping_pong = ping_pong;
     }
@@ -66,27 +66,28 @@
                 IdleOutcome::Keep
             }
             Poll::Ready(Err(_)) => IdleOutcome::Close,
-            Poll::Pending => IdleOutcome::close_if(now - sent_at > MAX_PONG_S),
+            Poll::Pending => IdleOutcome::close_if(now - sent_at > PONG_TIMEOUT_S),
         }
     }
 }
 
 impl Session {
-    /// Checks on a client that has had no stream since `idle_since`. It is sent a PING from time to time, and a GOAWAY
-    /// once it has been idle for long or, with `send_away`, now. One that answers neither is to be closed.
+    /// Checks a client that has had no stream since `idle_since`. It is sent a PING at intervals, and a GOAWAY once the
+    /// idle timeout has passed, or immediately with `close_now`. If it responds to neither, the connection is to be
+    /// closed.
     pub fn poll_idle(
         &mut self,
         now: f64,
         idle_since: f64,
         settings: &Http2Settings,
-        send_away: bool,
+        close_now: bool,
     ) -> IdleOutcome {
         if let Some(sent_at) = self.keep_alive.goaway_sent_at {
-            return IdleOutcome::close_if(now - sent_at > MAX_CLOSE_S);
+            return IdleOutcome::close_if(now - sent_at > CLOSE_TIMEOUT_S);
         }
-        if send_away || now - idle_since >= settings.idle_s {
+        if close_now || now - idle_since >= settings.idle_s {
             self.keep_alive.goaway_sent_at = Some(now);
-            // Before the handshake is complete there is nobody to send it to, and a later shutdown still has to.
+            // Before the handshake is complete, no GOAWAY can be sent; a later shutdown must still send one.
             if matches!(self.codec, Codec::Open(_)) {
                 self.shut_down_gracefully();
             }
--- a/src/net/frontends/http2/session/mod.rs
+++ b/src/net/frontends/http2/session/mod.rs
@@ -1,9 +1,9 @@
-//! One HTTP/2 connection after its preface: the codec on its pipe, and its streams from the first header to the last
-//! byte sent.
+//! One HTTP/2 connection after its preface: the codec on its pipe, and its streams, each from the request's first
+//! header to the last byte of the response.
 //!
-//! The codec's futures are polled in the event loop's turn, without a runtime. What they wait for comes through the
-//! pipe, from the dispatcher or with time, and each of these has the connection processed again; so their waker does
-//! nothing.
+//! The codec's futures are polled in the event loop's turn, without a runtime. They wait for input through the pipe,
+//! for the dispatcher or for time to pass, and each of these schedules the connection for processing, so the waker
+//! does nothing.
 
 mod idle;
 mod request;
@@ -27,9 +27,10 @@
 use std::task::{Context, Poll, Wake, Waker};
 use stream::{Progress, Stream};
 
-/// Rounds of polling in one [`Session::poll`]: what the codec does in one may let streams advance in the next.
+/// Limit on the rounds of polling in one [`Session::poll`]: the codec's progress in one may let streams advance in the
+/// next.
 const MAX_POLL_ROUNDS: usize = 4;
-/// The longest frame that a client may send (bytes).
+/// The maximum length of a frame from a client (bytes).
 const MAX_FRAME_BYTES: u32 = 16 * 1024;
 
 struct NoopWaker;
@@ -43,32 +44,32 @@
     Open(Box<Connection<Pipe, SharedBytes>>),
 }
 
-/// What one poll of a session is given.
+/// The input of one poll of a session.
 pub struct PollInput<'a> {
     /// The worker's clock.
     pub clock: &'a Clock,
-    /// The worker's context, as far as frontends know it.
+    /// The worker's state as far as frontends need it.
     pub context: &'a FrontendContext,
-    /// New streams that a round of polling accepts at most, so that one connection leaves time for the others.
+    /// Limit on the new streams accepted per round of polling, so that one connection leaves time for the others.
     pub max_streams: usize,
-    /// Gives the next unused ticket.
+    /// Returns the next unused ticket.
     pub next_ticket: &'a dyn Fn() -> u64,
 }
 
-/// What one poll of a session has produced.
+/// The output of one poll of a session.
 #[derive(Default)]
 pub struct PollOutput {
-    /// Requests that are complete.
+    /// Requests that have become complete.
     pub requests: Vec<Request>,
     /// Requests whose client disconnected while the response was pending.
     pub disconnected: Vec<Ticket>,
-    /// Size of the fields and bodies that requests have brought (bytes).
+    /// Size of the request fields and bodies received (bytes).
     pub request_bytes: usize,
     /// Size of the fields and bodies of requests that the client has reset (bytes).
     pub reset_bytes: usize,
-    /// The connection has ended: it is to be closed when all output is written.
+    /// Whether the connection has ended: it is to be closed when all output is written.
     pub ended: bool,
-    /// The codec has ended it for a protocol error of the client.
+    /// Whether the codec has ended it because of a protocol error of the client.
     pub protocol_error: bool,
 }
 
@@ -85,7 +86,7 @@
 }
 
 impl Session {
-    /// A session that waits for its client's settings.
+    /// A session that waits for the client's settings.
     pub fn new(settings: &Http2Settings) -> Session {
         let pipe = Pipe::default();
         let mut builder = h2::server::Builder::new();
@@ -96,7 +97,8 @@
             .max_header_list_size(settings.header_list_kb * 1024)
             .max_frame_size(MAX_FRAME_BYTES)
             .max_send_buffer_size(settings.send_buffer_kb as usize * 1024)
-            // Rapid reset: streams that were reset before they were accepted, and those that we reset and remember.
+            // Against rapid reset: limits streams that the client reset before they were accepted, and streams that
+            // this side has reset and still tracks.
             .max_pending_accept_reset_streams(settings.pending_resets)
             .max_concurrent_reset_streams(settings.pending_resets)
             .max_local_error_reset_streams(Some(settings.error_resets));
@@ -121,7 +123,7 @@
         !self.streams.is_empty()
     }
 
-    /// Streams accepted so far.
+    /// The number of streams accepted so far.
     pub fn accepted_streams(&self) -> u64 {
         self.accepted_streams
     }
@@ -163,7 +165,7 @@
         output
     }
 
-    /// Hands a response of the dispatcher to its stream.
+    /// Passes a response from the dispatcher to its stream.
     pub fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
         if let Some(stream) = self.streams.get_mut(&ticket.0) {
             stream.respond(now, response, context);
@@ -174,13 +176,14 @@
     pub fn abort_for_abuse(&mut self) {
         if let Codec::Open(connection) = &mut self.codec {
             connection.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
-            // Has the codec write the frame.
+            // Makes the codec write the frame.
             let waker = self.waker.clone();
             let _ = connection.poll_closed(&mut Context::from_waker(&waker));
         }
     }
 
-    /// Sends GOAWAY with the highest id, a PING, and when that is answered GOAWAY with the last accepted stream.
+    /// Sends a GOAWAY with the highest possible stream id and a PING; once the PING is answered, a GOAWAY with the last
+    /// accepted stream.
     fn shut_down_gracefully(&mut self) {
         if std::mem::replace(&mut self.shutting_down, true) {
             return;
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Drives the codec and accepts the streams that it offers; `true` if there was one.
+    /// Drives the codec and accepts new streams. Returns `true` if there was one.
     fn accept_streams(&mut self, cx: &mut Context, input: &PollInput, output: &mut PollOutput) -> bool {
         let Codec::Open(connection) = &mut self.codec else { return false };
         let mut any_accepted = false;
@@ -230,7 +233,7 @@
         any_accepted
     }
 
-    /// Advances each stream as far as possible; `true` if one advanced or ended.
+    /// Advances each stream as far as possible. Returns `true` if one advanced or ended.
     fn advance_streams(&mut self, cx: &mut Context, input: &PollInput, output: &mut PollOutput) -> bool {
         let now = input.clock.now();
         let mut any_advanced = false;
--- a/src/net/frontends/http2/session/request.rs
+++ b/src/net/frontends/http2/session/request.rs
@@ -1,4 +1,4 @@
-//! The request of a stream: its complete head is checked, its body is collected up to a bound.
+//! The request of a stream: validates its complete head, and collects its body up to a limit.
 
 use crate::net::frontends::request_fields::{FieldError, RequestFields, MAX_BODY_BYTES};
 use crate::net::frontends::status_mapping::{target, HttpError, Target};
@@ -7,12 +7,12 @@
 use http::header::CONTENT_LENGTH;
 use std::task::{Context, Poll};
 
-/// What HPACK counts for a field beyond its name and value (bytes; RFC 7541, section 4.1).
+/// The size that HPACK adds to a field's name and value (bytes; RFC 7541, section 4.1).
 const FIELD_OVERHEAD_BYTES: usize = 32;
 /// `:method`, `:scheme`, `:authority` and `:path`.
 const PSEUDO_HEADERS: usize = 4;
 
-/// A request whose head has been read and whose body is still to come.
+/// A request whose head has been read and whose body is incomplete.
 pub(super) struct IncomingRequest {
     pub(super) fields: Box<RequestFields>,
     pub(super) class: usize,
@@ -30,8 +30,8 @@
 }
 
 impl IncomingRequest {
-    /// Takes what has come of the body; ready once it is complete. `received_bytes` is raised by what was taken. A body
-    /// beyond the bound is not read further: its window stays closed.
+    /// Reads the available part of the body; ready once it is complete. Adds the bytes read to `received_bytes`. A body
+    /// over the limit is not read further: its flow-control window stays closed.
     pub(super) fn poll_body(
         &mut self,
         cx: &mut Context,
@@ -49,27 +49,27 @@
             }
             self.body.extend_from_slice(&data);
             *received_bytes += data.len();
-            // Only what was taken opens the window again.
+            // The window reopens only by the bytes read.
             let _ = self.receive.flow_control().release_capacity(data.len());
         }
     }
 }
 
-/// The size of a request's head unpacked (bytes; RFC 7541, section 4.1): no less than it took on the wire.
-pub(super) fn unpacked_bytes(head: &http::request::Parts) -> usize {
+/// The uncompressed size of a request's head (bytes; RFC 7541, section 4.1): at least what it took on the wire.
+pub(super) fn uncompressed_bytes(head: &http::request::Parts) -> usize {
     let target = head.method.as_str().len() + head.uri.path_and_query().map_or(0, |p| p.as_str().len());
     let fields =
         head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + FIELD_OVERHEAD_BYTES);
     target + PSEUDO_HEADERS * FIELD_OVERHEAD_BYTES + fields.sum::<usize>()
 }
 
-/// Whether the request has more than one Content-Length. Even two that are equal may be read differently by
-/// intermediaries, which would move the end of the body: the request is malformed (RFC 9113, section 8.1.1).
+/// Whether the request has more than one Content-Length. It is then malformed (RFC 9113, section 8.1.1), even if they
+/// are equal: intermediaries may interpret them differently, which would move the end of the body.
 pub(super) fn repeats_content_length(head: &http::request::Parts) -> bool {
     head.headers.get_all(CONTENT_LENGTH).iter().nth(1).is_some()
 }
 
-/// Checks the pseudo-headers and collects the platform's fields.
+/// Validates the pseudo-headers and collects the platform's fields.
 pub(super) fn read_head(
     head: &http::request::Parts,
     context: &FrontendContext,
@@ -79,7 +79,7 @@
     let mut fields = RequestFields::default();
     for (name, value) in &head.headers {
         if name == CONTENT_LENGTH {
-            // The codec checks it against the data; here it spares reading a body that is too long anyway.
+            // The codec checks it against the data; the check here avoids reading a body that is too long.
             let length = value.to_str().ok().and_then(|v| v.parse::<usize>().ok());
             if length.is_none_or(|bytes| bytes > MAX_BODY_BYTES) {
                 return Err(HttpError::new(413, "the body is too long"));
--- a/src/net/frontends/http2/session/response.rs
+++ b/src/net/frontends/http2/session/response.rs
@@ -1,4 +1,4 @@
-//! The response of a stream: its head, and its body as far as the client's windows allow.
+//! The response of a stream: its head, and its body, sent as the client's flow-control windows allow.
 
 use crate::net::frontends::status_mapping::StatusMapping;
 use crate::net::FrontendContext;
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A part of a result that is shared by all responses that carry it; the bytes are never copied for a stream.
+/// A part of a result that all its responses share; the bytes are not copied per stream.
 pub(super) struct SharedBytes {
     all: Rc<[u8]>,
     part: Range<usize>,
 }
 
 impl SharedBytes {
-    /// All of `all`.
+    /// The whole of `all`.
     pub(super) fn new(all: Rc<[u8]>) -> SharedBytes {
         let part = 0..all.len();
         SharedBytes { all, part }
@@ -44,25 +44,25 @@
     }
 }
 
-/// The body of a response on its way to the client.
+/// The body of a response that is being sent.
 pub(super) struct OutgoingBody {
     pub(super) stream: SendStream<SharedBytes>,
     pub(super) rest: SharedBytes,
 }
 
-/// How far a body has come in one poll.
+/// The progress of a body in one poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendProgress {
-    /// The window is closed, and nothing was sent.
+    /// Nothing was sent, because the window is closed.
     Blocked,
-    /// Some was sent, and the rest waits for the window.
+    /// A part was sent, and the rest waits for the window.
     Partial,
-    /// All was handed to the codec, or the stream has been reset.
+    /// Everything was passed to the codec, or the stream has been reset.
     Complete,
 }
 
 impl OutgoingBody {
-    /// Hands the body to the codec as far as the client's windows allow.
+    /// Passes as much of the body to the codec as the client's windows allow.
     pub(super) fn poll_send(&mut self, cx: &mut Context) -> SendProgress {
         self.stream.reserve_capacity(self.rest.remaining());
         let mut progress = SendProgress::Blocked;
@@ -70,7 +70,7 @@
             let length = self.stream.capacity().min(self.rest.remaining());
             if length > 0 {
                 let is_last = length == self.rest.remaining();
-                // A stream that has been reset meanwhile is complete as well.
+                // A stream that has been reset in the meantime counts as complete.
                 if self.stream.send_data(self.rest.split_to(length), is_last).is_err() || is_last {
                     return SendProgress::Complete;
                 }
@@ -82,7 +82,7 @@
     }
 }
 
-/// The head of a response, with the platform's fields; `allow` is empty where no method is to be named.
+/// Builds the head of a response, with the platform's fields. `allow` is the value of the Allow header, or empty.
 pub(super) fn response_head(
     mapping: &StatusMapping,
     allow: &str,
@@ -96,8 +96,8 @@
     if mapping.stop_trying {
         head = head.header("x-stop-trying", "1");
     }
-    if let Some(level) = context.availability.published_weight {
-        head = head.header("x-backend-says", level.to_string());
+    if let Some(weight) = context.availability.published_weight {
+        head = head.header("x-backend-says", weight.to_string());
     }
     if !allow.is_empty() {
         head = head.header("allow", allow);
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -1,6 +1,6 @@
-//! One stream: a request that is received, then a response that is sent.
+//! One stream: receives a request, then sends a response.
 
-use super::request::{read_head, repeats_content_length, unpacked_bytes, BodyError, IncomingRequest};
+use super::request::{read_head, repeats_content_length, uncompressed_bytes, BodyError, IncomingRequest};
 use super::response::{response_head, OutgoingBody, SendProgress, SharedBytes};
 use super::{PollInput, PollOutput};
 use crate::dispatch::{Request, Response, Ticket};
@@ -13,30 +13,30 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// How long a request's body may take to arrive (seconds).
-const MAX_REQUEST_S: f64 = 2.0;
-/// How long the client's windows may take to let a response through (seconds).
-const MAX_RESPONSE_S: f64 = 10.0;
+/// Timeout for receiving a request's body (seconds).
+const REQUEST_TIMEOUT_S: f64 = 2.0;
+/// Timeout for sending a response through the client's flow-control windows (seconds).
+const RESPONSE_TIMEOUT_S: f64 = 10.0;
 
 enum StreamStage {
-    /// The head has been read, and the body is still to come.
+    /// The head has been read; the body is incomplete.
     ReceivingBody(IncomingRequest),
-    /// A response is pending at the dispatcher.
+    /// The dispatcher's response is pending.
     AwaitingResponse,
-    /// The response waits for the client's windows.
+    /// The response is being sent, as the client's windows allow.
     Sending(OutgoingBody),
-    /// All has been handed to the codec.
+    /// Everything has been passed to the codec.
     Complete,
 }
 
-/// How far a stream has come in one poll.
+/// The progress of a stream in one poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// Nothing happened.
+    /// No progress.
     None,
     /// Its request became complete, or a part of its response was sent.
     Advanced,
-    /// It is to be removed.
+    /// It has ended and is to be removed.
     Ended,
 }
 
@@ -44,14 +44,14 @@
 pub(super) struct Stream {
     responder: SendResponse<SharedBytes>,
     stage: StreamStage,
-    /// When it was opened; from the response on, when that was given.
+    /// When the stream was opened or, once there is a response, when that was received from the dispatcher.
     since: f64,
-    /// Size of the fields and body that its request has brought (bytes).
+    /// Size of the request's fields and body received so far (bytes).
     request_bytes: usize,
 }
 
 impl Stream {
-    /// Reads the head of a new stream's request, and answers what needs no dispatcher.
+    /// Reads the head of a new stream's request, and answers requests that don't need the dispatcher.
     pub(super) fn open(
         request: http::Request<RecvStream>,
         responder: SendResponse<SharedBytes>,
@@ -68,10 +68,10 @@
         }
         match read_head(&head, context) {
             Ok((target, fields)) => {
-                stream.request_bytes = unpacked_bytes(&head);
+                stream.request_bytes = uncompressed_bytes(&head);
                 stream.begin(target, fields, receive, context);
             }
-            Err(fail) => stream.fail(fail, context),
+            Err(error) => stream.send_error(error, context),
         }
         stream
     }
@@ -94,17 +94,17 @@
         }
     }
 
-    /// Whether its response is pending at the dispatcher.
+    /// Whether the dispatcher's response is pending.
     pub(super) fn awaits_response(&self) -> bool {
         matches!(self.stage, StreamStage::AwaitingResponse)
     }
 
-    /// Size of the fields and body that its request has brought (bytes).
+    /// Size of the request's fields and body received so far (bytes).
     pub(super) fn request_bytes(&self) -> usize {
         self.request_bytes
     }
 
-    /// The part of its response that waits for the client's windows (bytes).
+    /// Size of the response that waits for the client's windows (bytes).
     pub(super) fn pending_response_bytes(&self) -> usize {
         match &self.stage {
             StreamStage::Sending(body) => body.rest.remaining(),
@@ -121,7 +121,7 @@
         input: &PollInput,
         output: &mut PollOutput,
     ) -> Progress {
-        // The client has reset it; the run may go on, but nobody waits for this response.
+        // The client has reset the stream: the run may continue, but the response is no longer needed.
         if self.poll_reset(cx).is_ready() {
             if self.awaits_response() {
                 output.disconnected.push(ticket);
@@ -152,16 +152,16 @@
         }
     }
 
-    /// Whether the stream is complete, or too slow and therefore reset. This bounds how long responses wait for windows
-    /// that never open.
+    /// Whether the stream has ended, because it is complete or because a timeout has reset it. This limits how long
+    /// responses wait for windows that never open.
     fn has_ended(&mut self, now: f64) -> bool {
         let elapsed_s = now - self.since;
         match &mut self.stage {
-            StreamStage::ReceivingBody(_) if elapsed_s > MAX_REQUEST_S => {
+            StreamStage::ReceivingBody(_) if elapsed_s > REQUEST_TIMEOUT_S => {
                 self.responder.send_reset(Reason::CANCEL);
                 true
             }
-            StreamStage::Sending(body) if elapsed_s > MAX_RESPONSE_S => {
+            StreamStage::Sending(body) if elapsed_s > RESPONSE_TIMEOUT_S => {
                 body.stream.send_reset(Reason::CANCEL);
                 true
             }
@@ -170,14 +170,14 @@
         }
     }
 
-    /// Receives the body; the request once it is complete.
+    /// Receives the body. Returns the request once it is complete.
     fn receive(&mut self, cx: &mut Context, ticket: Ticket, input: &PollInput) -> Option<Request> {
         let StreamStage::ReceivingBody(incoming) = &mut self.stage else { return None };
         match incoming.poll_body(cx, &mut self.request_bytes) {
             Poll::Pending => None,
             Poll::Ready(Ok(())) => self.complete_request(ticket, input),
             Poll::Ready(Err(BodyError::TooLong)) => {
-                self.fail(HttpError::new(413, "the body is too long"), input.context);
+                self.send_error(HttpError::new(413, "the body is too long"), input.context);
                 None
             }
             Poll::Ready(Err(BodyError::Reset)) => {
@@ -198,17 +198,17 @@
                 Some(request)
             }
             Err(FieldError::UnknownTenant) => {
-                self.fail(HttpError::new(403, "unknown tenant"), input.context);
+                self.send_error(HttpError::new(403, "unknown tenant"), input.context);
                 None
             }
             Err(FieldError::Field(name)) => {
-                self.fail(HttpError::new(400, name), input.context);
+                self.send_error(HttpError::new(400, name), input.context);
                 None
             }
         }
     }
 
-    /// Sends what the client's windows allow; `true` if something was sent.
+    /// Sends as much as the client's windows allow. Returns `true` if anything was sent.
     fn send(&mut self, cx: &mut Context) -> bool {
         let StreamStage::Sending(body) = &mut self.stage else { return false };
         match body.poll_send(cx) {
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Begins to send a response of the dispatcher, if one is still awaited.
+    /// Starts to send a response from the dispatcher, if one is still awaited.
     pub(super) fn respond(&mut self, now: f64, response: Response, context: &FrontendContext) {
         if self.awaits_response() {
             self.since = now;
@@ -229,11 +229,15 @@
         }
     }
 
-    fn fail(&mut self, fail: HttpError, context: &FrontendContext) {
-        let body = format!("{}\n", fail.message).into_bytes();
-        let mapping =
-            StatusMapping { code: fail.code, body: Some(body.into()), pushback_ms: None, stop_trying: false };
-        self.start_response(mapping, fail.allow, context);
+    fn send_error(&mut self, error: HttpError, context: &FrontendContext) {
+        let body = format!("{}\n", error.message).into_bytes();
+        let mapping = StatusMapping {
+            code: error.code,
+            body: Some(body.into()),
+            pushback_ms: None,
+            stop_trying: false,
+        };
+        self.start_response(mapping, error.allow, context);
     }
 
     fn send_text(&mut self, code: u16, text: &str, context: &FrontendContext) {
@@ -248,7 +252,7 @@
             (Ok(stream), Some(body)) => {
                 StreamStage::Sending(OutgoingBody { stream, rest: SharedBytes::new(body) })
             }
-            // Without a body there is nothing more to send; a stream that has been reset meanwhile is complete as well.
+            // Without a body nothing is left to send; a stream that has been reset in the meantime is complete, too.
             _ => StreamStage::Complete,
         };
     }
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -1,5 +1,5 @@
-//! A property of sessions: whatever the interleaving of opened streams, bodies, resets, responses, windows, cuts in the
-//! bytes and a graceful shutdown, each accepted stream ends exactly once, and none is left over. Seeds are fixed.
+//! A property of sessions: for any interleaving of opened streams, bodies, resets, responses, windows, segmentation of
+//! the bytes and a graceful shutdown, each accepted stream ends exactly once, and none is left over. Seeds are fixed.
 
 use super::{NoopWaker, PollInput, Session};
 use crate::config::{Config, Http2Settings, OperatorSettings};
@@ -20,9 +20,9 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
 
-/// One request as the client sees it.
+/// The client's view of one request.
 struct ClientStream {
-    /// The rest of the request's body, while it is not complete.
+    /// The sending side of the request, until its body is complete.
     request_body: Option<SendStream<Bytes>>,
     response: Option<ResponseFuture>,
     response_body: Option<RecvStream>,
@@ -32,7 +32,7 @@
     was_reset: bool,
 }
 
-/// A client and a session, and between them a connection that moves bytes on request.
+/// A client and a session, connected by a transport that moves bytes on request.
 struct Harness {
     waker: Waker,
     clock: Clock,
@@ -42,14 +42,14 @@
     client: SendRequest<Bytes>,
     connection: Connection<Pipe, Bytes>,
     streams: Vec<ClientStream>,
-    /// Tickets of the requests that the session has handed on.
+    /// Tickets of the requests that the session has produced.
     requests: BTreeSet<u64>,
-    /// Those that were given a response.
+    /// Tickets of those that were given a response.
     answered: BTreeSet<u64>,
-    /// Those whose client has gone.
+    /// Tickets of those whose client has disconnected.
     disconnected: BTreeSet<u64>,
     last_ticket: Rc<Cell<u64>>,
-    /// Bytes on their way.
+    /// Bytes in transit.
     towards_server: Vec<u8>,
     towards_client: Vec<u8>,
     session_ended: bool,
@@ -72,7 +72,7 @@
         let waker: Waker = Arc::new(NoopWaker).into();
         let Poll::Ready(Ok((client, connection))) = handshake.as_mut().poll(&mut Context::from_waker(&waker))
         else {
-            panic!("the client's part of the handshake waits for nothing")
+            panic!("the client's handshake did not complete immediately")
         };
         Harness {
             waker,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Moves at most so many bytes each way, and polls both ends.
+    /// Moves at most `max_bytes` in each direction, and polls both ends.
     fn transfer(&mut self, max_bytes: usize) {
         let waker = self.waker.clone();
         let cx = &mut Context::from_waker(&waker);
@@ -123,11 +123,11 @@
             };
             let output = self.session.poll(&input);
             for request in output.requests {
-                assert!(self.requests.insert(request.ticket.0), "a ticket came twice");
+                assert!(self.requests.insert(request.ticket.0), "a ticket was used twice");
             }
             for ticket in output.disconnected {
                 assert!(self.requests.contains(&ticket.0) && !self.answered.contains(&ticket.0));
-                assert!(self.disconnected.insert(ticket.0), "a client went twice");
+                assert!(self.disconnected.insert(ticket.0), "a disconnection was reported twice");
             }
             self.session_ended = output.ended;
         }
@@ -138,7 +138,7 @@
         let _ = Pin::new(&mut self.connection).poll(cx);
     }
 
-    /// Opens a stream; with `complete` its request needs no more.
+    /// Opens a stream; with `complete`, its request is complete.
     fn send_request(&mut self, complete: bool) {
         let waker = self.waker.clone();
         if !matches!(self.client.poll_ready(&mut Context::from_waker(&waker)), Poll::Ready(Ok(()))) {
@@ -166,7 +166,7 @@
         });
     }
 
-    /// Reads what has come of a response; the window opens for what was read.
+    /// Reads the available part of a response, and opens the window by the bytes read.
     fn read(&mut self, n: usize) {
         let waker = self.waker.clone();
         let cx = &mut Context::from_waker(&waker);
@@ -175,7 +175,10 @@
             match Pin::new(response).poll(cx) {
                 Poll::Pending => return,
                 Poll::Ready(Ok(head)) => {
-                    assert!(stream.status.replace(head.status().as_u16()).is_none(), "two responses");
+                    assert!(
+                        stream.status.replace(head.status().as_u16()).is_none(),
+                        "a stream got two responses"
+                    );
                     stream.response_body = Some(head.into_body());
                 }
                 Poll::Ready(Err(_)) => stream.ended = true,
@@ -202,7 +205,7 @@
         if let Some(mut body) = stream.request_body.take() {
             body.send_reset(Reason::CANCEL);
         }
-        // Dropped before its end: the client's codec says so with a reset.
+        // Dropped before the end of the response, which makes the client's codec send a reset.
         stream.response = None;
         stream.response_body = None;
         stream.was_reset = true;
@@ -281,7 +284,7 @@
                     Step::ShutDown => harness.context.availability.shutting_down = true,
                 }
             }
-            // Ends all that is open.
+            // Completes everything that is still open.
             for _ in 0..8_000 {
                 for n in 0..harness.streams.len() {
                     if let Some(mut body) = harness.streams[n].request_body.take() {
@@ -298,19 +301,22 @@
                 }
             }
             if harness.session_ended {
-                // The frontend tells the dispatcher of those whom the end of the connection has cut off.
-                let cut_off = harness.session.awaiting_response();
-                harness.disconnected.extend(cut_off.iter().map(|t| t.0));
+                // The frontend notifies the dispatcher of requests that were pending when the connection ended.
+                let awaiting = harness.session.awaiting_response();
+                harness.disconnected.extend(awaiting.iter().map(|t| t.0));
             }
-            assert!(harness.streams.iter().all(|s| s.ended), "a stream without an end");
-            assert!(harness.session_ended || !harness.session.has_streams(), "something is left over");
+            assert!(harness.streams.iter().all(|s| s.ended), "a client stream did not end");
+            assert!(
+                harness.session_ended || !harness.session.has_streams(),
+                "the session has streams left over"
+            );
             let ends = harness.answered.union(&harness.disconnected).count();
             assert_eq!(
                 (ends, harness.answered.intersection(&harness.disconnected).count()),
                 (harness.requests.len(), 0)
             );
             for stream in harness.streams.iter().filter(|s| !s.was_reset) {
-                // Served completely, rejected, or refused as a stream: nothing in between.
+                // Each is served completely, rejected, or refused as a stream.
                 let is_served = stream.status == Some(200) && stream.received_bytes == 200;
                 let is_rejected = matches!(stream.status, Some(503)) && stream.received_bytes == 0;
                 assert!(
--- a/src/net/frontends/http2/session_admission.rs
+++ b/src/net/frontends/http2/session_admission.rs
@@ -1,14 +1,14 @@
-//! Which new connections get a session. No I/O: connections are numbers, the time is passed in.
+//! Decides which new connections get a session. No I/O: connections are ids, and the time is passed in.
 //!
-//! A session takes many times the memory of a connection without one, and anybody can have one for a preface. So
-//! connections that have not sent a request share a bounded number of slots. One releases its slot with its first
-//! request, or when it is closed. Where all slots are taken, connections wait in the order in which they came, and
-//! a client that has had a slot for [`MIN_SLOT_S`] without a request is evicted for the first of them. Where nobody waits,
-//! nobody is evicted.
+//! A session uses many times the memory of a connection without one, and a preface is enough to get one. Connections
+//! that have not sent a request therefore share a limited number of slots. A connection releases its slot with its
+//! first request or when it is closed. While all slots are taken, connections wait in order of arrival, and a client
+//! that has held a slot for [`MIN_SLOT_S`] without a request is evicted for the first of them. If none waits, none is
+//! evicted.
 
 use std::collections::VecDeque;
 
-/// How long a client keeps its slot without a request, at least, while others wait (seconds).
+/// The minimum time for which a client without a request keeps its slot while others wait (seconds).
 pub const MIN_SLOT_S: f64 = 0.05;
 
 /// A connection that has a session and has not sent a request.
@@ -18,32 +18,32 @@
     id: u64,
 }
 
-/// The slots, and the queue for them.
+/// The slots, and the queue of connections that wait for one.
 #[derive(Debug)]
 pub struct SessionAdmission {
     max_slots: usize,
-    /// The oldest first.
+    /// Oldest first.
     holders: VecDeque<SlotHolder>,
-    /// The oldest first.
+    /// Oldest first.
     waiting: VecDeque<u64>,
 }
 
-/// A connection that has waited and got a slot.
+/// A waiting connection that was given a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// The connection that lost its slot and is to be closed; none where a slot was free.
+    /// The connection that lost its slot and has to be closed; `None` if a slot was free.
     pub evicted: Option<u64>,
-    /// The connection that has a slot now.
+    /// The connection that was given the slot.
     pub id: u64,
 }
 
 impl SessionAdmission {
-    /// So many slots, at least one, and all of them free.
+    /// Creates `max_slots` free slots, but at least one.
     pub fn new(max_slots: usize) -> SessionAdmission {
         SessionAdmission { max_slots: max_slots.max(1), holders: VecDeque::new(), waiting: VecDeque::new() }
     }
 
-    /// Whether a connection has a slot; if not, it is queued for one.
+    /// Gives a connection a slot, or queues it for one. Returns whether it has a slot.
     pub fn admit(&mut self, now: f64, id: u64) -> bool {
         if self.holders.iter().any(|holder| holder.id == id) {
             return true;
@@ -58,19 +58,19 @@
         false
     }
 
-    /// Gives up a connection's slot or place in the queue: it has sent a request, or is closed.
+    /// Releases a connection's slot or place in the queue, because it has sent a request or is closed.
     pub fn release(&mut self, id: u64) {
         self.holders.retain(|holder| holder.id != id);
         self.waiting.retain(|waiting| *waiting != id);
     }
 
-    /// Releases the connections that are not open any more, however they were closed.
+    /// Releases the slots and queue places of connections that are no longer open.
     pub fn retain(&mut self, is_open: impl Fn(u64) -> bool) {
         self.holders.retain(|holder| is_open(holder.id));
         self.waiting.retain(|id| is_open(*id));
     }
 
-    /// Gives a slot to the first in the queue, if one is free or its holder has had it for long enough.
+    /// Gives a slot to the first connection in the queue, if one is free or the oldest holder may be evicted.
     pub fn admit_next(&mut self, now: f64) -> Option<Admitted> {
         self.waiting.front()?;
         let evicted = if self.holders.len() < self.max_slots {
@@ -88,7 +88,7 @@
         Some(Admitted { evicted, id })
     }
 
-    /// Whether any connection waits for a slot.
+    /// Whether any connection is waiting for a slot.
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
--- a/src/net/frontends/http2/session_admission/tests.rs
+++ b/src/net/frontends/http2/session_admission/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 use proptest::prelude::*;
 
-/// A little more than the time for which a slot is occupied.
+/// Slightly longer than a client keeps its slot.
 const STEP_S: f64 = 1.01 * MIN_SLOT_S;
 
-/// Silent connections by the hundred, each with a preface, made the worker build a session for each.
+/// Guards against hundreds of silent connections that send only a preface, each of which was given a session.
 #[test]
 fn silent_connections_share_the_slots_and_a_waiting_client_is_admitted_in_time() {
     let mut admission = SessionAdmission::new(4);
     let admitted: Vec<bool> = (0..100).map(|id| admission.admit(0.0, id)).collect();
     assert_eq!(admitted.iter().filter(|is| **is).count(), 4);
-    // Nobody has had a slot for long yet.
+    // No holder has had its slot for the minimum time yet.
     assert!(admission.admit_next(0.01).is_none() && admission.has_waiting());
     assert!(!admission.admit(0.01, 1000));
     let (mut now, mut closed) = (0.0, 0);
@@ -20,17 +20,17 @@
             closed += usize::from(admitted.evicted.is_some());
         }
     }
-    // A hundred before it, four at a time.
+    // A hundred connections precede it, and are admitted four at a time.
     assert!(now <= 26.0 * STEP_S, "{now}");
     assert_eq!(closed, 97);
 }
 
 #[test]
-fn a_silent_connection_is_not_evicted_while_nobody_waits() {
+fn a_silent_connection_is_not_evicted_while_none_waits() {
     let mut admission = SessionAdmission::new(2);
     assert!(admission.admit(0.0, 1) && admission.admit(0.0, 2));
     assert!(admission.admit_next(60.0).is_none() && !admission.has_waiting());
-    // One that has sent a request frees its slot for the next, which need not wait.
+    // A connection that has sent a request frees its slot for the next one immediately.
     assert!(!admission.admit(60.0, 3));
     admission.release(2);
     assert_eq!(admission.admit_next(60.0), Some(Admitted { evicted: None, id: 3 }));
@@ -40,7 +40,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Never more sessions than slots, nobody both admitted and waiting, and the queue empties in the end.
+    /// There are never more sessions than slots, no connection is both admitted and waiting, and the queue empties.
     #[test]
     fn slots_are_never_given_twice(events in prop::collection::vec((0u8..4, 0u64..30), 1..300)) {
         let (mut admission, mut now) = (SessionAdmission::new(3), 0.0);
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -1,6 +1,6 @@
-//! What ends HTTP/2 connections by time or by their size: stalled clients, large response backlogs, idleness.
+//! Closes HTTP/2 connections whose client is stalled or idle, or whose response backlog is too large.
 
-use super::response_backlog::{largest_beyond, ResponseBacklog};
+use super::response_backlog::{connections_over_limit, ResponseBacklog};
 use super::session::IdleOutcome;
 use super::Http2Frontend;
 use crate::dispatch::Input;
@@ -8,13 +8,13 @@
 use crate::net::events::{FrontendEvent, SessionEndCause};
 use crate::net::frontends::connections::ConnectionState;
 
-/// How long a client may take nothing of what waits for it (seconds).
+/// How long a client may accept none of its queued output (seconds).
 const MAX_SEND_STALL_S: f64 = 10.0;
 
 impl Http2Frontend {
-    /// Ends connections that are due, and has all others processed: streams that are too slow end by time alone.
-    /// While operators drain this worker, idle clients are sent a GOAWAY as if they had been idle for long: a health check
-    /// moves no client that keeps its connection.
+    /// Closes connections that exceed a limit, and schedules all others for processing, which ends streams that have
+    /// timed out. While operators drain this worker, idle clients are sent a GOAWAY as if their idle timeout had
+    /// passed: health checks alone don't move clients that keep their connection open.
     pub(super) fn sweep_sessions(&mut self, now: f64, draining: bool, inputs: &mut Vec<Input>) {
         self.close_stalled(now, inputs);
         self.end_largest_backlogs(now, inputs);
@@ -22,7 +22,7 @@
         self.connections.touch_all();
     }
 
-    /// Closes clients that take nothing of what waits for them.
+    /// Closes connections whose client accepts none of its queued output.
     fn close_stalled(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let stalled = self.connections.ids_where(|connection| {
             connection.state == ConnectionState::AwaitingResponse
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Ends the connections with the most pending output while more waits than the settings allow.
+    /// Closes the connections with the largest backlogs until the total is within the configured limit.
     fn end_largest_backlogs(&mut self, now: f64, inputs: &mut Vec<Input>) {
         let backlogs = self.response_backlogs();
-        for id in largest_beyond(backlogs, self.settings.waiting_kb as usize * 1024) {
+        for id in connections_over_limit(backlogs, self.settings.waiting_kb as usize * 1024) {
             FrontendEvent::Http2SessionTerminated(SessionEndCause::ResponseBacklog).emit();
             let connection = self.connections.get_mut(id);
             if let Some(active) = connection.and_then(|c| c.protocol_state.active.as_deref_mut()) {
@@ -58,7 +58,7 @@
         backlogs
     }
 
-    /// Checks on clients without a stream, and ends those that don't answer.
+    /// Checks clients without streams, and closes the connections of those that don't respond.
     fn end_idle(&mut self, now: f64, draining: bool, inputs: &mut Vec<Input>) {
         let mut overdue = Vec::new();
         for id in self.connections.ids_where(|connection| connection.state == ConnectionState::Idle) {
--- a/src/net/frontends/http2/transport.rs
+++ b/src/net/frontends/http2/transport.rs
@@ -1,5 +1,5 @@
-//! The transport between the codec and the event loop: bytes that the loop has read go in, bytes that it is to write
-//! come out. Both directions are bounded, so that a peer that doesn't read stops the codec and takes no more memory.
+//! The in-memory transport between the event loop and the codec: received bytes go in, bytes to send come out. Both
+//! directions are bounded, so that a peer that doesn't read stalls the codec instead of using more memory.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,9 +9,9 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that wait for the codec at most.
+/// Limit on the bytes that wait for the codec.
 pub const MAX_INPUT_BYTES: usize = 16 * 1024;
-/// Bytes that wait for the event loop at most.
+/// Limit on the bytes that wait for the event loop.
 pub const MAX_OUTPUT_BYTES: usize = 64 * 1024;
 
 #[derive(Default)]
@@ -21,32 +21,32 @@
     input_ended: bool,
 }
 
-/// One end of the pipe; the codec has a clone of it.
+/// The pipe; the event loop and the codec each hold a clone.
 #[derive(Clone, Default)]
 pub struct Pipe(Rc<RefCell<Buffers>>);
 
 impl Pipe {
-    /// How many more bytes may be fed to the codec now.
+    /// The number of bytes that can be fed to the codec now.
     pub fn free_bytes(&self) -> usize {
         MAX_INPUT_BYTES.saturating_sub(self.0.borrow().input.len())
     }
 
-    /// Bytes that the codec has not read yet.
+    /// The number of bytes that the codec has not read yet.
     pub fn unread(&self) -> usize {
         self.0.borrow().input.len()
     }
 
-    /// Hands bytes to the codec; the caller keeps within [`Pipe::free_bytes`].
+    /// Passes bytes to the codec. The caller must not exceed [`Pipe::free_bytes`].
     pub fn feed(&self, bytes: &[u8]) {
         self.0.borrow_mut().input.extend(bytes);
     }
 
-    /// The peer will send no more.
+    /// Signals that the peer will send no more.
     pub fn end(&self) {
         self.0.borrow_mut().input_ended = true;
     }
 
-    /// Takes what the codec has written.
+    /// Takes the codec's output.
     pub fn drain(&self) -> Vec<u8> {
         std::mem::take(&mut self.0.borrow_mut().output)
     }
