--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -46,8 +46,8 @@
 impl AjpFrontend {
     /// A frontend that doesn't listen yet.
     #[must_use]
-    pub fn closed(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFrontend {
-        let connections = Connections::closed(poll, FrontendKind::Ajp, 2 * MAX_PACKET_BYTES);
+    pub fn new(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFrontend {
+        let connections = Connections::new(poll, FrontendKind::Ajp, 2 * MAX_PACKET_BYTES);
         AjpFrontend { connections, settings, directory, seed, generated_ids: 0 }
     }
 
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -22,7 +22,7 @@
         kind: FrontendKind,
         max_unread_bytes: usize,
     ) -> io::Result<Connections<P>> {
-        let mut connections = Connections::closed(poll, kind, max_unread_bytes);
+        let mut connections = Connections::new(poll, kind, max_unread_bytes);
         connections.acceptor = Some(Acceptor::bind(poll, address, Source::Listener(kind))?);
         Ok(connections)
     }
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -48,7 +48,7 @@
 impl<P: Default> Connections<P> {
     /// An empty set without a listener.
     #[must_use]
-    pub fn closed(poll: &Poll, kind: FrontendKind, max_unread_bytes: usize) -> Connections<P> {
+    pub fn new(poll: &Poll, kind: FrontendKind, max_unread_bytes: usize) -> Connections<P> {
         Connections {
             acceptor: None,
             poll: poll.clone(),
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -18,7 +18,7 @@
         let events: EventLoop<Gathered> = EventLoop::try_new().unwrap();
         let poll = Poll::new(events.handle(), 100);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let connections = Connections::closed(&poll, FrontendKind::Http1, 1024);
+        let connections = Connections::new(&poll, FrontendKind::Http1, 1024);
         Fixture { _events: events, listener, clients: Vec::new(), connections }
     }
 
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -51,8 +51,8 @@
 impl Http1Frontend {
     /// A frontend that doesn't listen yet; `address` is the configured address.
     #[must_use]
-    pub fn closed(poll: &Poll, address: SocketAddr) -> Http1Frontend {
-        let connections = Connections::closed(poll, FrontendKind::Http1, MAX_UNREAD_BYTES);
+    pub fn new(poll: &Poll, address: SocketAddr) -> Http1Frontend {
+        let connections = Connections::new(poll, FrontendKind::Http1, MAX_UNREAD_BYTES);
         Http1Frontend { connections, address }
     }
 
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -64,8 +64,8 @@
 impl Http2Frontend {
     /// A frontend that doesn't listen yet.
     #[must_use]
-    pub fn closed(poll: &Poll, settings: Http2Settings) -> Http2Frontend {
-        let mut connections = Connections::closed(poll, FrontendKind::Http2, READ_BUFFER_BYTES);
+    pub fn new(poll: &Poll, settings: Http2Settings) -> Http2Frontend {
+        let mut connections = Connections::new(poll, FrontendKind::Http2, READ_BUFFER_BYTES);
         connections.set_max_connections(settings.connections);
         Http2Frontend {
             connections,
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -64,7 +64,7 @@
     /// The system can't listen there.
     pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> Result<Console, ListenError> {
         let own = poll.with_own_budget(max_console_calls(sockets));
-        let mut connections = Connections::closed(&own, FrontendKind::Console, MAX_HEAD_BYTES);
+        let mut connections = Connections::new(&own, FrontendKind::Console, MAX_HEAD_BYTES);
         connections.open(None, address)?;
         connections.prefer_newest();
         Ok(Console { connections })
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -91,12 +91,12 @@
     let Configuration { files, platform, operator, .. } = configuration;
     let may_have_predecessor = socket_inherited && files.folder.is_some();
     let console = bind_console(platform, poll)?;
-    let mut http1 = Http1Frontend::closed(poll, platform.listen);
+    let mut http1 = Http1Frontend::new(poll, platform.listen);
     if !socket_inherited {
         http1.open(None)?;
     }
     let mut ajp = ajp_frontend(platform, operator, poll);
-    let mut http2 = operator.http2.clone().map(|settings| Http2Frontend::closed(poll, settings));
+    let mut http2 = operator.http2.clone().map(|settings| Http2Frontend::new(poll, settings));
     if !may_have_predecessor {
         if let Some(ajp) = &mut ajp {
             ajp.open(None)?;
@@ -118,7 +118,7 @@
 fn ajp_frontend(platform: &Config, operator: &OperatorSettings, poll: &Poll) -> Option<AjpFrontend> {
     let settings = operator.ajp.clone()?;
     let identity = operator.directory.as_ref().map(|directory| directory.identity);
-    Some(AjpFrontend::closed(poll, settings, identity, platform.seed_number()))
+    Some(AjpFrontend::new(poll, settings, identity, platform.seed_number()))
 }
 
 fn inherited_socket(files: &StartupOptions) -> Result<Option<Rc<TcpListener>>, WorkerError> {
