--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -58,7 +58,7 @@
             match connection.advance(now) {
                 NextStep::Read => {}
                 NextStep::Wait => return,
-                NextStep::Later => break,
+                NextStep::Yield => break,
                 NextStep::Close => return self.connections.disconnected(id, turn.inputs),
             }
             let filled = connection.link.fill();
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -41,7 +41,7 @@
     /// Wait for a poll event or for the dispatcher.
     Wait,
     /// Continue after the other connections have been processed.
-    Later,
+    Yield,
     /// Close the connection.
     Close,
 }
@@ -103,7 +103,7 @@
                 Idle | Reading => return NextStep::Read,
             }
         }
-        NextStep::Later
+        NextStep::Yield
     }
 
     /// Reads no further request: writes the queued output, then closes the connection.
@@ -142,7 +142,7 @@
             self.last_received_at = now;
         }
         match filled {
-            Filled::Open if self.link.unread() => NextStep::Later,
+            Filled::Open if self.link.unread() => NextStep::Yield,
             Filled::Open => NextStep::Wait,
             _ => NextStep::Close,
         }
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -66,7 +66,7 @@
                 NextStep::Read if context.availability.handing_off => return,
                 NextStep::Read => {}
                 NextStep::Wait => return,
-                NextStep::Later => break,
+                NextStep::Yield => break,
                 NextStep::Close => return self.connections.disconnected(id, inputs),
             }
             let filled = connection.link.fill();
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -140,7 +140,7 @@
         }
         match connection.advance(turn.now) {
             NextStep::Close => self.close(id, turn.inputs),
-            NextStep::Later => self.connections.touch(id),
+            NextStep::Yield => self.connections.touch(id),
             NextStep::Read | NextStep::Wait => {}
         }
     }
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -85,7 +85,7 @@
         match c.advance(now) {
             NextStep::Read => {}
             NextStep::Wait => return,
-            NextStep::Later => return self.connections.touch(id),
+            NextStep::Yield => return self.connections.touch(id),
             NextStep::Close => return self.connections.close(id),
         }
         let filled = c.link.fill();
