--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -1,4 +1,4 @@
-//! The AJP frontend: older portals speak AJP/1.3 to it. Its requests go to the same dispatcher as those of HTTP.
+//! The AJP/1.3 frontend, for older portals. Its requests go to the same dispatcher as HTTP requests.
 
 #![warn(missing_docs)]
 
@@ -28,28 +28,28 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// What a connection remembers: the request that is coming in, or waits for the directory.
+/// The state of a connection: the request that is being received, or that waits for the directory.
 #[derive(Default)]
-pub struct Memory(Option<PendingRequest>);
+pub struct ProtocolState(Option<PendingRequest>);
 
 /// The listener, its connections, and the operator's settings.
 pub struct AjpFrontend {
     /// The connections.
-    pub connections: Connections<Memory>,
+    pub connections: Connections<ProtocolState>,
     settings: AjpSettings,
-    /// The identity by which the directory decides on tenants, where there is a directory.
+    /// The kind of identity by which the directory finds the tenant; `None` without a directory.
     directory: Option<Identity>,
-    /// The seed of generated request ids.
+    /// The seed for generated request ids.
     seed: u64,
-    /// How many request ids have been generated.
+    /// The number of request ids generated so far.
     generated_ids: u64,
 }
 
 impl AjpFrontend {
     /// A frontend that doesn't listen yet.
     #[must_use]
-    pub fn closed(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFrontend {
-        let connections = Connections::closed(poll, FrontendKind::Ajp, 2 * MAX_PACKET_BYTES);
+    pub fn new(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFrontend {
+        let connections = Connections::new(poll, FrontendKind::Ajp, 2 * MAX_PACKET_BYTES);
         AjpFrontend { connections, settings, directory, seed, generated_ids: 0 }
     }
 
@@ -60,7 +60,7 @@
             match connection.advance(now) {
                 NextStep::Read => {}
                 NextStep::Wait => return,
-                NextStep::Later => break,
+                NextStep::Yield => break,
                 NextStep::Close => return self.connections.disconnected(id, turn.inputs),
             }
             let filled = connection.link.fill();
@@ -68,14 +68,14 @@
                 connection.set_state(now, ConnectionState::Reading);
             }
             match ajp_codec::find_packet(connection.link.data(), Direction::ToContainer) {
-                Ok(Some(payload)) if connection.memory.0.is_some() => {
+                Ok(Some(payload)) if connection.protocol_state.0.is_some() => {
                     self.on_body_packet(now, id, payload, turn);
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
-                // A client that is gone before its last byte: the request never reaches the dispatcher.
+                // The client is gone before the request was complete: it never reaches the dispatcher.
                 Ok(None) if filled != ReadStatus::Open => return self.connections.close(id),
                 Ok(None) => return,
-                // After a wrong magic or length there is no telling where a message begins.
+                // After a wrong magic number or length, the start of the next message can't be found.
                 Err(error) => {
                     FrontendEvent::AjpPacketMalformed(&error).emit();
                     connection.finish(now);
@@ -85,7 +85,7 @@
         self.connections.touch(id);
     }
 
-    /// Takes a packet that carries a part of a request's body.
+    /// Processes a packet that carries part of a request's body.
     fn on_body_packet(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
@@ -96,17 +96,17 @@
             return;
         };
         let body_ended = chunk.is_empty();
-        // Beyond the limit the request is rejected anyway: what is kept stays bounded.
+        // Beyond the limit the request is rejected anyway; this bounds the memory it occupies.
         let has_room =
             |pending: &&mut PendingRequest| pending.body.len() < MAX_BODY_BYTES + MAX_BODY_CHUNK_BYTES;
-        if let Some(pending) = connection.memory.0.as_mut().filter(has_room) {
+        if let Some(pending) = connection.protocol_state.0.as_mut().filter(has_room) {
             pending.body.extend_from_slice(chunk);
         }
         connection.link.consume(packet_end);
         self.on_body_chunk(id, body_ended, turn);
     }
 
-    /// Takes a packet that begins a request, or another message of a web server.
+    /// Processes a packet that starts a request, or another message from a web server.
     fn on_message(&mut self, now: f64, id: u64, payload: Range<usize>, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let packet_end = payload.end;
@@ -120,7 +120,7 @@
                 connection.link.consume(packet_end);
                 return connection.set_state(now, ConnectionState::Idle);
             }
-            // Nobody may shut a worker down this way; a ping of the old kind wants no response.
+            // A worker can't be shut down over AJP, and the old kind of ping expects no response: both are ignored.
             Some(Ok(ToContainer::Shutdown | ToContainer::Ping)) => {
                 connection.link.consume(packet_end);
                 return connection.set_state(now, ConnectionState::Idle);
@@ -134,31 +134,31 @@
         match checked {
             Ok(pending) => self.begin_request(id, pending, turn),
             Err(rejection) => {
-                // Its body, if it has one, may be on its way: the connection can't be used again.
+                // The request's body may still be on its way, so the connection can't be reused.
                 connection.close = true;
                 write_response(connection, now, rejection.into(), turn.context);
             }
         }
     }
 
-    /// Waits for the body of a request, or goes on at once where it has none.
+    /// Waits for the request's body, or completes the request immediately if it has none.
     fn begin_request(&mut self, id: u64, pending: PendingRequest, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let content_length = pending.content_length;
-        // A web server sends a body without a stated length only when it is asked for.
+        // A web server sends a body of unstated length only on request.
         if content_length.is_none() {
             connection.link.push(ajp_codec::write_get_body(MAX_BODY_CHUNK_BYTES as u16));
         }
-        connection.memory.0 = Some(pending);
+        connection.protocol_state.0 = Some(pending);
         if content_length == Some(0) {
             self.on_complete(id, turn);
         }
     }
 
-    /// Rejects a body of the wrong length, goes on with a complete one, or requests more of it.
+    /// Rejects a body of the wrong length, completes the request, or asks for more of the body.
     fn on_body_chunk(&mut self, id: u64, body_ended: bool, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(pending) = &connection.memory.0 else { return };
+        let Some(pending) = &connection.protocol_state.0 else { return };
         let received = pending.body.len();
         let content_length = pending.content_length;
         let rejection = if received > content_length.unwrap_or(MAX_BODY_BYTES) {
@@ -169,7 +169,7 @@
             None
         };
         if let Some(rejection) = rejection {
-            connection.memory.0 = None;
+            connection.protocol_state.0 = None;
             connection.close = true;
             return write_response(connection, turn.clock.now(), rejection.into(), turn.context);
         }
@@ -184,13 +184,13 @@
         }
     }
 
-    /// A complete request goes to the directory where its tenant has to be looked up, or else to the dispatcher.
+    /// Sends a complete request to the directory if its tenant has to be looked up, otherwise to the dispatcher.
     fn on_complete(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(pending) = &mut connection.memory.0 else { return };
-        if pending.fields.id.is_none() {
+        let Some(pending) = &mut connection.protocol_state.0 else { return };
+        if pending.fields.correlation_id.is_none() {
             self.generated_ids += 1;
-            pending.fields.id = Some(generated_id(self.seed, self.generated_ids).into());
+            pending.fields.correlation_id = Some(generated_id(self.seed, self.generated_ids).into());
         }
         let identity = pending.identity.take();
         let timeout_s = pending.fields.time_left(pending.class, &turn.context.catalog, turn.clock);
@@ -201,10 +201,10 @@
         }
     }
 
-    /// Hands the pending request to the dispatcher.
+    /// Passes the pending request to the dispatcher.
     fn dispatch(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(pending) = connection.memory.0.take() else { return };
+        let Some(pending) = connection.protocol_state.0.take() else { return };
         let PendingRequest { class, tenant, fields, body, .. } = pending;
         match fields.request(Ticket(id), class, tenant, &body, &turn.context.catalog, turn.clock) {
             Ok(request) => turn.inputs.push(Input::Arrived(request)),
@@ -246,10 +246,10 @@
         self.connections.owns(ticket.0)
     }
 
-    /// The directory's results would come too late: clients get a response with Retry-After.
+    /// Answers requests that wait for the directory, whose results would come too late, with Retry-After.
     fn respond_all(&mut self, turn: &mut FrontendTurn<'_>) {
-        let waits_for_directory = |connection: &Connection<Memory>| {
-            connection.state == ConnectionState::AwaitingResponse && connection.memory.0.is_some()
+        let waits_for_directory = |connection: &Connection<ProtocolState>| {
+            connection.state == ConnectionState::AwaitingResponse && connection.protocol_state.0.is_some()
         };
         for id in self.connections.ids_where(waits_for_directory) {
             self.complete_lookup(Ticket(id), LookupResult::Unavailable, turn);
@@ -262,11 +262,11 @@
             LookupResult::Tenant(name) => turn.context.catalog.tenant(name),
             _ => None,
         };
-        if let (Some(tenant), Some(pending)) = (tenant, &mut connection.memory.0) {
+        if let (Some(tenant), Some(pending)) = (tenant, &mut connection.protocol_state.0) {
             pending.tenant = Some(tenant);
             return self.dispatch(ticket.0, turn);
         }
-        connection.memory.0 = None;
+        connection.protocol_state.0 = None;
         let response = failed_lookup_response(&result);
         write_response(connection, turn.clock.now(), response, turn.context);
         self.connections.touch(ticket.0);
@@ -282,7 +282,7 @@
     }
 }
 
-/// The response to a request whose lookup found no tenant of the settings.
+/// The response to a request for which the lookup found no configured tenant.
 fn failed_lookup_response(result: &LookupResult) -> AjpResponse {
     match result {
         LookupResult::Unavailable => AjpResponse::from(Rejection::new(503, "the directory is down"))
@@ -292,8 +292,8 @@
     }
 }
 
-/// An id for a request that came without one: 16 hex digits, unique in the life of a process. The mixing function is
-/// that of `SplitMix64`.
+/// Generates an id for a request that came without one: 16 hex digits, unique within a process. The mixing function
+/// is that of `SplitMix64`.
 fn generated_id(seed: u64, number: u64) -> String {
     let mut z = seed.wrapping_add(number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -5,7 +5,7 @@
 use calloop::EventLoop;
 use std::net::TcpListener;
 
-/// Connections with a clock of the test's own.
+/// Connections whose clock is set by the test.
 struct Fixture {
     _events: EventLoop<'static, ReadyEvents>,
     listener: TcpListener,
@@ -18,24 +18,29 @@
         let events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
         let poll = Poll::new(events.handle(), 100);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let connections = Connections::closed(&poll, FrontendKind::Http1, 1024);
+        let connections = Connections::new(&poll, FrontendKind::Http1, 1024);
         Fixture { _events: events, listener, clients: Vec::new(), connections }
     }
 
-    /// Opens a connection that has sent so many requests and been idle since `idle_since`.
+    /// Opens a connection that has sent `requests_read` requests and been idle since `idle_since`.
     fn open(&mut self, opened_at: f64, requests_read: u32, idle_since: f64) -> u64 {
         self.clients.push(TcpStream::connect(self.listener.local_addr().unwrap()).unwrap());
         let stream = self.listener.accept().unwrap().0;
         stream.set_nonblocking(true).unwrap();
         let stream = stream.into();
-        let detached =
-            DetachedConnection { stream, unread: Vec::new(), requests_read, close: false, memory: () };
+        let detached = DetachedConnection {
+            stream,
+            unread: Vec::new(),
+            requests_read,
+            close: false,
+            protocol_state: (),
+        };
         let id = self.connections.adopt(opened_at, detached, false).unwrap();
         self.connections.get_mut(id).unwrap().set_state(idle_since, ConnectionState::Idle);
         id
     }
 
-    /// The connections that are closed, in order, where `count` descriptors are wanted at this time.
+    /// The connections that are closed, in order, when `count` descriptors are needed at time `now`.
     fn evicted(&mut self, now: f64, count: usize) -> Vec<u64> {
         let ids = |connections: &Connections<()>| connections.ids_where(|_| true);
         let mut evicted = Vec::new();
@@ -50,8 +55,8 @@
     }
 }
 
-/// Under a load in which every request came on a connection of its own, those just opened were closed before their
-/// request had come, beside hundreds that had sent one request and stayed idle.
+/// When every request came on a new connection, connections just opened were evicted before their request arrived,
+/// although hundreds were idle after a single request.
 #[test]
 fn a_connection_idle_after_one_request_is_evicted_before_one_just_accepted() {
     let mut fixture = Fixture::new();
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -64,7 +64,7 @@
     /// The address can't be listened on.
     pub fn bind(poll: &Poll, address: SocketAddr, sockets: usize) -> Result<Console, ListenError> {
         let console_poll = poll.with_own_budget(max_console_calls(sockets));
-        let mut connections = Connections::closed(&console_poll, FrontendKind::Console, MAX_HEAD_BYTES);
+        let mut connections = Connections::new(&console_poll, FrontendKind::Console, MAX_HEAD_BYTES);
         connections.open(None, address)?;
         connections.prefer_newest();
         Ok(Console { connections })
@@ -85,7 +85,7 @@
         match c.advance(now) {
             NextStep::Read => {}
             NextStep::Wait => return,
-            NextStep::Later => return self.connections.touch(id),
+            NextStep::Yield => return self.connections.touch(id),
             NextStep::Close => return self.connections.close(id),
         }
         let filled = c.link.fill();
