--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -124,7 +124,7 @@
         self.link.is_some()
     }
 
-    /// The last gauges, or the default if they are older than [`MAX_GAUGE_AGE_S`].
+    /// The last gauges, or the default if they are older than `MAX_GAUGE_AGE_S`.
     #[must_use]
     pub fn gauges(&self, now: f64) -> Gauges {
         let fresh = self.gauges.filter(|(at, _)| now - at < MAX_GAUGE_AGE_S);
