--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -5,7 +5,7 @@
 use crate::error::TestbedError;
 use crate::experiment::{Experiment, Variant};
 use crate::loopback;
-use crate::measure::{interval, Play};
+use crate::measure::{interval, TrialResult};
 use crate::sync::lock;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -85,7 +85,7 @@
     let mut text = "coordinators  worth               in aim              cpu a request       p99                 longest console call  owed".to_owned();
     let all = [State::Well, State::Killed, State::Stopped, State::Flapping];
     for state in all.into_iter().take(if well_alone { 1 } else { 4 }) {
-        let mut pairs: Vec<(Play, Play)> = Vec::new();
+        let mut pairs: Vec<(TrialResult, TrialResult)> = Vec::new();
         for seed in 1..=seeds {
             let mut plays = Vec::new();
             let mut order = [&without, &with];
@@ -107,12 +107,12 @@
                 pairs.push((with, without));
             }
         }
-        let ratio = |of: &dyn Fn(&Play) -> f64| {
+        let ratio = |of: &dyn Fn(&TrialResult) -> f64| {
             let ratios: Vec<f64> = pairs.iter().map(|(w, o)| of(w) / of(o).max(1e-9)).collect();
             let (mean, half) = interval(&ratios);
             format!("{mean:.3} +- {half:.3}    ")
         };
-        let metric = |name: &'static str| move |play: &Play| play.metric(name, None);
+        let metric = |name: &'static str| move |play: &TrialResult| play.metric(name, None);
         let owed: u64 = pairs.iter().map(|(with, _)| with.owed).sum();
         let _ = write!(
             text,
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -23,7 +23,7 @@
 use crate::error::TestbedError;
 use crate::experiment::{Experiment, Variant};
 use crate::floods::{self, Flooded};
-use crate::measure::{LimitChange, Play, PoolResult, RequestEnd, CROWD_BOUND, CROWD_S};
+use crate::measure::{LimitChange, PoolResult, RequestEnd, TrialResult, CROWD_BOUND, CROWD_S};
 use crate::sync::lock;
 use listener::bind_listener;
 use records_server::serve_records;
@@ -51,7 +51,7 @@
     variant: &Variant,
     seed: u64,
     worker: &Path,
-) -> Result<Play, TestbedError> {
+) -> Result<TrialResult, TestbedError> {
     let requests = Arc::new(plan_requests(experiment, seed));
     let (over, called) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let (executor_listener, executor_at) = bind_listener()?;
@@ -104,7 +104,7 @@
     let lines = worker_process.terminate()?;
     over.store(true, Ordering::Relaxed);
     let executor = executor.join().map_err(|_| TestbedError::ThreadFailed { owner: "the executor" })?;
-    let mut play = Play::of(experiment, &variant.name, seed, &requests, &lock(&ends));
+    let mut play = TrialResult::of(experiment, &variant.name, seed, &requests, &lock(&ends));
     play.console = [calls.p50_ms, calls.p99_ms, calls.most_ms];
     play.console_made = calls.made;
     play.console_bad = calls.bad;
@@ -128,7 +128,7 @@
     config
 }
 
-fn add_floods(play: &mut Play, flooders: Vec<JoinHandle<Flooded>>) -> Result<(), TestbedError> {
+fn add_floods(play: &mut TrialResult, flooders: Vec<JoinHandle<Flooded>>) -> Result<(), TestbedError> {
     for flooder in flooders {
         let flood = flooder.join().map_err(|_| TestbedError::ThreadFailed { owner: "a flooder" })?;
         play.flood_connections += flood.connections;
@@ -139,7 +139,7 @@
 }
 
 /// Takes what the worker's log says of its pools; times count from the first line.
-fn read_log(lines: &[String], play: &mut Play) {
+fn read_log(lines: &[String], play: &mut TrialResult) {
     let started_at = lines.first().and_then(|line| seconds_of_day(line)).unwrap_or(0.0);
     for line in lines {
         read_log_line(line, started_at, play);
@@ -147,7 +147,7 @@
 }
 
 /// Takes what the worker's log says of its pools.
-fn read_log_line(line: &str, started_at: f64, play: &mut Play) {
+fn read_log_line(line: &str, started_at: f64, play: &mut TrialResult) {
     if let Some(state) = line.split_once("pools_state state=").and_then(|(_, text)| parse_quoted(text)) {
         play.reserve_kept = state["reserve_kept"].as_u64().unwrap_or(u64::MAX);
         let pools = state["pools"].as_array().map_or(&[][..], Vec::as_slice);
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -54,7 +54,7 @@
 
 /// One play of one variant with one seed.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Play {
+pub struct TrialResult {
     /// The variant that was played.
     pub variant: String,
     /// The seed.
@@ -127,7 +127,7 @@
     pub rejected: u64,
 }
 
-impl Play {
+impl TrialResult {
     /// Sums up how the requests of a play ended.
     #[must_use]
     pub fn of(
@@ -136,8 +136,9 @@
         seed: u64,
         requests: &[PlannedRequest],
         ends: &[Option<RequestEnd>],
-    ) -> Play {
-        let mut play = Play { variant: variant.to_owned(), seed, memory_growth: 1.0, ..Play::default() };
+    ) -> TrialResult {
+        let mut play =
+            TrialResult { variant: variant.to_owned(), seed, memory_growth: 1.0, ..TrialResult::default() };
         let (mut worth, mut of, mut work_worth, mut work_of) = (0.0, 0.0, 0.0, 0.0);
         for (number, class) in experiment.class.iter().enumerate() {
             let mut r = ClassResult { name: class.name.clone(), ..ClassResult::default() };
@@ -227,7 +228,7 @@
 
 /// Values of a bound's metric, seed by seed.
 #[must_use]
-pub fn values(plays: &[Play], expect: &Expect) -> Vec<f64> {
+pub fn values(plays: &[TrialResult], expect: &Expect) -> Vec<f64> {
     let of = |variant: &str, seed: u64| plays.iter().find(|p| p.variant == variant && p.seed == seed);
     let own = plays.iter().filter(|p| p.variant == expect.variant);
     own.filter_map(|p| {
@@ -244,7 +245,7 @@
 
 /// The bounds of an experiment, a line each, and whether all hold. A mean over all seeds is held against them.
 #[must_use]
-pub fn verdict(experiment: &Experiment, plays: &[Play]) -> (String, bool) {
+pub fn verdict(experiment: &Experiment, plays: &[TrialResult]) -> (String, bool) {
     let (mut text, mut good) = (String::new(), true);
     for x in &experiment.expect {
         let (mean, half) = interval(&values(plays, x));
@@ -267,13 +268,13 @@
 
 /// A table by variant and class, means over seeds.
 #[must_use]
-pub fn table(experiment: &Experiment, plays: &[Play]) -> String {
+pub fn table(experiment: &Experiment, plays: &[TrialResult]) -> String {
     let mut text = String::from(
         "| variant | class | asked | in aim | late | poorer | refused | failed | p50 ms | p99 ms |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for variant in &experiment.variant {
-        let own: Vec<&Play> = plays.iter().filter(|p| p.variant == variant.name).collect();
+        let own: Vec<&TrialResult> = plays.iter().filter(|p| p.variant == variant.name).collect();
         add_class_rows(&mut text, experiment, &variant.name, &own);
         add_pool_rows(&mut text, &variant.name, &own);
         add_total_row(&mut text, &variant.name, &own);
@@ -284,11 +285,11 @@
 }
 
 /// The mean of a figure over plays, and half its confidence interval.
-fn mean_of(plays: &[&Play], figure: &dyn Fn(&Play) -> f64) -> (f64, f64) {
+fn mean_of(plays: &[&TrialResult], figure: &dyn Fn(&TrialResult) -> f64) -> (f64, f64) {
     interval(&plays.iter().map(|play| figure(play)).collect::<Vec<_>>())
 }
 
-fn add_class_rows(text: &mut String, experiment: &Experiment, variant: &str, own: &[&Play]) {
+fn add_class_rows(text: &mut String, experiment: &Experiment, variant: &str, own: &[&TrialResult]) {
     let n = own.len().max(1) as f64;
     for class in 0..experiment.class.len() {
         let mean =
@@ -311,7 +312,7 @@
     }
 }
 
-fn add_pool_rows(text: &mut String, variant: &str, own: &[&Play]) {
+fn add_pool_rows(text: &mut String, variant: &str, own: &[&TrialResult]) {
     let n = own.len().max(1) as f64;
     let names = own.first().map_or(Vec::new(), |p| p.pools.iter().map(|q| &q.name).collect());
     for (pool, name) in names.into_iter().enumerate() {
@@ -326,7 +327,7 @@
     }
 }
 
-fn add_total_row(text: &mut String, variant: &str, own: &[&Play]) {
+fn add_total_row(text: &mut String, variant: &str, own: &[&TrialResult]) {
     let (worth, w) = mean_of(own, &|p| p.worth);
     let (by_work, b) = mean_of(own, &|p| p.worth_by_work);
     let (crowd, _) = mean_of(own, &|p| p.crowd_of_bound);
@@ -338,7 +339,7 @@
         );
 }
 
-fn add_flood_row(text: &mut String, variant: &str, own: &[&Play]) {
+fn add_flood_row(text: &mut String, variant: &str, own: &[&TrialResult]) {
     let flooded: u64 = own.iter().map(|p| p.flood_connections).sum();
     if flooded > 0 {
         let ended: u64 = own.iter().map(|p| p.flood_ended).sum();
@@ -353,7 +354,7 @@
     }
 }
 
-fn add_console_row(text: &mut String, variant: &str, own: &[&Play]) {
+fn add_console_row(text: &mut String, variant: &str, own: &[&TrialResult]) {
     let made: u64 = own.iter().map(|p| p.console_made).sum();
     if made > 0 {
         let most = own.iter().map(|p| p.console[2]).fold(0.0, f64::max);
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -5,7 +5,7 @@
 use crate::error::TestbedError;
 use crate::executor::{BusyReading, Executor, Notice, Work};
 use crate::experiment::{Experiment, Variant};
-use crate::measure::{LimitChange, Play, PoolResult, RequestEnd, CROWD_BOUND, CROWD_S};
+use crate::measure::{LimitChange, PoolResult, RequestEnd, TrialResult, CROWD_BOUND, CROWD_S};
 use crate::records::Records;
 use port_worker::config::{Config, OperatorSettings};
 use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// The experiment or the variant makes no valid configuration.
-pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<Play, TestbedError> {
+pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<TrialResult, TestbedError> {
     let nowhere = "127.0.0.1:1";
     let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
     let operator = OperatorSettings::decode(&variant.operator, &config)?;
@@ -72,7 +72,7 @@
     };
     world.carry_out(0.0, out);
     world.run(experiment.length_s + AFTER_S);
-    let mut play = Play::of(experiment, &variant.name, seed, &requests, &world.ends);
+    let mut play = TrialResult::of(experiment, &variant.name, seed, &requests, &world.ends);
     play.crowd_of_bound = world.executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = world.executor.most_on_cores;
     play.reserve_kept = world.reserve_kept;
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -2,14 +2,14 @@
 
 use std::path::PathBuf;
 use testbed::experiment::{Experiment, Jump, Slow};
-use testbed::measure::{table, values, verdict, Play};
+use testbed::measure::{table, values, verdict, TrialResult};
 use testbed::{limits, loopback, virtual_time};
 
 fn experiment() -> Experiment {
     Experiment::decode(include_str!("../experiments/pools-110.toml")).unwrap()
 }
 
-fn play(experiment: &Experiment, variant: &str, seed: u64) -> Play {
+fn play(experiment: &Experiment, variant: &str, seed: u64) -> TrialResult {
     let variant = experiment.variant.iter().find(|v| v.name == variant).unwrap();
     virtual_time::play(experiment, variant, seed).unwrap()
 }
@@ -17,7 +17,7 @@
 #[test]
 fn experiment_bounds_hold_in_virtual_time_and_fail_without_pools() {
     let experiment = experiment();
-    let plays: Vec<Play> =
+    let plays: Vec<TrialResult> =
         (1..=5).flat_map(|seed| ["plain", "pools"].map(|variant| play(&experiment, variant, seed))).collect();
     let (text, good) = verdict(&experiment, &plays);
     assert!(good, "{text}\n{}", table(&experiment, &plays));
