--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -96,7 +96,7 @@
             for variant in order {
                 state.begin(&mut rig)?;
                 let play =
-                    flap_while(state, &mut rig, || loopback::play(&experiment, variant, seed, &worker))?;
+                    flap_while(state, &mut rig, || loopback::run_trial(&experiment, variant, seed, &worker))?;
                 state.end(&mut rig)?;
                 plays.push(play);
             }
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// The worker does not start or end, or a thread of the play panicked.
-pub fn play(
+pub fn run_trial(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -273,8 +273,8 @@
         }
         for variant in variants {
             plays.push(match worker {
-                Some(worker) => loopback::play(&experiment, variant, seed, worker)?,
-                None => virtual_time::play(&experiment, variant, seed)?,
+                Some(worker) => loopback::run_trial(&experiment, variant, seed, worker)?,
+                None => virtual_time::run_trial(&experiment, variant, seed)?,
             });
         }
     }
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// The experiment or the variant makes no valid configuration.
-pub fn play(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<TrialResult, TestbedError> {
+pub fn run_trial(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<TrialResult, TestbedError> {
     let nowhere = "127.0.0.1:1";
     let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
     let operator = OperatorSettings::decode(&variant.operator, &config)?;
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -11,7 +11,7 @@
 
 fn play(experiment: &Experiment, variant: &str, seed: u64) -> TrialResult {
     let variant = experiment.variant.iter().find(|v| v.name == variant).unwrap();
-    virtual_time::play(experiment, variant, seed).unwrap()
+    virtual_time::run_trial(experiment, variant, seed).unwrap()
 }
 
 #[test]
@@ -150,7 +150,7 @@
     e.jump = vec![Jump { at_s: 1.0, for_s: 2.0, times: 1.6 }];
     e.slow = Vec::new();
     let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
-    let p = loopback::play(&e, &variant, 1, &worker()).unwrap();
+    let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
     // What a slow machine can't change: every request got its answer, and the reserve was never kept from its pool.
     assert_eq!((p.owed, p.reserve_kept), (0, 0), "{p:?}");
     assert!(p.classes.iter().all(|c| c.asked == c.in_aim + c.late + c.rejected + c.failed));
