--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -2,7 +2,7 @@
 //! of times. Without I/O: they say what is sent when, and are told what came of it.
 
 use crate::executor::Work;
-use crate::experiment::{Experiment, Jump};
+use crate::experiment::{Experiment, RateStep};
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -28,7 +28,7 @@
 
 /// How many times the usual rate requests come at a time.
 #[must_use]
-pub fn rate_factor(jumps: &[Jump], at: f64) -> f64 {
+pub fn rate_factor(jumps: &[RateStep], at: f64) -> f64 {
     jumps.iter().filter(|j| (j.at_s..j.at_s + j.for_s).contains(&at)).map(|j| j.times).product()
 }
 
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -29,7 +29,7 @@
     pub class: Vec<ClassModel>,
     /// Steps of the rate of all classes.
     #[serde(default)]
-    pub jump: Vec<Jump>,
+    pub jump: Vec<RateStep>,
     /// Times at which the executor is slower.
     #[serde(default)]
     pub slow: Vec<Slow>,
@@ -133,13 +133,13 @@
     pub need_kb: f64,
     /// Steps of this class's rate alone.
     #[serde(default)]
-    pub jump: Vec<Jump>,
+    pub jump: Vec<RateStep>,
 }
 
 /// A step of a rate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Jump {
+pub struct RateStep {
     /// When it begins (seconds).
     pub at_s: f64,
     /// How long it lasts (seconds).
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Class pools in virtual time round the worker's own core, and a short form of the experiment on loopback.
 
 use std::path::PathBuf;
-use testbed::experiment::{Experiment, Jump, Slow};
+use testbed::experiment::{Experiment, RateStep, Slow};
 use testbed::measure::{table, values, verdict, TrialResult};
 use testbed::{limits, loopback, virtual_time};
 
@@ -39,7 +39,7 @@
 fn load_step_from_70_percent_and_back_keeps_the_reserve_available() {
     let mut e = experiment();
     (e.load, e.slow) = (0.7, Vec::new());
-    e.jump = vec![Jump { at_s: 8.0, for_s: 8.0, times: 1.6 }];
+    e.jump = vec![RateStep { at_s: 8.0, for_s: 8.0, times: 1.6 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
         assert_eq!((p.reserve_kept, p.owed), (0, 0));
@@ -53,7 +53,7 @@
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.7, Vec::new(), Vec::new());
     // Eligibility alone asks for three times what the cores can do.
-    e.class[1].jump = vec![Jump { at_s: 5.0, for_s: 15.0, times: 6.0 }];
+    e.class[1].jump = vec![RateStep { at_s: 5.0, for_s: 15.0, times: 6.0 }];
     let (mut plain, mut pools) = (0.0, 0.0);
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
@@ -85,8 +85,10 @@
 fn reserved_class_silent_for_a_minute_is_served_when_it_bursts() {
     let mut e = experiment();
     (e.length_s, e.slow, e.jump) = (70.0, Vec::new(), Vec::new());
-    e.class[0].jump =
-        vec![Jump { at_s: 0.0, for_s: 60.0, times: 0.0 }, Jump { at_s: 60.0, for_s: 10.0, times: 3.0 }];
+    e.class[0].jump = vec![
+        RateStep { at_s: 0.0, for_s: 60.0, times: 0.0 },
+        RateStep { at_s: 60.0, for_s: 10.0, times: 3.0 },
+    ];
     let p = play(&e, "pools", 1);
     assert!(p.classes[0].asked > 300, "{p:?}");
     assert_eq!(p.reserve_kept, 0);
@@ -147,7 +149,7 @@
 fn short_loopback_run_answers_all_requests_and_keeps_the_reserve() {
     let mut e = experiment();
     e.length_s = 4.0;
-    e.jump = vec![Jump { at_s: 1.0, for_s: 2.0, times: 1.6 }];
+    e.jump = vec![RateStep { at_s: 1.0, for_s: 2.0, times: 1.6 }];
     e.slow = Vec::new();
     let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
     let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
