--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -1,6 +1,6 @@
 //! A model of the executor: runs share cores, slow each other beyond a number, slow down for a while, warm up, and wait for calls.
 
-use crate::experiment::{ExecutorModel, Slow};
+use crate::experiment::{ExecutorModel, Slowdown};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a request asks of the executor; callers write it into its body.
@@ -67,7 +67,7 @@
 /// The executor of one worker.
 pub struct Executor {
     model: ExecutorModel,
-    slows: Vec<Slow>,
+    slows: Vec<Slowdown>,
     now: f64,
     /// On the cores, and standing at calls.
     runs: BTreeMap<String, Run>,
@@ -84,7 +84,7 @@
 impl Executor {
     /// An executor at rest; `slows` are the times at which its cores are slower.
     #[must_use]
-    pub fn new(model: ExecutorModel, slows: Vec<Slow>) -> Executor {
+    pub fn new(model: ExecutorModel, slows: Vec<Slowdown>) -> Executor {
         Executor {
             model,
             slows,
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -32,10 +32,10 @@
     pub jump: Vec<RateStep>,
     /// Times at which the executor is slower.
     #[serde(default)]
-    pub slow: Vec<Slow>,
+    pub slow: Vec<Slowdown>,
     /// Times at which the records service answers nothing; `times` is not used.
     #[serde(default)]
-    pub stall: Vec<Slow>,
+    pub stall: Vec<Slowdown>,
     /// The variants that are compared.
     pub variant: Vec<Variant>,
     /// What must hold.
@@ -151,7 +151,7 @@
 /// A time of slowness.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Slow {
+pub struct Slowdown {
     /// When it begins (seconds).
     pub at_s: f64,
     /// How long it lasts (seconds).
--- a/testbed/src/fleet/overload_storm/comparison.rs
+++ b/testbed/src/fleet/overload_storm/comparison.rs
@@ -2,12 +2,12 @@
 
 use super::{play, FleetMode, Shape, StormResult};
 use crate::error::TestbedError;
-use crate::experiment::Slow;
+use crate::experiment::Slowdown;
 use crate::measure::interval;
 
 /// The scenarios that are compared, by name.
 fn scenarios() -> Vec<(&'static str, Shape)> {
-    let slow = |at_s, for_s, times| vec![Slow { at_s, for_s, times }];
+    let slow = |at_s, for_s, times| vec![Slowdown { at_s, for_s, times }];
     let base = Shape::default();
     vec![
         ("calm, 0.8", base.clone()),
--- a/testbed/src/fleet/overload_storm/service.rs
+++ b/testbed/src/fleet/overload_storm/service.rs
@@ -1,7 +1,7 @@
 //! The downstream service that all workers share: it slows when it has too many calls in flight.
 
 use super::shape::Shape;
-use crate::experiment::{RecordsModel, Slow};
+use crate::experiment::{RecordsModel, Slowdown};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -15,8 +15,8 @@
     slots: f64,
     call_s: f64,
     thrash: f64,
-    slow: Vec<Slow>,
-    down: Vec<Slow>,
+    slow: Vec<Slowdown>,
+    down: Vec<Slowdown>,
     /// Calls by their end: worker and name.
     calls: BTreeMap<(u64, u64), (usize, Rc<str>)>,
     /// Until when each cancelled call still works.
@@ -29,7 +29,7 @@
 }
 
 /// The interval of these that it is now, if any.
-pub(super) fn active_interval(times: &[Slow], now: f64) -> Option<&Slow> {
+pub(super) fn active_interval(times: &[Slowdown], now: f64) -> Option<&Slowdown> {
     times.iter().find(|s| (s.at_s..s.at_s + s.for_s).contains(&now))
 }
 
--- a/testbed/src/fleet/overload_storm/shape.rs
+++ b/testbed/src/fleet/overload_storm/shape.rs
@@ -1,6 +1,6 @@
 //! What a storm is made of.
 
-use crate::experiment::Slow;
+use crate::experiment::Slowdown;
 
 /// What is played.
 #[derive(Clone, Debug)]
@@ -14,9 +14,9 @@
     /// How long requests arrive (seconds).
     pub length_s: f64,
     /// Times at which the service is slower by so many times.
-    pub slow: Vec<Slow>,
+    pub slow: Vec<Slowdown>,
     /// Times at which every call fails at once.
-    pub down: Vec<Slow>,
+    pub down: Vec<Slowdown>,
     /// Calls in flight at which the service begins to slow, for each worker.
     pub slots_each: f64,
     /// Retries of a client at most.
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -5,7 +5,7 @@
 //! gradient controller of Envoy's adaptive concurrency filter. All see what the worker sees: when runs start and end.
 
 use crate::executor::{Executor, Notice, Work};
-use crate::experiment::{ExecutorModel, Slow};
+use crate::experiment::{ExecutorModel, Slowdown};
 use crate::measure::interval;
 use port_worker::pools::limit::{LimitSettings, SlotLimit};
 use rand::{Rng, SeedableRng};
@@ -326,10 +326,10 @@
         cold_s: 0.0,
         heap_kb: 1.0,
     };
-    let slows: Vec<Slow> = scenario
+    let slows: Vec<Slowdown> = scenario
         .slow
         .iter()
-        .map(|(at_s, for_s, times)| Slow { at_s: *at_s, for_s: *for_s, times: *times })
+        .map(|(at_s, for_s, times)| Slowdown { at_s: *at_s, for_s: *for_s, times: *times })
         .collect();
     let mut executor = Executor::new(model, slows);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
--- a/testbed/src/records.rs
+++ b/testbed/src/records.rs
@@ -1,13 +1,13 @@
 //! A model of the records service: so many slots, calls that slow each other down beyond them, and a time of its own
 //! in which it answers nothing.
 
-use crate::experiment::{RecordsModel, Slow};
+use crate::experiment::{RecordsModel, Slowdown};
 use std::collections::BTreeMap;
 
 /// The records service.
 pub struct Records {
     model: RecordsModel,
-    stalls: Vec<Slow>,
+    stalls: Vec<Slowdown>,
     /// Calls in flight, by their end (microseconds) and a number.
     calls: BTreeMap<(u64, u64), String>,
     next: u64,
@@ -18,7 +18,7 @@
 impl Records {
     /// A service without calls; in the times of `stalls` it answers nothing.
     #[must_use]
-    pub fn new(model: RecordsModel, stalls: Vec<Slow>) -> Records {
+    pub fn new(model: RecordsModel, stalls: Vec<Slowdown>) -> Records {
         Records { model, stalls, calls: BTreeMap::new(), next: 0, most: 0 }
     }
 
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Class pools in virtual time round the worker's own core, and a short form of the experiment on loopback.
 
 use std::path::PathBuf;
-use testbed::experiment::{Experiment, RateStep, Slow};
+use testbed::experiment::{Experiment, RateStep, Slowdown};
 use testbed::measure::{table, values, verdict, TrialResult};
 use testbed::{limits, loopback, virtual_time};
 
@@ -69,7 +69,7 @@
 fn executor_slowed_ten_times_stays_far_below_the_survivable_concurrency() {
     let mut e = experiment();
     e.jump = Vec::new();
-    e.slow = vec![Slow { at_s: 8.0, for_s: 10.0, times: 10.0 }];
+    e.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, times: 10.0 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
         assert!(p.crowd_of_bound < 0.5 && p.owed == 0, "{p:?}");
@@ -99,7 +99,7 @@
 fn stalled_records_service_leaves_every_pool_its_slots() {
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.9, Vec::new(), Vec::new());
-    e.stall = vec![Slow { at_s: 8.0, for_s: 6.0, times: 1.0 }];
+    e.stall = vec![Slowdown { at_s: 8.0, for_s: 6.0, times: 1.0 }];
     for seed in 1..=3 {
         let p = play(&e, "pools", seed);
         assert_eq!((p.owed, p.reserve_kept), (0, 0), "{p:?}");
