--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -5,7 +5,7 @@
 use crate::error::TestbedError;
 use crate::experiment::{Experiment, Variant};
 use crate::loopback;
-use crate::measure::{interval, TrialResult};
+use crate::measure::{confidence_interval, TrialResult};
 use crate::sync::lock;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -109,7 +109,7 @@
         }
         let ratio = |of: &dyn Fn(&TrialResult) -> f64| {
             let ratios: Vec<f64> = pairs.iter().map(|(w, o)| of(w) / of(o).max(1e-9)).collect();
-            let (mean, half) = interval(&ratios);
+            let (mean, half) = confidence_interval(&ratios);
             format!("{mean:.3} +- {half:.3}    ")
         };
         let metric = |name: &'static str| move |play: &TrialResult| play.metric(name, None);
--- a/testbed/src/fleet/overload_storm/comparison.rs
+++ b/testbed/src/fleet/overload_storm/comparison.rs
@@ -3,7 +3,7 @@
 use super::{play, FleetMode, Shape, StormResult};
 use crate::error::TestbedError;
 use crate::experiment::Slowdown;
-use crate::measure::interval;
+use crate::measure::confidence_interval;
 
 /// The scenarios that are compared, by name.
 fn scenarios() -> Vec<(&'static str, Shape)> {
@@ -47,7 +47,7 @@
             let own = if *mode == FleetMode::Alone { alone.clone() } else { plays(*mode)? };
             let mean = |of: &dyn Fn(&StormResult) -> f64| own.iter().map(of).sum::<f64>() / own.len() as f64;
             let ratios: Vec<f64> = own.iter().zip(&alone).map(|(a, b)| a.earned() / b.earned()).collect();
-            let (ratio, half) = interval(&ratios);
+            let (ratio, half) = confidence_interval(&ratios);
             let row = format!(
                 "\n{name:<34}{:<8}{:>8.3}{:>18}{:>8.1}{:>8.2}{:>10.2}{:>8.1}",
                 format!("{mode:?}").to_lowercase(),
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -6,7 +6,7 @@
 
 use crate::executor::{Executor, Notice, Work};
 use crate::experiment::{ExecutorModel, Slowdown};
-use crate::measure::interval;
+use crate::measure::confidence_interval;
 use port_worker::pools::limit::{LimitSettings, SlotLimit};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -406,7 +406,8 @@
     for s in &scenarios {
         for name in LIMITS {
             let loops: Vec<LoopResult> = (1..=seeds).map(|seed| play(s, name, seed)).collect();
-            let mean = |of: fn(&LoopResult) -> f64| interval(&loops.iter().map(of).collect::<Vec<_>>());
+            let mean =
+                |of: fn(&LoopResult) -> f64| confidence_interval(&loops.iter().map(of).collect::<Vec<_>>());
             let ((t, th), (l, lh), (c, _)) =
                 (mean(|x| x.throughput), mean(|x| x.mean_limit), mean(|x| x.concurrency));
             let back =
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -213,7 +213,7 @@
 
 /// Mean and half-width of a 95% interval (t, two-sided) over seeds; infinitely wide for one seed.
 #[must_use]
-pub fn interval(values: &[f64]) -> (f64, f64) {
+pub fn confidence_interval(values: &[f64]) -> (f64, f64) {
     // Quantiles of Student's t for 1 to 10 degrees of freedom; beyond, the normal one is near enough.
     const T: [f64; 10] = [12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
     let n = values.len() as f64;
@@ -248,7 +248,7 @@
 pub fn verdict(experiment: &Experiment, plays: &[TrialResult]) -> (String, bool) {
     let (mut text, mut good) = (String::new(), true);
     for x in &experiment.expect {
-        let (mean, half) = interval(&values(plays, x));
+        let (mean, half) = confidence_interval(&values(plays, x));
         let holds = x.least.map_or(true, |l| mean >= l) && x.most.map_or(true, |m| mean <= m);
         good &= holds;
         let class = x.class.as_ref().map_or(String::new(), |c| format!(" of {c}"));
@@ -286,7 +286,7 @@
 
 /// The mean of a figure over plays, and half its confidence interval.
 fn mean_of(plays: &[&TrialResult], figure: &dyn Fn(&TrialResult) -> f64) -> (f64, f64) {
-    interval(&plays.iter().map(|play| figure(play)).collect::<Vec<_>>())
+    confidence_interval(&plays.iter().map(|play| figure(play)).collect::<Vec<_>>())
 }
 
 fn add_class_rows(text: &mut String, experiment: &Experiment, variant: &str, own: &[&TrialResult]) {
