--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -110,7 +110,7 @@
     play.console_bad = calls.bad;
     play.memory_over_mb = (peak.join().unwrap_or(f64::INFINITY) - rest_kb) / 1024.0;
     add_floods(&mut play, flooders)?;
-    play.crowd_of_bound = executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
+    play.peak_concurrency_ratio = executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = executor.most_on_cores;
     play.memory_growth = memory_after / memory.max(1.0);
     play.cpu_ms = (cpu_after - cpu_before) / requests.len().max(1) as f64;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -66,7 +66,8 @@
     /// The same, weighted by work.
     pub worth_by_work: f64,
     /// The mean concurrency against the survivable one.
-    pub crowd_of_bound: f64,
+    #[serde(rename = "crowd_of_bound")]
+    pub peak_concurrency_ratio: f64,
     /// The most runs on the cores at once.
     pub most_on_cores: usize,
     /// Wake-ups at which the reserve's pool waited with a reserved slot free.
@@ -195,7 +196,7 @@
             "refused" => share(|c| c.rejected),
             "worth" => self.worth,
             "worth_by_work" => self.worth_by_work,
-            "crowd_of_bound" => self.crowd_of_bound,
+            "crowd_of_bound" => self.peak_concurrency_ratio,
             "reserve_kept" => self.reserve_kept as f64,
             "owed" => self.owed as f64,
             "memory_growth" => self.memory_growth,
@@ -330,7 +331,7 @@
 fn add_total_row(text: &mut String, variant: &str, own: &[&TrialResult]) {
     let (worth, w) = mean_of(own, &|p| p.worth);
     let (by_work, b) = mean_of(own, &|p| p.worth_by_work);
-    let (crowd, _) = mean_of(own, &|p| p.crowd_of_bound);
+    let (crowd, _) = mean_of(own, &|p| p.peak_concurrency_ratio);
     let (cpu, _) = mean_of(own, &|p| p.cpu_ms);
     let _ = writeln!(
             text,
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -73,7 +73,7 @@
     world.carry_out(0.0, out);
     world.run(experiment.length_s + AFTER_S);
     let mut play = TrialResult::of(experiment, &variant.name, seed, &requests, &world.ends);
-    play.crowd_of_bound = world.executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
+    play.peak_concurrency_ratio = world.executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = world.executor.most_on_cores;
     play.reserve_kept = world.reserve_kept;
     play.limits = world.limits;
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -72,7 +72,7 @@
     e.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, times: 10.0 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
-        assert!(p.crowd_of_bound < 0.5 && p.owed == 0, "{p:?}");
+        assert!(p.peak_concurrency_ratio < 0.5 && p.owed == 0, "{p:?}");
         assert!(p.limits.iter().any(|l| l.cause == "slow" && l.at > 8.0 && l.at < 10.5), "{:?}", p.limits);
         // Ends come again from 18 s on: within three seconds it is no slow one any more, whatever its limit is then.
         let after = p.limits.iter().find(|l| l.cause != "slow" && l.at > 18.0);
@@ -103,7 +103,7 @@
     for seed in 1..=3 {
         let p = play(&e, "pools", seed);
         assert_eq!((p.owed, p.reserve_kept), (0, 0), "{p:?}");
-        assert!(p.crowd_of_bound <= 0.8, "{p:?}");
+        assert!(p.peak_concurrency_ratio <= 0.8, "{p:?}");
     }
 }
 
