--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -149,7 +149,7 @@
 /// Takes what the worker's log says of its pools.
 fn read_log_line(line: &str, started_at: f64, play: &mut TrialResult) {
     if let Some(state) = line.split_once("pools_state state=").and_then(|(_, text)| parse_quoted(text)) {
-        play.reserve_kept = state["reserve_kept"].as_u64().unwrap_or(u64::MAX);
+        play.idle_reserve_waits = state["reserve_kept"].as_u64().unwrap_or(u64::MAX);
         let pools = state["pools"].as_array().map_or(&[][..], Vec::as_slice);
         let number = |v: &Value| v.as_u64().unwrap_or(0);
         let result = |p: &Value| PoolResult {
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -71,7 +71,8 @@
     /// The most runs on the cores at once.
     pub most_on_cores: usize,
     /// Wake-ups at which the reserve's pool waited with a reserved slot free.
-    pub reserve_kept: u64,
+    #[serde(rename = "reserve_kept")]
+    pub idle_reserve_waits: u64,
     /// Answers still owed at the end.
     pub owed: u64,
     /// Resident memory of the worker at the end against a quarter into the play; 1 where none was read.
@@ -197,7 +198,7 @@
             "worth" => self.worth,
             "worth_by_work" => self.worth_by_work,
             "crowd_of_bound" => self.peak_concurrency_ratio,
-            "reserve_kept" => self.reserve_kept as f64,
+            "reserve_kept" => self.idle_reserve_waits as f64,
             "owed" => self.owed as f64,
             "memory_growth" => self.memory_growth,
             "cpu_ms" => self.cpu_ms,
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -35,7 +35,7 @@
     wake: f64,
     tickets: u64,
     busy: BusyReading,
-    reserve_kept: u64,
+    idle_reserve_waits: u64,
     limits: Vec<LimitChange>,
 }
 
@@ -67,7 +67,7 @@
         wake: f64::INFINITY,
         tickets: 0,
         busy: BusyReading::default(),
-        reserve_kept: 0,
+        idle_reserve_waits: 0,
         limits: Vec::new(),
     };
     world.carry_out(0.0, out);
@@ -75,7 +75,7 @@
     let mut play = TrialResult::of(experiment, &variant.name, seed, &requests, &world.ends);
     play.peak_concurrency_ratio = world.executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
     play.most_on_cores = world.executor.most_on_cores;
-    play.reserve_kept = world.reserve_kept;
+    play.idle_reserve_waits = world.idle_reserve_waits;
     play.limits = world.limits;
     let state = world.dispatcher.pools();
     let result = |p: PoolState| PoolResult { name: p.name, started: p.started, rejected: p.rejected };
@@ -161,7 +161,7 @@
                 let cause = state.cause.to_owned();
                 self.limits.push(LimitChange { at: now, slots: state.limit_slots, cause });
             }
-            self.reserve_kept = state.idle_reserve_waits;
+            self.idle_reserve_waits = state.idle_reserve_waits;
         }
         Gauges { cores_busy: Some(busy), runnable: Some(self.executor.on_cores() as f64), connections: None }
     }
