--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -113,7 +113,7 @@
             format!("{mean:.3} +- {half:.3}    ")
         };
         let metric = |name: &'static str| move |play: &TrialResult| play.metric(name, None);
-        let owed: u64 = pairs.iter().map(|(with, _)| with.owed).sum();
+        let owed: u64 = pairs.iter().map(|(with, _)| with.unanswered).sum();
         let _ = write!(
             text,
             "\n{:<14}{}{}{}{}{}    {owed}",
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -74,7 +74,8 @@
     #[serde(rename = "reserve_kept")]
     pub idle_reserve_waits: u64,
     /// Answers still owed at the end.
-    pub owed: u64,
+    #[serde(rename = "owed")]
+    pub unanswered: u64,
     /// Resident memory of the worker at the end against a quarter into the play; 1 where none was read.
     pub memory_growth: f64,
     /// Processor time of the worker a request (milliseconds); 0 where none was read.
@@ -171,7 +172,7 @@
                     }
                     Some(RequestEnd::Rejected) => r.rejected += 1,
                     Some(RequestEnd::Failed) => r.failed += 1,
-                    None => play.owed += 1,
+                    None => play.unanswered += 1,
                 }
             }
             if let Some(times) = times {
@@ -199,7 +200,7 @@
             "worth_by_work" => self.worth_by_work,
             "crowd_of_bound" => self.peak_concurrency_ratio,
             "reserve_kept" => self.idle_reserve_waits as f64,
-            "owed" => self.owed as f64,
+            "owed" => self.unanswered as f64,
             "memory_growth" => self.memory_growth,
             "cpu_ms" => self.cpu_ms,
             "console_p99_ms" => self.console[1],
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -42,7 +42,7 @@
     e.jump = vec![RateStep { at_s: 8.0, for_s: 8.0, times: 1.6 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
-        assert_eq!((p.idle_reserve_waits, p.owed), (0, 0));
+        assert_eq!((p.idle_reserve_waits, p.unanswered), (0, 0));
         assert!(p.metric("in_aim", Some("status-check")) >= 0.99, "{p:?}");
         assert!(p.metric("in_aim", Some("port-submit")) >= 0.95, "{p:?}");
     }
@@ -72,7 +72,7 @@
     e.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, times: 10.0 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
-        assert!(p.peak_concurrency_ratio < 0.5 && p.owed == 0, "{p:?}");
+        assert!(p.peak_concurrency_ratio < 0.5 && p.unanswered == 0, "{p:?}");
         assert!(p.limits.iter().any(|l| l.cause == "slow" && l.at > 8.0 && l.at < 10.5), "{:?}", p.limits);
         // Ends come again from 18 s on: within three seconds it is no slow one any more, whatever its limit is then.
         let after = p.limits.iter().find(|l| l.cause != "slow" && l.at > 18.0);
@@ -102,7 +102,7 @@
     e.stall = vec![Slowdown { at_s: 8.0, for_s: 6.0, times: 1.0 }];
     for seed in 1..=3 {
         let p = play(&e, "pools", seed);
-        assert_eq!((p.owed, p.idle_reserve_waits), (0, 0), "{p:?}");
+        assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
         assert!(p.peak_concurrency_ratio <= 0.8, "{p:?}");
     }
 }
@@ -154,7 +154,7 @@
     let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
     let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
     // What a slow machine can't change: every request got its answer, and the reserve was never kept from its pool.
-    assert_eq!((p.owed, p.idle_reserve_waits), (0, 0), "{p:?}");
+    assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
     assert!(p.classes.iter().all(|c| c.asked == c.in_aim + c.late + c.rejected + c.failed));
     assert!(p.classes[0].in_aim > 0 && p.cpu_ms > 0.0, "{p:?}");
     let owed = e.expect.iter().find(|x| x.metric == "owed").unwrap();
