--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -35,7 +35,8 @@
     /// Requests that were made.
     pub asked: u64,
     /// Served within the latency objective.
-    pub in_aim: u64,
+    #[serde(rename = "in_aim")]
+    pub within_objective: u64,
     /// Served later than that.
     pub late: u64,
     /// Served without their downstream call.
@@ -160,7 +161,7 @@
                         }
                         let in_aim = took * 1000.0 <= class.aim_ms;
                         if in_aim {
-                            r.in_aim += 1;
+                            r.within_objective += 1;
                         } else {
                             r.late += 1;
                         }
@@ -194,7 +195,7 @@
             part as f64 / (all as f64).max(1.0)
         };
         match name {
-            "in_aim" => share(|c| c.in_aim),
+            "in_aim" => share(|c| c.within_objective),
             "refused" => share(|c| c.rejected),
             "worth" => self.worth,
             "worth_by_work" => self.worth_by_work,
@@ -304,7 +305,7 @@
             "| {} | {} | {asked:.0} | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.0} | {:.0} |",
             variant,
             experiment.class[class].name,
-            part(|c| c.in_aim),
+            part(|c| c.within_objective),
             part(|c| c.late),
             part(|c| c.degraded),
             part(|c| c.rejected),
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -155,8 +155,8 @@
     let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
     // What a slow machine can't change: every request got its answer, and the reserve was never kept from its pool.
     assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
-    assert!(p.classes.iter().all(|c| c.asked == c.in_aim + c.late + c.rejected + c.failed));
-    assert!(p.classes[0].in_aim > 0 && p.cpu_ms > 0.0, "{p:?}");
+    assert!(p.classes.iter().all(|c| c.asked == c.within_objective + c.late + c.rejected + c.failed));
+    assert!(p.classes[0].within_objective > 0 && p.cpu_ms > 0.0, "{p:?}");
     let owed = e.expect.iter().find(|x| x.metric == "owed").unwrap();
     assert_eq!(values(&[p], owed), vec![0.0]);
 }
