--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -33,7 +33,8 @@
     /// The class.
     pub name: String,
     /// Requests that were made.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Served within the latency objective.
     #[serde(rename = "in_aim")]
     pub within_objective: u64,
@@ -150,7 +151,7 @@
             let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
             for (a, end) in requests.iter().zip(ends).filter(|(a, _)| a.class == number) {
                 let work = a.work.before_s + a.work.after_s;
-                r.asked += 1;
+                r.requests += 1;
                 of += class.worth;
                 work_of += class.worth * work;
                 match end {
@@ -191,7 +192,7 @@
     pub fn metric(&self, name: &str, class: Option<&str>) -> f64 {
         let classes = || self.classes.iter().filter(|c| class.map_or(true, |name| c.name == name));
         let share = |n: fn(&ClassResult) -> u64| {
-            let (part, all) = classes().fold((0, 0), |(p, a), c| (p + n(c), a + c.asked));
+            let (part, all) = classes().fold((0, 0), |(p, a), c| (p + n(c), a + c.requests));
             part as f64 / (all as f64).max(1.0)
         };
         match name {
@@ -298,7 +299,7 @@
     for class in 0..experiment.class.len() {
         let mean =
             |of: &dyn Fn(&ClassResult) -> f64| own.iter().map(|p| of(&p.classes[class])).sum::<f64>() / n;
-        let asked = mean(&|c| c.asked as f64).max(1e-9);
+        let asked = mean(&|c| c.requests as f64).max(1e-9);
         let part = |of: fn(&ClassResult) -> u64| 100.0 * mean(&|c| of(c) as f64) / asked;
         let _ = writeln!(
             text,
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -90,7 +90,7 @@
         RateStep { at_s: 60.0, for_s: 10.0, times: 3.0 },
     ];
     let p = play(&e, "pools", 1);
-    assert!(p.classes[0].asked > 300, "{p:?}");
+    assert!(p.classes[0].requests > 300, "{p:?}");
     assert_eq!(p.idle_reserve_waits, 0);
     assert!(p.metric("in_aim", Some("status-check")) >= 0.99, "{p:?}");
 }
@@ -155,7 +155,7 @@
     let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
     // What a slow machine can't change: every request got its answer, and the reserve was never kept from its pool.
     assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
-    assert!(p.classes.iter().all(|c| c.asked == c.within_objective + c.late + c.rejected + c.failed));
+    assert!(p.classes.iter().all(|c| c.requests == c.within_objective + c.late + c.rejected + c.failed));
     assert!(p.classes[0].within_objective > 0 && p.cpu_ms > 0.0, "{p:?}");
     let owed = e.expect.iter().find(|x| x.metric == "owed").unwrap();
     assert_eq!(values(&[p], owed), vec![0.0]);
