--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -111,7 +111,8 @@
     /// The coefficient of variation of the work.
     pub cv: f64,
     /// Its latency objective (milliseconds).
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub objective_ms: f64,
     /// How long a client waits (milliseconds).
     pub deadline_ms: f64,
     /// What a request is worth when it is served within the objective.
@@ -286,7 +287,7 @@
                 ("share", c.share),
                 ("work_ms", c.work_ms),
                 ("cv", c.cv),
-                ("aim_ms", c.aim_ms),
+                ("aim_ms", c.objective_ms),
                 ("deadline_ms", c.deadline_ms),
                 ("worth", c.worth),
             ] {
@@ -343,7 +344,7 @@
     pub fn config(&self, listen: &str, executor: &str, records: &str, registry: &str) -> Value {
         let list = |of: &dyn Fn(&ClassModel) -> Value| self.class.iter().map(of).collect::<Vec<_>>();
         let profile = |c: &ClassModel| {
-            json!({"name": c.name, "credit": c.worth, "targetS": c.aim_ms / 1000.0, "lateWorth": c.late_worth,
+            json!({"name": c.name, "credit": c.worth, "targetS": c.objective_ms / 1000.0, "lateWorth": c.late_worth,
                 "deadlineS": c.deadline_ms / 1000.0, "effect": if c.keyed { "keyed" } else { "safe" },
                 "windowS": 10.0})
         };
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -276,7 +276,7 @@
     fn earn(&mut self, now: f64, number: usize, degraded: bool) {
         let planned = &self.requests[number];
         let class = &self.experiment.class[planned.class];
-        let in_aim = (now - planned.at) * 1000.0 <= class.aim_ms;
+        let in_aim = (now - planned.at) * 1000.0 <= class.objective_ms;
         let kept = if degraded { class.skip_worth } else { 1.0 };
         if let Some(second) = self.result.worth.get_mut(now as usize).filter(|_| in_aim) {
             *second += class.worth * kept;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -160,7 +160,7 @@
                         if let Some(times) = &mut times {
                             times.saturating_record((took * 1e6).max(1.0) as u64);
                         }
-                        let in_aim = took * 1000.0 <= class.aim_ms;
+                        let in_aim = took * 1000.0 <= class.objective_ms;
                         if in_aim {
                             r.within_objective += 1;
                         } else {
