--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -23,7 +23,7 @@
     /// What it asks of the executor.
     pub work: Work,
     /// The memory that it needs, as callers declare it (kilobytes).
-    pub need_kb: f64,
+    pub memory_kb: f64,
 }
 
 /// How many times the usual rate requests come at a time.
@@ -73,7 +73,7 @@
             at,
             class,
             work: Work { before_s: work_s * before, after_s: work_s * (1.0 - before), calls },
-            need_kb: c.need_kb,
+            memory_kb: c.memory_kb,
         });
     }
 }
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -130,8 +130,8 @@
     #[serde(default)]
     pub skip_worth: f64,
     /// The memory that a request declares (kilobytes).
-    #[serde(default = "need_kb")]
-    pub need_kb: f64,
+    #[serde(rename = "need_kb", default = "need_kb")]
+    pub memory_kb: f64,
     /// Steps of this class's rate alone.
     #[serde(default)]
     pub jump: Vec<RateStep>,
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -216,7 +216,7 @@
             class: planned.class,
             tenant: Some(0),
             caller: 1,
-            memory_kb: planned.need_kb,
+            memory_kb: planned.memory_kb,
             read_at: None,
             read_delay_s: 0.0,
             time_left_s: due - now,
--- a/testbed/src/loopback/attempt.rs
+++ b/testbed/src/loopback/attempt.rs
@@ -55,7 +55,7 @@
         ("x-upstream-peer", "1".to_owned()),
         ("x-org", "lab".to_owned()),
         ("x-deadline-ms", format!("{:.0}", left_s * 1000.0)),
-        ("x-need-kb", format!("{:.1}", request.need_kb)),
+        ("x-need-kb", format!("{:.1}", request.memory_kb)),
         ("x-criticality", "0.5".to_owned()),
     ];
     if class.keyed {
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -177,7 +177,7 @@
             class: a.class,
             tenant: Some(0),
             caller: 1,
-            memory_kb: a.need_kb,
+            memory_kb: a.memory_kb,
             read_at: None,
             read_delay_s: 0.0,
             time_left_s: (a.at + class.deadline_ms / 1000.0 - now).max(0.01),
