--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -100,7 +100,7 @@
 
     /// Runs on the cores.
     #[must_use]
-    pub fn on_cores(&self) -> usize {
+    pub fn running(&self) -> usize {
         self.runs.len()
     }
 
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -101,7 +101,7 @@
         let BusyReading { at: since, busy_s: before } = self.busy;
         let busy = (self.executor.busy_s() - before) / (now - since).max(1e-9) / cores;
         self.busy = BusyReading { at: now, busy_s: self.executor.busy_s() };
-        Gauges { cores_busy: Some(busy), runnable: Some(self.executor.on_cores() as f64), connections: None }
+        Gauges { cores_busy: Some(busy), runnable: Some(self.executor.running() as f64), connections: None }
     }
 
     /// Handles all that has come, as in one turn of the worker's loop.
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -31,11 +31,11 @@
 /// A way to set the limit.
 pub trait Limit {
     /// So much time has passed (seconds) with these runs on the cores.
-    fn advance(&mut self, dt: f64, on_cores: usize, demand: Demand);
+    fn advance(&mut self, dt: f64, running: usize, demand: Demand);
     /// A run has ended after so long (seconds).
     fn run_ended(&mut self, class: usize, length: f64);
     /// Evaluates the limit, which some ways do at intervals alone.
-    fn review(&mut self, now: f64, on_cores: usize);
+    fn review(&mut self, now: f64, running: usize);
     /// The limit (runs).
     fn limit(&self) -> usize;
 }
@@ -56,14 +56,14 @@
 struct Own(SlotLimit);
 
 impl Limit for Own {
-    fn advance(&mut self, dt: f64, on_cores: usize, demand: Demand) {
-        self.0.advance(dt, on_cores, demand == Demand::Saturating);
+    fn advance(&mut self, dt: f64, running: usize, demand: Demand) {
+        self.0.advance(dt, running, demand == Demand::Saturating);
     }
     fn run_ended(&mut self, class: usize, length: f64) {
         self.0.run_ended(class, length);
     }
-    fn review(&mut self, _: f64, on_cores: usize) {
-        self.0.review(on_cores, MAX_SLOTS);
+    fn review(&mut self, _: f64, running: usize) {
+        self.0.review(running, MAX_SLOTS);
     }
     fn limit(&self) -> usize {
         self.0.slots()
@@ -130,8 +130,8 @@
 }
 
 impl Limit for Vegas {
-    fn advance(&mut self, _: f64, on_cores: usize, _: Demand) {
-        self.limited = on_cores as f64 * 2.0 >= self.limit;
+    fn advance(&mut self, _: f64, running: usize, _: Demand) {
+        self.limited = running as f64 * 2.0 >= self.limit;
     }
     fn run_ended(&mut self, _: usize, length: f64) {
         self.ends += 1;
@@ -171,8 +171,8 @@
 }
 
 impl Limit for Gradient2 {
-    fn advance(&mut self, _: f64, on_cores: usize, _: Demand) {
-        self.limited = on_cores as f64 * 2.0 >= self.limit;
+    fn advance(&mut self, _: f64, running: usize, _: Demand) {
+        self.limited = running as f64 * 2.0 >= self.limit;
     }
     fn run_ended(&mut self, _: usize, length: f64) {
         self.ends += 1.0;
@@ -341,7 +341,7 @@
     while now < scenario.length_s {
         let calm = scenario.calm.is_some_and(|(at, for_s)| (at..at + for_s).contains(&now));
         let wanted = if calm { 1 } else { limit.limit() };
-        while executor.on_cores() < wanted {
+        while executor.running() < wanted {
             let class = usize::from(random.random::<bool>());
             let mean = scenario.work_s[class].ln() - spread * spread / 2.0;
             let work_s = LogNormal::new(mean, spread).map_or(mean.exp(), |d| d.sample(&mut random));
@@ -350,7 +350,7 @@
             executor.start(&id, Work { before_s: work_s, after_s: 0.0, calls: false });
             open.insert(id, (class, now, work_s));
         }
-        let on_cores = executor.on_cores();
+        let running = executor.running();
         // In steps of a millisecond or so, so that a slot that is free is seen at once.
         now += TICK_S / 16.0;
         for (at, notice) in executor.advance(now) {
@@ -363,9 +363,9 @@
             }
         }
         let demand = if calm { Demand::Low } else { Demand::Saturating };
-        limit.advance(TICK_S / 16.0, on_cores, demand);
+        limit.advance(TICK_S / 16.0, running, demand);
         if number > 0 && ((now / TICK_S) as u64) != (((now - TICK_S / 16.0) / TICK_S) as u64) {
-            limit.review(now, executor.on_cores());
+            limit.review(now, executor.running());
         }
         if !calm {
             let slow = scenario.slow.iter().find(|(at, for_s, _)| (*at..at + for_s).contains(&now));
--- a/testbed/src/loopback/executor_server.rs
+++ b/testbed/src/loopback/executor_server.rs
@@ -141,7 +141,7 @@
                 if now - since > 0.1 {
                     self.busy = BusyReading { at: now, busy_s: self.model.busy_s() };
                 }
-                let gauges = [busy.min(1.0), self.model.on_cores() as f64, 0.1, 3.0];
+                let gauges = [busy.min(1.0), self.model.running() as f64, 0.1, 3.0];
                 self.send(&json!({"type": "METERS", "ref": command["ref"], "gauges": gauges}).to_string());
             }
             _ => {}
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -163,7 +163,7 @@
             }
             self.idle_reserve_waits = state.idle_reserve_waits;
         }
-        Gauges { cores_busy: Some(busy), runnable: Some(self.executor.on_cores() as f64), connections: None }
+        Gauges { cores_busy: Some(busy), runnable: Some(self.executor.running() as f64), connections: None }
     }
 
     fn request(&mut self, now: f64, number: usize, tries: u32) -> Request {
