--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -193,7 +193,7 @@
     }
 
     /// A run that stands at a call is ended, as its request is over; `false` for one that does not.
-    pub fn end_at_call(&mut self, id: &str) -> bool {
+    pub fn abort_waiting(&mut self, id: &str) -> bool {
         self.at_calls.remove(id).is_some()
     }
 
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -91,7 +91,7 @@
         }
         while self.due.first().is_some_and(|(due, _)| *due as f64 / 1e6 <= now) {
             let Some((_, name)) = self.due.pop_first() else { break };
-            if self.executor.end_at_call(&name) {
+            if self.executor.abort_waiting(&name) {
                 self.inbox.push(Input::RunEnded { name, outcome: Outcome::Cancelled, result: None });
             }
         }
