--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -23,7 +23,7 @@
 
     /// Reads a body back; one that is none is no work at all.
     #[must_use]
-    pub fn read(body: &[u8]) -> Work {
+    pub fn decode(body: &[u8]) -> Work {
         let text = String::from_utf8_lossy(body);
         let mut words = text.split(' ');
         let mut number = || words.next().and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0).clamp(0.0, 600.0);
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -237,7 +237,7 @@
             match command {
                 Command::Respond(ticket, response) => self.responded(now, w, ticket.0, &response),
                 Command::Run { name, body, deadline: due, .. } => {
-                    worker.executor.start(&name, Work::read(&body));
+                    worker.executor.start(&name, Work::decode(&body));
                     worker.due.insert(((due.max(0.0) * 1e6) as u64, name));
                 }
                 Command::Call { name, timeout_s, .. } => {
--- a/testbed/src/loopback/executor_server.rs
+++ b/testbed/src/loopback/executor_server.rs
@@ -130,7 +130,7 @@
             }
             "EXEC" => {
                 let body = STANDARD.decode(command["data"].as_str().unwrap_or("")).unwrap_or_default();
-                self.model.start(&job, Work::read(&body));
+                self.model.start(&job, Work::decode(&body));
             }
             "RETURN" => drop(self.model.resume(&job, false)),
             "BYPASS" => drop(self.model.resume(&job, true)),
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -212,7 +212,7 @@
             match command {
                 Command::Respond(ticket, response) => self.responded(now, ticket.0, &response),
                 Command::Run { name, body, .. } => {
-                    self.executor.start(&name, Work::read(&body));
+                    self.executor.start(&name, Work::decode(&body));
                 }
                 Command::Call { name, timeout_s, .. } => {
                     self.records.call(now, &name);
