--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -72,7 +72,7 @@
             number: requests.len(),
             at,
             class,
-            work: Work { before_s: work_s * before, after_s: work_s * (1.0 - before), calls },
+            work: Work { before_s: work_s * before, after_s: work_s * (1.0 - before), makes_call: calls },
             memory_kb: c.memory_kb,
         });
     }
--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -11,14 +11,14 @@
     /// Core seconds after the call; all of it is one run where there is no call.
     pub after_s: f64,
     /// Whether the run makes a downstream call.
-    pub calls: bool,
+    pub makes_call: bool,
 }
 
 impl Work {
     /// The body of a request that asks for this work.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
-        format!("{:.6} {:.6} {}", self.before_s, self.after_s, u8::from(self.calls)).into_bytes()
+        format!("{:.6} {:.6} {}", self.before_s, self.after_s, u8::from(self.makes_call)).into_bytes()
     }
 
     /// Reads a body back; one that is none is no work at all.
@@ -27,7 +27,7 @@
         let text = String::from_utf8_lossy(body);
         let mut words = text.split(' ');
         let mut number = || words.next().and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0).clamp(0.0, 600.0);
-        Work { before_s: number(), after_s: number(), calls: number() > 0.0 }
+        Work { before_s: number(), after_s: number(), makes_call: number() > 0.0 }
     }
 }
 
@@ -175,8 +175,8 @@
         if !self.begun.insert(id.to_owned()) {
             return false;
         }
-        let after_s = work.calls.then_some(work.after_s);
-        let left_s = if work.calls { work.before_s } else { work.before_s + work.after_s };
+        let after_s = work.makes_call.then_some(work.after_s);
+        let left_s = if work.makes_call { work.before_s } else { work.before_s + work.after_s };
         self.runs.insert(id.to_owned(), Run { left_s: left_s.max(1e-6), after_s, degraded: false });
         self.most_on_cores = self.most_on_cores.max(self.runs.len());
         true
--- a/testbed/src/fleet/routers.rs
+++ b/testbed/src/fleet/routers.rs
@@ -92,8 +92,11 @@
 
 /// One request and the status of its answer.
 fn send(worker: SocketAddr, class: &ClassModel, number: usize) -> Option<u16> {
-    let work =
-        Work { before_s: class.work_ms / 2000.0, after_s: class.work_ms / 2000.0, calls: class.calls > 0.0 };
+    let work = Work {
+        before_s: class.work_ms / 2000.0,
+        after_s: class.work_ms / 2000.0,
+        makes_call: class.calls > 0.0,
+    };
     let request = PlannedRequest { number, at: 0.0, class: 0, work, memory_kb: class.memory_kb };
     let fields = platform_header_lines(&request, class, 1, class.deadline_ms / 1000.0);
     let body = work.body();
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -347,7 +347,7 @@
             let work_s = LogNormal::new(mean, spread).map_or(mean.exp(), |d| d.sample(&mut random));
             number += 1;
             let id = format!("{number}");
-            executor.start(&id, Work { before_s: work_s, after_s: 0.0, calls: false });
+            executor.start(&id, Work { before_s: work_s, after_s: 0.0, makes_call: false });
             open.insert(id, (class, now, work_s));
         }
         let running = executor.running();
