--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -67,7 +67,7 @@
         let mean = (c.work_ms / 1000.0).ln() - spread * spread / 2.0;
         let work_s = LogNormal::new(mean, spread).map_or(c.work_ms / 1000.0, |d| d.sample(&mut random));
         let before = random.random_range(0.3..0.7);
-        let calls = random.random::<f64>() < c.calls;
+        let calls = random.random::<f64>() < c.call_probability;
         requests.push(PlannedRequest {
             number: requests.len(),
             at,
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -124,8 +124,8 @@
     #[serde(default)]
     pub keyed: bool,
     /// The chance that a run makes a downstream call.
-    #[serde(default)]
-    pub calls: f64,
+    #[serde(rename = "calls", default)]
+    pub call_probability: f64,
     /// The share of the worth without the call; 0 forbids skipping it.
     #[serde(default)]
     pub skip_worth: f64,
@@ -358,7 +358,7 @@
                     "nCores": self.executor.cores, "heapKb": self.executor.heap_kb, "runFactor": 8.0,
                     "entryKb": 100.0, "idleS": 30.0, "cold": self.executor.cold_s > 0.0,
                     "dependsOn": "one_for_all", "fairCalls": self.records.slots, "depWindowS": 5.0,
-                    "staysForS": 0.2, "classCalls": list(&|c| json!(c.calls > 0.0)),
+                    "staysForS": 0.2, "classCalls": list(&|c| json!(c.call_probability > 0.0)),
                     "degradedWorth": list(&|c| json!(c.skip_worth)), "passesDeadline": true, "signal": "weight",
                     "ownStats": ["cpu_busy", "runnable", "mem_used", "sockets"], "senders": 4
                 },
--- a/testbed/src/fleet/routers.rs
+++ b/testbed/src/fleet/routers.rs
@@ -95,7 +95,7 @@
     let work = Work {
         before_s: class.work_ms / 2000.0,
         after_s: class.work_ms / 2000.0,
-        makes_call: class.calls > 0.0,
+        makes_call: class.call_probability > 0.0,
     };
     let request = PlannedRequest { number, at: 0.0, class: 0, work, memory_kb: class.memory_kb };
     let fields = platform_header_lines(&request, class, 1, class.deadline_ms / 1000.0);
