--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -35,16 +35,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// A run has ended.
-    Exit {
+    RunEnded {
         /// The run.
-        job: String,
+        run: String,
         /// Its downstream call was skipped.
         degraded: bool,
     },
     /// A run waits for its downstream call.
-    Callout {
+    CallRequested {
         /// The run.
-        job: String,
+        run: String,
     },
 }
 
@@ -153,9 +153,9 @@
                 let Some(run) = self.runs.remove(&id) else { continue };
                 if run.after_s.is_some() {
                     self.at_calls.insert(id.clone(), run);
-                    out.push((self.now, Notice::Callout { job: id }));
+                    out.push((self.now, Notice::CallRequested { run: id }));
                 } else {
-                    out.push((self.now, Notice::Exit { job: id, degraded: run.degraded }));
+                    out.push((self.now, Notice::RunEnded { run: id, degraded: run.degraded }));
                 }
             }
         }
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -79,12 +79,12 @@
     fn gather(&mut self, now: f64) {
         for (_, notice) in self.executor.advance(now) {
             self.inbox.push(match notice {
-                Notice::Exit { job: id, degraded } => {
+                Notice::RunEnded { run: id, degraded } => {
                     self.degraded.insert(u64::from_str_radix(&id, 16).unwrap_or(0), degraded);
                     let result = Some(Rc::from(&b"done"[..]));
                     Input::RunEnded { name: id.as_str().into(), outcome: Outcome::Ok, result }
                 }
-                Notice::Callout { job: id } => {
+                Notice::CallRequested { run: id } => {
                     Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), sequence: 0 }
                 }
             });
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -354,7 +354,7 @@
         // In steps of a millisecond or so, so that a slot that is free is seen at once.
         now += TICK_S / 16.0;
         for (at, notice) in executor.advance(now) {
-            let Notice::Exit { job: id, .. } = notice else { continue };
+            let Notice::RunEnded { run: id, .. } = notice else { continue };
             let Some((class, started, work_s)) = open.remove(&id) else { continue };
             limit.run_ended(class, at - started);
             *seconds.entry(now as u64).or_default() += work_s;
--- a/testbed/src/loopback/executor_server.rs
+++ b/testbed/src/loopback/executor_server.rs
@@ -98,14 +98,14 @@
     fn advance(&mut self, now: f64) {
         for (_, notice) in self.model.advance(now) {
             match notice {
-                Notice::Exit { job, degraded } => {
+                Notice::RunEnded { run, degraded } => {
                     let data = STANDARD.encode(if degraded { "poor" } else { "full" });
                     self.send_notice(
-                        json!({"type": "EXIT", "job": job, "state": "PASS", "took": 1.0, "data": data}),
+                        json!({"type": "EXIT", "job": run, "state": "PASS", "took": 1.0, "data": data}),
                     );
                 }
-                Notice::Callout { job } => {
-                    self.send_notice(json!({"type": "CALLOUT", "job": job, "data": STANDARD.encode("?")}));
+                Notice::CallRequested { run } => {
+                    self.send_notice(json!({"type": "CALLOUT", "job": run, "data": STANDARD.encode("?")}));
                 }
             }
         }
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -106,14 +106,14 @@
             let mut inputs = Vec::new();
             for (_, notice) in self.executor.advance(now) {
                 inputs.push(match notice {
-                    Notice::Exit { job: id, degraded } => {
+                    Notice::RunEnded { run: id, degraded } => {
                         if let Some((number, _)) = number_of(&id).and_then(|t| self.open.get(&t).copied()) {
                             self.degraded.insert(number, degraded);
                         }
                         let result = Some(Rc::from(&b"done"[..]));
                         Input::RunEnded { name: id.as_str().into(), outcome: Outcome::Ok, result }
                     }
-                    Notice::Callout { job: id } => {
+                    Notice::CallRequested { run: id } => {
                         Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), sequence: 0 }
                     }
                 });
