--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -29,7 +29,7 @@
 /// How many times the usual rate requests come at a time.
 #[must_use]
 pub fn rate_factor(jumps: &[RateStep], at: f64) -> f64 {
-    jumps.iter().filter(|j| (j.at_s..j.at_s + j.for_s).contains(&at)).map(|j| j.times).product()
+    jumps.iter().filter(|j| (j.at_s..j.at_s + j.for_s).contains(&at)).map(|j| j.factor).product()
 }
 
 /// All requests of one play, drawn ahead: they do not wait for responses.
--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -116,7 +116,7 @@
         let warmth =
             if m.cold_s > 0.0 { (m.cold_from + (1.0 - m.cold_from) * at / m.cold_s).min(1.0) } else { 1.0 };
         let slow = self.slows.iter().find(|s| (s.at_s..s.at_s + s.for_s).contains(&at));
-        m.speed * warmth / slow.map_or(1.0, |s| s.times)
+        m.speed * warmth / slow.map_or(1.0, |s| s.factor)
     }
 
     /// Work done a second by each run: cores are shared evenly, and past the knee concurrency costs throughput.
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -146,7 +146,8 @@
     /// How long it lasts (seconds).
     pub for_s: f64,
     /// By how many times the rate is higher.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
 }
 
 /// A time of slowness.
@@ -158,8 +159,8 @@
     /// How long it lasts (seconds).
     pub for_s: f64,
     /// By how many times everything is slower.
-    #[serde(default = "one")]
-    pub times: f64,
+    #[serde(rename = "times", default = "one")]
+    pub factor: f64,
 }
 
 /// One of the variants that are compared.
@@ -300,7 +301,7 @@
             }
         }
         for s in e.slow.iter().chain(&e.stall) {
-            positive("slow.times".into(), s.times)?;
+            positive("slow.times".into(), s.factor)?;
         }
         if e.seeds.is_empty() || e.variant.is_empty() || e.class.is_empty() {
             return Err(ExperimentError::NothingToPlay);
--- a/testbed/src/fleet/overload_storm/comparison.rs
+++ b/testbed/src/fleet/overload_storm/comparison.rs
@@ -7,7 +7,7 @@
 
 /// The scenarios that are compared, by name.
 fn scenarios() -> Vec<(&'static str, Shape)> {
-    let slow = |at_s, for_s, times| vec![Slowdown { at_s, for_s, times }];
+    let slow = |at_s, for_s, times| vec![Slowdown { at_s, for_s, factor: times }];
     let base = Shape::default();
     vec![
         ("calm, 0.8", base.clone()),
--- a/testbed/src/fleet/overload_storm/service.rs
+++ b/testbed/src/fleet/overload_storm/service.rs
@@ -69,7 +69,7 @@
         self.lingering.retain(|end| *end > now);
         let in_flight = (self.calls.len() + self.lingering.len() + 1) as f64;
         let excess = (in_flight / self.slots - 1.0).max(0.0);
-        let times = active_interval(&self.slow, now).map_or(1.0, |s| s.times);
+        let times = active_interval(&self.slow, now).map_or(1.0, |s| s.factor);
         let mut took = self.call_s * times * (1.0 + self.thrash * excess);
         if let Some(down) = active_interval(&self.down, now) {
             took = FAILED_CALL_S;
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -329,7 +329,7 @@
     let slows: Vec<Slowdown> = scenario
         .slow
         .iter()
-        .map(|(at_s, for_s, times)| Slowdown { at_s: *at_s, for_s: *for_s, times: *times })
+        .map(|(at_s, for_s, times)| Slowdown { at_s: *at_s, for_s: *for_s, factor: *times })
         .collect();
     let mut executor = Executor::new(model, slows);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -39,7 +39,7 @@
 fn load_step_from_70_percent_and_back_keeps_the_reserve_available() {
     let mut e = experiment();
     (e.load, e.slow) = (0.7, Vec::new());
-    e.jump = vec![RateStep { at_s: 8.0, for_s: 8.0, times: 1.6 }];
+    e.jump = vec![RateStep { at_s: 8.0, for_s: 8.0, factor: 1.6 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
         assert_eq!((p.idle_reserve_waits, p.unanswered), (0, 0));
@@ -53,7 +53,7 @@
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.7, Vec::new(), Vec::new());
     // Eligibility alone asks for three times what the cores can do.
-    e.class[1].jump = vec![RateStep { at_s: 5.0, for_s: 15.0, times: 6.0 }];
+    e.class[1].jump = vec![RateStep { at_s: 5.0, for_s: 15.0, factor: 6.0 }];
     let (mut plain, mut pools) = (0.0, 0.0);
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
@@ -69,7 +69,7 @@
 fn executor_slowed_ten_times_stays_far_below_the_survivable_concurrency() {
     let mut e = experiment();
     e.jump = Vec::new();
-    e.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, times: 10.0 }];
+    e.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, factor: 10.0 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
         assert!(p.peak_concurrency_ratio < 0.5 && p.unanswered == 0, "{p:?}");
@@ -86,8 +86,8 @@
     let mut e = experiment();
     (e.length_s, e.slow, e.jump) = (70.0, Vec::new(), Vec::new());
     e.class[0].jump = vec![
-        RateStep { at_s: 0.0, for_s: 60.0, times: 0.0 },
-        RateStep { at_s: 60.0, for_s: 10.0, times: 3.0 },
+        RateStep { at_s: 0.0, for_s: 60.0, factor: 0.0 },
+        RateStep { at_s: 60.0, for_s: 10.0, factor: 3.0 },
     ];
     let p = play(&e, "pools", 1);
     assert!(p.classes[0].requests > 300, "{p:?}");
@@ -99,7 +99,7 @@
 fn stalled_records_service_leaves_every_pool_its_slots() {
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.9, Vec::new(), Vec::new());
-    e.stall = vec![Slowdown { at_s: 8.0, for_s: 6.0, times: 1.0 }];
+    e.stall = vec![Slowdown { at_s: 8.0, for_s: 6.0, factor: 1.0 }];
     for seed in 1..=3 {
         let p = play(&e, "pools", seed);
         assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
@@ -149,7 +149,7 @@
 fn short_loopback_run_answers_all_requests_and_keeps_the_reserve() {
     let mut e = experiment();
     e.length_s = 4.0;
-    e.jump = vec![RateStep { at_s: 1.0, for_s: 2.0, times: 1.6 }];
+    e.jump = vec![RateStep { at_s: 1.0, for_s: 2.0, factor: 1.6 }];
     e.slow = Vec::new();
     let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
     let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
