--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -177,7 +177,8 @@
     /// On loopback: callers speak HTTP/2 with so many streams a connection, to the `[http2]` of the operator's file.
     pub http2_streams: Option<usize>,
     /// On loopback: operators read the metrics this often (milliseconds).
-    pub console_every_ms: Option<f64>,
+    #[serde(rename = "console_every_ms")]
+    pub console_interval_ms: Option<f64>,
     /// So many idle connections stand at the console meanwhile.
     #[serde(default)]
     pub console_holders: usize,
@@ -296,7 +297,7 @@
             }
         }
         for v in &e.variant {
-            if let Some(ms) = v.console_every_ms {
+            if let Some(ms) = v.console_interval_ms {
                 positive(format!("variant {:?}: console_every_ms", v.name), ms)?;
             }
         }
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -77,7 +77,7 @@
         name: name.to_owned(),
         operator: operator.to_owned(),
         worker: None,
-        console_every_ms: (!well_alone).then_some(20.0),
+        console_interval_ms: (!well_alone).then_some(20.0),
         console_holders: 0,
         ..base.clone()
     };
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -64,7 +64,7 @@
     serve_records(records_listener, experiment, clock, &over);
     let mut worker_process =
         WorkerProcess::start(variant.worker.as_deref().unwrap_or(worker), &config, &variant.operator)?;
-    let console = match variant.console_every_ms {
+    let console = match variant.console_interval_ms {
         Some(every_ms) => Some((worker_process.address("frontend=console address=")?, every_ms)),
         None => None,
     };
@@ -122,7 +122,7 @@
 fn worker_config(experiment: &Experiment, variant: &Variant, peers: [SocketAddr; 3]) -> Value {
     let [executor, records, registry] = peers.map(|address| address.to_string());
     let mut config = experiment.config("127.0.0.1:0", &executor, &records, &registry);
-    if variant.console_every_ms.is_some() {
+    if variant.console_interval_ms.is_some() {
         config["console"] = json!("127.0.0.1:0");
     }
     config
