--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -180,8 +180,8 @@
     #[serde(rename = "console_every_ms")]
     pub console_interval_ms: Option<f64>,
     /// So many idle connections stand at the console meanwhile.
-    #[serde(default)]
-    pub console_holders: usize,
+    #[serde(rename = "console_holders", default)]
+    pub held_console_connections: usize,
     /// On loopback: a flood on the `[http2]` of the operator's file.
     pub flood: Option<Flood>,
     /// The connections of the flood.
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -78,7 +78,7 @@
         operator: operator.to_owned(),
         worker: None,
         console_interval_ms: (!well_alone).then_some(20.0),
-        console_holders: 0,
+        held_console_connections: 0,
         ..base.clone()
     };
     let (with, without) = (variant("with", &operator), variant("without", ""));
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -70,7 +70,7 @@
     };
     let address = worker_process.address("frontend=http address=")?;
     let console =
-        console.map(|(at, every_ms)| console::watch(at, every_ms, variant.console_holders, &called));
+        console.map(|(at, every_ms)| console::watch(at, every_ms, variant.held_console_connections, &called));
     let rest_kb = worker_process.resident_kb();
     let peak = floods::watch_memory(worker_process.resident(), &called);
     let flooders = match variant.flood {
