--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -200,7 +200,8 @@
     /// The class, for a metric of classes; all where left out.
     pub class: Option<String>,
     /// The metric is divided by the same one of this variant, seed by seed.
-    pub against: Option<String>,
+    #[serde(rename = "against")]
+    pub baseline: Option<String>,
     /// The mean must be at least this.
     pub least: Option<f64>,
     /// The mean must be at most this.
@@ -313,7 +314,7 @@
                 return Err(ExperimentError::UnknownMetric { found: x.metric.clone(), known: &METRICS });
             }
             if let Some(v) =
-                [Some(&x.variant), x.against.as_ref()].into_iter().flatten().find(|v| !variant(v))
+                [Some(&x.variant), x.baseline.as_ref()].into_iter().flatten().find(|v| !variant(v))
             {
                 return Err(ExperimentError::UnknownVariant { found: v.clone() });
             }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -238,7 +238,7 @@
     let own = plays.iter().filter(|p| p.variant == expect.variant);
     own.filter_map(|p| {
         let value = p.metric(&expect.metric, expect.class.as_deref());
-        match &expect.against {
+        match &expect.baseline {
             None => Some(value),
             Some(other) => {
                 Some(value / of(other, p.seed)?.metric(&expect.metric, expect.class.as_deref()).max(1e-9))
@@ -257,7 +257,7 @@
         let holds = x.least.map_or(true, |l| mean >= l) && x.most.map_or(true, |m| mean <= m);
         good &= holds;
         let class = x.class.as_ref().map_or(String::new(), |c| format!(" of {c}"));
-        let against = x.against.as_ref().map_or(String::new(), |a| format!(" against {a}"));
+        let against = x.baseline.as_ref().map_or(String::new(), |a| format!(" against {a}"));
         let bounds = [("at least", x.least), ("at most", x.most)];
         let bounds: Vec<String> =
             bounds.iter().filter_map(|(word, b)| b.map(|b| format!("{word} {b}"))).collect();
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -23,7 +23,7 @@
     assert!(good, "{text}\n{}", table(&experiment, &plays));
     // The bounds can fail: without pools the cheapest calls starve.
     let mut turned = experiment.clone();
-    turned.expect.iter_mut().filter(|x| x.against.is_none()).for_each(|x| x.variant = "plain".to_owned());
+    turned.expect.iter_mut().filter(|x| x.baseline.is_none()).for_each(|x| x.variant = "plain".to_owned());
     assert!(!verdict(&turned, &plays).1);
 }
 
