--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,8 +1,8 @@
-//! Experiments with a port worker: what the project argues with figures.
+//! Experiments with a port worker, which produce the project's measurements.
 //!
-//! [`experiment`] reads what is to be played; [`executor`] and [`records`] model what stands behind a worker and
-//! [`callers`] what stands before it, all without I/O and with the time passed in. [`virtual_time`] plays them round
-//! the worker's own core, [`loopback`] on loopback round a real worker. [`measure`] makes tables of what they saw.
+//! [`experiment`] reads an experiment file. [`executor`] and [`records`] model the services behind a worker and
+//! [`callers`] its clients, all without I/O and with the time as a parameter. [`virtual_time`] runs the models around
+//! the worker's dispatcher, [`loopback`] around a real worker process. [`measure`] aggregates the results into tables.
 
 pub mod callers;
 pub mod console;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line interface of the testbed.
 
 use clap::Parser;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 use testbed::{limits, loopback, measure, virtual_time};
 
 #[derive(Parser)]
-#[command(name = "testbed", about = "Plays experiments on honeypost")]
+#[command(name = "testbed", about = "Runs experiments on honeypost")]
 struct Arguments {
     #[command(subcommand)]
     subcommand: Subcommand,
@@ -25,111 +25,136 @@
 
 #[derive(clap::Subcommand)]
 enum Subcommand {
-    /// Plays an experiment on loopback, with a real worker.
+    /// Runs an experiment on loopback with a real worker process.
     Run {
+        /// Experiment file.
         file: PathBuf,
-        /// The worker to start.
+        /// Worker program.
         #[arg(long, default_value = "target/release/port-worker")]
         worker: PathBuf,
-        /// Where the results go as JSON.
+        /// File to which the results are written as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Seeds in the place of the file's.
+        /// Comma-separated seeds that replace those of the file.
         #[arg(long, value_delimiter = ',')]
         seeds: Vec<u64>,
     },
-    /// Compares ways to set the run limit in closed loops, as a table.
+    /// Compares algorithms for the run limit in closed loops and prints a table.
     Limits {
+        /// Number of seeds.
         #[arg(long, default_value_t = 10)]
         seeds: u64,
     },
-    /// Starts a fleet of processes on loopback, and stays until Ctrl-C.
+    /// Runs a fleet of processes on loopback until Ctrl-C.
     Fleet {
+        /// Fleet file.
         file: PathBuf,
-        /// Where its files go.
+        /// Folder for the fleet's files.
         #[arg(long)]
         folder: PathBuf,
-        /// Ends by itself after so long (seconds).
-        #[arg(long = "for")]
-        for_s: Option<f64>,
-        /// Where the programs are.
+        /// Stops the fleet after this time (seconds).
+        #[arg(long = "for", value_name = "SECONDS")]
+        duration_s: Option<f64>,
+        /// Folder with the programs.
         #[arg(long, default_value = "target/release")]
         programs: PathBuf,
     },
-    /// Does something to a fleet that runs: cut A B [--one-way], heal A B, pause, resume, kill, start, fill, free NAME.
+    /// Injects a fault into a running fleet: cut A B [--one-way], heal A B, or pause, resume, kill, start, fill, free
+    /// NAME.
     Fault {
+        /// Folder of the running fleet.
         folder: PathBuf,
+        /// Fault and its arguments.
         #[arg(required = true, trailing_var_arg = true, allow_hyphen_values = true)]
         words: Vec<String>,
     },
-    /// Plays fleets in virtual time, a seed each, with a fault every second; prints what was found.
+    /// Simulates a fleet for each seed in virtual time, with a fault every second, and prints the violations found.
     Campaign {
-        #[arg(long, default_value_t = 0)]
-        from: u64,
+        /// First seed.
+        #[arg(long = "from", value_name = "SEED", default_value_t = 0)]
+        first_seed: u64,
+        /// Number of seeds.
         #[arg(long, default_value_t = 100)]
         seeds: u64,
+        /// Coordinators of each fleet.
         #[arg(long, default_value_t = 5)]
         coordinators: usize,
+        /// Workers of each fleet.
         #[arg(long, default_value_t = 300)]
         workers: usize,
     },
-    /// Plays fleets of real processes, a seed each, with a fault every second; what breaks one is made shorter and printed.
+    /// Runs a fleet of real processes for each seed, with a fault every second; minimizes and prints failing schedules.
     ProcessCampaign {
-        #[arg(long, default_value_t = 0)]
-        from: u64,
-        /// New seeds are begun for so long (seconds).
-        #[arg(long = "for", default_value_t = 3600.0)]
-        for_s: f64,
-        /// How long faults come to each fleet (seconds).
-        #[arg(long, default_value_t = 30.0)]
+        /// First seed.
+        #[arg(long = "from", value_name = "SEED", default_value_t = 0)]
+        first_seed: u64,
+        /// How long new seeds are started (seconds).
+        #[arg(long = "for", value_name = "SECONDS", default_value_t = 3600.0)]
+        duration_s: f64,
+        /// How long faults are injected into each fleet (seconds).
+        #[arg(long, value_name = "SECONDS", default_value_t = 30.0)]
         faults_s: f64,
-        /// Fleets side by side.
-        #[arg(long, default_value_t = 2)]
-        beside: usize,
+        /// Number of fleets that run in parallel.
+        #[arg(long = "beside", value_name = "FLEETS", default_value_t = 2)]
+        parallel: usize,
+        /// Folder for the fleets' files.
         #[arg(long, default_value = "target/campaign")]
         folder: PathBuf,
+        /// Folder with the programs.
         #[arg(long, default_value = "target/release")]
         programs: PathBuf,
     },
-    /// Measures a fleet of processes: takeovers after kills and cuts, and what sessions ask of a leader.
+    /// Measures a fleet of processes: takeovers after kills and cuts, and a leader's cost of sessions and lease grants.
     FleetCost {
+        /// Number of takeovers after kills, and of those after cuts; 0 for none.
         #[arg(long, default_value_t = 10)]
         takeovers: usize,
+        /// Comma-separated numbers of sessions.
         #[arg(long, value_delimiter = ',', default_value = "10,100,300,1000", num_args = 0..)]
         sessions: Vec<usize>,
-        #[arg(long, default_value_t = 10.0)]
-        for_s: f64,
-        /// Takers of leases, for the count of grants a second; 0 for none.
+        /// Duration of each measurement of sessions and of grants (seconds).
+        #[arg(long = "for-s", value_name = "SECONDS", default_value_t = 10.0)]
+        duration_s: f64,
+        /// Clients that acquire leases, to measure grants per second; 0 for none.
         #[arg(long, default_value_t = 32)]
         takers: usize,
+        /// Folder for the fleets' files.
         #[arg(long, default_value = "target/fleet-cost")]
         folder: PathBuf,
+        /// Folder with the programs.
         #[arg(long, default_value = "target/release")]
         programs: PathBuf,
     },
-    /// Plays the same requests to a worker with `[fleet]` and without, while its coordinators are well, dead or flapping.
+    /// Compares a worker with and without `[fleet]` on the same requests, while its coordinators are healthy, dead or
+    /// flapping.
     #[command(alias = "fleet-harm")]
     FleetOverhead {
+        /// Number of seeds.
         #[arg(long, default_value_t = 6)]
         seeds: u64,
-        #[arg(long, default_value_t = 6.0)]
+        /// Length of each trial (seconds).
+        #[arg(long, value_name = "SECONDS", default_value_t = 6.0)]
         length_s: f64,
-        /// Coordinators that are well, and no console: for the processor time alone.
-        #[arg(long)]
-        well_alone: bool,
+        /// Measures healthy coordinators only and does not call the console, which isolates the processor time.
+        #[arg(long = "well-alone")]
+        healthy_only: bool,
+        /// Folder for the fleet's files.
         #[arg(long, default_value = "target/fleet-overhead")]
         folder: PathBuf,
+        /// Folder with the programs.
         #[arg(long, default_value = "target/release")]
         programs: PathBuf,
     },
-    /// Compares workers alone with a fleet that handles overload as one, in virtual time, as a table.
+    /// Compares independent workers with fleet-wide overload control in virtual time and prints a table.
     Storm {
+        /// Number of workers.
         #[arg(long, default_value_t = 20)]
         workers: usize,
+        /// Number of seeds.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
     },
-    /// Checks that the programs of another build work together with this build's: settings, hot restart, a fleet of both.
+    /// Checks that another build's programs are compatible with this build's: settings, hot restart, a mixed fleet.
     Compatibility {
         /// Folder with the other build's programs.
         old: PathBuf,
@@ -143,56 +168,61 @@
         #[arg(long, default_value = "target/release")]
         programs: PathBuf,
     },
-    /// Plays it in virtual time, round the worker's own core.
+    /// Runs an experiment in virtual time around the worker's dispatcher.
     Sim {
+        /// Experiment file.
         file: PathBuf,
+        /// File to which the results are written as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
+        /// Comma-separated seeds that replace those of the file.
         #[arg(long, value_delimiter = ',')]
         seeds: Vec<u64>,
     },
 }
 
 fn main() -> ExitCode {
-    match start() {
+    match run() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("testbed: {fault}");
+        Err(error) => {
+            eprintln!("testbed: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// `true` if all that the experiment expects holds.
-fn start() -> Result<bool, TestbedError> {
+/// Runs the subcommand; `true` if all its expectations or checks passed.
+fn run() -> Result<bool, TestbedError> {
     let (file, worker, json, seeds) = match Arguments::parse().subcommand {
         Subcommand::Run { file, worker, json, seeds } => (file, Some(worker), json, seeds),
         Subcommand::Sim { file, json, seeds } => (file, None, json, seeds),
-        Subcommand::Fleet { file, folder, for_s, programs } => {
-            run_fleet(&file, &folder, for_s, &programs)?;
+        Subcommand::Fleet { file, folder, duration_s, programs } => {
+            run_fleet(&file, &folder, duration_s, &programs)?;
             return Ok(true);
         }
         Subcommand::Fault { folder, words } => return rig::ask_fault(&folder, &words).map(|()| true),
-        Subcommand::Campaign { from, seeds, coordinators, workers } => {
+        Subcommand::Campaign { first_seed, seeds, coordinators, workers } => {
             let shape = Shape { coordinators, workers, ..Shape::default() };
-            let summary = virtual_fleet::campaign(&shape, from, seeds);
+            let summary = virtual_fleet::campaign(&shape, first_seed, seeds);
             println!("{}", summary.text);
             return Ok(summary.passed);
         }
-        Subcommand::ProcessCampaign { from, for_s, faults_s, beside, folder, programs } => {
+        Subcommand::ProcessCampaign { first_seed, duration_s, faults_s, parallel, folder, programs } => {
             let programs = Programs::beside(&programs)?;
-            let (text, good) = process_campaign::campaign(&folder, &programs, from, for_s, faults_s, beside)?;
+            let (text, passed) =
+                process_campaign::campaign(&folder, &programs, first_seed, duration_s, faults_s, parallel)?;
             println!("{text}");
-            return Ok(good);
+            return Ok(passed);
         }
-        Subcommand::FleetCost { takeovers, sessions, for_s, takers, folder, programs } => {
+        Subcommand::FleetCost { takeovers, sessions, duration_s, takers, folder, programs } => {
             let programs = Programs::beside(&programs)?;
             if !sessions.is_empty() {
-                println!("{}", fleet_cost::sessions(&folder, &programs, &sessions, for_s)?);
+                println!("{}", fleet_cost::sessions(&folder, &programs, &sessions, duration_s)?);
             }
             if takers > 0 {
-                let grants = fleet_cost::grants(&folder.join("grants"), programs.clone(), takers, for_s)?;
+                let grants =
+                    fleet_cost::grants(&folder.join("grants"), programs.clone(), takers, duration_s)?;
                 println!("{grants}");
             }
             if takeovers == 0 {
@@ -201,9 +231,9 @@
             println!("{}", fleet_cost::takeovers(&folder.join("takeovers"), programs, takeovers)?);
             return Ok(true);
         }
-        Subcommand::FleetOverhead { seeds, length_s, well_alone, folder, programs } => {
+        Subcommand::FleetOverhead { seeds, length_s, healthy_only, folder, programs } => {
             let programs = Programs::beside(&programs)?;
-            println!("{}", overhead::compare(&folder, programs, seeds, length_s, well_alone)?);
+            println!("{}", overhead::compare(&folder, programs, seeds, length_s, healthy_only)?);
             return Ok(true);
         }
         Subcommand::Storm { workers, seeds } => {
@@ -220,7 +250,7 @@
             return Ok(true);
         }
     };
-    play_experiment(&file, worker.as_deref(), json.as_deref(), seeds)
+    run_experiment(&file, worker.as_deref(), json.as_deref(), seeds)
 }
 
 /// Prints the result of each check between the programs of two builds; `true` if all passed.
@@ -235,26 +265,31 @@
     Ok(passed == results.len())
 }
 
-/// Runs a fleet of processes until Ctrl-C, or for so long (seconds).
-fn run_fleet(file: &Path, folder: &Path, for_s: Option<f64>, programs: &Path) -> Result<(), TestbedError> {
+/// Runs a fleet of processes until Ctrl-C, or for this time (seconds).
+fn run_fleet(
+    file: &Path,
+    folder: &Path,
+    duration_s: Option<f64>,
+    programs: &Path,
+) -> Result<(), TestbedError> {
     let file = FleetFile::read(file)?;
     let programs = Programs::beside(programs)?;
-    let over = Arc::new(AtomicBool::new(false));
-    let told = over.clone();
-    ctrlc::set_handler(move || told.store(true, Ordering::Relaxed))?;
-    if let Some(for_s) = for_s {
-        let timed = over.clone();
+    let stop = Arc::new(AtomicBool::new(false));
+    let interrupted = stop.clone();
+    ctrlc::set_handler(move || interrupted.store(true, Ordering::Relaxed))?;
+    if let Some(duration_s) = duration_s {
+        let timed_out = stop.clone();
         std::thread::spawn(move || {
-            std::thread::sleep(Duration::from_secs_f64(for_s.clamp(0.0, 86_400.0)));
-            timed.store(true, Ordering::Relaxed);
+            std::thread::sleep(Duration::from_secs_f64(duration_s.clamp(0.0, 86_400.0)));
+            timed_out.store(true, Ordering::Relaxed);
         });
     }
-    rig::serve(file, folder, programs, &over)
+    rig::serve(file, folder, programs, &stop)
 }
 
-/// Plays each variant with each seed, on loopback with this worker or in virtual time, and prints the results; `true` if all
-/// that the experiment expects holds.
-fn play_experiment(
+/// Runs each variant with each seed, on loopback with this worker or else in virtual time, and prints the results;
+/// `true` if all expectations hold.
+fn run_experiment(
     file: &Path,
     worker: Option<&Path>,
     json: Option<&Path>,
@@ -264,25 +299,25 @@
     if !seeds.is_empty() {
         experiment.seeds = seeds;
     }
-    let mut plays = Vec::new();
-    for (turn, &seed) in experiment.seeds.iter().enumerate() {
+    let mut trials = Vec::new();
+    for (index, &seed) in experiment.seeds.iter().enumerate() {
         let mut variants: Vec<_> = experiment.variant.iter().collect();
-        // Whoever goes second finds another machine: orders take turns.
-        if turn % 2 == 1 {
+        // The second variant of a pair finds the machine in another state: the order alternates.
+        if index % 2 == 1 {
             variants.reverse();
         }
         for variant in variants {
-            plays.push(match worker {
+            trials.push(match worker {
                 Some(worker) => loopback::run_trial(&experiment, variant, seed, worker)?,
                 None => virtual_time::run_trial(&experiment, variant, seed)?,
             });
         }
     }
-    let (verdict, good) = measure::verdict(&experiment, &plays);
-    println!("{}\n{verdict}", measure::table(&experiment, &plays));
+    let (verdict, passed) = measure::verdict(&experiment, &trials);
+    println!("{}\n{verdict}", measure::table(&experiment, &trials));
     if let Some(path) = json {
-        let text = serde_json::to_string_pretty(&plays)?;
+        let text = serde_json::to_string_pretty(&trials)?;
         std::fs::write(path, text).map_err(TestbedError::file(path))?;
     }
-    Ok(good)
+    Ok(passed)
 }
