--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -1,5 +1,5 @@
-//! Open-loop callers: Poisson arrivals at a scheduled rate, a class mix, and clients that try again a bounded number
-//! of times. Without I/O: they say what is sent when, and are told what came of it.
+//! Open-loop callers: Poisson arrivals at a scheduled rate with a mix of classes, and clients that retry a bounded
+//! number of times. Without I/O: these functions generate requests and decide about retries.
 
 use crate::executor::Work;
 use crate::experiment::{Experiment, RateStep};
@@ -8,31 +8,31 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-/// A retry that would have less time than this is not made (seconds).
-const LEAST_TIME_LEFT_S: f64 = 0.05;
+/// A retry is not made if it would have less time than this until the deadline (seconds).
+const MIN_RETRY_TIME_LEFT_S: f64 = 0.05;
 
-/// One request as a client means it; all its attempts belong to it.
+/// A request as its client plans it; it may take several attempts.
 #[derive(Clone, Debug)]
 pub struct PlannedRequest {
-    /// Its place among all requests of the play.
+    /// Its index among all requests of the trial.
     pub number: usize,
-    /// When it is meant to be sent (seconds from the start); latencies count from here.
+    /// When it is due to be sent (seconds from the start); latencies count from here.
     pub at: f64,
-    /// Its class, by the place in the experiment.
+    /// The index of its class in the experiment.
     pub class: usize,
-    /// What it asks of the executor.
+    /// The work that it asks of the executor.
     pub work: Work,
-    /// The memory that it needs, as callers declare it (kilobytes).
+    /// The memory need that the caller declares (kilobytes).
     pub memory_kb: f64,
 }
 
-/// How many times the usual rate requests come at a time.
+/// The factor by which rate steps change the arrival rate at a time.
 #[must_use]
-pub fn rate_factor(jumps: &[RateStep], at: f64) -> f64 {
-    jumps.iter().filter(|j| (j.at_s..j.at_s + j.for_s).contains(&at)).map(|j| j.factor).product()
+pub fn rate_factor(steps: &[RateStep], at: f64) -> f64 {
+    steps.iter().filter(|j| (j.at_s..j.at_s + j.for_s).contains(&at)).map(|j| j.factor).product()
 }
 
-/// All requests of one play, drawn ahead: they do not wait for responses.
+/// Generates all requests of a trial in advance: open-loop arrivals do not wait for responses.
 #[must_use]
 pub fn plan_requests(experiment: &Experiment, seed: u64) -> Vec<PlannedRequest> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -40,46 +40,51 @@
     let Ok(gaps) = Exp::new(1.0f64) else { return Vec::new() };
     let (mut at, mut requests) = (0.0, Vec::new());
     loop {
-        // A unit of the unit-rate process, stretched by the rate at its place: steps are short against the phases.
+        // An inhomogeneous Poisson process: a unit-rate gap divided by the current rate. The gaps are short in
+        // comparison with the rate steps.
         let weights: Vec<f64> = experiment.class.iter().map(|c| c.share * rate_factor(&c.jump, at)).collect();
         let total: f64 = weights.iter().sum();
-        let now_rate = rate * rate_factor(&experiment.jump, at) * total;
-        let pauses = now_rate <= 1e-9;
-        if pauses {
+        let current_rate = rate * rate_factor(&experiment.jump, at) * total;
+        let paused = current_rate <= 1e-9;
+        if paused {
             at += 0.01;
         } else {
-            at += (gaps.sample(&mut random) / now_rate).min(0.5);
+            at += (gaps.sample(&mut random) / current_rate).min(0.5);
         }
         if at >= experiment.length_s {
             return requests;
         }
-        if pauses {
+        if paused {
             continue;
         }
-        let mut place = random.random::<f64>() * total;
+        let mut point = random.random::<f64>() * total;
         let class = weights.iter().position(|w| {
-            place -= w;
-            place < 0.0
+            point -= w;
+            point < 0.0
         });
         let class = class.unwrap_or(weights.len() - 1);
         let c = &experiment.class[class];
-        let spread = (1.0 + c.cv * c.cv).ln().sqrt();
-        let mean = (c.work_ms / 1000.0).ln() - spread * spread / 2.0;
-        let work_s = LogNormal::new(mean, spread).map_or(c.work_ms / 1000.0, |d| d.sample(&mut random));
-        let before = random.random_range(0.3..0.7);
-        let calls = random.random::<f64>() < c.call_probability;
+        let sigma = (1.0 + c.cv * c.cv).ln().sqrt();
+        let mu = (c.work_ms / 1000.0).ln() - sigma * sigma / 2.0;
+        let work_s = LogNormal::new(mu, sigma).map_or(c.work_ms / 1000.0, |d| d.sample(&mut random));
+        let before_share = random.random_range(0.3..0.7);
+        let makes_call = random.random::<f64>() < c.call_probability;
         requests.push(PlannedRequest {
             number: requests.len(),
             at,
             class,
-            work: Work { before_s: work_s * before, after_s: work_s * (1.0 - before), makes_call: calls },
+            work: Work {
+                before_s: work_s * before_share,
+                after_s: work_s * (1.0 - before_share),
+                makes_call,
+            },
             memory_kb: c.memory_kb,
         });
     }
 }
 
-/// When a client makes its next attempt after one that was rejected or failed, if it makes another. `retry_after_s` is
-/// for how long the worker asked it to stay away.
+/// When a client makes its next attempt after one that was rejected or failed; `None` if it gives up. `retry_after_s`
+/// is the delay that the worker advised.
 #[must_use]
 pub fn next_retry(
     experiment: &Experiment,
@@ -89,7 +94,7 @@
     retry_after_s: f64,
 ) -> Option<f64> {
     let class = &experiment.class[request.class];
-    let at = now + retry_after_s.max(experiment.callers.pause_ms / 1000.0);
-    let latest = request.at + class.deadline_ms / 1000.0 - LEAST_TIME_LEFT_S;
-    (attempts <= experiment.callers.retries && at < latest).then_some(at)
+    let at = now + retry_after_s.max(experiment.callers.min_pause_ms / 1000.0);
+    let latest_at = request.at + class.deadline_ms / 1000.0 - MIN_RETRY_TIME_LEFT_S;
+    (attempts <= experiment.callers.max_retries && at < latest_at).then_some(at)
 }
--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in the testbed, one variant a cause. Each displays as the one line that its command prints.
+//! The errors of the testbed, with a variant for each cause. Each displays as the one line that the command prints.
 
 use port_worker::config::ConfigError;
 use port_worker::fleet::frame::FrameError;
@@ -9,88 +9,88 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// An experiment's file that can't be played.
+/// Why an experiment file is invalid.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// It is not TOML, or not the TOML of an experiment.
+    /// The text is not TOML, or does not have the keys and types of an experiment.
     #[error("line {line}: {}", source.message().replace('\n', " "))]
     Syntax {
-        /// The line at which reading stopped, from 1.
+        /// The line at which parsing stopped, counted from 1.
         line: usize,
-        /// What the parser expected there.
+        /// The parser's error.
         source: toml::de::Error,
     },
-    /// A number that must be above 0 is not.
+    /// A number that must be above 0 is 0, negative or not finite.
     #[error("{key} is {found}; expected above 0")]
     NotPositive {
-        /// The key, with the class or variant that it stands in.
+        /// The key, with the class or variant that it belongs to.
         key: String,
-        /// The value that stands there.
+        /// The value that was found.
         found: f64,
     },
     /// There is no seed, no variant or no class.
-    #[error("seeds, variant or class is empty; expected one at least")]
-    NothingToPlay,
-    /// An expectation is about a metric that is not measured.
+    #[error("seeds, variant or class is empty; expected at least one of each")]
+    NothingToRun,
+    /// An expectation names an unknown metric.
     #[error("expect: there is no metric {found:?}; expected one of {known:?}")]
     UnknownMetric {
-        /// The name that stands there.
+        /// The name that was found.
         found: String,
-        /// All metrics that are measured.
+        /// All metrics.
         known: &'static [&'static str],
     },
-    /// An expectation is about a variant that the experiment does not have.
+    /// An expectation names a variant that the experiment does not have.
     #[error("expect: there is no variant {found:?}")]
     UnknownVariant {
-        /// The name that stands there.
+        /// The name that was found.
         found: String,
     },
-    /// An expectation is about a class that the experiment does not have.
+    /// An expectation names a class that the experiment does not have.
     #[error("expect: there is no class {found:?}")]
     UnknownClass {
-        /// The name that stands there.
+        /// The name that was found.
         found: String,
     },
-    /// An expectation has neither of its bounds.
-    #[error("expect {metric:?}: expected least or most")]
+    /// An expectation has neither a minimum nor a maximum.
+    #[error("expect {metric:?}: no bound; expected least or most")]
     NoBound {
-        /// The metric that it is about.
+        /// The metric that it names.
         metric: String,
     },
 }
 
-/// A fleet's file that can't be started.
+/// Why a fleet file is invalid.
 #[derive(Debug, Error)]
 pub enum FleetFileError {
-    /// It is not TOML, or not the TOML of a fleet.
+    /// The text is not TOML, or does not have the keys and types of a fleet.
     #[error("{}", .0.to_string().replace('\n', " "))]
     Syntax(#[from] toml::de::Error),
-    /// So many coordinators have no majority that can be lost evenly.
+    /// The number of coordinators is even or too large: an even number tolerates no more failures than one fewer.
     #[error("coordinators is {found}; expected 1, 3, 5, 7 or 9")]
     CoordinatorCount {
-        /// The number that stands there.
+        /// The number that was found.
         found: usize,
     },
-    /// No worker, or more than one machine bears.
+    /// There is no worker, or more than one machine can run.
     #[error("workers is {found}; expected 1 to 64")]
     WorkerCount {
-        /// The number that stands there.
+        /// The number that was found.
         found: usize,
     },
 }
 
-/// Why a command of the testbed could not be carried out.
+/// Why a command of the testbed failed.
 #[derive(Debug, Error)]
 pub enum TestbedError {
-    /// A file or folder can't be read, written or run.
+    /// A file or folder can't be read, written or executed.
     #[error("{}: {source}", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// A file is not the JSON that is expected.
+    /// A file is not valid JSON of the expected type.
     #[error("{}: {source}", path.display())]
     Json {
         /// The file.
@@ -98,245 +98,245 @@
         /// The parser's error.
         source: serde_json::Error,
     },
-    /// An experiment's file can't be played.
+    /// An experiment file is invalid.
     #[error("{}: {source}", path.display())]
     ExperimentFile {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: ExperimentError,
     },
-    /// A fleet's file can't be started.
+    /// A fleet file is invalid.
     #[error("{}: {source}", path.display())]
     FleetFile {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: FleetFileError,
     },
-    /// An experiment's text can't be played.
+    /// The text of an experiment is invalid.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// A fleet's text can't be started.
+    /// The text of a fleet is invalid.
     #[error(transparent)]
     Fleet(#[from] FleetFileError),
-    /// The worker does not accept the configuration that was made for it.
+    /// The worker rejects the configuration that was generated for it.
     #[error(transparent)]
     Config(Box<ConfigError>),
-    /// A stand-in or a process of a fleet met an error of the system's.
+    /// A simulated peer or a process of a fleet met an operating-system error.
     #[error("{component}: {source}")]
     Component {
-        /// The stand-in's or the process's name.
+        /// The name of the simulated peer or process.
         component: String,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// A peer could not be called.
+    /// A peer could not be reached.
     #[error("{address}: {source}")]
     Peer {
-        /// Where it was called.
+        /// The peer's address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// An error of the system's that names itself.
+    /// An operating-system error without further context.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The handler for Ctrl-C can't be set.
+    /// The Ctrl-C handler can't be installed.
     #[error(transparent)]
     Interrupt(#[from] ctrlc::Error),
-    /// Results can't be written as JSON.
+    /// The results can't be serialized as JSON.
     #[error(transparent)]
     Results(#[from] serde_json::Error),
-    /// A coordinator's frame can't be read.
+    /// A frame from a coordinator can't be decoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
 
     /// A program that a fleet needs has not been built.
     #[error("{}: not built; run cargo build --workspace", program.display())]
     NotBuilt {
-        /// Where it was looked for.
+        /// The path at which it was expected.
         program: PathBuf,
     },
     /// No process of the fleet has this name.
-    #[error("there is no {name}")]
+    #[error("unknown process: {name}")]
     UnknownProcess {
-        /// The name.
+        /// The name that was given.
         name: String,
     },
-    /// The process has ended, or was killed.
-    #[error("{name} does not run")]
+    /// The process has exited or was killed.
+    #[error("{name} is not running")]
     NotRunning {
         /// The process.
         name: String,
     },
-    /// The process runs, and this needs one that does not.
-    #[error("{name} runs")]
+    /// The process is running, but the operation needs it to be stopped.
+    #[error("{name} is running; stop it first")]
     Running {
         /// The process.
         name: String,
     },
-    /// The process still runs long after SIGTERM.
-    #[error("{name} did not end")]
+    /// The process did not exit in time after SIGTERM.
+    #[error("{name} did not exit after SIGTERM")]
     DidNotEnd {
         /// The process.
         name: String,
     },
-    /// The process has not said where it listens.
-    #[error("{name} did not come up")]
+    /// The process did not announce its address in time.
+    #[error("{name} did not announce its address in time")]
     DidNotStart {
         /// The process.
         name: String,
     },
-    /// The process ended before it said where it listens.
-    #[error("{name} ended with {status}: {}", log.join("; "))]
+    /// The process exited before it announced its address.
+    #[error("{name} exited at start with {status}: {}", log.join("; "))]
     EndedAtStart {
         /// The process.
         name: String,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
-        /// All that it logged.
+        /// Its log.
         log: Vec<String>,
     },
-    /// The process announced something that is no address.
-    #[error("{name} says {found:?}")]
+    /// The process announced something that is not an address.
+    #[error("{name} announced an invalid address: {found:?}")]
     NoAddress {
         /// The process.
         name: String,
-        /// What stands in the place of the address.
+        /// The text in place of the address.
         found: String,
     },
-    /// The second process of a hot restart was never ready.
-    #[error("{name}: its successor did not get ready")]
+    /// The successor in a hot restart did not become ready in time.
+    #[error("{name}: the successor did not become ready in time")]
     SuccessorNotReady {
         /// The worker that was to be replaced.
         name: String,
     },
-    /// There is no relay from one to the other.
-    #[error("there is no link from {from} to {to}")]
+    /// There is no relay from one process to the other.
+    #[error("no link from {from} to {to}")]
     NoLink {
-        /// Who would dial.
+        /// The connecting process.
         from: String,
-        /// Who would be dialled.
+        /// The accepting process.
         to: String,
     },
-    /// The two have no connection that a fault could touch.
-    #[error("{from} and {to} do not speak to each other")]
+    /// There is no relay between the two processes in either direction, so a fault can't affect their link.
+    #[error("no link between {from} and {to}")]
     NotConnected {
-        /// One of them.
+        /// One of the processes.
         from: String,
-        /// The other.
+        /// The other process.
         to: String,
     },
-    /// No fault has this name and these arguments.
-    #[error("{words}: not a fault")]
+    /// There is no fault with this name and these arguments.
+    #[error("unknown fault: {words}")]
     UnknownFault {
-        /// The command as it was given.
+        /// The command line of the fault.
         words: String,
     },
-    /// The running fleet's reply to a fault that it could not carry out.
+    /// The running fleet rejected a fault.
     #[error("{reply}")]
     FaultRejected {
-        /// The reply.
+        /// The fleet's reply, which says why.
         reply: String,
     },
-    /// The fleet's file names no address that takes faults.
-    #[error("the fleet takes no faults")]
+    /// The file of the running fleet has no address for fault commands.
+    #[error("the fleet has no address for fault commands")]
     NoFaultControl,
     /// A worker's listening socket has no address.
-    #[error("a door has no address")]
+    #[error("a worker's listening socket has no address")]
     ListenerWithoutAddress,
 
-    /// The experiment's worker has not said where it listens.
-    #[error("the worker did not come up")]
+    /// The experiment's worker did not announce its address in time.
+    #[error("the worker did not announce its address in time")]
     WorkerDidNotStart,
-    /// The experiment's worker announced something that is no address.
-    #[error("the worker says {line:?}")]
+    /// The experiment's worker announced something that is not an address.
+    #[error("the worker announced an invalid address: {line:?}")]
     WorkerNoAddress {
-        /// The line of its log.
+        /// The line of the worker's log.
         line: String,
     },
-    /// The experiment's worker ended with this line.
+    /// The experiment's worker exited with an error, which it logged.
     #[error("{line}")]
     WorkerFailed {
-        /// The line of its log.
+        /// The line of the worker's log.
         line: String,
     },
-    /// The experiment's worker ended, but not with success.
-    #[error("the worker ended badly: {status}")]
+    /// The experiment's worker exited with a failure status after SIGTERM.
+    #[error("the worker failed: {status}")]
     WorkerExit {
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
     },
-    /// The experiment's worker still runs long after SIGTERM.
-    #[error("the worker does not leave")]
+    /// The experiment's worker did not exit in time after SIGTERM.
+    #[error("the worker did not exit after SIGTERM")]
     WorkerDidNotEnd,
-    /// A thread of a play panicked.
-    #[error("{owner}'s thread ended badly")]
+    /// A thread of a trial panicked.
+    #[error("the {owner} thread panicked")]
     ThreadFailed {
-        /// Whose thread it was.
+        /// The part of the trial that the thread ran.
         owner: &'static str,
     },
-    /// One of several that ran at the same time panicked.
-    #[error("a {what} panicked")]
+    /// One of several threads of the same kind panicked.
+    #[error("a {what} thread panicked")]
     Panicked {
-        /// What it was.
+        /// What the thread ran.
         what: &'static str,
     },
 
-    /// Something that a measurement waits for has not come about.
-    #[error("{what}: not within {limit:?}")]
+    /// A condition that a measurement waits for did not hold in time.
+    #[error("timed out after {limit:?}: {what}")]
     TimedOut {
-        /// What was waited for.
+        /// The condition.
         what: String,
-        /// How long.
+        /// How long the measurement waited.
         limit: Duration,
     },
-    /// Something that a measurement needs is not there.
-    #[error("no {0}")]
+    /// Something that a measurement needs is missing.
+    #[error("missing {0}")]
     Missing(&'static str),
-    /// `fleetctl` ended without success.
-    #[error("fleetctl {arguments} ended with {status}: {message}")]
+    /// `fleetctl` failed.
+    #[error("fleetctl {arguments} failed with {status}: {message}")]
     Fleetctl {
-        /// Its arguments, without those that name the fleet.
+        /// Its arguments, without those that identify the fleet.
         arguments: String,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
-        /// What it printed on stderr.
+        /// Its output on stderr.
         message: String,
     },
-    /// A coordinator closed a link that is needed.
+    /// A coordinator closed a link that the measurement needs.
     #[error("the coordinator closed the link")]
     LinkClosed,
-    /// Sessions were not all established in time.
-    #[error("{count} sessions did not come up")]
+    /// Not all sessions were established in time.
+    #[error("{count} sessions were not all established in time")]
     SessionsNotEstablished {
-        /// How many were wanted.
+        /// The number of sessions.
         count: usize,
     },
-    /// The log of the tasks' calls shows that a guarantee was broken.
+    /// The log of the tasks' calls shows that guarantees were violated.
     #[error("{}", .0.join("; "))]
     GuaranteeBroken(Vec<String>),
 }
 
 impl From<ConfigError> for TestbedError {
-    fn from(fault: ConfigError) -> TestbedError {
-        TestbedError::Config(Box::new(fault))
+    fn from(error: ConfigError) -> TestbedError {
+        TestbedError::Config(Box::new(error))
     }
 }
 
 impl TestbedError {
-    /// For `map_err`: names the file or folder that the system's error is about.
+    /// For `map_err`: adds the file or folder to an operating-system error.
     pub fn file(path: &Path) -> impl Fn(io::Error) -> TestbedError + '_ {
         |source| TestbedError::File { path: path.to_owned(), source }
     }
 
-    /// For `map_err`: names the stand-in or process that the system's error is about.
+    /// For `map_err`: adds the simulated peer or process to an operating-system error.
     pub fn component(component: &str) -> impl Fn(io::Error) -> TestbedError + '_ {
         |source| TestbedError::Component { component: component.to_owned(), source }
     }
 
-    /// For `map_err`: names the address that was called.
+    /// For `map_err`: adds the peer's address to an operating-system error.
     pub fn peer(address: SocketAddr) -> impl Fn(io::Error) -> TestbedError {
         move |source| TestbedError::Peer { address, source }
     }
--- a/testbed/src/error/tests.rs
+++ b/testbed/src/error/tests.rs
@@ -5,49 +5,49 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::Error::from_raw_os_error(2)
 }
 
 #[test]
 fn system_errors_name_their_subject() {
-    let file = TestbedError::file(Path::new("/nowhere/fleet.json"))(missing());
+    let file = TestbedError::file(Path::new("/nowhere/fleet.json"))(not_found());
     assert_eq!(file.to_string(), "/nowhere/fleet.json: No such file or directory (os error 2)");
-    let component = TestbedError::component("relay")(missing());
+    let component = TestbedError::component("relay")(not_found());
     assert_eq!(component.to_string(), "relay: No such file or directory (os error 2)");
-    let peer = TestbedError::peer(([127, 0, 0, 1], 9).into())(missing());
+    let peer = TestbedError::peer(([127, 0, 0, 1], 9).into())(not_found());
     assert_eq!(peer.to_string(), "127.0.0.1:9: No such file or directory (os error 2)");
-    assert_eq!(TestbedError::from(missing()).to_string(), "No such file or directory (os error 2)");
+    assert_eq!(TestbedError::from(not_found()).to_string(), "No such file or directory (os error 2)");
 }
 
 #[test]
-fn fleet_error_lines_are_unchanged() {
+fn each_fleet_error_displays_as_its_line() {
     let name = || "w1".to_owned();
     let lines = [
-        (TestbedError::UnknownProcess { name: name() }, "there is no w1"),
-        (TestbedError::NotRunning { name: name() }, "w1 does not run"),
-        (TestbedError::Running { name: name() }, "w1 runs"),
-        (TestbedError::DidNotEnd { name: name() }, "w1 did not end"),
-        (TestbedError::DidNotStart { name: name() }, "w1 did not come up"),
-        (TestbedError::NoAddress { name: name(), found: "x".to_owned() }, "w1 says \"x\""),
-        (TestbedError::SuccessorNotReady { name: name() }, "w1: its successor did not get ready"),
-        (TestbedError::NoLink { from: name(), to: "c1".to_owned() }, "there is no link from w1 to c1"),
+        (TestbedError::UnknownProcess { name: name() }, "unknown process: w1"),
+        (TestbedError::NotRunning { name: name() }, "w1 is not running"),
+        (TestbedError::Running { name: name() }, "w1 is running; stop it first"),
+        (TestbedError::DidNotEnd { name: name() }, "w1 did not exit after SIGTERM"),
+        (TestbedError::DidNotStart { name: name() }, "w1 did not announce its address in time"),
         (
-            TestbedError::NotConnected { from: name(), to: "w2".to_owned() },
-            "w1 and w2 do not speak to each other",
+            TestbedError::NoAddress { name: name(), found: "x".to_owned() },
+            "w1 announced an invalid address: \"x\"",
         ),
-        (TestbedError::UnknownFault { words: "melt w1".to_owned() }, "melt w1: not a fault"),
+        (TestbedError::SuccessorNotReady { name: name() }, "w1: the successor did not become ready in time"),
+        (TestbedError::NoLink { from: name(), to: "c1".to_owned() }, "no link from w1 to c1"),
+        (TestbedError::NotConnected { from: name(), to: "w2".to_owned() }, "no link between w1 and w2"),
+        (TestbedError::UnknownFault { words: "melt w1".to_owned() }, "unknown fault: melt w1"),
         (
             TestbedError::NotBuilt { program: PathBuf::from("t/port-worker") },
             "t/port-worker: not built; run cargo build --workspace",
         ),
         (
             TestbedError::TimedOut { what: "a leader".to_owned(), limit: Duration::from_secs(30) },
-            "a leader: not within 30s",
+            "timed out after 30s: a leader",
         ),
-        (TestbedError::Missing("leader"), "no leader"),
-        (TestbedError::ThreadFailed { owner: "the console" }, "the console's thread ended badly"),
-        (TestbedError::Panicked { what: "lane" }, "a lane panicked"),
+        (TestbedError::Missing("leader"), "missing leader"),
+        (TestbedError::ThreadFailed { owner: "console" }, "the console thread panicked"),
+        (TestbedError::Panicked { what: "lane" }, "a lane thread panicked"),
         (TestbedError::GuaranteeBroken(vec!["a".to_owned(), "b".to_owned()]), "a; b"),
     ];
     for (error, line) in lines {
--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -1,27 +1,29 @@
-//! A model of the executor: runs share cores, slow each other beyond a number, slow down for a while, warm up, and wait for calls.
+//! A model of the executor: runs share cores, slow each other down beyond a concurrency, and wait for downstream calls;
+//! the executor warms up after its start and may be slower for a while.
 
 use crate::experiment::{ExecutorModel, Slowdown};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a request asks of the executor; callers write it into its body.
+/// The work that a request asks of the executor; callers encode it in the body.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
-    /// Core seconds at full speed before the call and after it.
+    /// Work before the downstream call (core seconds at full speed).
     pub before_s: f64,
-    /// Core seconds after the call; all of it is one run where there is no call.
+    /// Work after the downstream call (core seconds at full speed); without a call, both parts are done without a
+    /// break.
     pub after_s: f64,
     /// Whether the run makes a downstream call.
     pub makes_call: bool,
 }
 
 impl Work {
-    /// The body of a request that asks for this work.
+    /// Encodes the work as the body of a request.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         format!("{:.6} {:.6} {}", self.before_s, self.after_s, u8::from(self.makes_call)).into_bytes()
     }
 
-    /// Reads a body back; one that is none is no work at all.
+    /// Decodes a body; numbers that are missing or malformed are 0.
     #[must_use]
     pub fn decode(body: &[u8]) -> Work {
         let text = String::from_utf8_lossy(body);
@@ -31,35 +33,37 @@
     }
 }
 
-/// What the executor reports.
+/// A notice from the executor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// A run has ended.
     RunEnded {
-        /// The run.
+        /// The run's name.
         run: String,
-        /// Its downstream call was skipped.
+        /// Whether its downstream call was skipped.
         degraded: bool,
     },
-    /// A run waits for its downstream call.
+    /// A run requests its downstream call and waits for it.
     CallRequested {
-        /// The run.
+        /// The run's name.
         run: String,
     },
 }
 
-/// The core seconds that an executor had spent at a time, for the gauge of busy cores.
+/// A reading of the core seconds that an executor has spent, from which the gauge of busy cores is computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BusyReading {
-    /// The time (seconds).
+    /// When it was read (seconds).
     pub at: f64,
-    /// Core seconds spent until then.
+    /// Core seconds spent by that time.
     pub busy_s: f64,
 }
 
 #[derive(Clone, Debug)]
 struct Run {
+    /// Work left until the run's end or its downstream call (core seconds).
     left_s: f64,
+    /// Work after the downstream call, if the run still has to make one.
     after_s: Option<f64>,
     degraded: bool,
 }
@@ -67,59 +71,60 @@
 /// The executor of one worker.
 pub struct Executor {
     model: ExecutorModel,
-    slows: Vec<Slowdown>,
+    slowdowns: Vec<Slowdown>,
     now: f64,
-    /// On the cores, and standing at calls.
+    /// Runs that execute.
     runs: BTreeMap<String, Run>,
-    at_calls: BTreeMap<String, Run>,
-    /// Whatever was started once is never started again.
-    begun: BTreeSet<String>,
+    /// Runs that wait for their downstream call.
+    waiting: BTreeMap<String, Run>,
+    /// All runs that were ever started: none is started twice.
+    started: BTreeSet<String>,
     busy_s: f64,
-    /// Time integral of the runs on the cores, by whole tenths of a second.
-    tenths: Vec<f64>,
-    /// The most runs that were on the cores at once.
-    pub most_on_cores: usize,
+    /// Time integral of the number of running runs in each tenth of a second.
+    run_seconds: Vec<f64>,
+    /// The maximum number of runs that executed at the same time.
+    pub peak_running: usize,
 }
 
 impl Executor {
-    /// An executor at rest; `slows` are the times at which its cores are slower.
+    /// Creates an idle executor; `slowdowns` are the periods in which its cores are slower.
     #[must_use]
-    pub fn new(model: ExecutorModel, slows: Vec<Slowdown>) -> Executor {
+    pub fn new(model: ExecutorModel, slowdowns: Vec<Slowdown>) -> Executor {
         Executor {
             model,
-            slows,
+            slowdowns,
             now: 0.0,
             runs: BTreeMap::new(),
-            at_calls: BTreeMap::new(),
-            begun: BTreeSet::new(),
+            waiting: BTreeMap::new(),
+            started: BTreeSet::new(),
             busy_s: 0.0,
-            tenths: Vec::new(),
-            most_on_cores: 0,
+            run_seconds: Vec::new(),
+            peak_running: 0,
         }
     }
 
-    /// Runs on the cores.
+    /// The number of runs that execute, without those that wait for a downstream call.
     #[must_use]
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// Core seconds spent so far, for the gauge.
+    /// Core seconds spent so far.
     #[must_use]
     pub fn busy_s(&self) -> f64 {
         self.busy_s
     }
 
-    /// Speed of a core at a time, against full speed, crowding apart.
+    /// A core's speed at a time, relative to full speed, without the effect of concurrency.
     fn speed(&self, at: f64) -> f64 {
         let m = &self.model;
         let warmth =
             if m.cold_s > 0.0 { (m.cold_from + (1.0 - m.cold_from) * at / m.cold_s).min(1.0) } else { 1.0 };
-        let slow = self.slows.iter().find(|s| (s.at_s..s.at_s + s.for_s).contains(&at));
+        let slow = self.slowdowns.iter().find(|s| (s.at_s..s.at_s + s.for_s).contains(&at));
         m.speed * warmth / slow.map_or(1.0, |s| s.factor)
     }
 
-    /// Work done a second by each run: cores are shared evenly, and past the knee concurrency costs throughput.
+    /// Work that each run does per second: cores are shared evenly, and beyond the knee concurrency reduces throughput.
     fn rate(&self, at: f64) -> f64 {
         let (n, cores) = (self.runs.len() as f64, f64::from(self.model.cores));
         if n == 0.0 {
@@ -129,79 +134,82 @@
         self.speed(at) * (cores / n).min(1.0) / (1.0 + self.model.thrash * excess)
     }
 
-    /// Plays up to a time; what comes to an end or to a call on the way is told in order.
+    /// Advances the model to a time; returns the notices on the way with their times, in order.
     pub fn advance(&mut self, to: f64) -> Vec<(f64, Notice)> {
-        let mut out = Vec::new();
-        // Small steps, since speeds change with time; a run's end is met exactly within its step.
+        let mut notices = Vec::new();
+        // Steps of at most 10 ms, since speeds change with time; a step ends early where a run ends or requests its
+        // call.
         while self.now < to {
             let rate = self.rate(self.now);
-            let least = self.runs.values().map(|r| r.left_s).fold(f64::INFINITY, f64::min);
-            let end = if rate > 0.0 { self.now + least / rate } else { f64::INFINITY };
+            let min_left_s = self.runs.values().map(|r| r.left_s).fold(f64::INFINITY, f64::min);
+            let end = if rate > 0.0 { self.now + min_left_s / rate } else { f64::INFINITY };
             let step = (end - self.now).clamp(1e-7, 0.01).min(to - self.now);
             self.now += step;
-            let n = self.runs.len();
-            self.busy_s += step * (n as f64).min(f64::from(self.model.cores));
+            let running = self.runs.len();
+            self.busy_s += step * (running as f64).min(f64::from(self.model.cores));
             let tenth = (self.now * 10.0) as usize;
-            if self.tenths.len() <= tenth {
-                self.tenths.resize(tenth + 1, 0.0);
+            if self.run_seconds.len() <= tenth {
+                self.run_seconds.resize(tenth + 1, 0.0);
             }
-            self.tenths[tenth] += n as f64 * step;
+            self.run_seconds[tenth] += running as f64 * step;
             self.runs.values_mut().for_each(|r| r.left_s -= rate * step);
-            let done: Vec<String> =
+            let finished: Vec<String> =
                 self.runs.iter().filter(|(_, r)| r.left_s <= 1e-9).map(|(id, _)| id.clone()).collect();
-            for id in done {
+            for id in finished {
                 let Some(run) = self.runs.remove(&id) else { continue };
                 if run.after_s.is_some() {
-                    self.at_calls.insert(id.clone(), run);
-                    out.push((self.now, Notice::CallRequested { run: id }));
+                    self.waiting.insert(id.clone(), run);
+                    notices.push((self.now, Notice::CallRequested { run: id }));
                 } else {
-                    out.push((self.now, Notice::RunEnded { run: id, degraded: run.degraded }));
+                    notices.push((self.now, Notice::RunEnded { run: id, degraded: run.degraded }));
                 }
             }
         }
-        out
+        notices
     }
 
-    /// When the next notice may come, if no command comes before.
+    /// The earliest time of the next notice, unless a command changes the runs before.
     #[must_use]
     pub fn next_notice_at(&self) -> Option<f64> {
         let rate = self.rate(self.now);
-        let least = self.runs.values().map(|r| r.left_s).fold(f64::INFINITY, f64::min);
-        (rate > 0.0 && least.is_finite()).then(|| self.now + (least / rate).max(1e-6))
+        let min_left_s = self.runs.values().map(|r| r.left_s).fold(f64::INFINITY, f64::min);
+        (rate > 0.0 && min_left_s.is_finite()).then(|| self.now + (min_left_s / rate).max(1e-6))
     }
 
-    /// Starts a run; `false` for one that has begun before.
+    /// Starts a run; `false` if it was started before.
     pub fn start(&mut self, id: &str, work: Work) -> bool {
-        if !self.begun.insert(id.to_owned()) {
+        if !self.started.insert(id.to_owned()) {
             return false;
         }
         let after_s = work.makes_call.then_some(work.after_s);
         let left_s = if work.makes_call { work.before_s } else { work.before_s + work.after_s };
         self.runs.insert(id.to_owned(), Run { left_s: left_s.max(1e-6), after_s, degraded: false });
-        self.most_on_cores = self.most_on_cores.max(self.runs.len());
+        self.peak_running = self.peak_running.max(self.runs.len());
         true
     }
 
-    /// The call that a run waits for is over, or is skipped; `false` for a run that waits for none.
+    /// Resumes a run after its downstream call, or without it if it is `skipped`; `false` if the run does not wait for
+    /// one.
     pub fn resume(&mut self, id: &str, skipped: bool) -> bool {
-        let Some(mut run) = self.at_calls.remove(id) else { return false };
+        let Some(mut run) = self.waiting.remove(id) else { return false };
         run.left_s = run.after_s.take().unwrap_or(0.0).max(1e-6);
         run.degraded = skipped;
         self.runs.insert(id.to_owned(), run);
-        self.most_on_cores = self.most_on_cores.max(self.runs.len());
+        self.peak_running = self.peak_running.max(self.runs.len());
         true
     }
 
-    /// A run that stands at a call is ended, as its request is over; `false` for one that does not.
+    /// Ends a run that waits for its downstream call, because its request has ended; `false` if it does not wait for
+    /// one.
     pub fn abort_waiting(&mut self, id: &str) -> bool {
-        self.at_calls.remove(id).is_some()
+        self.waiting.remove(id).is_some()
     }
 
-    /// The highest mean of runs on the cores over this time, for each core.
+    /// The highest mean number of running runs per core over any window of this length.
     #[must_use]
-    pub fn peak_mean_concurrency(&self, over_s: f64) -> f64 {
-        let n = ((over_s * 10.0) as usize).max(1);
-        let windows = self.tenths.windows(n.min(self.tenths.len().max(1)));
-        windows.map(|w| w.iter().sum::<f64>() / over_s).fold(0.0, f64::max) / f64::from(self.model.cores)
+    pub fn peak_mean_concurrency(&self, length_s: f64) -> f64 {
+        let n = ((length_s * 10.0) as usize).max(1);
+        let windows = self.run_seconds.windows(n.min(self.run_seconds.len().max(1)));
+        windows.map(|w| w.iter().sum::<f64>() / length_s).fold(0.0, f64::max) / f64::from(self.model.cores)
     }
 }
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment, as its TOML file has it: a worker's world, the load on it, variants to compare, and what must hold.
+//! The experiment file (TOML): a worker's environment, the load on it, the variants to compare, and the expectations.
 
 use crate::error::{ExperimentError, TestbedError};
 use crate::floods::Flood;
@@ -12,11 +12,11 @@
 pub struct Experiment {
     /// Its name.
     pub name: String,
-    /// Each seed is played with each variant.
+    /// Each variant is run with each seed.
     pub seeds: Vec<u64>,
     /// How long requests arrive (seconds).
     pub length_s: f64,
-    /// What callers ask for in the mean, jumps apart, as a share of what the cores can do.
+    /// The mean load that requests ask for, without rate steps, as a share of the cores' capacity.
     pub load: f64,
     /// The executor.
     pub executor: ExecutorModel,
@@ -27,74 +27,77 @@
     pub callers: CallersModel,
     /// The classes of requests.
     pub class: Vec<ClassModel>,
-    /// Steps of the rate of all classes.
+    /// Steps of the arrival rate of all classes.
     #[serde(default)]
     pub jump: Vec<RateStep>,
-    /// Times at which the executor is slower.
+    /// Periods in which the executor is slower.
     #[serde(default)]
     pub slow: Vec<Slowdown>,
-    /// Times at which the records service answers nothing; `times` is not used.
+    /// Periods in which the records service answers nothing; their `factor` is not used.
     #[serde(default)]
     pub stall: Vec<Slowdown>,
     /// The variants that are compared.
     pub variant: Vec<Variant>,
-    /// What must hold.
+    /// The expectations that the results must meet.
     #[serde(default)]
-    pub expect: Vec<Expect>,
+    pub expect: Vec<Expectation>,
 }
 
-/// The executor of an experiment.
+/// The model of an experiment's executor.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExecutorModel {
-    /// How many cores it has.
+    /// The number of cores.
     pub cores: u32,
-    /// Speed of each core.
+    /// The speed of a core; at 1, it does a core second of work in a second.
     #[serde(default = "one")]
     pub speed: f64,
-    /// Runs a core past which concurrency costs throughput.
+    /// Concurrent runs per core beyond which concurrency reduces throughput.
     #[serde(default = "knee")]
     pub knee: f64,
-    /// How much throughput is lost for each such multiple.
+    /// How strongly throughput falls: with an excess of x times the knee's concurrency it is divided by 1 + `thrash` x.
     #[serde(default = "thrash")]
     pub thrash: f64,
-    /// A cold executor starts at this share of its speed.
+    /// The share of its speed at which a cold executor starts.
     #[serde(default)]
     pub cold_from: f64,
-    /// It is warm after this time (seconds); 0 for a warm one.
+    /// How long the executor takes to warm up (seconds); 0 if it starts warm.
     #[serde(default)]
     pub cold_s: f64,
-    /// Memory for held and running requests.
+    /// The memory for queued and running requests (kilobytes).
     #[serde(default = "heap_kb")]
     pub heap_kb: f64,
 }
 
-/// The records service of an experiment.
+/// The model of an experiment's records service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordsModel {
-    /// Calls that it handles at once without slowing.
+    /// Concurrent calls that it handles at full speed.
     pub slots: usize,
     /// How long a call takes (milliseconds).
     pub call_ms: f64,
-    /// Each call beyond the slots, as a share of them, makes calls longer by this much.
+    /// How strongly calls slow down beyond the slots: with an excess of x times the slots a call takes 1 + `thrash` x
+    /// times as long.
     #[serde(default = "thrash")]
     pub thrash: f64,
 }
 
-/// The clients of an experiment.
+/// The model of an experiment's clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallersModel {
-    /// Retries of a client at most.
-    pub retries: u32,
-    /// The least pause before a retry (milliseconds).
-    pub pause_ms: f64,
+    /// The maximum number of retries of a request.
+    #[serde(rename = "retries")]
+    pub max_retries: u32,
+    /// The minimum pause before a retry (milliseconds).
+    #[serde(rename = "pause_ms")]
+    pub min_pause_ms: f64,
 }
 
 impl Default for CallersModel {
     fn default() -> Self {
-        CallersModel { retries: 1, pause_ms: 50.0 }
+        CallersModel { max_retries: 1, min_pause_ms: 50.0 }
     }
 }
 
@@ -113,31 +116,31 @@
     /// Its latency objective (milliseconds).
     #[serde(rename = "aim_ms")]
     pub objective_ms: f64,
-    /// How long a client waits (milliseconds).
+    /// The deadline of a request (milliseconds).
     pub deadline_ms: f64,
-    /// What a request is worth when it is served within the objective.
+    /// The worth of a request that is served within the latency objective.
     pub worth: f64,
-    /// The share of the worth when it is served later.
+    /// The share of the worth that remains if the request is served later.
     #[serde(default)]
     pub late_worth: f64,
-    /// Its requests carry idempotency keys.
+    /// Whether its requests carry idempotency keys.
     #[serde(default)]
     pub keyed: bool,
-    /// The chance that a run makes a downstream call.
+    /// The probability that a run makes a downstream call.
     #[serde(rename = "calls", default)]
     pub call_probability: f64,
-    /// The share of the worth without the call; 0 forbids skipping it.
+    /// The share of the worth that remains if the downstream call is skipped; 0 forbids skipping it.
     #[serde(default)]
     pub skip_worth: f64,
     /// The memory that a request declares (kilobytes).
     #[serde(rename = "need_kb", default = "need_kb")]
     pub memory_kb: f64,
-    /// Steps of this class's rate alone.
+    /// Steps of the arrival rate of this class alone.
     #[serde(default)]
     pub jump: Vec<RateStep>,
 }
 
-/// A step of a rate.
+/// A period in which an arrival rate is multiplied by a factor.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RateStep {
@@ -145,12 +148,12 @@
     pub at_s: f64,
     /// How long it lasts (seconds).
     pub for_s: f64,
-    /// By how many times the rate is higher.
+    /// The factor of the rate.
     #[serde(rename = "times")]
     pub factor: f64,
 }
 
-/// A time of slowness.
+/// A period in which a service is slower.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slowdown {
@@ -158,7 +161,7 @@
     pub at_s: f64,
     /// How long it lasts (seconds).
     pub for_s: f64,
-    /// By how many times everything is slower.
+    /// The factor by which it is slower.
     #[serde(rename = "times", default = "one")]
     pub factor: f64,
 }
@@ -169,43 +172,46 @@
 pub struct Variant {
     /// Its name.
     pub name: String,
-    /// The operator's file, as text; none for a worker without one.
+    /// The text of the operator's file; empty for a worker without one.
     #[serde(default)]
     pub operator: String,
-    /// Another build of the worker, for loopback; the one that the command names where left out.
+    /// On loopback: the program of another build of the worker, instead of the one that the command names.
     pub worker: Option<PathBuf>,
-    /// On loopback: callers speak HTTP/2 with so many streams a connection, to the `[http2]` of the operator's file.
+    /// On loopback: callers use the HTTP/2 frontend (`[http2]` in the operator's file), with this many streams per
+    /// connection.
     pub http2_streams: Option<usize>,
-    /// On loopback: operators read the metrics this often (milliseconds).
+    /// On loopback: the console's metrics are read at this interval (milliseconds).
     #[serde(rename = "console_every_ms")]
     pub console_interval_ms: Option<f64>,
-    /// So many idle connections stand at the console meanwhile.
+    /// The number of connections with unfinished requests that are held open to the console meanwhile.
     #[serde(rename = "console_holders", default)]
     pub held_console_connections: usize,
-    /// On loopback: a flood on the `[http2]` of the operator's file.
+    /// On loopback: a flood on the HTTP/2 frontend (`[http2]` in the operator's file).
     pub flood: Option<Flood>,
-    /// The connections of the flood.
-    #[serde(default = "flooders")]
+    /// The number of the flood's connections.
+    #[serde(default = "flood_connections")]
     pub flood_connections: usize,
 }
 
-/// A bound that must hold for a variant's mean over all seeds.
+/// A bound on a metric's mean over all seeds of a variant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Expect {
-    /// The variant.
+pub struct Expectation {
+    /// The name of the variant.
     pub variant: String,
     /// One of [`METRICS`].
     pub metric: String,
-    /// The class, for a metric of classes; all where left out.
+    /// The class, for a metric of classes; all classes if it is left out.
     pub class: Option<String>,
-    /// The metric is divided by the same one of this variant, seed by seed.
+    /// The variant by whose value the metric is divided, seed by seed.
     #[serde(rename = "against")]
     pub baseline: Option<String>,
-    /// The mean must be at least this.
-    pub least: Option<f64>,
-    /// The mean must be at most this.
-    pub most: Option<f64>,
+    /// The minimum of the mean.
+    #[serde(rename = "least")]
+    pub min: Option<f64>,
+    /// The maximum of the mean.
+    #[serde(rename = "most")]
+    pub max: Option<f64>,
 }
 
 fn one() -> f64 {
@@ -224,7 +230,7 @@
     60_000.0
 }
 
-fn flooders() -> usize {
+fn flood_connections() -> usize {
     4
 }
 
@@ -232,7 +238,7 @@
     24.0
 }
 
-/// What `[[expect]]` may name.
+/// The metrics that `[[expect]]` may name.
 pub const METRICS: [&str; 15] = [
     "in_aim",
     "refused",
@@ -252,20 +258,20 @@
 ];
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// The file can't be read, or [`Experiment::decode`] fails; the error is one line that names the file.
+    /// Fails if the file can't be read or [`Experiment::decode`] fails. The error names the file and displays as one line.
     pub fn read(path: &Path) -> Result<Experiment, TestbedError> {
         let text = std::fs::read_to_string(path).map_err(TestbedError::file(path))?;
         Experiment::decode(&text)
             .map_err(|source| TestbedError::ExperimentFile { path: path.to_owned(), source })
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
-    /// A line is no TOML, a key is unknown, or a value is out of range.
+    /// Fails if the text is not TOML, a key is unknown, or a value is out of range.
     pub fn decode(text: &str) -> Result<Experiment, ExperimentError> {
         let e: Experiment = toml::from_str(text).map_err(|source: toml::de::Error| {
             let at = source.span().map_or(0, |s| s.start.min(text.len()));
@@ -306,7 +312,7 @@
             positive("slow.times".into(), s.factor)?;
         }
         if e.seeds.is_empty() || e.variant.is_empty() || e.class.is_empty() {
-            return Err(ExperimentError::NothingToPlay);
+            return Err(ExperimentError::NothingToRun);
         }
         let variant = |name: &String| e.variant.iter().any(|v| v.name == *name);
         for x in &e.expect {
@@ -321,28 +327,28 @@
             if let Some(c) = x.class.as_ref().filter(|c| !e.class.iter().any(|k| k.name == **c)) {
                 return Err(ExperimentError::UnknownClass { found: c.clone() });
             }
-            if x.least.is_none() && x.most.is_none() {
+            if x.min.is_none() && x.max.is_none() {
                 return Err(ExperimentError::NoBound { metric: x.metric.clone() });
             }
         }
         Ok(e)
     }
 
-    /// Core seconds of a request in the mean.
+    /// The mean work of a request (core seconds).
     #[must_use]
     pub fn mean_work_s(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|c| c.share).sum();
         self.class.iter().map(|c| c.share * c.work_ms / 1000.0).sum::<f64>() / shares
     }
 
-    /// Requests a second, for shares that add up to 1.
+    /// Requests per second for each unit of share: a class arrives at its share times this.
     #[must_use]
     pub fn rate_per_s(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|c| c.share).sum();
         self.load * f64::from(self.executor.cores) * self.executor.speed / self.mean_work_s() / shares
     }
 
-    /// The worker's configuration, for peers at these addresses.
+    /// The worker's configuration with these addresses of its peers.
     #[must_use]
     pub fn config(&self, listen: &str, executor: &str, records: &str, registry: &str) -> Value {
         let list = |of: &dyn Fn(&ClassModel) -> Value| self.class.iter().map(of).collect::<Vec<_>>();
--- a/testbed/src/floods.rs
+++ b/testbed/src/floods.rs
@@ -1,5 +1,6 @@
-//! Clients that misuse HTTP/2 while an experiment runs: frames without end that ask for nothing, or connections that say
-//! nothing. Each floods for the length of the play, on so many connections, and opens a new one for each that is closed.
+//! Clients that attack the HTTP/2 frontend during a trial: they send endless frames that request nothing, or hold
+//! silent connections. A flood keeps a given number of connections until the trial ends, and replaces each that is
+//! closed.
 
 use serde::Deserialize;
 use std::io::{ErrorKind, Read, Write};
@@ -9,15 +10,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Before a closed connection is opened anew.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a flooder waits for room to write before it looks whether the play is over.
-const WRITE_TIMEOUT: Duration = Duration::from_millis(20);
-/// An indexed field (RFC 7541, section 6.1): the first entry of the connection's own table.
-const FIRST_OWN_ENTRY: u8 = 0x80 + 62;
-/// Bytes that are written at a time.
-const PIECE: usize = 16 * 1024;
-/// Bytes that are read at a time.
+/// How long to wait before a closed connection is replaced.
+const RECONNECT_DELAY: Duration = Duration::from_millis(10);
+/// The time-out of a blocked write or, on a silent connection, of a read, after which the stop flag is checked again.
+const IO_TIMEOUT: Duration = Duration::from_millis(20);
+/// An indexed field (RFC 7541, section 6.1): the first entry of the connection's dynamic table.
+const FIRST_DYNAMIC_ENTRY: u8 = 0x80 + 62;
+/// The approximate number of bytes in a write, and the largest payload of a frame.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// The size of the read buffer.
 const READ_BYTES: usize = 64 * 1024;
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
@@ -33,19 +34,19 @@
 const END_STREAM: u8 = 1;
 const END_HEADERS: u8 = 4;
 
-/// What is sent without end.
+/// The kind of a flood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Flood {
-    /// Streams that are opened and reset.
+    /// Streams that are opened and reset at once.
     Resets,
     /// SETTINGS frames.
     Settings,
     /// PING frames.
     Pings,
-    /// Pings whose answers are never read.
+    /// PING frames whose acknowledgements are never read.
     UnreadPings,
-    /// DATA without a byte, on one stream that never ends.
+    /// Empty DATA frames on one stream that never ends.
     EmptyData,
     /// PRIORITY frames.
     Priorities,
@@ -53,92 +54,94 @@
     WindowUpdates,
     /// One header block that never ends.
     Continuations,
-    /// Header blocks of 16 KB that unpack to 60 MB (RFC 7541, section 7.3).
+    /// Header blocks of 16 KB that decompress to 60 MB (RFC 7541, section 7.3).
     HeaderBombs,
     /// Header lists of 1 MB.
     LongHeaders,
-    /// Checks whose answers the windows never let out.
-    ShutWindows,
-    /// Connections that say nothing, or the preface alone.
-    Silence,
+    /// Health checks on streams whose flow-control windows are 0, so that their responses can never be sent.
+    #[serde(rename = "shut-windows")]
+    ZeroWindows,
+    /// Connections that send nothing, or the connection preface alone.
+    #[serde(rename = "silence")]
+    SilentConnections,
 }
 
-/// What a flood came to.
+/// The totals of a flood.
 #[derive(Clone, Debug, Default)]
-pub struct Flooded {
+pub struct FloodResult {
     /// Connections that were opened.
     pub connections: u64,
     /// Bytes that were written.
     pub bytes: u64,
-    /// Connections that the worker ended.
-    pub ended: u64,
+    /// Connections that the worker closed.
+    pub closed_by_worker: u64,
 }
 
-/// Floods an address until the play is over.
+/// Starts a thread for each connection of a flood; each runs until `stop` is set.
 pub fn start(
     flood: Flood,
     connections: usize,
-    to: SocketAddr,
-    over: &Arc<AtomicBool>,
-) -> Vec<thread::JoinHandle<Flooded>> {
-    let one = |number: usize| {
-        let over = over.clone();
+    address: SocketAddr,
+    stop: &Arc<AtomicBool>,
+) -> Vec<thread::JoinHandle<FloodResult>> {
+    let start_one = |number: usize| {
+        let stop = stop.clone();
         let body = move || {
-            let mut came_to = Flooded::default();
-            while !over.load(Ordering::Relaxed) {
-                if let Ok(stream) = TcpStream::connect(to) {
-                    came_to.connections += 1;
-                    let ended = Flooder {
+            let mut result = FloodResult::default();
+            while !stop.load(Ordering::Relaxed) {
+                if let Ok(stream) = TcpStream::connect(address) {
+                    result.connections += 1;
+                    let ended = FloodConnection {
                         stream,
-                        over: &over,
-                        bytes: &mut came_to.bytes,
-                        unread: vec![0; READ_BYTES],
+                        stop: &stop,
+                        bytes_written: &mut result.bytes,
+                        read_buffer: vec![0; READ_BYTES],
                     }
                     .run(flood, number);
-                    came_to.ended += u64::from(ended.is_err());
+                    result.closed_by_worker += u64::from(ended.is_err());
                 }
-                thread::sleep(RECONNECT_PAUSE);
+                thread::sleep(RECONNECT_DELAY);
             }
-            came_to
+            result
         };
         thread::Builder::new().stack_size(256 * 1024).spawn(body)
     };
-    (0..connections).filter_map(|number| one(number).ok()).collect()
+    (0..connections).filter_map(|number| start_one(number).ok()).collect()
 }
 
-struct Flooder<'a> {
+struct FloodConnection<'a> {
     stream: TcpStream,
-    over: &'a AtomicBool,
-    bytes: &'a mut u64,
-    /// Where what the worker sends goes.
-    unread: Vec<u8>,
+    stop: &'a AtomicBool,
+    bytes_written: &'a mut u64,
+    /// Receives what the worker sends; it is discarded.
+    read_buffer: Vec<u8>,
 }
 
-impl Flooder<'_> {
-    /// `Ok` when the play is over, an error when the worker has closed the connection.
+impl FloodConnection<'_> {
+    /// Returns `Ok` once `stop` is set, and an error if the worker closes the connection.
     fn run(&mut self, flood: Flood, number: usize) -> std::io::Result<()> {
         self.stream.set_nodelay(true)?;
-        self.stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
-        self.stream.set_read_timeout(Some(WRITE_TIMEOUT))?;
-        if flood == Flood::Silence {
+        self.stream.set_write_timeout(Some(IO_TIMEOUT))?;
+        self.stream.set_read_timeout(Some(IO_TIMEOUT))?;
+        if flood == Flood::SilentConnections {
             if number % 2 == 0 {
-                self.write(&hello(0xffff))?;
+                self.write(&connection_preface(0xffff))?;
             }
             loop {
                 self.read_once()?;
-                if self.over.load(Ordering::Relaxed) {
+                if self.stop.load(Ordering::Relaxed) {
                     return Ok(());
                 }
             }
         }
-        self.write(&hello(if flood == Flood::ShutWindows { 0 } else { 0xffff }))?;
-        self.write(&prelude(flood))?;
+        self.write(&connection_preface(if flood == Flood::ZeroWindows { 0 } else { 0xffff }))?;
+        self.write(&opening_frames(flood))?;
         self.stream.set_read_timeout(Some(Duration::from_micros(1)))?;
-        for piece in 0.. {
-            if self.over.load(Ordering::Relaxed) {
+        for index in 0.. {
+            if self.stop.load(Ordering::Relaxed) {
                 return Ok(());
             }
-            self.write(&frames(flood, piece))?;
+            self.write(&next_chunk(flood, index))?;
             if flood != Flood::UnreadPings {
                 self.read_once()?;
             }
@@ -147,10 +150,10 @@
     }
 
     fn write(&mut self, mut bytes: &[u8]) -> std::io::Result<()> {
-        while !bytes.is_empty() && !self.over.load(Ordering::Relaxed) {
+        while !bytes.is_empty() && !self.stop.load(Ordering::Relaxed) {
             match self.stream.write(bytes) {
                 Ok(n) => {
-                    *self.bytes += n as u64;
+                    *self.bytes_written += n as u64;
                     bytes = &bytes[n..];
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -160,9 +163,9 @@
         Ok(())
     }
 
-    /// Drops what the worker has sent.
+    /// Reads once and discards what the worker has sent.
     fn read_once(&mut self) -> std::io::Result<()> {
-        match self.stream.read(&mut self.unread) {
+        match self.stream.read(&mut self.read_buffer) {
             Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => Ok(()),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(()),
@@ -176,17 +179,17 @@
     [length, &[kind, flags], &stream.to_be_bytes(), payload].concat()
 }
 
-/// The preface, and settings with this window for streams.
-fn hello(window: u32) -> Vec<u8> {
+/// The connection preface, and a SETTINGS frame with this initial window for streams.
+fn connection_preface(window: u32) -> Vec<u8> {
     let settings = [&4u16.to_be_bytes()[..], &window.to_be_bytes()].concat();
     [PREFACE, &frame(SETTINGS, 0, 0, &settings)].concat()
 }
 
-/// A literal field (RFC 7541, section 6.2), entered in the table or not.
+/// A literal header field (RFC 7541, section 6.2); `index` adds it to the dynamic table.
 fn literal(name: &str, value: &str, index: bool) -> Vec<u8> {
     let mut out = vec![if index { 0x40 } else { 0 }];
     for text in [name, value] {
-        // An integer with a prefix of seven bits (section 5.1).
+        // An integer with a 7-bit prefix (section 5.1).
         if text.len() < 127 {
             out.push(text.len() as u8);
         } else {
@@ -203,29 +206,29 @@
     out
 }
 
-fn head(method: &str, path: &str) -> Vec<u8> {
+fn request_head(method: &str, path: &str) -> Vec<u8> {
     let pairs = [(":method", method), (":scheme", "http"), (":authority", "lab"), (":path", path)];
     pairs.iter().flat_map(|(name, value)| literal(name, value, false)).collect()
 }
 
-/// What comes once, before the flood.
-fn prelude(flood: Flood) -> Vec<u8> {
+/// The frames that are sent once, before the flood.
+fn opening_frames(flood: Flood) -> Vec<u8> {
     match flood {
-        Flood::EmptyData => frame(HEADERS, END_HEADERS, 1, &head("POST", "/do/nonsense")),
-        Flood::Continuations => frame(HEADERS, 0, 1, &head("POST", "/do/nonsense")),
+        Flood::EmptyData => frame(HEADERS, END_HEADERS, 1, &request_head("POST", "/do/nonsense")),
+        Flood::Continuations => frame(HEADERS, 0, 1, &request_head("POST", "/do/nonsense")),
         Flood::HeaderBombs => {
-            let block = [head("GET", "/check"), literal("x-bomb", &"b".repeat(3900), true)].concat();
+            let block = [request_head("GET", "/check"), literal("x-bomb", &"b".repeat(3900), true)].concat();
             frame(HEADERS, END_HEADERS | END_STREAM, 1, &block)
         }
         _ => Vec::new(),
     }
 }
 
-/// The flood's next piece.
-fn frames(flood: Flood, piece: u32) -> Vec<u8> {
-    let one = |n: u32| match flood {
+/// The flood's next frames, about [`CHUNK_BYTES`] of them; one unit alone where a unit is that large.
+fn next_chunk(flood: Flood, index: u32) -> Vec<u8> {
+    let unit = |n: u32| match flood {
         Flood::Resets => {
-            let block = head("POST", "/do/nonsense");
+            let block = request_head("POST", "/do/nonsense");
             let cancel = 8u32.to_be_bytes();
             [frame(HEADERS, END_HEADERS, 2 * n + 1, &block), frame(RST_STREAM, 0, 2 * n + 1, &cancel)]
                 .concat()
@@ -237,41 +240,44 @@
         Flood::WindowUpdates => frame(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes()),
         Flood::Continuations => frame(CONTINUATION, 0, 1, &literal("x-more", "y", false)),
         Flood::HeaderBombs => {
-            // The table's first own entry, over and over.
-            let block = [head("GET", "/check"), vec![FIRST_OWN_ENTRY; PIECE - 100]].concat();
+            // The dynamic table's first entry, repeated.
+            let block =
+                [request_head("GET", "/check"), vec![FIRST_DYNAMIC_ENTRY; CHUNK_BYTES - 100]].concat();
             frame(HEADERS, END_HEADERS | END_STREAM, 2 * n + 3, &block)
         }
         Flood::LongHeaders => {
-            let field = literal("x-long", &"y".repeat(PIECE - 100), false);
-            let mut all = frame(HEADERS, 0, 2 * n + 1, &head("GET", "/check"));
+            let field = literal("x-long", &"y".repeat(CHUNK_BYTES - 100), false);
+            let mut all = frame(HEADERS, 0, 2 * n + 1, &request_head("GET", "/check"));
             (0..63).for_each(|_| all.extend(frame(CONTINUATION, 0, 2 * n + 1, &field)));
             all.extend(frame(CONTINUATION, END_HEADERS, 2 * n + 1, &field));
             all
         }
-        Flood::ShutWindows => frame(HEADERS, END_HEADERS | END_STREAM, 2 * n + 1, &head("GET", "/check")),
-        Flood::Silence => Vec::new(),
+        Flood::ZeroWindows => {
+            frame(HEADERS, END_HEADERS | END_STREAM, 2 * n + 1, &request_head("GET", "/check"))
+        }
+        Flood::SilentConnections => Vec::new(),
     };
-    let many = match flood {
-        Flood::HeaderBombs | Flood::LongHeaders | Flood::Silence => 1,
-        _ => (PIECE / one(0).len().max(1)) as u32,
+    let units = match flood {
+        Flood::HeaderBombs | Flood::LongHeaders | Flood::SilentConnections => 1,
+        _ => (CHUNK_BYTES / unit(0).len().max(1)) as u32,
     };
-    (0..many).flat_map(|i| one(piece * many + i)).collect()
+    (0..units).flat_map(|i| unit(index * units + i)).collect()
 }
 
-/// The most of a worker's resident memory, looked at often until the play is over (kilobytes).
-pub fn watch_memory(
+/// Samples a worker's resident memory until `stop` is set, and returns the peak (kilobytes).
+pub fn track_peak_memory(
     read: impl Fn() -> f64 + Send + 'static,
-    over: &Arc<AtomicBool>,
+    stop: &Arc<AtomicBool>,
 ) -> thread::JoinHandle<f64> {
-    let over = over.clone();
+    let stop = stop.clone();
     thread::spawn(move || {
-        let (mut most, mut looked) = (0f64, Instant::now());
-        while !over.load(Ordering::Relaxed) {
-            most = most.max(read());
-            looked += Duration::from_millis(20);
-            thread::sleep(looked.saturating_duration_since(Instant::now()));
+        let (mut peak, mut sampled_at) = (0f64, Instant::now());
+        while !stop.load(Ordering::Relaxed) {
+            peak = peak.max(read());
+            sampled_at += Duration::from_millis(20);
+            thread::sleep(sampled_at.saturating_duration_since(Instant::now()));
         }
-        most
+        peak
     })
 }
 
--- a/testbed/src/floods/tests.rs
+++ b/testbed/src/floods/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A flood whose frames did not parse would measure nothing but the worker's first complaint.
+/// The worker closes a connection at the first malformed frame: such a flood would measure nothing else.
 #[test]
 fn every_flood_consists_of_complete_frames() {
     use Flood::*;
@@ -15,17 +15,18 @@
         Continuations,
         HeaderBombs,
         LongHeaders,
-        ShutWindows,
+        ZeroWindows,
     ] {
-        for piece in [0, 7] {
-            let bytes = [prelude(flood), frames(flood, piece)].concat();
-            let mut at = 0;
-            while at < bytes.len() {
-                let length = u32::from_be_bytes([0, bytes[at], bytes[at + 1], bytes[at + 2]]) as usize;
-                assert!(length <= PIECE, "{flood:?}: a frame of {length}");
-                at += 9 + length;
+        for index in [0, 7] {
+            let bytes = [opening_frames(flood), next_chunk(flood, index)].concat();
+            let mut offset = 0;
+            while offset < bytes.len() {
+                let length =
+                    u32::from_be_bytes([0, bytes[offset], bytes[offset + 1], bytes[offset + 2]]) as usize;
+                assert!(length <= CHUNK_BYTES, "{flood:?}: frame payload of {length} bytes");
+                offset += 9 + length;
             }
-            assert_eq!(at, bytes.len(), "{flood:?}");
+            assert_eq!(offset, bytes.len(), "{flood:?}");
         }
     }
 }
--- a/testbed/src/loopback/attempt.rs
+++ b/testbed/src/loopback/attempt.rs
@@ -1,14 +1,14 @@
-//! One attempt of a request, whatever protocol carries it.
+//! One attempt of a request, independent of the protocol that carries it.
 
 use crate::callers::PlannedRequest;
 use crate::experiment::ClassModel;
-use crate::measure::RequestEnd;
+use crate::measure::RequestOutcome;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How long a client waits for a response beyond its deadline before it counts as owed (seconds).
+/// How long after its deadline a client still waits for a response before the request counts as unanswered (seconds).
 pub(super) const RESPONSE_GRACE_S: f64 = 1.0;
-/// Set in the identifiers of requests, so that none is short.
+/// Set in every request identifier, so that all have 16 hexadecimal digits without leading zeros.
 const REQUEST_ID_BIT: u64 = 1 << 60;
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
@@ -17,29 +17,29 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResponse {
     pub status: u16,
-    /// For how long the worker asked to stay away (seconds).
+    /// How long the worker advises to wait before a retry (seconds).
     pub retry_after_s: f64,
     /// The run skipped its downstream call.
     pub degraded: bool,
 }
 
 impl AttemptResponse {
-    /// What the response is to its client if it makes no further attempt.
-    pub fn end(&self, at: f64) -> RequestEnd {
+    /// The outcome of the request if the client makes no further attempt.
+    pub fn outcome(&self, at: f64) -> RequestOutcome {
         match self.status {
-            200 => RequestEnd::Served { at, degraded: self.degraded },
-            429 | 503 => RequestEnd::Rejected,
-            _ => RequestEnd::Failed,
+            200 => RequestOutcome::Served { at, degraded: self.degraded },
+            429 | 503 => RequestOutcome::Rejected,
+            _ => RequestOutcome::Failed,
         }
     }
 }
 
-/// The time that a request has left, and a little where it has none (seconds).
+/// The time left until a request's deadline, but at least 10 ms (seconds).
 pub(super) fn time_left_s(request: &PlannedRequest, class: &ClassModel, now: f64) -> f64 {
     (request.at + class.deadline_ms / 1000.0 - now).max(0.01)
 }
 
-/// The platform's header fields of one attempt; the first has the number 1.
+/// The platform's header fields for one attempt; the first attempt has the number 1.
 #[must_use]
 pub fn platform_fields(
     request: &PlannedRequest,
@@ -67,7 +67,7 @@
     fields
 }
 
-/// The same as lines of HTTP/1.1, each with its line end.
+/// The fields of [`platform_fields`] as HTTP/1.1 header lines, each with its line end.
 #[must_use]
 pub fn platform_header_lines(
     request: &PlannedRequest,
--- a/testbed/src/loopback/clock.rs
+++ b/testbed/src/loopback/clock.rs
@@ -1,20 +1,20 @@
-//! The clock of a play.
+//! The clock of a trial.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seconds since the callers start.
+/// Counts the seconds since the callers start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that begins now.
+    /// A clock that starts now.
     #[must_use]
     pub fn from_now() -> Clock {
         Clock(Instant::now())
     }
 
-    /// A clock that begins after so long; until then it stands at 0.
+    /// A clock that starts after this delay; until then it stands at 0.
     pub(super) fn from_now_in(delay: Duration) -> Clock {
         Clock(Instant::now() + delay)
     }
--- a/testbed/src/loopback/executor_server.rs
+++ b/testbed/src/loopback/executor_server.rs
@@ -1,4 +1,4 @@
-//! The executor model behind its line protocol.
+//! Serves the executor model over the executor's line protocol.
 
 use super::listener::accept_until;
 use super::Clock;
@@ -15,22 +15,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// What comes from the worker.
+/// What is received from the worker.
 enum Received {
     Link(TcpStream),
     Line(String),
 }
 
-/// The executor behind its protocol: one thread takes links and lines, one plays the model.
+/// Serves the executor model: one thread accepts connections, one for each connection reads its lines, and one runs the
+/// model until `stop` is set and returns it.
 pub fn serve_executor(
     listener: TcpListener,
     experiment: &Experiment,
     clock: Clock,
-    over: &Arc<AtomicBool>,
+    stop: &Arc<AtomicBool>,
 ) -> thread::JoinHandle<Executor> {
     let model = Executor::new(experiment.executor.clone(), experiment.slow.clone());
     let (sender, received) = channel::<Received>();
-    accept_until(listener, over.clone(), move |stream| {
+    accept_until(listener, stop.clone(), move |stream| {
         let Ok(writer) = stream.try_clone() else { return };
         let _ = sender.send(Received::Link(writer));
         let sender = sender.clone();
@@ -39,7 +40,7 @@
             lines.map_while(Result::ok).try_for_each(|l| sender.send(Received::Line(l)))
         });
     });
-    let over = over.clone();
+    let stop = stop.clone();
     let cold = experiment.executor.cold_s > 0.0;
     let cores = f64::from(experiment.executor.cores);
     thread::spawn(move || {
@@ -51,7 +52,7 @@
             cores,
             busy: BusyReading::default(),
         };
-        while !over.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             let now = clock.now();
             let wait = server.model.next_notice_at().map_or(0.05, |at| at - now).clamp(0.0, 0.05);
             match received.recv_timeout(Duration::from_secs_f64(wait)) {
@@ -69,10 +70,11 @@
     })
 }
 
-/// The executor model behind the protocol.
+/// The executor model and the state of its protocol.
 struct ExecutorServer {
     model: Executor,
     link: Option<TcpStream>,
+    /// All notices so far; those that the worker has not seen are repeated when it joins again.
     notices: Vec<String>,
     cold: bool,
     cores: f64,
@@ -137,7 +139,7 @@
             "METER" => {
                 let BusyReading { at: since, busy_s: before } = self.busy;
                 let busy = (self.model.busy_s() - before) / (now - since).max(1e-3) / self.cores;
-                // The gauge is a mean of the last tenth of a second at least.
+                // The gauge is a mean over at least the last 0.1 s.
                 if now - since > 0.1 {
                     self.busy = BusyReading { at: now, busy_s: self.model.busy_s() };
                 }
--- a/testbed/src/loopback/http1_callers.rs
+++ b/testbed/src/loopback/http1_callers.rs
@@ -1,11 +1,11 @@
-//! Callers over HTTP/1.1: a thread for each request in flight.
+//! Callers over HTTP/1.1, with a thread for each request in flight.
 
 use super::attempt::{platform_header_lines, time_left_s, AttemptResponse, RESPONSE_GRACE_S};
 use super::http1_message::{header, read_message};
-use super::{Clock, RequestEnds};
+use super::{Clock, RequestOutcomes};
 use crate::callers::{next_retry, PlannedRequest};
 use crate::experiment::{ClassModel, Experiment};
-use crate::measure::RequestEnd;
+use crate::measure::RequestOutcome;
 use crate::sync::lock;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,35 +14,35 @@
 use std::thread;
 use std::time::Duration;
 
-/// Callers that can wait for a response at once; the worker accepts fewer connections than that many.
-const CALLERS: usize = 448;
-/// The stack of a caller's thread.
+/// The maximum number of callers that wait for a response at once; the worker accepts fewer connections than this.
+const MAX_CALLERS: usize = 448;
+/// The stack size of a caller's thread.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Starts the callers: each takes the next request when it is due, and makes all its attempts.
+/// Starts the callers: each takes the next request when it is due, and makes all attempts of it.
 pub(super) fn start(
     experiment: &Experiment,
     requests: &Arc<Vec<PlannedRequest>>,
     clock: Clock,
-    to: SocketAddr,
-    ends: &RequestEnds,
+    address: SocketAddr,
+    outcomes: &RequestOutcomes,
 ) -> Vec<thread::JoinHandle<()>> {
     let (sender, receiver): (Sender<usize>, Receiver<usize>) = channel();
     let receiver = Arc::new(Mutex::new(receiver));
     let mut threads = Vec::new();
-    for _ in 0..CALLERS.min(requests.len()) {
-        let (experiment, requests, ends) = (experiment.clone(), requests.clone(), ends.clone());
+    for _ in 0..MAX_CALLERS.min(requests.len()) {
+        let (experiment, requests, outcomes) = (experiment.clone(), requests.clone(), outcomes.clone());
         let receiver = receiver.clone();
         let body = move || {
-            let mut caller = Caller { experiment: &experiment, clock, to, connection: None };
+            let mut caller = Caller { experiment: &experiment, clock, address, connection: None };
             loop {
                 let Ok(number) = lock(&receiver).recv() else { return };
-                let end = caller.send_with_retries(&requests[number]);
-                lock(&ends)[number] = end;
+                let outcome = caller.send_with_retries(&requests[number]);
+                lock(&outcomes)[number] = outcome;
             }
         };
-        let built = thread::Builder::new().stack_size(STACK_BYTES).spawn(body);
-        threads.extend(built.ok());
+        let thread = thread::Builder::new().stack_size(STACK_BYTES).spawn(body);
+        threads.extend(thread.ok());
     }
     let requests = requests.clone();
     threads.push(thread::spawn(move || {
@@ -56,28 +56,28 @@
     threads
 }
 
-/// A caller, with the connection that it has kept.
+/// A caller and its persistent connection.
 struct Caller<'a> {
     experiment: &'a Experiment,
     clock: Clock,
-    to: SocketAddr,
+    address: SocketAddr,
     connection: Option<BufReader<TcpStream>>,
 }
 
 impl Caller<'_> {
-    /// One request with all its attempts; `None` if one of them got no response in time.
-    fn send_with_retries(&mut self, request: &PlannedRequest) -> Option<RequestEnd> {
+    /// Sends a request with all its attempts; `None` if an attempt received no response in time.
+    fn send_with_retries(&mut self, request: &PlannedRequest) -> Option<RequestOutcome> {
         let class = &self.experiment.class[request.class];
         for attempt in 1.. {
             let response = self.attempt(request, class, attempt)?;
             let now = self.clock.now();
-            let end = response.end(now);
+            let outcome = response.outcome(now);
             if response.status == 200 {
-                return Some(end);
+                return Some(outcome);
             }
             match next_retry(self.experiment, attempt, now, request, response.retry_after_s) {
                 Some(at) => self.clock.sleep_until(at),
-                None => return Some(end),
+                None => return Some(outcome),
             }
         }
         None
@@ -91,10 +91,10 @@
     ) -> Option<AttemptResponse> {
         let left_s = time_left_s(request, class, self.clock.now());
         let bytes = request_bytes(request, class, attempt, left_s);
-        // A kept connection may have been closed meanwhile: then once more on a new one, as routers do.
-        for fresh in [false, true] {
-            if fresh || self.connection.is_none() {
-                let stream = TcpStream::connect(self.to).ok()?;
+        // The worker may have closed an idle persistent connection: retry once on a new one, as routers do.
+        for new_connection in [false, true] {
+            if new_connection || self.connection.is_none() {
+                let stream = TcpStream::connect(self.address).ok()?;
                 let _ = stream.set_nodelay(true);
                 self.connection = Some(BufReader::new(stream));
             }
--- a/testbed/src/loopback/http1_message.rs
+++ b/testbed/src/loopback/http1_message.rs
@@ -1,12 +1,12 @@
-//! Messages of HTTP/1.1.
+//! HTTP/1.1 messages.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// Longer bodies are cut off.
+/// A longer body is truncated to this.
 const MAX_BODY_BYTES: usize = 1 << 16;
 
-/// Reads one message's head and body; `None` when there is none.
+/// Reads one message's head and body; `None` if the connection ends before a whole message.
 pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -20,7 +20,7 @@
     Some((head, body))
 }
 
-/// The value of a header, whatever the case of its name.
+/// The value of a header; its name is case-insensitive.
 pub(super) fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines()
         .find_map(|l| l.split_once(':').filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim()))
--- a/testbed/src/loopback/http2_callers.rs
+++ b/testbed/src/loopback/http2_callers.rs
@@ -1,10 +1,11 @@
-//! Callers over HTTP/2: the same requests at the same times as over HTTP/1.1, so many streams on a connection.
+//! Callers over HTTP/2: the same requests at the same times as over HTTP/1.1, with up to a given number of concurrent
+//! streams on each connection.
 
 use super::attempt::{platform_fields, time_left_s, AttemptResponse, RESPONSE_GRACE_S};
-use super::{Clock, RequestEnds};
+use super::{Clock, RequestOutcomes};
 use crate::callers::{next_retry, PlannedRequest};
 use crate::experiment::Experiment;
-use crate::measure::RequestEnd;
+use crate::measure::RequestOutcome;
 use crate::sync::lock;
 use bytes::Bytes;
 use h2::client::SendRequest;
@@ -18,38 +19,38 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// One connection and its open streams.
+/// A connection and the number of its open streams.
 struct Connection {
     send: SendRequest<Bytes>,
-    open: usize,
+    open_streams: usize,
 }
 
-/// Starts the callers on a thread of their own; it ends when all requests have.
+/// Starts the callers on a thread of their own, which ends when all requests have ended.
 pub(super) fn start(
     experiment: &Experiment,
     requests: &Arc<Vec<PlannedRequest>>,
     clock: Clock,
-    to: SocketAddr,
-    streams: usize,
-    ends: &RequestEnds,
+    address: SocketAddr,
+    max_streams: usize,
+    outcomes: &RequestOutcomes,
 ) -> thread::JoinHandle<()> {
-    let (experiment, requests, ends) = (experiment.clone(), requests.clone(), ends.clone());
+    let (experiment, requests, outcomes) = (experiment.clone(), requests.clone(), outcomes.clone());
     thread::spawn(move || {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
         let local = LocalSet::new();
         local.block_on(&runtime, async move {
             let callers =
-                Rc::new(Callers { experiment, clock, to, streams, connections: RefCell::default() });
+                Rc::new(Callers { experiment, clock, address, max_streams, connections: RefCell::default() });
             let mut tasks = Vec::new();
             for number in 0..requests.len() {
                 let left = requests[number].at - clock.now();
                 if left > 0.0 {
                     sleep(Duration::from_secs_f64(left)).await;
                 }
-                let (callers, requests, ends) = (callers.clone(), requests.clone(), ends.clone());
+                let (callers, requests, outcomes) = (callers.clone(), requests.clone(), outcomes.clone());
                 tasks.push(spawn_local(async move {
-                    let end = callers.send_with_retries(&requests[number]).await;
-                    lock(&ends)[number] = end;
+                    let outcome = callers.send_with_retries(&requests[number]).await;
+                    lock(&outcomes)[number] = outcome;
                 }));
             }
             for task in tasks {
@@ -59,46 +60,47 @@
     })
 }
 
-/// All callers, and the connections that they share.
+/// All callers and the connections that they share.
 struct Callers {
     experiment: Experiment,
     clock: Clock,
-    to: SocketAddr,
-    /// Streams on one connection, at most.
-    streams: usize,
+    address: SocketAddr,
+    /// The maximum number of concurrent streams on a connection.
+    max_streams: usize,
     connections: RefCell<Vec<Rc<RefCell<Connection>>>>,
 }
 
 impl Callers {
-    /// One request with all its attempts; `None` if one of them got no response in time.
-    async fn send_with_retries(&self, request: &PlannedRequest) -> Option<RequestEnd> {
+    /// Sends a request with all its attempts; `None` if an attempt received no response in time.
+    async fn send_with_retries(&self, request: &PlannedRequest) -> Option<RequestOutcome> {
         for attempt in 1.. {
             let response = self.attempt(request, attempt).await?;
             let now = self.clock.now();
-            let end = response.end(now);
+            let outcome = response.outcome(now);
             if response.status == 200 {
-                return Some(end);
+                return Some(outcome);
             }
             match next_retry(&self.experiment, attempt, now, request, response.retry_after_s) {
                 Some(at) => sleep(Duration::from_secs_f64((at - now).max(0.0))).await,
-                None => return Some(end),
+                None => return Some(outcome),
             }
         }
         None
     }
 
-    /// A connection with capacity for another stream; a new one where there is none.
+    /// Reserves a stream on a connection that has capacity, or on a new one if none has.
     async fn connection(&self) -> Option<Rc<RefCell<Connection>>> {
-        let free = self.connections.borrow().iter().find(|c| c.borrow().open < self.streams).cloned();
-        if let Some(free) = free {
-            free.borrow_mut().open += 1;
-            return Some(free);
+        let available =
+            self.connections.borrow().iter().find(|c| c.borrow().open_streams < self.max_streams).cloned();
+        if let Some(available) = available {
+            available.borrow_mut().open_streams += 1;
+            return Some(available);
         }
-        let stream = TcpStream::connect(self.to).await.ok()?;
+        let stream = TcpStream::connect(self.address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (send, driver) = h2::client::handshake(stream).await.ok()?;
         spawn_local(async move { drop(driver.await) });
-        let new = Rc::new(RefCell::new(Connection { send, open: 1 }));
+        let new = Rc::new(RefCell::new(Connection { send, open_streams: 1 }));
         self.connections.borrow_mut().push(new.clone());
         Some(new)
     }
@@ -113,17 +115,17 @@
             exchange(send, &class.name, fields, request.work.body()).await
         };
         let response = timeout(Duration::from_secs_f64(left_s + RESPONSE_GRACE_S), exchange).await;
-        connection.borrow_mut().open -= 1;
+        connection.borrow_mut().open_streams -= 1;
         let response = response.ok().flatten();
         if response.is_none() {
-            // Whatever is wrong with it, it is not used again.
+            // The connection may be broken, so it is not used again.
             self.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, &connection));
         }
         response
     }
 }
 
-/// Sends one request on a stream of its own and reads the response.
+/// Sends one request on a new stream and reads the response.
 async fn exchange(
     send: SendRequest<Bytes>,
     class: &str,
--- a/testbed/src/loopback/worker_process.rs
+++ b/testbed/src/loopback/worker_process.rs
@@ -1,4 +1,4 @@
-//! The worker under test as a process.
+//! The process of the worker under test.
 
 use crate::error::TestbedError;
 use serde_json::Value;
@@ -11,12 +11,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the worker may take to come up, and to end.
-const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the worker may take to announce an address, and to exit after SIGTERM.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(10);
 
 static NEXT_FOLDER: AtomicU64 = AtomicU64::new(1);
 
-/// A worker's process. Dropping it ends it.
+/// A worker's process, which is killed on drop.
 pub(super) struct WorkerProcess {
     child: Child,
     lines: Receiver<String>,
@@ -24,7 +24,7 @@
 }
 
 impl WorkerProcess {
-    /// Starts the program with this configuration and operator file.
+    /// Starts the program with this configuration and, if it is not empty, this operator file.
     pub(super) fn start(
         program: &Path,
         config: &Value,
@@ -53,11 +53,12 @@
         Ok(WorkerProcess { child, lines, folder })
     }
 
-    /// Waits for the log line that says where it listens, and reads what follows the mark.
-    pub(super) fn address(&mut self, mark: &str) -> Result<SocketAddr, TestbedError> {
+    /// Waits for the log line that contains `prefix`, and parses the address that follows it.
+    pub(super) fn address(&mut self, prefix: &str) -> Result<SocketAddr, TestbedError> {
         loop {
-            let line = self.lines.recv_timeout(START_TIMEOUT).map_err(|_| TestbedError::WorkerDidNotStart)?;
-            if let Some((_, rest)) = line.split_once(mark) {
+            let line =
+                self.lines.recv_timeout(PROCESS_TIMEOUT).map_err(|_| TestbedError::WorkerDidNotStart)?;
+            if let Some((_, rest)) = line.split_once(prefix) {
                 let address = rest.split(' ').next().unwrap_or_default();
                 return address.parse().map_err(|_| TestbedError::WorkerNoAddress { line: line.clone() });
             }
@@ -67,17 +68,17 @@
         }
     }
 
-    fn proc(&self, what: &str) -> String {
-        std::fs::read_to_string(format!("/proc/{}/{what}", self.child.id())).unwrap_or_default()
+    fn proc_file(&self, name: &str) -> String {
+        std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap_or_default()
     }
 
-    /// Its resident memory (kilobytes).
+    /// The process's resident memory (kilobytes).
     pub(super) fn resident_kb(&self) -> f64 {
-        self.resident()()
+        self.resident_kb_reader()()
     }
 
-    /// Reads its resident memory from another thread (kilobytes).
-    pub(super) fn resident(&self) -> impl Fn() -> f64 + Send + 'static {
+    /// Returns a function that reads the resident memory from any thread (kilobytes).
+    pub(super) fn resident_kb_reader(&self) -> impl Fn() -> f64 + Send + 'static {
         let path = format!("/proc/{}/status", self.child.id());
         move || {
             let status = std::fs::read_to_string(&path).unwrap_or_default();
@@ -86,17 +87,17 @@
         }
     }
 
-    /// The processor time that it has used (milliseconds).
+    /// The processor time that the process has used (milliseconds).
     pub(super) fn cpu_ms(&self) -> f64 {
-        let stat = self.proc("schedstat");
+        let stat = self.proc_file("schedstat");
         stat.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(0.0) / 1e6
     }
 
-    /// Sends SIGTERM and waits for the end; what is left of the log.
+    /// Sends SIGTERM and waits for the process to exit; returns the log lines that were not read before.
     pub(super) fn terminate(&mut self) -> Result<Vec<String>, TestbedError> {
         let id = self.child.id().to_string();
         let _ = Command::new("kill").args(["-TERM", &id]).status();
-        let until = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + PROCESS_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait()? {
                 if !status.success() {
@@ -108,7 +109,7 @@
                 }
                 return Ok(lines);
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(TestbedError::WorkerDidNotEnd);
             }
             thread::sleep(Duration::from_millis(10));
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -1,116 +1,124 @@
-//! What a play came to: by class and in all, as a table and as JSON, and whether an experiment's bounds hold.
+//! The results of a trial, by class and in total, as a table and as JSON, and the check of an experiment's
+//! expectations.
 
 use crate::callers::PlannedRequest;
-use crate::experiment::{Expect, Experiment};
+use crate::experiment::{Expectation, Experiment};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// The time over which the survivable concurrency is a mean (seconds).
-pub const CROWD_S: f64 = 3.0;
-/// The survivable concurrency (runs a core).
-pub const CROWD_BOUND: f64 = 8.0;
+/// The survivable concurrency is a mean over this time (seconds).
+pub const SURVIVABLE_WINDOW_S: f64 = 3.0;
+/// The survivable concurrency (runs per core).
+pub const SURVIVABLE_RUNS_PER_CORE: f64 = 8.0;
 
-/// How a request ended for its client, all attempts together.
+/// The outcome of a request for its client, after all attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestEnd {
-    /// Served at this time, with the call or without.
+pub enum RequestOutcome {
+    /// An attempt was served, with or without its downstream call.
     Served {
-        /// When the response came (seconds from the start).
+        /// When the response arrived (seconds from the start).
         at: f64,
-        /// The downstream call was skipped.
+        /// Whether the downstream call was skipped.
         degraded: bool,
     },
-    /// Its last attempt was rejected.
+    /// The last attempt was rejected.
     Rejected,
-    /// Its last attempt failed.
+    /// The last attempt failed.
     Failed,
 }
 
-/// What became of the requests of one class.
+/// The results of one class's requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassResult {
-    /// The class.
+    /// The name of the class.
     pub name: String,
-    /// Requests that were made.
+    /// All requests of the class.
     #[serde(rename = "asked")]
     pub requests: u64,
     /// Served within the latency objective.
     #[serde(rename = "in_aim")]
     pub within_objective: u64,
-    /// Served later than that.
+    /// Served after the latency objective.
     pub late: u64,
     /// Served without their downstream call.
     #[serde(rename = "poor")]
     pub degraded: u64,
-    /// Rejected at their last attempt.
+    /// Rejected in their last attempt.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed at their last attempt.
+    /// Failed in their last attempt.
     pub failed: u64,
-    /// Median latency of those that were served (milliseconds).
+    /// Median latency of the served requests (milliseconds).
     pub p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the latency of the served requests (milliseconds).
     pub p99_ms: f64,
 }
 
-/// One play of one variant with one seed.
+/// The results of a trial: one variant run with one seed.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TrialResult {
-    /// The variant that was played.
+    /// The name of the variant.
     pub variant: String,
     /// The seed.
     pub seed: u64,
-    /// By class, in the order of the experiment.
+    /// The results by class, in the order of the experiment file.
     pub classes: Vec<ClassResult>,
-    /// Worth answered within the latency objective over worth asked for, by request.
+    /// The worth of the served requests over the worth of all requests; a late or degraded one counts in part.
     pub worth: f64,
-    /// The same, weighted by work.
+    /// The same ratio with each request weighted by its work.
     pub worth_by_work: f64,
-    /// The mean concurrency against the survivable one.
+    /// The peak of the mean concurrency over [`SURVIVABLE_WINDOW_S`], as a ratio of the survivable concurrency.
     #[serde(rename = "crowd_of_bound")]
     pub peak_concurrency_ratio: f64,
-    /// The most runs on the cores at once.
-    pub most_on_cores: usize,
-    /// Wake-ups at which the reserve's pool waited with a reserved slot free.
+    /// The maximum number of concurrent runs, without those that wait for a downstream call.
+    #[serde(rename = "most_on_cores")]
+    pub peak_running: usize,
+    /// Dispatcher wake-ups at which the reserve's pool had requests waiting although a reserved slot was free.
     #[serde(rename = "reserve_kept")]
     pub idle_reserve_waits: u64,
-    /// Answers still owed at the end.
+    /// Requests without a response at the end.
     #[serde(rename = "owed")]
     pub unanswered: u64,
-    /// Resident memory of the worker at the end against a quarter into the play; 1 where none was read.
+    /// Resident memory of the worker at the end, as a ratio of that after a quarter of the trial; 1 if it was not
+    /// measured.
     pub memory_growth: f64,
-    /// Processor time of the worker a request (milliseconds); 0 where none was read.
+    /// Processor time of the worker per request (milliseconds); 0 if it was not measured.
     pub cpu_ms: f64,
-    /// How long calls of the console took: median, 99th percentile and maximum (milliseconds).
-    pub console: [f64; 3],
-    /// Calls of the console that were made.
-    pub console_made: u64,
-    /// Those that went badly.
-    pub console_bad: u64,
-    /// The most of the worker's resident memory over what it had before anybody came (megabytes).
-    pub memory_over_mb: f64,
+    /// Latency of console calls: median, 99th percentile and maximum (milliseconds).
+    #[serde(rename = "console")]
+    pub console_ms: [f64; 3],
+    /// Console calls that were made.
+    #[serde(rename = "console_made")]
+    pub console_calls: u64,
+    /// Console calls that failed.
+    #[serde(rename = "console_bad")]
+    pub console_failures: u64,
+    /// Peak resident memory of the worker above its level before the first connection (megabytes).
+    #[serde(rename = "memory_over_mb")]
+    pub peak_extra_memory_mb: f64,
     /// Connections that a flood opened.
     pub flood_connections: u64,
-    /// Connections of a flood that the worker ended.
-    pub flood_ended: u64,
-    /// What a flood wrote (megabytes).
+    /// Connections of a flood that the worker closed.
+    #[serde(rename = "flood_ended")]
+    pub flood_closed: u64,
+    /// Data that a flood wrote (megabytes).
     pub flood_mb: f64,
-    /// The run limit over time, where pools are on; on loopback as far as the log tells.
+    /// Changes of the run limit, if the worker has pools; on loopback, those that its log shows.
     pub limits: Vec<LimitChange>,
-    /// What each pool started and rejected, all attempts counted, where pools are on.
+    /// The attempts that each pool started and rejected, if the worker has pools.
     pub pools: Vec<PoolResult>,
 }
 
-/// A change of the run limit. In JSON it is a list of its three values.
+/// A change of the run limit, serialized as a list of its three values.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, usize, String)")]
 pub struct LimitChange {
     /// When it changed (seconds).
     pub at: f64,
-    /// The slots from then on.
+    /// The new number of run slots.
     pub slots: usize,
-    /// Why.
+    /// The reason for the change, as the worker reports it.
     pub cause: String,
 }
 
@@ -120,10 +128,10 @@
     }
 }
 
-/// What became of the attempts in one pool.
+/// The results of the attempts in one pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PoolResult {
-    /// The pool.
+    /// The name of the pool.
     pub name: String,
     /// Attempts that were started.
     pub started: u64,
@@ -133,66 +141,67 @@
 }
 
 impl TrialResult {
-    /// Sums up how the requests of a play ended.
+    /// Aggregates the outcomes of a trial's requests.
     #[must_use]
-    pub fn of(
+    pub fn from_outcomes(
         experiment: &Experiment,
         variant: &str,
         seed: u64,
         requests: &[PlannedRequest],
-        ends: &[Option<RequestEnd>],
+        outcomes: &[Option<RequestOutcome>],
     ) -> TrialResult {
-        let mut play =
+        let mut result =
             TrialResult { variant: variant.to_owned(), seed, memory_growth: 1.0, ..TrialResult::default() };
-        let (mut worth, mut of, mut work_worth, mut work_of) = (0.0, 0.0, 0.0, 0.0);
+        let (mut worth, mut total_worth, mut weighted_worth, mut total_weighted_worth) = (0.0, 0.0, 0.0, 0.0);
         for (number, class) in experiment.class.iter().enumerate() {
             let mut r = ClassResult { name: class.name.clone(), ..ClassResult::default() };
-            // A minute at most, to three digits; such bounds are always good.
-            let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
-            for (a, end) in requests.iter().zip(ends).filter(|(a, _)| a.class == number) {
-                let work = a.work.before_s + a.work.after_s;
+            // Up to a minute with three significant digits; these bounds are always valid.
+            let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
+            for (request, outcome) in requests.iter().zip(outcomes).filter(|(r, _)| r.class == number) {
+                let work = request.work.before_s + request.work.after_s;
                 r.requests += 1;
-                of += class.worth;
-                work_of += class.worth * work;
-                match end {
-                    Some(RequestEnd::Served { at, degraded }) => {
-                        let took = at - a.at;
-                        if let Some(times) = &mut times {
-                            times.saturating_record((took * 1e6).max(1.0) as u64);
+                total_worth += class.worth;
+                total_weighted_worth += class.worth * work;
+                match outcome {
+                    Some(RequestOutcome::Served { at, degraded }) => {
+                        let latency_s = at - request.at;
+                        if let Some(latencies) = &mut latencies {
+                            latencies.saturating_record((latency_s * 1e6).max(1.0) as u64);
                         }
-                        let in_aim = took * 1000.0 <= class.objective_ms;
-                        if in_aim {
+                        let within_objective = latency_s * 1000.0 <= class.objective_ms;
+                        if within_objective {
                             r.within_objective += 1;
                         } else {
                             r.late += 1;
                         }
                         r.degraded += u64::from(*degraded);
-                        let kept = if *degraded { class.skip_worth } else { 1.0 };
-                        let part = if in_aim { 1.0 } else { class.late_worth } * kept;
-                        worth += class.worth * part;
-                        work_worth += class.worth * part * work;
+                        let degraded_factor = if *degraded { class.skip_worth } else { 1.0 };
+                        let factor = if within_objective { 1.0 } else { class.late_worth } * degraded_factor;
+                        worth += class.worth * factor;
+                        weighted_worth += class.worth * factor * work;
                     }
-                    Some(RequestEnd::Rejected) => r.rejected += 1,
-                    Some(RequestEnd::Failed) => r.failed += 1,
-                    None => play.unanswered += 1,
+                    Some(RequestOutcome::Rejected) => r.rejected += 1,
+                    Some(RequestOutcome::Failed) => r.failed += 1,
+                    None => result.unanswered += 1,
                 }
             }
-            if let Some(times) = times {
-                r.p50_ms = times.value_at_quantile(0.5) as f64 / 1000.0;
-                r.p99_ms = times.value_at_quantile(0.99) as f64 / 1000.0;
+            if let Some(latencies) = latencies {
+                r.p50_ms = latencies.value_at_quantile(0.5) as f64 / 1000.0;
+                r.p99_ms = latencies.value_at_quantile(0.99) as f64 / 1000.0;
             }
-            play.classes.push(r);
+            result.classes.push(r);
         }
-        (play.worth, play.worth_by_work) = (worth / f64::max(of, 1e-9), work_worth / f64::max(work_of, 1e-9));
-        play
+        (result.worth, result.worth_by_work) =
+            (worth / f64::max(total_worth, 1e-9), weighted_worth / f64::max(total_weighted_worth, 1e-9));
+        result
     }
 
-    /// A metric by its name, of one class where it is one of classes.
+    /// The value of the metric of this name; a metric of classes is of `class` or, without one, of all classes.
     #[must_use]
     pub fn metric(&self, name: &str, class: Option<&str>) -> f64 {
         let classes = || self.classes.iter().filter(|c| class.map_or(true, |name| c.name == name));
-        let share = |n: fn(&ClassResult) -> u64| {
-            let (part, all) = classes().fold((0, 0), |(p, a), c| (p + n(c), a + c.requests));
+        let share = |count: fn(&ClassResult) -> u64| {
+            let (part, all) = classes().fold((0, 0), |(p, a), c| (p + count(c), a + c.requests));
             part as f64 / (all as f64).max(1.0)
         };
         match name {
@@ -205,21 +214,22 @@
             "owed" => self.unanswered as f64,
             "memory_growth" => self.memory_growth,
             "cpu_ms" => self.cpu_ms,
-            "console_p99_ms" => self.console[1],
-            "console_most_ms" => self.console[2],
-            "console_bad" => self.console_bad as f64,
-            "memory_over_mb" => self.memory_over_mb,
-            "flood_ended" => self.flood_ended as f64,
+            "console_p99_ms" => self.console_ms[1],
+            "console_most_ms" => self.console_ms[2],
+            "console_bad" => self.console_failures as f64,
+            "memory_over_mb" => self.peak_extra_memory_mb,
+            "flood_ended" => self.flood_closed as f64,
             "p99_ms" => classes().map(|c| c.p99_ms).fold(0.0, f64::max),
             _ => f64::NAN,
         }
     }
 }
 
-/// Mean and half-width of a 95% interval (t, two-sided) over seeds; infinitely wide for one seed.
+/// The mean over seeds and the half-width of its two-sided 95% confidence interval (Student's t), which is infinite for
+/// a single seed.
 #[must_use]
 pub fn confidence_interval(values: &[f64]) -> (f64, f64) {
-    // Quantiles of Student's t for 1 to 10 degrees of freedom; beyond, the normal one is near enough.
+    // 97.5% quantiles of Student's t for 1 to 10 degrees of freedom; the normal quantile approximates those beyond.
     const T: [f64; 10] = [12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n.max(1.0);
@@ -231,144 +241,149 @@
     (mean, t * (variance / n).sqrt())
 }
 
-/// Values of a bound's metric, seed by seed.
+/// The values of an expectation's metric, one for each seed.
 #[must_use]
-pub fn values(plays: &[TrialResult], expect: &Expect) -> Vec<f64> {
-    let of = |variant: &str, seed: u64| plays.iter().find(|p| p.variant == variant && p.seed == seed);
-    let own = plays.iter().filter(|p| p.variant == expect.variant);
-    own.filter_map(|p| {
-        let value = p.metric(&expect.metric, expect.class.as_deref());
-        match &expect.baseline {
-            None => Some(value),
-            Some(other) => {
-                Some(value / of(other, p.seed)?.metric(&expect.metric, expect.class.as_deref()).max(1e-9))
+pub fn values(trials: &[TrialResult], expectation: &Expectation) -> Vec<f64> {
+    let find = |variant: &str, seed: u64| trials.iter().find(|t| t.variant == variant && t.seed == seed);
+    let of_variant = trials.iter().filter(|t| t.variant == expectation.variant);
+    of_variant
+        .filter_map(|p| {
+            let value = p.metric(&expectation.metric, expectation.class.as_deref());
+            match &expectation.baseline {
+                None => Some(value),
+                Some(baseline) => Some(
+                    value
+                        / find(baseline, p.seed)?
+                            .metric(&expectation.metric, expectation.class.as_deref())
+                            .max(1e-9),
+                ),
             }
-        }
-    })
-    .collect()
+        })
+        .collect()
 }
 
-/// The bounds of an experiment, a line each, and whether all hold. A mean over all seeds is held against them.
+/// Checks the mean over all seeds against each expectation of an experiment: a line for each, and whether all hold.
 #[must_use]
-pub fn verdict(experiment: &Experiment, plays: &[TrialResult]) -> (String, bool) {
-    let (mut text, mut good) = (String::new(), true);
+pub fn verdict(experiment: &Experiment, trials: &[TrialResult]) -> (String, bool) {
+    let (mut text, mut all_hold) = (String::new(), true);
     for x in &experiment.expect {
-        let (mean, half) = confidence_interval(&values(plays, x));
-        let holds = x.least.map_or(true, |l| mean >= l) && x.most.map_or(true, |m| mean <= m);
-        good &= holds;
+        let (mean, half) = confidence_interval(&values(trials, x));
+        let holds = x.min.map_or(true, |min| mean >= min) && x.max.map_or(true, |max| mean <= max);
+        all_hold &= holds;
         let class = x.class.as_ref().map_or(String::new(), |c| format!(" of {c}"));
-        let against = x.baseline.as_ref().map_or(String::new(), |a| format!(" against {a}"));
-        let bounds = [("at least", x.least), ("at most", x.most)];
+        let baseline = x.baseline.as_ref().map_or(String::new(), |b| format!(" relative to {b}"));
+        let bounds = [("at least", x.min), ("at most", x.max)];
         let bounds: Vec<String> =
             bounds.iter().filter_map(|(word, b)| b.map(|b| format!("{word} {b}"))).collect();
         let word = if holds { "holds" } else { "BROKEN" };
         let (variant, metric, bounds) = (&x.variant, &x.metric, bounds.join(", "));
         let _ = writeln!(
             text,
-            "{word:6}  {variant}: {metric}{class}{against} = {mean:.4} +- {half:.4}  ({bounds})"
+            "{word:6}  {variant}: {metric}{class}{baseline} = {mean:.4} +- {half:.4}  ({bounds})"
         );
     }
-    (text, good)
+    (text, all_hold)
 }
 
-/// A table by variant and class, means over seeds.
+/// A table of means over seeds, with rows for each variant's classes, pools, total, flood and console calls.
 #[must_use]
-pub fn table(experiment: &Experiment, plays: &[TrialResult]) -> String {
+pub fn table(experiment: &Experiment, trials: &[TrialResult]) -> String {
     let mut text = String::from(
-        "| variant | class | asked | in aim | late | poorer | refused | failed | p50 ms | p99 ms |\n\
+        "| variant | class | requests | within objective | late | degraded | rejected | failed | p50 ms | p99 ms |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for variant in &experiment.variant {
-        let own: Vec<&TrialResult> = plays.iter().filter(|p| p.variant == variant.name).collect();
-        add_class_rows(&mut text, experiment, &variant.name, &own);
-        add_pool_rows(&mut text, &variant.name, &own);
-        add_total_row(&mut text, &variant.name, &own);
-        add_flood_row(&mut text, &variant.name, &own);
-        add_console_row(&mut text, &variant.name, &own);
+        let of_variant: Vec<&TrialResult> = trials.iter().filter(|p| p.variant == variant.name).collect();
+        add_class_rows(&mut text, experiment, &variant.name, &of_variant);
+        add_pool_rows(&mut text, &variant.name, &of_variant);
+        add_total_row(&mut text, &variant.name, &of_variant);
+        add_flood_row(&mut text, &variant.name, &of_variant);
+        add_console_row(&mut text, &variant.name, &of_variant);
     }
     text
 }
 
-/// The mean of a figure over plays, and half its confidence interval.
-fn mean_of(plays: &[&TrialResult], figure: &dyn Fn(&TrialResult) -> f64) -> (f64, f64) {
-    confidence_interval(&plays.iter().map(|play| figure(play)).collect::<Vec<_>>())
+/// The mean of a value over trials and the half-width of its confidence interval.
+fn mean_of(trials: &[&TrialResult], value: &dyn Fn(&TrialResult) -> f64) -> (f64, f64) {
+    confidence_interval(&trials.iter().map(|trial| value(trial)).collect::<Vec<_>>())
 }
 
-fn add_class_rows(text: &mut String, experiment: &Experiment, variant: &str, own: &[&TrialResult]) {
-    let n = own.len().max(1) as f64;
+fn add_class_rows(text: &mut String, experiment: &Experiment, variant: &str, trials: &[&TrialResult]) {
+    let n = trials.len().max(1) as f64;
     for class in 0..experiment.class.len() {
         let mean =
-            |of: &dyn Fn(&ClassResult) -> f64| own.iter().map(|p| of(&p.classes[class])).sum::<f64>() / n;
-        let asked = mean(&|c| c.requests as f64).max(1e-9);
-        let part = |of: fn(&ClassResult) -> u64| 100.0 * mean(&|c| of(c) as f64) / asked;
+            |of: &dyn Fn(&ClassResult) -> f64| trials.iter().map(|p| of(&p.classes[class])).sum::<f64>() / n;
+        let requests = mean(&|c| c.requests as f64).max(1e-9);
+        let percent = |of: fn(&ClassResult) -> u64| 100.0 * mean(&|c| of(c) as f64) / requests;
         let _ = writeln!(
             text,
-            "| {} | {} | {asked:.0} | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.0} | {:.0} |",
+            "| {} | {} | {requests:.0} | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.0} | {:.0} |",
             variant,
             experiment.class[class].name,
-            part(|c| c.within_objective),
-            part(|c| c.late),
-            part(|c| c.degraded),
-            part(|c| c.rejected),
-            part(|c| c.failed),
+            percent(|c| c.within_objective),
+            percent(|c| c.late),
+            percent(|c| c.degraded),
+            percent(|c| c.rejected),
+            percent(|c| c.failed),
             mean(&|c| c.p50_ms),
             mean(&|c| c.p99_ms)
         );
     }
 }
 
-fn add_pool_rows(text: &mut String, variant: &str, own: &[&TrialResult]) {
-    let n = own.len().max(1) as f64;
-    let names = own.first().map_or(Vec::new(), |p| p.pools.iter().map(|q| &q.name).collect());
+fn add_pool_rows(text: &mut String, variant: &str, trials: &[&TrialResult]) {
+    let n = trials.len().max(1) as f64;
+    let names = trials.first().map_or(Vec::new(), |p| p.pools.iter().map(|q| &q.name).collect());
     for (pool, name) in names.into_iter().enumerate() {
         let mean = |of: fn(&PoolResult) -> u64| {
-            own.iter().filter_map(|p| p.pools.get(pool)).map(|q| of(q) as f64).sum::<f64>() / n
+            trials.iter().filter_map(|p| p.pools.get(pool)).map(|q| of(q) as f64).sum::<f64>() / n
         };
         let (started, rejected) = (mean(|q| q.started), mean(|q| q.rejected));
         let _ = writeln!(
             text,
-            "| {variant} | pool {name} | started {started:.0} | turned away {rejected:.0} | | | | | | |"
+            "| {variant} | pool {name} | started {started:.0} | rejected {rejected:.0} | | | | | | |"
         );
     }
 }
 
-fn add_total_row(text: &mut String, variant: &str, own: &[&TrialResult]) {
-    let (worth, w) = mean_of(own, &|p| p.worth);
-    let (by_work, b) = mean_of(own, &|p| p.worth_by_work);
-    let (crowd, _) = mean_of(own, &|p| p.peak_concurrency_ratio);
-    let (cpu, _) = mean_of(own, &|p| p.cpu_ms);
+fn add_total_row(text: &mut String, variant: &str, trials: &[&TrialResult]) {
+    let (worth, half) = mean_of(trials, &|p| p.worth);
+    let (by_work, by_work_half) = mean_of(trials, &|p| p.worth_by_work);
+    let (concurrency, _) = mean_of(trials, &|p| p.peak_concurrency_ratio);
+    let (cpu, _) = mean_of(trials, &|p| p.cpu_ms);
     let _ = writeln!(
             text,
-            "| {variant} | all | | worth {worth:.4} +- {w:.4} | by work {by_work:.4} +- {b:.4} | crowd {crowd:.3} of bound | \
-             cpu {cpu:.3} ms | | | |"
+            "| {variant} | all | | worth {worth:.4} +- {half:.4} | worth by work {by_work:.4} +- {by_work_half:.4} | \
+             peak concurrency {concurrency:.3} of survivable | cpu {cpu:.3} ms per request | | | |"
         );
 }
 
-fn add_flood_row(text: &mut String, variant: &str, own: &[&TrialResult]) {
-    let flooded: u64 = own.iter().map(|p| p.flood_connections).sum();
-    if flooded > 0 {
-        let ended: u64 = own.iter().map(|p| p.flood_ended).sum();
-        let over = own.iter().map(|p| p.memory_over_mb).fold(0.0, f64::max);
+fn add_flood_row(text: &mut String, variant: &str, trials: &[&TrialResult]) {
+    let connections: u64 = trials.iter().map(|p| p.flood_connections).sum();
+    if connections > 0 {
+        let closed: u64 = trials.iter().map(|p| p.flood_closed).sum();
+        let peak = trials.iter().map(|p| p.peak_extra_memory_mb).fold(0.0, f64::max);
         let _ = writeln!(
                 text,
-                "| {} | flood | connections {flooded} | ended {ended} | {:.1} MB a play | memory over rest, most \
-                 {over:.2} MB | | | | |",
+                "| {} | flood | connections {connections} | closed by the worker {closed} | {:.1} MB per trial | \
+                 peak memory above idle {peak:.2} MB | | | | |",
                 variant,
-                mean_of(own, &|p| p.flood_mb).0
+                mean_of(trials, &|p| p.flood_mb).0
             );
     }
 }
 
-fn add_console_row(text: &mut String, variant: &str, own: &[&TrialResult]) {
-    let made: u64 = own.iter().map(|p| p.console_made).sum();
-    if made > 0 {
-        let most = own.iter().map(|p| p.console[2]).fold(0.0, f64::max);
-        let (p50, _) = mean_of(own, &|p| p.console[0]);
-        let (p99, _) = mean_of(own, &|p| p.console[1]);
-        let bad: u64 = own.iter().map(|p| p.console_bad).sum();
+fn add_console_row(text: &mut String, variant: &str, trials: &[&TrialResult]) {
+    let calls: u64 = trials.iter().map(|p| p.console_calls).sum();
+    if calls > 0 {
+        let max = trials.iter().map(|p| p.console_ms[2]).fold(0.0, f64::max);
+        let (p50, _) = mean_of(trials, &|p| p.console_ms[0]);
+        let (p99, _) = mean_of(trials, &|p| p.console_ms[1]);
+        let failed: u64 = trials.iter().map(|p| p.console_failures).sum();
         let _ = writeln!(
-                text,
-                "| {variant} | console | calls {made} | bad {bad} | p50 {p50:.2} ms | p99 {p99:.2} ms | most {most:.2} ms | | | |"
-            );
+            text,
+            "| {variant} | console | calls {calls} | failed {failed} | p50 {p50:.2} ms | p99 {p99:.2} ms | \
+                 max {max:.2} ms | | | |"
+        );
     }
 }
--- a/testbed/src/records.rs
+++ b/testbed/src/records.rs
@@ -1,56 +1,56 @@
-//! A model of the records service: so many slots, calls that slow each other down beyond them, and a time of its own
-//! in which it answers nothing.
+//! A model of the records service: calls slow each other down when more are in flight than it has slots, and it answers
+//! none during a stall.
 
 use crate::experiment::{RecordsModel, Slowdown};
 use std::collections::BTreeMap;
 
-/// The records service.
+/// The records service and the calls in flight.
 pub struct Records {
     model: RecordsModel,
     stalls: Vec<Slowdown>,
-    /// Calls in flight, by their end (microseconds) and a number.
+    /// Calls in flight, by the time of the reply (microseconds) and a sequence number.
     calls: BTreeMap<(u64, u64), String>,
-    next: u64,
-    /// The most calls that were in flight at once.
-    pub most: usize,
+    last_call: u64,
+    /// The maximum number of calls that were in flight at the same time.
+    pub peak_calls: usize,
 }
 
 impl Records {
-    /// A service without calls; in the times of `stalls` it answers nothing.
+    /// Creates a service without calls; in the periods of `stalls` it answers nothing.
     #[must_use]
     pub fn new(model: RecordsModel, stalls: Vec<Slowdown>) -> Records {
-        Records { model, stalls, calls: BTreeMap::new(), next: 0, most: 0 }
+        Records { model, stalls, calls: BTreeMap::new(), last_call: 0, peak_calls: 0 }
     }
 
-    /// Takes a call; tells when it will be answered.
+    /// Accepts a call; returns the time of its reply.
     pub fn call(&mut self, now: f64, id: &str) -> f64 {
         let excess = ((self.calls.len() + 1) as f64 / self.model.slots as f64 - 1.0).max(0.0);
-        let took = self.model.call_ms / 1000.0 * (1.0 + self.model.thrash * excess);
+        let call_s = self.model.call_ms / 1000.0 * (1.0 + self.model.thrash * excess);
         let stall = self.stalls.iter().find(|s| (s.at_s..s.at_s + s.for_s).contains(&now));
-        let at = stall.map_or(now, |s| s.at_s + s.for_s) + took;
-        self.next += 1;
-        self.calls.insert(((at * 1e6) as u64, self.next), id.to_owned());
-        self.most = self.most.max(self.calls.len());
+        let at = stall.map_or(now, |s| s.at_s + s.for_s) + call_s;
+        self.last_call += 1;
+        self.calls.insert(((at * 1e6) as u64, self.last_call), id.to_owned());
+        self.peak_calls = self.peak_calls.max(self.calls.len());
         at
     }
 
-    /// The caller waits no longer for the reply.
+    /// Cancels a call: its caller no longer waits for the reply.
     pub fn cancel(&mut self, id: &str) {
         self.calls.retain(|_, call| call != id);
     }
 
-    /// When the next call is answered.
+    /// The time of the next reply.
     #[must_use]
     pub fn next_reply_at(&self) -> Option<f64> {
         self.calls.keys().next().map(|(at, _)| *at as f64 / 1e6)
     }
 
-    /// Calls that are answered by now.
+    /// Removes and returns the calls that are answered by now.
     pub fn advance(&mut self, now: f64) -> Vec<String> {
-        let mut done = Vec::new();
+        let mut answered = Vec::new();
         while self.next_reply_at().is_some_and(|at| at <= now) {
-            done.extend(self.calls.pop_first().map(|(_, id)| id));
+            answered.extend(self.calls.pop_first().map(|(_, id)| id));
         }
-        done
+        answered
     }
 }
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -1,11 +1,13 @@
-//! Plays an experiment in virtual time round the worker's own core: no sockets, no clock, the same seed gives the
-//! same play.
+//! Runs an experiment in virtual time around the worker's dispatcher, without sockets or a clock: the same seed gives
+//! the same results.
 
 use crate::callers::{next_retry, plan_requests, PlannedRequest};
 use crate::error::TestbedError;
 use crate::executor::{BusyReading, Executor, Notice, Work};
 use crate::experiment::{Experiment, Variant};
-use crate::measure::{LimitChange, PoolResult, RequestEnd, TrialResult, CROWD_BOUND, CROWD_S};
+use crate::measure::{
+    LimitChange, PoolResult, RequestOutcome, TrialResult, SURVIVABLE_RUNS_PER_CORE, SURVIVABLE_WINDOW_S,
+};
 use crate::records::Records;
 use port_worker::config::{Config, OperatorSettings};
 use port_worker::dispatch::{Command, Dispatcher, Input, Request, Response, Ticket};
@@ -14,100 +16,108 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// A play goes on for this long after the last arrival (seconds).
-const AFTER_S: f64 = 8.0;
-/// The core keeps results of keyed runs in so many bytes.
-const RESULT_BYTES: usize = 16 << 20;
+/// How long a trial continues after the last arrival (seconds).
+const DRAIN_S: f64 = 8.0;
+/// The memory in which the dispatcher keeps the results of keyed runs.
+const MAX_RESULT_BYTES: usize = 16 << 20;
 
-struct World<'a> {
+/// The state of a trial: the dispatcher, the models around it, and the clients' requests.
+struct Simulation<'a> {
     experiment: &'a Experiment,
     requests: &'a [PlannedRequest],
     dispatcher: Dispatcher,
     executor: Executor,
     records: Records,
-    /// Tries to come: time in microseconds, number of the request, which try.
-    tries: BTreeMap<(u64, usize), u32>,
-    /// Tickets stand for a request and its try.
-    open: BTreeMap<u64, (usize, u32)>,
-    ends: Vec<Option<RequestEnd>>,
+    /// Future attempts: the time (microseconds) and the request's number, with the number of the attempt.
+    future_attempts: BTreeMap<(u64, usize), u32>,
+    /// The request and the attempt for each ticket without a response.
+    open_attempts: BTreeMap<u64, (usize, u32)>,
+    outcomes: Vec<Option<RequestOutcome>>,
+    /// Whether the last run of a request was degraded, until its response.
     degraded: BTreeMap<usize, bool>,
-    until: BTreeMap<String, f64>,
-    wake: f64,
-    tickets: u64,
-    busy: BusyReading,
+    /// When each downstream call in flight times out.
+    call_timeouts: BTreeMap<String, f64>,
+    /// When the dispatcher is woken next.
+    wake_at: f64,
+    last_ticket: u64,
+    last_reading: BusyReading,
     idle_reserve_waits: u64,
     limits: Vec<LimitChange>,
 }
 
-/// Plays one variant with one seed.
+/// Runs one variant with one seed.
 ///
 /// # Errors
-/// The experiment or the variant makes no valid configuration.
+/// Fails if the experiment or the variant's operator file does not make a valid configuration.
 pub fn run_trial(experiment: &Experiment, variant: &Variant, seed: u64) -> Result<TrialResult, TestbedError> {
-    let nowhere = "127.0.0.1:1";
-    let config = Config::decode(&experiment.config(nowhere, nowhere, nowhere, nowhere).to_string())?;
+    let unused = "127.0.0.1:1";
+    let config = Config::decode(&experiment.config(unused, unused, unused, unused).to_string())?;
     let operator = OperatorSettings::decode(&variant.operator, &config)?;
     let mut settings = config.settings.settings(1);
     settings.key_entry_kb = 0.0;
     settings.pools = operator.pools.as_ref().map(|p| p.plan(&config.settings)).transpose()?;
     let requests = plan_requests(experiment, seed);
-    let mut out = Vec::new();
-    let dispatcher = Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out);
-    let mut world = World {
+    let mut commands = Vec::new();
+    let dispatcher = Dispatcher::new(settings, 0.0, MAX_RESULT_BYTES, &mut commands);
+    let mut simulation = Simulation {
         experiment,
         requests: &requests,
         dispatcher,
         executor: Executor::new(experiment.executor.clone(), experiment.slow.clone()),
         records: Records::new(experiment.records.clone(), experiment.stall.clone()),
-        tries: requests.iter().map(|a| (((a.at * 1e6) as u64, a.number), 1)).collect(),
-        open: BTreeMap::new(),
-        ends: vec![None; requests.len()],
+        future_attempts: requests.iter().map(|r| (((r.at * 1e6) as u64, r.number), 1)).collect(),
+        open_attempts: BTreeMap::new(),
+        outcomes: vec![None; requests.len()],
         degraded: BTreeMap::new(),
-        until: BTreeMap::new(),
-        wake: f64::INFINITY,
-        tickets: 0,
-        busy: BusyReading::default(),
+        call_timeouts: BTreeMap::new(),
+        wake_at: f64::INFINITY,
+        last_ticket: 0,
+        last_reading: BusyReading::default(),
         idle_reserve_waits: 0,
         limits: Vec::new(),
     };
-    world.carry_out(0.0, out);
-    world.run(experiment.length_s + AFTER_S);
-    let mut play = TrialResult::of(experiment, &variant.name, seed, &requests, &world.ends);
-    play.peak_concurrency_ratio = world.executor.peak_mean_concurrency(CROWD_S) / CROWD_BOUND;
-    play.most_on_cores = world.executor.most_on_cores;
-    play.idle_reserve_waits = world.idle_reserve_waits;
-    play.limits = world.limits;
-    let state = world.dispatcher.pools();
-    let result = |p: PoolState| PoolResult { name: p.name, started: p.started, rejected: p.rejected };
-    play.pools = state.map_or(Vec::new(), |s| s.pools.into_iter().map(result).collect());
-    Ok(play)
+    simulation.carry_out(0.0, commands);
+    simulation.run(experiment.length_s + DRAIN_S);
+    let mut result =
+        TrialResult::from_outcomes(experiment, &variant.name, seed, &requests, &simulation.outcomes);
+    result.peak_concurrency_ratio =
+        simulation.executor.peak_mean_concurrency(SURVIVABLE_WINDOW_S) / SURVIVABLE_RUNS_PER_CORE;
+    result.peak_running = simulation.executor.peak_running;
+    result.idle_reserve_waits = simulation.idle_reserve_waits;
+    result.limits = simulation.limits;
+    let state = simulation.dispatcher.pools();
+    let pool_result = |p: PoolState| PoolResult { name: p.name, started: p.started, rejected: p.rejected };
+    result.pools = state.map_or(Vec::new(), |s| s.pools.into_iter().map(pool_result).collect());
+    Ok(result)
 }
 
-fn name_of(ticket: u64) -> String {
+fn run_name(ticket: u64) -> String {
     format!("{ticket:016x}")
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn run(&mut self, end: f64) {
         let mut now = 0.0;
         while now < end {
-            let next_try = self.tries.keys().next().map(|(at, _)| *at as f64 / 1e6);
-            let call_over = self.until.values().copied().fold(f64::INFINITY, f64::min);
+            let next_attempt = self.future_attempts.keys().next().map(|(at, _)| *at as f64 / 1e6);
+            let next_timeout = self.call_timeouts.values().copied().fold(f64::INFINITY, f64::min);
             let times = [
-                next_try,
+                next_attempt,
                 self.executor.next_notice_at(),
                 self.records.next_reply_at(),
-                Some(call_over),
-                Some(self.wake),
+                Some(next_timeout),
+                Some(self.wake_at),
             ];
-            // A step past a speed change is broken off there: 10 ms at most, like the model's own.
+            // Steps of at most 10 ms, like those of the executor model, since its speed changes with time.
             let next = times.into_iter().flatten().fold(now + 0.01, f64::min).max(now + 1e-6);
             now = next;
             let mut inputs = Vec::new();
             for (_, notice) in self.executor.advance(now) {
                 inputs.push(match notice {
                     Notice::RunEnded { run: id, degraded } => {
-                        if let Some((number, _)) = number_of(&id).and_then(|t| self.open.get(&t).copied()) {
+                        if let Some((number, _)) =
+                            ticket_of(&id).and_then(|t| self.open_attempts.get(&t).copied())
+                        {
                             self.degraded.insert(number, degraded);
                         }
                         let result = Some(Rc::from(&b"done"[..]));
@@ -119,15 +129,15 @@
                 });
             }
             for id in self.records.advance(now) {
-                if self.until.remove(&id).is_some() {
+                if self.call_timeouts.remove(&id).is_some() {
                     let reply = Some(Rc::from(&b"!"[..]));
                     inputs.push(Input::CallEnded { name: id.as_str().into(), outcome: Outcome::Ok, reply });
                 }
             }
-            let over: Vec<String> =
-                self.until.iter().filter(|(_, at)| **at <= now).map(|(id, _)| id.clone()).collect();
-            for id in over {
-                self.until.remove(&id);
+            let timed_out: Vec<String> =
+                self.call_timeouts.iter().filter(|(_, at)| **at <= now).map(|(id, _)| id.clone()).collect();
+            for id in timed_out {
+                self.call_timeouts.remove(&id);
                 self.records.cancel(&id);
                 inputs.push(Input::CallEnded {
                     name: id.as_str().into(),
@@ -135,27 +145,27 @@
                     reply: None,
                 });
             }
-            while let Some((&(at, number), &tries)) =
-                self.tries.iter().next().filter(|((at, _), _)| *at as f64 / 1e6 <= now)
+            while let Some((&(at, number), &attempt)) =
+                self.future_attempts.iter().next().filter(|((at, _), _)| *at as f64 / 1e6 <= now)
             {
-                self.tries.remove(&(at, number));
-                inputs.push(Input::Arrived(self.request(now, number, tries)));
+                self.future_attempts.remove(&(at, number));
+                inputs.push(Input::Arrived(self.request(now, number, attempt)));
             }
-            if now >= self.wake {
-                self.wake = f64::INFINITY;
+            if now >= self.wake_at {
+                self.wake_at = f64::INFINITY;
                 inputs.push(Input::Woken(self.gauges(now)));
             }
-            let mut out = Vec::new();
-            self.dispatcher.handle(now, inputs, &mut out);
-            self.carry_out(now, out);
+            let mut commands = Vec::new();
+            self.dispatcher.handle(now, inputs, &mut commands);
+            self.carry_out(now, commands);
         }
     }
 
     fn gauges(&mut self, now: f64) -> Gauges {
-        let BusyReading { at: since, busy_s: before } = self.busy;
+        let BusyReading { at: since, busy_s: before } = self.last_reading;
         let cores = f64::from(self.experiment.executor.cores);
         let busy = if now > since { (self.executor.busy_s() - before) / (now - since) / cores } else { 0.0 };
-        self.busy = BusyReading { at: now, busy_s: self.executor.busy_s() };
+        self.last_reading = BusyReading { at: now, busy_s: self.executor.busy_s() };
         if let Some(state) = self.dispatcher.pools() {
             if self.limits.last().map_or(true, |l| l.slots != state.limit_slots || l.cause != state.cause) {
                 let cause = state.cause.to_owned();
@@ -166,43 +176,44 @@
         Gauges { cores_busy: Some(busy), runnable: Some(self.executor.running() as f64), connections: None }
     }
 
-    fn request(&mut self, now: f64, number: usize, tries: u32) -> Request {
-        let a = &self.requests[number];
-        let class = &self.experiment.class[a.class];
-        self.tickets += 1;
-        self.open.insert(self.tickets, (number, tries));
+    fn request(&mut self, now: f64, number: usize, attempt: u32) -> Request {
+        let planned = &self.requests[number];
+        let class = &self.experiment.class[planned.class];
+        self.last_ticket += 1;
+        self.open_attempts.insert(self.last_ticket, (number, attempt));
         Request {
-            ticket: Ticket(self.tickets),
-            name: name_of(self.tickets).into(),
-            class: a.class,
+            ticket: Ticket(self.last_ticket),
+            name: run_name(self.last_ticket).into(),
+            class: planned.class,
             tenant: Some(0),
             caller: 1,
-            memory_kb: a.memory_kb,
+            memory_kb: planned.memory_kb,
             read_at: None,
             read_delay_s: 0.0,
-            time_left_s: (a.at + class.deadline_ms / 1000.0 - now).max(0.01),
+            time_left_s: (planned.at + class.deadline_ms / 1000.0 - now).max(0.01),
             estimate_s: None,
             key: class.keyed.then(|| format!("k{number}").into()),
-            retry: tries > 1,
-            body: a.work.body().into(),
+            retry: attempt > 1,
+            body: planned.work.body().into(),
         }
     }
 
+    /// Records the outcome of a request, or plans its next attempt.
     fn responded(&mut self, now: f64, ticket: u64, response: &Response) {
-        let Some((number, tries)) = self.open.remove(&ticket) else { return };
-        let (end, advice) = match response {
+        let Some((number, attempt)) = self.open_attempts.remove(&ticket) else { return };
+        let (outcome, retry_after_s) = match response {
             Response::Served(_) => {
                 let degraded = self.degraded.remove(&number).unwrap_or(false);
-                self.ends[number] = Some(RequestEnd::Served { at: now, degraded });
+                self.outcomes[number] = Some(RequestOutcome::Served { at: now, degraded });
                 return;
             }
-            Response::Rejected { retry_after_s, .. } => (RequestEnd::Rejected, *retry_after_s),
-            _ => (RequestEnd::Failed, 0.0),
+            Response::Rejected { retry_after_s, .. } => (RequestOutcome::Rejected, *retry_after_s),
+            _ => (RequestOutcome::Failed, 0.0),
         };
-        // A client that retries has not ended; its end is that of the last attempt.
-        match next_retry(self.experiment, tries, now, &self.requests[number], advice) {
-            Some(at) => drop(self.tries.insert(((at * 1e6) as u64, number), tries + 1)),
-            None => self.ends[number] = Some(end),
+        // The outcome of a request is that of its last attempt.
+        match next_retry(self.experiment, attempt, now, &self.requests[number], retry_after_s) {
+            Some(at) => drop(self.future_attempts.insert(((at * 1e6) as u64, number), attempt + 1)),
+            None => self.outcomes[number] = Some(outcome),
         }
     }
 
@@ -216,10 +227,10 @@
                 }
                 Command::Call { name, timeout_s, .. } => {
                     self.records.call(now, &name);
-                    self.until.insert(name.to_string(), now + timeout_s);
+                    self.call_timeouts.insert(name.to_string(), now + timeout_s);
                 }
                 Command::CancelCall(name) => {
-                    self.until.remove(&*name);
+                    self.call_timeouts.remove(&*name);
                     self.records.cancel(&name);
                 }
                 Command::Resume { name, .. } => {
@@ -228,7 +239,7 @@
                 Command::SkipCall { name, .. } => {
                     self.executor.resume(&name, true);
                 }
-                Command::WakeIn(after) => self.wake = now + after,
+                Command::WakeIn(after) => self.wake_at = now + after,
                 Command::Health(_)
                 | Command::Publish(_)
                 | Command::Log(_)
@@ -238,6 +249,6 @@
     }
 }
 
-fn number_of(name: &str) -> Option<u64> {
+fn ticket_of(name: &str) -> Option<u64> {
     u64::from_str_radix(name, 16).ok()
 }
