--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -5,7 +5,7 @@
 use crate::error::TestbedError;
 use crate::experiment::{Experiment, Variant};
 use crate::loopback;
-use crate::measure::{interval, Play};
+use crate::measure::{confidence_interval, TrialResult};
 use crate::sync::lock;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -77,15 +77,15 @@
         name: name.to_owned(),
         operator: operator.to_owned(),
         worker: None,
-        console_every_ms: (!well_alone).then_some(20.0),
-        console_holders: 0,
+        console_interval_ms: (!well_alone).then_some(20.0),
+        held_console_connections: 0,
         ..base.clone()
     };
     let (with, without) = (variant("with", &operator), variant("without", ""));
     let mut text = "coordinators  worth               in aim              cpu a request       p99                 longest console call  owed".to_owned();
     let all = [State::Well, State::Killed, State::Stopped, State::Flapping];
     for state in all.into_iter().take(if well_alone { 1 } else { 4 }) {
-        let mut pairs: Vec<(Play, Play)> = Vec::new();
+        let mut pairs: Vec<(TrialResult, TrialResult)> = Vec::new();
         for seed in 1..=seeds {
             let mut plays = Vec::new();
             let mut order = [&without, &with];
@@ -96,7 +96,7 @@
             for variant in order {
                 state.begin(&mut rig)?;
                 let play =
-                    flap_while(state, &mut rig, || loopback::play(&experiment, variant, seed, &worker))?;
+                    flap_while(state, &mut rig, || loopback::run_trial(&experiment, variant, seed, &worker))?;
                 state.end(&mut rig)?;
                 plays.push(play);
             }
@@ -107,13 +107,13 @@
                 pairs.push((with, without));
             }
         }
-        let ratio = |of: &dyn Fn(&Play) -> f64| {
+        let ratio = |of: &dyn Fn(&TrialResult) -> f64| {
             let ratios: Vec<f64> = pairs.iter().map(|(w, o)| of(w) / of(o).max(1e-9)).collect();
-            let (mean, half) = interval(&ratios);
+            let (mean, half) = confidence_interval(&ratios);
             format!("{mean:.3} +- {half:.3}    ")
         };
-        let metric = |name: &'static str| move |play: &Play| play.metric(name, None);
-        let owed: u64 = pairs.iter().map(|(with, _)| with.owed).sum();
+        let metric = |name: &'static str| move |play: &TrialResult| play.metric(name, None);
+        let owed: u64 = pairs.iter().map(|(with, _)| with.unanswered).sum();
         let _ = write!(
             text,
             "\n{:<14}{}{}{}{}{}    {owed}",
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -79,19 +79,19 @@
     fn gather(&mut self, now: f64) {
         for (_, notice) in self.executor.advance(now) {
             self.inbox.push(match notice {
-                Notice::Exit { job: id, degraded } => {
+                Notice::RunEnded { run: id, degraded } => {
                     self.degraded.insert(u64::from_str_radix(&id, 16).unwrap_or(0), degraded);
                     let result = Some(Rc::from(&b"done"[..]));
                     Input::RunEnded { name: id.as_str().into(), outcome: Outcome::Ok, result }
                 }
-                Notice::Callout { job: id } => {
+                Notice::CallRequested { run: id } => {
                     Input::AtCall { name: id.as_str().into(), body: Rc::from(&b"?"[..]), sequence: 0 }
                 }
             });
         }
         while self.due.first().is_some_and(|(due, _)| *due as f64 / 1e6 <= now) {
             let Some((_, name)) = self.due.pop_first() else { break };
-            if self.executor.end_at_call(&name) {
+            if self.executor.abort_waiting(&name) {
                 self.inbox.push(Input::RunEnded { name, outcome: Outcome::Cancelled, result: None });
             }
         }
@@ -101,7 +101,7 @@
         let BusyReading { at: since, busy_s: before } = self.busy;
         let busy = (self.executor.busy_s() - before) / (now - since).max(1e-9) / cores;
         self.busy = BusyReading { at: now, busy_s: self.executor.busy_s() };
-        Gauges { cores_busy: Some(busy), runnable: Some(self.executor.on_cores() as f64), connections: None }
+        Gauges { cores_busy: Some(busy), runnable: Some(self.executor.running() as f64), connections: None }
     }
 
     /// Handles all that has come, as in one turn of the worker's loop.
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -216,7 +216,7 @@
             class: planned.class,
             tenant: Some(0),
             caller: 1,
-            memory_kb: planned.need_kb,
+            memory_kb: planned.memory_kb,
             read_at: None,
             read_delay_s: 0.0,
             time_left_s: due - now,
@@ -237,7 +237,7 @@
             match command {
                 Command::Respond(ticket, response) => self.responded(now, w, ticket.0, &response),
                 Command::Run { name, body, deadline: due, .. } => {
-                    worker.executor.start(&name, Work::read(&body));
+                    worker.executor.start(&name, Work::decode(&body));
                     worker.due.insert(((due.max(0.0) * 1e6) as u64, name));
                 }
                 Command::Call { name, timeout_s, .. } => {
@@ -276,7 +276,7 @@
     fn earn(&mut self, now: f64, number: usize, degraded: bool) {
         let planned = &self.requests[number];
         let class = &self.experiment.class[planned.class];
-        let in_aim = (now - planned.at) * 1000.0 <= class.aim_ms;
+        let in_aim = (now - planned.at) * 1000.0 <= class.objective_ms;
         let kept = if degraded { class.skip_worth } else { 1.0 };
         if let Some(second) = self.result.worth.get_mut(now as usize).filter(|_| in_aim) {
             *second += class.worth * kept;
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,29 +1,29 @@
 //! Class pools in virtual time round the worker's own core, and a short form of the experiment on loopback.
 
 use std::path::PathBuf;
-use testbed::experiment::{Experiment, Jump, Slow};
-use testbed::measure::{table, values, verdict, Play};
+use testbed::experiment::{Experiment, RateStep, Slowdown};
+use testbed::measure::{table, values, verdict, TrialResult};
 use testbed::{limits, loopback, virtual_time};
 
 fn experiment() -> Experiment {
     Experiment::decode(include_str!("../experiments/pools-110.toml")).unwrap()
 }
 
-fn play(experiment: &Experiment, variant: &str, seed: u64) -> Play {
+fn play(experiment: &Experiment, variant: &str, seed: u64) -> TrialResult {
     let variant = experiment.variant.iter().find(|v| v.name == variant).unwrap();
-    virtual_time::play(experiment, variant, seed).unwrap()
+    virtual_time::run_trial(experiment, variant, seed).unwrap()
 }
 
 #[test]
 fn experiment_bounds_hold_in_virtual_time_and_fail_without_pools() {
     let experiment = experiment();
-    let plays: Vec<Play> =
+    let plays: Vec<TrialResult> =
         (1..=5).flat_map(|seed| ["plain", "pools"].map(|variant| play(&experiment, variant, seed))).collect();
     let (text, good) = verdict(&experiment, &plays);
     assert!(good, "{text}\n{}", table(&experiment, &plays));
     // The bounds can fail: without pools the cheapest calls starve.
     let mut turned = experiment.clone();
-    turned.expect.iter_mut().filter(|x| x.against.is_none()).for_each(|x| x.variant = "plain".to_owned());
+    turned.expect.iter_mut().filter(|x| x.baseline.is_none()).for_each(|x| x.variant = "plain".to_owned());
     assert!(!verdict(&turned, &plays).1);
 }
 
@@ -39,10 +39,10 @@
 fn load_step_from_70_percent_and_back_keeps_the_reserve_available() {
     let mut e = experiment();
     (e.load, e.slow) = (0.7, Vec::new());
-    e.jump = vec![Jump { at_s: 8.0, for_s: 8.0, times: 1.6 }];
+    e.jump = vec![RateStep { at_s: 8.0, for_s: 8.0, factor: 1.6 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
-        assert_eq!((p.reserve_kept, p.owed), (0, 0));
+        assert_eq!((p.idle_reserve_waits, p.unanswered), (0, 0));
         assert!(p.metric("in_aim", Some("status-check")) >= 0.99, "{p:?}");
         assert!(p.metric("in_aim", Some("port-submit")) >= 0.95, "{p:?}");
     }
@@ -53,7 +53,7 @@
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.7, Vec::new(), Vec::new());
     // Eligibility alone asks for three times what the cores can do.
-    e.class[1].jump = vec![Jump { at_s: 5.0, for_s: 15.0, times: 6.0 }];
+    e.class[1].jump = vec![RateStep { at_s: 5.0, for_s: 15.0, factor: 6.0 }];
     let (mut plain, mut pools) = (0.0, 0.0);
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
@@ -69,10 +69,10 @@
 fn executor_slowed_ten_times_stays_far_below_the_survivable_concurrency() {
     let mut e = experiment();
     e.jump = Vec::new();
-    e.slow = vec![Slow { at_s: 8.0, for_s: 10.0, times: 10.0 }];
+    e.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, factor: 10.0 }];
     for seed in 1..=4 {
         let p = play(&e, "pools", seed);
-        assert!(p.crowd_of_bound < 0.5 && p.owed == 0, "{p:?}");
+        assert!(p.peak_concurrency_ratio < 0.5 && p.unanswered == 0, "{p:?}");
         assert!(p.limits.iter().any(|l| l.cause == "slow" && l.at > 8.0 && l.at < 10.5), "{:?}", p.limits);
         // Ends come again from 18 s on: within three seconds it is no slow one any more, whatever its limit is then.
         let after = p.limits.iter().find(|l| l.cause != "slow" && l.at > 18.0);
@@ -85,11 +85,13 @@
 fn reserved_class_silent_for_a_minute_is_served_when_it_bursts() {
     let mut e = experiment();
     (e.length_s, e.slow, e.jump) = (70.0, Vec::new(), Vec::new());
-    e.class[0].jump =
-        vec![Jump { at_s: 0.0, for_s: 60.0, times: 0.0 }, Jump { at_s: 60.0, for_s: 10.0, times: 3.0 }];
+    e.class[0].jump = vec![
+        RateStep { at_s: 0.0, for_s: 60.0, factor: 0.0 },
+        RateStep { at_s: 60.0, for_s: 10.0, factor: 3.0 },
+    ];
     let p = play(&e, "pools", 1);
-    assert!(p.classes[0].asked > 300, "{p:?}");
-    assert_eq!(p.reserve_kept, 0);
+    assert!(p.classes[0].requests > 300, "{p:?}");
+    assert_eq!(p.idle_reserve_waits, 0);
     assert!(p.metric("in_aim", Some("status-check")) >= 0.99, "{p:?}");
 }
 
@@ -97,11 +99,11 @@
 fn stalled_records_service_leaves_every_pool_its_slots() {
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.9, Vec::new(), Vec::new());
-    e.stall = vec![Slow { at_s: 8.0, for_s: 6.0, times: 1.0 }];
+    e.stall = vec![Slowdown { at_s: 8.0, for_s: 6.0, factor: 1.0 }];
     for seed in 1..=3 {
         let p = play(&e, "pools", seed);
-        assert_eq!((p.owed, p.reserve_kept), (0, 0), "{p:?}");
-        assert!(p.crowd_of_bound <= 0.8, "{p:?}");
+        assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
+        assert!(p.peak_concurrency_ratio <= 0.8, "{p:?}");
     }
 }
 
@@ -147,14 +149,14 @@
 fn short_loopback_run_answers_all_requests_and_keeps_the_reserve() {
     let mut e = experiment();
     e.length_s = 4.0;
-    e.jump = vec![Jump { at_s: 1.0, for_s: 2.0, times: 1.6 }];
+    e.jump = vec![RateStep { at_s: 1.0, for_s: 2.0, factor: 1.6 }];
     e.slow = Vec::new();
     let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
-    let p = loopback::play(&e, &variant, 1, &worker()).unwrap();
+    let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
     // What a slow machine can't change: every request got its answer, and the reserve was never kept from its pool.
-    assert_eq!((p.owed, p.reserve_kept), (0, 0), "{p:?}");
-    assert!(p.classes.iter().all(|c| c.asked == c.in_aim + c.late + c.rejected + c.failed));
-    assert!(p.classes[0].in_aim > 0 && p.cpu_ms > 0.0, "{p:?}");
+    assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
+    assert!(p.classes.iter().all(|c| c.requests == c.within_objective + c.late + c.rejected + c.failed));
+    assert!(p.classes[0].within_objective > 0 && p.cpu_ms > 0.0, "{p:?}");
     let owed = e.expect.iter().find(|x| x.metric == "owed").unwrap();
     assert_eq!(values(&[p], owed), vec![0.0]);
 }
