--- a/tests/crossings/downstream.rs
+++ b/tests/crossings/downstream.rs
@@ -1,18 +1,18 @@
-//! Executor and records service: their messages against the end of their links and of timeouts.
+//! Races between messages of the executor or the records service and the end of their links or timeouts.
 
 use super::*;
 
-/// After so many calls the controller knows how long one takes.
-const CALLS: usize = 40;
+/// The number of calls after which the controller has learned how long one takes.
+const CALLS_TO_LEARN: usize = 40;
 
-/// The reply is there when its timeout ends: what came in time counts.
+/// The worker handles a reply and the expiry of its timeout in one turn: the reply arrived in time and is used.
 #[test]
-fn a_reply_that_meets_its_timeout_counts() {
+fn reply_received_before_its_timeout_is_handled_is_used() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let mut records: Option<Client> = None;
-    // The first calls show how long one takes; the timeout of later ones follows.
-    for round in 0..CALLS {
+    // The controller derives the timeout of later calls from the lengths of the first.
+    for round in 0..CALLS_TO_LEARN {
         let (mut client, job) =
             start_run(&worker, &mut executor, &RequestBuilder::new("order").key(&unique_request_id()));
         executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": encode("number?")}));
@@ -20,11 +20,11 @@
         let (_, head, _) = service.read_message();
         let head = Reply { status: 0, head, body: Vec::new() };
         let wait_ms: u64 = head.header("Op-Wait-Ms").unwrap().parse().unwrap();
-        if round + 1 == CALLS {
+        if round + 1 == CALLS_TO_LEARN {
             assert!(wait_ms <= 2000, "{wait_ms}");
             worker.suspend();
             service.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
-            let_pass(Duration::from_millis(wait_ms + 50));
+            sleep_past(Duration::from_millis(wait_ms + 50));
             worker.resume();
         } else {
             service.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
@@ -37,18 +37,19 @@
     drop(records);
 }
 
-/// Complete notices, half a notice and the end of the link at once: complete ones count, once.
+/// Complete notices, a partial notice and the end of the link are read in one turn: each complete notice is handled
+/// once, and the executor resends the partial one on the next link.
 #[test]
-fn notices_before_the_end_of_a_link_count_once_and_half_a_notice_is_repeated() {
+fn complete_notices_before_a_link_failure_count_once_and_a_partial_one_is_resent() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
-    let (mut first, one) = start_run(&worker, &mut executor, &RequestBuilder::new("order").key("a"));
-    let (mut second, two) = start_run(&worker, &mut executor, &RequestBuilder::new("order").key("b"));
+    let (mut first, job_a) = start_run(&worker, &mut executor, &RequestBuilder::new("order").key("a"));
+    let (mut second, job_b) = start_run(&worker, &mut executor, &RequestBuilder::new("order").key("b"));
     worker.suspend();
-    executor.send_exit(&one, "PASS", "one");
-    let half =
-        json!({"type": "EXIT", "n": 2, "job": two, "state": "PASS", "took": 1.0, "data": encode("two")});
-    executor.send_raw(&half.to_string()[..40]);
+    executor.send_exit(&job_a, "PASS", "one");
+    let partial =
+        json!({"type": "EXIT", "n": 2, "job": job_b, "state": "PASS", "took": 1.0, "data": encode("two")});
+    executor.send_raw(&partial.to_string()[..40]);
     drop(executor);
     worker.resume();
     assert_eq!(first.read_response().body, b"one");
@@ -56,15 +57,15 @@
     assert_eq!(executor.expect_command("JOIN")["n"], 1);
     executor.welcome();
     executor.last_notice = 1;
-    executor.started = vec![one, two.clone()];
-    executor.send_exit(&two, "PASS", "two");
+    executor.started = vec![job_a, job_b.clone()];
+    executor.send_exit(&job_b, "PASS", "two");
     assert_eq!(second.read_response().body, b"two");
     executor.expect_no_command(&worker);
 }
 
-/// The end of a run and the notice that its request is unknown, for one job and in either order: one response.
+/// `EXIT` and `BAD` (request unknown) arrive for one job in one turn, in either order: the caller gets one response.
 #[test]
-fn an_exit_and_a_bad_for_one_job_are_one_response() {
+fn exit_and_bad_notices_for_one_job_give_one_response() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     for bad_first in [true, false] {
@@ -86,36 +87,37 @@
     }
 }
 
-/// A link breaks after a run was commanded, and a retry comes before the new link's fence is answered.
+/// The link fails after the command to run was sent, and a retry arrives before the executor has answered the `JOIN` of
+/// the new link.
 #[test]
-fn a_retry_between_the_break_of_a_link_and_its_fence_shares_the_run() {
+fn retry_between_a_link_failure_and_the_next_welcome_shares_the_run() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let order = || RequestBuilder::new("order").key("5c0f");
     let (mut first, job) = start_run(&worker, &mut executor, &order());
-    let mut again = Client::connect(worker.http);
-    assert_eq!(again.check_health(), 200);
+    let mut retry = Client::connect(worker.http);
+    assert_eq!(retry.check_health(), 200);
     worker.suspend();
     drop(executor);
-    again.send(&order());
+    retry.send(&order());
     worker.resume();
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 0);
     executor.welcome();
     executor.started = vec![job.clone()];
     executor.send_exit(&job, "PASS", "once");
-    for client in [&mut first, &mut again] {
+    for client in [&mut first, &mut retry] {
         assert_eq!(client.read_response().body, b"once");
     }
     executor.expect_no_command(&worker);
 }
 
-/// A reply and the close of its connection at once; a reply truncated by a byte; bytes behind a reply.
+/// A reply together with the close of its connection; a reply truncated by one byte; extra bytes after a reply.
 #[test]
-fn a_complete_reply_counts_and_a_truncated_one_proves_nothing() {
+fn complete_reply_is_used_and_truncated_one_leaves_the_call_indeterminate() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
-    for (text, whole) in [
+    for (text, complete) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes", true),
         ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyesNOISE", true),
         ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nye", false),
@@ -130,23 +132,23 @@
         service.write(text);
         drop(service);
         worker.resume();
-        if whole {
+        if complete {
             assert_eq!(executor.expect_command("RETURN")["data"], json!(encode("yes")));
             executor.send_exit(&job, "PASS", "done");
             assert_eq!(client.read_response().body, b"done");
         } else {
-            // It may have had its effect: the order fails, and the call is not repeated.
+            // The call may have taken effect: the order fails, and the call is not repeated.
             assert_eq!(client.read_response().status, 500);
             executor.send_exit(&job, "KILLED", "");
-            let mut again = Client::connect(worker.http);
-            assert_eq!(again.request(&RequestBuilder::new("order").key(&key)).status, 500);
+            let mut retry = Client::connect(worker.http);
+            assert_eq!(retry.request(&RequestBuilder::new("order").key(&key)).status, 500);
             executor.expect_no_command(&worker);
         }
     }
 }
 
-/// Ready as soon as it can serve, and not before: the executor may take long, its message may come in pieces, and the
-/// link may break in the middle of it.
+/// The worker is ready as soon as it can serve, and not before: the executor may take long, its `WELCOME` may arrive in
+/// pieces, and the link may fail in the middle of it.
 #[test]
 fn a_worker_is_ready_with_the_complete_welcome_and_not_before() {
     let worker = WORKER.start_with(|c| c["console"] = json!("127.0.0.1:0"), None);
--- a/tests/crossings/keys.rs
+++ b/tests/crossings/keys.rs
@@ -1,8 +1,8 @@
-//! Attempts with one idempotency key against the end of its run, its window and their callers.
+//! Races between attempts with one idempotency key and the end of its run, of its window or of their callers.
 
 use super::*;
 
-fn short_window(window_s: f64) -> WorkerUnderTest {
+fn start_with_window(window_s: f64) -> WorkerUnderTest {
     WORKER.start_with(|c| c["settings"]["profiles"][1]["windowS"] = json!(window_s), None)
 }
 
@@ -10,15 +10,15 @@
     RequestBuilder::new("order").key("5c0f6e1a")
 }
 
-/// The window ends long before the run does.
+/// The window of the key ends long before its run does.
 #[test]
-fn a_key_is_retained_while_its_run_goes_on_however_short_its_window() {
+fn key_is_retained_until_its_run_ends_however_short_its_window() {
     for window_s in [0.0, 0.1] {
-        let worker = short_window(window_s);
+        let worker = start_with_window(window_s);
         let mut executor = worker.accept_link();
         let (mut first, job) = start_run(&worker, &mut executor, &order());
-        // The table is swept each second.
-        let_pass(Duration::from_millis(1300));
+        // Longer than the interval of one second at which expired keys are removed.
+        sleep_past(Duration::from_millis(1300));
         let mut retry = Client::connect(worker.http);
         retry.send(&order());
         executor.expect_no_command(&worker);
@@ -30,9 +30,9 @@
     }
 }
 
-/// The retry and the end of the run are handled in one turn.
+/// The retry and the end of the run arrive in one turn.
 #[test]
-fn a_retry_that_meets_the_end_of_its_run_gets_its_result() {
+fn retry_handled_with_the_end_of_its_run_gets_its_result() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let (mut first, job) = start_run(&worker, &mut executor, &order());
@@ -40,7 +40,7 @@
     assert_eq!(retry.check_health(), 200);
     for round in 0..2 {
         worker.suspend();
-        // In the second round the run has ended long ago.
+        // In the second round the run has already ended.
         if round == 0 {
             executor.send_exit(&job, "PASS", "once");
         }
@@ -52,9 +52,9 @@
     executor.expect_no_command(&worker);
 }
 
-/// The first caller resets its connection as its run ends; the retry comes in the same turn.
+/// The first caller resets its connection, its run ends, and the retry arrives, all in one turn.
 #[test]
-fn a_reset_the_end_of_the_run_and_a_retry_in_one_turn_are_one_run() {
+fn reset_run_end_and_retry_in_one_turn_give_one_run() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let (first, job) = start_run(&worker, &mut executor, &order());
@@ -68,28 +68,28 @@
     executor.expect_no_command(&worker);
 }
 
-/// An attempt that reached the machine within the window is read after one that came when it was over, whose run may
-/// not begin: it still gets the result of the first run.
+/// An attempt that arrived within the window is read after one that arrived when the window was over and is queued. It
+/// still gets the result of the first run.
 #[test]
 fn attempt_within_the_window_read_after_a_later_one_does_not_run_again() {
-    let worker = short_window(0.3);
+    let worker = start_with_window(0.3);
     let mut executor = worker.accept_link();
     executor.gauges = [1.0, 4.0, 0.1, 3.0];
     let (mut first, job) = start_run(&worker, &mut executor, &order());
     let arrived_ms = unix_ms();
     executor.send_exit(&job, "PASS", "once");
     assert_eq!(first.read_response().body, b"once");
-    // Both slots are taken, so that the late one is queued.
+    // Both run slots are taken, so that the late attempt is queued.
     let busy: Vec<(Client, Value)> =
         (0..2).map(|_| start_run(&worker, &mut executor, &RequestBuilder::new("look"))).collect();
-    let_pass(Duration::from_millis(500));
+    sleep_past(Duration::from_millis(500));
     let mut late = Client::connect(worker.http);
     late.send(&order());
     assert_eq!(worker.check_health(), 200);
-    let mut within = Client::connect(worker.http);
-    let reply = within.request(&order().arrived_ms(arrived_ms));
+    let mut attempt_within = Client::connect(worker.http);
+    let reply = attempt_within.request(&order().arrived_ms(arrived_ms));
     assert_eq!((reply.status, reply.body), (200, b"once".to_vec()));
-    // Now the late one may run.
+    // Now the late attempt may run.
     for (mut client, job) in busy {
         executor.send_exit(&job, "PASS", "");
         assert_eq!(client.read_response().status, 200);
--- a/tests/crossings/main.rs
+++ b/tests/crossings/main.rs
@@ -1,7 +1,8 @@
-//! Race conditions: each test forces two events to meet, on real processes and sockets. The table of them stands in
-//! `docs/design/08-crossings.md`.
+//! Race conditions: each test forces two events to coincide, on real processes and sockets.
+//! `docs/design/08-crossings.md` lists them.
 //!
-//! A worker that is stopped by SIGSTOP handles nothing: what reaches it meanwhile, it finds in one turn of its loop.
+//! A worker stopped by SIGSTOP processes nothing: it finds all input that arrived meanwhile in one turn of its event
+//! loop.
 
 mod closing;
 mod downstream;
@@ -20,42 +21,43 @@
 /// The program under test.
 const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
-/// Lets so much time pass while the worker is stopped: past the end of the timeout that is the test's subject.
-fn let_pass(time: Duration) {
-    std::thread::sleep(time);
+/// Sleeps until the timeout under test has expired.
+fn sleep_past(timeout: Duration) {
+    std::thread::sleep(timeout);
 }
 
-/// How a connection ended, after what was still received.
+/// How the worker ended a connection.
 #[derive(Debug, PartialEq)]
-enum End {
+enum ConnectionEnd {
     Closed,
     Reset,
 }
 
-fn end_of(client: &mut Client) -> End {
+/// Reads and discards what is still received, up to the end of the connection.
+fn connection_end(client: &mut Client) -> ConnectionEnd {
     let mut bytes = [0; 4096];
     loop {
         match client.reader.read(&mut bytes) {
-            Ok(0) => return End::Closed,
+            Ok(0) => return ConnectionEnd::Closed,
             Ok(_) => {}
-            // The system interrupts such a wait where this process was stopped for a moment.
+            // A blocking read is interrupted when this process itself is stopped and continued.
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) if e.kind() == ErrorKind::ConnectionReset => return End::Reset,
-            Err(e) => panic!("neither a close nor a reset: {e}"),
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => return ConnectionEnd::Reset,
+            Err(e) => panic!("expected a close or a reset of the connection, got: {e}"),
         }
     }
 }
 
-/// Waits until nothing listens there any more.
-fn wait_refused(address: SocketAddr) {
+/// Waits until connections to this address are refused.
+fn wait_listener_closed(address: SocketAddr) {
     let until = Instant::now() + TIMEOUT;
     while TcpStream::connect(address).is_ok() {
-        assert!(Instant::now() < until, "it goes on listening");
+        assert!(Instant::now() < until, "{address} still accepts connections after {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A site with this grace and this time from the shutdown notice to the stop.
+/// Starts a worker with this shutdown grace and this time from the shutdown notice to its forced stop.
 fn start_with_shutdown(grace_s: f64, stop_ms: u64) -> WorkerUnderTest {
     WORKER.start_with(
         |c| {
@@ -66,14 +68,14 @@
     )
 }
 
-/// Starts a run of this class on a connection of its own.
-fn start_run(worker: &WorkerUnderTest, executor: &mut Executor, ask: &RequestBuilder) -> (Client, Value) {
+/// Starts a run of this request on a connection of its own; returns the connection and the executor's job.
+fn start_run(worker: &WorkerUnderTest, executor: &mut Executor, request: &RequestBuilder) -> (Client, Value) {
     let mut client = Client::connect(worker.http);
-    client.send(ask);
+    client.send(request);
     (client, executor.expect_command("EXEC")["job"].clone())
 }
 
-/// Ends a run successfully and checks that its caller gets the result.
+/// Ends a run successfully and asserts that its caller gets the result.
 fn finish_run(executor: &mut Executor, job: &Value, client: &mut Client) {
     executor.send_exit(job, "PASS", "done");
     let reply = client.read_response();
