--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -1,16 +1,16 @@
-//! A controller under test, without a worker round it.
+//! Drives a controller without a worker.
 
 use port_worker::{
     Action, Arrival, Class, Controller, Dependency, Event, Gauges, Idempotency, Outcome, RequestId, Settings,
 };
 
-/// A controller and its clock.
+/// A controller under test, and the time in seconds that it is given.
 pub struct Harness {
     pub controller: Controller,
     pub now: f64,
 }
 
-/// Two cores, and two classes: one idempotent, one keyed of ten times its weight.
+/// Settings of two cores and two classes: an idempotent one, and a keyed one of ten times its weight.
 pub fn settings() -> Settings {
     Settings {
         cores: 2,
@@ -41,28 +41,27 @@
     }
 }
 
-/// The same with idempotent classes, of which the first makes downstream calls.
-pub fn with_calls(share: f64) -> Settings {
-    let mut set = settings();
-    set.dependency = Some(Dependency { share, window_s: 5.0, linger_s: 0.1 });
-    set.classes[0].makes_calls = true;
-    set.classes[1].idempotency = Idempotency::Idempotent;
-    set
+/// The same settings with idempotent classes, of which the first makes downstream calls.
+pub fn settings_with_calls(share: f64) -> Settings {
+    let mut settings = settings();
+    settings.dependency = Some(Dependency { share, window_s: 5.0, linger_s: 0.1 });
+    settings.classes[0].makes_calls = true;
+    settings.classes[1].idempotency = Idempotency::Idempotent;
+    settings
 }
 
 impl Harness {
-    pub fn new(set: Settings) -> Self {
-        Harness { controller: Controller::new(set, 0.0, &mut Vec::new()), now: 0.0 }
+    pub fn new(settings: Settings) -> Self {
+        Harness { controller: Controller::new(settings, 0.0, &mut Vec::new()), now: 0.0 }
     }
 
-    /// Hands an event to the controller.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.controller.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.controller.handle(self.now, event, &mut actions);
+        actions
     }
 
-    /// A request of a class arrives.
+    /// Handles the arrival of a request of this class.
     pub fn arrive(&mut self, id: u64, class: usize) -> Vec<Action> {
         self.handle(Event::Arrived(Arrival {
             id: RequestId(id),
@@ -72,7 +71,7 @@
         }))
     }
 
-    /// A further attempt with the idempotency key of an earlier request arrives.
+    /// Handles the arrival of another attempt with the idempotency key of an earlier request.
     pub fn repeat_attempt(&mut self, id: u64, of: u64) -> Vec<Action> {
         let (id, retry_of) = (RequestId(id), Some(RequestId(of)));
         self.handle(Event::Arrived(Arrival {
@@ -85,49 +84,46 @@
         }))
     }
 
-    /// A run ends.
-    pub fn end(&mut self, id: u64, outcome: Outcome) -> Vec<Action> {
+    pub fn end_run(&mut self, id: u64, outcome: Outcome) -> Vec<Action> {
         self.handle(Event::RunEnded { id: RequestId(id), outcome })
     }
 
-    /// A wake-up with this share of the cores busy.
+    /// Handles a wake-up whose gauges report this share of the cores as busy.
     pub fn wake(&mut self, busy: f64) -> Vec<Action> {
         self.handle(Event::Woken(Gauges { cores_busy: Some(busy), ..Gauges::default() }))
     }
 
-    /// Passes time with wake-ups, as a worker would.
-    pub fn pass(&mut self, seconds: f64, busy: f64) -> Vec<Action> {
+    /// Advances the time with a wake-up every 25 ms, as a worker does.
+    pub fn advance(&mut self, seconds: f64, busy: f64) -> Vec<Action> {
         let until = self.now + seconds;
-        let mut all = Vec::new();
+        let mut all_actions = Vec::new();
         while self.now < until {
             self.now += 0.025;
-            all.extend(self.wake(busy));
+            all_actions.extend(self.wake(busy));
         }
-        all
+        all_actions
     }
 }
 
 /// The requests that these actions start.
-pub fn starts(out: &[Action]) -> Vec<u64> {
-    out.iter().filter_map(|a| if let Action::Start(id) = a { Some(id.0) } else { None }).collect()
+pub fn started_requests(actions: &[Action]) -> Vec<u64> {
+    actions.iter().filter_map(|a| if let Action::Start(id) = a { Some(id.0) } else { None }).collect()
 }
 
-/// Whether a request is rejected.
-pub fn rejected(out: &[Action], id: u64) -> bool {
-    out.iter().any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id))
+pub fn rejected(actions: &[Action], id: u64) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id))
 }
 
-/// Whether a request is answered with an error.
-pub fn failed(out: &[Action], id: u64) -> bool {
-    out.contains(&Action::Fail(RequestId(id)))
+pub fn failed(actions: &[Action], id: u64) -> bool {
+    actions.contains(&Action::Fail(RequestId(id)))
 }
 
-/// Whether a request is answered.
-pub fn answered(out: &[Action], id: u64) -> bool {
-    failed(out, id) || rejected(out, id)
+/// Whether a request fails or is rejected.
+pub fn answered(actions: &[Action], id: u64) -> bool {
+    failed(actions, id) || rejected(actions, id)
 }
 
-/// How many downstream calls these actions make.
-pub fn calls_made(out: &[Action]) -> usize {
-    out.iter().filter(|a| matches!(a, Action::Call { .. })).count()
+/// The number of downstream calls that these actions make.
+pub fn calls_made(actions: &[Action]) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Call { .. })).count()
 }
--- a/tests/failures/idempotency.rs
+++ b/tests/failures/idempotency.rs
@@ -1,6 +1,6 @@
-//! Idempotency keys and runs with an effect.
+//! Idempotency keys, and runs that are not idempotent.
 
-use crate::harness::{failed, settings, starts, Harness};
+use crate::harness::{failed, settings, started_requests, Harness};
 use port_worker::{Action, Arrival, Event, Outcome, Preemption, RequestId, Settings};
 
 #[test]
@@ -8,14 +8,22 @@
     let mut worker = Harness::new(settings());
     let first = worker.arrive(1, 1);
     assert!(matches!(first[0], Action::RetainKey { id: RequestId(1), for_s } if for_s >= 9.0));
-    assert_eq!(worker.repeat_attempt(2, 1), vec![Action::ShareResponse(RequestId(2))], "running");
+    assert_eq!(
+        worker.repeat_attempt(2, 1),
+        vec![Action::ShareResponse(RequestId(2))],
+        "the first attempt runs"
+    );
     worker.arrive(3, 0);
     worker.arrive(4, 1);
-    assert_eq!(worker.repeat_attempt(5, 4), vec![], "queued: it waits for the holder");
+    assert_eq!(
+        worker.repeat_attempt(5, 4),
+        vec![],
+        "the first attempt is queued, and the second waits for it"
+    );
     worker.now = 0.2;
-    let out = worker.end(1, Outcome::Error);
-    assert_eq!(starts(&out), vec![4]);
-    assert!(out.contains(&Action::ShareResponse(RequestId(5))));
+    let actions = worker.end_run(1, Outcome::Error);
+    assert_eq!(started_requests(&actions), vec![4]);
+    assert!(actions.contains(&Action::ShareResponse(RequestId(5))));
     assert_eq!(
         worker.repeat_attempt(6, 1),
         vec![Action::ShareResponse(RequestId(6))],
@@ -30,13 +38,13 @@
     worker.arrive(2, 1);
     worker.arrive(3, 1);
     worker.repeat_attempt(4, 3);
-    let out = worker.handle(Event::CallerDisconnected(RequestId(3)));
-    assert!(matches!(out[0], Action::RetainKey { id: RequestId(4), .. }));
+    let actions = worker.handle(Event::CallerDisconnected(RequestId(3)));
+    assert!(matches!(actions[0], Action::RetainKey { id: RequestId(4), .. }));
     worker.now = 0.2;
-    assert_eq!(starts(&worker.end(1, Outcome::Ok)), vec![4]);
+    assert_eq!(started_requests(&worker.end_run(1, Outcome::Ok)), vec![4]);
 }
 
-/// Keyed runs were stopped when their attempt ended, and the next attempt got an error for a response.
+/// Guards against stopping a keyed run when its attempt ends: the next attempt then got an error as its response.
 #[test]
 fn a_run_with_an_effect_goes_on_for_the_next_attempt() {
     let mut worker = Harness::new(Settings { preemption: Preemption::Pause, ..settings() });
@@ -47,29 +55,32 @@
         time_left_s: Some(1.0),
         ..Arrival::default()
     }));
-    let out = worker.pass(1.1, 1.0);
-    assert!(failed(&out, 1) && !out.contains(&Action::Preempt(RequestId(1))));
+    let actions = worker.advance(1.1, 1.0);
+    assert!(failed(&actions, 1) && !actions.contains(&Action::Preempt(RequestId(1))));
     assert_eq!(worker.repeat_attempt(2, 1), vec![Action::ShareResponse(RequestId(2))]);
 }
 
-/// A caller that leaves takes a useless run off the cores; one with an effect goes to its end, as a later
+/// When the caller disconnects, an idempotent run is stopped to free its core. A keyed run goes on, since a later
 /// attempt may ask for its result.
 #[test]
 fn a_run_without_a_caller_is_stopped_unless_it_has_an_effect() {
     for (class, stops) in [(0, true), (1, false)] {
         let mut worker = Harness::new(Settings { preemption: Preemption::Discard, ..settings() });
         worker.arrive(1, class);
-        let out = worker.handle(Event::CallerDisconnected(RequestId(1)));
-        assert_eq!(out.contains(&Action::Preempt(RequestId(1))), stops);
+        let actions = worker.handle(Event::CallerDisconnected(RequestId(1)));
+        assert_eq!(actions.contains(&Action::Preempt(RequestId(1))), stops);
     }
 }
 
-/// Attempts that wait for the response of a run take memory too; found by a worker with a small memory.
+/// Attempts that wait for the response of a run take memory too. The failure was found on a worker with little memory.
 #[test]
 fn a_flood_of_repeated_attempts_does_not_fill_the_memory() {
     let mut worker = Harness::new(Settings { memory_kb: 100.0, ..settings() });
     worker.arrive(1, 1);
-    let out: Vec<Action> = (2..=8).flat_map(|id| worker.repeat_attempt(id, 1)).collect();
-    // The run takes 40, its key 10; of seven repeated attempts of 10 each, four fit.
-    assert!(!failed(&out, 5) && failed(&out, 6) && failed(&out, 7) && failed(&out, 8), "{out:?}");
+    let actions: Vec<Action> = (2..=8).flat_map(|id| worker.repeat_attempt(id, 1)).collect();
+    // The run takes 40 KB and its key 10 KB; of seven repeated attempts of 10 KB each, four fit.
+    assert!(
+        !failed(&actions, 5) && failed(&actions, 6) && failed(&actions, 7) && failed(&actions, 8),
+        "{actions:?}"
+    );
 }
--- a/tests/failures/main.rs
+++ b/tests/failures/main.rs
@@ -1,5 +1,5 @@
-//! Regression tests of the admission controller: one for each failure found under load, and each rule at its
-//! boundary. Comments tell the failure that a test guards against.
+//! Regression tests of the admission controller: one for each failure that was found under load, and one for each rule
+//! at its boundary. The comment of a test describes the failure that it guards against.
 
 mod deadlines;
 mod downstream_calls;
--- a/tests/failures/scheduling.rs
+++ b/tests/failures/scheduling.rs
@@ -1,31 +1,32 @@
-//! Tiers, queue lengths, hints and the run limit.
+//! Tiers, queue lengths, estimates of run lengths and the run limit.
 
-use crate::harness::{rejected, settings, starts, with_calls, Harness};
+use crate::harness::{rejected, settings, settings_with_calls, started_requests, Harness};
 use port_worker::{Arrival, Event, Gauges, Outcome, RequestId, Settings, Tenant};
 
 #[test]
 fn the_oldest_request_of_the_highest_tier_starts_first() {
     let mut worker = Harness::new(settings());
     for id in 1..=2 {
-        assert_eq!(starts(&worker.arrive(id, 0)), vec![id]);
+        assert_eq!(started_requests(&worker.arrive(id, 0)), vec![id]);
     }
     for (id, class) in [(3, 0), (4, 1), (5, 1)] {
-        assert!(starts(&worker.arrive(id, class)).is_empty());
+        assert!(started_requests(&worker.arrive(id, class)).is_empty());
     }
     worker.now = 0.3;
-    assert_eq!(starts(&worker.end(1, Outcome::Ok)), vec![4]);
-    assert_eq!(starts(&worker.end(2, Outcome::Ok)), vec![5]);
-    assert_eq!(starts(&worker.end(4, Outcome::Ok)), vec![3]);
+    assert_eq!(started_requests(&worker.end_run(1, Outcome::Ok)), vec![4]);
+    assert_eq!(started_requests(&worker.end_run(2, Outcome::Ok)), vec![5]);
+    assert_eq!(started_requests(&worker.end_run(4, Outcome::Ok)), vec![3]);
 }
 
 #[test]
 fn a_lower_tier_is_rejected_by_total_queue_length_while_the_top_tier_is_still_queued() {
     let mut worker = Harness::new(settings());
-    let first = (1..60).find(|&id| rejected(&worker.arrive(id, 0), id)).expect("the queue reaches its limit");
-    assert!(first > 3, "some are queued: {first}");
+    let first =
+        (1..60).find(|&id| rejected(&worker.arrive(id, 0), id)).expect("the queue does not reach its limit");
+    assert!(first > 3, "none is queued before the first rejection, of request {first}");
     assert!(
         !rejected(&worker.arrive(100, 1), 100),
-        "the top tier is not rejected for what is queued below it"
+        "the top tier is rejected for what lower tiers have queued"
     );
     assert!(rejected(&worker.arrive(101, 0), 101));
 }
@@ -36,7 +37,7 @@
     for id in 1..=6 {
         assert!(!rejected(&worker.arrive(id, 1), id));
     }
-    // Four are queued above: fewer than the top tier may queue, but too many ahead of a lower one.
+    // Four requests of the top tier are queued: fewer than that tier may queue, but too many ahead of a lower tier.
     assert!(rejected(&worker.arrive(7, 0), 7));
     assert!(!rejected(&worker.arrive(8, 1), 8));
 }
@@ -48,15 +49,15 @@
         worker.arrive(id, 0);
     }
     assert_eq!(
-        starts(&worker.pass(0.55, 0.5)),
+        started_requests(&worker.advance(0.55, 0.5)),
         vec![3],
-        "idle cores, all slots used, work queued: a step up"
+        "the limit rises by one when cores are idle, all slots are used and requests are queued"
     );
-    worker.pass(1.5, 1.0);
-    let mut quiet = Harness::new(settings());
-    quiet.pass(3.0, 0.1);
-    quiet.pass(3.0, 1.0);
-    assert_eq!((1..=3).map(|id| starts(&quiet.arrive(id, 0)).len()).sum::<usize>(), 2);
+    worker.advance(1.5, 1.0);
+    let mut idle_worker = Harness::new(settings());
+    idle_worker.advance(3.0, 0.1);
+    idle_worker.advance(3.0, 1.0);
+    assert_eq!((1..=3).map(|id| started_requests(&idle_worker.arrive(id, 0)).len()).sum::<usize>(), 2);
 }
 
 #[test]
@@ -66,12 +67,12 @@
         worker.arrive(id, 1);
     }
     for round in 0..40 {
-        worker.pass(0.25, 0.0);
+        worker.advance(0.25, 0.0);
         worker.arrive(100 + round, 1);
     }
-    // Whatever was started before the hang was detected, it stays near the core count.
-    let running = (1..140).filter(|&id| !worker.end(id, Outcome::Cancelled).is_empty()).count();
-    assert!(running <= 6, "{running}");
+    // However many runs were started before the stall was detected, their number stays near that of the cores.
+    let running = (1..140).filter(|&id| !worker.end_run(id, Outcome::Cancelled).is_empty()).count();
+    assert!(running <= 6, "{running} runs");
 }
 
 #[test]
@@ -81,62 +82,63 @@
     worker.handle(Event::CallerDisconnected(RequestId(1)));
     worker.arrive(2, 0);
     worker.arrive(3, 0);
-    assert_eq!(starts(&worker.end(1, Outcome::NotStarted)), vec![3]);
+    assert_eq!(started_requests(&worker.end_run(1, Outcome::NotStarted)), vec![3]);
 }
 
-/// Large requests were planned with the mean run length and started too late to meet their objective.
+/// Guards against planning large requests with the mean run length, which started them too late to meet their
+/// objective.
 #[test]
 fn hints_plan_runs_only_when_ended_runs_confirm_them() {
-    let late_start = |told: bool| {
+    let rejections = |with_hints: bool| {
         let mut worker = Harness::new(Settings { cores: 1, ..settings() });
-        let arrive = |worker: &mut Harness, id: u64, size: f64| {
-            let (id, estimate_s) = (RequestId(id), Some(size));
+        let arrive = |worker: &mut Harness, id: u64, size_s: f64| {
+            let (id, estimate_s) = (RequestId(id), Some(size_s));
             worker.handle(Event::Arrived(Arrival { id, memory_kb: 1.0, estimate_s, ..Arrival::default() }))
         };
         for id in 1..=40 {
             let large = id % 2 == 0;
-            arrive(&mut worker, id, if large && told { 1.0 } else { 0.1 });
+            arrive(&mut worker, id, if large && with_hints { 1.0 } else { 0.1 });
             worker.now += if large { 1.0 } else { 0.1 };
-            worker.end(id, Outcome::Ok);
+            worker.end_run(id, Outcome::Ok);
         }
-        // Behind a run of a second, a large one can't end within its two seconds; a small one can.
+        // After a run of one second, a large request can't end within its objective of two seconds; a small one can.
         arrive(&mut worker, 100, 0.1);
         arrive(&mut worker, 103, 0.1);
-        let large = rejected(&arrive(&mut worker, 101, if told { 1.6 } else { 0.1 }), 101);
+        let large = rejected(&arrive(&mut worker, 101, if with_hints { 1.6 } else { 0.1 }), 101);
         let small = rejected(&arrive(&mut worker, 102, 0.1), 102);
         (large, small)
     };
-    assert_eq!(late_start(true), (true, false));
-    assert_eq!(late_start(false), (false, false));
-    // Absurd hints fall back to the mean.
+    assert_eq!(rejections(true), (true, false));
+    assert_eq!(rejections(false), (false, false));
+    // Invalid estimates are replaced by the mean.
     let mut worker = Harness::new(settings());
-    for (id, size) in [(1, f64::NAN), (2, -1.0), (3, f64::MAX), (4, 0.0)] {
-        let (id, estimate_s) = (RequestId(id), Some(size));
-        let out =
+    for (id, size_s) in [(1, f64::NAN), (2, -1.0), (3, f64::MAX), (4, 0.0)] {
+        let (id, estimate_s) = (RequestId(id), Some(size_s));
+        let actions =
             worker.handle(Event::Arrived(Arrival { id, memory_kb: 1.0, estimate_s, ..Arrival::default() }));
-        assert!(!rejected(&out, id.0));
+        assert!(!rejected(&actions, id.0));
     }
 }
 
-/// Idle workers rejected large requests because of a downstream call for which nothing waited.
+/// Guards against an idle worker that rejects large requests because of a downstream call for which nothing waits.
 #[test]
 fn an_idle_worker_rejects_nothing_for_a_call_without_a_wait() {
-    let mut set = with_calls(4.0);
-    set.classes[0].objective_s = 1.0;
-    let mut worker = Harness::new(set);
+    let mut settings = settings_with_calls(4.0);
+    settings.classes[0].objective_s = 1.0;
+    let mut worker = Harness::new(settings);
     for id in 1..=10 {
         worker.arrive(id, 0);
         worker.now += 0.9;
-        worker.end(id, Outcome::Ok);
+        worker.end_run(id, Outcome::Ok);
     }
-    // With 1.3 mean lengths it would be late; by the mean it would not.
-    assert_eq!(starts(&worker.arrive(100, 0)), vec![100]);
+    // Planned with 1.3 mean run lengths it would be late; planned with the mean it is not.
+    assert_eq!(started_requests(&worker.arrive(100, 0)), vec![100]);
 }
 
-/// On two cores a mean under 0.95 is chance; what counts is work that wants a core now.
+/// On two cores a mean of busy cores below 0.95 occurs by chance; the number of runnable tasks decides.
 #[test]
 fn a_low_mean_of_busy_cores_alone_does_not_raise_the_run_limit() {
-    let limit = |runnable: f64| {
+    let starts_above_cores = |runnable: f64| {
         let mut worker = Harness::new(settings());
         for id in 1..=4 {
             worker.arrive(id, 0);
@@ -145,21 +147,22 @@
         for _ in 0..22 {
             worker.now += 0.025;
             let gauges = Gauges { cores_busy: Some(0.8), runnable: Some(runnable), ..Gauges::default() };
-            started += starts(&worker.handle(Event::Woken(gauges))).len();
+            started += started_requests(&worker.handle(Event::Woken(gauges))).len();
         }
         started
     };
-    assert_eq!(limit(3.0), 0);
-    assert_eq!(limit(1.0), 1);
+    assert_eq!(starts_above_cores(3.0), 0);
+    assert_eq!(starts_above_cores(1.0), 1);
 }
 
-/// Work of the top class that looked over quota was rejected for queued work of a tenth of its weight.
+/// Guards against rejecting a request of the top class, which counts as over quota, because of queued requests of a
+/// tenth of its weight.
 #[test]
 fn queued_work_of_far_lower_weight_does_not_count_against_an_arrival() {
-    let mut set = settings();
-    set.over_quota_weight = 0.1;
-    set.tenants = vec![Tenant { quota_per_s: 0.0 }; 2];
-    let mut worker = Harness::new(set);
+    let mut settings = settings();
+    settings.over_quota_weight = 0.1;
+    settings.tenants = vec![Tenant { quota_per_s: 0.0 }; 2];
+    let mut worker = Harness::new(settings);
     let mut arrive = |id: u64, class: usize, tenant: usize| {
         let id = RequestId(id);
         worker.handle(Event::Arrived(Arrival {
@@ -173,12 +176,13 @@
     for id in 1..=4 {
         arrive(id, 0, 0);
     }
-    let low = (5..60)
+    let first_rejected = (5..60)
         .find(|&id| rejected(&arrive(id, 0, 1), id))
-        .expect("the queue of the low class reaches its limit");
+        .expect("the queue of the low class does not reach its limit");
     for id in 61..=64 {
         arrive(id, 0, 1);
     }
-    // Its tenant has used up its bucket, so it is not in the top tier; what is queued has a fifth of its weight.
-    assert!(low > 6 && !rejected(&arrive(100, 1, 1), 100));
+    // Its tenant has used up its token bucket, so it is not in the top tier; the queued requests have a fifth of its
+    // weight.
+    assert!(first_rejected > 6 && !rejected(&arrive(100, 1, 1), 100));
 }
