--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, reload, drain and shutdown round a hot restart.
+//! Start, reload, drain and shutdown before, during and after a hot restart.
 
 use crate::{job, order, retry, start_first, start_successor, WORKER};
 use serde_json::json;
@@ -7,7 +7,7 @@
 use test_support::{reserve_address, settings, Client, Executor, RequestBuilder, SharedListener, TIMEOUT};
 
 #[test]
-fn a_drain_reaches_the_successor_at_the_hand_off_and_by_the_predecessors_console() {
+fn drain_reaches_the_successor_at_the_hand_off_and_through_the_predecessors_console() {
     let shared = SharedListener::bind();
     let (mut predecessor, _predecessor_executor) = start_first(&shared);
     assert_eq!(predecessor.console_request("POST", "/-/drain").0, 200);
@@ -32,16 +32,16 @@
     std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
     let file = std::fs::File::open(folder.join("config.json")).unwrap();
     rustix::io::fcntl_setfd(&file, rustix::io::FdFlags::empty()).unwrap();
-    for number in ["nonsense", "1", "987654", &file.as_raw_fd().to_string()] {
-        let ended = WORKER
+    for descriptor in ["nonsense", "1", "987654", &file.as_raw_fd().to_string()] {
+        let output = WORKER
             .command()
             .env("ROUTER_CONFIG", folder.join("config.json"))
-            .env("ROUTER_SOCKET_FD", number)
+            .env("ROUTER_SOCKET_FD", descriptor)
             .output()
             .unwrap();
-        let text = String::from_utf8(ended.stderr).unwrap();
-        assert_eq!(ended.status.code(), Some(2), "{number}: {text}");
-        assert!(text.contains("ROUTER_SOCKET_FD") && text.lines().count() == 1, "{number}: {text}");
+        let text = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{descriptor}: {text}");
+        assert!(text.contains("ROUTER_SOCKET_FD") && text.lines().count() == 1, "{descriptor}: {text}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -53,24 +53,24 @@
         ("/nowhere/at/all", "hot_restart_unavailable cause=\"No such file"),
     ] {
         let mut shared = SharedListener::bind();
-        let kept = std::mem::replace(&mut shared.folder, folder.into());
+        let real_folder = std::mem::replace(&mut shared.folder, folder.into());
         let (mut worker, _executor) = start_first(&shared);
         assert_eq!(worker.check_health(), 200);
-        // The line may come after the answer: it goes through a pipe of its own.
-        let seen = worker.log.iter().any(|line| line.contains(expected));
-        let waited = seen || worker.wait_log("hot_restart_unavailable").contains(expected);
-        assert!(waited, "{expected:?} is not in {:?}", worker.log);
-        shared.folder = kept;
+        // The log line may be read after the response, since it goes through a separate pipe.
+        let already_read = worker.log.iter().any(|line| line.contains(expected));
+        let logged = already_read || worker.wait_log("hot_restart_unavailable").contains(expected);
+        assert!(logged, "{expected:?} is not in {:?}", worker.log);
+        shared.folder = real_folder;
     }
 }
 
-/// Whether an AJP frontend answers a `CPing`.
+/// Whether an AJP frontend replies to a `CPing`.
 fn cping(stream: &mut std::net::TcpStream) -> bool {
-    let mut answer = [0; 5];
+    let mut reply = [0; 5];
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.write_all(&[0x12, 0x34, 0, 1, 10]).is_ok()
-        && stream.read_exact(&mut answer).is_ok()
-        && answer == [b'A', b'B', 0, 1, 9]
+        && stream.read_exact(&mut reply).is_ok()
+        && reply == [b'A', b'B', 0, 1, 9]
 }
 
 #[test]
@@ -85,15 +85,15 @@
     let mut predecessor = WORKER.start_on_with(&shared, |_| {}, Some(&operator));
     predecessor.wait_log("listeners_acquired");
     let _predecessor_executor = predecessor.accept_link();
-    let mut resting = std::net::TcpStream::connect(ajp).unwrap();
-    assert!(cping(&mut resting));
+    let mut idle = std::net::TcpStream::connect(ajp).unwrap();
+    assert!(cping(&mut idle));
     let mut successor = WORKER.start_on_with(&shared, |_| {}, Some(&operator));
     let _successor_executor = successor.accept_link();
     successor.wait_ready();
     successor.wait_log(&format!("frontend=ajp address={ajp}"));
     successor.wait_log(&format!("frontend=http2 address={http2}"));
-    // Idle connections of the predecessor are closed, as in a shutdown; successor ones are the successor's.
-    assert_eq!(resting.read(&mut [0; 8]).unwrap_or(0), 0);
+    // The predecessor closes its idle connections, as in a shutdown; new connections reach the successor.
+    assert_eq!(idle.read(&mut [0; 8]).unwrap_or(0), 0);
     predecessor.terminate();
     assert!(predecessor.exits_successfully());
     assert!(cping(&mut std::net::TcpStream::connect(ajp).unwrap()));
@@ -102,19 +102,19 @@
     client.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").unwrap();
     let mut frame = [0; 9];
     client.read_exact(&mut frame).unwrap();
-    assert_eq!(frame[3], 4, "its first frame is SETTINGS");
+    assert_eq!(frame[3], 4, "the first frame is not SETTINGS");
 }
 
 #[test]
-fn a_reload_during_a_hot_restart_moves_the_peers_of_both_and_loses_nothing() {
+fn reload_during_a_hot_restart_moves_the_peers_of_both_processes_without_loss() {
     let shared = SharedListener::bind();
     let (mut predecessor, mut predecessor_executor) = start_first(&shared);
-    let mut open = Client::connect(predecessor.http);
-    open.send(&order("k1"));
+    let mut first_client = Client::connect(predecessor.http);
+    first_client.send(&order("k1"));
     let exec = predecessor_executor.expect_command("EXEC");
     let (mut successor, _successor_executor) = start_successor(&shared);
-    // The executor of each is to be found elsewhere from now on.
-    let _kept = (predecessor.move_peers(), successor.move_peers());
+    // From now on the peers of each process have new addresses.
+    let _old_peers = (predecessor.move_peers(), successor.move_peers());
     let mut predecessor_next = Executor::accept(&predecessor.executor);
     let mut successor_next = Executor::accept(&successor.executor);
     for executor in [&mut predecessor_next, &mut successor_next] {
@@ -124,10 +124,10 @@
     predecessor_next.last_notice = predecessor_executor.last_notice;
     let mut client = Client::connect(successor.http);
     client.send(&retry("k1"));
-    // What was commanded just before may be sent again on the successor link.
+    // A command sent just before the move may be sent again on the new link.
     predecessor_next.started.push(exec["job"].clone());
     predecessor_next.send_exit(job(&exec), "PASS", "placed");
-    assert_eq!(open.read_response().body, b"placed");
+    assert_eq!(first_client.read_response().body, b"placed");
     assert_eq!(client.read_response().body, b"placed");
     client.send(&RequestBuilder::new("look"));
     successor_next.serve_next(&mut client, "moved");
--- a/tests/hot_restart/main.rs
+++ b/tests/hot_restart/main.rs
@@ -1,4 +1,5 @@
-//! Hot restarts under load: real processes on one listener, and scripted processes at the other end of the link.
+//! Hot restarts under load: worker processes that share listeners, and scripted processes in the role of a predecessor
+//! or successor.
 
 mod lifecycle;
 mod peers;
@@ -13,16 +14,17 @@
 /// The program under test.
 const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
-/// A scripted process at the other end of the link. Descriptors that come with frames are closed.
+/// A scripted predecessor or successor at the other end of the hot restart link. Descriptors that come with frames are
+/// closed.
 struct ScriptedProcess {
     stream: UnixStream,
-    input: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl ScriptedProcess {
     fn on(stream: UnixStream) -> ScriptedProcess {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
-        ScriptedProcess { stream, input: Vec::new() }
+        ScriptedProcess { stream, buffer: Vec::new() }
     }
 
     fn connect(shared: &SharedListener) -> ScriptedProcess {
@@ -35,14 +37,14 @@
 
     fn receive(&mut self) -> Frame {
         loop {
-            if let Some((frame, length)) = Frame::decode(&self.input).unwrap() {
-                self.input.drain(..length);
+            if let Some((frame, length)) = Frame::decode(&self.buffer).unwrap() {
+                self.buffer.drain(..length);
                 return frame;
             }
-            let mut bytes = [0; 4096];
-            let n = self.stream.read(&mut bytes).expect("a frame");
-            assert!(n > 0, "the link was closed");
-            self.input.extend_from_slice(&bytes[..n]);
+            let mut chunk = [0; 4096];
+            let n = self.stream.read(&mut chunk).expect("no frame was received");
+            assert!(n > 0, "the link was closed before a complete frame was received");
+            self.buffer.extend_from_slice(&chunk[..n]);
         }
     }
 
@@ -60,7 +62,7 @@
     order(key).retry()
 }
 
-/// A process without a predecessor that serves, and its executor.
+/// Starts a worker that has no predecessor and accepts its link as an executor; waits until the worker is ready.
 fn start_first(shared: &SharedListener) -> (WorkerUnderTest, Executor) {
     let predecessor = WORKER.start_on(shared, |_| {});
     let executor = predecessor.accept_link();
@@ -68,7 +70,7 @@
     (predecessor, executor)
 }
 
-/// A successor that has taken over, and its executor.
+/// Starts a successor and accepts its link as an executor; waits until the successor has taken over.
 fn start_successor(shared: &SharedListener) -> (WorkerUnderTest, Executor) {
     let successor = WORKER.start_on(shared, |_| {});
     let executor = successor.accept_link();
--- a/tests/hot_restart/peers.rs
+++ b/tests/hot_restart/peers.rs
@@ -1,4 +1,4 @@
-//! Predecessors and successors that die, hang or send what is malformed.
+//! Predecessors and successors that die, hang or send malformed frames.
 
 use crate::{job, order, retry, start_first, start_successor, ScriptedProcess, WORKER};
 use port_worker::hot_restart::frame::{Bytes, Frame, Key, KeyOutcome, KeyState, VERSION};
@@ -12,8 +12,8 @@
 fn key_running_in_a_killed_predecessor_fails_and_is_not_run_again() {
     let shared = SharedListener::bind();
     let (mut predecessor, mut predecessor_executor) = start_first(&shared);
-    let mut open = Client::connect(predecessor.http);
-    open.send(&order("k1"));
+    let mut first_client = Client::connect(predecessor.http);
+    first_client.send(&order("k1"));
     predecessor_executor.expect_command("EXEC");
     let (successor, mut successor_executor) = start_successor(&shared);
     let mut client = Client::connect(successor.http);
@@ -22,7 +22,7 @@
     predecessor.kill();
     assert_eq!(client.read_response().status, 500);
     assert_eq!(client.request(&retry("k1")).status, 500);
-    // The predecessor reported all its keys: another one runs.
+    // The predecessor reported all its keys before it was killed, so that another key is known not to have run.
     client.send(&retry("k2"));
     successor_executor.serve_next(&mut client, "placed");
 }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn listeners_reopen_when_the_successor_dies_and_unknown_retries_fail_for_a_window() {
+fn listeners_are_reopened_when_the_successor_dies_and_unknown_retries_fail_for_a_window() {
     let shared = SharedListener::bind();
     let (mut predecessor, mut predecessor_executor) = start_first(&shared);
     let (mut successor, _successor_executor) = start_successor(&shared);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_hung_predecessor_is_not_waited_for_and_hands_off_when_it_recovers() {
+fn successor_serves_without_a_hung_predecessor_which_hands_off_when_it_recovers() {
     let shared = SharedListener::bind();
     let (mut predecessor, mut predecessor_executor) = start_first(&shared);
     let mut client = Client::connect(predecessor.http);
@@ -78,7 +78,7 @@
     let mut fresh = Client::connect(successor.http);
     fresh.send(&RequestBuilder::new("look"));
     successor_executor.serve_next(&mut fresh, "");
-    // What the predecessor runs is not known: a key fails, even one that comes for the first time.
+    // The keys that the predecessor runs are unknown, so that every keyed request fails, even a first attempt.
     assert_eq!(fresh.request(&order("k2")).status, 500);
     predecessor.resume();
     successor.wait_log("indeterminate_keys_changed unknown_keys=run");
@@ -86,21 +86,21 @@
     let mut fresh = Client::connect(successor.http);
     assert_eq!(fresh.request(&retry("k1")).body, b"placed 1");
     client.send(&RequestBuilder::new("look"));
-    successor_executor.serve_next(&mut client, "on the predecessor connection");
+    successor_executor.serve_next(&mut client, "on the handed-off connection");
     predecessor.terminate();
     assert!(predecessor.exits_successfully());
 }
 
 #[test]
 fn incompatible_or_malformed_predecessor_state_is_discarded() {
-    for damage in [false, true] {
+    for malformed in [false, true] {
         let shared = SharedListener::bind();
         let listener = UnixListener::bind(shared.hot_restart_socket()).unwrap();
         let mut successor = WORKER.start_on(&shared, |_| {});
         let mut peer = ScriptedProcess::on(listener.accept().unwrap().0);
         assert!(matches!(peer.receive(), Frame::Hello { version: VERSION, .. }));
         let mut executor = successor.accept_link_unreported();
-        if damage {
+        if malformed {
             peer.send(&Frame::Welcome);
             assert_eq!(peer.receive(), Frame::RequestListeners);
             let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
@@ -108,7 +108,7 @@
             peer.send(&Frame::Key(KeyState { key, body_fingerprint: 0, expires_at_ms: 4e12, outcome }));
             peer.stream.write_all(b"\0\0\0\x05\0nonsense").unwrap();
         } else {
-            peer.send(&Frame::Incompatible { reason: "too predecessor".into() });
+            peer.send(&Frame::Incompatible { reason: "version is too old".into() });
         }
         successor.wait_log("indeterminate_keys_changed unknown_keys=fail");
         successor.wait_ready();
@@ -116,11 +116,11 @@
         assert_eq!(client.request(&order("k1")).status, 500);
         client.send(&RequestBuilder::new("look"));
         executor.serve_next(&mut client, "");
-        // It is watched all the same: its end limits for how long keys are indeterminate.
-        let watched = damage.then(|| listener.accept().unwrap());
-        let (link, watched) = (peer, watched);
-        drop((link, watched));
-        if damage {
+        // The successor monitors the process even so: keys are indeterminate for a limited time after its end.
+        let monitor = malformed.then(|| listener.accept().unwrap());
+        let (link, monitor) = (peer, monitor);
+        drop((link, monitor));
+        if malformed {
             successor.wait_log("hot_restart_peer_exited peer=predecessor");
         }
     }
@@ -137,7 +137,7 @@
     assert_eq!(predecessor.check_health(), 200);
     assert_eq!(predecessor.console_request("GET", "/-/ready").0, 200);
     drop(peer);
-    // Bytes that are no frame do no more.
+    // Bytes that are not a frame have no other effect.
     let mut peer = ScriptedProcess::connect(&shared);
     peer.stream.write_all(&[0xff; 64]).unwrap();
     predecessor.wait_log("hot_restart_frame_damaged");
@@ -154,7 +154,7 @@
     assert_eq!(client.request(&retry("k1")).status, 500);
     client.send(&order("k2"));
     executor.serve_next(&mut client, "placed");
-    // A graceful shutdown leaves no file.
+    // A graceful shutdown removes the socket file.
     worker.terminate();
     assert!(worker.exits_successfully());
     assert!(!shared.hot_restart_socket().exists());
@@ -179,14 +179,14 @@
     });
     let key = Key { class: 1, tenant: Some(0), key: "k1".into() };
     let outcome = KeyOutcome::Served(Some(Bytes(std::rc::Rc::from(*b"placed"))));
-    let state =
+    let frame =
         Frame::Key(KeyState { key, body_fingerprint: 7, expires_at_ms: unix_ms() as f64 + 9000.0, outcome })
             .encode();
-    peer.stream.write_all(&state[..state.len() / 2]).unwrap();
+    peer.stream.write_all(&frame[..frame.len() / 2]).unwrap();
     drop(peer);
     successor.wait_log("hot_restart_peer_exited peer=predecessor");
     successor.wait_ready();
-    // Neither the drain nor the key was received completely.
+    // The drain and the key are discarded, since the state was not received completely.
     assert_eq!(successor.check_health(), 200);
     let mut client = Client::connect(successor.http);
     assert_eq!(client.request(&retry("k1")).status, 500);
@@ -205,13 +205,13 @@
     assert!(matches!(peer.receive(), Frame::Hello { .. }));
     peer.send(&Frame::Welcome);
     assert_eq!(peer.receive(), Frame::RequestListeners);
-    // Results of 4 KiB, for more keys than a process can have.
+    // Results of 4 KiB for more keys than the memory limit allows.
     let result = Bytes(vec![b'x'; 4096].into());
     for n in 0..5000 {
         let key = Key { class: 1, tenant: Some(0), key: format!("k{n}").into() };
         let outcome = KeyOutcome::Served(Some(result.clone()));
-        let state = Frame::Key(KeyState { key, body_fingerprint: 0, expires_at_ms: 4e12, outcome });
-        if peer.stream.write_all(&state.encode()).is_err() {
+        let frame = Frame::Key(KeyState { key, body_fingerprint: 0, expires_at_ms: 4e12, outcome });
+        if peer.stream.write_all(&frame.encode()).is_err() {
             break;
         }
     }
--- a/tests/hot_restart/requests.rs
+++ b/tests/hot_restart/requests.rs
@@ -8,19 +8,19 @@
 fn no_request_is_lost_in_a_hot_restart_and_each_is_answered_on_its_connection() {
     let shared = SharedListener::bind();
     let (mut predecessor, mut predecessor_executor) = start_first(&shared);
-    // One connection of each kind: idle, half-way through a request, with a run, and with a queued request.
+    // Connections of each kind: idle, with a partially sent request, with a run, and with a queued request.
     let mut idle = Client::connect(predecessor.http);
     idle.send(&RequestBuilder::new("look"));
     predecessor_executor.serve_next(&mut idle, "first");
     let text = RequestBuilder::new("look").text();
     let mut half = Client::connect(predecessor.http);
     half.write(&text[..60]);
-    let (mut runs, mut execs) = (Vec::new(), Vec::new());
+    let (mut running, mut execs) = (Vec::new(), Vec::new());
     for _ in 0..2 {
         let mut client = Client::connect(predecessor.http);
         client.send(&RequestBuilder::new("look"));
         execs.push(predecessor_executor.expect_command("EXEC"));
-        runs.push(client);
+        running.push(client);
     }
     let mut queued = Client::connect(predecessor.http);
     queued.send(&order("k-queued"));
@@ -30,8 +30,8 @@
     assert_eq!(predecessor.console_request("GET", "/-/ready").0, 503);
     predecessor.terminate();
     predecessor.wait_log("exit_pending");
-    // The queued request runs in the successor, once a slot is free there: both count the predecessor's runs.
-    for (exec, client) in execs.iter().zip(&mut runs) {
+    // The queued request runs in the successor once a slot is free: both processes count the predecessor's runs.
+    for (exec, client) in execs.iter().zip(&mut running) {
         predecessor_executor.send_exit(job(exec), "PASS", "of the predecessor");
         assert_eq!(client.read_response().body, b"of the predecessor");
     }
@@ -39,9 +39,9 @@
     assert_eq!(exec["kind"], "order");
     successor_executor.send_exit(job(&exec), "PASS", "no longer queued");
     assert_eq!(queued.read_response().body, b"no longer queued");
-    // All connections go on, those of the runs included.
+    // All connections stay open, including those of the runs.
     half.write(&text[60..]);
-    for (i, client) in [&mut half, &mut idle].into_iter().chain(&mut runs).enumerate() {
+    for (i, client) in [&mut half, &mut idle].into_iter().chain(&mut running).enumerate() {
         if i > 0 {
             client.send(&RequestBuilder::new("look"));
         }
@@ -49,7 +49,7 @@
     }
     assert!(predecessor.exits_successfully());
     predecessor.wait_log("shutdown_complete responses=all_handed_off");
-    // SIGTERM began no drain: the predecessor never reported one.
+    // SIGTERM starts no drain here: the predecessor never reported one.
     for report in predecessor.registry.received_reports() {
         assert_eq!(report, "BEAT n1 ready");
     }
@@ -66,21 +66,21 @@
     let exec = predecessor_executor.expect_command("EXEC");
     predecessor_executor.send_exit(job(&exec), "PASS", "placed 1");
     served.read_response();
-    let mut open = Client::connect(predecessor.http);
-    open.send(&order("k-open"));
+    let mut open_client = Client::connect(predecessor.http);
+    open_client.send(&order("k-open"));
     let exec = predecessor_executor.expect_command("EXEC");
 
     let (successor, mut successor_executor) = start_successor(&shared);
     let mut client = Client::connect(successor.http);
     assert_eq!(client.request(&retry("k-served")).body, b"placed 1");
-    let other = retry("k-served").body("another order");
-    assert_eq!(client.request(&other).status, 409);
+    let other_body = retry("k-served").body("another order");
+    assert_eq!(client.request(&other_body).status, 409);
     let mut client = Client::connect(successor.http);
     client.send(&retry("k-open"));
     successor_executor.expect_no_command(&successor);
     assert!(!client.take_response());
     predecessor_executor.send_exit(job(&exec), "PASS", "placed 2");
-    assert_eq!(open.read_response().body, b"placed 2");
+    assert_eq!(open_client.read_response().body, b"placed 2");
     assert_eq!(client.read_response().body, b"placed 2");
     assert_eq!(client.request(&retry("k-open")).body, b"placed 2");
 }
@@ -132,41 +132,41 @@
 #[test]
 fn a_second_hot_restart_right_after_the_first_keeps_the_runs_of_the_first() {
     let shared = SharedListener::bind();
-    let (mut a, mut a_executor) = start_first(&shared);
-    let mut client = Client::connect(a.http);
+    let (mut first, mut first_executor) = start_first(&shared);
+    let mut client = Client::connect(first.http);
     client.send(&order("k1"));
-    let exec = a_executor.expect_command("EXEC");
-    let (mut b, _b_executor) = start_successor(&shared);
-    a.terminate();
-    a.wait_log("exit_pending");
-    let (c, mut c_executor) = start_successor(&shared);
-    b.terminate();
-    b.wait_log("exit_pending");
-    let mut late = Client::connect(c.http);
+    let exec = first_executor.expect_command("EXEC");
+    let (mut second, _second_executor) = start_successor(&shared);
+    first.terminate();
+    first.wait_log("exit_pending");
+    let (third, mut third_executor) = start_successor(&shared);
+    second.terminate();
+    second.wait_log("exit_pending");
+    let mut late = Client::connect(third.http);
     late.send(&retry("k1"));
-    c_executor.expect_no_command(&c);
-    a_executor.send_exit(job(&exec), "PASS", "placed");
+    third_executor.expect_no_command(&third);
+    first_executor.send_exit(job(&exec), "PASS", "placed");
     assert_eq!(client.read_response().body, b"placed");
     assert_eq!(late.read_response().body, b"placed");
-    assert!(a.exits_successfully() && b.exits_successfully());
+    assert!(first.exits_successfully() && second.exits_successfully());
     client.send(&RequestBuilder::new("look"));
-    c_executor.serve_next(&mut client, "two hops on");
+    third_executor.serve_next(&mut client, "after two hot restarts");
 }
 
-/// Runs whatever it is given until its link ends; returns the bodies of all orders that it ran.
-fn run_all(mut executor: Executor) -> std::thread::JoinHandle<Vec<String>> {
+/// Executes all runs until the link ends; returns the bodies of all orders.
+fn run_until_link_ends(mut executor: Executor) -> std::thread::JoinHandle<Vec<String>> {
     std::thread::spawn(move || {
-        let mut ran = Vec::new();
+        let mut order_bodies = Vec::new();
         while let Some(command) = executor.read_command_or_end() {
             if command["type"] == "EXEC" {
                 if command["kind"] == "order" {
-                    ran.push(command["data"].as_str().unwrap().to_owned());
+                    order_bodies.push(command["data"].as_str().unwrap().to_owned());
                 }
                 std::thread::sleep(std::time::Duration::from_millis(2));
                 executor.send_exit(job(&command), "PASS", "result");
             }
         }
-        ran
+        order_bodies
     })
 }
 
@@ -175,20 +175,20 @@
     use std::sync::atomic::{AtomicBool, Ordering};
     let shared = SharedListener::bind();
     let (predecessor, executor) = start_first(&shared);
-    let mut executors = vec![run_all(executor)];
-    let (http, over) = (predecessor.http, std::sync::Arc::new(AtomicBool::new(false)));
+    let mut executors = vec![run_until_link_ends(executor)];
+    let (http, stop) = (predecessor.http, std::sync::Arc::new(AtomicBool::new(false)));
     let clients: Vec<_> = (0..6)
         .map(|n| {
-            let over = over.clone();
+            let stop = stop.clone();
             std::thread::spawn(move || {
                 let mut client = Client::connect(http);
                 let (mut served, mut round) = (0, 0);
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     round += 1;
                     // Each order is sent twice, perhaps to two processes.
                     let key = format!("k{n}-{round}");
-                    for ask in [order(&key), retry(&key)] {
-                        let reply = client.request(&ask.body(&key));
+                    for request in [order(&key), retry(&key)] {
+                        let reply = client.request(&request.body(&key));
                         assert!(matches!(reply.status, 200 | 503), "{reply:?}");
                         served += u32::from(reply.status == 200);
                     }
@@ -202,19 +202,19 @@
     for _ in 0..3 {
         std::thread::sleep(std::time::Duration::from_millis(150));
         let (successor, executor) = start_successor(&shared);
-        executors.push(run_all(executor));
+        executors.push(run_until_link_ends(executor));
         current.terminate();
         assert!(current.exits_successfully());
         current = successor;
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     let served: u32 = clients.into_iter().map(|c| c.join().unwrap()).sum();
     assert!(served > 100, "{served} orders were served");
     assert_eq!(current.metric("svc.concurrent"), 0);
     drop(current);
-    let mut ran: Vec<String> = executors.into_iter().flat_map(|e| e.join().unwrap()).collect();
-    let all = ran.len();
-    ran.sort();
-    ran.dedup();
-    assert_eq!(ran.len(), all, "some key ran twice");
+    let mut order_bodies: Vec<String> = executors.into_iter().flat_map(|e| e.join().unwrap()).collect();
+    let all = order_bodies.len();
+    order_bodies.sort();
+    order_bodies.dedup();
+    assert_eq!(order_bodies.len(), all, "a key ran twice");
 }
