--- a/tests/console.rs
+++ b/tests/console.rs
@@ -1,4 +1,4 @@
-//! The operators' console of a started worker with scripted peers.
+//! The operators' console of a worker process with scripted peers.
 
 use serde_json::json;
 use std::io::Write;
@@ -37,7 +37,7 @@
     assert_eq!(worker.console_request("POST", "/-/metrics").0, 405);
     assert_eq!(worker.console_request("GET", "/-/drain").0, 405);
     assert_eq!(worker.console_request("nonsense", "and more").0, 400);
-    // Nothing of that drained it.
+    // None of these requests drained the worker.
     let _executor = worker.accept_link();
     assert_eq!(worker.check_health(), 200);
 }
@@ -48,8 +48,8 @@
     let mut executor = worker.accept_link();
     let (_, text) = worker.console_request("GET", "/-/metrics");
     for class in ["look", "order"] {
-        for what in ["success", "overload", "error", "dispatches"] {
-            assert!(text.contains(&format!("svc.replies.{class}.{what}=0\n")), "{text}");
+        for outcome in ["success", "overload", "error", "dispatches"] {
+            assert!(text.contains(&format!("svc.replies.{class}.{outcome}=0\n")), "{text}");
         }
     }
     let mut client = Client::connect(worker.http);
@@ -60,7 +60,7 @@
         executor.send_exit(&exec["job"], state, "");
         client.read_response();
     }
-    // A key's second try is a second request and the same run.
+    // The second attempt with a key is a second request, but not a second run.
     for _ in 0..2 {
         client.send(&RequestBuilder::new("order").key("k1"));
         if executor.started.is_empty() {
@@ -70,16 +70,19 @@
         }
         assert_eq!(client.read_response().status, 200);
     }
-    // One that its client leaves ends too, and its run with it.
+    // A request ends, and its run with it, when its client disconnects.
     client.send(&RequestBuilder::new("look"));
     let exec = executor.expect_command("EXEC");
     client.reset();
     let until = Instant::now() + TIMEOUT;
     while worker.metric("svc.concurrent") > 0 {
-        assert!(Instant::now() < until, "the request of a client that left never ends");
+        assert!(
+            Instant::now() < until,
+            "the request of a disconnected client has not ended after {TIMEOUT:?}"
+        );
     }
     executor.send_exit(&exec["job"], "PASS", "");
-    for (name, n) in [
+    for (name, count) in [
         ("svc.replies.look.success", 2),
         ("svc.replies.look.dispatches", 4),
         ("svc.replies.look.overload", 0),
@@ -87,7 +90,7 @@
         ("svc.replies.order.success", 2),
         ("svc.replies.order.dispatches", 1),
     ] {
-        assert_eq!(worker.metric(name), n, "{name}");
+        assert_eq!(worker.metric(name), count, "{name}");
     }
 }
 
@@ -101,7 +104,7 @@
         assert_eq!(worker.check_health(), 503);
         worker.wait_load_report("draining");
     }
-    // A reload and a new link do not end it.
+    // A reload and a new executor link do not end the drain.
     worker.reload(|c| c["stop_ms"] = json!(7000));
     worker.wait_log("reload");
     drop(executor);
@@ -138,25 +141,25 @@
     assert!(worker.exits_successfully());
 }
 
-/// The oldest idle connection is closed for the next, so that idle ones keep nobody out; and no flood of clients takes
-/// the console's descriptors.
+/// The console evicts its oldest idle connection for a new one, so that idle connections do not block it, and a flood
+/// of clients does not use up its descriptors.
 #[test]
 fn console_answers_beside_idle_connections_and_a_flood_of_clients() {
     let worker = start_with_console();
     let _executor = worker.accept_link();
     let flood: Vec<TcpStream> = (0..220).filter_map(|_| TcpStream::connect(worker.http).ok()).collect();
-    let mut holders = Vec::new();
+    let mut idle_connections = Vec::new();
     for round in 0..80 {
-        let mut holder = TcpStream::connect(worker.console.unwrap()).unwrap();
+        let mut connection = TcpStream::connect(worker.console.unwrap()).unwrap();
         if round % 2 == 0 {
-            holder.write_all(b"GET /-/rea").unwrap();
+            connection.write_all(b"GET /-/rea").unwrap();
         }
-        holders.push(holder);
+        idle_connections.push(connection);
         if round % 8 == 0 {
-            let asked = Instant::now();
+            let sent = Instant::now();
             assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
-            // What the page wants; it takes a millisecond where nothing else runs.
-            assert!(asked.elapsed() < TIMEOUT / 2, "{:?}", asked.elapsed());
+            // The documented limit; a response takes 1 ms when nothing else runs.
+            assert!(sent.elapsed() < TIMEOUT / 2, "{:?}", sent.elapsed());
         }
     }
     drop(flood);
@@ -175,25 +178,25 @@
 
 #[test]
 fn unusable_console_address_ends_the_start_with_a_one_line_error() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = std::env::temp_dir().join(format!("honeypost-console-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let config = json!({
         "name": "n1", "listen": "127.0.0.1:0", "executor": "127.0.0.1:9", "settings": settings()
     });
     std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
-    for (address, said) in
-        [("nowhere", "ROUTER_CONSOLE"), (&taken.local_addr().unwrap().to_string(), "console")]
+    for (address, expected) in
+        [("nowhere", "ROUTER_CONSOLE"), (&listener.local_addr().unwrap().to_string(), "console")]
     {
-        let ended = WORKER
+        let output = WORKER
             .command()
             .env("ROUTER_CONFIG", folder.join("config.json"))
             .env("ROUTER_CONSOLE", address)
             .output()
             .unwrap();
-        let text = String::from_utf8(ended.stderr).unwrap();
-        assert_eq!(ended.status.code(), Some(2), "{text}");
-        assert!(text.contains(said) && text.lines().count() == 1, "{text}");
+        let text = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{text}");
+        assert!(text.contains(expected) && text.lines().count() == 1, "{text}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -209,13 +212,13 @@
 
 #[test]
 fn ready_fails_without_a_link_to_the_executor() {
-    // An address that no other test is given: nobody else listens there once this one does not.
+    // No other test uses this address, so that nothing listens there once this listener is closed.
     let executor = std::net::TcpListener::bind("127.0.77.1:0").unwrap();
-    let at = executor.local_addr().unwrap();
+    let executor_address = executor.local_addr().unwrap();
     let mut worker = WORKER.start_with(
         |c| {
             c["console"] = json!("127.0.0.1:0");
-            c["executor"] = json!(at);
+            c["executor"] = json!(executor_address);
         },
         None,
     );
