--- a/tests/admission_properties/random_settings.rs
+++ b/tests/admission_properties/random_settings.rs
@@ -1,21 +1,19 @@
-//! Settings of a play: usual values, and the ends of their ranges.
+//! Random settings of a simulation: usual values, and the ends of their ranges.
 
 use crate::random_source::RandomSource;
 use port_worker::{Class, Dependency, Idempotency, Preemption, Settings, Signal, Tenant};
 
-/// How long an idempotency key is retained at least.
+/// The minimum time for which an idempotency key is retained.
 pub(crate) const KEY_WINDOW_S: f64 = 8.0;
 
-/// How long a call that was abandoned still occupies the dependency.
+/// How long an abandoned call still occupies the dependency.
 pub(crate) const CALL_LINGER_S: f64 = 0.2;
 
 /// The class of [`classes`] whose requests carry idempotency keys.
 pub(crate) const KEYED_CLASS: usize = 2;
 
-/// The number of classes.
 pub(crate) const CLASSES: usize = 4;
 
-/// The settings of one play.
 pub(crate) fn random_settings(random: &mut RandomSource) -> Settings {
     Settings {
         cores: random.pick(&[1, 1, 2, 2, 4, 6]),
@@ -49,7 +47,7 @@
     }
 }
 
-/// Two idempotent classes, one with idempotency keys and one that is not idempotent.
+/// Two idempotent classes, a class with idempotency keys, and a class that is not idempotent.
 fn classes(random: &mut RandomSource) -> [Class; CLASSES] {
     [
         Class { weight: 1.0, objective_s: 0.8, deadline_s: 2.0, makes_calls: true, ..Class::default() },
--- a/tests/admission_properties/rules.rs
+++ b/tests/admission_properties/rules.rs
@@ -1,16 +1,16 @@
-//! The rules that every action and every step is checked against:
+//! The rules that are asserted for every action and every step:
 //!
 //! - A request gets one response, by its deadline.
-//! - What may not run twice, or be called twice, isn't.
+//! - A run or a downstream call that must not be repeated is not.
 //! - Memory, runs and downstream calls stay within their limits.
-//! - An action fits the state of its request and the settings.
+//! - An action is allowed by the state of its request and by the settings.
 
-use crate::play::STEP_S;
 use crate::random_settings::KEY_WINDOW_S;
+use crate::simulation::STEP_S;
 use crate::worker_model::{RequestState, RetainedKey, WorkerModel};
 use port_worker::{Action, Dependency, Idempotency, Outcome, Preemption, RequestId, Signal};
 
-/// The rounding of sums and differences of times.
+/// Tolerance for rounding in sums and differences of times.
 const ROUNDING: f64 = 1e-9;
 
 /// The processor time of a run before its downstream call.
@@ -40,10 +40,13 @@
             Action::SkipCall(id) => self.skip_call(*id),
             Action::Preempt(id) => self.preempt(*id),
             Action::Publish(weight) => {
-                assert!(self.settings.signal == Signal::Weight, "a weight where none is published");
-                assert!(*weight >= 0.0 && weight.is_finite(), "a weight of {weight}");
+                assert!(
+                    self.settings.signal == Signal::Weight,
+                    "a weight is published although the settings disable it"
+                );
+                assert!(*weight >= 0.0 && weight.is_finite(), "the published weight is {weight}");
             }
-            // The play wakes the controller; the others ask nothing of a worker's requests.
+            // The simulation handles `WakeIn`; the others do not affect requests.
             Action::WakeIn(_) | Action::Health(_) | Action::Log(_) => {}
         }
     }
@@ -72,17 +75,20 @@
     }
 
     fn start(&mut self, id: RequestId) {
-        let request = self.requests.get_mut(&id).expect("a start of a request in flight");
+        let request = self.requests.get_mut(&id).expect("a request is started that is not in flight");
         assert_eq!(request.state, RequestState::Queued);
         if let Some(notice_s) = self.shutdown_notice_s {
             let grace_s = self.settings.shutdown_grace_s;
-            assert!(request.arrived_s <= notice_s + grace_s, "{id:?} arrived after the grace, and starts");
+            assert!(
+                request.arrived_s <= notice_s + grace_s,
+                "{id:?} is started although it arrived after the grace"
+            );
         }
         let class = &self.settings.classes[request.class];
         if class.idempotency == Idempotency::Keyed {
             let attempts = self.started_attempts.entry(request.key).or_default();
             let is_first = attempts.iter().all(|arrived_s| request.arrived_s > arrived_s + class.window_s);
-            assert!(is_first, "{id:?} starts, and its key has run");
+            assert!(is_first, "{id:?} is started although its key has run");
             attempts.push(request.arrived_s);
         }
         request.started = true;
@@ -91,11 +97,14 @@
 
     fn reject(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        assert!(!request.started || self.is_idempotent(request), "{id:?} has started, and is rejected");
+        assert!(
+            !request.started || self.is_idempotent(request),
+            "{id:?} is rejected although it has started"
+        );
         self.fail(id);
     }
 
-    /// Responds with a rejection or a failure. The run, if there is one, goes on.
+    /// Responds with a rejection or a failure. A run, if there is one, continues.
     fn fail(&mut self, id: RequestId) {
         self.respond(id);
         if self.requests[&id].is_waiting() {
@@ -108,7 +117,7 @@
         let attempts = self.started_attempts.get(&key);
         let has_run = attempts
             .is_some_and(|attempts| attempts.iter().any(|arrived_s| *arrived_s + KEY_WINDOW_S > self.now_s));
-        assert!(!has_run, "the key of {id:?} is released, and has run");
+        assert!(!has_run, "the key of {id:?} is released although it has run");
         self.retained_keys.remove(&key);
     }
 
@@ -122,10 +131,13 @@
 
     fn skip_call(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        assert!(self.class_of(request).skipped_call_weight > 0.0, "{id:?} skips a call that it needs");
+        assert!(
+            self.class_of(request).skipped_call_weight > 0.0,
+            "{id:?} skips a call that its class requires"
+        );
         let RequestState::AtCall { left_s } = request.state else { panic!("{id:?} is not at a call") };
         let request = self.request(id);
-        // The run goes on; its next call is another one.
+        // The run continues; its next call is a different one.
         request.call_may_have_taken_effect = false;
         request.state = RequestState::Running { left_s };
     }
@@ -133,16 +145,16 @@
     fn preempt(&mut self, id: RequestId) {
         assert!(
             self.settings.preemption != Preemption::Never,
-            "{id:?} is preempted where that can't be done"
+            "{id:?} is preempted although the settings forbid it"
         );
         if let Some(request) = self.requests.get(&id).filter(|request| request.is_running()) {
-            assert!(request.responded, "{id:?} is preempted, and its response is pending");
+            assert!(request.responded, "{id:?} is preempted while its response is pending");
             self.requests.remove(&id);
             self.preempted.push(id);
         }
     }
 
-    /// Ends a run, with a response if its caller still waits.
+    /// Completes a run, and responds if its caller still waits.
     pub(crate) fn complete(&mut self, id: RequestId, outcome: Outcome) {
         let request = &self.requests[&id];
         if !request.responded {
@@ -154,7 +166,7 @@
         self.end(id);
     }
 
-    /// Asserts what must hold between two steps.
+    /// Asserts the rules that hold between two steps.
     pub(crate) fn check_step(&mut self) {
         self.check_deadlines();
         self.check_memory();
@@ -180,7 +192,7 @@
         }
         let keys = self.retained_keys.values().filter(|retained| retained.until_s > self.now_s).count();
         kb += keys as f64 * self.settings.key_entry_kb;
-        assert!(kb <= self.settings.memory_kb, "memory: {kb} kB");
+        assert!(kb <= self.settings.memory_kb, "requests and keys take {kb} KB");
     }
 
     fn check_runs(&self) {
@@ -189,13 +201,16 @@
         let warming_up = settings.cold_speed + (1.0 - settings.cold_speed) * self.now_s / settings.warm_up_s;
         let speed = if settings.cold { warming_up.min(1.0) } else { 1.0 };
         let limit = f64::from(settings.cores) * (1.0 + (settings.survivable_multiple - 1.0) * speed);
-        assert!(running as f64 <= limit, "{running} runs");
+        assert!(running as f64 <= limit, "{running} runs exceed the survivable number of {limit}");
     }
 
-    /// Calls in flight, and the mean of all that occupy the dependency over its window.
+    /// Asserts limits on the calls in flight, and on the mean over the window of all calls that occupy the dependency.
     fn check_calls(&mut self, dependency: &Dependency) {
         let in_flight = self.requests.values().filter(|request| request.is_calling()).count() as u32;
-        assert!(f64::from(in_flight) <= dependency.share.max(1.0), "{in_flight} calls in flight");
+        assert!(
+            f64::from(in_flight) <= dependency.share.max(1.0),
+            "{in_flight} calls in flight exceed the share"
+        );
         let now_s = self.now_s;
         self.lingering_calls.retain(|until_s| *until_s > now_s);
         self.calls_by_step.push_back(in_flight + self.lingering_calls.len() as u32);
@@ -203,7 +218,11 @@
             self.calls_by_step.pop_front();
         }
         let mean = f64::from(self.calls_by_step.iter().sum::<u32>()) * STEP_S / dependency.window_s;
-        assert!(mean <= dependency.share + ROUNDING, "mean of calls: {mean} of {}", dependency.share);
+        assert!(
+            mean <= dependency.share + ROUNDING,
+            "the mean of calls in the window is {mean}, the share {}",
+            dependency.share
+        );
     }
 
     /// Asserts that nothing is pending at the stop, and that each of the requests had one response.
--- a/tests/admission_properties/simulation.rs
+++ b/tests/admission_properties/simulation.rs
@@ -1,4 +1,4 @@
-//! The course of a play: what callers, the executor and the dependency do, step by step.
+//! Simulates the callers, the executor and the dependency of a worker, step by step.
 
 use crate::random_settings::{random_settings, CALL_LINGER_S, CLASSES, KEYED_CLASS};
 use crate::random_source::RandomSource;
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// The time between two steps.
+/// The simulated time between two steps.
 pub(crate) const STEP_S: f64 = 0.005;
-/// When runs make no progress.
+/// The time in which runs make no progress.
 const HANG_S: Range<f64> = 6.0..9.0;
-/// When the dependency is slow.
+/// The time in which the dependency is slow.
 const SLOW_CALLS_S: Range<f64> = 12.0..14.0;
-/// When the shutdown notice comes, and when the process stops.
+/// When the shutdown notice is sent, and when the process stops.
 const SHUTDOWN_S: f64 = 20.0;
 const STOP_S: f64 = 23.0;
 
@@ -22,43 +22,43 @@
 /// The processor time of a run after its downstream call.
 const RUN_AFTER_CALL_S: f64 = 0.02;
 
-/// Plays twenty seconds of overload with hanging runs, errors and callers that disconnect, then a shutdown.
-pub(crate) fn play(seed: u64) -> WorkerModel {
-    let mut play = Play::new(seed);
-    while play.worker.now_s < STOP_S - STEP_S / 2.0 {
-        play.step();
+/// Simulates 20 seconds of overload with hanging runs, errors and disconnecting callers, then a shutdown.
+pub(crate) fn simulate(seed: u64) -> WorkerModel {
+    let mut simulation = Simulation::new(seed);
+    while simulation.worker.now_s < STOP_S - STEP_S / 2.0 {
+        simulation.step();
     }
-    play.worker.check_stopped(play.arrivals);
-    play.worker
+    simulation.worker.check_stopped(simulation.arrivals);
+    simulation.worker
 }
 
-struct Play {
+struct Simulation {
     random: RandomSource,
     worker: WorkerModel,
     controller: Controller,
-    /// Actions that are still to be carried out.
+    /// Actions that have not been carried out yet.
     actions: Vec<Action>,
     /// Events of this step, in their order.
     events: Vec<Event>,
-    /// The number of requests that have arrived, which is the latest one's identifier.
+    /// The number of requests that have arrived, which is also the identifier of the latest one.
     arrivals: u64,
     wake_at_s: f64,
     /// The probability that the dependency's reply to a call is a rejection.
-    call_rejection: f64,
-    /// Whether callers say how long they wait.
-    sends_deadlines: bool,
+    call_rejection_chance: f64,
+    /// Whether requests carry the time that their callers wait.
+    callers_send_deadlines: bool,
 }
 
-impl Play {
-    fn new(seed: u64) -> Play {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut random = RandomSource::new(seed);
         let settings = random_settings(&mut random);
         let mut actions = Vec::new();
         let controller = Controller::new(settings.clone(), 0.0, &mut actions);
-        // Some dependencies reject every call that they reply to.
-        let call_rejection = random.pick(&[0.1, 0.1, 1.0]);
-        let sends_deadlines = random.chance(0.5);
-        Play {
+        // In some simulations the dependency rejects every call that it replies to.
+        let call_rejection_chance = random.pick(&[0.1, 0.1, 1.0]);
+        let callers_send_deadlines = random.chance(0.5);
+        Simulation {
             random,
             worker: WorkerModel::new(settings),
             controller,
@@ -66,8 +66,8 @@
             events: Vec::new(),
             arrivals: 0,
             wake_at_s: f64::MAX,
-            call_rejection,
-            sends_deadlines,
+            call_rejection_chance,
+            callers_send_deadlines,
         }
     }
 
@@ -84,7 +84,7 @@
         self.worker.check_step();
     }
 
-    /// The executor reports what became of the starts and preemptions of the step before.
+    /// Reports the outcome of the starts and preemptions of the previous step, as the executor does.
     fn report_previous_step(&mut self) {
         for id in std::mem::take(&mut self.worker.started_after_end) {
             self.events.push(Event::RunEnded { id, outcome: Outcome::NotStarted });
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Requests arrive at a rate above what the cores can serve.
+    /// Receives requests at a rate above the capacity of the cores.
     fn receive_requests(&mut self) {
         let per_step = ARRIVALS_PER_S_AND_CORE * f64::from(self.worker.settings.cores) * STEP_S;
         let mut keys_in_step = BTreeMap::new();
@@ -112,7 +112,7 @@
         }
     }
 
-    /// One request arrives. `keys_in_step` has the latest attempt of each key that arrived in this step.
+    /// Receives one request. `keys_in_step` has the latest attempt of each key that arrived in this step.
     fn receive_request(&mut self, keys_in_step: &mut BTreeMap<u64, RequestId>) {
         self.arrivals += 1;
         let id = RequestId(self.arrivals);
@@ -130,9 +130,9 @@
         let tenants = self.worker.settings.tenants.len();
         let tenant = (tenants > 0).then(|| self.random.below(tenants));
         let kb = 4.0 + self.random.unit() * 20.0;
-        let longest_s = self.worker.settings.classes[class].deadline_s;
-        let time_left_s = self.sends_deadlines.then(|| self.random.unit() * longest_s);
-        let deadline_s = time_left_s.map_or(arrived_s + longest_s, |time_left_s| now_s + time_left_s);
+        let class_deadline_s = self.worker.settings.classes[class].deadline_s;
+        let time_left_s = self.callers_send_deadlines.then(|| self.random.unit() * class_deadline_s);
+        let deadline_s = time_left_s.map_or(arrived_s + class_deadline_s, |time_left_s| now_s + time_left_s);
         let estimate_s = self.random.pick(&[None, Some(0.1), Some(0.05), Some(0.0), Some(-3.0), Some(1e300)]);
         let request = TrackedRequest {
             state: RequestState::Queued,
@@ -165,7 +165,7 @@
         HANG_S.contains(&self.worker.now_s)
     }
 
-    /// Runs share the cores; waiting requests may lose their caller.
+    /// Advances all runs, which share the cores; some callers disconnect.
     fn advance_requests(&mut self, running: f64) {
         let cores = f64::from(self.worker.settings.cores);
         let speed = if self.is_hanging() { 0.0 } else { (cores / running).min(1.0) };
@@ -175,16 +175,16 @@
         }
     }
 
-    /// One request goes on; `run_s` is the processor time that a run gets in this step.
+    /// Advances one request; `run_s` is the processor time that a run gets in this step.
     fn advance_request(&mut self, id: RequestId, run_s: f64) {
         let request = &self.worker.requests[&id];
         let responded = request.responded;
         match request.state {
             RequestState::Running { .. } if !responded && self.random.chance(0.001) => {
                 self.worker.request(id).responded = true;
-                self.lose_caller(id);
+                self.disconnect_caller(id);
             }
-            RequestState::Running { left_s } if left_s > 0.0 => self.run_on(id, left_s - run_s),
+            RequestState::Running { left_s } if left_s > 0.0 => self.advance_run(id, left_s - run_s),
             RequestState::Running { .. } => self.end_run(id),
             RequestState::AtCall { .. } if responded => self.cancel_run(id),
             RequestState::Calling { left_s, until_s } => self.advance_call(id, left_s, until_s),
@@ -195,20 +195,20 @@
             }
             RequestState::Queued if self.random.chance(0.001) => {
                 self.worker.end(id);
-                self.lose_caller(id);
+                self.disconnect_caller(id);
             }
             RequestState::Queued | RequestState::SharingResponse | RequestState::AtCall { .. } => {}
         }
     }
 
-    /// A caller disconnects before its response.
-    fn lose_caller(&mut self, id: RequestId) {
+    /// Disconnects the caller of a request before its response.
+    fn disconnect_caller(&mut self, id: RequestId) {
         self.worker.responses += 1;
         self.events.push(Event::CallerDisconnected(id));
     }
 
-    /// A run has had processor time, and comes to its downstream call at the end of what it needs before.
-    fn run_on(&mut self, id: RequestId, left_s: f64) {
+    /// Records the processor time that a run still needs. When it needs no more, it may reach its downstream call.
+    fn advance_run(&mut self, id: RequestId, left_s: f64) {
         let request = self.worker.request(id);
         request.state = RequestState::Running { left_s };
         let responded = request.responded;
@@ -229,13 +229,13 @@
         self.events.push(Event::RunEnded { id, outcome });
     }
 
-    /// Ends a run at its call, since nobody waits for its response any more.
+    /// Ends a run at its call, since no caller waits for its response any more.
     fn cancel_run(&mut self, id: RequestId) {
         self.worker.end(id);
         self.events.push(Event::RunEnded { id, outcome: Outcome::Cancelled });
     }
 
-    /// A call is abandoned, times out, or is replied to after a while.
+    /// Advances a call, which is abandoned, times out, or gets a reply.
     fn advance_call(&mut self, id: RequestId, left_s: f64, until_s: f64) {
         let now_s = self.worker.now_s;
         let reply_chance = if SLOW_CALLS_S.contains(&now_s) { 0.005 } else { 0.1 };
@@ -252,7 +252,7 @@
     }
 
     fn call_outcome(&mut self) -> Outcome {
-        if self.random.chance(self.call_rejection) {
+        if self.random.chance(self.call_rejection_chance) {
             Outcome::Rejected
         } else if self.random.chance(0.1) {
             Outcome::Error
@@ -261,7 +261,7 @@
         }
     }
 
-    /// The run goes on after a reply, and is at its call again after a failure.
+    /// Ends a call. The run continues after a successful reply, and is at its call again after a failure.
     fn end_call(&mut self, id: RequestId, left_s: f64, outcome: Outcome) {
         let request = self.worker.request(id);
         if outcome == Outcome::Ok {
@@ -275,7 +275,7 @@
         self.events.push(Event::CallEnded { id, outcome });
     }
 
-    /// Wakes the controller at the time that it asked for, with the machine's gauges.
+    /// Wakes the controller at the time that it requested, with the gauges of the machine.
     fn wake(&mut self, running: f64) {
         if self.worker.now_s < self.wake_at_s {
             return;
@@ -291,7 +291,7 @@
         }));
     }
 
-    /// Hands the events of the step to the controller, then carries out its actions.
+    /// Passes the events of the step to the controller, then carries out its actions.
     fn dispatch(&mut self) {
         let now_s = self.worker.now_s;
         for event in std::mem::take(&mut self.events) {
--- a/tests/admission_properties/worker_model.rs
+++ b/tests/admission_properties/worker_model.rs
@@ -1,20 +1,20 @@
-//! What a worker and its executor know of their requests: the state that the rules are checked against.
+//! A model of a worker and its executor: the state of their requests, which the rules are asserted against.
 
 use port_worker::{Class, Idempotency, RequestId, Settings};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How far a request has come. Times are those of the play.
+/// The progress of a request, with simulated times.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum RequestState {
-    /// It waits to be started.
+    /// It waits for its start.
     Queued,
     /// It waits for the response of an earlier attempt with its key.
     SharingResponse,
-    /// It runs, and needs the processor for this long still.
+    /// It runs, and still needs this much processor time.
     Running { left_s: f64 },
-    /// Its run waits until it may make a downstream call.
+    /// Its run waits for permission to make a downstream call.
     AtCall { left_s: f64 },
-    /// Its run waits for the reply of its downstream call, until then at the latest.
+    /// Its run waits for the reply to its downstream call, at most until `until_s`.
     Calling { left_s: f64, until_s: f64 },
 }
 
@@ -24,18 +24,18 @@
     pub(crate) class: usize,
     pub(crate) kb: f64,
     pub(crate) arrived_s: f64,
-    /// Nobody waits for it afterwards.
+    /// The time until which its caller waits.
     pub(crate) deadline_s: f64,
     pub(crate) key: u64,
-    /// It has its response, or its caller is gone.
+    /// It has its response, or its caller has disconnected.
     pub(crate) responded: bool,
     pub(crate) started: bool,
-    /// A downstream call of it may have had its effect.
+    /// A downstream call of it may have taken effect.
     pub(crate) call_may_have_taken_effect: bool,
 }
 
 impl TrackedRequest {
-    /// Whether it waits in the worker, and the executor knows nothing of it.
+    /// Whether it waits in the worker and has not been sent to the executor.
     pub(crate) fn is_waiting(&self) -> bool {
         matches!(self.state, RequestState::Queued | RequestState::SharingResponse)
     }
@@ -56,31 +56,31 @@
     pub(crate) until_s: f64,
 }
 
-/// The worker that carries out the controller's actions.
+/// The state of a worker that carries out the controller's actions.
 pub(crate) struct WorkerModel {
     pub(crate) settings: Settings,
     pub(crate) now_s: f64,
     pub(crate) requests: BTreeMap<RequestId, TrackedRequest>,
     pub(crate) retained_keys: BTreeMap<u64, RetainedKey>,
     pub(crate) key_of: BTreeMap<RequestId, u64>,
-    /// By key: when the attempts arrived that were started.
+    /// The arrival times of the started attempts of each key.
     pub(crate) started_attempts: BTreeMap<u64, Vec<f64>>,
     pub(crate) shutdown_notice_s: Option<f64>,
-    /// Requests that have their response, or whose caller is gone.
+    /// The number of requests with a response or a disconnected caller.
     pub(crate) responses: u64,
-    /// Runs that succeeded for a caller who still waited.
+    /// The number of runs that succeeded while their caller still waited.
     pub(crate) served: u64,
     /// Each action, with the time at which it was carried out.
     pub(crate) log: Vec<String>,
-    /// Requests that ended in this step, before the controller could know of it.
+    /// Requests that ended in this step, before the controller was told.
     pub(crate) ended_in_step: Vec<RequestId>,
-    /// Requests that were to be started after they had ended.
+    /// Requests that the controller started after they had ended.
     pub(crate) started_after_end: Vec<RequestId>,
-    /// Runs that were preempted in the step before.
+    /// Runs that were preempted in the previous step.
     pub(crate) preempted: Vec<RequestId>,
-    /// Abandoned calls that still occupy the dependency: until when.
+    /// For each abandoned call that still occupies the dependency, the time until which it does.
     pub(crate) lingering_calls: Vec<f64>,
-    /// Calls that occupied the dependency, for each of the latest steps.
+    /// The number of calls that occupied the dependency, for each step of its window.
     pub(crate) calls_by_step: VecDeque<u32>,
 }
 
@@ -113,17 +113,17 @@
         self.class_of(request).idempotency == Idempotency::Idempotent
     }
 
-    /// The attempt that the idempotency table has under this key at this time.
+    /// The attempt that the idempotency table has for this key at this time.
     pub(crate) fn retained_attempt(&self, key: u64, at_s: f64) -> Option<RequestId> {
         self.retained_keys.get(&key).filter(|retained| retained.until_s > at_s).map(|retained| retained.id)
     }
 
-    /// The request with this identifier, which is in flight.
+    /// The request with this identifier, which must be in flight.
     pub(crate) fn request(&mut self, id: RequestId) -> &mut TrackedRequest {
         self.requests.get_mut(&id).unwrap_or_else(|| panic!("{id:?} is not in flight"))
     }
 
-    /// Forgets a request that ended before the controller could know of it.
+    /// Removes a request that ended before the controller was told.
     pub(crate) fn end(&mut self, id: RequestId) {
         self.requests.remove(&id);
         self.ended_in_step.push(id);
