--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,8 +1,9 @@
-//! The admission controller without class pools, compared with traces that were recorded before there were any: the
-//! actions that it returns to a random but fixed course of events, digested in blocks of steps.
+//! Compares the admission controller without class pools with traces that were recorded before class pools existed. A
+//! trace has, for blocks of steps, digests of the actions that the controller returns for a fixed pseudorandom sequence
+//! of events.
 //!
-//! `HONEYPOST_RECORD_TRACES=1 cargo test --test traces` writes them anew; only a change that is meant to change
-//! decisions on the platform may do that.
+//! `HONEYPOST_RECORD_TRACES=1 cargo test --test traces` records them again. Do that only for a change that is
+//! meant to change the controller's decisions in production.
 
 use port_worker::interface::{AdmissionEvent, HealthState, UnhealthyCause};
 use port_worker::{
@@ -11,22 +12,23 @@
 };
 use std::fmt::Write;
 
-/// Steps of one trace.
+/// The number of steps in a trace.
 const STEPS: usize = 24_000;
-/// Steps for each line of a trace.
+/// The number of steps for each line of a trace.
 const BLOCK: usize = 400;
 
-/// A fixed generator (Knuth's MMIX constants): a library's could change its draws between versions.
+/// A linear congruential generator with Knuth's MMIX constants. A library's generator could change its numbers between
+/// versions.
 struct RandomSource(u64);
 
 impl RandomSource {
-    /// A number from 0 up to, but without, 1.
+    /// A number from 0 to 1, excluding 1.
     fn unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A number below this one.
+    /// A number below `end`.
     fn below(&mut self, end: usize) -> usize {
         ((self.unit() * end as f64) as usize).min(end - 1)
     }
@@ -82,14 +84,14 @@
     }
 }
 
-/// Requests that the executor, the records service or an earlier attempt has yet to answer.
+/// Requests that wait for the executor, the records service or an earlier attempt.
 #[derive(Default)]
 struct InFlight {
-    /// The executor runs them.
+    /// Requests that the executor runs.
     running: Vec<RequestId>,
-    /// The records service has a call of theirs.
+    /// Requests with a call at the records service.
     calling: Vec<RequestId>,
-    /// They wait for the response of an earlier attempt.
+    /// Requests that wait for the response of an earlier attempt.
     sharing: Vec<RequestId>,
 }
 
@@ -115,7 +117,7 @@
     }
 }
 
-/// The digest of all actions so far (FNV-1a, 64 bits), and their number.
+/// The number of all actions so far, and their digest (FNV-1a, 64 bits).
 struct ActionDigest {
     actions: u64,
     hash: u64,
@@ -138,35 +140,35 @@
     }
 }
 
-/// The random but fixed course of events.
-struct Course {
+/// Generates the fixed pseudorandom sequence of events.
+struct EventSource {
     random: RandomSource,
     tenants: usize,
     now_s: f64,
-    woken_s: f64,
-    /// The number of the latest request.
-    latest: u64,
-    /// The latest first attempts with a key.
+    last_wake_up_s: f64,
+    /// The identifier of the latest request.
+    latest_id: u64,
+    /// The identifiers of the latest first attempts with a key.
     keyed_attempts: Vec<RequestId>,
     in_flight: InFlight,
 }
 
-impl Course {
+impl EventSource {
     /// The event of this step, if it has one.
     fn next_event(&mut self, step: usize) -> Option<Event> {
-        // Calm, busy, flooded and back, so that all bounds are met and left again.
+        // The load is low, medium, high and medium again, so that all limits are reached and left again.
         let load = [0.2, 0.5, 0.9, 0.6][step / 1500 % 4];
         self.now_s += self.random.unit() * 0.02;
-        if self.now_s - self.woken_s >= 0.025 {
-            self.woken_s = self.now_s;
-            Some(self.woken(step))
+        if self.now_s - self.last_wake_up_s >= 0.025 {
+            self.last_wake_up_s = self.now_s;
+            Some(self.wake_up(step))
         } else if step == STEPS - 300 {
             Some(Event::Shutdown { notice_age_s: 0.0, stop_in_s: 3.2 })
         } else if self.random.unit() < load {
             Some(self.arrival())
-        } else if self.random.unit() < 0.02 && self.latest > 0 {
-            let back = self.random.below(30.min(self.latest as usize)) as u64;
-            Some(Event::CallerDisconnected(RequestId(self.latest - back)))
+        } else if self.random.unit() < 0.02 && self.latest_id > 0 {
+            let back = self.random.below(30.min(self.latest_id as usize)) as u64;
+            Some(Event::CallerDisconnected(RequestId(self.latest_id - back)))
         } else if self.random.unit() < 0.4 && !self.in_flight.calling.is_empty() {
             Some(self.call_end())
         } else if self.random.unit() < 0.3 && !self.in_flight.sharing.is_empty() {
@@ -179,8 +181,8 @@
         }
     }
 
-    /// A wake-up with gauges, some of which are missing now and then.
-    fn woken(&self, step: usize) -> Event {
+    /// A wake-up with gauges, which are missing at some steps.
+    fn wake_up(&self, step: usize) -> Event {
         let running = self.in_flight.running.len() as f64;
         Event::Woken(Gauges {
             cores_busy: (!step.is_multiple_of(7)).then_some((running / 6.0).min(1.0)),
@@ -190,8 +192,8 @@
     }
 
     fn arrival(&mut self) -> Event {
-        self.latest += 1;
-        let id = RequestId(self.latest);
+        self.latest_id += 1;
+        let id = RequestId(self.latest_id);
         let class = [0, 0, 0, 0, 1, 1, 1, 1, 2][self.random.below(9)];
         let retry_of = if class == 2 { self.keyed_attempt(id) } else { None };
         let tenants = self.tenants;
@@ -209,7 +211,7 @@
         })
     }
 
-    /// The earlier attempt that a request with a key retries; without one it is a first attempt itself.
+    /// Returns the earlier attempt that a keyed request retries; `None` makes the request a first attempt.
     fn keyed_attempt(&mut self, id: RequestId) -> Option<RequestId> {
         if !self.keyed_attempts.is_empty() && self.random.unit() < 0.3 {
             return Some(self.keyed_attempts[self.random.below(self.keyed_attempts.len())]);
@@ -242,42 +244,42 @@
     }
 }
 
-/// Plays one trace: a line for each block of steps, with its last step, the time, and the number and digest of the
-/// actions so far.
-fn play(seed: u64, settings: Settings) -> String {
-    let mut course = Course {
+/// Runs the controller on one sequence of events. The trace has a line for each block of steps, with its last step, the
+/// time, and the number and digest of all actions so far.
+fn run_trace(seed: u64, settings: Settings) -> String {
+    let mut source = EventSource {
         random: RandomSource(seed),
         tenants: settings.tenants.len(),
         now_s: 0.0,
-        woken_s: 0.0,
-        latest: 0,
+        last_wake_up_s: 0.0,
+        latest_id: 0,
         keyed_attempts: Vec::new(),
         in_flight: InFlight::default(),
     };
     let mut actions = Vec::new();
-    let mut controller = Controller::new(settings, course.now_s, &mut actions);
+    let mut controller = Controller::new(settings, source.now_s, &mut actions);
     let mut digest = ActionDigest::new();
     let mut trace = String::new();
     for step in 0..STEPS {
-        let Some(event) = course.next_event(step) else { continue };
-        controller.handle(course.now_s, event, &mut actions);
+        let Some(event) = source.next_event(step) else { continue };
+        controller.handle(source.now_s, event, &mut actions);
         let released = controller.take_released();
         for action in actions.drain(..) {
-            course.in_flight.carry_out(&action);
+            source.in_flight.carry_out(&action);
             digest.add_action(&action);
         }
         digest.add(released.len() as u64);
         if step % BLOCK == BLOCK - 1 {
             let ActionDigest { actions, hash } = digest;
-            writeln!(trace, "{step} {:.6} {actions} {hash:016x}", course.now_s).unwrap();
+            writeln!(trace, "{step} {:.6} {actions} {hash:016x}", source.now_s).unwrap();
         }
     }
     trace
 }
 
-/// An action as the digests were recorded: the names that its variants and fields had then.
+/// Formats an action with the names that its variants and fields had when the traces were recorded.
 ///
-/// Nine decimals: an `exp` of another C library may differ in the last bit.
+/// Numbers have nine decimals, since `exp` may differ in the last bit between C libraries.
 fn recorded_form(action: &Action) -> String {
     match action {
         Action::Reject { id, retry_after_s, stop_retrying } => {
@@ -292,7 +294,7 @@
     }
 }
 
-/// The log line that was recorded for a change of health.
+/// The log line for a change of health at the time of the recording.
 fn recorded_line(state: HealthState) -> &'static str {
     match state {
         HealthState::Healthy => "well again",
@@ -301,18 +303,18 @@
     }
 }
 
-/// Plays a trace, and asserts that it equals the recorded one of this name.
+/// Asserts that a trace equals the recorded one of this name.
 fn assert_as_recorded(name: &str, seed: u64, settings: Settings) {
     let path = format!("{}/tests/traces/{name}.txt", env!("CARGO_MANIFEST_DIR"));
-    let played = play(seed, settings);
+    let actual = run_trace(seed, settings);
     if std::env::var_os("HONEYPOST_RECORD_TRACES").is_some() {
-        std::fs::write(&path, &played).unwrap();
+        std::fs::write(&path, &actual).unwrap();
     }
     let recorded = std::fs::read_to_string(&path).unwrap();
-    for (played, recorded) in played.lines().zip(recorded.lines()) {
-        assert_eq!(played, recorded, "{name}: the first block of steps that differs");
+    for (actual, recorded) in actual.lines().zip(recorded.lines()) {
+        assert_eq!(actual, recorded, "{name}: this block of steps is the first that differs");
     }
-    assert_eq!(played.lines().count(), recorded.lines().count(), "{name}: length");
+    assert_eq!(actual.lines().count(), recorded.lines().count(), "{name}: the number of blocks differs");
 }
 
 #[test]
