--- a/tests/console.rs
+++ b/tests/console.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn metrics_count_what_peers_saw_and_list_all_classes_from_the_start() {
+fn metrics_count_responses_and_list_all_classes_from_the_start() {
     let worker = start_with_console();
     let mut executor = worker.accept_link();
     let (_, text) = worker.console_request("GET", "/-/metrics");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn shutdown_notice_outlasts_a_resume_of_the_drain() {
+fn resuming_from_a_drain_does_not_cancel_the_shutdown() {
     let mut worker = start_with_console();
     let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -119,7 +119,7 @@
 
 /// A request arrives on an idle connection in the turn in which idle connections are closed.
 #[test]
-fn request_that_meets_the_close_of_its_idle_connection_is_answered() {
+fn request_in_the_turn_that_closes_its_idle_connection_is_answered() {
     let mut worker = start_with_shutdown(1.0, 8000);
     let mut executor = worker.accept_link();
     let (mut busy, job) = start_run(&worker, &mut executor, &RequestBuilder::new("look"));
--- a/tests/failures/health.rs
+++ b/tests/failures/health.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// A worker that reads too late serves only requests that their callers have abandoned.
+/// A worker that reads too late reads only requests that their callers have abandoned.
 #[test]
 fn a_worker_that_reads_too_late_is_delisted_until_it_has_caught_up() {
     let mut worker = Harness::new(Settings { signal: Signal::Weight, ..settings() });
@@ -128,7 +128,7 @@
 
 /// Guards against rejecting all queued requests because runs of 10 ms make no progress for 20 ms.
 #[test]
-fn a_short_stall_of_short_runs_is_no_hang() {
+fn short_stall_of_short_runs_is_not_taken_for_a_hang() {
     let mut worker = Harness::new(Settings { cores: 8, ..settings() });
     for id in 1..=500 {
         worker.now += 0.002;
--- a/tests/failures/idempotency.rs
+++ b/tests/failures/idempotency.rs
@@ -46,7 +46,7 @@
 
 /// Guards against stopping a keyed run when its attempt ends: the next attempt then got an error as its response.
 #[test]
-fn a_run_with_an_effect_goes_on_for_the_next_attempt() {
+fn keyed_run_continues_for_the_next_attempt() {
     let mut worker = Harness::new(Settings { preemption: Preemption::Pause, ..settings() });
     worker.handle(Event::Arrived(Arrival {
         id: RequestId(1),
@@ -63,7 +63,7 @@
 /// When the caller disconnects, an idempotent run is stopped to free its core. A keyed run goes on, since a later
 /// attempt may ask for its result.
 #[test]
-fn a_run_without_a_caller_is_stopped_unless_it_has_an_effect() {
+fn run_without_a_caller_is_stopped_unless_it_is_keyed() {
     for (class, stops) in [(0, true), (1, false)] {
         let mut worker = Harness::new(Settings { preemption: Preemption::Discard, ..settings() });
         worker.arrive(1, class);
--- a/tests/failures/scheduling.rs
+++ b/tests/failures/scheduling.rs
@@ -88,7 +88,7 @@
 /// Guards against planning large requests with the mean run length, which started them too late to meet their
 /// objective.
 #[test]
-fn hints_plan_runs_only_when_ended_runs_confirm_them() {
+fn estimates_are_used_only_when_ended_runs_confirm_them() {
     let rejections = |with_hints: bool| {
         let mut worker = Harness::new(Settings { cores: 1, ..settings() });
         let arrive = |worker: &mut Harness, id: u64, size_s: f64| {
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn full_pool_rejects_immediately_with_its_own_advice_and_a_retry_shares_the_run() {
+fn full_pool_rejects_immediately_with_its_own_retry_advice_and_a_retry_shares_the_run() {
     let worker = WORKER.start_with(|_| {}, Some(POOLS));
     let mut executor = worker.accept_link();
     let mut running = send_order(&worker, "k0");
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn malformed_input_is_reported_with_its_place() {
+fn malformed_input_is_reported_with_its_position() {
     let cases = [
         ("not json".to_owned(), "malformed batch"),
         (r#"{"workers":[]}"#.to_owned(), "clockS"),
