--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -240,13 +240,27 @@
     }
 }
 
+/// The new limit in a `pool_limit_changed` line.
+fn logged_limit(line: &str) -> usize {
+    let (_, value) = line.split_once(" limit=").unwrap();
+    value.split(' ').next().unwrap().parse().unwrap()
+}
+
 #[test]
 fn run_limit_rises_with_throughput_falls_when_the_executor_slows_and_recovers() {
     let worker = WORKER
         .start_with(|c| c["settings"]["domain"]["fairCalls"] = json!(64.0), Some(POOL_WITH_HIGH_MAXIMUM));
     let executor = worker.accept_link();
     let mut loaded = LoadedWorker { worker, executor, running: Vec::new(), clients: Vec::new() };
-    loaded.run_until_logged(20, 20, "limit=6 ");
+    // The worker logs at most one change per second, so a single value on the way up may have no line of its own.
+    let until = Instant::now() + TIMEOUT;
+    while logged_limit(&loaded.run_until_logged(20, 20, "pool_limit_changed ")) < 6 {
+        assert!(
+            Instant::now() < until,
+            "the limit has not reached 6 after {TIMEOUT:?}: {:?}",
+            loaded.worker.log
+        );
+    }
     // Runs take more than ten times as long: the executor has slowed.
     let slow = loaded.run_until_logged(20, 300, "cause=slow");
     assert!(slow.contains("limit=2 "), "{slow}");
