--- a/testbed/src/fleet/overload_storm/comparison.rs
+++ b/testbed/src/fleet/overload_storm/comparison.rs
@@ -1,21 +1,24 @@
 //! Modes of the fleet compared over the same storms, as a table.
 
-use super::{play, FleetMode, Shape, StormResult};
+use super::{play, FleetMode, Scenario, StormResult};
 use crate::error::TestbedError;
 use crate::experiment::Slow;
 use crate::measure::interval;
 
 /// The scenarios that are compared, by name.
-fn scenarios() -> Vec<(&'static str, Shape)> {
+fn scenarios() -> Vec<(&'static str, Scenario)> {
     let slow = |at_s, for_s, times| vec![Slow { at_s, for_s, times }];
-    let base = Shape::default();
+    let base = Scenario::default();
     vec![
         ("calm, 0.8", base.clone()),
-        ("sustained, 1.3", Shape { load: 1.3, ..base.clone() }),
-        ("service at a tenth for 5 s, 0.8", Shape { slow: slow(10.0, 5.0, 10.0), ..base.clone() }),
-        ("service at a tenth for 5 s, 1.6", Shape { load: 1.6, slow: slow(10.0, 5.0, 10.0), ..base.clone() }),
-        ("service down for 5 s, 0.8", Shape { down: slow(10.0, 5.0, 1.0), ..base.clone() }),
-        ("calls short, 0.8", Shape { slots_each: 1.5, ..base }),
+        ("sustained, 1.3", Scenario { load: 1.3, ..base.clone() }),
+        ("service at a tenth for 5 s, 0.8", Scenario { slow: slow(10.0, 5.0, 10.0), ..base.clone() }),
+        (
+            "service at a tenth for 5 s, 1.6",
+            Scenario { load: 1.6, slow: slow(10.0, 5.0, 10.0), ..base.clone() },
+        ),
+        ("service down for 5 s, 0.8", Scenario { down: slow(10.0, 5.0, 1.0), ..base.clone() }),
+        ("calls short, 0.8", Scenario { slots_each: 1.5, ..base }),
     ]
 }
 
@@ -29,9 +32,9 @@
         "trouble", "part", "worth", "against alone", "back s", "calls", "further", "trials"
     );
     for (name, shape) in scenarios() {
-        let shape = Shape { workers, ..shape };
+        let shape = Scenario { workers, ..shape };
         let plays = |mode: FleetMode| -> Result<Vec<StormResult>, TestbedError> {
-            let shape = Shape { mode, ..shape.clone() };
+            let shape = Scenario { mode, ..shape.clone() };
             std::thread::scope(|scope| {
                 let shape = &shape;
                 let handles: Vec<_> =
--- a/testbed/src/fleet/overload_storm/mod.rs
+++ b/testbed/src/fleet/overload_storm/mod.rs
@@ -14,7 +14,7 @@
 
 pub use comparison::compare;
 pub use result::StormResult;
-pub use shape::{FleetMode, Shape};
+pub use shape::{FleetMode, Scenario};
 
 use crate::error::TestbedError;
 use world::World;
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// The workload can't be read.
-pub fn play(shape: &Shape, seed: u64) -> Result<StormResult, TestbedError> {
+pub fn play(shape: &Scenario, seed: u64) -> Result<StormResult, TestbedError> {
     let mut world = World::new(shape, seed)?;
     world.run();
     Ok(world.result)
--- a/testbed/src/fleet/overload_storm/reports.rs
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -1,6 +1,6 @@
 //! Load reports and digests between the workers and the leader, each as late as the links are.
 
-use super::shape::{FleetMode, Shape};
+use super::shape::{FleetMode, Scenario};
 use super::worker::Worker;
 use port_worker::fleet::overload::events::OverloadEvent;
 use port_worker::fleet::overload::leader::Leader;
@@ -54,7 +54,7 @@
     pub fn exchange(
         &mut self,
         now: f64,
-        shape: &Shape,
+        shape: &Scenario,
         workers: &mut [Worker],
         leader: &mut Leader,
     ) -> Vec<OverloadEvent> {
@@ -70,7 +70,7 @@
         leader.evaluate(now)
     }
 
-    fn send_report(&mut self, now: f64, shape: &Shape, number: usize, worker: &mut Worker) {
+    fn send_report(&mut self, now: f64, shape: &Scenario, number: usize, worker: &mut Worker) {
         if now < worker.next_report {
             return;
         }
@@ -85,7 +85,7 @@
         self.up.push_back(ReportInFlight { arrives_at, worker: number, report });
     }
 
-    fn answer_report(&mut self, now: f64, shape: &Shape, arrived: &ReportInFlight, leader: &mut Leader) {
+    fn answer_report(&mut self, now: f64, shape: &Scenario, arrived: &ReportInFlight, leader: &mut Leader) {
         let worker = arrived.worker;
         let zone = format!("z{}", worker % shape.zones);
         leader.receive(now, worker as u64, &zone, &arrived.report);
--- a/testbed/src/fleet/overload_storm/service.rs
+++ b/testbed/src/fleet/overload_storm/service.rs
@@ -1,6 +1,6 @@
 //! The downstream service that all workers share: it slows when it has too many calls in flight.
 
-use super::shape::Shape;
+use super::shape::Scenario;
 use crate::experiment::{RecordsModel, Slow};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 
 impl Service {
     /// A service with its slots for all workers of the storm.
-    pub fn new(shape: &Shape, records: &RecordsModel) -> Service {
+    pub fn new(shape: &Scenario, records: &RecordsModel) -> Service {
         Service {
             slots: shape.slots_each * shape.workers as f64,
             call_s: records.call_ms / 1000.0,
--- a/testbed/src/fleet/overload_storm/shape.rs
+++ b/testbed/src/fleet/overload_storm/shape.rs
@@ -4,7 +4,7 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Scenario {
     /// How many workers there are.
     pub workers: usize,
     /// How many zones they are in, by turns.
@@ -44,9 +44,9 @@
     Frozen,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for Scenario {
+    fn default() -> Scenario {
+        Scenario {
             workers: 20,
             zones: 2,
             load: 0.8,
--- a/testbed/src/fleet/overload_storm/tests.rs
+++ b/testbed/src/fleet/overload_storm/tests.rs
@@ -1,8 +1,8 @@
-use super::{play, FleetMode, Shape};
+use super::{play, FleetMode, Scenario};
 
 #[test]
 fn calm_overload_control_costs_nothing_and_a_seed_replays_its_storm() {
-    let shape = |mode| Shape { mode, workers: 4, length_s: 6.0, ..Shape::default() };
+    let shape = |mode| Scenario { mode, workers: 4, length_s: 6.0, ..Scenario::default() };
     let alone = play(&shape(FleetMode::Alone), 3).unwrap();
     assert!(alone.earned() > 0.9 && alone.owed == 0, "{alone:?}");
     for mode in [FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen] {
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -1,6 +1,6 @@
 //! A worker in virtual time, round the worker's own dispatcher.
 
-use super::shape::{FleetMode, Shape};
+use super::shape::{FleetMode, Scenario};
 use crate::executor::{BusyReading, Executor, Notice};
 use crate::experiment::Experiment;
 use port_worker::config::Config;
@@ -51,7 +51,7 @@
 
 impl Worker {
     /// One of the storm's workers, by its number.
-    pub fn new(shape: &Shape, experiment: &Experiment, config: &Config, number: usize) -> Worker {
+    pub fn new(shape: &Scenario, experiment: &Experiment, config: &Config, number: usize) -> Worker {
         let mut settings = config.settings.settings(number as u64 + 1);
         settings.key_entry_kb = 0.0;
         settings.workers = shape.workers as u32;
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -3,7 +3,7 @@
 use super::reports::ReportExchange;
 use super::result::StormResult;
 use super::service::{active_interval, Service};
-use super::shape::{FleetMode, Shape};
+use super::shape::{FleetMode, Scenario};
 use super::worker::{Attempt, Worker};
 use crate::callers::{plan_requests, PlannedRequest};
 use crate::error::TestbedError;
@@ -71,7 +71,7 @@
 
 /// A storm that is played.
 pub(super) struct World {
-    shape: Shape,
+    shape: Scenario,
     experiment: Experiment,
     requests: Vec<PlannedRequest>,
     rng: ChaCha8Rng,
@@ -92,7 +92,7 @@
 
 impl World {
     /// A storm before its first step.
-    pub fn new(shape: &Shape, seed: u64) -> Result<World, TestbedError> {
+    pub fn new(shape: &Scenario, seed: u64) -> Result<World, TestbedError> {
         let mut experiment = Experiment::decode(WORKLOAD)?;
         experiment.load = shape.load * shape.workers as f64;
         experiment.length_s = shape.length_s;
--- a/testbed/src/fleet/virtual_fleet/campaign.rs
+++ b/testbed/src/fleet/virtual_fleet/campaign.rs
@@ -1,7 +1,7 @@
 //! Many seeds, played on several threads and summed up.
 
 use super::event_loop::play;
-use super::shape::Shape;
+use super::shape::Scenario;
 use super::verdict::Verdict;
 
 /// Threads that play seeds at the same time, at most.
@@ -23,7 +23,7 @@
 
 /// Plays so many seeds and sums them up.
 #[must_use]
-pub fn campaign(shape: &Shape, from: u64, seeds: u64) -> CampaignSummary {
+pub fn campaign(shape: &Scenario, from: u64, seeds: u64) -> CampaignSummary {
     let results = play_all(shape, from, seeds);
     let played = results.len();
     let mut sum = Verdict::default();
@@ -65,7 +65,7 @@
 }
 
 /// All results, by seed; those of a thread that panicked are missing.
-fn play_all(shape: &Shape, from: u64, seeds: u64) -> Vec<SeedResult> {
+fn play_all(shape: &Scenario, from: u64, seeds: u64) -> Vec<SeedResult> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(MAX_THREADS) as u64;
     let mut results: Vec<SeedResult> = std::thread::scope(|scope| {
         let play_share = |share: u64| {
--- a/testbed/src/fleet/virtual_fleet/event_loop.rs
+++ b/testbed/src/fleet/virtual_fleet/event_loop.rs
@@ -1,6 +1,6 @@
 //! Plays a run: takes each event at its time and hands it to the part that it is for.
 
-use super::shape::Shape;
+use super::shape::Scenario;
 use super::verdict::Verdict;
 use super::world::{Event, EventKey, World};
 use rand::Rng;
@@ -14,7 +14,7 @@
 
 /// Plays one seed.
 #[must_use]
-pub fn play(shape: &Shape, seed: u64) -> Verdict {
+pub fn play(shape: &Scenario, seed: u64) -> Verdict {
     let mut world = World::new(shape, seed);
     world.run();
     world.verdict
--- a/testbed/src/fleet/virtual_fleet/mod.rs
+++ b/testbed/src/fleet/virtual_fleet/mod.rs
@@ -26,5 +26,5 @@
 
 pub use campaign::{campaign, CampaignSummary};
 pub use event_loop::play;
-pub use shape::{Shape, Weakness};
+pub use shape::{Scenario, Weakness};
 pub use verdict::Verdict;
--- a/testbed/src/fleet/virtual_fleet/shape.rs
+++ b/testbed/src/fleet/virtual_fleet/shape.rs
@@ -2,7 +2,7 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Scenario {
     /// How many coordinators the fleet has.
     pub coordinators: usize,
     /// How many workers the fleet has.
@@ -23,9 +23,9 @@
     pub weak: Weakness,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for Scenario {
+    fn default() -> Scenario {
+        Scenario {
             coordinators: 3,
             workers: 6,
             tasks: 3,
--- a/testbed/src/fleet/virtual_fleet/world.rs
+++ b/testbed/src/fleet/virtual_fleet/world.rs
@@ -2,7 +2,7 @@
 
 use super::links::{Network, NodePair};
 use super::process_state::{CoordinatorProcess, WorkerProcess};
-use super::shape::Shape;
+use super::shape::Scenario;
 use super::task_record::TaskRecord;
 use super::verdict::Verdict;
 use fleet_coordinator::ids::DiskJobId;
@@ -111,7 +111,7 @@
 
 /// A run.
 pub(super) struct World {
-    pub shape: Shape,
+    pub shape: Scenario,
     pub rng: ChaCha8Rng,
     /// True time (seconds).
     pub now: f64,
@@ -127,7 +127,7 @@
 }
 
 impl World {
-    pub fn new(shape: &Shape, seed: u64) -> World {
+    pub fn new(shape: &Scenario, seed: u64) -> World {
         let mut world = World {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -12,7 +12,7 @@
 use testbed::fleet::measure as fleet_cost;
 use testbed::fleet::overload_storm::{self, FleetMode};
 use testbed::fleet::rig::{self, FleetFile, Programs};
-use testbed::fleet::virtual_fleet::{self, Shape};
+use testbed::fleet::virtual_fleet::{self, Scenario};
 use testbed::fleet::{overhead, process_campaign};
 use testbed::{limits, loopback, measure, virtual_time};
 
@@ -175,7 +175,7 @@
         }
         Subcommand::Fault { folder, words } => return rig::ask_fault(&folder, &words).map(|()| true),
         Subcommand::Campaign { from, seeds, coordinators, workers } => {
-            let shape = Shape { coordinators, workers, ..Shape::default() };
+            let shape = Scenario { coordinators, workers, ..Scenario::default() };
             let summary = virtual_fleet::campaign(&shape, from, seeds);
             println!("{}", summary.text);
             return Ok(summary.passed);
