--- a/testbed/src/fleet/overload_storm/comparison.rs
+++ b/testbed/src/fleet/overload_storm/comparison.rs
@@ -45,9 +45,9 @@
                 handles.into_iter().map(ended).collect()
             })
         };
-        let alone = plays(FleetMode::Alone)?;
+        let alone = plays(FleetMode::Independent)?;
         for mode in modes {
-            let own = if *mode == FleetMode::Alone { alone.clone() } else { plays(*mode)? };
+            let own = if *mode == FleetMode::Independent { alone.clone() } else { plays(*mode)? };
             let mean = |of: &dyn Fn(&StormResult) -> f64| own.iter().map(of).sum::<f64>() / own.len() as f64;
             let ratios: Vec<f64> = own.iter().zip(&alone).map(|(a, b)| a.earned() / b.earned()).collect();
             let (ratio, half) = interval(&ratios);
--- a/testbed/src/fleet/overload_storm/reports.rs
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -78,7 +78,7 @@
         let Some(sample) = worker.dispatcher.fleet_load_sample(now) else { return };
         worker.reports += 1;
         let mut report = worker.client.report(now, worker.reports, &sample);
-        if shape.mode == FleetMode::Liar && number == LIAR {
+        if shape.mode == FleetMode::Outlier && number == LIAR {
             report = false_report(&report);
         }
         let arrives_at = now + shape.late_s / 2.0;
@@ -90,7 +90,7 @@
         let zone = format!("z{}", worker % shape.zones);
         leader.receive(now, worker as u64, &zone, &arrived.report);
         let mut digest = leader.digest(now, now, worker as u64, &zone);
-        if shape.mode == FleetMode::Frozen {
+        if shape.mode == FleetMode::Stale {
             let number = digest.number;
             let first =
                 self.first_digests.entry(worker).or_insert_with(|| FleetDigest { slice: 0.0, ..digest });
--- a/testbed/src/fleet/overload_storm/shape.rs
+++ b/testbed/src/fleet/overload_storm/shape.rs
@@ -33,15 +33,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetMode {
     /// Every worker alone, as without `[fleet.overload]`.
-    Alone,
+    Independent,
     /// Overload is handled by the fleet as one.
-    Fleet,
+    Coordinated,
     /// No coordinator ever answers.
-    Absent,
+    Leaderless,
     /// One worker reports nonsense.
-    Liar,
+    Outlier,
     /// Every worker hears its first digest again and again, with a fresh stamp.
-    Frozen,
+    Stale,
 }
 
 impl Default for Scenario {
@@ -56,7 +56,7 @@
             slots_each: 4.0,
             retries: 3,
             reckless: 0.2,
-            mode: FleetMode::Fleet,
+            mode: FleetMode::Coordinated,
             late_s: 0.01,
         }
     }
--- a/testbed/src/fleet/overload_storm/tests.rs
+++ b/testbed/src/fleet/overload_storm/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn calm_overload_control_costs_nothing_and_a_seed_replays_its_storm() {
     let shape = |mode| Scenario { mode, workers: 4, length_s: 6.0, ..Scenario::default() };
-    let alone = play(&shape(FleetMode::Alone), 3).unwrap();
+    let alone = play(&shape(FleetMode::Independent), 3).unwrap();
     assert!(alone.earned() > 0.9 && alone.owed == 0, "{alone:?}");
-    for mode in [FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen] {
+    for mode in [FleetMode::Coordinated, FleetMode::Leaderless, FleetMode::Outlier, FleetMode::Stale] {
         let storm = play(&shape(mode), 3).unwrap();
         assert!(
             storm.earned() >= 0.98 * alone.earned(),
@@ -16,7 +16,7 @@
         assert!(storm.owed == 0 && storm.events.is_empty(), "{mode:?}: {:?}", storm.events);
     }
     assert_eq!(
-        play(&shape(FleetMode::Fleet), 3).unwrap().trace,
-        play(&shape(FleetMode::Fleet), 3).unwrap().trace
+        play(&shape(FleetMode::Coordinated), 3).unwrap().trace,
+        play(&shape(FleetMode::Coordinated), 3).unwrap().trace
     );
 }
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -55,7 +55,7 @@
         let mut settings = config.settings.settings(number as u64 + 1);
         settings.key_entry_kb = 0.0;
         settings.workers = shape.workers as u32;
-        settings.fleet_overload_control = shape.mode != FleetMode::Alone;
+        settings.fleet_overload_control = shape.mode != FleetMode::Independent;
         if let Some(dependency) = &mut settings.dependency {
             dependency.share = shape.slots_each;
         }
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -144,7 +144,7 @@
             for w in 0..self.workers.len() {
                 self.run_worker(now, w);
             }
-            if self.shape.mode != FleetMode::Alone && self.shape.mode != FleetMode::Absent {
+            if self.shape.mode != FleetMode::Independent && self.shape.mode != FleetMode::Leaderless {
                 let events = self.reports.exchange(now, &self.shape, &mut self.workers, &mut self.leader);
                 self.result.events.extend(events.into_iter().map(|event| (now, event)));
             }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -207,8 +207,13 @@
             return Ok(true);
         }
         Subcommand::Storm { workers, seeds } => {
-            let modes =
-                [FleetMode::Alone, FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen];
+            let modes = [
+                FleetMode::Independent,
+                FleetMode::Coordinated,
+                FleetMode::Leaderless,
+                FleetMode::Outlier,
+                FleetMode::Stale,
+            ];
             println!("{}", overload_storm::compare(workers, seeds, &modes)?);
             return Ok(true);
         }
