--- a/testbed/src/fleet/compatibility/mod.rs
+++ b/testbed/src/fleet/compatibility/mod.rs
@@ -26,7 +26,7 @@
     /// # Errors
     /// Returns [`TestbedError::NotBuilt`] if the folder lacks one of the programs.
     pub fn find(name: &'static str, folder: &Path) -> Result<Build, TestbedError> {
-        let programs = Programs::beside(folder)?;
+        let programs = Programs::in_folder(folder)?;
         let fleetctl = folder.join("fleetctl");
         if !fleetctl.exists() {
             return Err(TestbedError::NotBuilt { program: fleetctl });
--- a/testbed/src/fleet/rig/programs.rs
+++ b/testbed/src/fleet/rig/programs.rs
@@ -17,7 +17,7 @@
     ///
     /// # Errors
     /// Which of them is not there, and how to make it.
-    pub fn beside(folder: &Path) -> Result<Programs, TestbedError> {
+    pub fn in_folder(folder: &Path) -> Result<Programs, TestbedError> {
         let programs =
             Programs { worker: folder.join("port-worker"), coordinator: folder.join("fleet-coordinator") };
         for program in [&programs.worker, &programs.coordinator] {
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -181,13 +181,13 @@
             return Ok(summary.passed);
         }
         Subcommand::ProcessCampaign { from, for_s, faults_s, beside, folder, programs } => {
-            let programs = Programs::beside(&programs)?;
+            let programs = Programs::in_folder(&programs)?;
             let (text, good) = process_campaign::campaign(&folder, &programs, from, for_s, faults_s, beside)?;
             println!("{text}");
             return Ok(good);
         }
         Subcommand::FleetCost { takeovers, sessions, for_s, takers, folder, programs } => {
-            let programs = Programs::beside(&programs)?;
+            let programs = Programs::in_folder(&programs)?;
             if !sessions.is_empty() {
                 println!("{}", fleet_cost::sessions(&folder, &programs, &sessions, for_s)?);
             }
@@ -202,7 +202,7 @@
             return Ok(true);
         }
         Subcommand::FleetOverhead { seeds, length_s, well_alone, folder, programs } => {
-            let programs = Programs::beside(&programs)?;
+            let programs = Programs::in_folder(&programs)?;
             println!("{}", overhead::compare(&folder, programs, seeds, length_s, well_alone)?);
             return Ok(true);
         }
@@ -243,7 +243,7 @@
 /// Runs a fleet of processes until Ctrl-C, or for so long (seconds).
 fn run_fleet(file: &Path, folder: &Path, for_s: Option<f64>, programs: &Path) -> Result<(), TestbedError> {
     let file = FleetFile::read(file)?;
-    let programs = Programs::beside(programs)?;
+    let programs = Programs::in_folder(programs)?;
     let over = Arc::new(AtomicBool::new(false));
     let told = over.clone();
     ctrlc::set_handler(move || told.store(true, Ordering::Relaxed))?;
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -36,7 +36,7 @@
     static BUILT: Once = Once::new();
     let target = std::env::current_exe().unwrap().parent().unwrap().parent().unwrap().to_owned();
     BUILT.call_once(|| {
-        if Programs::beside(&target).is_err() {
+        if Programs::in_folder(&target).is_err() {
             let mut cargo = std::process::Command::new(env!("CARGO"));
             cargo.args(["build", "--locked", "-p", "port-worker", "-p", "fleet-coordinator", "--bins"]);
             if target.ends_with("release") {
@@ -45,7 +45,7 @@
             assert!(cargo.status().unwrap().success());
         }
     });
-    Programs::beside(&target).unwrap()
+    Programs::in_folder(&target).unwrap()
 }
 
 impl FleetUnderTest {
