--- a/testbed/src/fleet/rig/faults_command.rs
+++ b/testbed/src/fleet/rig/faults_command.rs
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// There is no fleet, or why it can't be done.
-pub fn ask_fault(folder: &Path, words: &[String]) -> Result<(), TestbedError> {
+pub fn request_fault(folder: &Path, words: &[String]) -> Result<(), TestbedError> {
     let path = folder.join("fleet.json");
     let text = std::fs::read_to_string(&path).map_err(TestbedError::file(&path))?;
     let fleet: Value =
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -10,7 +10,7 @@
 mod relays;
 
 pub use calls::{call, get};
-pub use faults_command::{ask_fault, serve};
+pub use faults_command::{request_fault, serve};
 pub use fleet_file::{FleetFile, FleetTask};
 pub use programs::Programs;
 
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -173,7 +173,7 @@
             run_fleet(&file, &folder, for_s, &programs)?;
             return Ok(true);
         }
-        Subcommand::Fault { folder, words } => return rig::ask_fault(&folder, &words).map(|()| true),
+        Subcommand::Fault { folder, words } => return rig::request_fault(&folder, &words).map(|()| true),
         Subcommand::Campaign { from, seeds, coordinators, workers } => {
             let shape = Scenario { coordinators, workers, ..Scenario::default() };
             let summary = virtual_fleet::campaign(&shape, from, seeds);
