--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Fleets: coordinators and workers with faults between them, in virtual time and as real processes.
+//! Experiments with fleets: coordinators and workers under injected faults, in virtual time and as real processes.
 
 pub mod compatibility;
 pub mod measure;
--- a/testbed/src/fleet/virtual_fleet/disks.rs
+++ b/testbed/src/fleet/virtual_fleet/disks.rs
@@ -1,4 +1,4 @@
-//! The coordinators' disks: how long a job takes, and what a loss of power leaves.
+//! Simulated disks of the coordinators: the duration of jobs, and the effect of a power loss.
 
 use super::world::{Event, World};
 use fleet_coordinator::ids::DiskJobId;
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 impl World {
-    /// Gives the disk a job; it does one after the other.
+    /// Queues a job at the disk, which carries out one job at a time.
     pub fn schedule_disk_job(&mut self, coordinator: usize, number: DiskJobId, job: DiskJob) {
         let slow = self.now < self.coordinators[coordinator].slow_until;
         let takes_s =
@@ -16,20 +16,20 @@
         process.busy_until = process.busy_until.max(self.now) + takes_s;
         let at = process.busy_until;
         let incarnation = process.incarnation;
-        self.schedule(at, Event::Disk { coordinator, incarnation, number, job });
+        self.schedule(at, Event::DiskJobCompleted { coordinator, incarnation, number, job });
     }
 
-    /// Carries a job out and tells the coordinator.
+    /// Carries out a job and reports its result to the coordinator.
     pub fn disk_done(&mut self, coordinator: usize, incarnation: u64, number: DiskJobId, job: &DiskJob) {
         if self.coordinators[coordinator].incarnation == incarnation {
             let process = &mut self.coordinators[coordinator];
             let disk = process.disk.clone();
-            let done = carry_out(&mut process.store, job, || Ok(disk));
-            self.with_coordinator(coordinator, |machine, now| machine.disk_done(now, number, done));
+            let completed = carry_out(&mut process.store, job, || Ok(disk));
+            self.with_coordinator(coordinator, |machine, now| machine.disk_done(now, number, completed));
         }
     }
 
-    /// What the disk had not synced may be lost, or torn.
+    /// Drops or truncates, at random, writes that were not synced.
     pub fn lose_power(&mut self, coordinator: usize) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.rng.random());
         let disk = &mut self.coordinators[coordinator].disk;
--- a/testbed/src/fleet/virtual_fleet/links.rs
+++ b/testbed/src/fleet/virtual_fleet/links.rs
@@ -1,8 +1,8 @@
-//! The state of the links, and of what cuts them.
+//! State of the links and of the network partitions between nodes.
 
 use std::collections::BTreeMap;
 
-/// A direction between two nodes: coordinators first, then workers.
+/// An ordered pair of nodes. Coordinators have the first node numbers, workers the following ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct NodePair {
     pub from: usize,
@@ -10,7 +10,7 @@
 }
 
 impl NodePair {
-    /// The other direction.
+    /// Returns the pair for the opposite direction.
     pub fn reversed(self) -> NodePair {
         NodePair { from: self.to, to: self.from }
     }
@@ -19,9 +19,9 @@
 /// One direction of a worker's link.
 #[derive(Default)]
 pub(super) struct LinkDirection {
-    /// When its last frame arrives: a link keeps its order.
+    /// Arrival time of the last frame sent; later frames must not overtake it.
     pub last_arrival: f64,
-    /// Something was lost: nothing more passes this way.
+    /// A frame was lost, so nothing more is delivered in this direction, as on a broken TCP stream.
     pub lost: bool,
 }
 
@@ -32,15 +32,15 @@
     pub down: LinkDirection,
 }
 
-/// All links, and what cuts them.
+/// All links, and the partitions between nodes.
 pub(super) struct Network {
-    /// The number of each link between coordinators.
+    /// Identifier of each link between coordinators.
     pub peer_links: BTreeMap<NodePair, u64>,
-    /// Whom each link between coordinators joins.
+    /// The coordinators at the ends of each link between coordinators.
     pub peers_by_link: BTreeMap<u64, NodePair>,
     pub worker_links: BTreeMap<u64, WorkerLink>,
     pub last_link: u64,
-    /// Until when nothing passes.
+    /// Directions in which nothing is delivered, with the end of each partition.
     pub cuts: BTreeMap<NodePair, f64>,
 }
 
@@ -55,29 +55,29 @@
         }
     }
 
-    /// The number of a new link.
+    /// Allocates an identifier for a new link.
     pub fn new_link(&mut self) -> u64 {
         self.last_link += 1;
         self.last_link
     }
 
-    /// The coordinators that a link joins, if it is one between coordinators.
+    /// Returns the ends of a link between coordinators; `None` for a worker's link.
     pub fn peers_on(&self, link: u64) -> Option<NodePair> {
         self.peers_by_link.get(&link).copied()
     }
 
-    /// All links between this coordinator and others.
+    /// Returns the ends of all links between this coordinator and others.
     pub fn peers_of(&self, coordinator: usize) -> Vec<NodePair> {
         let joins = |peers: &&NodePair| peers.from == coordinator || peers.to == coordinator;
         self.peer_links.keys().filter(joins).copied().collect()
     }
 
-    /// Nothing passes in this direction until then.
+    /// Drops everything that is sent in this direction until the given time.
     pub fn cut(&mut self, direction: NodePair, until: f64) {
         self.cuts.insert(direction, until);
     }
 
-    /// All cuts end.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
--- a/testbed/src/fleet/virtual_fleet/mod.rs
+++ b/testbed/src/fleet/virtual_fleet/mod.rs
@@ -1,13 +1,13 @@
-//! A complete fleet in virtual time, round the coordinators' and the workers' own code: drifting clocks, links that lose,
-//! double and reorder frames, disks that fail and lose power, processes that are paused, die and come back. A seed is a
-//! run.
+//! Deterministic simulation of a whole fleet in virtual time, around the production code of the coordinators and workers:
+//! drifting clocks, links that lose, duplicate and reorder frames, disks that fill up or lose unsynced writes, processes
+//! that are suspended, killed and restarted. A seed determines a run.
 //!
-//! `review` stands outside and sees true time: whether two workers believe at one moment that they hold a task, what
-//! the resource that is called accepted, and whether tasks are held again once the faults are over.
+//! `review` checks the run from outside, with access to true time: whether two workers believe at the same moment that
+//! they hold a task, which calls the resource accepted, and whether tasks are carried out again after the faults.
 //!
-//! Dependencies point one way: `process_state`, `links` and `task_record` hold state; `world` joins them with the
-//! queue of events; `processes`, `network`, `disks`, `faults` and `review` add what happens to the world;
-//! `event_loop` plays a run, and `campaign` many.
+//! Dependencies point one way: `process_state`, `links` and `task_record` hold state; `world` combines them with the
+//! event queue; `processes`, `network`, `disks`, `faults` and `review` implement what happens to the world;
+//! `event_loop` simulates one seed, and `campaign` many.
 
 mod campaign;
 mod disks;
@@ -18,13 +18,13 @@
 mod network;
 mod process_state;
 mod processes;
+mod report;
 mod review;
-mod shape;
+mod scenario;
 mod task_record;
-mod verdict;
 mod world;
 
 pub use campaign::{campaign, CampaignSummary};
-pub use event_loop::play;
-pub use shape::{Scenario, Weakness};
-pub use verdict::Verdict;
+pub use event_loop::simulate;
+pub use report::RunReport;
+pub use scenario::{DisabledCheck, Scenario};
--- a/testbed/src/fleet/virtual_fleet/network.rs
+++ b/testbed/src/fleet/virtual_fleet/network.rs
@@ -1,5 +1,5 @@
-//! The links between the processes: workers' to coordinators, which keep their order, and those between coordinators,
-//! which lose and double frames.
+//! Links between the processes: those of workers to coordinators deliver frames in order; those between coordinators
+//! lose, duplicate and reorder frames.
 
 use super::links::{LinkDirection, NodePair, WorkerLink};
 use super::names::{address, coordinator_name};
@@ -11,18 +11,18 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// Bytes of the length before each frame.
+/// Size of the length prefix of each frame.
 const LENGTH_BYTES: usize = 4;
-/// One frame in so many between coordinators is lost.
-const LOST_ONE_IN: i32 = 200;
-/// One frame in so many between coordinators arrives twice.
-const DOUBLED_ONE_IN: i32 = 50;
-/// A coordinator dials a peer that it has no link to at one tick in so many.
+/// One in this many frames between coordinators is lost.
+const PEER_FRAME_LOSS_ONE_IN: i32 = 200;
+/// One in this many frames between coordinators arrives twice.
+const PEER_FRAME_DUPLICATE_ONE_IN: i32 = 50;
+/// A coordinator dials a peer to which it has no link at one in this many ticks, on average.
 const DIAL_ONE_IN: i32 = 8;
 
 impl World {
-    /// Draws how long a frame travels (seconds).
-    pub fn latency(&mut self) -> f64 {
+    /// Draws the transmission time of a frame (seconds).
+    pub fn draw_latency(&mut self) -> f64 {
         self.rng.random_range(0.0002..0.004)
     }
 
@@ -30,21 +30,21 @@
         self.network.cuts.get(&NodePair { from, to }).is_some_and(|until| self.now < *until)
     }
 
-    /// The worker's number among all nodes.
+    /// Returns the worker's node number.
     pub fn worker_node(&self, worker: usize) -> usize {
-        self.shape.coordinators + worker
+        self.scenario.coordinators + worker
     }
 
-    /// A worker dials a coordinator.
+    /// Starts a worker's connection attempt to a coordinator.
     pub fn dial(&mut self, worker: usize, to: SocketAddr) {
-        let Some(coordinator) = (0..self.shape.coordinators).find(|n| address(*n) == to) else { return };
+        let Some(coordinator) = (0..self.scenario.coordinators).find(|n| address(*n) == to) else { return };
         let link = self.network.new_link();
         let incarnation = self.workers[worker].incarnation;
-        let after = self.latency() * 2.0;
+        let after = self.draw_latency() * 2.0;
         self.schedule(self.now + after, Event::Connected { worker, incarnation, coordinator, link });
     }
 
-    /// A worker's dial has reached the coordinator, if it can be reached.
+    /// Completes a worker's connection attempt: it fails if the coordinator is not running or is partitioned from the worker.
     pub fn connected(&mut self, worker: usize, incarnation: u64, coordinator: usize, link: u64) {
         if self.workers[worker].incarnation != incarnation {
             return;
@@ -61,7 +61,7 @@
         self.with_worker(worker, |member, _| member.connected());
     }
 
-    /// The worker finds that its link has broken.
+    /// Tells the worker that its link has broken.
     pub fn break_link(&mut self, worker: usize, link: u64) {
         if self.workers[worker].is_linked_by(link) {
             self.close_link(worker, link);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The worker closes its link; the coordinator sees it at once.
+    /// Closes the worker's link; the coordinator is told immediately.
     pub fn close_link(&mut self, worker: usize, link: u64) {
         if let Some(Link { coordinator, .. }) = self.workers[worker].link.take() {
             self.network.worker_links.remove(&link);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A frame from a worker to its coordinator.
+    /// Sends a frame from a worker to its coordinator.
     pub fn send_from_worker(&mut self, worker: usize, bytes: Vec<u8>) {
         let Some(Link { number: link, coordinator }) = self.workers[worker].link else { return };
         let cut = self.is_cut(self.worker_node(worker), coordinator);
@@ -88,17 +88,17 @@
             state.up.lost = true;
             return;
         }
-        let arrival = self.now + self.latency();
+        let arrival = self.now + self.draw_latency();
         let at = self.arrival_in_order(link, arrival, |state| &mut state.up);
-        self.schedule(at, Event::Up { worker, link, bytes });
+        self.schedule(at, Event::ToCoordinator { worker, link, bytes });
     }
 
-    /// A frame from a coordinator: to a worker, or an answer to a peer.
+    /// Sends a frame from a coordinator to a worker, or a reply to a peer.
     pub fn send_from_coordinator(&mut self, coordinator: usize, link: u64, bytes: Vec<u8>) {
         if let Some(peers) = self.network.peers_on(link) {
             if !self.is_cut(peers.to, peers.from) {
-                let after = self.latency();
-                self.schedule(self.now + after, Event::PeerAnswer { peers, link, bytes });
+                let after = self.draw_latency();
+                self.schedule(self.now + after, Event::PeerReply { peers, link, bytes });
             }
             return;
         }
@@ -109,12 +109,12 @@
             state.down.lost = true;
             return;
         }
-        let arrival = self.now + self.latency();
+        let arrival = self.now + self.draw_latency();
         let at = self.arrival_in_order(link, arrival, |state| &mut state.down);
-        self.schedule(at, Event::Down { worker, link, bytes });
+        self.schedule(at, Event::ToWorker { worker, link, bytes });
     }
 
-    /// When a frame arrives that must not overtake those before it.
+    /// Returns the arrival time of a frame, delayed so that it does not overtake earlier frames in its direction.
     fn arrival_in_order(
         &mut self,
         link: u64,
@@ -127,20 +127,20 @@
         direction.last_arrival
     }
 
-    /// A worker's frame arrives at its coordinator.
+    /// Delivers a worker's frame to its coordinator.
     pub fn receive_from_worker(&mut self, worker: usize, number: u64, bytes: &[u8]) {
         let link = self.workers[worker].link.filter(|link| link.number == number);
         let Some(Link { coordinator, .. }) = link else { return };
-        let mut unreadable = false;
+        let mut undecodable = false;
         self.with_coordinator(coordinator, |machine, now| {
-            unreadable = machine.receive(now, LinkId(number), &bytes[LENGTH_BYTES..]).is_err();
+            undecodable = machine.receive(now, LinkId(number), &bytes[LENGTH_BYTES..]).is_err();
         });
-        if unreadable {
-            self.violation("a coordinator could not read a worker's frame");
+        if undecodable {
+            self.violation("a coordinator could not decode a worker's frame");
         }
     }
 
-    /// A coordinator's frame arrives at a worker.
+    /// Delivers a coordinator's frame to a worker.
     pub fn receive_at_worker(&mut self, worker: usize, link: u64, bytes: &[u8]) {
         if !self.workers[worker].is_linked_by(link) {
             return;
@@ -150,20 +150,20 @@
         }
     }
 
-    /// A coordinator dials, now and then, the peers that it has no link to.
+    /// Dials, at random ticks, the peers to which the coordinator has no link.
     pub fn connect_peers(&mut self, coordinator: usize) {
-        for to in 0..self.shape.coordinators {
+        for to in 0..self.scenario.coordinators {
             let peers = NodePair { from: coordinator, to };
             let unlinked = to != coordinator && !self.network.peer_links.contains_key(&peers);
             if unlinked && self.rng.random_range(0..DIAL_ONE_IN) == 0 {
-                let after = self.latency();
+                let after = self.draw_latency();
                 let incarnation = self.coordinators[coordinator].incarnation;
                 self.schedule(self.now + after, Event::PeerConnect { peers, incarnation });
             }
         }
     }
 
-    /// A coordinator's dial has reached its peer, if it can be reached.
+    /// Completes a coordinator's connection attempt to a peer, if the peer can be reached.
     pub fn connect_peer(&mut self, peers: NodePair, incarnation: u64) {
         let NodePair { from, to } = peers;
         let listens =
@@ -187,23 +187,23 @@
         });
     }
 
-    /// A frame from one coordinator to another, which may be lost or doubled.
+    /// Sends a frame from one coordinator to another; it may be lost or duplicated.
     pub fn send_to_peer(&mut self, from: usize, name: &str, bytes: &[u8]) {
-        let Some(to) = (0..self.shape.coordinators).find(|n| coordinator_name(*n) == name) else { return };
+        let Some(to) = (0..self.scenario.coordinators).find(|n| coordinator_name(*n) == name) else { return };
         let peers = NodePair { from, to };
         let Some(link) = self.network.peer_links.get(&peers).copied() else { return };
-        if self.is_cut(from, to) || self.rng.random_range(0..LOST_ONE_IN) == 0 {
+        if self.is_cut(from, to) || self.rng.random_range(0..PEER_FRAME_LOSS_ONE_IN) == 0 {
             return;
         }
-        let copies = if self.rng.random_range(0..DOUBLED_ONE_IN) == 0 { 2 } else { 1 };
+        let copies = if self.rng.random_range(0..PEER_FRAME_DUPLICATE_ONE_IN) == 0 { 2 } else { 1 };
         for _ in 0..copies {
-            let after = self.latency();
+            let after = self.draw_latency();
             let bytes = bytes.to_vec();
             self.schedule(self.now + after, Event::PeerFrame { peers, link, bytes });
         }
     }
 
-    /// A peer's frame arrives.
+    /// Delivers a frame from a peer.
     pub fn receive_from_peer(&mut self, peers: NodePair, link: u64, bytes: &[u8]) {
         if self.network.peer_links.get(&peers) == Some(&link) {
             self.with_coordinator(peers.to, |machine, now| {
@@ -212,8 +212,8 @@
         }
     }
 
-    /// A peer's answer arrives at the coordinator that had asked.
-    pub fn receive_peer_answer(&mut self, peers: NodePair, link: u64, bytes: &[u8]) {
+    /// Delivers a peer's reply to the coordinator that sent the request.
+    pub fn receive_peer_reply(&mut self, peers: NodePair, link: u64, bytes: &[u8]) {
         if self.network.peer_links.get(&peers) != Some(&link) {
             return;
         }
@@ -223,8 +223,8 @@
         }
     }
 
-    /// A link between coordinators closes, if it stands.
-    pub fn drop_peer(&mut self, peers: NodePair) {
+    /// Closes a link between coordinators, if there is one.
+    pub fn close_peer_link(&mut self, peers: NodePair) {
         if let Some(link) = self.network.peer_links.remove(&peers) {
             self.network.peers_by_link.remove(&link);
             if let Some(machine) = &mut self.coordinators[peers.to].machine {
--- a/testbed/src/fleet/virtual_fleet/process_state.rs
+++ b/testbed/src/fleet/virtual_fleet/process_state.rs
@@ -1,15 +1,15 @@
-//! The state of the processes: what runs, on which clock, until when it is paused.
+//! State of the simulated processes: their code, clocks and suspensions.
 
 use durable_log::simulated::SimulatedDisk;
 use durable_log::Store;
 use fleet_coordinator::coordinator::Coordinator;
 use port_worker::fleet::FleetMember;
 
-/// A clock that drifts from true time.
+/// A clock that runs faster or slower than true time.
 pub(super) struct Clock {
-    /// Its seconds in a true second.
+    /// Seconds that it advances per second of true time.
     pub rate: f64,
-    /// The true time at which it showed 0.
+    /// True time at which it read 0.
     pub started: f64,
 }
 
@@ -18,24 +18,24 @@
         Clock { rate: 1.0, started: 0.0 }
     }
 
-    /// What it shows at a true time.
+    /// Converts true time to this clock's time.
     pub fn local(&self, true_time: f64) -> f64 {
         (true_time - self.started) * self.rate
     }
 }
 
-/// A coordinator's process and disk.
+/// A coordinator's process and its disk.
 pub(super) struct CoordinatorProcess {
-    /// `None` while the process does not run.
+    /// `None` while the process is not running.
     pub machine: Option<Coordinator>,
     pub disk: SimulatedDisk,
     pub store: Option<Store<SimulatedDisk>>,
     pub clock: Clock,
     pub incarnation: u64,
     pub paused_until: f64,
-    /// Until when its disk is slow.
+    /// Time until which its disk is slow.
     pub slow_until: f64,
-    /// When the disk is done with what it was given.
+    /// Time at which the disk has finished its queued jobs.
     pub busy_until: f64,
 }
 
@@ -54,17 +54,17 @@
     }
 }
 
-/// A link that stands.
+/// A worker's established link.
 #[derive(Clone, Copy)]
 pub(super) struct Link {
     pub number: u64,
-    /// Who is at its other end.
+    /// The coordinator at the other end.
     pub coordinator: usize,
 }
 
 /// A worker's process.
 pub(super) struct WorkerProcess {
-    /// `None` while the process does not run.
+    /// `None` while the process is not running.
     pub member: Option<FleetMember>,
     pub clock: Clock,
     pub incarnation: u64,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether this link is the one that stands.
+    /// Whether the current link has this identifier.
     pub fn is_linked_by(&self, number: u64) -> bool {
         self.link.is_some_and(|link| link.number == number)
     }
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -1,9 +1,9 @@
-//! The processes of a run: how they start and die, and what becomes of the outputs of the code inside them.
+//! The simulated processes: starting and killing them, and applying the outputs of the code that they run.
 
 use super::links::NodePair;
 use super::names::{address, coordinator_name, task_name};
 use super::process_state::Clock;
-use super::shape::Weakness;
+use super::scenario::DisabledCheck;
 use super::world::{Event, World};
 use fleet_coordinator::coordinator::{Coordinator, CoordinatorAddress, CoordinatorConfig, Output};
 use fleet_coordinator::events::CoordinatorEvent;
@@ -14,29 +14,29 @@
 use port_worker::fleet::{FleetMember, Incarnation, MemberAction, MembershipConfig};
 use rand::Rng;
 
-/// The name of the fleet.
+/// Name of the fleet.
 const FLEET: &str = "virtual";
-/// How far workers expect clocks to run apart, as a share.
+/// Clock drift that workers allow for, as a fraction.
 const DRIFT_BOUND: f64 = 0.1;
-/// After how long a coordinator counts a write as overdue (seconds).
+/// Time after which a coordinator counts a disk write as overdue (seconds).
 const WRITE_OVERDUE_S: f64 = 1.0;
-/// How long a task rests after a failure (milliseconds).
-const TASK_PAUSE_MS: u64 = 500;
-/// Between two calls of a task (seconds).
+/// Pause of a task after a failed call (milliseconds).
+const TASK_FAILURE_PAUSE_MS: u64 = 500;
+/// Interval between the calls of a task (seconds).
 const TASK_PERIOD_S: f64 = 1.0;
-/// How long a worker waits for the answer to a call (seconds).
+/// Time that a worker waits for the response to a call (seconds).
 const CALL_DEADLINE_S: f64 = 0.3;
-/// The place of the resource's address beside the coordinators'.
+/// Index of the resource's address, beyond those of the coordinators.
 const RESOURCE_ADDRESS: usize = 99;
-/// Workers are spread over so many zones.
+/// Number of zones over which the workers are distributed.
 const ZONES: usize = 3;
-/// Before one call in so many the worker is stopped between its look at the clock and the call's arrival.
+/// For one in this many calls, the worker is suspended between reading its clock and the arrival of the call.
 const PAUSED_CALL_ONE_IN: i32 = 40;
 
 impl World {
     fn draw_clock_rate(&mut self) -> f64 {
-        let drift = self.shape.clock_drift;
-        // The ends of the range are what bounds are for.
+        let drift = self.scenario.clock_drift;
+        // The extremes of the range are drawn often, since they test the drift bound.
         match self.rng.random_range(0..4) {
             0 => 1.0 + drift,
             1 => 1.0 - drift,
@@ -44,16 +44,17 @@
         }
     }
 
-    /// The tasks of the coordinators' file, whose leases last half as long at every other epoch.
+    /// Returns the tasks of the coordinators' configuration. The time to live is halved at every even epoch.
     pub fn task_configs(&self) -> Vec<Task> {
         let zones = vec!["z0".to_owned()];
-        let ttl_ms = if self.epoch % 2 == 0 { self.shape.ttl_ms / 2 } else { self.shape.ttl_ms };
-        let task = |n| Task { name: task_name(n), ttl_ms, zones: zones.clone(), pause_ms: TASK_PAUSE_MS };
-        (0..self.shape.tasks).map(task).collect()
+        let ttl_ms = if self.epoch % 2 == 0 { self.scenario.ttl_ms / 2 } else { self.scenario.ttl_ms };
+        let task =
+            |n| Task { name: task_name(n), ttl_ms, zones: zones.clone(), pause_ms: TASK_FAILURE_PAUSE_MS };
+        (0..self.scenario.tasks).map(task).collect()
     }
 
     fn coordinator_config(&self, coordinator: usize) -> CoordinatorConfig {
-        let names = (0..self.shape.coordinators)
+        let names = (0..self.scenario.coordinators)
             .map(|n| CoordinatorAddress { name: coordinator_name(n), address: address(n).to_string() });
         CoordinatorConfig {
             fleet: FLEET.to_owned(),
@@ -64,14 +65,14 @@
             write_overdue_s: WRITE_OVERDUE_S,
             version: LATEST,
             safety_checks: SafetyChecks {
-                wait_full_ttl: self.shape.weak != Weakness::NoWholeTtl,
-                read_index: self.shape.weak != Weakness::NoConfirm,
+                wait_full_ttl: self.scenario.disabled_check != DisabledCheck::FullTtlWait,
+                read_index: self.scenario.disabled_check != DisabledCheck::ReadIndex,
             },
             overload: None,
         }
     }
 
-    /// Starts the process, if it does not run, with the disk as it lies.
+    /// Starts the process, if it is not running, with the present contents of its disk.
     pub fn start_coordinator(&mut self, coordinator: usize) {
         if self.coordinators[coordinator].machine.is_some() {
             return;
@@ -88,10 +89,10 @@
         process.busy_until = now;
         let incarnation = process.incarnation;
         self.schedule(now, Event::TickCoordinator { coordinator, incarnation });
-        self.carry_out_outputs(coordinator);
+        self.apply_outputs(coordinator);
     }
 
-    /// The process is killed, and with `power_lost` what its disk had not synced may be lost.
+    /// Kills the process; with `power_lost`, writes that its disk had not synced may be lost.
     pub fn kill_coordinator(&mut self, coordinator: usize, power_lost: bool) {
         let process = &mut self.coordinators[coordinator];
         process.machine = None;
@@ -101,18 +102,18 @@
             self.lose_power(coordinator);
         }
         for peers in self.network.peers_of(coordinator) {
-            self.drop_peer(peers);
+            self.close_peer_link(peers);
         }
         for worker in 0..self.workers.len() {
             let link = self.workers[worker].link.filter(|link| link.coordinator == coordinator);
             if let Some(link) = link {
-                let after = self.latency();
-                self.schedule(self.now + after, Event::Broken { worker, link: link.number });
+                let after = self.draw_latency();
+                self.schedule(self.now + after, Event::LinkBroken { worker, link: link.number });
             }
         }
     }
 
-    /// Starts the process, if it does not run.
+    /// Starts the process, if it is not running.
     pub fn start_worker(&mut self, worker: usize) {
         if self.workers[worker].member.is_some() {
             return;
@@ -145,15 +146,15 @@
             fleet: FLEET.to_owned(),
             name: format!("w{worker}"),
             zone: format!("z{}", worker % ZONES),
-            coordinators: (0..self.shape.coordinators).map(address).collect(),
-            drift: if self.shape.weak == Weakness::NoDriftBound { 0.0 } else { DRIFT_BOUND },
+            coordinators: (0..self.scenario.coordinators).map(address).collect(),
+            drift: if self.scenario.disabled_check == DisabledCheck::DriftBound { 0.0 } else { DRIFT_BOUND },
             computes_totals: false,
-            tasks: (0..self.shape.tasks).map(schedule).collect(),
+            tasks: (0..self.scenario.tasks).map(schedule).collect(),
             overload: None,
         }
     }
 
-    /// The process is killed, and its link closes.
+    /// Kills the process and closes its link.
     pub fn kill_worker(&mut self, worker: usize) {
         if let Some(link) = self.workers[worker].link {
             self.close_link(worker, link.number);
@@ -162,28 +163,28 @@
         process.member = None;
         process.incarnation += 1;
         for task in &mut self.tasks {
-            // The dead act no more.
+            // A process that was killed makes no further calls.
             task.claims.remove(&worker);
         }
     }
 
-    /// The worker is stopped from now on for so long; a longer stop stands.
+    /// Suspends the worker for the given time, or until the end of a longer suspension that is in effect.
     pub fn pause_worker(&mut self, worker: usize, for_s: f64) {
         let process = &mut self.workers[worker];
         process.paused_until = process.paused_until.max(self.now + for_s);
     }
 
-    /// Does something with a coordinator that runs, at its own time, and carries out what comes of it.
+    /// Calls `act` with a running coordinator and its local time, and applies the outputs.
     pub fn with_coordinator(&mut self, coordinator: usize, act: impl FnOnce(&mut Coordinator, f64)) {
         let process = &mut self.coordinators[coordinator];
         let now = process.clock.local(self.now);
         if let Some(machine) = &mut process.machine {
             act(machine, now);
         }
-        self.carry_out_outputs(coordinator);
+        self.apply_outputs(coordinator);
     }
 
-    fn carry_out_outputs(&mut self, coordinator: usize) {
+    fn apply_outputs(&mut self, coordinator: usize) {
         let machine = self.coordinators[coordinator].machine.as_mut();
         let outputs = machine.map(Coordinator::take_outputs).unwrap_or_default();
         for output in outputs {
@@ -191,18 +192,18 @@
                 Output::Frame(link, bytes) => self.send_from_coordinator(coordinator, link.0, bytes),
                 Output::Close(link) => {
                     if let Some(peers) = self.network.peers_on(link.0) {
-                        self.drop_peer(peers);
+                        self.close_peer_link(peers);
                     }
                 }
                 Output::Peer(name, bytes) => self.send_to_peer(coordinator, &name, &bytes),
                 Output::Relink => {
-                    for to in 0..self.shape.coordinators {
-                        self.drop_peer(NodePair { from: coordinator, to });
+                    for to in 0..self.scenario.coordinators {
+                        self.close_peer_link(NodePair { from: coordinator, to });
                     }
                 }
                 Output::Disk(number, job) => self.schedule_disk_job(coordinator, number, job),
                 Output::Log(event) => {
-                    self.verdict.leaders +=
+                    self.report.elections +=
                         u64::from(matches!(event, CoordinatorEvent::LeaderElected { .. }));
                     self.trace(&coordinator_name(coordinator), &format!("{event:?}"));
                 }
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Does something with a worker that runs, at its own time, and carries out what comes of it.
+    /// Calls `act` with a running worker and its local time, and carries out the resulting actions.
     pub fn with_worker(&mut self, worker: usize, act: impl FnOnce(&mut FleetMember, f64)) {
         let process = &mut self.workers[worker];
         let now = process.clock.local(self.now);
@@ -228,7 +229,7 @@
                 }
                 MemberAction::Call(call) => self.send_call(worker, call),
                 MemberAction::Log(event) => {
-                    self.verdict.grants +=
+                    self.report.grants +=
                         u64::from(matches!(event, port_worker::fleet::MembershipEvent::LeaseAcquired(_)));
                     self.trace(&format!("w{worker}"), &format!("{event:?}"));
                 }
@@ -239,15 +240,15 @@
 
     fn send_call(&mut self, worker: usize, call: ScheduledCall) {
         let incarnation = self.workers[worker].incarnation;
-        let lasts_s = self.rng.random_range(0.01..0.25);
-        // Between the look at the clock and the call's arrival a process may be stopped.
+        let duration_s = self.rng.random_range(0.01..0.25);
+        // A process may be suspended between reading its clock and the arrival of the call.
         let after = if self.rng.random_range(0..PAUSED_CALL_ONE_IN) == 0 {
-            let stop = self.rng.random_range(0.5..8.0);
-            self.pause_worker(worker, stop);
-            stop
+            let suspension = self.rng.random_range(0.5..8.0);
+            self.pause_worker(worker, suspension);
+            suspension
         } else {
-            self.latency()
+            self.draw_latency()
         };
-        self.schedule(self.now + after, Event::CallArrives { worker, incarnation, call, lasts_s });
+        self.schedule(self.now + after, Event::CallArrives { worker, incarnation, call, duration_s });
     }
 }
--- a/testbed/src/fleet/virtual_fleet/task_record.rs
+++ b/testbed/src/fleet/virtual_fleet/task_record.rs
@@ -1,27 +1,27 @@
-//! What the review knows of each task.
+//! The review's record of each task.
 
 use std::collections::BTreeMap;
 
-/// A call that the resource is carrying out.
+/// A call in progress at the resource.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) struct RunningCall {
     pub token: u64,
     pub worker: usize,
 }
 
-/// What the review knows of a task.
+/// The review's record of a task.
 pub(super) struct TaskRecord {
-    /// The highest token that the resource has seen.
+    /// Highest fencing token that the resource has seen.
     pub highest_token: u64,
     pub running: Option<RunningCall>,
-    /// The tokens under which periods were carried out, by period.
-    pub done: BTreeMap<u64, u64>,
-    /// When a call was last carried out.
-    pub last_done: f64,
-    /// Until when, in true time, each worker believes that it holds the task.
+    /// Periods that were carried out, with the fencing token of each.
+    pub completed: BTreeMap<u64, u64>,
+    /// Time at which a call was last carried out.
+    pub last_completed_s: f64,
+    /// True time until which each worker believes that it holds the task.
     pub claims: BTreeMap<usize, f64>,
-    /// Since when nobody has held the task.
-    pub free_since: Option<f64>,
+    /// Time since which no worker has held the task; `None` while one does.
+    pub unheld_since: Option<f64>,
 }
 
 impl TaskRecord {
@@ -29,10 +29,10 @@
         TaskRecord {
             highest_token: 0,
             running: None,
-            done: BTreeMap::new(),
-            last_done: 0.0,
+            completed: BTreeMap::new(),
+            last_completed_s: 0.0,
             claims: BTreeMap::new(),
-            free_since: Some(0.0),
+            unheld_since: Some(0.0),
         }
     }
 }
--- a/testbed/src/fleet/virtual_fleet/world.rs
+++ b/testbed/src/fleet/virtual_fleet/world.rs
@@ -1,10 +1,10 @@
-//! The state of a run, and its queue of events.
+//! State of a simulated run, and its event queue.
 
 use super::links::{Network, NodePair};
 use super::process_state::{CoordinatorProcess, WorkerProcess};
-use super::shape::Scenario;
+use super::report::RunReport;
+use super::scenario::Scenario;
 use super::task_record::TaskRecord;
-use super::verdict::Verdict;
 use fleet_coordinator::ids::DiskJobId;
 use fleet_coordinator::replica::DiskJob;
 use port_worker::fleet::frame::CallOutcome;
@@ -13,14 +13,14 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// When the first worker starts: coordinators have elected a leader by then (seconds).
+/// Start time of the first worker, by which the coordinators have elected a leader (seconds).
 const FIRST_WORKER_S: f64 = 0.5;
-/// Between the starts of two processes (seconds).
+/// Interval between the starts of two processes (seconds).
 const START_INTERVAL_S: f64 = 0.001;
-/// When the first fault comes (seconds).
+/// Time of the first fault (seconds).
 const FIRST_FAULT_S: f64 = 5.0;
 
-/// Something that happens at a time. Events of a process name its incarnation: those of an earlier one are void.
+/// A scheduled event. Events of a process carry its incarnation; those of an earlier incarnation are ignored.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     TickCoordinator {
@@ -31,21 +31,21 @@
         worker: usize,
         incarnation: u64,
     },
-    /// The disk has done a job.
-    Disk {
+    /// The disk finishes a job.
+    DiskJobCompleted {
         coordinator: usize,
         incarnation: u64,
         number: DiskJobId,
         job: DiskJob,
     },
-    /// Bytes on a worker's link, to the coordinator.
-    Up {
+    /// A frame on a worker's link reaches the coordinator.
+    ToCoordinator {
         worker: usize,
         link: u64,
         bytes: Vec<u8>,
     },
-    /// Bytes on a worker's link, to the worker.
-    Down {
+    /// A frame on a worker's link reaches the worker.
+    ToWorker {
         worker: usize,
         link: u64,
         bytes: Vec<u8>,
@@ -56,7 +56,7 @@
         coordinator: usize,
         link: u64,
     },
-    Broken {
+    LinkBroken {
         worker: usize,
         link: u64,
     },
@@ -65,7 +65,7 @@
         link: u64,
         bytes: Vec<u8>,
     },
-    PeerAnswer {
+    PeerReply {
         peers: NodePair,
         link: u64,
         bytes: Vec<u8>,
@@ -79,15 +79,15 @@
         worker: usize,
         incarnation: u64,
         call: ScheduledCall,
-        lasts_s: f64,
+        duration_s: f64,
     },
-    /// The resource has carried a call out.
+    /// The resource finishes a call.
     CallCompletes {
         worker: usize,
         incarnation: u64,
         call: ScheduledCall,
     },
-    /// The worker sees the outcome of a call.
+    /// The worker learns the outcome of a call.
     CallEnded {
         worker: usize,
         incarnation: u64,
@@ -97,21 +97,21 @@
     Fault,
     StartCoordinator(usize),
     StartWorker(usize),
-    FreeDisk(usize),
-    /// An operator puts a fresh member in the place of one that says that it has lost its disk.
+    FreeDiskSpace(usize),
+    /// An operator replaces a member that reports a lost disk by a new one.
     ReplaceMember(usize),
 }
 
-/// Events are handled by time, and those of one time in the order in which they were scheduled.
+/// Key of the event queue: events are handled by time, and events of the same time in the order of scheduling.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EventKey {
     pub at_us: u64,
     pub order: u64,
 }
 
-/// A run.
+/// A simulated run.
 pub(super) struct World {
-    pub shape: Scenario,
+    pub scenario: Scenario,
     pub rng: ChaCha8Rng,
     /// True time (seconds).
     pub now: f64,
@@ -121,30 +121,30 @@
     pub workers: Vec<WorkerProcess>,
     pub network: Network,
     pub tasks: Vec<TaskRecord>,
-    /// The epoch of the coordinators' file.
+    /// Epoch of the coordinators' configuration file.
     pub epoch: u64,
-    pub verdict: Verdict,
+    pub report: RunReport,
 }
 
 impl World {
-    pub fn new(shape: &Scenario, seed: u64) -> World {
+    pub fn new(scenario: &Scenario, seed: u64) -> World {
         let mut world = World {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
             queue: BTreeMap::new(),
             order: 0,
-            coordinators: (0..shape.coordinators).map(|_| CoordinatorProcess::new()).collect(),
-            workers: (0..shape.workers).map(|_| WorkerProcess::new()).collect(),
+            coordinators: (0..scenario.coordinators).map(|_| CoordinatorProcess::new()).collect(),
+            workers: (0..scenario.workers).map(|_| WorkerProcess::new()).collect(),
             network: Network::new(),
-            tasks: (0..shape.tasks).map(|_| TaskRecord::new()).collect(),
+            tasks: (0..scenario.tasks).map(|_| TaskRecord::new()).collect(),
             epoch: 1,
-            verdict: Verdict::default(),
-            shape: shape.clone(),
+            report: RunReport::default(),
+            scenario: scenario.clone(),
         };
-        for coordinator in 0..shape.coordinators {
+        for coordinator in 0..scenario.coordinators {
             world.schedule(START_INTERVAL_S * coordinator as f64, Event::StartCoordinator(coordinator));
         }
-        for worker in 0..shape.workers {
+        for worker in 0..scenario.workers {
             let at = FIRST_WORKER_S + START_INTERVAL_S * worker as f64;
             world.schedule(at, Event::StartWorker(worker));
         }
@@ -152,14 +152,14 @@
         world
     }
 
-    /// Has the event happen at that time, or now if it has passed.
+    /// Schedules an event for the given time, or for now if that time has passed.
     pub fn schedule(&mut self, at: f64, event: Event) {
         self.order += 1;
         let at_us = (at.max(self.now) * 1e6) as u64;
         self.queue.insert(EventKey { at_us, order: self.order }, event);
     }
 
-    /// Prints a process's log line if `FLEET_TRACE` is set.
+    /// Prints a process's log line if the environment variable `FLEET_TRACE` is set.
     pub fn trace(&self, process: &str, text: &str) {
         if std::env::var_os("FLEET_TRACE").is_some() {
             eprintln!("{:.3} {process} {text}", self.now);
