--- a/testbed/src/fleet/overload_storm/mod.rs
+++ b/testbed/src/fleet/overload_storm/mod.rs
@@ -1,12 +1,13 @@
-//! Many workers under one load in virtual time, round the worker's own dispatcher and the fleet's own decisions: routers
-//! that try another worker and clients that retry, a downstream service that slows when it has too many calls in flight,
-//! and a leader whose view is as old as the links make it. The same seed gives the same storm in every mode of the fleet.
+//! Simulates fleet-wide overload control in virtual time, around the production dispatcher of the workers and the
+//! leader's own decision code: routers that try another worker, clients that retry, a downstream service that slows down
+//! when too many calls are in flight, and load reports and digests that arrive with the delay of the links. The same seed
+//! gives the same requests in every mode.
 
 mod comparison;
 mod reports;
 mod result;
+mod scenario;
 mod service;
-mod shape;
 #[cfg(test)]
 mod tests;
 mod worker;
@@ -14,17 +15,17 @@
 
 pub use comparison::compare;
 pub use result::StormResult;
-pub use shape::{FleetMode, Scenario};
+pub use scenario::{FleetMode, Scenario};
 
 use crate::error::TestbedError;
 use world::World;
 
-/// Plays one seed.
+/// Simulates one seed.
 ///
 /// # Errors
-/// The workload can't be read.
-pub fn play(shape: &Scenario, seed: u64) -> Result<StormResult, TestbedError> {
-    let mut world = World::new(shape, seed)?;
+/// The built-in workload is invalid.
+pub fn simulate(scenario: &Scenario, seed: u64) -> Result<StormResult, TestbedError> {
+    let mut world = World::new(scenario, seed)?;
     world.run();
     Ok(world.result)
 }
--- a/testbed/src/fleet/overload_storm/reports.rs
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -1,23 +1,23 @@
-//! Load reports and digests between the workers and the leader, each as late as the links are.
+//! Exchange of load reports and digests between the workers and the leader, with the delay of the links.
 
-use super::shape::{FleetMode, Scenario};
+use super::scenario::{FleetMode, Scenario};
 use super::worker::Worker;
 use port_worker::fleet::overload::events::OverloadEvent;
 use port_worker::fleet::overload::leader::Leader;
 use port_worker::fleet::overload::{FleetDigest, LoadReport, REPORT_INTERVAL_S};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The worker that lies, where one does.
-const LIAR: usize = 1;
+/// Worker that sends implausible reports in [`FleetMode::Outlier`].
+const OUTLIER_WORKER: usize = 1;
 
-/// A load report on its way to the leader.
+/// A load report in transit to the leader.
 struct ReportInFlight {
     arrives_at: f64,
     worker: usize,
     report: LoadReport,
 }
 
-/// A digest on its way to a worker; it answers the report of this number.
+/// A digest in transit to a worker, in response to the report with this number.
 struct DigestInFlight {
     arrives_at: f64,
     worker: usize,
@@ -25,17 +25,17 @@
     digest: FleetDigest,
 }
 
-/// What is on its way; the links keep its order.
+/// Reports and digests in transit, in order.
 #[derive(Default)]
 pub(super) struct ReportExchange {
     up: VecDeque<ReportInFlight>,
     down: VecDeque<DigestInFlight>,
-    /// The first digest of each worker, for the mode in which it is repeated.
+    /// First digest of each worker, which [`FleetMode::Stale`] repeats.
     first_digests: BTreeMap<usize, FleetDigest>,
 }
 
-/// The report of a worker that lies.
-fn false_report(report: &LoadReport) -> LoadReport {
+/// Replaces the values of a report by implausible ones.
+fn outlier_report(report: &LoadReport) -> LoadReport {
     LoadReport {
         arrivals: vec![1e6; 3],
         retries: 1e6,
@@ -50,19 +50,19 @@
 }
 
 impl ReportExchange {
-    /// Sends, delivers and evaluates what is due by now; returns what the leader reports.
+    /// Sends and delivers the messages that are due, and returns the events of the leader's evaluation.
     pub fn exchange(
         &mut self,
         now: f64,
-        shape: &Scenario,
+        scenario: &Scenario,
         workers: &mut [Worker],
         leader: &mut Leader,
     ) -> Vec<OverloadEvent> {
         for (number, worker) in workers.iter_mut().enumerate() {
-            self.send_report(now, shape, number, worker);
+            self.send_report(now, scenario, number, worker);
         }
         while let Some(arrived) = pop_arrived(&mut self.up, |r| r.arrives_at <= now) {
-            self.answer_report(now, shape, &arrived, leader);
+            self.answer_report(now, scenario, &arrived, leader);
         }
         while let Some(arrived) = pop_arrived(&mut self.down, |d| d.arrives_at <= now) {
             workers[arrived.worker].client.receive(arrived.report_number, &arrived.digest);
@@ -70,7 +70,7 @@
         leader.evaluate(now)
     }
 
-    fn send_report(&mut self, now: f64, shape: &Scenario, number: usize, worker: &mut Worker) {
+    fn send_report(&mut self, now: f64, scenario: &Scenario, number: usize, worker: &mut Worker) {
         if now < worker.next_report {
             return;
         }
@@ -78,25 +78,31 @@
         let Some(sample) = worker.dispatcher.fleet_load_sample(now) else { return };
         worker.reports += 1;
         let mut report = worker.client.report(now, worker.reports, &sample);
-        if shape.mode == FleetMode::Outlier && number == LIAR {
-            report = false_report(&report);
+        if scenario.mode == FleetMode::Outlier && number == OUTLIER_WORKER {
+            report = outlier_report(&report);
         }
-        let arrives_at = now + shape.late_s / 2.0;
+        let arrives_at = now + scenario.digest_delay_s / 2.0;
         self.up.push_back(ReportInFlight { arrives_at, worker: number, report });
     }
 
-    fn answer_report(&mut self, now: f64, shape: &Scenario, arrived: &ReportInFlight, leader: &mut Leader) {
+    fn answer_report(
+        &mut self,
+        now: f64,
+        scenario: &Scenario,
+        arrived: &ReportInFlight,
+        leader: &mut Leader,
+    ) {
         let worker = arrived.worker;
-        let zone = format!("z{}", worker % shape.zones);
+        let zone = format!("z{}", worker % scenario.zones);
         leader.receive(now, worker as u64, &zone, &arrived.report);
         let mut digest = leader.digest(now, now, worker as u64, &zone);
-        if shape.mode == FleetMode::Stale {
+        if scenario.mode == FleetMode::Stale {
             let number = digest.number;
             let first =
                 self.first_digests.entry(worker).or_insert_with(|| FleetDigest { slice: 0.0, ..digest });
             digest = FleetDigest { number, ..first.clone() };
         }
-        let arrives_at = now + shape.late_s / 2.0;
+        let arrives_at = now + scenario.digest_delay_s / 2.0;
         let report_number = arrived.report.number;
         self.down.push_back(DigestInFlight { arrives_at, worker, report_number, digest });
     }
--- a/testbed/src/fleet/overload_storm/result.rs
+++ b/testbed/src/fleet/overload_storm/result.rs
@@ -1,45 +1,46 @@
-//! What came of a storm.
+//! Results of an overload experiment.
 
 use port_worker::fleet::overload::events::OverloadEvent;
 
-/// What came of a storm.
+/// Results of an overload experiment.
 #[derive(Clone, Debug, Default)]
 pub struct StormResult {
-    /// The worth earned in each second.
-    pub worth: Vec<f64>,
-    /// The worth of all requests.
-    pub asked: f64,
-    /// The most calls in flight at the service, against its slots.
-    pub most_calls: f64,
-    /// Calls made while the service was down, a second and zone, from a second after its beginning.
-    pub trials_per_s: f64,
-    /// Retries for each first attempt, in the second in which most came.
-    pub retries: f64,
-    /// Requests without a response at the end.
-    pub owed: usize,
-    /// What the leader reported, with its time.
+    /// Weight earned in each second: that of requests served within their latency objective.
+    pub weight_by_second: Vec<f64>,
+    /// Weight of all requests.
+    pub weight_requested: f64,
+    /// Largest number of calls in flight at the service, relative to its slots.
+    pub peak_calls_per_slot: f64,
+    /// Calls per second and zone while the service was down, from one second after the outage began.
+    pub probe_calls_per_s: f64,
+    /// Largest ratio of retries to first attempts in any second.
+    pub peak_retry_ratio: f64,
+    /// Attempts without a response at the end.
+    pub unanswered: usize,
+    /// Events that the leader reported, with their times.
     pub events: Vec<(f64, OverloadEvent)>,
-    /// A digest of all responses: the same seed gives the same.
+    /// Hash of all responses; equal for runs of the same seed.
     pub trace: u64,
 }
 
 impl StormResult {
-    /// The share of the worth that was earned.
+    /// Returns the earned fraction of the weight of all requests.
     #[must_use]
-    pub fn earned(&self) -> f64 {
-        self.worth.iter().sum::<f64>() / self.asked
+    pub fn earned_share(&self) -> f64 {
+        self.weight_by_second.iter().sum::<f64>() / self.weight_requested
     }
 
     fn mean(&self, from: usize, to: usize) -> f64 {
-        let part = self.worth.get(from..to.min(self.worth.len())).unwrap_or(&[]);
-        part.iter().sum::<f64>() / (part.len() as f64).max(1.0)
+        let seconds = self.weight_by_second.get(from..to.min(self.weight_by_second.len())).unwrap_or(&[]);
+        seconds.iter().sum::<f64>() / (seconds.len() as f64).max(1.0)
     }
 
-    /// How long after `end` it took until 95% of the worth before `start` was earned for two seconds running.
+    /// Returns the time from `end` until two consecutive seconds earned 95% of the mean weight before `start`.
     #[must_use]
     pub fn recovery_s(&self, start: usize, end: usize) -> f64 {
-        let usual = self.mean(3, start) * 0.95;
-        let recovered = (end..self.worth.len().saturating_sub(1)).find(|s| self.mean(*s, s + 2) >= usual);
+        let expected = self.mean(3, start) * 0.95;
+        let recovered =
+            (end..self.weight_by_second.len().saturating_sub(1)).find(|s| self.mean(*s, s + 2) >= expected);
         recovered.map_or(f64::INFINITY, |s| (s - end) as f64)
     }
 }
--- a/testbed/src/fleet/overload_storm/tests.rs
+++ b/testbed/src/fleet/overload_storm/tests.rs
@@ -1,22 +1,22 @@
-use super::{play, FleetMode, Scenario};
+use super::{simulate, FleetMode, Scenario};
 
 #[test]
-fn calm_overload_control_costs_nothing_and_a_seed_replays_its_storm() {
-    let shape = |mode| Scenario { mode, workers: 4, length_s: 6.0, ..Scenario::default() };
-    let alone = play(&shape(FleetMode::Independent), 3).unwrap();
-    assert!(alone.earned() > 0.9 && alone.owed == 0, "{alone:?}");
+fn overload_control_costs_nothing_at_normal_load_and_a_seed_is_reproducible() {
+    let scenario = |mode| Scenario { mode, workers: 4, length_s: 6.0, ..Scenario::default() };
+    let independent = simulate(&scenario(FleetMode::Independent), 3).unwrap();
+    assert!(independent.earned_share() > 0.9 && independent.unanswered == 0, "{independent:?}");
     for mode in [FleetMode::Coordinated, FleetMode::Leaderless, FleetMode::Outlier, FleetMode::Stale] {
-        let storm = play(&shape(mode), 3).unwrap();
+        let result = simulate(&scenario(mode), 3).unwrap();
         assert!(
-            storm.earned() >= 0.98 * alone.earned(),
+            result.earned_share() >= 0.98 * independent.earned_share(),
             "{mode:?}: {} of {}",
-            storm.earned(),
-            alone.earned()
+            result.earned_share(),
+            independent.earned_share()
         );
-        assert!(storm.owed == 0 && storm.events.is_empty(), "{mode:?}: {:?}", storm.events);
+        assert!(result.unanswered == 0 && result.events.is_empty(), "{mode:?}: {:?}", result.events);
     }
     assert_eq!(
-        play(&shape(FleetMode::Coordinated), 3).unwrap().trace,
-        play(&shape(FleetMode::Coordinated), 3).unwrap().trace
+        simulate(&scenario(FleetMode::Coordinated), 3).unwrap().trace,
+        simulate(&scenario(FleetMode::Coordinated), 3).unwrap().trace
     );
 }
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -1,6 +1,6 @@
-//! A worker in virtual time, round the worker's own dispatcher.
+//! A simulated worker around the production dispatcher.
 
-use super::shape::{FleetMode, Scenario};
+use super::scenario::{FleetMode, Scenario};
 use crate::executor::{BusyReading, Executor, Notice};
 use crate::experiment::Experiment;
 use port_worker::config::Config;
@@ -11,74 +11,74 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The dispatcher keeps results of keyed runs in so many bytes.
+/// Memory in which the dispatcher keeps the results of runs with idempotency keys (bytes).
 const RESULT_BYTES: usize = 1 << 20;
-/// When a worker first wakes up (seconds).
+/// Time of a worker's first timer (seconds).
 const FIRST_WAKE_S: f64 = 0.025;
-/// The drift of clocks that workers allow for.
+/// Clock drift that workers allow for, as a fraction.
 const DRIFT_BOUND: f64 = 0.1;
 
 /// An attempt in flight.
 pub(super) struct Attempt {
-    /// The request, by its place in the plan.
+    /// Index of the request in the plan.
     pub number: usize,
-    /// Which attempt of the request it is, from 1.
+    /// Number of the attempt, from 1.
     pub ordinal: u32,
-    /// Its router ignores all advice.
-    pub reckless: bool,
-    /// When its client waits no longer.
+    /// Whether its router ignores Retry-After advice.
+    pub ignores_advice: bool,
+    /// Deadline of the request.
     pub due: f64,
 }
 
-/// A worker: its dispatcher, its executor and its part in the fleet.
+/// A worker: its dispatcher, its executor and its client of fleet-wide overload control.
 pub(super) struct Worker {
     pub dispatcher: Dispatcher,
     pub executor: Executor,
     pub client: FleetOverloadClient,
-    pub wake: f64,
+    pub wakes_at: f64,
     pub busy: BusyReading,
-    /// When it sends its next report, and how many it has sent.
+    /// Time of the next load report, and the number of reports sent.
     pub next_report: f64,
     pub reports: u64,
     /// Attempts without a response, by ticket.
-    pub open: BTreeMap<u64, Attempt>,
-    /// Runs that skipped their call or did not, by ticket.
+    pub attempts_in_flight: BTreeMap<u64, Attempt>,
+    /// Whether each ended run skipped its downstream call, by ticket.
     pub degraded: BTreeMap<u64, bool>,
-    /// When the requests of runs are over; the executor ends a run at a call then, as the platform's does.
-    pub due: BTreeSet<(u64, Rc<str>)>,
-    pub inbox: Vec<Input>,
+    /// Deadlines of runs; like the platform's executor, the simulated one ends a run that is at a call at its deadline.
+    pub run_deadlines: BTreeSet<(u64, Rc<str>)>,
+    pub pending_inputs: Vec<Input>,
 }
 
 impl Worker {
-    /// One of the storm's workers, by its number.
-    pub fn new(shape: &Scenario, experiment: &Experiment, config: &Config, number: usize) -> Worker {
+    /// Creates the worker with this number.
+    pub fn new(scenario: &Scenario, experiment: &Experiment, config: &Config, number: usize) -> Worker {
         let mut settings = config.settings.settings(number as u64 + 1);
         settings.key_entry_kb = 0.0;
-        settings.workers = shape.workers as u32;
-        settings.fleet_overload_control = shape.mode != FleetMode::Independent;
+        settings.workers = scenario.workers as u32;
+        settings.fleet_overload_control = scenario.mode != FleetMode::Independent;
         if let Some(dependency) = &mut settings.dependency {
-            dependency.share = shape.slots_each;
+            dependency.share = scenario.slots_per_worker;
         }
         let mut out = Vec::new();
         Worker {
             dispatcher: Dispatcher::new(settings, 0.0, RESULT_BYTES, &mut out),
             executor: Executor::new(experiment.executor.clone(), Vec::new()),
-            client: FleetOverloadClient::new(0.0, shape.slots_each, DRIFT_BOUND),
-            wake: FIRST_WAKE_S,
+            client: FleetOverloadClient::new(0.0, scenario.slots_per_worker, DRIFT_BOUND),
+            wakes_at: FIRST_WAKE_S,
             busy: BusyReading::default(),
-            next_report: REPORT_INTERVAL_S * number as f64 / shape.workers as f64,
+            next_report: REPORT_INTERVAL_S * number as f64 / scenario.workers as f64,
             reports: 0,
-            open: BTreeMap::new(),
+            attempts_in_flight: BTreeMap::new(),
             degraded: BTreeMap::new(),
-            due: BTreeSet::new(),
-            inbox: Vec::new(),
+            run_deadlines: BTreeSet::new(),
+            pending_inputs: Vec::new(),
         }
     }
 
-    /// Takes over what the executor has done, and whose time at a call is over.
+    /// Collects the executor's notices, and ends runs at a call whose deadline has passed.
     fn gather(&mut self, now: f64) {
         for (_, notice) in self.executor.advance(now) {
-            self.inbox.push(match notice {
+            self.pending_inputs.push(match notice {
                 Notice::Exit { job: id, degraded } => {
                     self.degraded.insert(u64::from_str_radix(&id, 16).unwrap_or(0), degraded);
                     let result = Some(Rc::from(&b"done"[..]));
@@ -89,10 +89,10 @@
                 }
             });
         }
-        while self.due.first().is_some_and(|(due, _)| *due as f64 / 1e6 <= now) {
-            let Some((_, name)) = self.due.pop_first() else { break };
+        while self.run_deadlines.first().is_some_and(|(due, _)| *due as f64 / 1e6 <= now) {
+            let Some((_, name)) = self.run_deadlines.pop_first() else { break };
             if self.executor.end_at_call(&name) {
-                self.inbox.push(Input::RunEnded { name, outcome: Outcome::Cancelled, result: None });
+                self.pending_inputs.push(Input::RunEnded { name, outcome: Outcome::Cancelled, result: None });
             }
         }
     }
@@ -104,15 +104,15 @@
         Gauges { cores_busy: Some(busy), runnable: Some(self.executor.on_cores() as f64), connections: None }
     }
 
-    /// Handles all that has come, as in one turn of the worker's loop.
+    /// Handles all pending inputs, as in one turn of the worker's event loop.
     pub fn handle_inputs(&mut self, now: f64, cores: f64) -> Vec<Command> {
         self.gather(now);
-        if now >= self.wake {
-            self.wake = f64::INFINITY;
+        if now >= self.wakes_at {
+            self.wakes_at = f64::INFINITY;
             let gauges = self.gauges(now, cores);
-            self.inbox.push(Input::Woken(gauges));
+            self.pending_inputs.push(Input::Woken(gauges));
         }
-        let inputs = std::mem::take(&mut self.inbox);
+        let inputs = std::mem::take(&mut self.pending_inputs);
         if let Some(overload) = self.dispatcher.overload() {
             overload.set_directive(self.client.directive(now));
         }
