--- a/testbed/src/fleet/compatibility/fleet_upgrade.rs
+++ b/testbed/src/fleet/compatibility/fleet_upgrade.rs
@@ -1,5 +1,6 @@
-//! A fleet of the old build is upgraded: one coordinator, two, all, and the workers; then one coordinator goes back. Each
-//! process continues with the data of its predecessor, and at each stage a lease moves to another worker.
+//! Upgrades a fleet of the old build: half of the workers, the coordinators one by one, the other workers; then one
+//! coordinator is downgraded again. Each process continues with the data of its predecessor, and at each stage a lease is
+//! moved to another worker.
 
 use super::{fleetctl, Build, CheckResult};
 use crate::error::TestbedError;
@@ -15,9 +16,9 @@
     [[task]]\nname = \"refresh\"\nperiod_s = 0.3\nttl_ms = 3000\ndeadline_ms = 300\nsafe = true\n";
 /// The task whose lease is moved.
 const TASK: &str = "report";
-/// Workers that get the new build while the others keep the old one.
+/// Workers that are upgraded first.
 const UPGRADED_WORKERS: [&str; 3] = ["w1", "w3", "w5"];
-/// Accepted calls of each task after which the fleet counts as working.
+/// Number of accepted calls of each task after which a stage counts as working.
 const CALLS: usize = 3;
 const TIMEOUT: Duration = Duration::from_secs(40);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -42,7 +43,7 @@
     }
     check_stage(&mut rig, old, new, "all new", &mut results)?;
     restart_with(&mut rig, old, "c1")?;
-    check_stage(&mut rig, old, new, "one coordinator back to old", &mut results)?;
+    check_stage(&mut rig, old, new, "one coordinator downgraded", &mut results)?;
     let violations = find_violations(&rig.task_calls());
     results.push(CheckResult {
         subject: "task calls of the whole upgrade".to_owned(),
@@ -56,15 +57,15 @@
     Ok(results)
 }
 
-/// Ends a process in order and starts it again with the programs of this build and the data that it left.
+/// Terminates a process and starts it again with the programs of this build and its own data.
 fn restart_with(rig: &mut Rig, build: &Build, name: &str) -> Result<(), TestbedError> {
     rig.terminate(name)?;
     rig.set_programs(build.programs.clone());
     rig.restart(name)
 }
 
-/// Checks that tasks are carried out, that a lease moves when its holder is killed, that all workers serve, and that
-/// `fleetctl` of both builds shows the same.
+/// Checks that tasks are carried out, that a lease moves when its holder is killed, that all workers pass their health
+/// check, and that `fleetctl` of both builds prints the same.
 fn check_stage(
     rig: &mut Rig,
     old: &Build,
@@ -80,21 +81,21 @@
     results.push(CheckResult {
         subject: format!("tasks, {stage}"),
         passed: are_tasks_carried_out,
-        observed: format!("{CALLS} more calls of each: {are_tasks_carried_out}"),
+        observed: format!("{CALLS} more calls of each task: {are_tasks_carried_out}"),
     });
     results.push(move_lease(rig, stage)?);
     let serving = rig.workers().iter().filter(|name| serves(rig, name)).count();
     results.push(CheckResult {
         subject: format!("health checks, {stage}"),
         passed: serving == rig.workers().len(),
-        observed: format!("{serving} of {} workers serve", rig.workers().len()),
+        observed: format!("{serving} of {} workers healthy", rig.workers().len()),
     });
     results.push(fleetctl::check(old, new, rig, stage)?);
     Ok(())
 }
 
-/// Kills the holder of the task's lease, waits until another worker acts under a higher fencing token, and starts the
-/// killed worker again with the build that the rig starts now.
+/// Kills the holder of the task's lease, waits until another worker calls with a higher fencing token, and restarts the
+/// killed worker with the rig's current programs.
 fn move_lease(rig: &mut Rig, stage: &str) -> Result<CheckResult, TestbedError> {
     let last = last_call(rig).ok_or(TestbedError::Missing("accepted call of the task"))?;
     rig.kill(&last.holder)?;
--- a/testbed/src/fleet/compatibility/fleetctl.rs
+++ b/testbed/src/fleet/compatibility/fleetctl.rs
@@ -1,4 +1,4 @@
-//! Compares what `fleetctl` of both builds prints about the same fleet.
+//! Compares the output of `fleetctl` of both builds about the same fleet.
 
 use super::{Build, CheckResult};
 use crate::error::TestbedError;
@@ -8,10 +8,10 @@
 
 /// Queries that change nothing.
 const QUERIES: [&str; 5] = ["status", "members", "leases", "tasks", "overload"];
-/// A lease that moves between the two calls makes their answers differ; the calls are then repeated.
+/// Number of comparisons of a query; answers also differ if a lease moves between the two calls.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Asks each query with both builds; `stage` names the state of the fleet in the results.
+/// Runs each query with both builds; `stage` names the state of the fleet in the result.
 pub(super) fn check(old: &Build, new: &Build, rig: &Rig, stage: &str) -> Result<CheckResult, TestbedError> {
     let mut differences = Vec::new();
     for query in QUERIES {
@@ -26,14 +26,14 @@
     }
     let passed = differences.is_empty();
     let observed = if passed {
-        format!("{} queries, the same answers and columns", QUERIES.len())
+        format!("{} queries, same answers and columns", QUERIES.len())
     } else {
         differences.join("; ")
     };
     Ok(CheckResult { subject: format!("fleetctl of both builds, {stage}"), passed, observed })
 }
 
-/// What differs between the answers of both builds to one query, apart from numbers, which change with time.
+/// Returns the difference between the answers of both builds to a query; numbers, which change with time, are ignored.
 fn compare(old: &Build, new: &Build, rig: &Rig, query: &str) -> Result<Option<String>, TestbedError> {
     let tables = (run(old, rig, &[query])?, run(new, rig, &[query])?);
     let columns = (columns(&tables.0), columns(&tables.1));
@@ -66,7 +66,7 @@
     }
 }
 
-/// The words of the first line of a table.
+/// Returns the column headings of a table.
 pub(super) fn columns(table: &str) -> Vec<String> {
     table.lines().next().unwrap_or_default().split_whitespace().map(str::to_owned).collect()
 }
@@ -75,6 +75,7 @@
     Ok(without_numbers(serde_json::from_str(text)?))
 }
 
+/// Replaces all numbers by a placeholder.
 pub(super) fn without_numbers(value: Value) -> Value {
     match value {
         Value::Number(_) => Value::from("number"),
--- a/testbed/src/fleet/compatibility/hot_restart.rs
+++ b/testbed/src/fleet/compatibility/hot_restart.rs
@@ -1,4 +1,4 @@
-//! A worker of one build is replaced by one of the other while clients send requests.
+//! Hot restarts a worker of one build with the other build while clients send requests.
 
 use super::{Build, CheckResult};
 use crate::error::TestbedError;
@@ -13,42 +13,42 @@
 
 const FLEET: &str = "fleet = \"restart\"\ncoordinators = 1\nworkers = 1\n";
 const WORKER: &str = "w1";
-/// Class of the requests that are sent all the time; its requests are idempotent.
+/// Class of the background load; its requests are idempotent.
 const LOAD_CLASS: &str = "status-check";
-/// Class of the request that is sent once to each process under one idempotency key.
+/// Class of the request that is sent to each of both processes under one idempotency key.
 const KEYED_CLASS: &str = "port-submit";
-/// Metric of the runs that a process has started for [`KEYED_CLASS`].
+/// Metric that counts the runs a process has started for [`KEYED_CLASS`].
 const KEYED_RUNS: &str = "svc.replies.port-submit.dispatches";
 const REQUESTS_PER_S: f64 = 150.0;
-/// Load before the replacement begins, and after it has ended.
+/// Duration of the load before the hot restart, and after it.
 const LOAD_TIME: Duration = Duration::from_secs(2);
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Work of the keyed request (seconds before and after its downstream call, and no call).
+/// Work of the keyed request: seconds before and after a downstream call, and 0 for no call.
 const KEYED_WORK: &str = "0.003000 0.003000 0";
 
-/// Replaces a worker of the build `from` by one of the build `to` under load.
+/// Hot restarts a worker of the build `from` with the build `to` under load.
 pub(super) fn check(from: &Build, to: &Build, folder: &Path) -> Result<Vec<CheckResult>, TestbedError> {
     let subject = format!("hot restart from {} to {} under load", from.name, to.name);
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, from.programs.clone())?;
     let listen = rig.listen_address(WORKER).ok_or(TestbedError::Missing("address of the worker"))?;
     let class = rig.class(LOAD_CLASS).ok_or(TestbedError::Missing("class of the load"))?.clone();
     wait_ready(&rig)?;
-    let mut kept_connection = connect(listen)?;
-    let first_response = send_keyed(&mut kept_connection, "11")?;
+    let mut idle_connection = connect(listen)?;
+    let first_response = send_keyed(&mut idle_connection, "11")?;
     let load = Routers::start(&[(listen, 1)], &class, REQUESTS_PER_S);
     thread::sleep(LOAD_TIME);
     rig.set_programs(to.programs.clone());
     rig.replace(WORKER)?;
     thread::sleep(LOAD_TIME);
     let counts = load.end();
-    // The predecessor has handed the idle connection to its successor, and the key with its result.
-    let second_response = send_keyed(&mut kept_connection, "22");
+    // The predecessor has handed over the idle connection, and the idempotency key with its result.
+    let second_response = send_keyed(&mut idle_connection, "22");
     let metrics = console_request(&rig, "/-/metrics")?;
     let keyed_runs = metrics.lines().find(|line| line.starts_with(KEYED_RUNS)).unwrap_or_default();
-    let lost = counts.unanswered + counts.failed;
-    let is_answered = lost == 0 && counts.sent == counts.served + counts.rejected;
+    let without_result = counts.unanswered + counts.failed;
+    let is_answered = without_result == 0 && counts.sent == counts.served + counts.rejected;
     Ok(vec![
         CheckResult {
             subject: subject.clone(),
@@ -72,7 +72,7 @@
     get(rig.address(WORKER).ok_or(TestbedError::Missing("console of the worker"))?, path)
 }
 
-/// Waits until the worker has a link to its executor, without which it rejects requests.
+/// Waits until the worker is connected to its executor; before that it rejects requests.
 fn wait_ready(rig: &Rig) -> Result<(), TestbedError> {
     let end = Instant::now() + READY_TIMEOUT;
     while !console_request(rig, "/-/ready")?.starts_with("HTTP/1.1 200") {
@@ -99,7 +99,7 @@
     Ok(stream)
 }
 
-/// Sends the request of the one idempotency key under this correlation id, and leaves the connection open.
+/// Sends the request with the idempotency key under this correlation id, and keeps the connection open.
 fn send_keyed(stream: &mut TcpStream, correlation_id: &str) -> Result<Response, TestbedError> {
     write!(
         stream,
--- a/testbed/src/fleet/compatibility/mod.rs
+++ b/testbed/src/fleet/compatibility/mod.rs
@@ -1,5 +1,5 @@
-//! Whether the programs of two builds work together: the settings files of the repository, a hot restart from one build to
-//! the other under load, and a fleet that is upgraded process by process, on the data that the old build wrote.
+//! Checks that the programs of two builds work together: the settings files of the repository, a hot restart from one build
+//! to the other under load, and a fleet that is upgraded process by process on the data that the old build wrote.
 
 mod fleet_upgrade;
 mod fleetctl;
@@ -24,7 +24,7 @@
     /// Finds the programs of a build in its folder.
     ///
     /// # Errors
-    /// Returns [`TestbedError::NotBuilt`] if the folder lacks one of the programs.
+    /// [`TestbedError::NotBuilt`] if the folder lacks one of the programs.
     pub fn find(name: &'static str, folder: &Path) -> Result<Build, TestbedError> {
         let programs = Programs::in_folder(folder)?;
         let fleetctl = folder.join("fleetctl");
@@ -48,15 +48,16 @@
 
 impl fmt::Display for CheckResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let verdict = if self.passed { "passed" } else { "FAILED" };
-        write!(f, "{verdict}  {}: {}", self.subject, self.observed)
+        let status = if self.passed { "passed" } else { "FAILED" };
+        write!(f, "{status}  {}: {}", self.subject, self.observed)
     }
 }
 
-/// Runs all checks. `deploy` is the folder with the settings files, `folder` receives the files of the processes.
+/// Runs all checks. `deploy` is the folder with the settings files; `folder` is emptied and then holds the files of the
+/// processes.
 ///
 /// # Errors
-/// Returns an error if a process does not start, or if a fault can't be carried out; a check that fails is a result.
+/// A process does not start, or a fault can't be carried out. A failed check is a result, not an error.
 pub fn check_all(
     old: &Build,
     new: &Build,
--- a/testbed/src/fleet/compatibility/settings.rs
+++ b/testbed/src/fleet/compatibility/settings.rs
@@ -1,4 +1,4 @@
-//! Both builds start with each settings file of the repository, log the same listeners, and end on SIGTERM.
+//! Checks that both builds start with each settings file of the repository, log the same listeners, and end on SIGTERM.
 
 use super::{Build, CheckResult};
 use crate::error::TestbedError;
@@ -11,16 +11,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Operator's files of workers, with the number of frontends that a worker opens with each.
+/// Operator files of workers, with the number of listeners that a worker opens with each.
 const OPERATOR_FILES: [(&str, usize); 4] =
     [("ajp.toml", 3), ("http2.toml", 3), ("pools.toml", 2), ("fleet.toml", 2)];
-/// The file of a coordinator.
+/// Configuration file of a coordinator.
 const COORDINATOR_FILE: &str = "coordinator.toml";
-/// The folder of the log in [`COORDINATOR_FILE`], which the check replaces by one of its own.
+/// Log folder in [`COORDINATOR_FILE`], which the check replaces by a folder of its own.
 const SHIPPED_FOLDER: &str = "/var/lib/honeypost/c1";
-/// A worker's platform configuration.
+/// Platform configuration of a worker.
 const CONFIGURATION: &str = include_str!("../../../../examples/config.json");
-/// Time in which a program must log its next line, and in which it must end.
+/// Time in which a program must log its next line, or end after SIGTERM.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -40,7 +40,7 @@
         let listeners = |build: &Build| {
             let mut command = Command::new(&build.programs.worker);
             command.env("ROUTER_CONFIG", &configuration).arg("--operator").arg(&path);
-            run_until(command, frontends)
+            run_program(command, frontends)
         };
         results.push(compare(file, &listeners(old)?, &listeners(new)?));
     }
@@ -48,13 +48,13 @@
         let file = coordinator_file(build, deploy, folder)?;
         let mut command = Command::new(&build.programs.coordinator);
         command.arg("--config").arg(file);
-        run_until(command, 1)
+        run_program(command, 1)
     };
     results.push(compare(COORDINATOR_FILE, &listeners(old)?, &listeners(new)?));
     Ok(results)
 }
 
-/// The example's configuration, with addresses of the system's choice.
+/// Returns the example configuration with ports that the system chooses.
 fn worker_configuration() -> Result<String, TestbedError> {
     let mut configuration: Value = serde_json::from_str(CONFIGURATION)?;
     configuration["listen"] = json!("127.0.0.1:0");
@@ -62,7 +62,7 @@
     Ok(configuration.to_string())
 }
 
-/// Writes the coordinator's file with a log folder that this check may write to.
+/// Writes the coordinator's file with a log folder to which this check may write.
 fn coordinator_file(build: &Build, deploy: &Path, folder: &Path) -> Result<std::path::PathBuf, TestbedError> {
     let shipped = deploy.join(COORDINATOR_FILE);
     let text = std::fs::read_to_string(&shipped).map_err(TestbedError::file(&shipped))?;
@@ -73,14 +73,14 @@
     Ok(path)
 }
 
-/// What a program logged until it was ready, and how it ended on SIGTERM.
-struct Life {
+/// The listeners that a program logged, and its exit status after SIGTERM.
+struct RunResult {
     listeners: Vec<String>,
-    ended: String,
+    exit: String,
 }
 
-/// Starts a program, waits until it has logged this number of listeners, sends SIGTERM and waits for the end.
-fn run_until(mut command: Command, listener_count: usize) -> Result<Life, TestbedError> {
+/// Starts a program, waits until it has logged this number of listeners, sends SIGTERM and waits for the exit.
+fn run_program(mut command: Command, listener_count: usize) -> Result<RunResult, TestbedError> {
     let mut child = command
         .stdin(Stdio::null())
         .stdout(Stdio::null())
@@ -97,7 +97,7 @@
     }
     listeners.sort();
     kill_process(Pid::from_child(&child), Signal::TERM).map_err(|e| TestbedError::System(e.into()))?;
-    Ok(Life { listeners, ended: wait_end(&mut child)? })
+    Ok(RunResult { listeners, exit: wait_exit(&mut child)? })
 }
 
 fn log_lines(child: &mut Child) -> Receiver<String> {
@@ -110,7 +110,7 @@
     lines
 }
 
-fn wait_end(child: &mut Child) -> Result<String, TestbedError> {
+fn wait_exit(child: &mut Child) -> Result<String, TestbedError> {
     let end = Instant::now() + TIMEOUT;
     while Instant::now() < end {
         if let Some(status) = child.try_wait()? {
@@ -123,7 +123,7 @@
     Ok(format!("killed after {TIMEOUT:?}"))
 }
 
-/// A log line without its time, and with the digits of ports the system chose left out.
+/// Removes the time of a log line, and masks a port that the system chose.
 pub(super) fn without_time_and_port(line: &str) -> String {
     let event = line.split_once(' ').map_or(line, |(_, event)| event);
     let is_system_port = event.contains("frontend=http ") || event.contains("frontend=console ");
@@ -136,13 +136,13 @@
     }
 }
 
-fn compare(file: &str, old: &Life, new: &Life) -> CheckResult {
-    let is_same = old.listeners == new.listeners && old.ended == new.ended;
-    let is_successful = !new.listeners.is_empty() && new.ended == "exit status: 0";
+fn compare(file: &str, old: &RunResult, new: &RunResult) -> CheckResult {
+    let is_same = old.listeners == new.listeners && old.exit == new.exit;
+    let is_successful = !new.listeners.is_empty() && new.exit == "exit status: 0";
     let observed = if is_same {
-        format!("{} listeners in both, ended with {}", new.listeners.len(), new.ended)
+        format!("{} listeners in both, ended with {}", new.listeners.len(), new.exit)
     } else {
-        format!("old {:?} {}; new {:?} {}", old.listeners, old.ended, new.listeners, new.ended)
+        format!("old {:?} {}; new {:?} {}", old.listeners, old.exit, new.listeners, new.exit)
     };
     CheckResult { subject: format!("settings {file}"), passed: is_same && is_successful, observed }
 }
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -1,4 +1,5 @@
-//! What a fleet costs and how long it takes: takeovers after kills and cuts, and what sessions ask of a leader.
+//! Measures a fleet of real processes: the time of lease takeovers after kills and partitions, the rate of lease grants, and
+//! the load of sessions on a leader.
 
 use super::rig::{FleetFile, Programs, Rig};
 use super::session_load::SessionLoad;
@@ -13,16 +14,16 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// One coordinator and worker count for all of it.
+/// The fleet in which takeovers are measured.
 const FLEET: &str = "fleet = \"cost\"\ncoordinators = 3\nworkers = 4\nwork_ms = 1\n\
     [[task]]\nname = \"watched\"\nperiod_s = 0.1\nttl_ms = 3000\ndeadline_ms = 200\nsafe = true\n";
-/// How long one thing is waited for.
+/// Largest time to wait for a single condition.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until something is so; how long it took (seconds).
-fn wait(what: &str, mut look: impl FnMut() -> bool) -> Result<f64, TestbedError> {
+/// Waits until a condition holds; returns the time that this took (seconds).
+fn wait(what: &str, mut condition: impl FnMut() -> bool) -> Result<f64, TestbedError> {
     let start = Instant::now();
-    while !look() {
+    while !condition() {
         if start.elapsed() > TIMEOUT {
             return Err(TestbedError::TimedOut { what: what.to_owned(), limit: TIMEOUT });
         }
@@ -31,9 +32,9 @@
     Ok(start.elapsed().as_secs_f64())
 }
 
-fn last_act(rig: &Rig) -> (String, u64) {
-    let act = rig.task_calls().into_iter().rfind(|a| a.accepted);
-    act.map_or_else(|| (String::new(), 0), |a| (a.holder, a.end_ms))
+fn last_call(rig: &Rig) -> (String, u64) {
+    let call = rig.task_calls().into_iter().rfind(|a| a.accepted);
+    call.map_or_else(|| (String::new(), 0), |a| (a.holder, a.end_ms))
 }
 
 fn quantiles(mut seconds: Vec<f64>) -> String {
@@ -41,19 +42,20 @@
     let at = |q: f64| {
         seconds.get(((seconds.len() as f64 - 1.0) * q).round() as usize).copied().unwrap_or(f64::NAN)
     };
-    format!("p50 {:.2} s, p90 {:.2} s, most {:.2} s of {}", at(0.5), at(0.9), at(1.0), seconds.len())
+    format!("p50 {:.2} s, p90 {:.2} s, max {:.2} s of {}", at(0.5), at(0.9), at(1.0), seconds.len())
 }
 
-/// How long it takes until another worker acts, after its holder was killed and after it was cut off.
+/// Measures the time until another worker carries out the task, after its holder was killed and after it was partitioned
+/// from the coordinators.
 ///
 /// # Errors
-/// What did not come about.
+/// A process does not start, no takeover happens in time, or a guarantee was violated.
 pub fn takeovers(folder: &Path, programs: Programs, times: usize) -> Result<String, TestbedError> {
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs)?;
-    wait("the first act", || !last_act(&rig).0.is_empty())?;
-    let (mut killed, mut cut) = (Vec::new(), Vec::new());
+    wait("the first call", || !last_call(&rig).0.is_empty())?;
+    let (mut after_kill, mut after_cut) = (Vec::new(), Vec::new());
     for n in 0..2 * times {
-        let (holder, before) = last_act(&rig);
+        let (holder, before) = last_call(&rig);
         let kills = n % 2 == 0;
         if kills {
             rig.kill(&holder)?;
@@ -62,30 +64,34 @@
                 rig.cut(&holder, &c, false, true)?;
             }
         }
-        let took = wait("another holder", || {
-            let (now, at) = last_act(&rig);
+        let elapsed_s = wait("another holder", || {
+            let (now, at) = last_call(&rig);
             now != holder && at > before
         })?;
         if kills {
-            killed.push(took);
+            after_kill.push(elapsed_s);
             rig.restart(&holder)?;
         } else {
-            cut.push(took);
+            after_cut.push(elapsed_s);
             for c in rig.coordinators() {
                 rig.cut(&holder, &c, false, false)?;
             }
         }
-        // The one that came back is in session again before the next.
+        // The worker needs this time to establish a session again before the next takeover.
         std::thread::sleep(Duration::from_millis(1500));
     }
-    let wrong = super::task_log::find_violations(&rig.task_calls());
-    if !wrong.is_empty() {
-        return Err(TestbedError::GuaranteeBroken(wrong));
+    let violations = super::task_log::find_violations(&rig.task_calls());
+    if !violations.is_empty() {
+        return Err(TestbedError::GuaranteeBroken(violations));
     }
-    Ok(format!("TTL 3 s; holder killed: {}\n          holder cut:    {}", quantiles(killed), quantiles(cut)))
+    Ok(format!(
+        "TTL 3 s; holder killed:  {}\n         holder cut off: {}",
+        quantiles(after_kill),
+        quantiles(after_cut)
+    ))
 }
 
-/// The coordinator that leads.
+/// Returns the coordinator that leads, if any.
 fn leader(rig: &Rig) -> Option<String> {
     rig.coordinators().into_iter().find(|c| {
         let at = rig.address(c);
@@ -94,30 +100,30 @@
     })
 }
 
-/// A session that takes a task and gives it back, over and over.
-struct Taker {
+/// A session that acquires and releases the lease of one task repeatedly.
+struct LeaseTaker {
     stream: TcpStream,
     data: Vec<u8>,
 }
 
-impl Taker {
-    fn say(&mut self, say: &ClientMessage) -> Result<(), TestbedError> {
-        Ok(self.stream.write_all(&encode(say))?)
+impl LeaseTaker {
+    fn send(&mut self, message: &ClientMessage) -> Result<(), TestbedError> {
+        Ok(self.stream.write_all(&encode(message))?)
     }
 
-    /// Reads until a word is one that `wanted` takes something from; `None` if none comes for a moment.
-    fn until<T>(&mut self, wanted: impl Fn(&ServerMessage) -> Option<T>) -> Result<Option<T>, TestbedError> {
-        let mut part = [0; 4096];
+    /// Reads messages until `extract` extracts a value from one; `None` if no message arrives within the read timeout.
+    fn until<T>(&mut self, extract: impl Fn(&ServerMessage) -> Option<T>) -> Result<Option<T>, TestbedError> {
+        let mut buffer = [0; 4096];
         loop {
-            while let Some((word, length)) = decode::<ServerMessage>(&self.data, MAX_SERVER_FRAME_BYTES)? {
+            while let Some((message, length)) = decode::<ServerMessage>(&self.data, MAX_SERVER_FRAME_BYTES)? {
                 self.data.drain(..length);
-                if let Some(found) = wanted(&word) {
+                if let Some(found) = extract(&message) {
                     return Ok(Some(found));
                 }
             }
-            match self.stream.read(&mut part) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return Err(TestbedError::LinkClosed),
-                Ok(n) => self.data.extend_from_slice(&part[..n]),
+                Ok(n) => self.data.extend_from_slice(&buffer[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Ok(None),
                 Err(e) => return Err(e.into()),
             }
@@ -125,18 +131,18 @@
     }
 }
 
-/// How many leases a second are granted and given back, each two commands in the log, by so many takers of a task each; and
-/// what the leader's memory comes to meanwhile.
+/// Measures the rate at which leases are granted and released, each lease by two log commands, with this many takers of one
+/// task each, and the memory of the leader meanwhile.
 ///
 /// # Errors
-/// What did not come about.
+/// A process does not start, or a session fails.
 pub fn grants(folder: &Path, programs: Programs, takers: usize, for_s: f64) -> Result<String, TestbedError> {
     let mut text = "fleet = \"cost\"\ncoordinators = 3\nworkers = 1\n".to_owned();
     for n in 0..takers {
         let _ = write!(text, "[[task]]\nname = \"t{n}\"\nperiod_s = 1000.0\nsafe = true\n");
     }
     let mut rig = Rig::start(FleetFile::decode(&text)?, folder, programs)?;
-    // The tasks are the takers'.
+    // The only worker is killed, so that the takers alone compete for the tasks.
     rig.kill("w1")?;
     wait("a leader", || leader(&rig).is_some())?;
     let name = leader(&rig).ok_or(TestbedError::Missing("leader"))?;
@@ -144,17 +150,17 @@
         rig.address(&name).ok_or(TestbedError::Missing("address"))?,
         rig.pid(&name).ok_or(TestbedError::Missing("process"))?,
     );
-    // Until the worker that was killed holds nothing any more.
+    // Until the leases of the killed worker have expired.
     std::thread::sleep(Duration::from_secs(5));
-    let begun = Instant::now();
-    let take = |n: usize| -> Result<u64, TestbedError> {
+    let start = Instant::now();
+    let run_taker = |n: usize| -> Result<u64, TestbedError> {
         let stream = TcpStream::connect(at)?;
         let _ = stream.set_nodelay(true);
-        // A want that comes while the lease is still being freed does not count: it is said again.
+        // A request for a lease that arrives while the lease is still being freed is ignored, so it is repeated after this time.
         let _ = stream.set_read_timeout(Some(Duration::from_millis(20)));
-        let mut taker = Taker { stream, data: Vec::new() };
+        let mut taker = LeaseTaker { stream, data: Vec::new() };
         let (fleet, process) = ("cost".to_owned(), n as u64 + 1);
-        taker.say(&ClientMessage::Hello {
+        taker.send(&ClientMessage::Hello {
             fleet,
             version: VERSION,
             name: format!("s{n}"),
@@ -162,15 +168,15 @@
             process,
         })?;
         while taker.until(|w| matches!(w, ServerMessage::Welcome { .. }).then_some(()))?.is_none() {
-            if begun.elapsed() > TIMEOUT {
+            if start.elapsed() > TIMEOUT {
                 return Err(TestbedError::Missing("welcome"));
             }
         }
         let (mut leases, mut seq) = (0, 0);
-        while begun.elapsed().as_secs_f64() < for_s {
+        while start.elapsed().as_secs_f64() < for_s {
             seq += 1;
             let wants = vec![format!("t{n}")];
-            taker.say(&ClientMessage::Heartbeat {
+            taker.send(&ClientMessage::Heartbeat {
                 seq,
                 wants,
                 leases: Vec::new(),
@@ -183,15 +189,15 @@
                 _ => None,
             })?;
             let Some(held) = granted else { continue };
-            taker.say(&ClientMessage::ReleaseLease { lease: held, failed: false, pass_on: false })?;
+            taker.send(&ClientMessage::ReleaseLease { lease: held, failed: false, pass_on: false })?;
             leases += 1;
         }
         Ok(leases)
     };
-    let mut rows = format!("takers {takers}, memory of the leader (MB) at each tenth:");
-    let taken: Result<Vec<u64>, TestbedError> = std::thread::scope(|scope| {
-        let take = &take;
-        let handles: Vec<_> = (0..takers).map(|n| scope.spawn(move || take(n))).collect();
+    let mut rows = format!("{takers} takers, memory of the leader (MB) after each tenth of the time:");
+    let per_taker: Result<Vec<u64>, TestbedError> = std::thread::scope(|scope| {
+        let run_taker = &run_taker;
+        let handles: Vec<_> = (0..takers).map(|n| scope.spawn(move || run_taker(n))).collect();
         for _tenth in 0..10 {
             std::thread::sleep(Duration::from_secs_f64(for_s / 10.0));
             let _ = write!(rows, " {:.1}", resident_kb(pid) as f64 / 1024.0);
@@ -201,9 +207,9 @@
             .map(|h| h.join().unwrap_or(Err(TestbedError::Panicked { what: "taker" })))
             .collect()
     });
-    let taken: u64 = taken?.iter().sum();
-    let each_s = taken as f64 / begun.elapsed().as_secs_f64();
-    Ok(format!("{rows}\n{taken} leases granted and given back, {each_s:.0} a second, {} commands", 2 * taken))
+    let total: u64 = per_taker?.iter().sum();
+    let per_s = total as f64 / start.elapsed().as_secs_f64();
+    Ok(format!("{rows}\n{total} leases granted and released, {per_s:.0} per second, {} commands", 2 * total))
 }
 
 fn cpu_s(pid: u32) -> f64 {
@@ -211,7 +217,7 @@
     stat.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(0.0) / 1e9
 }
 
-/// The main thread's share alone lies in schedstat; the disk's thread is read with it.
+/// `/proc/PID/schedstat` covers the main thread only, so the disk's thread is read from `/proc/PID/task`.
 fn cpu_of_all_threads_s(pid: u32) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     tasks.filter_map(|t| t.file_name().to_string_lossy().parse().ok()).map(cpu_s).sum()
@@ -223,53 +229,53 @@
     line.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// What so many sessions ask of a leader, for `for_s` seconds each: a row a count.
+/// Measures the load of each number of sessions on the leader for `for_s` seconds; returns a table with one row per number.
 ///
 /// # Errors
-/// What did not come about.
+/// A process does not start, or the sessions are not established in time.
 pub fn sessions(
     folder: &Path,
     programs: &Programs,
     counts: &[usize],
     for_s: f64,
 ) -> Result<String, TestbedError> {
-    let mut text = "sessions  opened in  leader's cpu  resident  up B/s each  down B/s each".to_owned();
+    let mut text = "sessions  opened in  leader's CPU  resident  up B/s each  down B/s each".to_owned();
     for &count in counts {
         let file = FleetFile::decode("fleet = \"cost\"\ncoordinators = 3\nworkers = 1\n")?;
         let rig = Rig::start(file, &folder.join(format!("sessions-{count}")), programs.clone())?;
-        let all: Vec<SocketAddr> = rig.coordinator_addresses();
+        let addresses: Vec<SocketAddr> = rig.coordinator_addresses();
         wait("a leader", || {
             matches!(
-                ask_leader(&all, "cost", &OperatorQuery::Leases, Duration::ZERO),
+                ask_leader(&addresses, "cost", &OperatorQuery::Leases, Duration::ZERO),
                 QueryOutcome::Answer(_)
             )
         })?;
-        let mut sessions_load = SessionLoad::new(count, "cost", &all, &[]);
-        while !sessions_load.all_connected() {
-            sessions_load.turn();
-            if sessions_load.now() > TIMEOUT.as_secs_f64() {
+        let mut load = SessionLoad::new(count, "cost", &addresses, &[]);
+        while !load.all_connected() {
+            load.turn();
+            if load.now() > TIMEOUT.as_secs_f64() {
                 return Err(TestbedError::SessionsNotEstablished { count });
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        let opened = sessions_load.now();
+        let opened_s = load.now();
         let pid = leader(&rig).and_then(|c| rig.pid(&c)).ok_or(TestbedError::Missing("leader"))?;
-        let (cpu, begun) = (cpu_of_all_threads_s(pid), Instant::now());
+        let (cpu, start) = (cpu_of_all_threads_s(pid), Instant::now());
         let (mut up, mut down) = (0, 0);
-        while begun.elapsed().as_secs_f64() < for_s {
-            let (u, d) = sessions_load.turn();
-            (up, down) = (up + u, down + d);
+        while start.elapsed().as_secs_f64() < for_s {
+            let (sent, received) = load.turn();
+            (up, down) = (up + sent, down + received);
             std::thread::sleep(Duration::from_millis(5));
         }
-        let took = begun.elapsed().as_secs_f64();
-        let each = |bytes: u64| bytes as f64 / took / count as f64;
+        let elapsed_s = start.elapsed().as_secs_f64();
+        let per_session_s = |bytes: u64| bytes as f64 / elapsed_s / count as f64;
         let _ = write!(
             text,
-            "\n{count:>8}  {opened:>7.2} s  {:>10.2}%  {:>5.1} MB  {:>11.0}  {:>13.0}",
-            100.0 * (cpu_of_all_threads_s(pid) - cpu) / took,
+            "\n{count:>8}  {opened_s:>7.2} s  {:>10.2}%  {:>5.1} MB  {:>11.0}  {:>13.0}",
+            100.0 * (cpu_of_all_threads_s(pid) - cpu) / elapsed_s,
             resident_kb(pid) as f64 / 1024.0,
-            each(up),
-            each(down)
+            per_session_s(up),
+            per_session_s(down)
         );
     }
     Ok(text)
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -1,5 +1,5 @@
-//! Whether being in a fleet harms what a worker is for: the same requests to a worker with `[fleet]` and without, by paired
-//! seeds, while its coordinators are well, dead, stopped, or come and go.
+//! Measures the overhead of fleet membership: the same requests to a worker with `[fleet]` and without, with paired seeds,
+//! while its coordinators are healthy, killed, suspended, or repeatedly cut off.
 
 use super::rig::{FleetFile, Programs, Rig};
 use crate::error::TestbedError;
@@ -15,60 +15,60 @@
 
 const FLEET: &str = "fleet = \"harm\"\ncoordinators = 3\nworkers = 1\n\
     [[task]]\nname = \"watched\"\nperiod_s = 0.2\nsafe = true\n";
-/// Many small requests, on which a cost of each request shows.
-const SITE: &str = include_str!("../../experiments/console.toml");
-/// How long links stand and lie when they flap.
-const FLAP: Duration = Duration::from_millis(300);
+/// An experiment with many small requests, in which a cost per request is visible.
+const EXPERIMENT: &str = include_str!("../../experiments/console.toml");
+/// Time between two changes of flapping links.
+const FLAP_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How the coordinators are while requests come.
+/// State of the coordinators while requests arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
-    Well,
+enum CoordinatorState {
+    Healthy,
     Killed,
-    Stopped,
+    Suspended,
     Flapping,
 }
 
-impl State {
-    /// Brings them from well to this.
+impl CoordinatorState {
+    /// Brings healthy coordinators into this state.
     fn begin(self, rig: &mut Rig) -> Result<(), TestbedError> {
         let names = rig.coordinators();
         match self {
-            State::Well | State::Flapping => Ok(()),
-            State::Killed => names.iter().try_for_each(|c| rig.kill(c)),
-            State::Stopped => names.iter().try_for_each(|c| rig.pause(c)),
+            CoordinatorState::Healthy | CoordinatorState::Flapping => Ok(()),
+            CoordinatorState::Killed => names.iter().try_for_each(|c| rig.kill(c)),
+            CoordinatorState::Suspended => names.iter().try_for_each(|c| rig.pause(c)),
         }
     }
 
-    /// And back.
+    /// Makes the coordinators healthy again.
     fn end(self, rig: &mut Rig) -> Result<(), TestbedError> {
         let names = rig.coordinators();
         match self {
-            State::Well => Ok(()),
-            State::Flapping => names.iter().try_for_each(|c| rig.cut("w1", c, false, false)),
-            State::Killed => names.iter().try_for_each(|c| rig.restart(c)),
-            State::Stopped => names.iter().try_for_each(|c| rig.resume(c)),
+            CoordinatorState::Healthy => Ok(()),
+            CoordinatorState::Flapping => names.iter().try_for_each(|c| rig.cut("w1", c, false, false)),
+            CoordinatorState::Killed => names.iter().try_for_each(|c| rig.restart(c)),
+            CoordinatorState::Suspended => names.iter().try_for_each(|c| rig.resume(c)),
         }
     }
 }
 
-/// Plays each seed with and without, in turns, in each state; a table of ratios. `well_alone` leaves out the other states,
-/// and the calls at the console, whose own cost grows with what it shows.
+/// Runs each seed with and without `[fleet]` in each state, and returns a table of the ratios. `healthy_only` omits the other
+/// states and the requests to the console, whose own cost grows with what it shows.
 ///
 /// # Errors
-/// What did not come up.
+/// A process does not start.
 pub fn compare(
     folder: &Path,
     programs: Programs,
     seeds: u64,
     length_s: f64,
-    well_alone: bool,
+    healthy_only: bool,
 ) -> Result<String, TestbedError> {
     let worker = programs.worker.clone();
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs)?;
-    // Its links are lent to the worker that is measured.
+    // The worker under measurement uses the relays of this one.
     rig.kill("w1")?;
-    let mut experiment = Experiment::decode(SITE)?;
+    let mut experiment = Experiment::decode(EXPERIMENT)?;
     experiment.length_s = length_s;
     let links: Vec<String> = rig.relay_addresses("w1").iter().map(|a| format!("\"{a}\"")).collect();
     let operator = format!("[fleet]\nname = \"harm\"\ncoordinators = [{}]\n", links.join(", "));
@@ -77,33 +77,38 @@
         name: name.to_owned(),
         operator: operator.to_owned(),
         worker: None,
-        console_every_ms: (!well_alone).then_some(20.0),
+        console_every_ms: (!healthy_only).then_some(20.0),
         console_holders: 0,
         ..base.clone()
     };
     let (with, without) = (variant("with", &operator), variant("without", ""));
-    let mut text = "coordinators  worth               in aim              cpu a request       p99                 longest console call  owed".to_owned();
-    let all = [State::Well, State::Killed, State::Stopped, State::Flapping];
-    for state in all.into_iter().take(if well_alone { 1 } else { 4 }) {
+    let mut text = "coordinators  earned weight       in objective        CPU per request     p99                 longest console call  unanswered".to_owned();
+    let states = [
+        CoordinatorState::Healthy,
+        CoordinatorState::Killed,
+        CoordinatorState::Suspended,
+        CoordinatorState::Flapping,
+    ];
+    for state in states.into_iter().take(if healthy_only { 1 } else { 4 }) {
         let mut pairs: Vec<(Play, Play)> = Vec::new();
         for seed in 1..=seeds {
-            let mut plays = Vec::new();
+            let mut runs = Vec::new();
             let mut order = [&without, &with];
-            // Whoever goes second finds another machine: orders take turns.
+            // The order alternates, since the first run of a pair affects the conditions of the second.
             if seed % 2 == 0 {
                 order.reverse();
             }
             for variant in order {
                 state.begin(&mut rig)?;
                 let play =
-                    flap_while(state, &mut rig, || loopback::play(&experiment, variant, seed, &worker))?;
+                    with_flaps(state, &mut rig, || loopback::play(&experiment, variant, seed, &worker))?;
                 state.end(&mut rig)?;
-                plays.push(play);
+                runs.push(play);
             }
             if seed % 2 == 0 {
-                plays.reverse();
+                runs.reverse();
             }
-            if let (Some(with), Some(without)) = (plays.pop(), plays.pop()) {
+            if let (Some(with), Some(without)) = (runs.pop(), runs.pop()) {
                 pairs.push((with, without));
             }
         }
@@ -113,10 +118,10 @@
             format!("{mean:.3} +- {half:.3}    ")
         };
         let metric = |name: &'static str| move |play: &Play| play.metric(name, None);
-        let owed: u64 = pairs.iter().map(|(with, _)| with.owed).sum();
+        let unanswered: u64 = pairs.iter().map(|(with, _)| with.owed).sum();
         let _ = write!(
             text,
-            "\n{:<14}{}{}{}{}{}    {owed}",
+            "\n{:<14}{}{}{}{}{}    {unanswered}",
             format!("{state:?}").to_lowercase(),
             ratio(&metric("worth")),
             ratio(&metric("in_aim")),
@@ -128,18 +133,18 @@
     Ok(text)
 }
 
-/// Plays while the worker's links come and go, if that is the state.
-fn flap_while<T: Send>(state: State, rig: &mut Rig, play: impl FnOnce() -> T + Send) -> T {
-    if state != State::Flapping {
+/// Calls `play`; in the state `Flapping`, cuts and heals the worker's links meanwhile.
+fn with_flaps<T: Send>(state: CoordinatorState, rig: &mut Rig, play: impl FnOnce() -> T + Send) -> T {
+    if state != CoordinatorState::Flapping {
         return play();
     }
-    let over = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let coordinators = rig.coordinators();
     let rig = Mutex::new(rig);
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let mut cut = false;
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 cut = !cut;
                 let mut rig = lock(&rig);
                 for c in &coordinators {
@@ -147,11 +152,11 @@
                     rig.reset("w1", c);
                 }
                 drop(rig);
-                std::thread::sleep(FLAP);
+                std::thread::sleep(FLAP_INTERVAL);
             }
         });
         let result = play();
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
         result
     })
 }
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -1,5 +1,5 @@
-//! Random faults among real processes: a seed draws a schedule, a fleet is started and runs under it, the log of the tasks'
-//! calls is reviewed, and a schedule that breaks something is made shorter while it still does.
+//! Random faults in fleets of real processes. A seed determines a schedule of faults, a fleet runs under it, and the log of
+//! task calls is checked. A schedule that violates a guarantee is shrunk while it still does.
 
 use super::rig::{get, FleetFile, Programs, Rig};
 use super::task_log::{find_violations, TaskCall};
@@ -17,58 +17,58 @@
     [[task]]\nname = \"report\"\nperiod_s = 0.4\nttl_ms = 2000\ndeadline_ms = 300\nsafe = false\n\
     [[task]]\nname = \"refresh\"\nperiod_s = 0.3\nttl_ms = 3000\ndeadline_ms = 300\nsafe = true\n";
 const TASKS: [&str; 2] = ["report", "refresh"];
-/// Mean time between two faults (seconds).
-const EVERY_S: f64 = 1.0;
-/// How long the fleet may take, once nothing fails any more, until every task is acted for again.
-const RECOVERY: Duration = Duration::from_secs(30);
-/// Plays that making a schedule shorter may take.
-const SHRINK_MOST: usize = 40;
+/// Mean time between faults (seconds).
+const MEAN_FAULT_INTERVAL_S: f64 = 1.0;
+/// Time after the last fault in which every task must be carried out again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Largest number of runs used to shrink a schedule.
+const MAX_SHRINK_RUNS: usize = 40;
 
-/// What is done to whom, from when and for how long.
+/// A fault of a schedule: its action, start and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins (milliseconds).
+    /// Start time (milliseconds).
     pub at_ms: u64,
-    /// How long it lasts (milliseconds).
+    /// Duration (milliseconds).
     pub for_ms: u64,
-    /// What is done.
+    /// Kind and targets of the fault.
     pub action: FaultAction,
 }
 
-/// What is done to whom.
+/// Kind and targets of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
     /// The process is killed.
     Kill(String),
     /// The process is suspended.
     Pause(String),
-    /// The disk is full for the process.
+    /// The process's disk is full.
     Fill(String),
     /// The worker is hot restarted.
     Replace(String),
-    /// Bytes between the two are held back.
+    /// The network between two processes is partitioned.
     Cut {
-        /// One side; that which sends, where the cut is one-way.
+        /// One process; the sender if the cut is one-way.
         from: String,
-        /// The other side.
+        /// The other process.
         to: String,
-        /// Only bytes from the one to the other are held back.
+        /// Whether only bytes from `from` to `to` are held back.
         one_way: bool,
     },
-    /// Bytes between the two are delayed.
+    /// Data between two processes is delayed.
     Delay {
-        /// One side.
+        /// One process.
         from: String,
-        /// The other side.
+        /// The other process.
         to: String,
-        /// By how long (milliseconds).
+        /// Delay (milliseconds).
         ms: u64,
     },
-    /// Connections between the two are reset.
+    /// Connections between two processes are reset.
     Reset {
-        /// One side.
+        /// One process.
         from: String,
-        /// The other side.
+        /// The other process.
         to: String,
     },
 }
@@ -91,7 +91,7 @@
 }
 
 impl FaultAction {
-    /// Whom it is about.
+    /// Returns the names of the processes that it affects.
     fn names(&self) -> Vec<&str> {
         match self {
             FaultAction::Kill(name)
@@ -106,7 +106,7 @@
         }
     }
 
-    /// What can't be done now, as to a process that does not run, is not done.
+    /// Starts the fault; an error means that it can't be carried out now, for instance because the process is not running.
     fn begin(&self, rig: &mut Rig) -> Result<(), TestbedError> {
         match self {
             FaultAction::Kill(name) => rig.kill(name),
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Ends the fault.
     fn end(&self, rig: &mut Rig) -> Result<(), TestbedError> {
         match self {
             FaultAction::Kill(name) => rig.restart(name),
@@ -140,69 +141,73 @@
     }
 }
 
-/// A seed's faults, in the order of their beginning.
+/// Draws a seed's faults, in order of their start.
 #[must_use]
 pub fn draw(seed: u64, length_s: f64, coordinators: &[String], workers: &[String]) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut faults: Vec<Fault> = Vec::new();
     let mut begin_s = 0.0;
     loop {
-        begin_s += -EVERY_S * (1.0 - rng.random::<f64>()).ln();
+        begin_s += -MEAN_FAULT_INTERVAL_S * (1.0 - rng.random::<f64>()).ln();
         if begin_s >= length_s {
             return faults;
         }
         let mut one = |of: &[String]| of.choose(&mut rng).cloned().unwrap_or_default();
         let (coordinator, other, worker) = (one(coordinators), one(coordinators), one(workers));
-        let anyone = if rng.random_bool(0.5) { coordinator.clone() } else { worker.clone() };
+        let process = if rng.random_bool(0.5) { coordinator.clone() } else { worker.clone() };
         let peer = if rng.random_bool(0.5) && other != coordinator { other } else { worker.clone() };
         let (from, to) =
             if rng.random_bool(0.5) { (coordinator.clone(), peer) } else { (peer, coordinator.clone()) };
         let at_ms = (begin_s * 1000.0) as u64;
         let for_ms = rng.random_range(200..6000);
         let action = match rng.random_range(0..100) {
-            0..=19 => FaultAction::Kill(anyone),
-            20..=39 => FaultAction::Pause(anyone),
+            0..=19 => FaultAction::Kill(process),
+            20..=39 => FaultAction::Pause(process),
             40..=49 => FaultAction::Fill(coordinator),
             50..=74 => FaultAction::Cut { from, to, one_way: rng.random_bool(0.5) },
             75..=84 => FaultAction::Delay { from, to, ms: rng.random_range(5..400) },
             85..=92 => FaultAction::Reset { from, to },
             _ => FaultAction::Replace(worker),
         };
-        // A replacement waits for its successor: nothing else may happen to that worker meanwhile.
+        // A hot restart waits until the successor is ready; no other fault may affect that worker meanwhile.
         let names: Vec<String> = action.names().into_iter().map(str::to_owned).collect();
-        let alone = matches!(action, FaultAction::Replace(_));
-        let beside = faults.iter().any(|f| {
-            let close = f.at_ms + f.for_ms + 2000 > at_ms
+        let is_replacement = matches!(action, FaultAction::Replace(_));
+        let conflicts = faults.iter().any(|f| {
+            let overlaps = f.at_ms + f.for_ms + 2000 > at_ms
                 && f.action.names().iter().any(|n| names.iter().any(|o| o == n));
-            close && (alone || matches!(f.action, FaultAction::Replace(_)))
+            overlaps && (is_replacement || matches!(f.action, FaultAction::Replace(_)))
         });
-        if !beside {
-            faults.push(Fault { at_ms, for_ms: if alone { 2000 } else { for_ms }, action });
+        if !conflicts {
+            faults.push(Fault { at_ms, for_ms: if is_replacement { 2000 } else { for_ms }, action });
         }
     }
 }
 
-/// What came of one schedule.
+/// Result of running a schedule.
 #[derive(Default)]
 pub struct CampaignReport {
-    /// A line for each guarantee that was broken.
-    pub wrong: Vec<String>,
-    /// The log of the tasks' calls.
-    pub acts: Vec<TaskCall>,
-    /// How long the fleet took, once nothing failed any more (seconds).
+    /// Violated guarantees, one line each.
+    pub violations: Vec<String>,
+    /// Logged task calls.
+    pub calls: Vec<TaskCall>,
+    /// Time from the end of the faults until all tasks were carried out again (seconds).
     pub recovery_s: f64,
 }
 
-/// Starts a fleet and lets it live through these faults.
+/// Runs a fleet under a schedule of faults and checks the results.
 ///
 /// # Errors
-/// It did not come up.
-pub fn live(folder: &Path, programs: &Programs, faults: &[Fault]) -> Result<CampaignReport, TestbedError> {
+/// The fleet does not start.
+pub fn run_schedule(
+    folder: &Path,
+    programs: &Programs,
+    faults: &[Fault],
+) -> Result<CampaignReport, TestbedError> {
     let _ = std::fs::remove_dir_all(folder);
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs.clone())?;
-    let mut lived = CampaignReport::default();
-    if !acted(&rig, &rig.task_calls(), 2, RECOVERY) {
-        lived.wrong.push("nobody acted before the faults".to_owned());
+    let mut report = CampaignReport::default();
+    if !wait_for_calls(&rig, &rig.task_calls(), 2, RECOVERY_TIMEOUT) {
+        report.violations.push("tasks were not carried out before the faults".to_owned());
     }
     let mut steps: Vec<(u64, bool, &Fault)> = Vec::new();
     for fault in faults {
@@ -212,10 +217,10 @@
     let start = Instant::now();
     for (at_ms, begins, fault) in steps {
         std::thread::sleep(Duration::from_millis(at_ms).saturating_sub(start.elapsed()));
-        // One that overlaps another may have nothing to do.
+        // A fault that overlaps another may have no effect.
         let _ = if begins { fault.action.begin(&mut rig) } else { fault.action.end(&mut rig) };
     }
-    // Of two faults on one process the first to end may have left what the second had begun.
+    // With overlapping faults on one process, the end of the first may leave the effect of the second in place.
     let names: Vec<String> = rig.coordinators().into_iter().chain(rig.workers()).collect();
     for name in &names {
         let _ = rig.resume(name);
@@ -223,134 +228,140 @@
         let _ = rig.fill(name, false);
     }
     let (before, healed) = (rig.task_calls(), Instant::now());
-    if !acted(&rig, &before, 3, RECOVERY) {
-        lived.wrong.push(format!("a task is not acted for {RECOVERY:?} after the last fault"));
+    if !wait_for_calls(&rig, &before, 3, RECOVERY_TIMEOUT) {
+        report
+            .violations
+            .push(format!("a task is not carried out within {RECOVERY_TIMEOUT:?} after the last fault"));
     }
-    lived.recovery_s = healed.elapsed().as_secs_f64();
+    report.recovery_s = healed.elapsed().as_secs_f64();
     for name in rig.workers() {
-        // As text: the report shows the error as a quoted line.
-        let reply = match rig.listen_address(&name) {
+        // The error is converted to text, so that the report shows it as a quoted line.
+        let response = match rig.listen_address(&name) {
             Some(address) => get(address, "/check").map_err(|fault| fault.to_string()),
-            None => Err("no door".to_owned()),
+            None => Err("no listen address".to_owned()),
         };
-        if !reply.as_ref().is_ok_and(|r| r.starts_with("HTTP/1.1 200")) {
-            lived.wrong.push(format!("{name} does not serve: {reply:?}"));
+        if !response.as_ref().is_ok_and(|r| r.starts_with("HTTP/1.1 200")) {
+            report.violations.push(format!("{name} does not serve: {response:?}"));
         }
     }
-    lived.acts = rig.task_calls();
-    lived.wrong.extend(find_violations(&lived.acts));
-    Ok(lived)
+    report.calls = rig.task_calls();
+    report.violations.extend(find_violations(&report.calls));
+    Ok(report)
 }
 
-/// Waits until each task was acted for so many times more.
-fn acted(rig: &Rig, before: &[TaskCall], more: usize, timeout: Duration) -> bool {
-    let count = |acts: &[TaskCall], task: &str| acts.iter().filter(|a| a.accepted && a.task == task).count();
-    let until = Instant::now() + timeout;
+/// Waits until each task has `count_more` more accepted calls than in `before`; `false` on timeout.
+fn wait_for_calls(rig: &Rig, before: &[TaskCall], count_more: usize, timeout: Duration) -> bool {
+    let count =
+        |calls: &[TaskCall], task: &str| calls.iter().filter(|a| a.accepted && a.task == task).count();
+    let deadline = Instant::now() + timeout;
     loop {
         let now = rig.task_calls();
-        if TASKS.iter().all(|task| count(&now, task) >= count(before, task) + more) {
+        if TASKS.iter().all(|task| count(&now, task) >= count(before, task) + count_more) {
             return true;
         }
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             return false;
         }
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Fewer faults that still break something: halves are left out, then quarters, and so on to single ones.
-fn shrink(mut faults: Vec<Fault>, mut breaks: impl FnMut(&[Fault]) -> bool) -> Vec<Fault> {
-    let mut plays = 0;
-    let mut part = faults.len().div_ceil(2);
-    while part > 0 && plays < SHRINK_MOST {
+/// Shrinks a failing schedule: removes halves, then quarters, and so on to single faults, as long as it still fails.
+fn shrink(mut faults: Vec<Fault>, mut fails: impl FnMut(&[Fault]) -> bool) -> Vec<Fault> {
+    let mut runs = 0;
+    let mut chunk = faults.len().div_ceil(2);
+    while chunk > 0 && runs < MAX_SHRINK_RUNS {
         let mut at = 0;
-        while at < faults.len() && plays < SHRINK_MOST {
+        while at < faults.len() && runs < MAX_SHRINK_RUNS {
             let mut fewer = faults.clone();
-            fewer.drain(at..(at + part).min(faults.len()));
-            plays += 1;
-            if breaks(&fewer) {
+            fewer.drain(at..(at + chunk).min(faults.len()));
+            runs += 1;
+            if fails(&fewer) {
                 faults = fewer;
             } else {
-                at += part;
+                at += chunk;
             }
         }
-        part = if part == 1 { 0 } else { part.div_ceil(2) };
+        chunk = if chunk == 1 { 0 } else { chunk.div_ceil(2) };
     }
     faults
 }
 
-/// A seed, how many faults it drew, what came of them, and the fewest that break something if anything did.
-type Life = (u64, usize, CampaignReport, Vec<Fault>);
+/// A seed, its number of faults, the report, and the shrunk schedule if a guarantee was violated.
+type SeedResult = (u64, usize, CampaignReport, Vec<Fault>);
 
-/// Plays seed after seed for so long, several fleets side by side; `true` if nothing was found broken.
+/// Runs seeds from `from` on for `for_s` seconds, in `concurrent_fleets` lanes. Returns a summary, and `true` if no guarantee
+/// was violated.
 ///
 /// # Errors
-/// A fleet did not come up.
+/// A fleet does not start.
 pub fn campaign(
     folder: &Path,
     programs: &Programs,
     from: u64,
     for_s: f64,
     faults_s: f64,
-    beside: usize,
+    concurrent_fleets: usize,
 ) -> Result<(String, bool), TestbedError> {
     let end = Instant::now() + Duration::from_secs_f64(for_s.clamp(0.0, 86_400.0));
     let next = std::sync::atomic::AtomicU64::new(from);
-    let lane = |lane: usize| -> Result<Vec<Life>, TestbedError> {
-        let own = folder.join(format!("lane-{lane}"));
-        let mut lives = Vec::new();
+    let lane = |lane: usize| -> Result<Vec<SeedResult>, TestbedError> {
+        let lane_folder = folder.join(format!("lane-{lane}"));
+        let mut results = Vec::new();
         while Instant::now() < end {
             let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             let names = |kind: char, n: usize| (1..=n).map(|n| format!("{kind}{n}")).collect::<Vec<_>>();
             let faults = draw(seed, faults_s, &names('c', 5), &names('w', 8));
-            let report = live(&own, programs, &faults)?;
-            let mut shortest = Vec::new();
-            if !report.wrong.is_empty() {
+            let report = run_schedule(&lane_folder, programs, &faults)?;
+            let mut shrunk = Vec::new();
+            if !report.violations.is_empty() {
                 let kept = folder.join(format!("broken-{seed}"));
-                let _ = std::fs::rename(&own, kept);
-                shortest = shrink(faults.clone(), |fewer| {
-                    live(&own, programs, fewer).is_ok_and(|again| !again.wrong.is_empty())
+                let _ = std::fs::rename(&lane_folder, kept);
+                shrunk = shrink(faults.clone(), |fewer| {
+                    run_schedule(&lane_folder, programs, fewer)
+                        .is_ok_and(|again| !again.violations.is_empty())
                 });
             }
-            lives.push((seed, faults.len(), report, shortest));
+            results.push((seed, faults.len(), report, shrunk));
         }
-        let _ = std::fs::remove_dir_all(&own);
-        Ok(lives)
+        let _ = std::fs::remove_dir_all(&lane_folder);
+        Ok(results)
     };
     let lanes: Vec<_> = std::thread::scope(|scope| {
         let lane = &lane;
-        let handles: Vec<_> = (0..beside.max(1)).map(|n| scope.spawn(move || lane(n))).collect();
-        let ended = |h: std::thread::ScopedJoinHandle<'_, _>| {
+        let handles: Vec<_> = (0..concurrent_fleets.max(1)).map(|n| scope.spawn(move || lane(n))).collect();
+        let join = |h: std::thread::ScopedJoinHandle<'_, _>| {
             h.join().unwrap_or(Err(TestbedError::Panicked { what: "lane" }))
         };
-        handles.into_iter().map(ended).collect()
+        handles.into_iter().map(join).collect()
     });
-    let mut lives = Vec::new();
+    let mut results = Vec::new();
     for lane in lanes {
-        lives.extend(lane?);
+        results.extend(lane?);
     }
-    lives.sort_by_key(|(seed, ..)| *seed);
-    let (mut faults, mut accepted, mut refused, mut broken, mut recovery) = (0, 0, 0, 0, Vec::new());
+    results.sort_by_key(|(seed, ..)| *seed);
+    let (mut faults, mut accepted, mut rejected, mut failed_seeds, mut recovery) = (0, 0, 0, 0, Vec::new());
     let mut text = String::new();
-    for (seed, count, lived, shortest) in &lives {
+    for (seed, count, report, shrunk) in &results {
         faults += count;
-        accepted += lived.acts.iter().filter(|a| a.accepted).count();
-        refused += lived.acts.iter().filter(|a| !a.accepted).count();
-        recovery.push(lived.recovery_s);
-        if !lived.wrong.is_empty() {
-            broken += 1;
-            let schedule: Vec<String> = shortest.iter().map(Fault::to_string).collect();
-            let _ = write!(text, "\nseed {seed}: {}\n  {}", lived.wrong.join("; "), schedule.join("\n  "));
+        accepted += report.calls.iter().filter(|a| a.accepted).count();
+        rejected += report.calls.iter().filter(|a| !a.accepted).count();
+        recovery.push(report.recovery_s);
+        if !report.violations.is_empty() {
+            failed_seeds += 1;
+            let schedule: Vec<String> = shrunk.iter().map(Fault::to_string).collect();
+            let _ =
+                write!(text, "\nseed {seed}: {}\n  {}", report.violations.join("; "), schedule.join("\n  "));
         }
     }
     recovery.sort_by(f64::total_cmp);
     let at = |q: f64| recovery.get(((recovery.len() as f64 - 1.0) * q) as usize).copied().unwrap_or(f64::NAN);
     let summary = format!(
-        "{} fleets of processes, {:.0} s of faults each, {faults} faults, {accepted} acts accepted, {refused} refused; \
-         broken: {broken}\nall tasks acted for three times after the last fault: p50 {:.1} s, p90 {:.1} s, most {:.1} s",
-        lives.len(), faults_s, at(0.5), at(0.9), at(1.0)
+        "{} fleets of processes, {:.0} s of faults each, {faults} faults, {accepted} calls accepted, {rejected} rejected; \
+         seeds with violations: {failed_seeds}\nthree calls of every task after the last fault: p50 {:.1} s, p90 {:.1} s, max {:.1} s",
+        results.len(), faults_s, at(0.5), at(0.9), at(1.0)
     );
-    Ok((summary + &text, broken == 0))
+    Ok((summary + &text, failed_seeds == 0))
 }
 
 #[cfg(test)]
--- a/testbed/src/fleet/rig/configuration.rs
+++ b/testbed/src/fleet/rig/configuration.rs
@@ -55,7 +55,7 @@
         config
     }
 
-    /// Returns a worker's operator file; `number` is the worker's index.
+    /// Returns a worker's operator file; `number` is the worker's index, from 0.
     pub(super) fn operator_file(&self, name: &str, number: usize) -> Result<String, TestbedError> {
         let mut text = format!("[fleet]\nname = {:?}\ncoordinators = [", self.file.fleet);
         for to in self.coordinators() {
