--- a/testbed/tests/command_line.rs
+++ b/testbed/tests/command_line.rs
@@ -1,10 +1,10 @@
-//! The command line: help texts, exit statuses, and the lines on stderr.
+//! The command line: help texts, exit statuses, and error lines on stderr.
 
 use std::fmt::Write;
 use std::fs;
 use std::process::{Command, Output};
 
-/// The program under test, and the name it gives itself.
+/// Path of the program under test, and its name in messages.
 const PATH: &str = env!("CARGO_BIN_EXE_testbed");
 const NAME: &str = "testbed";
 
@@ -21,17 +21,17 @@
     "compatibility",
     "sim",
 ];
-const UNUSABLE: i32 = 2;
+const EXIT_UNUSABLE: i32 = 2;
 
 fn run(arguments: &[&str]) -> Output {
     Command::new(PATH).args(arguments).output().unwrap()
 }
 
-/// Runs the program, which must fail for its arguments, print nothing on stdout and this on stderr.
+/// Runs the program with arguments that it must reject: exit status 2, nothing on stdout, `expected` on stderr.
 fn assert_unusable(arguments: &[&str], expected: &str) {
     let output = run(arguments);
     assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), expected, "{arguments:?}");
-    assert_eq!(output.status.code(), Some(UNUSABLE), "{arguments:?}");
+    assert_eq!(output.status.code(), Some(EXIT_UNUSABLE), "{arguments:?}");
     assert!(output.stdout.is_empty(), "{arguments:?}");
 }
 
@@ -48,12 +48,12 @@
     assert_eq!(text, include_str!("fixtures/help.txt"));
 }
 
-/// The subcommand's name until the second reading; scripts may still use it.
+/// The subcommand was renamed; its former name stays as an alias for scripts that use it.
 #[test]
 fn former_name_of_fleet_overhead_is_an_alias() {
-    let (former, present) = (run(&["fleet-harm", "--help"]), run(&["fleet-overhead", "--help"]));
+    let (former, current) = (run(&["fleet-harm", "--help"]), run(&["fleet-overhead", "--help"]));
     assert_eq!(former.status.code(), Some(0));
-    assert_eq!(former.stdout, present.stdout);
+    assert_eq!(former.stdout, current.stdout);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     assert_unusable(&["sim", missing], &expected);
     assert_unusable(&["run", missing], &expected);
 
-    let file = std::env::temp_dir().join(format!("lab-file-{}.toml", std::process::id()));
+    let file = std::env::temp_dir().join(format!("testbed-file-{}.toml", std::process::id()));
     let path = file.to_str().unwrap();
     fs::write(&file, "epock = 1\n").unwrap();
     let expected = format!(
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes under test: start it, wait for conditions, and review the task calls at the end.
+//! A fleet of real processes under test: starting it, waiting for conditions, and checking the task calls at the end.
 
 use fleet_coordinator::client::{ask, ask_leader, QueryOutcome};
 use port_worker::fleet::frame::{OperatorQuery, ServerMessage};
@@ -15,9 +15,9 @@
     [[task]]\nname = \"report\"\nperiod_s = 0.4\nttl_ms = 3000\ndeadline_ms = 300\nsafe = false\n\
     [[task]]\nname = \"refresh\"\nperiod_s = 0.3\nttl_ms = 3000\ndeadline_ms = 300\nsafe = true\n";
 
-/// Both tasks.
+/// Names of both tasks.
 pub const TASKS: [&str; 2] = ["report", "refresh"];
-/// How long a test waits for any one condition; far more than a slow machine needs.
+/// Time limit for a single condition; far more than a slow machine needs.
 const TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Whether a metric has exactly this value.
@@ -25,13 +25,13 @@
     value.total_cmp(&expected).is_eq()
 }
 
-/// A fleet that runs, and where its files are.
+/// A running fleet and the folder of its files.
 pub struct FleetUnderTest {
     pub rig: Rig,
     folder: PathBuf,
 }
 
-/// The programs of this build; `cargo test -p testbed` alone has not made them yet.
+/// Finds the programs of this build, and builds them if necessary: `cargo test -p testbed` alone does not build them.
 fn programs() -> Programs {
     static BUILT: Once = Once::new();
     let target = std::env::current_exe().unwrap().parent().unwrap().parent().unwrap().to_owned();
@@ -49,12 +49,12 @@
 }
 
 impl FleetUnderTest {
-    /// Three coordinators, six workers and two tasks, each of which has been carried out.
+    /// Starts three coordinators and six workers, and waits until both tasks have been carried out.
     pub fn start() -> FleetUnderTest {
         FleetUnderTest::start_with_fencing(Fencing::Enforced)
     }
 
-    /// With a resource that accepts every token: the counter-proof.
+    /// Starts the fleet with a resource that accepts every token, to verify that the check finds the violations.
     pub fn start_without_fencing() -> FleetUnderTest {
         FleetUnderTest::start_with_fencing(Fencing::Disabled)
     }
@@ -65,7 +65,7 @@
         fleet
     }
 
-    /// With five coordinators.
+    /// Starts the fleet with five coordinators.
     pub fn start_with_five_coordinators() -> FleetUnderTest {
         let fleet = FleetUnderTest::start_processes(
             &FLEET.replace("coordinators = 3", "coordinators = 5"),
@@ -75,7 +75,7 @@
         fleet
     }
 
-    /// With a task that none of its workers carries out.
+    /// Starts a fleet with a task that no worker carries out, since its only worker is killed.
     pub fn start_with_a_free_lease() -> FleetUnderTest {
         let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 1\n\
             [[task]]\nname = \"wanted\"\nperiod_s = 1000.0\nttl_ms = 2000\nsafe = true\n";
@@ -85,7 +85,7 @@
         fleet
     }
 
-    /// With two workers, of which one carries out the only task.
+    /// Starts a fleet with two workers and one task, and waits until it has been carried out.
     pub fn start_with_two_workers() -> FleetUnderTest {
         let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 2\n\
             [[task]]\nname = \"report\"\nperiod_s = 0.4\nttl_ms = 3000\ndeadline_ms = 300\nsafe = true\n";
@@ -94,19 +94,19 @@
         fleet
     }
 
-    /// Four workers in two zones that handle overload as one, with four calls in flight each at the downstream service.
+    /// Starts four workers in two zones with fleet-wide overload control, with four downstream calls in flight per worker.
     pub fn start_with_overload_control() -> FleetUnderTest {
         let file = "fleet = \"story\"\ncoordinators = 3\nworkers = 4\nzones = [\"east\", \"west\"]\ncalls_part = 4.0\n";
         let fleet = FleetUnderTest::start_processes(file, Fencing::Enforced);
         for name in fleet.rig.workers() {
-            fleet.wait(&format!("{name} knows of all four"), |_| {
+            fleet.wait(&format!("{name} counts all four workers"), |_| {
                 fleet.metric(&name, "fleet.overload.of_workers").filter(|of| is_exactly(*of, 4.0))
             });
         }
         fleet
     }
 
-    /// In which one coordinator understands version 1 alone.
+    /// Starts the fleet with one coordinator that supports protocol version 1 only.
     pub fn start_with_mixed_versions() -> FleetUnderTest {
         FleetUnderTest::start_processes(&format!("older = [\"c3\"]\n{FLEET}"), Fencing::Enforced)
     }
@@ -120,12 +120,12 @@
         FleetUnderTest { rig, folder }
     }
 
-    /// What a process has logged so far.
+    /// Returns what a process has logged so far.
     pub fn log(&self, name: &str) -> String {
         std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    /// Waits until something is so.
+    /// Waits until `look` returns a value.
     pub fn wait<T>(&self, what: &str, mut look: impl FnMut(&Rig) -> Option<T>) -> T {
         let until = Instant::now() + TIMEOUT;
         loop {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The ends of all logs, for the message of a test that fails.
+    /// Returns the last lines of all logs, for the message of a failed test.
     fn log_tails(&self) -> String {
         let names = self.rig.coordinators().into_iter().chain(self.rig.workers());
         names.fold(String::new(), |all, name| {
@@ -152,10 +152,10 @@
         self.rig.task_calls().into_iter().filter(|a| a.accepted && a.task == task).collect()
     }
 
-    /// Waits for so many more acts of a task than there are now.
+    /// Waits until a task has `more` more accepted calls than now.
     pub fn wait_task_calls(&self, task: &str, more: usize) {
         let before = self.accepted_calls(task).len();
-        self.wait(&format!("{more} more acts of {task}"), |_| {
+        self.wait(&format!("{more} more calls of {task}"), |_| {
             (self.accepted_calls(task).len() >= before + more).then_some(())
         });
     }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Who holds a task, once somebody does.
+    /// Waits until a worker holds the task's lease, and returns its name.
     pub fn lease_holder(&self, task: &str) -> String {
         self.wait(&format!("a holder of {task}"), |_| {
             let leases = self.query(&OperatorQuery::Leases)?;
@@ -182,7 +182,7 @@
         })
     }
 
-    /// One coordinator's own standing.
+    /// Returns a coordinator's own status.
     pub fn status(&self, name: &str) -> Option<Value> {
         match ask(self.rig.address(name)?, "story", &OperatorQuery::Status, Duration::from_secs(1)) {
             Ok(ServerMessage::QueryResult { answer }) => Some(answer),
@@ -197,34 +197,35 @@
         })
     }
 
-    /// A coordinator that does not lead.
+    /// Returns a coordinator that is not the leader.
     pub fn follower(&self) -> String {
         let leader = self.leader();
         self.rig.coordinators().into_iter().find(|c| *c != leader).unwrap()
     }
 
-    pub fn wait_member_status(&self, name: &str, standing: &str) -> String {
-        self.wait(&format!("{name} {standing}"), |_| {
-            let status = self.status(name).filter(|s| s["standing"] == standing)?;
+    /// Waits until a coordinator has this membership status, and returns the reason that it gives.
+    pub fn wait_member_status(&self, name: &str, status_name: &str) -> String {
+        self.wait(&format!("{name} {status_name}"), |_| {
+            let status = self.status(name).filter(|s| s["standing"] == status_name)?;
             Some(status["why"].as_str().unwrap_or("").to_owned())
         })
     }
 
-    /// Waits until the fleet knows that this coordinator's disk has held the log beyond `end`.
+    /// Waits until the leader's log records that this coordinator has persisted entries beyond `end`.
     pub fn wait_persisted(&self, name: &str, end: u64) {
-        self.wait(&format!("the log knows how far {name} is"), |_| {
+        self.wait(&format!("{name} recorded as persisted beyond {end}"), |_| {
             let status = self.status(&self.leader())?;
             let number = status["members"].as_object()?.iter().find(|(_, n)| *n == name)?.0.clone();
             status["kept"][&number].as_u64().filter(|kept| *kept > end)
         });
     }
 
-    /// What this worker calls is held back on its way, or goes on.
+    /// Holds back this worker's task calls in transit, or delivers them.
     pub fn hold_task_calls(&mut self, name: &str, held: bool) {
         self.rig.cut(name, "acts", true, held).unwrap();
     }
 
-    /// Waits until another than `old` holds the task.
+    /// Waits until another worker than `old` has carried out the task.
     pub fn wait_other_holder(&self, task: &str, old: &str) -> String {
         self.wait(&format!("another holder of {task} than {old}"), |_| {
             let last = self.accepted_calls(task).pop()?;
@@ -232,33 +233,36 @@
         })
     }
 
-    /// Every worker lets clients in, whatever its coordinators do.
+    /// Asserts that every worker passes its health check, whatever state its coordinators are in.
     pub fn assert_all_serve(&self) {
         for name in self.rig.workers() {
-            let reply =
+            let response =
                 self.wait(&format!("{name}'s health"), |rig| get(rig.listen_address(&name)?, "/check").ok());
-            assert!(reply.starts_with("HTTP/1.1 200"), "{name}: {reply}");
+            assert!(response.starts_with("HTTP/1.1 200"), "{name}: {response}");
         }
     }
 
     pub fn drain(&self, name: &str, on: bool) {
         let path = if on { "/-/drain" } else { "/-/resume" };
-        let reply = call(self.rig.address(name).unwrap(), "POST", path).unwrap();
-        assert!(reply.starts_with("HTTP/1.1 200"), "{reply}");
+        let response = call(self.rig.address(name).unwrap(), "POST", path).unwrap();
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
 
-    /// A figure at a worker's console.
-    pub fn metric(&self, name: &str, figure: &str) -> Option<f64> {
+    /// Returns a metric from a worker's console.
+    pub fn metric(&self, name: &str, metric: &str) -> Option<f64> {
         let text = get(self.rig.address(name)?, "/-/metrics").ok()?;
-        text.lines().find_map(|l| l.strip_prefix(figure)?.strip_prefix('=')?.parse().ok())
+        text.lines().find_map(|l| l.strip_prefix(metric)?.strip_prefix('=')?.parse().ok())
     }
 
-    /// Accepted task calls never overlap, tokens never go down, and each period is carried out once.
+    /// Asserts that accepted task calls never overlap, tokens never decrease, and each period is carried out once.
     pub fn assert_no_violations(&self) {
-        let acts = self.rig.task_calls();
-        let wrong = find_violations(&acts);
-        assert!(wrong.is_empty(), "{wrong:#?}\n{}", self.log_tails());
-        assert!(acts.iter().filter(|a| a.accepted).count() > 8, "hardly any task was carried out");
+        let calls = self.rig.task_calls();
+        let violations = find_violations(&calls);
+        assert!(violations.is_empty(), "{violations:#?}\n{}", self.log_tails());
+        assert!(
+            calls.iter().filter(|a| a.accepted).count() > 8,
+            "too few calls for the check to mean something"
+        );
     }
 }
 
--- a/testbed/tests/fleet/coordinators.rs
+++ b/testbed/tests/fleet/coordinators.rs
@@ -1,4 +1,4 @@
-//! Coordinators that are killed, cut off, restarted, or lose their disks.
+//! Coordinators that are killed, partitioned, restarted, run out of disk space, or lose their disks.
 
 use super::common::{FleetUnderTest, TASKS};
 use fleet_coordinator::client::{ask_leader, QueryOutcome};
@@ -16,7 +16,7 @@
     assert_eq!(
         TASKS.map(|task| fleet.lease_holder(task)),
         holders,
-        "a change of leader is no reason to change holders"
+        "a change of leader must not change holders"
     );
     fleet.rig.restart(&leader).unwrap();
     fleet.wait_member_status(&leader, "member");
@@ -30,11 +30,11 @@
     let (leader, follower) = (fleet.leader(), fleet.follower());
     fleet.rig.kill(&leader).unwrap();
     fleet.rig.kill(&follower).unwrap();
-    // A time to live, and what the call itself may take.
+    // The time to live of the leases, and the time that a call may take.
     std::thread::sleep(Duration::from_secs(2));
     let before = fleet.rig.task_calls().len();
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(fleet.rig.task_calls().len(), before, "somebody acts without a quorum");
+    assert_eq!(fleet.rig.task_calls().len(), before, "a task was called without a quorum");
     fleet.assert_all_serve();
     let asked = ask_leader(
         &fleet.rig.coordinator_addresses(),
@@ -77,7 +77,7 @@
     let full = Instant::now();
     let why = fleet.wait_member_status(&leader, "aside");
     assert!(why.contains("append") || why.contains("create"), "{why}");
-    // The next write is at most a period away, and it is refused at once.
+    // The next write is due within a period, and it fails immediately.
     assert!(full.elapsed() < Duration::from_secs(10), "{:?}", full.elapsed());
     fleet.wait_all_tasks(3);
     assert_ne!(fleet.leader(), leader);
@@ -109,12 +109,12 @@
     );
     assert!(matches!(asked, QueryOutcome::NoQuorum(_)), "{asked:?}");
     fleet.assert_all_serve();
-    // Past every time to live: what could be renewed before is over.
+    // Longer than every time to live: leases renewed before have expired.
     std::thread::sleep(Duration::from_millis(3500));
     let before = fleet.rig.task_calls().len();
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(fleet.rig.task_calls().len(), before, "somebody acts without a quorum");
-    // Room on one of the three is enough.
+    assert_eq!(fleet.rig.task_calls().len(), before, "a task was called without a quorum");
+    // Free space on one of the three is enough.
     fleet.rig.fill(&full[0], false).unwrap();
     fleet.wait_member_status(&full[0], "member");
     fleet.wait_all_tasks(3);
@@ -151,14 +151,14 @@
     }
     fleet.wait_all_tasks(3);
     for (task, token) in TASKS.iter().zip(before) {
-        assert!(fleet.accepted_calls(task).pop().unwrap().token >= token, "{task}: the token went down");
+        assert!(fleet.accepted_calls(task).pop().unwrap().token >= token, "{task}: the token decreased");
     }
     fleet.assert_no_violations();
 }
 
 #[test]
 fn new_protocol_version_starts_when_every_coordinator_has_it() {
-    // Periods of tasks came with version 2: while one coordinator lacks it, leases are held and nobody acts.
+    // Task periods exist since version 2: while one coordinator lacks it, leases are held but no task is called.
     let mut fleet = FleetUnderTest::start_with_mixed_versions();
     fleet.lease_holder("report");
     let leader = fleet.leader();
@@ -178,7 +178,7 @@
     fleet.rig.kill(&lost).unwrap();
     fleet.rig.wipe(&lost).unwrap();
     fleet.rig.restart(&lost).unwrap();
-    let why = fleet.wait("it says so", |_| {
+    let why = fleet.wait("the coordinator reports its lost disk", |_| {
         let status = fleet.status(&lost).filter(|s| s["standing"] == "blank")?;
         status["why"].as_str().filter(|w| w.contains("held the log up to")).map(str::to_owned)
     });
@@ -187,10 +187,10 @@
     let asked = ask_leader(&fleet.rig.coordinator_addresses(), "story", &replace, Duration::from_secs(5));
     assert!(matches!(&asked, QueryOutcome::Answer(a) if a["member"] == 4), "{asked:?}");
     fleet.wait_member_status(&lost, "member");
-    fleet.wait("it votes", |_| {
+    fleet.wait("the new member votes", |_| {
         fleet.status(&lost).filter(|s| s["voters"].as_array().is_some_and(|v| v.contains(&4.into())))
     });
-    // It counts: one more may be lost now.
+    // The new member counts towards the quorum, so another coordinator may be lost.
     let other = fleet.rig.coordinators().into_iter().find(|c| *c != lost && *c != fleet.leader()).unwrap();
     fleet.rig.kill(&other).unwrap();
     fleet.wait_all_tasks(3);
@@ -253,7 +253,7 @@
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         stream.write_all(bytes).unwrap();
         let mut end = Vec::new();
-        // Closed, by a reset or without; never an answer.
+        // The connection is closed, with or without a reset, and never answered.
         let _ = stream.read_to_end(&mut end);
         assert!(end.is_empty(), "{bytes:?}: {end:?}");
     }
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of workers that are killed, suspended, cut off, drained or hot restarted.
+//! Leases of workers that are killed, suspended, partitioned, drained or hot restarted.
 
 use super::common::{is_exactly, FleetUnderTest};
 use std::time::{Duration, Instant};
@@ -24,11 +24,14 @@
     fleet.wait_other_holder("report", &holder);
     fleet.rig.resume(&holder).unwrap();
     fleet.wait_all_tasks(4);
-    // What it had on its way when it was stopped may come late: it is refused.
+    // Calls that were in transit when the holder was suspended may arrive late; they must be rejected.
     let late = |a: &&testbed::fleet::task_log::TaskCall| a.accepted && a.token == token;
-    let acts = fleet.accepted_calls("report");
-    let first_after = acts.iter().find(|a| a.token > token).unwrap().begin_ms;
-    assert!(!acts.iter().filter(late).any(|a| a.begin_ms > first_after), "it acted on");
+    let calls = fleet.accepted_calls("report");
+    let first_after = calls.iter().find(|a| a.token > token).unwrap().begin_ms;
+    assert!(
+        !calls.iter().filter(late).any(|a| a.begin_ms > first_after),
+        "the suspended holder carried out a call with its old token"
+    );
     fleet.assert_no_violations();
 }
 
@@ -36,11 +39,11 @@
 fn lease_of_a_partitioned_holder_moves_to_another_worker() {
     let mut fleet = FleetUnderTest::start();
     let all = fleet.rig.coordinators();
-    // Renewals arrive and answers don't; the other way round; neither.
-    for way in ["down", "up", "both"] {
+    // Renewals arrive but responses don't; renewals don't arrive; neither does.
+    for direction in ["down", "up", "both"] {
         let holder = fleet.lease_holder("refresh");
         for c in &all {
-            match way {
+            match direction {
                 "down" => fleet.rig.cut(c, &holder, true, true).unwrap(),
                 "up" => fleet.rig.cut(&holder, c, true, true).unwrap(),
                 _ => fleet.rig.cut(&holder, c, false, true).unwrap(),
@@ -60,23 +63,27 @@
 fn free_lease_is_granted_to_one_of_three_hundred_waiting_sessions() {
     let fleet = FleetUnderTest::start_with_a_free_lease();
     let mut sessions = SessionLoad::new(300, "story", &fleet.rig.coordinator_addresses(), &["wanted"]);
-    let wait = |sessions: &mut SessionLoad, what: &str, so: &dyn Fn(&SessionLoad) -> bool| {
-        let until = Instant::now() + Duration::from_secs(40);
-        while !so(sessions) {
+    let wait = |sessions: &mut SessionLoad, what: &str, condition: &dyn Fn(&SessionLoad) -> bool| {
+        let deadline = Instant::now() + Duration::from_secs(40);
+        while !condition(sessions) {
             sessions.turn();
             let holders = sessions.holders("wanted");
             assert!(holders.len() <= 1, "{holders:?}");
-            assert!(Instant::now() < until, "{what}");
+            assert!(Instant::now() < deadline, "{what}");
             std::thread::sleep(Duration::from_millis(2));
         }
     };
-    wait(&mut sessions, "all in session", &SessionLoad::all_connected);
+    wait(&mut sessions, "all sessions established", &SessionLoad::all_connected);
     let mut before = None;
     for change in 1..=3 {
         wait(&mut sessions, "another holder", &|sessions| {
             sessions.holders("wanted").first().is_some_and(|holder| Some(*holder) != before)
         });
-        assert_eq!(sessions.grants(), change, "one is granted it, not all that wait");
+        assert_eq!(
+            sessions.grants(),
+            change,
+            "the lease must be granted to one session, not to all that wait"
+        );
         before = sessions.holders("wanted").first().copied();
         sessions.suspend(before.unwrap());
     }
@@ -88,7 +95,7 @@
     let holder = fleet.lease_holder("report");
     let token = fleet.accepted_calls("report").pop().unwrap().token;
     fleet.rig.replace(&holder).unwrap();
-    fleet.wait("acts of its successor", |_| {
+    fleet.wait("calls of its successor", |_| {
         fleet.accepted_calls("report").pop().filter(|a| a.token > token && a.holder == holder)
     });
     fleet.wait_all_tasks(2);
@@ -103,11 +110,11 @@
     let next = fleet.wait_other_holder("report", &holder);
     assert_eq!(fleet.metric(&holder, "fleet.lease.report.token"), None);
     fleet.drain(&holder, false);
-    let begun = Instant::now();
+    let start = Instant::now();
     fleet.rig.terminate(&next).unwrap();
     fleet.wait_other_holder("report", &next);
-    // Given back, not lapsed: it takes far less than the worker's own notice and a time to live.
-    assert!(begun.elapsed() < Duration::from_secs(20));
+    // The lease was released rather than expired: that takes far less than the worker's shutdown notice and a time to live.
+    assert!(start.elapsed() < Duration::from_secs(20));
     fleet.rig.restart(&next).unwrap();
     fleet.wait_all_tasks(2);
     fleet.assert_no_violations();
@@ -117,7 +124,7 @@
 fn every_console_shows_fleet_totals_and_their_age() {
     let fleet = FleetUnderTest::start();
     for name in fleet.rig.workers() {
-        fleet.wait(&format!("totals of six at {name}"), |_| {
+        fleet.wait(&format!("totals of six workers at {name}"), |_| {
             let (of, age) =
                 (fleet.metric(&name, "fleet.totals.workers")?, fleet.metric(&name, "fleet.totals.age_s")?);
             (is_exactly(of, 6.0) && age < 10.0).then_some(())
@@ -125,12 +132,12 @@
     }
 }
 
-/// A call is held back on its way while its holder is stopped and another acts; then it arrives.
+/// Holds back a call in transit while its holder is suspended and another worker calls, and then delivers it.
 fn delay_task_call(fleet: &mut FleetUnderTest) -> (String, u64) {
     let holder = fleet.lease_holder("report");
     let token = fleet.accepted_calls("report").pop().unwrap().token;
     fleet.hold_task_calls(&holder, true);
-    // Longer than a period: a call is on its way.
+    // Longer than a period, so that a call is in transit.
     std::thread::sleep(Duration::from_millis(700));
     fleet.rig.pause(&holder).unwrap();
     fleet.wait_other_holder("report", &holder);
@@ -143,14 +150,14 @@
 fn delayed_call_with_an_old_token_is_rejected() {
     let mut fleet = FleetUnderTest::start();
     let (_, token) = delay_task_call(&mut fleet);
-    fleet.wait("the late call, refused", |rig| {
+    fleet.wait("the rejected late call", |rig| {
         rig.task_calls().into_iter().find(|a| a.task == "report" && a.token == token && !a.accepted)
     });
     fleet.wait_all_tasks(2);
     fleet.assert_no_violations();
 }
 
-/// The counter-proof for fencing: where every token is accepted, the same review finds a suspended holder's late call.
+/// Shows that the tests of fencing can fail: if every token is accepted, the same check finds a suspended holder's late call.
 #[test]
 fn late_call_without_fencing_is_found_by_the_review() {
     let mut fleet = FleetUnderTest::start_without_fencing();
--- a/testbed/tests/fleet/log_lines.rs
+++ b/testbed/tests/fleet/log_lines.rs
@@ -1,11 +1,11 @@
-//! The log lines of a lease that is lost and acquired again, and of leaders that change, compared with the fixture
-//! `tests/fixtures/log/fleet.txt`. What differs from run to run (times, addresses, numbers, names of coordinators) is
+//! Compares the log lines of a lost and reacquired lease and of leader changes with the fixture
+//! `tests/fixtures/log/fleet.txt`. Values that differ between runs (times, addresses, numbers, names of coordinators) are
 //! masked.
 //!
-//! Which coordinator logs what, and in which order, differs between runs. So each line of the fixture must have been
-//! logged by some process of its kind; other lines may be there too. To record the fixture anew, run with
-//! `UPDATE_OUTPUT_FIXTURES=1` and read the difference: a line that not every run has is taken out again. Such a run fails:
-//! nothing is compared in it.
+//! Which coordinator logs what, and in which order, also differs between runs. So each line of the fixture must have been
+//! logged by some process of its kind; other lines are allowed. To record the fixture again, run with
+//! `UPDATE_OUTPUT_FIXTURES=1`, review the difference, and remove lines that do not appear in every run. Such a run fails,
+//! since it compares nothing.
 
 use super::common::FleetUnderTest;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
 const FIXTURE: &str = "tests/fixtures/log/fleet.txt";
 
-/// Replaces numbers, but not those in names like `c1`, and the names of coordinators.
+/// Masks the time, numbers, and names of coordinators; numbers inside other names, like `w1`, stay.
 fn mask_line(line: &str) -> String {
     let (_time, text) = line.split_once(' ').expect("a time and a text");
     let mut masked = String::from("<time> ");
@@ -40,7 +40,7 @@
     logs.iter().flat_map(|log| log.lines()).map(mask_line).collect()
 }
 
-/// Cuts every link between this process and these coordinators, or joins them again.
+/// Cuts every link between this process and these coordinators, or heals them.
 fn cut(fleet: &mut FleetUnderTest, name: &str, coordinators: &[String], cut: bool) {
     for coordinator in coordinators {
         fleet.rig.cut(name, coordinator, false, cut).unwrap();
@@ -51,13 +51,13 @@
 fn lease_and_leader_changes_log_the_recorded_lines() {
     let mut fleet = FleetUnderTest::start_with_two_workers();
     let (coordinators, workers) = (fleet.rig.coordinators(), fleet.rig.workers());
-    // The holder is cut off until the other worker holds its lease.
+    // The holder is partitioned until the other worker holds its lease.
     let holder = fleet.lease_holder("report");
     cut(&mut fleet, &holder, &coordinators, true);
     fleet.wait_other_holder("report", &holder);
     cut(&mut fleet, &holder, &coordinators, false);
     fleet.wait("the lease is lost", |_| fleet.log(&holder).contains("lease_lost task=report").then_some(()));
-    // A leader in a minority is followed by another, and learns it.
+    // A leader in a minority is replaced by another, and learns this when the partition heals.
     let leader = fleet.leader();
     let others: Vec<String> = coordinators.iter().filter(|c| **c != leader).cloned().collect();
     cut(&mut fleet, &leader, &others, true);
@@ -67,7 +67,7 @@
     cut(&mut fleet, &leader, &others, false);
     fleet.wait("one leader", |_| fleet.status(&leader).filter(|s| s["leads"] == false));
     fleet.wait_task_calls("report", 2);
-    // Workers that shut down give their leases back.
+    // Workers that shut down release their leases.
     for worker in &workers {
         fleet.rig.terminate(worker).unwrap();
     }
@@ -81,7 +81,7 @@
         };
         let text = list("coordinator", &coordinator) + &list("worker", &worker);
         std::fs::write(path, text).unwrap();
-        panic!("{FIXTURE} is written; run again without {UPDATE_VARIABLE}");
+        panic!("{FIXTURE} was written; run again without {UPDATE_VARIABLE}");
     }
     for expected in std::fs::read_to_string(path).unwrap().lines() {
         let (kind, line) = expected.split_once(' ').unwrap();
--- a/testbed/tests/fleet/main.rs
+++ b/testbed/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of real processes: three coordinators, six workers, and a fault between them. Each test ends with a review of the
-//! log of the resource that the tasks call, by its one clock.
+//! Fleets of real processes under a fault, most with three coordinators and six workers. Tests end with a check of the log of
+//! the resource that the tasks call, whose times are of one clock.
 
 mod common;
 mod coordinators;
--- a/testbed/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -1,32 +1,34 @@
-//! Overload handled by the fleet as one, by real processes: what counts is the service's own count of calls, and the
-//! routers' of answers.
+//! Fleet-wide overload control with real processes, checked by the service's own count of calls and the routers' counts of
+//! responses.
 
 use super::common::{is_exactly, FleetUnderTest};
 use std::time::{Duration, Instant};
 use testbed::fleet::routers::Routers;
 
-/// Requests of a class to all workers, by weights.
+/// Starts sending requests of a class to all workers, in proportion to their weights.
 fn send(fleet: &FleetUnderTest, class: &str, weights: [usize; 4], per_s: f64) -> Routers {
-    let doors: Vec<_> = fleet
+    let addresses: Vec<_> = fleet
         .rig
         .workers()
         .iter()
         .zip(weights)
         .filter_map(|(w, n)| Some((fleet.rig.listen_address(w)?, n)))
         .collect();
-    Routers::start(&doors, fleet.rig.class(class).unwrap(), per_s)
+    Routers::start(&addresses, fleet.rig.class(class).unwrap(), per_s)
 }
 
-/// Waits until a figure is so at every worker.
-fn wait_all(fleet: &FleetUnderTest, figure: &str, is: f64) {
+/// Waits until a metric has this value at every worker.
+fn wait_all(fleet: &FleetUnderTest, metric: &str, expected: f64) {
     for name in fleet.rig.workers() {
-        fleet.wait(&format!("{figure} is {is} at {name}"), |_| {
-            fleet.metric(&name, &format!("fleet.overload.{figure}")).filter(|value| is_exactly(*value, is))
+        fleet.wait(&format!("{metric} is {expected} at {name}"), |_| {
+            fleet
+                .metric(&name, &format!("fleet.overload.{metric}"))
+                .filter(|value| is_exactly(*value, expected))
         });
     }
 }
 
-fn made(fleet: &FleetUnderTest) -> u64 {
+fn calls_made(fleet: &FleetUnderTest) -> u64 {
     fleet.rig.service.as_ref().unwrap().counts().0
 }
 
@@ -35,20 +37,20 @@
     let fleet = FleetUnderTest::start_with_overload_control();
     let service = fleet.rig.service.clone().unwrap();
     let routers = send(&fleet, "eligibility", [1; 4], 120.0);
-    fleet.wait("calls", |_| (made(&fleet) > 50).then_some(()));
+    fleet.wait("calls", |_| (calls_made(&fleet) > 50).then_some(()));
     service.set_down(true);
     wait_all(&fleet, "given_up", 1.0);
-    fleet.wait("a worker a zone that tries it", |_| {
-        let trials =
+    fleet.wait("one probing worker per zone", |_| {
+        let probing =
             fleet.rig.workers().iter().filter_map(|w| fleet.metric(w, "fleet.overload.trial")).sum::<f64>();
-        is_exactly(trials, 2.0).then_some(())
+        is_exactly(probing, 2.0).then_some(())
     });
-    let (before, start) = (made(&fleet), Instant::now());
+    let (before, start) = (calls_made(&fleet), Instant::now());
     std::thread::sleep(Duration::from_secs(3));
-    let (calls, took) = (made(&fleet) - before, start.elapsed().as_secs_f64());
-    // Two a second a zone, and one that may have been due.
-    assert!(calls as f64 <= 2.0 * (2.0 * took + 1.0), "{calls} calls in {took:.1} s");
-    fleet.wait("a trial", |_| (made(&fleet) > before).then_some(()));
+    let (calls, elapsed_s) = (calls_made(&fleet) - before, start.elapsed().as_secs_f64());
+    // Two per second and zone, and one that may have been due already.
+    assert!(calls as f64 <= 2.0 * (2.0 * elapsed_s + 1.0), "{calls} calls in {elapsed_s:.1} s");
+    fleet.wait("a probe", |_| (calls_made(&fleet) > before).then_some(()));
     service.set_down(false);
     wait_all(&fleet, "given_up", 0.0);
     wait_all(&fleet, "calls_part", 1.0);
@@ -61,7 +63,7 @@
     let mut fleet = FleetUnderTest::start_with_overload_control();
     let service = fleet.rig.service.clone().unwrap();
     let routers = send(&fleet, "eligibility", [1; 4], 120.0);
-    fleet.wait("calls", |_| (made(&fleet) > 50).then_some(()));
+    fleet.wait("calls", |_| (calls_made(&fleet) > 50).then_some(()));
     service.set_down(true);
     wait_all(&fleet, "given_up", 1.0);
     let leader = fleet.leader();
@@ -82,7 +84,7 @@
 fn busy_worker_uses_idle_workers_capacity_and_never_exceeds_the_total() {
     let mut fleet = FleetUnderTest::start_with_overload_control();
     let service = fleet.rig.service.clone().unwrap();
-    // Calls of 100 ms: four in flight are 40 a second, and the first is asked for three times that.
+    // Calls take 100 ms, so four in flight are 40 per second; the first worker receives 90 requests per second.
     service.set_call_ms(100);
     let routers = send(&fleet, "eligibility", [9, 1, 1, 1], 120.0);
     fleet.wait("a slice", |_| fleet.metric("w1", "fleet.overload.calls_slice").filter(|slice| *slice >= 1.0));
@@ -91,7 +93,7 @@
             fleet.metric(name, "fleet.overload.calls_lent").filter(|lent| *lent > 0.0)
         });
     }
-    // The borrower stops with its slice and goes on; the leader dies with all slices given.
+    // The borrower is suspended with its slice and resumed; the leader is killed while all slices are granted.
     fleet.rig.pause("w1").unwrap();
     std::thread::sleep(Duration::from_millis(1500));
     fleet.rig.resume("w1").unwrap();
@@ -108,7 +110,7 @@
     });
     std::thread::sleep(Duration::from_secs(1));
     let counts = routers.end();
-    let (_, most) = service.counts();
-    assert!(most <= 16, "{most} calls at once of 16");
+    let (_, peak) = service.counts();
+    assert!(peak <= 16, "{peak} calls in flight, more than 16");
     assert!(counts.unanswered == 0 && counts.served > 50, "{counts:?}");
 }
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Class pools in virtual time round the worker's own core, and a short form of the experiment on loopback.
+//! Class pools: the experiment in virtual time around the production dispatcher, and a short run on loopback.
 
 use std::path::PathBuf;
 use testbed::experiment::{Experiment, Jump, Slow};
@@ -19,12 +19,16 @@
     let experiment = experiment();
     let plays: Vec<Play> =
         (1..=5).flat_map(|seed| ["plain", "pools"].map(|variant| play(&experiment, variant, seed))).collect();
-    let (text, good) = verdict(&experiment, &plays);
-    assert!(good, "{text}\n{}", table(&experiment, &plays));
-    // The bounds can fail: without pools the cheapest calls starve.
-    let mut turned = experiment.clone();
-    turned.expect.iter_mut().filter(|x| x.against.is_none()).for_each(|x| x.variant = "plain".to_owned());
-    assert!(!verdict(&turned, &plays).1);
+    let (text, passed) = verdict(&experiment, &plays);
+    assert!(passed, "{text}\n{}", table(&experiment, &plays));
+    // Verifies that the bounds can fail: without pools, the cheapest requests starve.
+    let mut without_pools = experiment.clone();
+    without_pools
+        .expect
+        .iter_mut()
+        .filter(|x| x.against.is_none())
+        .for_each(|x| x.variant = "plain".to_owned());
+    assert!(!verdict(&without_pools, &plays).1);
 }
 
 #[test]
@@ -52,7 +56,7 @@
 fn flood_of_one_class_at_three_times_capacity_leaves_the_others_their_guarantee() {
     let mut e = experiment();
     (e.load, e.slow, e.jump) = (0.7, Vec::new(), Vec::new());
-    // Eligibility alone asks for three times what the cores can do.
+    // The class eligibility alone demands three times the capacity of the cores.
     e.class[1].jump = vec![Jump { at_s: 5.0, for_s: 15.0, times: 6.0 }];
     let (mut plain, mut pools) = (0.0, 0.0);
     for seed in 1..=4 {
@@ -74,10 +78,11 @@
         let p = play(&e, "pools", seed);
         assert!(p.crowd_of_bound < 0.5 && p.owed == 0, "{p:?}");
         assert!(p.limits.iter().any(|l| l.cause == "slow" && l.at > 8.0 && l.at < 10.5), "{:?}", p.limits);
-        // Ends come again from 18 s on: within three seconds it is no slow one any more, whatever its limit is then.
+        // Runs end normally again from 18 s on: within three seconds the executor no longer counts as slow, whatever the limit is.
         let after = p.limits.iter().find(|l| l.cause != "slow" && l.at > 18.0);
-        let over = p.limits.iter().rev().find(|l| l.at <= 18.0).is_some_and(|l| l.cause != "slow");
-        assert!(over || after.is_some_and(|l| l.at <= 21.0), "{:?}", p.limits);
+        let already_recovered =
+            p.limits.iter().rev().find(|l| l.at <= 18.0).is_some_and(|l| l.cause != "slow");
+        assert!(already_recovered || after.is_some_and(|l| l.at <= 21.0), "{:?}", p.limits);
     }
 }
 
@@ -108,9 +113,11 @@
 #[test]
 fn worker_limit_outperforms_bbr_and_gradient2_on_a_slowed_executor() {
     let table = limits::compare(2);
-    let throughput = |way: &str| -> f64 {
-        let row =
-            table.lines().find(|l| l.contains("10 x slower") && l.contains(&format!("| {way} |"))).unwrap();
+    let throughput = |algorithm: &str| -> f64 {
+        let row = table
+            .lines()
+            .find(|l| l.contains("10 x slower") && l.contains(&format!("| {algorithm} |")))
+            .unwrap();
         row.split('|').nth(3).unwrap().split("+-").next().unwrap().trim().parse().unwrap()
     };
     assert!(throughput("pools") > 0.9, "{table}");
@@ -122,7 +129,7 @@
 
 #[test]
 fn invalid_experiment_file_error_names_line_key_and_expected_value() {
-    let good = include_str!("../experiments/pools-110.toml");
+    let valid = include_str!("../experiments/pools-110.toml");
     for (from, to, named) in [
         ("length_s = 25.0", "length_s = 0.0", "length_s is 0; expected above 0"),
         ("length_s = 25.0", "lenght_s = 25.0", "line 5: unknown field `lenght_s`"),
@@ -130,12 +137,12 @@
         ("against = \"plain\"", "against = \"plane\"", "there is no variant \"plane\""),
         ("class = \"port-submit\"", "class = \"port\"", "there is no class \"port\""),
     ] {
-        let error = Experiment::decode(&good.replacen(from, to, 1)).expect_err(named).to_string();
+        let error = Experiment::decode(&valid.replacen(from, to, 1)).expect_err(named).to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{error}");
     }
 }
 
-/// The worker that the workspace's tests have built.
+/// Returns the path of the worker, which `cargo test --workspace` builds.
 fn worker() -> PathBuf {
     let own = std::env::current_exe().unwrap();
     let path = own.parent().and_then(|p| p.parent()).unwrap().join("port-worker");
@@ -151,7 +158,7 @@
     e.slow = Vec::new();
     let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
     let p = loopback::play(&e, &variant, 1, &worker()).unwrap();
-    // What a slow machine can't change: every request got its answer, and the reserve was never kept from its pool.
+    // Holds on a slow machine too: every request got a response, and the reserve was never withheld from its pool.
     assert_eq!((p.owed, p.reserve_kept), (0, 0), "{p:?}");
     assert!(p.classes.iter().all(|c| c.asked == c.in_aim + c.late + c.rejected + c.failed));
     assert!(p.classes[0].in_aim > 0 && p.cpu_ms > 0.0, "{p:?}");
