--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -12,7 +12,7 @@
 use testbed::fleet::measure as fleet_cost;
 use testbed::fleet::overload_storm::{self, FleetMode};
 use testbed::fleet::rig::{self, FleetFile, Programs};
-use testbed::fleet::virtual_fleet::{self, Shape};
+use testbed::fleet::virtual_fleet::{self, Scenario};
 use testbed::fleet::{overhead, process_campaign};
 use testbed::{limits, loopback, measure, virtual_time};
 
@@ -201,22 +201,22 @@
             run_fleet(&file, &folder, duration_s, &programs)?;
             return Ok(true);
         }
-        Subcommand::Fault { folder, words } => return rig::ask_fault(&folder, &words).map(|()| true),
+        Subcommand::Fault { folder, words } => return rig::request_fault(&folder, &words).map(|()| true),
         Subcommand::Campaign { first_seed, seeds, coordinators, workers } => {
-            let shape = Shape { coordinators, workers, ..Shape::default() };
-            let summary = virtual_fleet::campaign(&shape, first_seed, seeds);
+            let scenario = Scenario { coordinators, workers, ..Scenario::default() };
+            let summary = virtual_fleet::campaign(&scenario, first_seed, seeds);
             println!("{}", summary.text);
             return Ok(summary.passed);
         }
         Subcommand::ProcessCampaign { first_seed, duration_s, faults_s, parallel, folder, programs } => {
-            let programs = Programs::beside(&programs)?;
+            let programs = Programs::in_folder(&programs)?;
             let (text, passed) =
                 process_campaign::campaign(&folder, &programs, first_seed, duration_s, faults_s, parallel)?;
             println!("{text}");
             return Ok(passed);
         }
         Subcommand::FleetCost { takeovers, sessions, duration_s, takers, folder, programs } => {
-            let programs = Programs::beside(&programs)?;
+            let programs = Programs::in_folder(&programs)?;
             if !sessions.is_empty() {
                 println!("{}", fleet_cost::sessions(&folder, &programs, &sessions, duration_s)?);
             }
@@ -232,13 +232,18 @@
             return Ok(true);
         }
         Subcommand::FleetOverhead { seeds, length_s, healthy_only, folder, programs } => {
-            let programs = Programs::beside(&programs)?;
+            let programs = Programs::in_folder(&programs)?;
             println!("{}", overhead::compare(&folder, programs, seeds, length_s, healthy_only)?);
             return Ok(true);
         }
         Subcommand::Storm { workers, seeds } => {
-            let modes =
-                [FleetMode::Alone, FleetMode::Fleet, FleetMode::Absent, FleetMode::Liar, FleetMode::Frozen];
+            let modes = [
+                FleetMode::Independent,
+                FleetMode::Coordinated,
+                FleetMode::Leaderless,
+                FleetMode::Outlier,
+                FleetMode::Stale,
+            ];
             println!("{}", overload_storm::compare(workers, seeds, &modes)?);
             return Ok(true);
         }
@@ -273,7 +278,7 @@
     programs: &Path,
 ) -> Result<(), TestbedError> {
     let file = FleetFile::read(file)?;
-    let programs = Programs::beside(programs)?;
+    let programs = Programs::in_folder(programs)?;
     let stop = Arc::new(AtomicBool::new(false));
     let interrupted = stop.clone();
     ctrlc::set_handler(move || interrupted.store(true, Ordering::Relaxed))?;
