--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -41,12 +41,12 @@
     /// Nobody listens there.
     #[must_use]
     pub fn connect(to: SocketAddr) -> Client {
-        Client::on(with_timeouts(TcpStream::connect(to).unwrap()))
+        Client::from_stream(with_timeouts(TcpStream::connect(to).unwrap()))
     }
 
     /// A client on a connection that is there.
     #[must_use]
-    pub fn on(stream: TcpStream) -> Client {
+    pub fn from_stream(stream: TcpStream) -> Client {
         Client { reader: BufReader::new(stream) }
     }
 
--- a/test-support/src/records.rs
+++ b/test-support/src/records.rs
@@ -34,7 +34,7 @@
     /// The worker does not connect.
     #[must_use]
     pub fn accept(&self) -> Client {
-        Client::on(accept_link(&self.listener))
+        Client::from_stream(accept_link(&self.listener))
     }
 
     /// Whether a connection waits to be accepted.
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -166,7 +166,7 @@
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(1).unwrap();
     socket.connect(&worker.http.into()).unwrap();
-    let mut slow = Client::on(socket.into());
+    let mut slow = Client::from_stream(socket.into());
     slow.send(&RequestBuilder::new("look"));
     let job = executor.expect_command("EXEC")["job"].clone();
     worker.terminate();
