--- a/test-support/src/executor.rs
+++ b/test-support/src/executor.rs
@@ -49,7 +49,7 @@
     ///
     /// # Panics
     /// The link is broken.
-    pub fn welcome(&mut self) {
+    pub fn send_welcome(&mut self) {
         self.send(&json!({"type": "WELCOME", "state": "LOADED", "took": WARM_UPTIME_MS}));
     }
 
--- a/test-support/src/worker.rs
+++ b/test-support/src/worker.rs
@@ -144,7 +144,7 @@
     pub fn accept_link_unreported(&self) -> Executor {
         let mut executor = Executor::accept(&self.executor);
         assert_eq!(executor.expect_command("JOIN")["n"], 0);
-        executor.welcome();
+        executor.send_welcome();
         executor
     }
 
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -221,7 +221,7 @@
     );
     let mut link = Executor::accept(&executor);
     link.expect_command("JOIN");
-    link.welcome();
+    link.send_welcome();
     worker.wait_load_report("ready");
     assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
     drop((link, executor));
--- a/tests/crossings/downstream.rs
+++ b/tests/crossings/downstream.rs
@@ -54,7 +54,7 @@
     assert_eq!(first.read_response().body, b"one");
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 1);
-    executor.welcome();
+    executor.send_welcome();
     executor.last_notice = 1;
     executor.started = vec![one, two.clone()];
     executor.send_exit(&two, "PASS", "two");
@@ -101,7 +101,7 @@
     worker.resume();
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 0);
-    executor.welcome();
+    executor.send_welcome();
     executor.started = vec![job.clone()];
     executor.send_exit(&job, "PASS", "once");
     for client in [&mut first, &mut again] {
--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -119,7 +119,7 @@
     let mut successor_next = Executor::accept(&successor.executor);
     for executor in [&mut predecessor_next, &mut successor_next] {
         executor.expect_command("JOIN");
-        executor.welcome();
+        executor.send_welcome();
     }
     predecessor_next.last_notice = predecessor_executor.last_notice;
     let mut client = Client::connect(successor.http);
--- a/tests/http/lifecycle.rs
+++ b/tests/http/lifecycle.rs
@@ -108,7 +108,7 @@
     assert_eq!(moved.expect_command("JOIN")["n"], 1);
     moved.last_notice = 1;
     moved.started.extend([jobs[1].clone(), order.clone()]);
-    moved.welcome();
+    moved.send_welcome();
     worker.wait_load_report("ready");
     // The call in flight ends where it was made; what was queued starts over the new link.
     below.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
