--- a/test-support/src/worker.rs
+++ b/test-support/src/worker.rs
@@ -131,7 +131,7 @@
     /// The worker does not connect, or does not get ready.
     #[must_use]
     pub fn accept_link(&self) -> Executor {
-        let executor = self.accept_link_unreported();
+        let executor = self.accept_link_without_waiting();
         self.wait_load_report("ready");
         executor
     }
@@ -141,7 +141,7 @@
     /// # Panics
     /// The worker does not connect.
     #[must_use]
-    pub fn accept_link_unreported(&self) -> Executor {
+    pub fn accept_link_without_waiting(&self) -> Executor {
         let mut executor = Executor::accept(&self.executor);
         assert_eq!(executor.expect_command("JOIN")["n"], 0);
         executor.send_welcome();
--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -12,7 +12,7 @@
     let (mut predecessor, _predecessor_executor) = start_first(&shared);
     assert_eq!(predecessor.console_request("POST", "/-/drain").0, 200);
     let successor = WORKER.start_on(&shared, |_| {});
-    let _successor_executor = successor.accept_link_unreported();
+    let _successor_executor = successor.accept_link_without_waiting();
     successor.wait_ready();
     assert_eq!(successor.check_health(), 503);
     successor.wait_load_report("draining");
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -113,7 +113,7 @@
     let first = worker.accept_link();
     first.end_link();
     worker.wait_log("executor_link_lost");
-    let mut executor = worker.accept_link_unreported();
+    let mut executor = worker.accept_link_without_waiting();
     let mut client = Client::connect(worker.http);
     client.send(&RequestBuilder::new("look"));
     executor.serve_next(&mut client, "served over the second link");
