--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -104,7 +104,7 @@
     ///
     /// # Panics
     /// The response is not complete.
-    pub fn take_response(&mut self) -> bool {
+    pub fn try_read_response(&mut self) -> bool {
         self.reader.get_ref().set_nonblocking(true).unwrap();
         let there = matches!(self.reader.fill_buf(), Ok(bytes) if !bytes.is_empty());
         self.reader.get_ref().set_nonblocking(false).unwrap();
--- a/tests/hot_restart/requests.rs
+++ b/tests/hot_restart/requests.rs
@@ -78,7 +78,7 @@
     let mut client = Client::connect(successor.http);
     client.send(&retry("k-open"));
     successor_executor.expect_no_command(&successor);
-    assert!(!client.take_response());
+    assert!(!client.try_read_response());
     predecessor_executor.send_exit(job(&exec), "PASS", "placed 2");
     assert_eq!(open.read_response().body, b"placed 2");
     assert_eq!(client.read_response().body, b"placed 2");
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -228,7 +228,7 @@
             for (_, job) in due {
                 self.executor.send_exit(&job, "PASS", "seen");
             }
-            self.clients.retain_mut(|c| !c.take_response());
+            self.clients.retain_mut(|c| !c.try_read_response());
             if let Some(found) = self.worker.find_log(line) {
                 return found;
             }
