--- a/test-support/src/executor.rs
+++ b/test-support/src/executor.rs
@@ -27,7 +27,7 @@
     /// What it reports of its cores. By default one of two is free, at which the worker may take up a third run.
     pub gauges: [f64; 4],
     /// Jobs that were started before this link; a worker may start them again when their commands were lost.
-    pub started: Vec<Value>,
+    pub started_jobs: Vec<Value>,
 }
 
 impl Executor {
@@ -41,7 +41,7 @@
             reader: BufReader::new(accept_link(listener)),
             last_notice: 0,
             gauges: DEFAULT_GAUGES,
-            started: Vec::new(),
+            started_jobs: Vec::new(),
         }
     }
 
@@ -119,7 +119,7 @@
                 read => read.expect("a command"),
             };
             let command: Value = serde_json::from_str(&line).unwrap();
-            if command["type"] == "EXEC" && self.started.contains(&command["job"]) {
+            if command["type"] == "EXEC" && self.started_jobs.contains(&command["job"]) {
                 continue;
             }
             if command["type"] != "METER" {
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -63,9 +63,9 @@
     // A key's second try is a second request and the same run.
     for _ in 0..2 {
         client.send(&RequestBuilder::new("order").key("k1"));
-        if executor.started.is_empty() {
+        if executor.started_jobs.is_empty() {
             let exec = executor.expect_command("EXEC");
-            executor.started.push(exec["job"].clone());
+            executor.started_jobs.push(exec["job"].clone());
             executor.send_exit(&exec["job"], "PASS", "");
         }
         assert_eq!(client.read_response().status, 200);
--- a/tests/crossings/downstream.rs
+++ b/tests/crossings/downstream.rs
@@ -56,7 +56,7 @@
     assert_eq!(executor.expect_command("JOIN")["n"], 1);
     executor.send_welcome();
     executor.last_notice = 1;
-    executor.started = vec![one, two.clone()];
+    executor.started_jobs = vec![one, two.clone()];
     executor.send_exit(&two, "PASS", "two");
     assert_eq!(second.read_response().body, b"two");
     executor.expect_no_command(&worker);
@@ -102,7 +102,7 @@
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 0);
     executor.send_welcome();
-    executor.started = vec![job.clone()];
+    executor.started_jobs = vec![job.clone()];
     executor.send_exit(&job, "PASS", "once");
     for client in [&mut first, &mut again] {
         assert_eq!(client.read_response().body, b"once");
--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -125,7 +125,7 @@
     let mut client = Client::connect(successor.http);
     client.send(&retry("k1"));
     // What was commanded just before may be sent again on the successor link.
-    predecessor_next.started.push(exec["job"].clone());
+    predecessor_next.started_jobs.push(exec["job"].clone());
     predecessor_next.send_exit(job(&exec), "PASS", "placed");
     assert_eq!(open.read_response().body, b"placed");
     assert_eq!(client.read_response().body, b"placed");
--- a/tests/http/executor_link.rs
+++ b/tests/http/executor_link.rs
@@ -21,14 +21,14 @@
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 1);
     executor.send(&json!({"type": "WELCOME", "state": "LOADED", "took": 3_600_100.0}));
-    executor.started.push(second["job"].clone());
+    executor.started_jobs.push(second["job"].clone());
     // Notice 1 again: it was dealt with. Then the end that came while there was no link.
     executor.send(&json!({"type": "EXIT", "n": 1, "job": second["job"], "state": "FAIL", "took": 1.0}));
     executor.last_notice = 1;
     executor.send_exit(&second["job"], "PASS", "second");
     let reply = two.read_response();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"second"[..]));
-    executor.started.clear();
+    executor.started_jobs.clear();
     executor.expect_no_command(&worker);
 }
 
--- a/tests/http/lifecycle.rs
+++ b/tests/http/lifecycle.rs
@@ -107,7 +107,7 @@
     let mut moved = Executor::accept(&worker.executor);
     assert_eq!(moved.expect_command("JOIN")["n"], 1);
     moved.last_notice = 1;
-    moved.started.extend([jobs[1].clone(), order.clone()]);
+    moved.started_jobs.extend([jobs[1].clone(), order.clone()]);
     moved.send_welcome();
     worker.wait_load_report("ready");
     // The call in flight ends where it was made; what was queued starts over the new link.
