--- a/test-support/src/executor.rs
+++ b/test-support/src/executor.rs
@@ -13,7 +13,7 @@
 
 /// Text as the executor's protocol carries it.
 #[must_use]
-pub fn encode(text: &str) -> String {
+pub fn to_base64(text: &str) -> String {
     use base64::Engine;
     base64::engine::general_purpose::STANDARD.encode(text)
 }
@@ -84,7 +84,7 @@
     /// # Panics
     /// The link is broken.
     pub fn send_exit(&mut self, job: &Value, state: &str, result: &str) {
-        let data = encode(result);
+        let data = to_base64(result);
         self.send_notice(json!({"type": "EXIT", "job": job, "state": state, "took": 1.0, "data": data}));
     }
 
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -17,7 +17,7 @@
 mod worker;
 
 pub use client::{Client, Reply};
-pub use executor::{encode, Executor};
+pub use executor::{to_base64, Executor};
 pub use network::{accept_link, reserve_address};
 pub use program::WorkerProgram;
 pub use records::RecordsPeer;
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -3,7 +3,7 @@
 use crate::{forward, order, Ajp, FRONTEND, WORKER};
 use port_worker::net::upstreams::ajp_codec::{self, Direction, Forward, ToWebServer};
 use serde_json::json;
-use test_support::{encode, unix_ms, Client};
+use test_support::{to_base64, unix_ms, Client};
 
 #[test]
 fn portal_connection_serves_pings_and_bodies_in_chunks() {
@@ -34,7 +34,7 @@
             portal.write(&ajp_codec::write_body(piece).unwrap());
         }
         let exec = executor.expect_command("EXEC");
-        assert_eq!((&exec["kind"], &exec["data"]), (&json!("look"), &json!(encode(body))));
+        assert_eq!((&exec["kind"], &exec["data"]), (&json!("look"), &json!(to_base64(body))));
         let result = "r".repeat(4096);
         executor.send_exit(&exec["job"], "PASS", &result);
         let (reply, reuse) = portal.read_response();
@@ -81,7 +81,7 @@
     let mut portal = Ajp::connect(worker.ajp.unwrap());
     portal.send(&forward("/portal/order", "k2"), b"hello");
     let exec = executor.expect_command("EXEC");
-    assert_eq!(exec["data"], encode("hello"));
+    assert_eq!(exec["data"], to_base64("hello"));
     drop(portal);
     executor.expect_no_command(&worker);
     executor.send_exit(&exec["job"], "PASS", "placed");
--- a/tests/crossings/downstream.rs
+++ b/tests/crossings/downstream.rs
@@ -15,7 +15,7 @@
     for round in 0..CALLS {
         let (mut client, job) =
             start_run(&worker, &mut executor, &RequestBuilder::new("order").key(&unique_request_id()));
-        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": encode("number?")}));
+        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": to_base64("number?")}));
         let mut service = worker.records.accept();
         let (_, head, _) = service.read_message();
         let head = Reply { status: 0, head, body: Vec::new() };
@@ -30,7 +30,7 @@
             service.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
         }
         let command = executor.expect_command("RETURN");
-        assert_eq!((&command["job"], &command["data"]), (&job, &json!(encode("yes"))));
+        assert_eq!((&command["job"], &command["data"]), (&job, &json!(to_base64("yes"))));
         finish_run(&mut executor, &job, &mut client);
         records = Some(service);
     }
@@ -47,7 +47,7 @@
     worker.suspend();
     executor.send_exit(&one, "PASS", "one");
     let half =
-        json!({"type": "EXIT", "n": 2, "job": two, "state": "PASS", "took": 1.0, "data": encode("two")});
+        json!({"type": "EXIT", "n": 2, "job": two, "state": "PASS", "took": 1.0, "data": to_base64("two")});
     executor.send_raw(&half.to_string()[..40]);
     drop(executor);
     worker.resume();
@@ -123,7 +123,7 @@
     ] {
         let key = unique_request_id();
         let (mut client, job) = start_run(&worker, &mut executor, &RequestBuilder::new("order").key(&key));
-        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": encode("number?")}));
+        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": to_base64("number?")}));
         let mut service = worker.records.accept();
         service.read_message();
         worker.suspend();
@@ -131,7 +131,7 @@
         drop(service);
         worker.resume();
         if whole {
-            assert_eq!(executor.expect_command("RETURN")["data"], json!(encode("yes")));
+            assert_eq!(executor.expect_command("RETURN")["data"], json!(to_base64("yes")));
             executor.send_exit(&job, "PASS", "done");
             assert_eq!(client.read_response().body, b"done");
         } else {
--- a/tests/crossings/main.rs
+++ b/tests/crossings/main.rs
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 use test_support::{
-    encode, unique_request_id, unix_ms, Client, Executor, RegistryPeer, Reply, RequestBuilder,
+    to_base64, unique_request_id, unix_ms, Client, Executor, RegistryPeer, Reply, RequestBuilder,
     SharedListener, WorkerProgram, WorkerUnderTest, TIMEOUT,
 };
 
--- a/tests/http/downstream_calls.rs
+++ b/tests/http/downstream_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::WORKER;
 use serde_json::json;
-use test_support::{encode, reserve_address, unique_request_id, Client, Reply, RequestBuilder};
+use test_support::{reserve_address, to_base64, unique_request_id, Client, Reply, RequestBuilder};
 
 #[test]
 fn downstream_call_reply_is_returned_to_the_run_unchanged() {
@@ -14,7 +14,7 @@
         let id = unique_request_id();
         client.send(&RequestBuilder::new("look").id(&id));
         let exec = executor.expect_command("EXEC");
-        executor.send_notice(json!({"type": "CALLOUT", "job": exec["job"], "data": encode("number?")}));
+        executor.send_notice(json!({"type": "CALLOUT", "job": exec["job"], "data": to_base64("number?")}));
         // The second call comes on the connection that the first one left.
         let service = records.get_or_insert_with(|| worker.records.accept());
         let (line, head, body) = service.read_message();
@@ -24,7 +24,7 @@
         assert!(head.header("Op-Wait-Ms").unwrap().parse::<u64>().unwrap() <= 8000);
         service.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{reply}", reply.len()));
         let command = executor.expect_command("RETURN");
-        assert_eq!((&command["job"], &command["data"]), (&json!(id), &json!(encode(reply))));
+        assert_eq!((&command["job"], &command["data"]), (&json!(id), &json!(to_base64(reply))));
         executor.send_exit(&exec["job"], "PASS", "done");
         assert_eq!(client.read_response().status, 200);
         // A kept connection rests a little before it is used again.
--- a/tests/http/lifecycle.rs
+++ b/tests/http/lifecycle.rs
@@ -3,7 +3,7 @@
 use crate::WORKER;
 use serde_json::json;
 use std::time::Duration;
-use test_support::{encode, unique_request_id, unix_ms, Client, Executor, RequestBuilder};
+use test_support::{to_base64, unique_request_id, unix_ms, Client, Executor, RequestBuilder};
 
 #[test]
 fn health_check_succeeds_only_with_an_executor_and_before_shutdown() {
@@ -96,7 +96,7 @@
         client.send(&RequestBuilder::new("look"));
         jobs.push(executor.expect_command("EXEC")["job"].clone());
     }
-    executor.send_notice(json!({"type": "CALLOUT", "job": jobs[0], "data": encode("q")}));
+    executor.send_notice(json!({"type": "CALLOUT", "job": jobs[0], "data": to_base64("q")}));
     let mut below = worker.records.accept();
     below.read_message();
     // The run at its call has left a slot to the order; the last look is held.
@@ -112,12 +112,12 @@
     worker.wait_load_report("ready");
     // The call in flight ends where it was made; what was queued starts over the new link.
     below.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
-    assert_eq!(moved.expect_command("RETURN")["data"], encode("a"));
+    assert_eq!(moved.expect_command("RETURN")["data"], to_base64("a"));
     moved.send_exit(&jobs[0], "PASS", "one");
     assert_eq!(clients[0].read_response().body, b"one");
     jobs.push(moved.expect_command("EXEC")["job"].clone());
     // The next call goes to the new address, though the old connection was kept.
-    moved.send_notice(json!({"type": "CALLOUT", "job": jobs[1], "data": encode("r")}));
+    moved.send_notice(json!({"type": "CALLOUT", "job": jobs[1], "data": to_base64("r")}));
     worker.records.accept().read_message();
     moved.send_exit(&order, "PASS", "done");
     assert_eq!(clients[2].read_response().body, b"done");
--- a/tests/http/requests.rs
+++ b/tests/http/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::WORKER;
 use serde_json::json;
-use test_support::{encode, unique_request_id, unix_ms, Client, RequestBuilder};
+use test_support::{to_base64, unique_request_id, unix_ms, Client, RequestBuilder};
 
 #[test]
 fn request_body_reaches_the_run_and_its_result_is_the_response() {
@@ -15,7 +15,7 @@
         let exec = executor.expect_command("EXEC");
         assert_eq!(
             (&exec["job"], &exec["kind"], &exec["data"]),
-            (&json!(id), &json!("look"), &json!(encode("caf\u{e9}\0")))
+            (&json!(id), &json!("look"), &json!(to_base64("caf\u{e9}\0")))
         );
         executor.send_exit(&exec["job"], "PASS", "the result");
         let reply = client.read_response();
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -4,7 +4,7 @@
 use std::process::Stdio;
 use std::time::Instant;
 use test_support::{
-    encode, unique_request_id, Client, Executor, RequestBuilder, WorkerProgram, WorkerUnderTest, TIMEOUT,
+    to_base64, unique_request_id, Client, Executor, RequestBuilder, WorkerProgram, WorkerUnderTest, TIMEOUT,
 };
 
 /// The program under test.
@@ -119,7 +119,7 @@
     for _ in 0..2 {
         stuck.push(look(&worker));
         let job = starts(&mut executor, "look");
-        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": encode("?")}));
+        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": to_base64("?")}));
         let mut call = worker.records.accept();
         call.read_message();
         records.push((call, job));
