--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -25,5 +25,5 @@
 pub use request::{unique_request_id, RequestBuilder};
 pub use settings::settings;
 pub use shared_listener::SharedListener;
-pub use timing::{is_log_time, unix_ms, TIMEOUT};
+pub use timing::{is_log_timestamp, unix_ms, TIMEOUT};
 pub use worker::{MovedPeers, WorkerUnderTest};
--- a/test-support/src/timing.rs
+++ b/test-support/src/timing.rs
@@ -7,7 +7,7 @@
 
 /// Whether this is a time as the log has it, like `2026-12-02T13:55:12.123456Z`.
 #[must_use]
-pub fn is_log_time(text: &str) -> bool {
+pub fn is_log_timestamp(text: &str) -> bool {
     const FORM: &str = "dddd-dd-ddTdd:dd:dd.ddddddZ";
     let fits = |(found, expected): (char, char)| match expected {
         'd' => found.is_ascii_digit(),
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -6,7 +6,9 @@
 
 use serde_json::json;
 use std::path::PathBuf;
-use test_support::{is_log_time, Client, RequestBuilder, SharedListener, WorkerProgram, WorkerUnderTest};
+use test_support::{
+    is_log_timestamp, Client, RequestBuilder, SharedListener, WorkerProgram, WorkerUnderTest,
+};
 
 /// The program under test.
 const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
@@ -46,7 +48,7 @@
 /// The line without its time, and with a mask for what differs from run to run.
 fn mask_line(line: &str) -> String {
     let (time, text) = line.split_once(' ').expect("a time and a text");
-    assert!(is_log_time(time), "{line:?} begins with no time");
+    assert!(is_log_timestamp(time), "{line:?} begins with no time");
     let text = mask_after(text, "127.0.0.1:", "<port>", |c| c.is_ascii_digit());
     let folder = std::env::temp_dir();
     let text = mask_after(&text, folder.to_str().unwrap(), "<path>", |c| !" \",;:".contains(c));
--- a/tests/output_pins/startup.rs
+++ b/tests/output_pins/startup.rs
@@ -5,13 +5,13 @@
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpListener;
 use std::process::{Command, Output, Stdio};
-use test_support::{is_log_time, settings};
+use test_support::{is_log_timestamp, settings};
 
 /// Replaces the time that begins each line of a log.
 fn mask_times(log: &str) -> String {
     let mask = |line: &str| {
         let (time, rest) = line.split_once(' ').expect("a time and a text");
-        assert!(is_log_time(time), "{line:?} begins with no time");
+        assert!(is_log_timestamp(time), "{line:?} begins with no time");
         format!("<time> {rest}")
     };
     log.split_inclusive('\n').map(mask).collect()
