--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller over HTTP/1.1.
+//! An HTTP/1.1 client.
 
 use crate::network::with_timeouts;
 use crate::RequestBuilder;
@@ -6,19 +6,19 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A response as it was read.
+/// A received response.
 #[derive(Debug)]
 pub struct Reply {
-    /// The status code; 0 where the message is a request.
+    /// The status code; 0 if the message is a request.
     pub status: u16,
-    /// The header lines, without the first line.
+    /// The header lines, without the request line or status line.
     pub head: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// The value of a header, whatever the case of its name.
+    /// The value of a header; names are compared case-insensitively.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|l| {
@@ -27,10 +27,10 @@
     }
 }
 
-/// One connection of a caller. The records service reads the worker's calls with it too.
+/// A client connection. [`RecordsPeer`](crate::RecordsPeer) also uses it to read the worker's calls.
 #[derive(Debug)]
 pub struct Client {
-    /// The connection.
+    /// The connection, with buffered reads.
     pub reader: BufReader<TcpStream>,
 }
 
@@ -38,42 +38,45 @@
     /// Connects to a frontend.
     ///
     /// # Panics
-    /// Nobody listens there.
+    /// Panics if nothing listens at the address.
     #[must_use]
     pub fn connect(to: SocketAddr) -> Client {
         Client::from_stream(with_timeouts(TcpStream::connect(to).unwrap()))
     }
 
-    /// A client on a connection that is there.
+    /// Wraps a connected stream.
     #[must_use]
     pub fn from_stream(stream: TcpStream) -> Client {
         Client { reader: BufReader::new(stream) }
     }
 
-    /// Writes text as it is.
+    /// Writes text without changes.
     ///
     /// # Panics
-    /// The connection is broken.
+    /// Panics if the connection is broken.
     pub fn write(&mut self, text: &str) {
         self.reader.get_ref().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Sends a request and does not wait for its response.
+    /// Sends a request without waiting for its response.
     ///
     /// # Panics
-    /// The connection is broken.
+    /// Panics if the connection is broken.
     pub fn send(&mut self, request: &RequestBuilder) {
         self.write(&request.text());
     }
 
-    /// Reads one message: its first line, the rest of its head, its body.
+    /// Reads one message and returns its first line, its header lines and its body.
     ///
     /// # Panics
-    /// No complete message comes.
+    /// Panics if no complete message arrives.
     pub fn read_message(&mut self) -> (String, String, Vec<u8>) {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
-            assert!(self.reader.read_line(&mut head).expect("a message") > 0, "closed after {head:?}");
+            assert!(
+                self.reader.read_line(&mut head).expect("a message") > 0,
+                "connection closed after {head:?}"
+            );
         }
         let (first, rest) = head.split_once("\r\n").unwrap();
         let reply = Reply { status: 0, head: rest.to_owned(), body: Vec::new() };
@@ -85,7 +88,7 @@
     /// Reads one response.
     ///
     /// # Panics
-    /// No complete response comes.
+    /// Panics if no complete response arrives.
     pub fn read_response(&mut self) -> Reply {
         let (first, head, body) = self.read_message();
         Reply { status: first.split(' ').nth(1).unwrap().parse().unwrap(), head, body }
@@ -94,44 +97,44 @@
     /// Sends a request and reads its response.
     ///
     /// # Panics
-    /// The connection is broken, or no complete response comes.
+    /// Panics if the connection is broken or no complete response arrives.
     pub fn request(&mut self, request: &RequestBuilder) -> Reply {
         self.send(request);
         self.read_response()
     }
 
-    /// Reads a response if one is there, without a wait; whether there was one.
+    /// Reads a response if one has arrived, without waiting; returns whether one had.
     ///
     /// # Panics
-    /// The response is not complete.
+    /// Panics if the response is incomplete.
     pub fn try_read_response(&mut self) -> bool {
         self.reader.get_ref().set_nonblocking(true).unwrap();
-        let there = matches!(self.reader.fill_buf(), Ok(bytes) if !bytes.is_empty());
+        let available = matches!(self.reader.fill_buf(), Ok(bytes) if !bytes.is_empty());
         self.reader.get_ref().set_nonblocking(false).unwrap();
-        if there {
+        if available {
             self.read_response();
         }
-        there
+        available
     }
 
-    /// Whether the peer closes the connection without another byte.
+    /// Waits for the peer to close the connection; false if it sends data instead.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 16]), Ok(0) | Err(_))
     }
 
-    /// The status of a health check.
+    /// Makes a health check and returns its status.
     ///
     /// # Panics
-    /// The connection is broken, or no complete response comes.
+    /// Panics if the connection is broken or no complete response arrives.
     pub fn check_health(&mut self) -> u16 {
         self.write("GET /check HTTP/1.1\r\n\r\n");
         self.read_response().status
     }
 
-    /// Resets the connection.
+    /// Resets the connection instead of closing it gracefully.
     ///
     /// # Panics
-    /// The system refuses it.
+    /// Panics if the socket option can't be set.
     pub fn reset(self) {
         let stream = self.reader.into_inner();
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
--- a/test-support/src/executor.rs
+++ b/test-support/src/executor.rs
@@ -1,4 +1,4 @@
-//! The executor, which runs what the worker admits.
+//! A scripted executor, which runs the requests that the worker admits.
 
 use crate::{accept_link, unique_request_id, Client, RequestBuilder, WorkerUnderTest, TIMEOUT};
 use serde_json::{json, Value};
@@ -6,27 +6,28 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Instant;
 
-/// Gauges of two cores of which one is free, at which the worker may take up a third run.
+/// Gauges of a two-core executor with one core free; with these, the worker may start a third run.
 const DEFAULT_GAUGES: [f64; 4] = [0.5, 1.0, 0.1, 3.0];
-/// How long an executor that is warm has been up (milliseconds).
+/// Uptime of a warm executor (milliseconds).
 const WARM_UPTIME_MS: f64 = 3_600_000.0;
 
-/// Text as the executor's protocol carries it.
+/// Encodes text in base64, as the executor's protocol carries it.
 #[must_use]
 pub fn to_base64(text: &str) -> String {
     use base64::Engine;
     base64::engine::general_purpose::STANDARD.encode(text)
 }
 
-/// A scripted executor on one link. Questions for the gauges are answered along the way.
+/// A scripted executor on one link. Gauge queries (METER) are answered automatically.
 #[derive(Debug)]
 pub struct Executor {
     reader: BufReader<TcpStream>,
-    /// The number of the last notice.
+    /// The sequence number of the last notice sent.
     pub last_notice: u64,
-    /// What it reports of its cores. By default one of two is free, at which the worker may take up a third run.
+    /// The gauges that it reports. By default one of two cores is free, so that the worker may start a third run.
     pub gauges: [f64; 4],
-    /// Jobs that were started before this link; a worker may start them again when their commands were lost.
+    /// Jobs that were started before this link. The worker may send their EXEC again if it was lost; such commands are
+    /// skipped.
     pub started_jobs: Vec<Value>,
 }
 
@@ -34,7 +35,7 @@
     /// Accepts the worker's next link.
     ///
     /// # Panics
-    /// The worker does not connect.
+    /// Panics if the worker does not connect.
     #[must_use]
     pub fn accept(listener: &TcpListener) -> Executor {
         Executor {
@@ -45,34 +46,34 @@
         }
     }
 
-    /// Answers the worker's JOIN as an executor that is warm.
+    /// Answers the worker's JOIN as a warm executor.
     ///
     /// # Panics
-    /// The link is broken.
+    /// Panics if the link is broken.
     pub fn send_welcome(&mut self) {
         self.send(&json!({"type": "WELCOME", "state": "LOADED", "took": WARM_UPTIME_MS}));
     }
 
-    /// Sends a notice as it is.
+    /// Sends a notice without a sequence number.
     ///
     /// # Panics
-    /// The link is broken.
+    /// Panics if the link is broken.
     pub fn send(&mut self, notice: &Value) {
         self.send_raw(&format!("{notice}\n"));
     }
 
-    /// Sends a part of a notice, without its end.
+    /// Sends text without a line end, such as a part of a notice.
     ///
     /// # Panics
-    /// The link is broken.
+    /// Panics if the link is broken.
     pub fn send_raw(&mut self, text: &str) {
         self.reader.get_ref().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Sends a notice with the next number.
+    /// Sends a notice with the next sequence number.
     ///
     /// # Panics
-    /// The link is broken.
+    /// Panics if the link is broken.
     pub fn send_notice(&mut self, mut notice: Value) {
         self.last_notice += 1;
         notice["n"] = json!(self.last_notice);
@@ -82,36 +83,37 @@
     /// Reports the end of a run.
     ///
     /// # Panics
-    /// The link is broken.
+    /// Panics if the link is broken.
     pub fn send_exit(&mut self, job: &Value, state: &str, result: &str) {
         let data = to_base64(result);
         self.send_notice(json!({"type": "EXIT", "job": job, "state": state, "took": 1.0, "data": data}));
     }
 
-    /// Sends no more, and lets the worker close the link. To drop the link could reset it, if a command is unread.
+    /// Shuts down the sending direction, so that the worker closes the link. Dropping the link instead would reset it
+    /// if a command is unread.
     ///
     /// # Panics
-    /// The link is broken.
+    /// Panics if the link is broken.
     pub fn end_link(&self) {
         self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Reads the next command that is no question for the gauges.
+    /// Reads the next command other than a gauge query.
     ///
     /// # Panics
-    /// None comes within [`TIMEOUT`], or the link is closed.
+    /// Panics if none arrives within [`TIMEOUT`] or the link is closed.
     pub fn read_command(&mut self) -> Value {
-        self.read_command_or_end().expect("the link was closed")
+        self.read_command_or_end().expect("the executor link was closed")
     }
 
-    /// The same; `None` at the end of the link.
+    /// Like [`Executor::read_command`], but returns `None` when the link is closed.
     ///
     /// # Panics
-    /// Neither comes within [`TIMEOUT`].
+    /// Panics if neither a command nor the end of the link arrives within [`TIMEOUT`].
     pub fn read_command_or_end(&mut self) -> Option<Value> {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            assert!(Instant::now() < until, "no command but questions for the gauges");
+            assert!(Instant::now() < deadline, "no command except gauge queries arrived");
             let mut line = String::new();
             match self.reader.read_line(&mut line) {
                 Ok(0) => return None,
@@ -132,15 +134,15 @@
         }
     }
 
-    /// Reads the commands up to the next question for the gauges, which comes at every wake-up.
+    /// Reads the commands up to the next gauge query, which the worker sends at every wake-up.
     ///
     /// # Panics
-    /// None comes within [`TIMEOUT`], or the link is closed.
+    /// Panics if none arrives within [`TIMEOUT`] or the link is closed.
     pub fn read_commands_of_one_wakeup(&mut self) -> Vec<Value> {
         let mut commands = Vec::new();
         loop {
             let mut line = String::new();
-            assert!(self.reader.read_line(&mut line).expect("a command") > 0, "the link was closed");
+            assert!(self.reader.read_line(&mut line).expect("a command") > 0, "the executor link was closed");
             let command: Value = serde_json::from_str(&line).unwrap();
             if command["type"] == "METER" {
                 self.send(&json!({"type": "METERS", "ref": command["ref"], "gauges": self.gauges}));
@@ -150,30 +152,30 @@
         }
     }
 
-    /// Reads all commands until the worker closes the link. Nothing is answered: an answer to a worker that has ended
-    /// would reset the link, and what it sent last would be lost.
+    /// Reads all commands until the worker closes the link. Gauge queries are not answered: an answer to a worker that
+    /// has exited would reset the link, and its last commands would be lost.
     ///
     /// # Panics
-    /// The link is not closed within [`TIMEOUT`].
+    /// Panics if the link is not closed within [`TIMEOUT`].
     pub fn read_remaining_commands(&mut self) -> Vec<Value> {
         let lines = (&mut self.reader).lines().map(|l| serde_json::from_str(&l.expect("a command")).unwrap());
         lines.filter(|c: &Value| c["type"] != "METER").collect()
     }
 
-    /// Reads the next command, which must be of this type.
+    /// Reads the next command and checks its type.
     ///
     /// # Panics
-    /// It is of another type, or none comes.
+    /// Panics if it is of another type or none arrives.
     pub fn expect_command(&mut self, kind: &str) -> Value {
         let command = self.read_command();
         assert_eq!(command["type"], kind, "{command}");
         command
     }
 
-    /// Runs the next request with this result, which its client then gets.
+    /// Completes the next run with this result and checks that the client receives it.
     ///
     /// # Panics
-    /// The client gets something else.
+    /// Panics if the client receives anything else.
     pub fn serve_next(&mut self, client: &mut Client, result: &str) {
         let exec = self.expect_command("EXEC");
         self.send_exit(&exec["job"], "PASS", result);
@@ -181,11 +183,11 @@
         assert_eq!((reply.status, &reply.body[..]), (200, result.as_bytes()));
     }
 
-    /// Expects no command but the one that starts a marker request. That command shows that the worker has handled all
-    /// that was sent before.
+    /// Checks that the worker sends no command except the one that starts a marker request. That command shows that the
+    /// worker has processed everything sent before it.
     ///
     /// # Panics
-    /// Another command came.
+    /// Panics if another command arrives.
     pub fn expect_no_command(&mut self, worker: &WorkerUnderTest) {
         let marker = unique_request_id();
         let mut client = Client::connect(worker.http);
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the integration tests of the port worker share: the worker as a process, its clients, and scripted peers in the
-//! places of the executor, the records service and the registry.
+//! Shared support code for the port worker's integration tests: a worker process under test, its clients, and scripted
+//! peers that stand in for the executor, the records service and the registry.
 //!
-//! All waits are for conditions. Their one limit, [`TIMEOUT`], is far beyond what a slow machine needs. A failed
-//! expectation panics, and with it the test.
+//! Every wait is for a condition and is bounded by [`TIMEOUT`], which is far longer than a slow machine needs. A failed
+//! expectation panics and so fails the test.
 
 mod client;
 mod executor;
@@ -26,4 +26,4 @@
 pub use settings::settings;
 pub use shared_listener::SharedListener;
 pub use timing::{is_log_timestamp, unix_ms, TIMEOUT};
-pub use worker::{MovedPeers, WorkerUnderTest};
+pub use worker::{PreviousPeers, WorkerUnderTest};
--- a/test-support/src/program.rs
+++ b/test-support/src/program.rs
@@ -1,4 +1,4 @@
-//! The program under test, and the ways to start it.
+//! The program under test and how to start it.
 
 use crate::{settings, unique_request_id, RecordsPeer, RegistryPeer, SharedListener, WorkerUnderTest};
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use std::os::fd::AsRawFd;
 use std::process::{Command, Stdio};
 
-/// The worker's program. Only an integration test of its package knows where cargo has put it:
+/// The worker's executable. Cargo gives its path only to the integration tests of its own package:
 /// `const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));`
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerProgram {
@@ -14,13 +14,13 @@
 }
 
 impl WorkerProgram {
-    /// The program at this path.
+    /// Creates a handle for the program at this path.
     #[must_use]
     pub const fn new(path: &'static str) -> WorkerProgram {
         WorkerProgram { path }
     }
 
-    /// A command that runs the program, in this process's environment.
+    /// Creates a command that runs the program in this process's environment.
     #[must_use]
     pub fn command(&self) -> Command {
         Command::new(self.path)
@@ -29,16 +29,17 @@
     /// Starts a worker with the default configuration.
     ///
     /// # Panics
-    /// It does not come up, as with all that start one.
+    /// Panics if the worker does not start.
     #[must_use]
     pub fn start(&self) -> WorkerUnderTest {
         self.start_with(|_| {}, None)
     }
 
-    /// Starts a worker with a changed configuration, and with an operator's file if there is a text for one.
+    /// Starts a worker with a changed configuration and, if `operator_file` is given, an operator's file with that
+    /// text.
     ///
     /// # Panics
-    /// It does not come up.
+    /// Panics if the worker does not start.
     pub fn start_with(
         &self,
         change: impl FnOnce(&mut Value),
@@ -47,10 +48,10 @@
         start(self.command(), change, operator_file)
     }
 
-    /// Starts a worker with more in its environment.
+    /// Starts a worker with additional environment variables and a changed configuration.
     ///
     /// # Panics
-    /// It does not come up.
+    /// Panics if the worker does not start.
     pub fn start_with_environment(
         &self,
         environment: &[(&str, &str)],
@@ -61,10 +62,10 @@
         start(command, change, None)
     }
 
-    /// Starts a worker to which the system gives so many descriptors and no more, whatever its own budget is.
+    /// Starts a worker with a system limit of `n` file descriptors, whatever its own configured limit is.
     ///
     /// # Panics
-    /// It does not come up.
+    /// Panics if the worker does not start.
     #[must_use]
     pub fn start_with_descriptors(&self, n: usize) -> WorkerUnderTest {
         let mut command = Command::new("sh");
@@ -72,18 +73,19 @@
         start(command, |_| {}, None)
     }
 
-    /// Starts a worker on a listener that the platform holds, beside the workers that were started on it before.
+    /// Starts a worker on an inherited listener, in addition to the workers that were started on it before.
     ///
     /// # Panics
-    /// It does not come up.
+    /// Panics if the worker does not start.
     pub fn start_on(&self, shared: &SharedListener, change: impl FnOnce(&mut Value)) -> WorkerUnderTest {
         self.start_on_with(shared, change, None)
     }
 
-    /// The same with an operator's file. Its frontends may open late, so their addresses are not waited for.
+    /// Like [`WorkerProgram::start_on`], with an operator's file. The other frontends may open only after the hand-off,
+    /// so this does not wait for their addresses.
     ///
     /// # Panics
-    /// It does not come up.
+    /// Panics if the worker does not start.
     pub fn start_on_with(
         &self,
         shared: &SharedListener,
--- a/test-support/src/records.rs
+++ b/test-support/src/records.rs
@@ -1,46 +1,46 @@
-//! The records service, which the classes' runs call.
+//! A scripted records service, which runs call.
 
 use crate::{accept_link, Client};
 use std::net::{SocketAddr, TcpListener};
 
-/// A records service whose replies the test writes.
+/// A records service whose replies are written by the test.
 #[derive(Debug)]
 pub struct RecordsPeer {
     listener: TcpListener,
 }
 
 impl RecordsPeer {
-    /// Listens on a free port of loopback.
+    /// Listens on a free loopback port.
     ///
     /// # Panics
-    /// There is none.
+    /// Panics if there is no free port.
     #[must_use]
     pub fn start() -> RecordsPeer {
         RecordsPeer { listener: TcpListener::bind("127.0.0.1:0").unwrap() }
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     ///
     /// # Panics
-    /// The socket has no address.
+    /// Panics if the socket has no address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits for the worker's next connection, from which calls can be read.
+    /// Accepts the worker's next connection, from which the test reads calls.
     ///
     /// # Panics
-    /// The worker does not connect.
+    /// Panics if the worker does not connect.
     #[must_use]
     pub fn accept(&self) -> Client {
         Client::from_stream(accept_link(&self.listener))
     }
 
-    /// Whether a connection waits to be accepted.
+    /// Whether a connection is waiting to be accepted; it is accepted and dropped.
     ///
     /// # Panics
-    /// The socket is unusable.
+    /// Panics if the socket can't be made non-blocking.
     #[must_use]
     pub fn has_waiting_connection(&self) -> bool {
         self.listener.set_nonblocking(true).unwrap();
--- a/test-support/src/registry.rs
+++ b/test-support/src/registry.rs
@@ -1,30 +1,30 @@
-//! The platform's registry, which workers report their state to.
+//! A scripted registry, which workers send load reports to.
 
 use crate::TIMEOUT;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Instant;
 
-/// No report is longer.
+/// Upper bound on the length of a report.
 const MAX_REPORT_BYTES: usize = 64;
 
-/// A registry that reads the load reports of the worker `n1`.
+/// A registry that receives the load reports of the worker `n1`.
 #[derive(Debug)]
 pub struct RegistryPeer {
     socket: UdpSocket,
 }
 
 impl RegistryPeer {
-    /// Listens on a free port of loopback.
+    /// Listens on a free loopback port.
     ///
     /// # Panics
-    /// There is none.
+    /// Panics if there is no free port.
     #[must_use]
     pub fn start() -> RegistryPeer {
         RegistryPeer::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port")
     }
 
-    /// Listens at this address, if it is free.
+    /// Listens on this address; `None` if it is in use.
     #[must_use]
     pub fn bind(address: SocketAddr) -> Option<RegistryPeer> {
         let socket = UdpSocket::bind(address).ok()?;
@@ -32,37 +32,37 @@
         Some(RegistryPeer { socket })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     ///
     /// # Panics
-    /// The socket has no address.
+    /// Panics if the socket has no address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.socket.local_addr().unwrap()
     }
 
-    /// Waits for a report of this state.
+    /// Waits for a report with this state.
     ///
     /// # Panics
-    /// None comes within [`TIMEOUT`].
+    /// Panics if none arrives within [`TIMEOUT`].
     pub fn wait_for_state(&self, state: &str) {
         let mut bytes = [0; MAX_REPORT_BYTES];
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            // A process that was stopped for a moment finds this wait interrupted: that is no missing report.
+            // SIGSTOP and SIGCONT interrupt this wait (EINTR); that is not a missing report.
             match self.socket.recv(&mut bytes) {
                 Ok(n) if bytes[..n] == *format!("BEAT n1 {state}").as_bytes() => return,
                 Ok(_) => {}
-                Err(e) => assert!(e.kind() == ErrorKind::Interrupted, "no report says {state}: {e}"),
+                Err(e) => assert!(e.kind() == ErrorKind::Interrupted, "no report of {state}: {e}"),
             }
-            assert!(Instant::now() < until, "no report says {state}");
+            assert!(Instant::now() < deadline, "no report of {state}");
         }
     }
 
-    /// All reports that have come and were not read yet, without a wait.
+    /// Returns all reports that have arrived and have not been read, without waiting.
     ///
     /// # Panics
-    /// A report is no text.
+    /// Panics if a report is not valid UTF-8.
     #[must_use]
     pub fn received_reports(&self) -> Vec<String> {
         self.socket.set_nonblocking(true).unwrap();
--- a/test-support/src/request.rs
+++ b/test-support/src/request.rs
@@ -1,17 +1,17 @@
-//! Requests as the platform's routers send them.
+//! HTTP/1.1 requests as routers send them.
 
 use crate::unix_ms;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// An identifier that no other request of this test process has.
+/// Returns an identifier that is unique within this test process.
 #[must_use]
 pub fn unique_request_id() -> String {
     format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Builds a request of the platform's HTTP/1.1 frontend.
+/// Builds a request to the HTTP/1.1 frontend.
 #[derive(Clone, Debug)]
 pub struct RequestBuilder<'a> {
     id: Option<&'a str>,
@@ -24,7 +24,8 @@
 }
 
 impl<'a> RequestBuilder<'a> {
-    /// A request of a class that arrives now, without an idempotency key and with an identifier of its own.
+    /// Creates a request of a class that arrives now, without an idempotency key. Unless [`RequestBuilder::id`] is
+    /// called, every call of [`RequestBuilder::text`] uses a new identifier.
     #[must_use]
     pub fn new(class: &'a str) -> RequestBuilder<'a> {
         RequestBuilder {
@@ -68,7 +69,7 @@
         RequestBuilder { arrived_ms, ..self }
     }
 
-    /// Adds header lines, each with its line end.
+    /// Sets additional header lines, each with its line end.
     #[must_use]
     pub fn extra_headers(self, extra_headers: &'a str) -> RequestBuilder<'a> {
         RequestBuilder { extra_headers, ..self }
@@ -80,7 +81,7 @@
         self.extra_headers("X-Resent: 1\r\n")
     }
 
-    /// The request's bytes.
+    /// Returns the complete request message.
     #[must_use]
     pub fn text(&self) -> String {
         let key = self.key.map_or(String::new(), |k| format!("X-Operation-Key: {k}\r\n"));
--- a/test-support/src/settings.rs
+++ b/test-support/src/settings.rs
@@ -1,9 +1,9 @@
-//! The platform's settings of the worker under test.
+//! Default settings of the worker under test.
 
 use serde_json::{json, Value};
 
-/// A small service: class `look` is idempotent and calls the records service, class `order` needs an idempotency key; one
-/// tenant, two cores.
+/// Settings of a small service with one tenant and two cores: class `look` is idempotent and class `order` requires an
+/// idempotency key; both call the records service.
 #[must_use]
 pub fn settings() -> Value {
     json!({
--- a/test-support/src/worker.rs
+++ b/test-support/src/worker.rs
@@ -9,29 +9,29 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at whether the process has ended.
+/// Interval at which the process is polled for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The worker, and all that it speaks to. Dropping it ends the worker.
+/// A worker process and its peers. Dropping it kills the process and removes its folder.
 #[derive(Debug)]
 pub struct WorkerUnderTest {
     child: Child,
     lines: Receiver<String>,
-    /// The lines of its log that were read so far.
+    /// The log lines read so far.
     pub log: Vec<String>,
-    /// Where its console listens, if it has one.
+    /// The console's address, if there is one.
     pub console: Option<SocketAddr>,
-    /// Where its HTTP/1.1 frontend listens.
+    /// The HTTP/1.1 frontend's address.
     pub http: SocketAddr,
-    /// Where its AJP frontend listens, if it has one.
+    /// The AJP frontend's address, if there is one.
     pub ajp: Option<SocketAddr>,
-    /// Where its HTTP/2 frontend listens, if it has one.
+    /// The HTTP/2 frontend's address, if there is one.
     pub http2: Option<SocketAddr>,
-    /// Where it looks for its executor.
+    /// The listener that the worker's executor link connects to.
     pub executor: TcpListener,
-    /// Its records service.
+    /// The records service.
     pub records: RecordsPeer,
-    /// Its registry.
+    /// The registry.
     pub registry: RegistryPeer,
     config: Value,
     folder: PathBuf,
@@ -39,17 +39,17 @@
 
 /// The peers that a worker had before [`WorkerUnderTest::move_peers`].
 #[derive(Debug)]
-pub struct MovedPeers {
-    /// Where it looked for its executor.
+pub struct PreviousPeers {
+    /// The listener that the executor link connected to.
     pub executor: TcpListener,
-    /// Its records service.
+    /// The records service.
     pub records: RecordsPeer,
-    /// Its registry.
+    /// The registry.
     pub registry: RegistryPeer,
 }
 
 impl WorkerUnderTest {
-    /// A process that was just started; its addresses are not known yet.
+    /// Wraps a process that has just been started; its addresses are not known yet.
     pub(crate) fn new(
         mut child: Child,
         executor: TcpListener,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Reads from the log where each frontend listens.
+    /// Reads the address of each frontend from the log.
     pub(crate) fn read_addresses(&mut self, operator_file: &str) {
         if self.config.get("console").is_some() {
             self.console = Some(self.read_address("frontend=console address="));
@@ -87,20 +87,22 @@
         self.http2 = operator_file.contains("[http2]").then(|| self.read_address("frontend=http2 address="));
     }
 
-    fn read_address(&mut self, mark: &str) -> SocketAddr {
-        let line = self.wait_log(mark);
-        let address = line.split(mark).nth(1).unwrap();
+    fn read_address(&mut self, prefix: &str) -> SocketAddr {
+        let line = self.wait_log(prefix);
+        let address = line.split(prefix).nth(1).unwrap();
         address.split(' ').next().unwrap().parse().unwrap()
     }
 
-    /// Waits for a line of the log that contains this part.
+    /// Waits for a log line that contains this text.
     ///
     /// # Panics
-    /// None comes within [`TIMEOUT`].
+    /// Panics if none arrives within [`TIMEOUT`].
     pub fn wait_log(&mut self, part: &str) -> String {
         loop {
-            let line =
-                self.lines.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no {part:?} in {:?}", self.log));
+            let line = self
+                .lines
+                .recv_timeout(TIMEOUT)
+                .unwrap_or_else(|_| panic!("no log line contains {part:?}: {:?}", self.log));
             self.log.push(line.clone());
             if line.contains(part) {
                 return line;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// The next line of the log so far that contains this part, without a wait.
+    /// Reads the available log lines up to one that contains this text, without waiting.
     pub fn find_log(&mut self, part: &str) -> Option<String> {
         while let Ok(line) = self.lines.try_recv() {
             self.log.push(line.clone());
@@ -119,16 +121,17 @@
         None
     }
 
-    /// All lines of the log of a worker that has ended.
+    /// Returns the complete log of a worker that has exited.
     pub fn complete_log(&mut self) -> &[String] {
         self.log.extend(self.lines.iter());
         &self.log
     }
 
-    /// Accepts its link as an executor that is warm, and waits until the worker reports that it is ready.
+    /// Accepts the executor link as a warm executor, and waits until the worker reports to the registry that it is
+    /// ready.
     ///
     /// # Panics
-    /// The worker does not connect, or does not get ready.
+    /// Panics if the worker does not connect or does not become ready.
     #[must_use]
     pub fn accept_link(&self) -> Executor {
         let executor = self.accept_link_without_waiting();
@@ -136,10 +139,10 @@
         executor
     }
 
-    /// Accepts its link as an executor that is warm, whether or not the worker reports yet.
+    /// Accepts the executor link as a warm executor, without waiting for a load report.
     ///
     /// # Panics
-    /// The worker does not connect.
+    /// Panics if the worker does not connect.
     #[must_use]
     pub fn accept_link_without_waiting(&self) -> Executor {
         let mut executor = Executor::accept(&self.executor);
@@ -148,18 +151,18 @@
         executor
     }
 
-    /// Waits until the worker reports this state to its registry.
+    /// Waits until the worker reports this state to the registry.
     ///
     /// # Panics
-    /// It does not within [`TIMEOUT`].
+    /// Panics if it does not within [`TIMEOUT`].
     pub fn wait_load_report(&self, state: &str) {
         self.registry.wait_for_state(state);
     }
 
-    /// Makes one request to the console: its status and text.
+    /// Makes a request to the console and returns the response's status and text.
     ///
     /// # Panics
-    /// There is no console, or no response.
+    /// Panics if there is no console or no response.
     #[must_use]
     pub fn console_request(&self, method: &str, path: &str) -> (u16, String) {
         let mut client = Client::connect(self.console.expect("a console"));
@@ -169,55 +172,55 @@
         (reply.status, String::from_utf8(reply.body).unwrap())
     }
 
-    /// Waits until the console says that the worker is ready.
+    /// Waits until the console reports that the worker is ready.
     ///
     /// # Panics
-    /// It does not within [`TIMEOUT`].
+    /// Panics if it does not within [`TIMEOUT`].
     pub fn wait_ready(&self) {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         while self.console_request("GET", "/-/ready").0 != 200 {
-            assert!(Instant::now() < until, "it never gets ready");
+            assert!(Instant::now() < deadline, "the worker did not become ready");
         }
     }
 
-    /// One metric of the console.
+    /// Returns one metric from the console.
     ///
     /// # Panics
-    /// There is none of this name, or it is no integer.
+    /// Panics if there is no such metric or it is not an integer.
     #[must_use]
     pub fn metric(&self, name: &str) -> u64 {
         let (status, text) = self.console_request("GET", "/-/metrics");
         assert_eq!(status, 200);
         let value = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        value.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
+        value.unwrap_or_else(|| panic!("no metric {name} in {text}")).parse().unwrap()
     }
 
-    /// The status of a health check on a connection of its own.
+    /// Makes a health check on a new connection and returns its status.
     #[must_use]
     pub fn check_health(&self) -> u16 {
         Client::connect(self.http).check_health()
     }
 
-    /// Sends the shutdown notice: SIGTERM.
+    /// Sends SIGTERM, the shutdown notice.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Kills it, and waits for its end.
+    /// Kills the worker and waits for it to exit.
     ///
     /// # Panics
-    /// The system refuses it.
+    /// Panics if the signal can't be sent or the wait fails.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Stops it in the middle of whatever it does: SIGSTOP.
+    /// Stops the process with SIGSTOP, whatever it is doing.
     pub fn suspend(&self) {
         self.signal("STOP");
     }
 
-    /// Lets a suspended worker go on: SIGCONT.
+    /// Resumes a suspended worker with SIGCONT.
     pub fn resume(&self) {
         self.signal("CONT");
     }
@@ -227,36 +230,36 @@
         assert!(Command::new("sh").arg("-c").arg(format!("kill -{name} {id}")).status().unwrap().success());
     }
 
-    /// Replaces the operator's file and asks the worker to reload.
+    /// Replaces the operator's file and sends SIGHUP, on which the worker reloads.
     ///
     /// # Panics
-    /// The file can't be written.
+    /// Panics if the file can't be written.
     pub fn reload_operator(&self, text: &str) {
         std::fs::write(self.folder.join("operator.toml"), text).unwrap();
         self.signal("HUP");
     }
 
-    /// Replaces the text of the configuration and asks the worker to reload.
+    /// Replaces the configuration file's text and sends SIGHUP, on which the worker reloads.
     ///
     /// # Panics
-    /// The file can't be written.
+    /// Panics if the file can't be written.
     pub fn reload_text(&self, text: &str) {
         std::fs::write(self.folder.join("config.json"), text).unwrap();
         self.signal("HUP");
     }
 
-    /// Changes the configuration and asks the worker to reload.
+    /// Changes the configuration and sends SIGHUP, on which the worker reloads.
     pub fn reload(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config);
         self.reload_text(&self.config.to_string());
     }
 
-    /// Moves the executor, the records service and the registry to new addresses by a reload; the old ones are returned.
+    /// Moves the executor, the records service and the registry to new addresses by a reload, and returns the old ones.
     ///
     /// # Panics
-    /// There is no free port.
-    pub fn move_peers(&mut self) -> MovedPeers {
-        let old = MovedPeers {
+    /// Panics if there is no free port.
+    pub fn move_peers(&mut self) -> PreviousPeers {
+        let old = PreviousPeers {
             executor: std::mem::replace(&mut self.executor, TcpListener::bind("127.0.0.1:0").unwrap()),
             records: std::mem::replace(&mut self.records, RecordsPeer::start()),
             registry: std::mem::replace(&mut self.registry, RegistryPeer::start()),
@@ -271,25 +274,25 @@
         old
     }
 
-    /// Waits for the end of the process; whether its exit status is good.
+    /// Waits for the process to exit and returns whether its exit status is 0.
     ///
     /// # Panics
-    /// It does not end within [`TIMEOUT`].
+    /// Panics if it does not exit within [`TIMEOUT`].
     pub fn exits_successfully(&mut self) -> bool {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
-            assert!(Instant::now() < until, "the worker does not end");
+            assert!(Instant::now() < deadline, "the worker did not exit");
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
-    /// Resident memory of the worker (KB).
+    /// Resident memory of the process (KB).
     ///
     /// # Panics
-    /// The process has ended.
+    /// Panics if the process has exited.
     #[must_use]
     pub fn resident_kb(&self) -> f64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
@@ -297,10 +300,10 @@
         line.split_whitespace().next().unwrap().parse().unwrap()
     }
 
-    /// Whether the process has not ended.
+    /// Whether the process is still running.
     ///
     /// # Panics
-    /// The system does not know it.
+    /// Panics if the process's state can't be read.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
