--- a/examples/replace.rs
+++ b/examples/replace.rs
@@ -1,5 +1,5 @@
-//! Keeps a port worker running beside the toy site, and replaces it while it serves: once at the start, and again with
-//! each line on standard input. It holds the clients' socket as the platform does.
+//! Runs a port worker with the peers of the `toy_site` example, and replaces it by hot restart for each line on
+//! standard input. Like a supervisor in production, it holds the listening socket and passes it to every worker process.
 //!
 //! ```sh
 //! cargo run --example toy_site                                # in one terminal
@@ -14,9 +14,10 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-/// A successor must say yes within this time, and the old process be gone within that after SIGTERM.
-const READY: Duration = Duration::from_secs(6);
-const GONE: Duration = Duration::from_secs(6);
+/// Time limit for a new process to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time limit for a process to exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
@@ -25,51 +26,53 @@
     config: Value,
     socket: TcpListener,
     folder: PathBuf,
-    started: u16,
+    /// The number of processes started so far.
+    started_count: u16,
 }
 
 impl Supervisor {
-    /// Starts one more process, with a console and an executor's address that take turns, and waits for its yes.
+    /// Starts another process and waits until it is ready. Successive processes alternate between two console addresses
+    /// and two executor addresses, since two processes run at the same time during a hot restart.
     fn start(&mut self) -> Result<Child> {
-        let turn = self.started % 2;
-        self.started += 1;
-        let console = format!("127.0.0.1:{}", 7010 + turn);
+        let parity = self.started_count % 2;
+        self.started_count += 1;
+        let console = format!("127.0.0.1:{}", 7010 + parity);
         self.config["console"] = json!(console);
-        self.config["executor"] = json!(format!("127.0.0.1:{}", 7300 + turn));
-        let file = self.folder.join(format!("config-{turn}.json"));
+        self.config["executor"] = json!(format!("127.0.0.1:{}", 7300 + parity));
+        let file = self.folder.join(format!("config-{parity}.json"));
         std::fs::write(&file, self.config.to_string())?;
         let child = Command::new(&self.program)
             .env("ROUTER_CONFIG", &file)
             .env("ROUTER_SOCKET_FD", self.socket.as_raw_fd().to_string())
             .env("TMPDIR", &self.folder)
             .spawn()?;
-        let until = Instant::now() + READY;
-        while !ready(&console).unwrap_or(false) {
-            if Instant::now() > until {
-                return Err("the new process does not get ready".into());
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !is_ready(&console).unwrap_or(false) {
+            if Instant::now() > deadline {
+                return Err("the new process did not become ready within 6 s".into());
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        println!("process {} serves; its console is {console}", child.id());
+        println!("process {} is ready; its console is {console}", child.id());
         Ok(child)
     }
 }
 
-fn ready(console: &str) -> std::io::Result<bool> {
+fn is_ready(console: &str) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(console)?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
     stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: console\r\n\r\n")?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    Ok(answer.starts_with("HTTP/1.1 200"))
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response.starts_with("HTTP/1.1 200"))
 }
 
-/// SIGTERM, and SIGKILL where that is not enough.
-fn end(mut child: Child) -> Result<()> {
+/// Sends SIGTERM, and SIGKILL if the process does not exit in time.
+fn stop(mut child: Child) -> Result<()> {
     Command::new("kill").args(["-TERM", &child.id().to_string()]).status()?;
-    let until = Instant::now() + GONE;
+    let deadline = Instant::now() + EXIT_TIMEOUT;
     while child.try_wait()?.is_none() {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             child.kill()?;
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -81,21 +84,21 @@
     let program = std::env::args().nth(1).unwrap_or_else(|| "target/release/port-worker".to_owned());
     let config: Value = serde_json::from_str(&std::fs::read_to_string("examples/config.json")?)?;
     let socket = TcpListener::bind(config["listen"].as_str().unwrap_or("127.0.0.1:7001"))?;
-    // Whatever is started from here on inherits it.
+    // Clears FD_CLOEXEC, so that child processes inherit the socket.
     rustix::io::fcntl_setfd(&socket, rustix::io::FdFlags::empty())?;
     let folder = std::env::temp_dir().join(format!("honeypost-replace-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let mut supervisor = Supervisor { program: program.into(), config, socket, folder, started: 0 };
+    let mut supervisor = Supervisor { program: program.into(), config, socket, folder, started_count: 0 };
     let mut current = supervisor.start()?;
     for line in std::io::stdin().lock().lines() {
         line?;
         match supervisor.start() {
-            Ok(new) => end(std::mem::replace(&mut current, new))?,
-            // The old one has served all along.
+            Ok(new) => stop(std::mem::replace(&mut current, new))?,
+            // The old process has not been stopped and still serves.
             Err(e) => println!("not replaced: {e}"),
         }
     }
-    end(current)?;
+    stop(current)?;
     std::fs::remove_dir_all(&supervisor.folder)?;
     Ok(())
 }
--- a/examples/toy_site.rs
+++ b/examples/toy_site.rs
@@ -1,7 +1,7 @@
-//! A toy site on loopback to try the port worker with: an executor that sleeps instead of working, a records
-//! service that always agrees, and a registry that prints what it is told. Not for measurements.
+//! Minimal loopback peers for trying out the port worker: an executor whose runs only sleep, a records service that
+//! accepts every call, and a registry that prints the reports it receives. Not suitable for measurements.
 //!
-//! The addresses are those of `examples/config.json`; the README says how to start both.
+//! The addresses are those of `examples/config.json`; the README describes how to start both.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -13,35 +13,36 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a run takes before and after its call.
-const HALF: Duration = Duration::from_millis(60);
+/// Duration of each half of a run: before its downstream call and after it.
+const HALF_RUN: Duration = Duration::from_millis(60);
 
-/// What the executor keeps while there may be no link: the notices, and the runs that stand at a call.
+/// Executor state that outlives a link: all notices sent, and the data of runs that wait for a downstream call.
 #[derive(Default)]
-struct Book {
+struct ExecutorState {
     link: Option<TcpStream>,
     notices: Vec<String>,
-    at_call: HashMap<String, Vec<u8>>,
+    awaiting_call: HashMap<String, Vec<u8>>,
 }
 
-impl Book {
-    fn say(&mut self, line: &Value) {
+impl ExecutorState {
+    fn send(&mut self, message: &Value) {
         if let Some(link) = &mut self.link {
-            if link.write_all(format!("{line}\n").as_bytes()).is_err() {
+            if link.write_all(format!("{message}\n").as_bytes()).is_err() {
                 self.link = None;
             }
         }
     }
 
-    fn notice(&mut self, mut line: Value) {
-        line["n"] = json!(self.notices.len() + 1);
-        self.notices.push(line.to_string());
-        self.say(&line);
+    /// Sends a notice with the next sequence number and keeps it for a later link.
+    fn send_notice(&mut self, mut notice: Value) {
+        notice["n"] = json!(self.notices.len() + 1);
+        self.notices.push(notice.to_string());
+        self.send(&notice);
     }
 }
 
 fn main() -> std::io::Result<()> {
-    // The second address is for a process that replaces the first: each numbers its own notices.
+    // The second address is for a worker process that replaces the first: each executor numbers its own notices.
     let executors = [TcpListener::bind("127.0.0.1:7300")?, TcpListener::bind("127.0.0.1:7301")?];
     let records = TcpListener::bind("127.0.0.1:8900")?;
     let registry = UdpSocket::bind("127.0.0.1:2379")?;
@@ -56,76 +57,78 @@
             println!("registry: {}", String::from_utf8_lossy(&bytes[..n]));
         }
     });
-    println!("the toy site is up");
+    println!("all services are listening");
     let serve = |executor: TcpListener| {
-        let book = Arc::new(Mutex::new(Book::default()));
+        let state = Arc::new(Mutex::new(ExecutorState::default()));
         for link in executor.incoming().flatten() {
-            if let Err(e) = serve_link(link, &book) {
+            if let Err(e) = serve_link(link, &state) {
                 println!("executor: link ended: {e}");
             }
         }
     };
     let threads = executors.map(|executor| thread::spawn(move || serve(executor)));
     for thread in threads {
-        thread.join().expect("no executor's thread panics");
+        thread.join().expect("an executor thread panicked");
     }
     Ok(())
 }
 
-fn serve_link(link: TcpStream, book: &Arc<Mutex<Book>>) -> std::io::Result<()> {
+fn serve_link(link: TcpStream, shared: &Arc<Mutex<ExecutorState>>) -> std::io::Result<()> {
     let reader = BufReader::new(link.try_clone()?);
     let mut link = Some(link);
     for line in reader.lines() {
         let command: Value = serde_json::from_str(&line?)?;
         let job = command["job"].as_str().unwrap_or("").to_owned();
-        let mut held = book.lock().expect("no thread panics with the book");
+        let mut state = shared.lock().expect("a thread panicked with the lock held");
         match command["type"].as_str().unwrap_or("") {
             "JOIN" => {
-                let read = command["n"].as_u64().unwrap_or(0) as usize;
-                held.link = link.take();
-                // A worker that begins anew numbers anew.
-                if read == 0 {
-                    held.notices.clear();
+                let received = command["n"].as_u64().unwrap_or(0) as usize;
+                state.link = link.take();
+                // A newly started worker expects notice numbers from 1.
+                if received == 0 {
+                    state.notices.clear();
                 }
-                held.say(&json!({"type": "WELCOME", "state": "LOADED", "took": 60_000.0}));
+                state.send(&json!({"type": "WELCOME", "state": "LOADED", "took": 60_000.0}));
                 let missed: Vec<Value> =
-                    held.notices.iter().skip(read).flat_map(|n| serde_json::from_str(n)).collect();
+                    state.notices.iter().skip(received).flat_map(|n| serde_json::from_str(n)).collect();
                 for notice in &missed {
-                    held.say(notice);
+                    state.send(notice);
                 }
             }
             "EXEC" => {
-                println!("executor: {} begins {job}", command["kind"]);
+                println!("executor: {} run {job} started", command["kind"]);
                 let data = STANDARD.decode(command["data"].as_str().unwrap_or("")).unwrap_or_default();
-                let book = book.clone();
+                let shared = shared.clone();
                 thread::spawn(move || {
-                    thread::sleep(HALF);
-                    let mut held = book.lock().expect("no thread panics with the book");
-                    held.at_call.insert(job.clone(), data);
-                    held.notice(json!({"type": "CALLOUT", "job": job, "data": STANDARD.encode("number?")}));
+                    thread::sleep(HALF_RUN);
+                    let mut state = shared.lock().expect("a thread panicked with the lock held");
+                    state.awaiting_call.insert(job.clone(), data);
+                    state.send_notice(
+                        json!({"type": "CALLOUT", "job": job, "data": STANDARD.encode("number?")}),
+                    );
                 });
             }
             "RETURN" | "BYPASS" => {
-                let Some(data) = held.at_call.remove(&job) else { continue };
-                let book = book.clone();
+                let Some(data) = state.awaiting_call.remove(&job) else { continue };
+                let shared = shared.clone();
                 thread::spawn(move || {
-                    thread::sleep(HALF);
+                    thread::sleep(HALF_RUN);
                     let result = [b"done: ", &data[..]].concat();
-                    let end = json!({"type": "EXIT", "job": job, "state": "PASS", "took": 120.0,
+                    let exit = json!({"type": "EXIT", "job": job, "state": "PASS", "took": 120.0,
                         "data": STANDARD.encode(result)});
-                    book.lock().expect("no thread panics with the book").notice(end);
+                    shared.lock().expect("a thread panicked with the lock held").send_notice(exit);
                 });
             }
             "METER" => {
-                held.say(&json!({"type": "METERS", "ref": command["ref"], "gauges": [0.2, 1, 0.1, 1]}));
+                state.send(&json!({"type": "METERS", "ref": command["ref"], "gauges": [0.2, 1, 0.1, 1]}));
             }
-            other => println!("executor: {other} is not played here"),
+            other => println!("executor: command {other} is not supported"),
         }
     }
     Ok(())
 }
 
-/// Answers calls, one after the other, until the connection ends.
+/// Answers calls one at a time until the connection is closed.
 fn serve_records(stream: TcpStream) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream);
     loop {
