--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -117,7 +117,7 @@
         available
     }
 
-    /// Waits for the peer to close the connection; false if it sends data instead.
+    /// Whether the connection ends without another byte. A read that fails counts as the end, also by timeout.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 16]), Ok(0) | Err(_))
     }
--- a/tests/http2/keep_alive.rs
+++ b/tests/http2/keep_alive.rs
@@ -1,7 +1,7 @@
-//! Idle connections: GOAWAY and PING.
+//! GOAWAY and PING on idle connections.
 
+use crate::expect_start;
 use crate::peer::*;
-use crate::starts;
 use crate::WORKER;
 
 #[test]
@@ -10,15 +10,15 @@
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.ack_pings = false;
     peer.send_request(1, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "seen");
     assert_eq!(peer.read_response(1).body, b"seen");
-    assert_eq!(peer.goaway(), (0x7fff_ffff, NO_ERROR));
+    assert_eq!(peer.read_goaway(), (0x7fff_ffff, NO_ERROR));
     peer.send_request(3, "look", None, "hello");
-    let job = starts(&mut executor, "look");
-    let ping = peer.next("a ping", |f| f.kind == PING && f.flags & ACK == 0);
+    let job = expect_start(&mut executor, "look");
+    let ping = peer.next("a PING", |f| f.kind == PING && f.flags & ACK == 0);
     peer.frame(PING, ACK, 0, &ping.payload);
-    assert_eq!(peer.goaway(), (3, NO_ERROR));
+    assert_eq!(peer.read_goaway(), (3, NO_ERROR));
     executor.send_exit(&job, "PASS", "crossed");
     assert_eq!(peer.read_response(3).body, b"crossed");
     assert!(peer.is_closed());
@@ -27,23 +27,23 @@
 #[test]
 fn idle_client_that_answers_no_ping_is_closed() {
     let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}ping_s = 0.5\n")));
-    let (mut executor, mut alive) = (worker.accept_link(), Peer::connect(&worker, &[]));
-    let mut dead = Peer::connect(&worker, &[]);
-    dead.ack_pings = false;
-    for peer in [&mut alive, &mut dead] {
+    let (mut executor, mut responsive) = (worker.accept_link(), Peer::connect(&worker, &[]));
+    let mut unresponsive = Peer::connect(&worker, &[]);
+    unresponsive.ack_pings = false;
+    for peer in [&mut responsive, &mut unresponsive] {
         peer.send_request(1, "look", None, "hello");
-        let job = starts(&mut executor, "look");
+        let job = expect_start(&mut executor, "look");
         executor.send_exit(&job, "PASS", "seen");
         assert_eq!(peer.read_response(1).body, b"seen");
     }
     for _ in 0..3 {
-        alive.next("a ping", |f| f.kind == PING && f.flags & ACK == 0);
+        responsive.next("a PING", |f| f.kind == PING && f.flags & ACK == 0);
     }
-    dead.next("a ping", |f| f.kind == PING && f.flags & ACK == 0);
-    assert!(dead.is_closed());
-    // It goes on answering pings while it waits for its turn here.
-    alive.send_request(3, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    unresponsive.next("a PING", |f| f.kind == PING && f.flags & ACK == 0);
+    assert!(unresponsive.is_closed());
+    // Reading the response also acknowledges the PINGs that arrived while the other connection was being closed.
+    responsive.send_request(3, "look", None, "hello");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "still here");
-    assert_eq!(alive.read_response(3).body, b"still here");
+    assert_eq!(responsive.read_response(3).body, b"still here");
 }
--- a/tests/http2/limits.rs
+++ b/tests/http2/limits.rs
@@ -1,7 +1,7 @@
-//! Limits, floods and clients that misbehave.
+//! Limits, floods and misbehaving clients.
 
+use crate::expect_start;
 use crate::peer::*;
-use crate::starts;
 use crate::WORKER;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -15,14 +15,14 @@
     for stream in [1, 3, 5] {
         peer.send_request(stream, "order", Some(&format!("k{stream}")), "hello");
     }
-    let jobs = [starts(&mut executor, "order"), starts(&mut executor, "order")];
+    let jobs = [expect_start(&mut executor, "order"), expect_start(&mut executor, "order")];
     assert_eq!(peer.read_response(5).reset, Some(REFUSED_STREAM));
     executor.send_exit(&jobs[0], "PASS", "one");
     executor.send_exit(&jobs[1], "PASS", "two");
     assert_eq!((peer.read_response(1).body, peer.read_response(3).body), (b"one".to_vec(), b"two".to_vec()));
-    // It is true that nothing ran: its key runs now, for the first time.
+    // The refused request did not run: its key now runs for the first time.
     peer.send_request(7, "order", Some("k5"), "hello");
-    let job = starts(&mut executor, "order");
+    let job = expect_start(&mut executor, "order");
     executor.send_exit(&job, "PASS", "five");
     assert_eq!(peer.read_response(7).body, b"five");
 }
@@ -31,65 +31,68 @@
 fn reset_and_continuation_floods_are_disconnected_and_others_are_served() {
     let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
-    // Rapid reset: streams opened and reset without end.
+    // Rapid reset: streams are opened and reset continuously.
     let mut peer = Peer::connect(&worker, &[]);
     let flood = |peer: &mut Peer, frames: &dyn Fn(u32) -> Vec<(u8, u8, u32, Vec<u8>)>| {
         for n in 0..20_000 {
             for (kind, flags, stream, payload) in frames(n) {
-                if peer.stream.write_all(&Peer::bytes(kind, flags, stream, &payload)).is_err() {
+                if peer.stream.write_all(&Peer::frame_bytes(kind, flags, stream, &payload)).is_err() {
                     return;
                 }
             }
         }
     };
     flood(&mut peer, &|n| {
-        let block = Peer::block(&Peer::head("nonsense", None));
+        let block = Peer::header_block(&Peer::request_headers("nonsense", None));
         let stream = 2 * n + 1;
         vec![(HEADERS, END_HEADERS, stream, block), (RST_STREAM, 0, stream, CANCEL.to_be_bytes().to_vec())]
     });
-    let ended_with =
+    let goaway_code =
         |peer: &mut Peer| std::iter::from_fn(|| peer.read()).find(|f| f.kind == GOAWAY).map(|f| f.code(4));
-    assert_eq!(ended_with(&mut peer), Some(ENHANCE_YOUR_CALM));
-    // A header block without end.
+    assert_eq!(goaway_code(&mut peer), Some(ENHANCE_YOUR_CALM));
+    // CONTINUATION flood: a header block that never ends.
     let mut endless = Peer::connect(&worker, &[]);
-    endless.frame(HEADERS, 0, 1, &Peer::block(&Peer::head("look", None)));
-    flood(&mut endless, &|_| vec![(CONTINUATION, 0, 1, Peer::block(&[pair("x-filler", &"y".repeat(100))]))]);
-    assert_eq!(ended_with(&mut endless), Some(ENHANCE_YOUR_CALM));
+    endless.frame(HEADERS, 0, 1, &Peer::header_block(&Peer::request_headers("look", None)));
+    flood(&mut endless, &|_| {
+        vec![(CONTINUATION, 0, 1, Peer::header_block(&[pair("x-filler", &"y".repeat(100))]))]
+    });
+    assert_eq!(goaway_code(&mut endless), Some(ENHANCE_YOUR_CALM));
     let mut client = Client::connect(worker.http);
     client.send(&RequestBuilder::new("look"));
-    let job = starts(&mut executor, "look");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "seen");
     assert_eq!(client.read_response().body, b"seen");
 }
 
-/// PING is answered, so a client that sent nothing else could keep the worker's core to itself for as long as it liked.
+/// A client that sent only PINGs, each of which is answered, could occupy the worker's core indefinitely.
 #[test]
 fn no_op_frame_flood_is_throttled_then_disconnected_and_requests_are_not() {
     let mut worker = WORKER.start_with(|_| {}, Some(FRONTEND));
-    let (mut executor, mut asks) = (worker.accept_link(), Peer::connect(&worker, &[]));
+    let (mut executor, mut established) = (worker.accept_link(), Peer::connect(&worker, &[]));
     let mut flood = Peer::connect(&worker, &[]);
     flood.send_request(1, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "seen");
     assert_eq!(flood.read_response(1).body, b"seen");
     flood.stream.set_write_timeout(Some(Duration::from_millis(200))).unwrap();
-    let pings = Peer::bytes(PING, ACK, 0, b"whatever").repeat(1000);
-    // What is not taken piles up on its own side: far less than this fits into the system's buffers.
-    let held_back = (0..4000).any(|_| flood.stream.write_all(&pings).is_err());
-    assert!(held_back, "the worker took in 68 MB that ask for nothing");
+    let pings = Peer::frame_bytes(PING, ACK, 0, b"whatever").repeat(1000);
+    // Unread data accumulates on the client's side; the system's buffers hold far less than this.
+    let throttled = (0..4000).any(|_| flood.stream.write_all(&pings).is_err());
+    assert!(throttled, "the worker read 68 MB of frames that carry no request");
     worker.wait_log("http2_session_throttled");
-    // Far more than the allowance, all of it asked for; and a newcomer, which begins with little.
+    // Far more data than the overhead allowance, all of it requests; also on a new connection, whose allowance starts
+    // small.
     let mut newcomer = Peer::connect(&worker, &[]);
     for n in 0..100 {
-        for peer in [&mut asks, &mut newcomer] {
+        for peer in [&mut established, &mut newcomer] {
             peer.send_request(2 * n + 1, "look", None, &"x".repeat(2000));
-            let job = starts(&mut executor, "look");
+            let job = expect_start(&mut executor, "look");
             executor.send_exit(&job, "PASS", "seen");
             assert_eq!(peer.read_response(2 * n + 1).body, b"seen");
         }
     }
-    let ended = std::iter::from_fn(|| flood.read()).find(|f| f.kind == GOAWAY).map(|f| f.code(4));
-    assert_eq!(ended, Some(ENHANCE_YOUR_CALM));
+    let code = std::iter::from_fn(|| flood.read()).find(|f| f.kind == GOAWAY).map(|f| f.code(4));
+    assert_eq!(code, Some(ENHANCE_YOUR_CALM));
     worker.wait_log("http2_session_terminated cause=idle_frames");
 }
 
@@ -102,8 +105,8 @@
     }
     let mut client = Client::connect(worker.http);
     client.send(&RequestBuilder::new("look"));
-    let jobs: Vec<Value> = (0..41).map(|_| starts(&mut executor, "look")).collect();
-    // Answers in any order.
+    let jobs: Vec<Value> = (0..41).map(|_| expect_start(&mut executor, "look")).collect();
+    // Responses in reverse order.
     for job in jobs.iter().rev() {
         executor.send_exit(job, "PASS", "seen");
     }
@@ -111,33 +114,33 @@
     assert!((0..40).all(|n| peer.read_response(2 * n + 1).body == b"seen"));
 }
 
-/// A measurement, out of CI: `cargo test --release --test http2 -- --ignored --nocapture`.
+/// A measurement that is not part of CI: `cargo test --release --test http2 -- --ignored --nocapture`.
 #[test]
-#[ignore = "prints figures, and holds nothing against them"]
+#[ignore = "prints measurements and asserts nothing about them"]
 fn idle_connections_print_their_memory() {
     const CONNECTIONS: usize = 400;
-    let wide = |c: &mut Value| c["limits"] = json!({"cores": 1.0, "memory_mb": 192, "sockets": 1024});
-    let worker = WORKER.start_with(wide, Some(FRONTEND));
+    let large_limits = |c: &mut Value| c["limits"] = json!({"cores": 1.0, "memory_mb": 192, "sockets": 1024});
+    let worker = WORKER.start_with(large_limits, Some(FRONTEND));
     let _executor = worker.accept_link();
-    let rest = || std::thread::sleep(std::time::Duration::from_millis(1500));
+    let settle = || std::thread::sleep(std::time::Duration::from_millis(1500));
     let before = worker.resident_kb();
     let mut routers: Vec<Client> = (0..CONNECTIONS).map(|_| Client::connect(worker.http)).collect();
     assert!(routers.iter_mut().all(|c| c.check_health() == 200));
-    rest();
+    settle();
     let http1 = (worker.resident_kb() - before) / CONNECTIONS as f64;
     drop(routers);
-    rest();
+    settle();
     let before = worker.resident_kb();
     let check = [(":method", "GET"), (":scheme", "http"), (":authority", "x"), (":path", "/check")];
-    let block = Peer::block(&check.map(|(n, v)| pair(n, v)));
+    let block = Peer::header_block(&check.map(|(n, v)| pair(n, v)));
     let mut peers: Vec<Peer> = (0..CONNECTIONS).map(|_| Peer::connect(&worker, &[])).collect();
     for peer in &mut peers {
         peer.frame(HEADERS, END_HEADERS | END_STREAM, 1, &block);
         assert_eq!(peer.read_response(1).status, 200);
     }
-    rest();
+    settle();
     let http2 = (worker.resident_kb() - before) / CONNECTIONS as f64;
-    println!("KB an idle connection: HTTP/1.1 {http1:.1}, HTTP/2 {http2:.1}");
+    println!("KB per idle connection: HTTP/1.1 {http1:.1}, HTTP/2 {http2:.1}");
 }
 
 #[test]
@@ -157,34 +160,34 @@
     let mut newcomer = Client::connect(worker.http);
     newcomer.send(&RequestBuilder::new("look"));
     executor.serve_next(&mut newcomer, "seen");
-    // Far more stand there than have a seat: whoever asks gets one all the same.
-    let mut asks = Peer::connect(&worker, &[]);
-    asks.send_request(1, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    // There are far more connections than the limit; a client with a request is admitted all the same.
+    let mut requester = Peer::connect(&worker, &[]);
+    requester.send_request(1, "look", None, "hello");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "seen");
-    assert_eq!(asks.read_response(1).body, b"seen");
+    assert_eq!(requester.read_response(1).body, b"seen");
 }
 
-/// Each connection kept within its bounds, and all together held far more than the worker has.
+/// Each connection stayed within its own limit, but together their unsent responses exceeded the worker's memory.
 #[test]
 fn response_backlog_limit_disconnects_the_client_with_the_largest_backlog() {
     let cores = |c: &mut Value| c["settings"]["domain"]["nCores"] = json!(64);
     let mut worker = WORKER.start_with(cores, Some(&format!("{FRONTEND}waiting_kb = 64\n")));
     let mut executor = worker.accept_link();
-    // Windows of 0: nothing of an answer's body may be sent.
+    // Windows of 0: no part of a response body may be sent.
     let (mut largest, mut smaller) = (Peer::connect(&worker, &[(4, 0)]), Peer::connect(&worker, &[(4, 0)]));
     smaller.send_request(1, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", &"y".repeat(4000));
     for n in 0..20 {
         largest.send_request(2 * n + 1, "look", None, "hello");
-        let job = starts(&mut executor, "look");
+        let job = expect_start(&mut executor, "look");
         executor.send_exit(&job, "PASS", &"x".repeat(4000));
     }
-    assert_eq!(largest.goaway().1, ENHANCE_YOUR_CALM);
+    assert_eq!(largest.read_goaway().1, ENHANCE_YOUR_CALM);
     assert!(largest.is_closed());
     worker.wait_log("http2_session_terminated cause=response_backlog");
-    smaller.window(1, 4000);
+    smaller.update_window(1, 4000);
     assert_eq!(smaller.read_response(1).body.len(), 4000);
 }
 
@@ -192,20 +195,20 @@
 fn connection_limit_evicts_idle_connections_and_keeps_busy_ones() {
     let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}connections = 2\n")));
     let mut executor = worker.accept_link();
-    let mut ask = |peer: &mut Peer, stream: u32| {
+    let mut start_request = |peer: &mut Peer, stream: u32| {
         peer.send_request(stream, "look", None, "hello");
-        starts(&mut executor, "look")
+        expect_start(&mut executor, "look")
     };
-    let (mut rests, mut busy) = (Peer::connect(&worker, &[]), Peer::connect(&worker, &[]));
-    let (first, second) = (ask(&mut rests, 1), ask(&mut busy, 1));
-    // Both are busy: the third is closed at once.
+    let (mut idle, mut busy) = (Peer::connect(&worker, &[]), Peer::connect(&worker, &[]));
+    let (first, second) = (start_request(&mut idle, 1), start_request(&mut busy, 1));
+    // Both are busy, so that a third is closed immediately.
     assert!(Peer::connect(&worker, &[]).is_closed());
     executor.send_exit(&first, "PASS", "seen");
-    assert_eq!(rests.read_response(1).body, b"seen");
+    assert_eq!(idle.read_response(1).body, b"seen");
     let mut third = Peer::connect(&worker, &[]);
     third.send_request(1, "look", None, "hello");
-    let job = starts(&mut executor, "look");
-    assert!(rests.is_closed());
+    let job = expect_start(&mut executor, "look");
+    assert!(idle.is_closed());
     executor.send_exit(&second, "PASS", "seen");
     executor.send_exit(&job, "PASS", "seen");
     assert_eq!(
@@ -214,26 +217,26 @@
     );
 }
 
-/// What a resting client says when room is needed may be no request: it is looked at, and then gives way. Whoever came
-/// waits for that and is not closed.
+/// When a connection is needed for a new client, an idle client's unread data may not be a request: it is processed
+/// before the idle connection is evicted. The new client waits for that and is not closed.
 #[test]
 fn new_connection_waits_until_unread_frames_of_an_idle_one_are_processed() {
     let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}connections = 2\n")));
     let mut executor = worker.accept_link();
-    let (mut rests, mut busy) = (Peer::connect(&worker, &[]), Peer::connect(&worker, &[]));
+    let (mut idle, mut busy) = (Peer::connect(&worker, &[]), Peer::connect(&worker, &[]));
     let mut jobs = Vec::new();
-    for peer in [&mut rests, &mut busy] {
+    for peer in [&mut idle, &mut busy] {
         peer.send_request(1, "look", None, "hello");
-        jobs.push(starts(&mut executor, "look"));
+        jobs.push(expect_start(&mut executor, "look"));
     }
     executor.send_exit(&jobs[0], "PASS", "seen");
-    assert_eq!(rests.read_response(1).body, b"seen");
+    assert_eq!(idle.read_response(1).body, b"seen");
     worker.suspend();
-    rests.frame(PING, 0, 0, b"whatever");
+    idle.frame(PING, 0, 0, b"whatever");
     let mut third = Peer::connect(&worker, &[]);
     third.send_request(1, "look", None, "hello");
     worker.resume();
-    jobs.push(starts(&mut executor, "look"));
+    jobs.push(expect_start(&mut executor, "look"));
     executor.send_exit(&jobs[1], "PASS", "seen");
     executor.send_exit(&jobs[2], "PASS", "seen");
     assert_eq!(
--- a/tests/http2/main.rs
+++ b/tests/http2/main.rs
@@ -1,4 +1,4 @@
-//! The HTTP/2 front over loopback, against a peer that speaks frames byte by byte.
+//! Integration tests of the HTTP/2 frontend over loopback, with a client that writes individual frames.
 
 mod conformance;
 mod keep_alive;
@@ -13,7 +13,8 @@
 /// The program under test.
 const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
-fn starts(executor: &mut Executor, class: &str) -> Value {
+/// Expects the start of a run of this class and returns its job.
+fn expect_start(executor: &mut Executor, class: &str) -> Value {
     let command = executor.expect_command("EXEC");
     assert_eq!(command["kind"], class, "{command}");
     command["job"].clone()
--- a/tests/http2/peer.rs
+++ b/tests/http2/peer.rs
@@ -1,4 +1,4 @@
-//! A client that speaks frames byte by byte, right or wrong.
+//! An HTTP/2 client that writes arbitrary frames, valid or not.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -31,13 +31,15 @@
     pub flags: u8,
     pub stream: u32,
     pub payload: Vec<u8>,
-    /// Of a header block, which must be unpacked in the order of the wire.
+    /// The decoded header block of a HEADERS frame. Blocks must be decoded in the order in which they are received,
+    /// since they share the HPACK dynamic table.
     pub headers: Vec<(String, String)>,
 }
 
 impl Frame {
-    pub fn code(&self, at: usize) -> u32 {
-        u32::from_be_bytes(self.payload[at..at + 4].try_into().unwrap())
+    /// The big-endian number at this offset of the payload, such as an error code.
+    pub fn code(&self, offset: usize) -> u32 {
+        u32::from_be_bytes(self.payload[offset..offset + 4].try_into().unwrap())
     }
 }
 
@@ -46,7 +48,7 @@
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// The stream was reset with this code.
+    /// The error code with which the stream was reset.
     pub reset: Option<u32>,
 }
 
@@ -59,8 +61,8 @@
 pub struct Peer {
     pub stream: TcpStream,
     pub decoder: hpack::Decoder<'static>,
-    /// Frames read while another was waited for.
-    pub kept: Vec<Frame>,
+    /// Frames that were read while waiting for another one.
+    pub unmatched: Vec<Frame>,
     pub ack_pings: bool,
 }
 
@@ -69,18 +71,18 @@
 }
 
 impl Peer {
-    /// Connects and says nothing.
+    /// Connects without sending anything.
     pub fn silent(worker: &WorkerUnderTest) -> Peer {
         let stream = TcpStream::connect(worker.http2.unwrap()).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Peer { stream, decoder: hpack::Decoder::new(), kept: Vec::new(), ack_pings: true }
+        Peer { stream, decoder: hpack::Decoder::new(), unmatched: Vec::new(), ack_pings: true }
     }
 
-    /// Connects and says the preface with these settings (identifier, value).
+    /// Connects and sends the preface with these settings (identifier, value).
     pub fn connect(worker: &WorkerUnderTest, settings: &[(u16, u32)]) -> Peer {
         let mut peer = Peer::silent(worker);
-        peer.raw(PREFACE);
+        peer.write_raw(PREFACE);
         let payload: Vec<u8> = settings
             .iter()
             .flat_map(|(id, v)| [&id.to_be_bytes()[..], &v.to_be_bytes()[..]].concat())
@@ -89,22 +91,22 @@
         peer
     }
 
-    pub fn bytes(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+    pub fn frame_bytes(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
         let length = &(payload.len() as u32).to_be_bytes()[1..];
         [length, &[kind, flags], &stream.to_be_bytes(), payload].concat()
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn write_raw(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
     pub fn frame(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) {
-        // After a GOAWAY the connection may be closed: the test sees that when it reads.
-        let _ = self.stream.write_all(&Peer::bytes(kind, flags, stream, payload));
+        // After a GOAWAY the connection may be closed; the test notices that when it reads.
+        let _ = self.stream.write_all(&Peer::frame_bytes(kind, flags, stream, payload));
     }
 
-    /// Literals without indexing and without Huffman coding (RFC 7541, 6.2.2).
-    pub fn block(list: &[(String, String)]) -> Vec<u8> {
+    /// Encodes a header block of literals without indexing and without Huffman coding (RFC 7541, 6.2.2).
+    pub fn header_block(list: &[(String, String)]) -> Vec<u8> {
         let mut block = Vec::new();
         for (name, value) in list {
             assert!(name.len() < 127 && value.len() < 127);
@@ -117,7 +119,8 @@
         block
     }
 
-    pub fn head(class: &str, key: Option<&str>) -> Vec<(String, String)> {
+    /// The header fields of a request.
+    pub fn request_headers(class: &str, key: Option<&str>) -> Vec<(String, String)> {
         let mut head = vec![
             pair(":method", "POST"),
             pair(":scheme", "http"),
@@ -133,7 +136,7 @@
     }
 
     pub fn send_request(&mut self, stream: u32, class: &str, key: Option<&str>, body: &str) {
-        let block = Peer::block(&Peer::head(class, key));
+        let block = Peer::header_block(&Peer::request_headers(class, key));
         self.frame(HEADERS, END_HEADERS, stream, &block);
         self.frame(DATA, END_STREAM, stream, body.as_bytes());
     }
@@ -142,11 +145,13 @@
         self.frame(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
     }
 
-    pub fn window(&mut self, stream: u32, more: u32) {
-        self.frame(WINDOW_UPDATE, 0, stream, &more.to_be_bytes());
+    /// Sends `WINDOW_UPDATE`.
+    pub fn update_window(&mut self, stream: u32, increment: u32) {
+        self.frame(WINDOW_UPDATE, 0, stream, &increment.to_be_bytes());
     }
 
-    /// The next frame from the wire; `None` at the end. Settings are acknowledged along the way.
+    /// Reads the next frame; `None` at the end of the connection. Acknowledges settings, and pings unless `ack_pings`
+    /// is false.
     pub fn read(&mut self) -> Option<Frame> {
         let mut head = [0; 9];
         self.stream.read_exact(&mut head).ok()?;
@@ -170,25 +175,28 @@
         Some(frame)
     }
 
-    pub fn next(&mut self, what: &str, is: impl Fn(&Frame) -> bool) -> Frame {
-        if let Some(at) = self.kept.iter().position(&is) {
-            return self.kept.remove(at);
+    /// Returns the first frame that matches, read before or still to come.
+    pub fn next(&mut self, expected: &str, matches: impl Fn(&Frame) -> bool) -> Frame {
+        if let Some(at) = self.unmatched.iter().position(&matches) {
+            return self.unmatched.remove(at);
         }
         loop {
-            let frame = self.read().unwrap_or_else(|| panic!("closed before {what}; kept {:?}", self.kept));
-            if is(&frame) {
+            let frame = self.read().unwrap_or_else(|| {
+                panic!("connection closed before {expected}; frames read: {:?}", self.unmatched)
+            });
+            if matches(&frame) {
                 return frame;
             }
-            self.kept.push(frame);
+            self.unmatched.push(frame);
         }
     }
 
-    /// All of one stream's answer.
+    /// Reads the complete response on a stream, or its reset.
     pub fn read_response(&mut self, stream: u32) -> Reply {
         let mut reply = Reply::default();
         loop {
             let frame = self
-                .next("an answer", |f| f.stream == stream && matches!(f.kind, DATA | HEADERS | RST_STREAM));
+                .next("a response", |f| f.stream == stream && matches!(f.kind, DATA | HEADERS | RST_STREAM));
             match frame.kind {
                 HEADERS => {
                     for (name, value) in frame.headers {
@@ -210,14 +218,16 @@
         }
     }
 
-    pub fn goaway(&mut self) -> (u32, u32) {
+    /// Waits for GOAWAY and returns its last stream and error code.
+    pub fn read_goaway(&mut self) -> (u32, u32) {
         let frame = self.next("GOAWAY", |f| f.kind == GOAWAY);
         (frame.code(0) & 0x7fff_ffff, frame.code(4))
     }
 
+    /// Reads and keeps all frames until the connection ends or a read fails, which includes a timeout.
     pub fn is_closed(&mut self) -> bool {
         while let Some(frame) = self.read() {
-            self.kept.push(frame);
+            self.unmatched.push(frame);
         }
         true
     }
--- a/tests/http2/requests.rs
+++ b/tests/http2/requests.rs
@@ -1,7 +1,7 @@
-//! From a request on a stream to its response.
+//! Requests and responses on streams.
 
+use crate::expect_start;
 use crate::peer::*;
-use crate::starts;
 use crate::WORKER;
 use port_worker::net::upstreams::ajp_codec::{self, Direction, Forward, ToWebServer};
 use std::io::{Read, Write};
@@ -13,8 +13,8 @@
     let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.send_request(1, "order", Some("k1"), "hello");
-    let job = starts(&mut executor, "order");
-    // Again on another stream, and over HTTP/1.1, while it runs.
+    let job = expect_start(&mut executor, "order");
+    // While it runs: retries on another stream and over HTTP/1.1.
     peer.send_request(3, "order", Some("k1"), "hello");
     let mut client = Client::connect(worker.http);
     client.send(&RequestBuilder::new("order").key("k1"));
@@ -23,7 +23,7 @@
     let replies = [peer.read_response(1), peer.read_response(3)];
     assert!(replies.iter().all(|r| r.status == 200 && r.body == b"placed"), "{replies:?}");
     assert_eq!(client.read_response().body, b"placed");
-    // And after it.
+    // After it has completed.
     peer.send_request(5, "order", Some("k1"), "hello");
     assert_eq!(peer.read_response(5).body, b"placed");
 }
@@ -34,7 +34,7 @@
     let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}{ajp}")));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.send_request(1, "order", Some("k1"), "hello");
-    let job = starts(&mut executor, "order");
+    let job = expect_start(&mut executor, "order");
     peer.reset(1);
     executor.expect_no_command(&worker);
     executor.send_exit(&job, "PASS", "placed");
@@ -45,7 +45,7 @@
     assert_eq!(ajp_order(&worker, "k1"), b"placed");
 }
 
-/// The result of an order of five bytes that comes over AJP.
+/// Sends an order with a body of five bytes over AJP and returns its result.
 fn ajp_order(worker: &WorkerUnderTest, key: &str) -> Vec<u8> {
     let headers: Vec<(&str, &[u8])> =
         vec![("content-length", b"5"), ("X-Org", b"acme"), ("X-Operation-Key", key.as_bytes())];
@@ -77,11 +77,11 @@
     for (stream, key) in [(1, "k1"), (3, "k2"), (5, "k3"), (7, "k4")] {
         peer.send_request(stream, "order", Some(key), "hello");
     }
-    let jobs = [starts(&mut executor, "order"), starts(&mut executor, "order")];
+    let jobs = [expect_start(&mut executor, "order"), expect_start(&mut executor, "order")];
     peer.reset(5);
-    // The answer to a ping shows that the reset has been read.
+    // The PING acknowledgement shows that the reset has been read.
     peer.frame(PING, 0, 0, b"whatever");
-    peer.next("the ping's answer", |f| f.kind == PING && f.flags & ACK != 0);
+    peer.next("the PING acknowledgement", |f| f.kind == PING && f.flags & ACK != 0);
     executor.send_exit(&jobs[0], "PASS", "one");
     let next = executor.expect_command("EXEC");
     executor.send_exit(&jobs[1], "PASS", "two");
@@ -98,24 +98,29 @@
     for stream in [1, 3, 5, 7] {
         peer.send_request(stream, "order", Some(&format!("k{stream}")), "hello");
     }
-    let jobs = [starts(&mut executor, "order"), starts(&mut executor, "order")];
-    let refused = peer.read_response(7);
-    let advice: u64 = refused.header("x-pushback-ms").unwrap().parse().unwrap();
-    assert!(refused.status == 503 && (1..=1000).contains(&advice), "{refused:?}");
-    assert_eq!(refused.header("x-backend-says"), Some("1"));
+    let jobs = [expect_start(&mut executor, "order"), expect_start(&mut executor, "order")];
+    let rejected = peer.read_response(7);
+    let advice: u64 = rejected.header("x-pushback-ms").unwrap().parse().unwrap();
+    assert!(rejected.status == 503 && (1..=1000).contains(&advice), "{rejected:?}");
+    assert_eq!(rejected.header("x-backend-says"), Some("1"));
     for job in &jobs {
         executor.send_exit(job, "PASS", "placed");
     }
-    let job = starts(&mut executor, "order");
+    let job = expect_start(&mut executor, "order");
     executor.send_exit(&job, "PASS", "placed");
     assert!([1, 3, 5].iter().all(|s| peer.read_response(*s).status == 200));
-    // Health is asked for in the same way, and a method that fits nothing is said to.
-    let ask = |method: &str, path: &str| {
+    // Health checks work as over HTTP/1.1, and an unsupported method gets 405 with Allow.
+    let header_list = |method: &str, path: &str| {
         [pair(":method", method), pair(":scheme", "http"), pair(":authority", "x"), pair(":path", path)]
     };
-    peer.frame(HEADERS, END_HEADERS | END_STREAM, 9, &Peer::block(&ask("GET", "/check?e2e=1")));
+    peer.frame(
+        HEADERS,
+        END_HEADERS | END_STREAM,
+        9,
+        &Peer::header_block(&header_list("GET", "/check?e2e=1")),
+    );
     assert_eq!(peer.read_response(9).body, b"good\n");
-    peer.frame(HEADERS, END_HEADERS | END_STREAM, 11, &Peer::block(&ask("PUT", "/check")));
+    peer.frame(HEADERS, END_HEADERS | END_STREAM, 11, &Peer::header_block(&header_list("PUT", "/check")));
     let reply = peer.read_response(11);
     assert_eq!((reply.status, reply.header("allow")), (405, Some("GET")));
 }
@@ -129,58 +134,58 @@
     let reply = client.read_response();
     assert_eq!((reply.status, reply.header("Connection")), (505, Some("close")));
     assert!(client.is_closed());
-    // Half a preface and then nothing: closed in its time, and the worker serves on.
-    let mut half = Client::connect(worker.http2.unwrap());
-    half.write("PRI * HTTP/2.0\r\n");
-    assert!(half.is_closed());
+    // An incomplete preface: the connection is closed by timeout, and the worker continues to serve.
+    let mut incomplete = Client::connect(worker.http2.unwrap());
+    incomplete.write("PRI * HTTP/2.0\r\n");
+    assert!(incomplete.is_closed());
     assert_eq!(Client::connect(worker.http).check_health(), 200);
 }
 
 #[test]
 fn response_waits_for_windows_that_open_a_byte_at_a_time() {
     let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
-    // SETTINGS_INITIAL_WINDOW_SIZE of 0.
+    // SETTINGS_INITIAL_WINDOW_SIZE is 0.
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[(4, 0)]));
     peer.send_request(1, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "twelve bytes");
-    let head = peer.next("the head", |f| f.kind == HEADERS);
+    let head = peer.next("the response HEADERS", |f| f.kind == HEADERS);
     assert_eq!(head.flags & END_STREAM, 0);
     let mut body = Vec::new();
     for _ in 0..12 {
-        peer.window(1, 1);
-        let data = peer.next("a byte", |f| f.kind == DATA);
+        peer.update_window(1, 1);
+        let data = peer.next("DATA of one byte", |f| f.kind == DATA);
         assert_eq!(data.payload.len(), 1);
         body.extend(data.payload);
     }
     assert_eq!(body, b"twelve bytes");
-    // Windows that go below 0: two streams in flight, then settings that shrink what they were given.
+    // Windows below 0: a stream has used its window when the settings reduce it.
     peer.frame(SETTINGS, 0, 0, &[&4u16.to_be_bytes()[..], &8u32.to_be_bytes()[..]].concat());
     peer.send_request(3, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "twelve bytes");
-    assert_eq!(peer.next("eight bytes", |f| f.kind == DATA && f.stream == 3).payload.len(), 8);
+    assert_eq!(peer.next("DATA of eight bytes", |f| f.kind == DATA && f.stream == 3).payload.len(), 8);
     peer.frame(SETTINGS, 0, 0, &[&4u16.to_be_bytes()[..], &0u32.to_be_bytes()[..]].concat());
-    peer.window(3, 8);
+    peer.update_window(3, 8);
     peer.frame(PING, 0, 0, b"whatever");
-    peer.next("the ping's answer", |f| f.kind == PING && f.flags & ACK != 0);
-    assert!(!peer.kept.iter().any(|f| f.kind == DATA), "sent into a closed window");
-    peer.window(3, 4);
-    assert_eq!(peer.next("the rest", |f| f.kind == DATA && f.stream == 3).payload, b"ytes");
+    peer.next("the PING acknowledgement", |f| f.kind == PING && f.flags & ACK != 0);
+    assert!(!peer.unmatched.iter().any(|f| f.kind == DATA), "DATA was sent although the window is closed");
+    peer.update_window(3, 4);
+    assert_eq!(peer.next("the remaining DATA", |f| f.kind == DATA && f.stream == 3).payload, b"ytes");
 }
 
 #[test]
 fn oversized_body_is_rejected_without_reading_all_of_it() {
     let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
-    let block = Peer::block(&Peer::head("look", None));
+    let block = Peer::header_block(&Peer::request_headers("look", None));
     peer.frame(HEADERS, END_HEADERS, 1, &block);
     peer.frame(DATA, 0, 1, &[b'x'; 1500]);
     peer.frame(DATA, 0, 1, &[b'x'; 1500]);
     assert_eq!(peer.read_response(1).status, 413);
-    // Other streams of the connection are not touched.
+    // Other streams of the connection are not affected.
     peer.send_request(3, "look", None, "hello");
-    let job = starts(&mut executor, "look");
+    let job = expect_start(&mut executor, "look");
     executor.send_exit(&job, "PASS", "seen");
     assert_eq!(peer.read_response(3).body, b"seen");
 }
@@ -189,40 +194,40 @@
 fn malformed_requests_are_never_dispatched() {
     let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
-    let good = Peer::head("look", None);
-    let without = |name: &str| good.iter().filter(|(n, _)| n != name).cloned().collect::<Vec<_>>();
-    let with = |name: &str, value: &str| [good.clone(), vec![pair(name, value)]].concat();
-    let swapped = [good[4..].to_vec(), good[..4].to_vec()].concat();
-    // By RFC 9113, sections 8.1.1, 8.2 and 8.3: stream errors, before any answer.
-    for (what, list) in [
+    let valid = Peer::request_headers("look", None);
+    let without = |name: &str| valid.iter().filter(|(n, _)| n != name).cloned().collect::<Vec<_>>();
+    let with = |name: &str, value: &str| [valid.clone(), vec![pair(name, value)]].concat();
+    let reordered = [valid[4..].to_vec(), valid[..4].to_vec()].concat();
+    // RFC 9113, sections 8.1.1, 8.2 and 8.3: stream errors, before any response.
+    for (description, headers) in [
         ("an upper-case name", with("X-Upper", "1")),
         ("a connection header", with("connection", "close")),
         ("a transfer coding", with("transfer-encoding", "chunked")),
         ("no method", without(":method")),
         ("two paths", with(":path", "/do/look")),
-        ("a pseudo-header after others", swapped),
-        ("a length that does not fit", with("content-length", "7")),
+        ("a pseudo-header after others", reordered),
+        ("a length that does not match the body", with("content-length", "7")),
         ("two lengths", [with("content-length", "5"), vec![pair("content-length", "5")]].concat()),
     ] {
         let mut peer = Peer::connect(&worker, &[]);
-        peer.frame(HEADERS, END_HEADERS, 1, &Peer::block(&list));
+        peer.frame(HEADERS, END_HEADERS, 1, &Peer::header_block(&headers));
         peer.frame(DATA, END_STREAM, 1, b"hello");
-        let frame = peer.next(what, |f| f.kind == RST_STREAM || f.kind == GOAWAY);
+        let frame = peer.next(description, |f| f.kind == RST_STREAM || f.kind == GOAWAY);
         let code = if frame.kind == GOAWAY { frame.code(4) } else { frame.code(0) };
-        assert_eq!(code, PROTOCOL_ERROR, "{what}");
+        assert_eq!(code, PROTOCOL_ERROR, "{description}");
     }
-    // What is sound HTTP/2 but no sound request gets the platform's statuses.
-    for (list, status) in [
+    // Valid HTTP/2 that is not a valid request gets the documented statuses.
+    for (headers, status) in [
         (with("x-deadline-ms", "NaN"), 400),
         (with("x-org", "acme"), 400),
         (without("x-correlation-id"), 400),
-        (Peer::head("nonsense", None), 404),
-        (Peer::head("order", None), 400),
+        (Peer::request_headers("nonsense", None), 404),
+        (Peer::request_headers("order", None), 400),
     ] {
         let mut peer = Peer::connect(&worker, &[]);
-        peer.frame(HEADERS, END_HEADERS, 1, &Peer::block(&list));
+        peer.frame(HEADERS, END_HEADERS, 1, &Peer::header_block(&headers));
         peer.frame(DATA, END_STREAM, 1, b"hello");
-        assert_eq!(peer.read_response(1).status, status, "{list:?}");
+        assert_eq!(peer.read_response(1).status, status, "{headers:?}");
     }
     executor.expect_no_command(&worker);
 }
