--- a/tests/http/executor_link.rs
+++ b/tests/http/executor_link.rs
@@ -1,4 +1,4 @@
-//! The link to the executor, lost and restored.
+//! Loss and restoration of the executor link.
 
 use crate::WORKER;
 use serde_json::json;
@@ -9,38 +9,38 @@
 fn lost_executor_link_resumes_without_running_anything_twice() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
-    let (mut one, mut two) = (Client::connect(worker.http), Client::connect(worker.http));
-    one.send(&RequestBuilder::new("look"));
+    let (mut first_client, mut second_client) = (Client::connect(worker.http), Client::connect(worker.http));
+    first_client.send(&RequestBuilder::new("look"));
     let first = executor.expect_command("EXEC");
-    two.send(&RequestBuilder::new("look"));
+    second_client.send(&RequestBuilder::new("look"));
     let second = executor.expect_command("EXEC");
     executor.send_exit(&first["job"], "PASS", "first");
-    assert_eq!(one.read_response().body, b"first");
+    assert_eq!(first_client.read_response().body, b"first");
     drop(executor);
 
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 1);
     executor.send(&json!({"type": "WELCOME", "state": "LOADED", "took": 3_600_100.0}));
     executor.started_jobs.push(second["job"].clone());
-    // Notice 1 again: it was dealt with. Then the end that came while there was no link.
+    // Notice 1 again, which the worker has already processed; then the end of a run from the time without a link.
     executor.send(&json!({"type": "EXIT", "n": 1, "job": second["job"], "state": "FAIL", "took": 1.0}));
     executor.last_notice = 1;
     executor.send_exit(&second["job"], "PASS", "second");
-    let reply = two.read_response();
+    let reply = second_client.read_response();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"second"[..]));
     executor.started_jobs.clear();
     executor.expect_no_command(&worker);
 }
 
-/// What was commanded just before a break never ran, and held its run slot for long.
+/// A run whose EXEC was lost when the link broke never started, but occupied its run slot for a long time.
 #[test]
 fn start_lost_with_a_broken_link_is_sent_again_after_the_fence_response() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        assert!(Instant::now() < until, "this machine is too slow for the test");
+        assert!(Instant::now() < deadline, "this machine is too slow for the test");
         let before = Instant::now();
         client.send(&RequestBuilder::new("look"));
         let lost = executor.expect_command("EXEC");
@@ -49,14 +49,15 @@
         executor = Executor::accept(&worker.executor);
         assert_eq!(executor.expect_command("JOIN")["n"], n);
         executor.last_notice = n;
-        // A command that was old when the link broke is not indeterminate: then the test begins anew.
-        let in_doubt = before.elapsed() < Duration::from_millis(100);
-        if in_doubt {
+        // Only a command sent shortly before the link broke is indeterminate. If this machine was too slow for that,
+        // the test starts over.
+        let is_indeterminate = before.elapsed() < Duration::from_millis(100);
+        if is_indeterminate {
             assert_eq!(executor.expect_command("EXEC"), lost);
         }
         executor.send_exit(&lost["job"], "PASS", "late");
         assert_eq!(client.read_response().body, b"late");
-        if in_doubt {
+        if is_indeterminate {
             return;
         }
     }
@@ -74,7 +75,7 @@
     executor.expect_command("JOIN");
     executor.send(&json!({"type": "WELCOME", "state": "EMPTY", "took": 0.0}));
     assert_eq!(client.read_response().status, 500);
-    // It may have run: the key stays taken. Notices are numbered from 1 again.
+    // It may have run, so the key stays in use. The new executor numbers its notices from 1.
     assert_eq!(client.request(&RequestBuilder::new("order").key("k5")).status, 500);
     client.send(&RequestBuilder::new("look"));
     let exec = executor.expect_command("EXEC");
--- a/tests/http/lifecycle.rs
+++ b/tests/http/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, health checks, reload and shutdown.
+//! Startup, health checks, reload and shutdown.
 
 use crate::WORKER;
 use serde_json::json;
@@ -25,8 +25,8 @@
 fn shutdown_answers_all_requests_and_runs_none_that_arrived_after_the_grace() {
     let mut worker = WORKER.start();
     let mut executor = worker.accept_link();
-    let mut held = Client::connect(worker.http);
-    held.send(&RequestBuilder::new("look"));
+    let mut early = Client::connect(worker.http);
+    early.send(&RequestBuilder::new("look"));
     let exec = executor.expect_command("EXEC");
     worker.terminate();
     worker.wait_load_report("draining");
@@ -37,16 +37,16 @@
     let reply = during.read_response();
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     std::thread::sleep(Duration::from_millis(1300));
-    // A part of a request is there, so that this connection stays open when the listeners close.
+    // The partial request keeps this connection open when the listeners are closed.
     let mut late = Client::connect(worker.http);
     let text = RequestBuilder::new("look").text();
     late.write(&text[..20]);
     std::thread::sleep(Duration::from_millis(800));
-    let stamp = text.split("X-Arrived-Ms: ").nth(1).unwrap().split('\r').next().unwrap().to_owned();
-    late.write(&text[20..].replace(&stamp, &unix_ms().to_string()));
+    let arrived_ms = text.split("X-Arrived-Ms: ").nth(1).unwrap().split('\r').next().unwrap().to_owned();
+    late.write(&text[20..].replace(&arrived_ms, &unix_ms().to_string()));
     assert_eq!(late.read_response().status, 503);
     executor.send_exit(&exec["job"], "PASS", "kept");
-    let reply = held.read_response();
+    let reply = early.read_response();
     assert_eq!((reply.status, &reply.body[..]), (200, &b"kept"[..]));
     assert_eq!(reply.header("Connection"), Some("close"));
     assert!(worker.exits_successfully());
@@ -56,7 +56,7 @@
 fn unusable_configuration_ends_the_start_with_a_one_line_error() {
     let run = |config: Option<&str>, operator: Option<&str>| {
         let folder = std::env::temp_dir().join(format!(
-            "honeypost-bad-{}-{}",
+            "honeypost-unusable-{}-{}",
             std::process::id(),
             unique_request_id()
         ));
@@ -67,25 +67,25 @@
             std::fs::write(folder.join("c"), text).unwrap();
             command.env("ROUTER_CONFIG", folder.join("c"));
         }
-        if let Some(word) = operator {
-            command.arg(word);
+        if let Some(argument) = operator {
+            command.arg(argument);
         }
         let output = command.output().unwrap();
         std::fs::remove_dir_all(&folder).unwrap();
         (output.status.success(), String::from_utf8(output.stderr).unwrap())
     };
-    for (config, operator, named) in [
+    for (config, operator, expected) in [
         (None, None, "ROUTER_CONFIG"),
         (Some("{"), None, "EOF"),
         (Some("{\"name\": \"n1\"}"), None, "listen"),
         (None, Some("--what"), "usage"),
     ] {
         let (success, text) = run(config, operator);
-        assert!(!success && text.lines().count() == 1 && text.contains(named), "{text}");
+        assert!(!success && text.lines().count() == 1 && text.contains(expected), "{text}");
     }
 }
 
-/// The default of the signal ended the worker, with all that it held.
+/// SIGHUP terminated the worker, by its default action, together with all requests in flight.
 #[test]
 fn reload_moves_to_new_peers_and_runs_and_queued_requests_continue() {
     let mut worker = WORKER.start();
@@ -97,31 +97,31 @@
         jobs.push(executor.expect_command("EXEC")["job"].clone());
     }
     executor.send_notice(json!({"type": "CALLOUT", "job": jobs[0], "data": to_base64("q")}));
-    let mut below = worker.records.accept();
-    below.read_message();
-    // The run at its call has left a slot to the order; the last look is held.
+    let mut records = worker.records.accept();
+    records.read_message();
+    // The run that waits for its call has freed a run slot, which the order takes; the last look is queued.
     clients[2].send(&RequestBuilder::new("order").key("5c0f"));
     let order = executor.expect_command("EXEC")["job"].clone();
     clients[3].send(&RequestBuilder::new("look"));
-    let _former = worker.move_peers();
-    let mut moved = Executor::accept(&worker.executor);
-    assert_eq!(moved.expect_command("JOIN")["n"], 1);
-    moved.last_notice = 1;
-    moved.started_jobs.extend([jobs[1].clone(), order.clone()]);
-    moved.send_welcome();
+    let _previous = worker.move_peers();
+    let mut new_executor = Executor::accept(&worker.executor);
+    assert_eq!(new_executor.expect_command("JOIN")["n"], 1);
+    new_executor.last_notice = 1;
+    new_executor.started_jobs.extend([jobs[1].clone(), order.clone()]);
+    new_executor.send_welcome();
     worker.wait_load_report("ready");
-    // The call in flight ends where it was made; what was queued starts over the new link.
-    below.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
-    assert_eq!(moved.expect_command("RETURN")["data"], to_base64("a"));
-    moved.send_exit(&jobs[0], "PASS", "one");
+    // The call in flight completes on its old connection; the queued request is started over the new link.
+    records.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
+    assert_eq!(new_executor.expect_command("RETURN")["data"], to_base64("a"));
+    new_executor.send_exit(&jobs[0], "PASS", "one");
     assert_eq!(clients[0].read_response().body, b"one");
-    jobs.push(moved.expect_command("EXEC")["job"].clone());
-    // The next call goes to the new address, though the old connection was kept.
-    moved.send_notice(json!({"type": "CALLOUT", "job": jobs[1], "data": to_base64("r")}));
+    jobs.push(new_executor.expect_command("EXEC")["job"].clone());
+    // The next call goes to the new address, although the old connection was kept open.
+    new_executor.send_notice(json!({"type": "CALLOUT", "job": jobs[1], "data": to_base64("r")}));
     worker.records.accept().read_message();
-    moved.send_exit(&order, "PASS", "done");
+    new_executor.send_exit(&order, "PASS", "done");
     assert_eq!(clients[2].read_response().body, b"done");
-    moved.send_exit(&jobs[2], "PASS", "late");
+    new_executor.send_exit(&jobs[2], "PASS", "late");
     assert_eq!(clients[3].read_response().body, b"late");
     assert_eq!(clients[4].request(&RequestBuilder::new("order").key("5c0f")).body, b"done");
 }
--- a/tests/http/main.rs
+++ b/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! The port worker over HTTP/1.1, with an executor and a records service, on real sockets.
+//! Integration tests of the worker over HTTP/1.1, with scripted executor and records service peers on loopback.
 
 mod connections;
 mod downstream_calls;
--- a/tests/http/requests.rs
+++ b/tests/http/requests.rs
@@ -1,4 +1,4 @@
-//! From a request over HTTP/1.1 to its response.
+//! Requests and responses over HTTP/1.1.
 
 use crate::WORKER;
 use serde_json::json;
@@ -26,7 +26,7 @@
 
 #[test]
 fn first_run_after_a_start_is_not_reported_as_stalled() {
-    // The executor has been up for an hour, and the worker for a moment.
+    // The executor has been running for an hour, the worker only for a moment.
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
@@ -50,7 +50,7 @@
     let order = || RequestBuilder::new("order").key("k1");
     first.send(&order());
     let exec = executor.expect_command("EXEC");
-    // The second try comes while the first runs; the third when it has long been served.
+    // The second attempt arrives while the first runs, the third after the response.
     second.send(&order());
     executor.expect_no_command(&worker);
     executor.send_exit(&exec["job"], "PASS", "placed 17");
@@ -90,15 +90,15 @@
             "BAD" => executor.send(&json!({"type": "BAD", "state": "EXEC", "job": exec["job"]})),
             end => executor.send_exit(&exec["job"], end, ""),
         }
-        // What comes for it once more, and what makes no sense at all, changes nothing.
+        // Further notices for this run, and malformed notices, change nothing.
         executor.send_notice(json!({"type": "CALLOUT", "job": exec["job"], "data": ""}));
         executor.send_exit(&exec["job"], "PASS", "late");
         executor.send(&json!({"type": 7}));
         executor.send(&json!({"type": "EXIT", "n": executor.last_notice + 1}));
         executor.last_notice += 1;
-        // Nothing was started: a refusal holds.
+        // NOOP means that nothing was started, so the request is rejected.
         assert_eq!(client.read_response().status, if end == "NOOP" { 503 } else { 500 }, "{end}");
-        // The next answer on this connection is the next request's: no second one was given.
+        // The next response on this connection belongs to the next request: there was no second response.
         executor.expect_no_command(&worker);
     }
 }
@@ -108,13 +108,13 @@
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
-    // Half of its time has passed unread.
+    // Half of its time to the deadline has already passed.
     let arrived_ms = unix_ms() - 600;
     client.send(&RequestBuilder::new("order").key("k4").deadline_ms(1200).arrived_ms(arrived_ms));
     let exec = executor.expect_command("EXEC");
     let reply = client.read_response();
     assert_eq!(reply.status, 504);
-    assert!(unix_ms() <= arrived_ms + 5000, "answered by the class's time, not by its own");
+    assert!(unix_ms() <= arrived_ms + 5000, "answered at the class's deadline, not at its own");
     executor.send_exit(&exec["job"], "PASS", "placed late");
     let reply = client.request(&RequestBuilder::new("order").key("k4"));
     assert_eq!((reply.status, &reply.body[..]), (200, &b"placed late"[..]));
@@ -124,25 +124,25 @@
 fn rejected_request_is_answered_immediately_with_retry_advice() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
-    let asks: Vec<Client> = (0..40)
+    let clients: Vec<Client> = (0..40)
         .map(|_| {
             let mut client = Client::connect(worker.http);
             client.send(&RequestBuilder::new("look"));
             client
         })
         .collect();
-    // Nothing ends, so most of these can't be started in time; they are told so long before they are due.
+    // No run ends, so most of these can't be started in time; they are rejected long before their deadlines.
     let sent = std::time::Instant::now();
-    let mut refused = 0;
-    for mut client in asks.into_iter().rev().take(10) {
+    let mut rejected = 0;
+    for mut client in clients.into_iter().rev().take(10) {
         let reply = client.read_response();
         if reply.status == 503 {
-            refused += 1;
+            rejected += 1;
             assert!(reply.header("X-Pushback-Ms").unwrap().parse::<u64>().unwrap() > 0);
         }
     }
-    assert!(refused > 0);
-    assert!(sent.elapsed().as_millis() < 6000, "refusals were held back");
+    assert!(rejected > 0);
+    assert!(sent.elapsed().as_millis() < 6000, "rejections were delayed");
     assert_eq!(executor.expect_command("EXEC")["kind"], "look");
 }
 
@@ -150,31 +150,31 @@
 fn malformed_requests_get_their_status_and_are_never_dispatched() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
-    let good = RequestBuilder::new("look").text();
+    let valid = RequestBuilder::new("look").text();
     let order = RequestBuilder::new("order").key("k").text();
     for (text, status) in [
-        (good.replace("HTTP/1.1", "HTTP/9"), 400),
-        (good.replace("X-Org: acme\r\n", "X-Org: acme\r\nContent-Length: 5\r\n"), 400),
-        (good.replace("Content-Length: 5", "Content-Length: +5"), 400),
-        (good.replace("Content-Length: 5", "Transfer-Encoding: chunked"), 400),
-        (good.replace("X-Org: acme\r\n", ""), 400),
-        (good.replace("X-Org: acme", "X-Org: acme\r\nX-Org: acme"), 400),
-        (good.replace("X-Deadline-Ms: 8000", "X-Deadline-Ms: NaN"), 400),
-        (good.replace("X-Need-Kb: 24.5", "X-Need-Kb: 0"), 400),
-        (good.replace("X-Deadline-Ms: 8000", "X-Deadline-Ms: 99999999"), 400),
-        (good.replace("X-Criticality: 0.6250", "X-Criticality: inf"), 400),
-        (good.replace("X-Criticality: 0.6250", "X-Criticality: 1.0"), 400),
-        (good.replace("X-Upstream-Peer: 4", "X-Upstream-Peer: +4"), 400),
+        (valid.replace("HTTP/1.1", "HTTP/9"), 400),
+        (valid.replace("X-Org: acme\r\n", "X-Org: acme\r\nContent-Length: 5\r\n"), 400),
+        (valid.replace("Content-Length: 5", "Content-Length: +5"), 400),
+        (valid.replace("Content-Length: 5", "Transfer-Encoding: chunked"), 400),
+        (valid.replace("X-Org: acme\r\n", ""), 400),
+        (valid.replace("X-Org: acme", "X-Org: acme\r\nX-Org: acme"), 400),
+        (valid.replace("X-Deadline-Ms: 8000", "X-Deadline-Ms: NaN"), 400),
+        (valid.replace("X-Need-Kb: 24.5", "X-Need-Kb: 0"), 400),
+        (valid.replace("X-Deadline-Ms: 8000", "X-Deadline-Ms: 99999999"), 400),
+        (valid.replace("X-Criticality: 0.6250", "X-Criticality: inf"), 400),
+        (valid.replace("X-Criticality: 0.6250", "X-Criticality: 1.0"), 400),
+        (valid.replace("X-Upstream-Peer: 4", "X-Upstream-Peer: +4"), 400),
         (RequestBuilder::new("look").arrived_ms(12).text(), 400),
-        (good.replace("X-Correlation-Id: ", "X-Correlation-Id: z"), 400),
+        (valid.replace("X-Correlation-Id: ", "X-Correlation-Id: z"), 400),
         (order.replace("X-Operation-Key: k\r\n", ""), 400),
-        (good.replace("X-Org: acme", "X-Org: other"), 403),
-        (good.replace("/do/look", "/do/nothing"), 404),
-        (good.replace("POST", "DELETE"), 405),
-        (good.replace("Content-Length: 5", "Content-Length: 3000"), 413),
-        (good.replace("Content-Length: 5", "Content-Length: 99999999999999999999999"), 413),
-        (good.replace("X-Org: acme", &format!("X-Org: {}", "a".repeat(9000))), 431),
-        (good.replace("X-Org: acme", &"X-Odd: 1\r\n".repeat(80)), 431),
+        (valid.replace("X-Org: acme", "X-Org: other"), 403),
+        (valid.replace("/do/look", "/do/nothing"), 404),
+        (valid.replace("POST", "DELETE"), 405),
+        (valid.replace("Content-Length: 5", "Content-Length: 3000"), 413),
+        (valid.replace("Content-Length: 5", "Content-Length: 99999999999999999999999"), 413),
+        (valid.replace("X-Org: acme", &format!("X-Org: {}", "a".repeat(9000))), 431),
+        (valid.replace("X-Org: acme", &"X-Odd: 1\r\n".repeat(80)), 431),
     ] {
         let mut client = Client::connect(worker.http);
         client.write(&text);
@@ -193,8 +193,8 @@
     let mut client = Client::connect(worker.http);
     let text = RequestBuilder::new("look").extra_headers("Expect: 100-continue\r\n").text();
     let (head, body) = text.split_at(text.len() - 5);
-    for piece in head.as_bytes().chunks(40) {
-        client.write(std::str::from_utf8(piece).unwrap());
+    for chunk in head.as_bytes().chunks(40) {
+        client.write(std::str::from_utf8(chunk).unwrap());
     }
     let mut line = [0; 25];
     std::io::Read::read_exact(&mut client.reader, &mut line).unwrap();
@@ -204,8 +204,8 @@
     executor.send_exit(&exec["job"], "PASS", "");
     assert_eq!(client.read_response().status, 200);
 
-    let mut half = Client::connect(worker.http);
-    half.write(head);
-    drop(half);
+    let mut incomplete = Client::connect(worker.http);
+    incomplete.write(head);
+    drop(incomplete);
     executor.expect_no_command(&worker);
 }
