--- a/tests/ajp/directory.rs
+++ b/tests/ajp/directory.rs
@@ -1,4 +1,4 @@
-//! The directory, in which the tenants of portals are looked up.
+//! Lookup of portals' tenants in an LDAP directory.
 
 use crate::{forward, Ajp, FRONTEND, WORKER};
 use bytes::BytesMut;
@@ -12,7 +12,7 @@
 use test_support::{accept_link, WorkerUnderTest};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A scripted LDAP server, on one connection.
+/// A scripted LDAP server on one connection.
 struct Ldap {
     stream: TcpStream,
     bytes: BytesMut,
@@ -23,46 +23,47 @@
         Ldap { stream: accept_link(listener), bytes: BytesMut::new() }
     }
 
-    fn next(&mut self) -> LdapMsg {
+    fn read_message(&mut self) -> LdapMsg {
         loop {
             if let Some(message) = LdapCodec::default().decode(&mut self.bytes).unwrap() {
                 return message;
             }
-            let mut some = [0; 512];
-            let n = self.stream.read(&mut some).unwrap();
-            assert!(n > 0, "the link was closed");
-            self.bytes.extend_from_slice(&some[..n]);
+            let mut buffer = [0; 512];
+            let n = self.stream.read(&mut buffer).unwrap();
+            assert!(n > 0, "the connection was closed");
+            self.bytes.extend_from_slice(&buffer[..n]);
         }
     }
 
-    fn say(&mut self, msgid: i32, op: LdapOp) {
+    fn send(&mut self, msgid: i32, op: LdapOp) {
         let mut bytes = BytesMut::new();
         LdapCodec::default().encode(LdapMsg { msgid, op, ctrl: Vec::new() }, &mut bytes).unwrap();
         self.stream.write_all(&bytes).unwrap();
     }
 
-    fn bind(&mut self, code: LdapResultCode) {
-        let message = self.next();
-        let LdapOp::BindRequest(bind) = message.op else { panic!("no bind") };
+    /// Answers a bind request.
+    fn answer_bind(&mut self, code: LdapResultCode) {
+        let message = self.read_message();
+        let LdapOp::BindRequest(bind) = message.op else { panic!("not a bind request") };
         assert_eq!((&bind.dn[..], &bind.cred), ("cn=worker", &LdapBindCred::Simple("pw".to_owned())));
-        self.say(
+        self.send(
             message.msgid,
             LdapOp::BindResponse(LdapBindResponse { res: result(code), saslcreds: None }),
         );
     }
 
-    /// Answers one search; `None` where the identity is not known.
-    fn search(&mut self, identity: &str, tenant: Option<&str>) {
-        let message = self.next();
-        let LdapOp::SearchRequest(search) = message.op else { panic!("no search") };
+    /// Answers a search request; a tenant of `None` means that the identity is unknown.
+    fn answer_search(&mut self, identity: &str, tenant: Option<&str>) {
+        let message = self.read_message();
+        let LdapOp::SearchRequest(search) = message.op else { panic!("not a search request") };
         assert_eq!(search.filter, LdapFilter::Equality("uid".to_owned(), identity.to_owned()));
         assert_eq!((&search.base[..], &search.attrs[..]), ("ou=portals", &["o".to_owned()][..]));
         if let Some(tenant) = tenant {
             let attributes = vec![LdapPartialAttribute { atype: "O".into(), vals: vec![tenant.into()] }];
             let entry = LdapSearchResultEntry { dn: "uid=x".into(), attributes };
-            self.say(message.msgid, LdapOp::SearchResultEntry(entry));
+            self.send(message.msgid, LdapOp::SearchResultEntry(entry));
         }
-        self.say(message.msgid, LdapOp::SearchResultDone(result(LdapResultCode::Success)));
+        self.send(message.msgid, LdapOp::SearchResultDone(result(LdapResultCode::Success)));
     }
 }
 
@@ -70,59 +71,62 @@
     LdapResult { code, matcheddn: String::new(), message: String::new(), referral: Vec::new() }
 }
 
-fn worker(directory: &TcpListener, more: &str) -> WorkerUnderTest {
-    site_with(directory, more, |_| {})
+/// Starts a worker that looks tenants up in this directory, with additional lines for the directory's block.
+fn start_with_directory(directory: &TcpListener, extra: &str) -> WorkerUnderTest {
+    start_with_configuration(directory, extra, |_| {})
 }
 
-fn site_with(
+/// Like [`start_with_directory`], with a changed configuration.
+fn start_with_configuration(
     directory: &TcpListener,
-    more: &str,
+    extra: &str,
     change: impl FnOnce(&mut serde_json::Value),
 ) -> WorkerUnderTest {
-    let at = directory.local_addr().unwrap();
+    let address = directory.local_addr().unwrap();
     let text = format!(
-        "{FRONTEND}\n[directory]\naddress = \"{at}\"\nbind_dn = \"cn=worker\"\nbind_password = \"pw\"\n\
+        "{FRONTEND}\n[directory]\naddress = \"{address}\"\nbind_dn = \"cn=worker\"\nbind_password = \"pw\"\n\
          base = \"ou=portals\"\nidentity = \"remote-user\"\nidentity_attribute = \"uid\"\n\
-         tenant_attribute = \"o\"\n{more}\n"
+         tenant_attribute = \"o\"\n{extra}\n"
     );
     WORKER.start_with(change, Some(&text))
 }
 
-fn by(user: &str) -> Forward<'_> {
+/// A request of this remote user.
+fn request_by(user: &str) -> Forward<'_> {
     Forward { remote_user: Some(user), ..forward("/portal/look", "") }
 }
 
 #[test]
 fn tenant_is_looked_up_once_and_cached_while_the_directory_is_down() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let worker = worker(&listener, "timeout_ms = 10000");
+    let worker = start_with_directory(&listener, "timeout_ms = 10000");
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
-    // Signs that a filter in text would read as its own.
-    let odd = "an*na)(uid=\\";
-    portal.send(&by(odd), b"hello");
+    // Characters that are special in a textual search filter.
+    let special = "an*na)(uid=\\";
+    portal.send(&request_by(special), b"hello");
     let mut ldap = Ldap::accept(&listener);
-    ldap.bind(LdapResultCode::Success);
-    ldap.search(odd, Some("acme"));
+    ldap.answer_bind(LdapResultCode::Success);
+    ldap.answer_search(special, Some("acme"));
     let exec = executor.expect_command("EXEC");
     executor.send_exit(&exec["job"], "PASS", "seen");
     assert_eq!(portal.read_response().0.status, 200);
-    // Unknown to the directory, or known with a tenant that the platform does not have.
+    // Unknown to the directory, or known with a tenant that the configuration does not have.
     for (user, tenant) in [("nobody", None), ("stranger", Some("elsewhere"))] {
-        portal.send(&by(user), b"hello");
-        ldap.search(user, tenant);
+        portal.send(&request_by(user), b"hello");
+        ldap.answer_search(user, tenant);
         assert_eq!(portal.read_response().0.status, 403);
     }
-    // The server's end of an idle link costs no request; a server that is gone does.
+    // A server that closes an idle connection fails no request; an unreachable server does.
     drop(ldap);
-    portal.send(&by("ben"), b"hello");
+    portal.send(&request_by("ben"), b"hello");
     let mut ldap = Ldap::accept(&listener);
-    ldap.bind(LdapResultCode::Success);
+    ldap.answer_bind(LdapResultCode::Success);
     drop((ldap, listener));
     assert_eq!(portal.read_response().0.status, 503);
-    let refused = portal.request(&by("ben"), b"hello");
-    assert_eq!((refused.status, refused.header("Retry-After")), (503, Some("1")));
-    portal.send(&by(odd), b"hello");
+    let rejected = portal.request(&request_by("ben"), b"hello");
+    assert_eq!((rejected.status, rejected.header("Retry-After")), (503, Some("1")));
+    portal.send(&request_by(special), b"hello");
     let exec = executor.expect_command("EXEC");
     executor.send_exit(&exec["job"], "PASS", "seen again");
     assert_eq!(portal.read_response().0.status, 200);
@@ -131,31 +135,31 @@
 #[test]
 fn silent_directory_costs_its_timeout_or_the_request_deadline() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let worker = worker(&listener, "timeout_ms = 300");
+    let worker = start_with_directory(&listener, "timeout_ms = 300");
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
-    assert_eq!(portal.request(&by("anna"), b"hello").status, 503);
-    let mut quick = by("anna");
-    quick.headers.push(("X-Deadline-Ms", b"100"));
-    // While it counts as down it is not asked; then the request's own time runs out first.
-    let told = (0..100).any(|_| {
+    assert_eq!(portal.request(&request_by("anna"), b"hello").status, 503);
+    let mut short_deadline = request_by("anna");
+    short_deadline.headers.push(("X-Deadline-Ms", b"100"));
+    // While the directory counts as down it is not queried; then the request's deadline comes before the timeout.
+    let timed_out = (0..100).any(|_| {
         std::thread::sleep(Duration::from_millis(50));
-        portal.request(&quick, b"hello").status == 504
+        portal.request(&short_deadline, b"hello").status == 504
     });
-    assert!(told, "never told that its own time ran out");
+    assert!(timed_out, "no request was answered with 504 at its own deadline");
     executor.expect_no_command(&worker);
 }
 
-/// The shutdown comes during a lookup: the portal gets a Retry-After before the process ends.
+/// At a shutdown during a lookup, the portal gets a response with Retry-After before the process exits.
 #[test]
 fn request_waiting_for_a_silent_directory_is_answered_at_shutdown() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut worker = site_with(&listener, "timeout_ms = 10000", |c| c["stop_ms"] = json!(400));
+    let mut worker = start_with_configuration(&listener, "timeout_ms = 10000", |c| c["stop_ms"] = json!(400));
     let _executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
-    portal.send(&by("anna"), b"hello");
+    portal.send(&request_by("anna"), b"hello");
     let mut ldap = Ldap::accept(&listener);
-    ldap.next();
+    ldap.read_message();
     worker.terminate();
     let (reply, reuse) = portal.read_response();
     assert_eq!((reply.status, reply.header("Retry-After"), reuse), (503, Some("1"), false));
@@ -166,11 +170,11 @@
 #[test]
 fn rejected_bind_counts_as_a_directory_that_is_down() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut worker = worker(&listener, "timeout_ms = 10000");
+    let mut worker = start_with_directory(&listener, "timeout_ms = 10000");
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
-    portal.send(&by("anna"), b"hello");
-    Ldap::accept(&listener).bind(LdapResultCode::InvalidCredentials);
+    portal.send(&request_by("anna"), b"hello");
+    Ldap::accept(&listener).answer_bind(LdapResultCode::InvalidCredentials);
     assert_eq!(portal.read_response().0.status, 503);
     worker.wait_log("LDAP bind rejected");
     executor.expect_no_command(&worker);
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -1,4 +1,4 @@
-//! Requests of portals at the AJP frontend.
+//! Portals' requests to the AJP frontend.
 
 use crate::{forward, order, Ajp, FRONTEND, WORKER};
 use port_worker::net::upstreams::ajp_codec::{self, Direction, Forward, ToWebServer};
@@ -10,28 +10,28 @@
     let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
-    for (body, pieces) in [("hello", 1), ("hello", 2), ("unmeasured", 3)] {
+    for (body, chunk_count) in [("hello", 1), ("hello", 2), ("unmeasured", 3)] {
         portal.write(&ajp_codec::write_cping());
         assert_eq!(
-            ajp_codec::parse_to_web_server(&portal.packet(Direction::ToWebServer).unwrap()),
+            ajp_codec::parse_to_web_server(&portal.read_packet(Direction::ToWebServer).unwrap()),
             Ok(ToWebServer::CPong)
         );
         let mut f = forward("/portal/look/17?a=b", "");
-        if pieces == 3 {
+        if chunk_count == 3 {
             f.headers[0] = ("transfer-encoding", b"chunked");
             portal.send(&f, b"");
         } else {
-            portal.send(&f, &body.as_bytes()[..if pieces == 2 { 2 } else { 5 }]);
+            portal.send(&f, &body.as_bytes()[..if chunk_count == 2 { 2 } else { 5 }]);
         }
-        for piece in [&body.as_bytes()[2..], b""].iter().take(pieces - 1) {
-            let payload = portal.packet(Direction::ToWebServer).unwrap();
-            let Ok(ToWebServer::GetBody(wanted)) = ajp_codec::parse_to_web_server(&payload) else {
+        for chunk in [&body.as_bytes()[2..], b""].iter().take(chunk_count - 1) {
+            let payload = portal.read_packet(Direction::ToWebServer).unwrap();
+            let Ok(ToWebServer::GetBody(requested)) = ajp_codec::parse_to_web_server(&payload) else {
                 panic!("no GET_BODY_CHUNK")
             };
-            assert!(usize::from(wanted) >= piece.len());
-            // Of the body without a length the first piece has not been sent unasked.
-            let piece = if pieces == 3 && !piece.is_empty() { body.as_bytes() } else { piece };
-            portal.write(&ajp_codec::write_body(piece).unwrap());
+            assert!(usize::from(requested) >= chunk.len());
+            // A body without Content-Length is sent only on request, from its first chunk on.
+            let chunk = if chunk_count == 3 && !chunk.is_empty() { body.as_bytes() } else { chunk };
+            portal.write(&ajp_codec::write_body(chunk).unwrap());
         }
         let exec = executor.expect_command("EXEC");
         assert_eq!((&exec["kind"], &exec["data"]), (&json!("look"), &json!(to_base64(body))));
@@ -49,7 +49,7 @@
     let mut executor = worker.accept_link();
     let (mut portal, mut router) = (Ajp::connect(worker.ajp.unwrap()), Client::connect(worker.http));
     let f = forward("/portal/order", "k1");
-    // First over AJP, again over HTTP while it runs, and when it has been served.
+    // First over AJP, then over HTTP while it runs and after its response.
     portal.send(&f, b"hello");
     let exec = executor.expect_command("EXEC");
     router.send(&order("k1"));
@@ -58,7 +58,7 @@
     assert_eq!(portal.read_response().0.body, b"placed 1");
     assert_eq!(router.read_response().body, b"placed 1");
     assert_eq!(router.request(&order("k1")).body, b"placed 1");
-    // The reverse.
+    // First over HTTP, then over AJP.
     router.send(&order("k2"));
     let exec = executor.expect_command("EXEC");
     let f = forward("/portal/order", "k2");
@@ -87,7 +87,7 @@
     executor.send_exit(&exec["job"], "PASS", "placed");
     let mut router = Client::connect(worker.http);
     assert_eq!(router.request(&order("k2")).body, b"placed");
-    // The key of the half request is free: it was never dispatched.
+    // The incomplete request was never dispatched, so its key is still unused.
     router.send(&order("k1"));
     let exec = executor.expect_command("EXEC");
     executor.send_exit(&exec["job"], "PASS", "now");
@@ -99,23 +99,23 @@
     let rules = "[[ajp.tenant]]\nserver_name = \"portal.example\"\ntenant = \"acme\"\n";
     let mut worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}{rules}")));
     let mut executor = worker.accept_link();
-    let at = worker.ajp.unwrap();
-    let good = forward("/portal/order", "k");
-    let twice = [&good.headers[..], &[("X-Operation-Key", &b"l"[..])]].concat();
-    let long = vec![("content-length", &b"2049"[..])];
+    let address = worker.ajp.unwrap();
+    let valid = forward("/portal/order", "k");
+    let duplicate_key = [&valid.headers[..], &[("X-Operation-Key", &b"l"[..])]].concat();
+    let too_long = vec![("content-length", &b"2049"[..])];
     let signed = vec![("content-length", &b"+0"[..])];
     for (f, status) in [
-        (Forward { secret: None, ..good.clone() }, 403),
-        (Forward { secret: Some(b"s3cres"), ..good.clone() }, 403),
-        (Forward { server_name: "other.example", ..good.clone() }, 403),
+        (Forward { secret: None, ..valid.clone() }, 403),
+        (Forward { secret: Some(b"s3cres"), ..valid.clone() }, 403),
+        (Forward { server_name: "other.example", ..valid.clone() }, 403),
         (forward("/portal/order", ""), 400),
-        (Forward { headers: twice, ..good.clone() }, 400),
-        (Forward { headers: long, uri: "/portal/look", ..good.clone() }, 413),
-        (Forward { headers: signed, uri: "/portal/look", ..good.clone() }, 400),
+        (Forward { headers: duplicate_key, ..valid.clone() }, 400),
+        (Forward { headers: too_long, uri: "/portal/look", ..valid.clone() }, 413),
+        (Forward { headers: signed, uri: "/portal/look", ..valid.clone() }, 400),
         (forward("/portal/orders", "k"), 404),
-        (Forward { method: "GET", ..good.clone() }, 405),
+        (Forward { method: "GET", ..valid.clone() }, 405),
     ] {
-        let mut portal = Ajp::connect(at);
+        let mut portal = Ajp::connect(address);
         portal.send(&f, b"");
         let (reply, reuse) = portal.read_response();
         assert_eq!((reply.status, reuse), (status, false), "{f:?}");
@@ -124,13 +124,13 @@
     for bytes in
         [&b"GET / HTTP/1.1\r\n\r\n"[..], b"\x12\x34\xff\xff", b"\x12\x34\0\x02\x02\x63", b"\x12\x34\0\0"]
     {
-        let mut portal = Ajp::connect(at);
+        let mut portal = Ajp::connect(address);
         portal.write(bytes);
         assert!(portal.is_closed());
         worker.wait_log("ajp_connection_rejected");
     }
-    // A request to shut down is not for anybody who can connect.
-    Ajp::connect(at).write(&[0x12, 0x34, 0, 1, 7]);
+    // Anyone who can connect can send a shutdown packet; it must not stop the worker.
+    Ajp::connect(address).write(&[0x12, 0x34, 0, 1, 7]);
     executor.expect_no_command(&worker);
     assert!(worker.is_running());
 }
@@ -150,8 +150,8 @@
     portal.send(&f, b"hello");
     executor.expect_command("EXEC");
     assert_eq!(portal.read_response().0.status, 504);
-    assert!(unix_ms() <= sent + 5000, "answered by the class's time, not by its own");
-    // Nothing ends: what can't be started in time any more is refused, with word when to come back.
+    assert!(unix_ms() <= sent + 5000, "answered at the class's deadline, not at its own");
+    // No run ends, so requests that can't be started in time are rejected with Retry-After.
     let mut portals: Vec<Ajp> = (0..40).map(|_| Ajp::connect(worker.ajp.unwrap())).collect();
     for p in &mut portals {
         p.send(&forward("/portal/look", ""), b"hello");
--- a/tests/ajp/main.rs
+++ b/tests/ajp/main.rs
@@ -1,4 +1,4 @@
-//! The AJP frontend, AJP servers and the directory, against scripted clients and servers.
+//! Integration tests of the AJP frontend, AJP servers and the directory, with scripted clients and servers.
 
 mod backend;
 mod directory;
@@ -13,6 +13,7 @@
 /// The program under test.
 const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
+/// An operator's file with an AJP frontend.
 const FRONTEND: &str = r#"
 [ajp]
 listen = "127.0.0.1:0"
@@ -32,10 +33,10 @@
 
 impl Ajp {
     fn connect(to: SocketAddr) -> Ajp {
-        Ajp::on(TcpStream::connect(to).unwrap())
+        Ajp::from_stream(TcpStream::connect(to).unwrap())
     }
 
-    fn on(stream: TcpStream) -> Ajp {
+    fn from_stream(stream: TcpStream) -> Ajp {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Ajp { stream }
     }
@@ -44,13 +45,13 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The payload of the next packet; `None` at the end.
-    fn packet(&mut self, way: Direction) -> Option<Vec<u8>> {
+    /// Reads the payload of the next packet; `None` at the end of the connection.
+    fn read_packet(&mut self, direction: Direction) -> Option<Vec<u8>> {
         let mut bytes = vec![0; 4];
         self.stream.read_exact(&mut bytes).ok()?;
         bytes.resize(4 + usize::from(u16::from_be_bytes([bytes[2], bytes[3]])), 0);
         self.stream.read_exact(&mut bytes[4..]).unwrap();
-        ajp_codec::find_packet(&bytes, way).unwrap().map(|range| bytes[range].to_vec())
+        ajp_codec::find_packet(&bytes, direction).unwrap().map(|range| bytes[range].to_vec())
     }
 
     fn send(&mut self, f: &Forward, body: &[u8]) {
@@ -61,11 +62,11 @@
         self.write(&bytes);
     }
 
-    /// Reads one answer: status, head as text, body, and whether the connection may be used again.
+    /// Reads one response, and whether the connection may be reused.
     fn read_response(&mut self) -> (Reply, bool) {
         let mut reply = Reply { status: 0, head: String::new(), body: Vec::new() };
         loop {
-            let payload = self.packet(Direction::ToWebServer).expect("an answer");
+            let payload = self.read_packet(Direction::ToWebServer).expect("a response");
             match ajp_codec::parse_to_web_server(&payload).unwrap() {
                 ToWebServer::Headers { status, headers } => {
                     reply.status = status;
@@ -85,12 +86,13 @@
         self.read_response().0
     }
 
+    /// Whether the connection ends without another byte. A read that fails counts as the end, also by timeout.
     fn is_closed(&mut self) -> bool {
         matches!(self.stream.read(&mut [0; 16]), Ok(0) | Err(_))
     }
 }
 
-/// A request as a portal's web server would forward it, with a body of five bytes.
+/// A request as a portal's web server forwards it, with a Content-Length of 5.
 fn forward<'a>(uri: &'a str, key: &'a str) -> Forward<'a> {
     let mut headers: Vec<(&str, &[u8])> = vec![("content-length", b"5"), ("X-Org", b"acme")];
     if !key.is_empty() {
