--- a/tests/output_pins/console.rs
+++ b/tests/output_pins/console.rs
@@ -1,4 +1,4 @@
-//! Replies of the console.
+//! Responses of the console.
 
 use crate::{mask_after, Transcript, POOLS, WORKER};
 use serde_json::{json, Value};
@@ -9,7 +9,7 @@
     accept_link, reserve_address, Client, Executor, RequestBuilder, WorkerUnderTest, TIMEOUT,
 };
 
-/// Sends one call as it is and reads all that comes until the console closes.
+/// Sends bytes to the console and reads everything up to the end of the connection.
 fn console_exchange(worker: &WorkerUnderTest, request: &str) -> Vec<u8> {
     let mut stream = TcpStream::connect(worker.console.expect("a console")).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -19,7 +19,7 @@
     reply
 }
 
-fn console_call(worker: &WorkerUnderTest, method: &str, path: &str) -> Vec<u8> {
+fn console_request(worker: &WorkerUnderTest, method: &str, path: &str) -> Vec<u8> {
     console_exchange(worker, &format!("{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n"))
 }
 
@@ -27,10 +27,10 @@
     WORKER.start_with(|config| config["console"] = json!("127.0.0.1:0"), operator)
 }
 
-/// Ends one run of this class with this state.
-fn run_one(worker: &WorkerUnderTest, executor: &mut Executor, ask: &RequestBuilder, state: &str) {
+/// Makes one request whose run ends in this state.
+fn run_one(worker: &WorkerUnderTest, executor: &mut Executor, request: &RequestBuilder, state: &str) {
     let mut client = Client::connect(worker.http);
-    client.send(ask);
+    client.send(request);
     let exec = executor.expect_command("EXEC");
     executor.send_exit(&exec["job"], state, "done");
     client.read_response();
@@ -40,8 +40,8 @@
 fn console_replies_match_the_fixture() {
     let mut transcript = Transcript::default();
     let mut worker = start_with_console(None);
-    transcript.wire("ready without a link", &console_call(&worker, "GET", "/-/ready"));
-    transcript.wire("metrics without a link", &console_call(&worker, "GET", "/-/metrics"));
+    transcript.add_bytes("ready without a link", &console_request(&worker, "GET", "/-/ready"));
+    transcript.add_bytes("metrics without a link", &console_request(&worker, "GET", "/-/metrics"));
     let mut executor = worker.accept_link();
     for (title, method, path) in [
         ("ready", "GET", "/-/ready"),
@@ -61,42 +61,42 @@
         ("resume with a wrong method", "PUT", "/-/resume"),
         ("malformed call", "nonsense", "and more"),
     ] {
-        transcript.wire(title, &console_call(&worker, method, path));
+        transcript.add_bytes(title, &console_request(&worker, method, path));
     }
-    transcript.wire("unknown version", &console_exchange(&worker, "GET /-/ready HTTP/9\r\n\r\n"));
-    transcript.wire("HTTP/1.0", &console_exchange(&worker, "GET /-/ready HTTP/1.0\r\n\r\n"));
+    transcript.add_bytes("unknown version", &console_exchange(&worker, "GET /-/ready HTTP/9\r\n\r\n"));
+    transcript.add_bytes("HTTP/1.0", &console_exchange(&worker, "GET /-/ready HTTP/1.0\r\n\r\n"));
     let headers = "X-Odd: 1\r\n".repeat(33);
     let request = format!("GET /-/ready HTTP/1.1\r\n{headers}\r\n");
-    transcript.wire("too many headers", &console_exchange(&worker, &request));
-    transcript.wire("metrics of an idle worker", &console_call(&worker, "GET", "/-/metrics"));
+    transcript.add_bytes("too many headers", &console_exchange(&worker, &request));
+    transcript.add_bytes("metrics of an idle worker", &console_request(&worker, "GET", "/-/metrics"));
     run_one(&worker, &mut executor, &RequestBuilder::new("look"), "PASS");
     run_one(&worker, &mut executor, &RequestBuilder::new("look"), "FAIL");
     run_one(&worker, &mut executor, &RequestBuilder::new("order").key("k1"), "PASS");
     let mut client = Client::connect(worker.http);
     client.send(&RequestBuilder::new("look"));
     let exec = executor.expect_command("EXEC");
-    transcript.wire("metrics with counts and a run", &console_call(&worker, "GET", "/-/metrics"));
+    transcript.add_bytes("metrics with counts and a run", &console_request(&worker, "GET", "/-/metrics"));
     worker.terminate();
     worker.wait_log("shutdown_started");
-    transcript.wire("ready after SIGTERM", &console_call(&worker, "GET", "/-/ready"));
-    transcript.wire("resume after SIGTERM", &console_call(&worker, "POST", "/-/resume"));
+    transcript.add_bytes("ready after SIGTERM", &console_request(&worker, "GET", "/-/ready"));
+    transcript.add_bytes("resume after SIGTERM", &console_request(&worker, "POST", "/-/resume"));
     executor.send_exit(&exec["job"], "PASS", "");
     assert_eq!(client.read_response().status, 200);
     transcript.check("console.txt");
 }
 
-/// Masks the values after `marks`, which depend on time, and the length of the text where they occur in it. The length
-/// must be the right one, and each value a number.
-fn mask_metrics(reply: &str, marks: &[&str]) -> String {
+/// Masks the values after `prefixes`, which depend on time, and the Content-Length if any of them occurs. Checks that
+/// the Content-Length is correct and that each masked value is a number.
+fn mask_metrics(reply: &str, prefixes: &[&str]) -> String {
     let (head, body) = reply.split_once("\r\n\r\n").unwrap();
     let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
     assert_eq!(length, Some(body.len().to_string().as_str()), "{reply}");
     let mut masked = reply.to_owned();
-    for mark in marks {
-        for value in body.lines().filter_map(|line| Some(line.split_once(mark)?.1)) {
-            assert!(value.parse::<f64>().is_ok(), "{mark}{value} is no number");
+    for prefix in prefixes {
+        for value in body.lines().filter_map(|line| Some(line.split_once(prefix)?.1)) {
+            assert!(value.parse::<f64>().is_ok(), "{prefix}{value} is not a number");
         }
-        masked = mask_after(&masked, mark);
+        masked = mask_after(&masked, prefix);
     }
     if masked == reply {
         return masked;
@@ -109,7 +109,7 @@
     let mut transcript = Transcript::default();
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p\"\nclass = \"look\"\n";
     let http2 = "[http2]\nlisten = \"127.0.0.1:0\"\n";
-    // Nobody listens at the coordinator's address: it stays reserved while the worker runs.
+    // Nothing listens on the coordinator's address, which stays reserved while the worker runs.
     let (_reserved, coordinator) = reserve_address();
     let fleet = format!(
         "[fleet]\nname = \"f\"\ncoordinators = [\"{coordinator}\"]\n\
@@ -125,18 +125,18 @@
         ("fleet with overload control, without a coordinator", &overload),
     ] {
         let worker = start_with_console(Some(operator));
-        let unlinked = console_call(&worker, "GET", "/-/metrics");
+        let unlinked = console_request(&worker, "GET", "/-/metrics");
         let _executor = worker.accept_link();
-        let linked = console_call(&worker, "GET", "/-/metrics");
+        let linked = console_request(&worker, "GET", "/-/metrics");
         for (state, reply) in [("not linked", unlinked), ("linked", linked)] {
             let text = mask_metrics(&String::from_utf8(reply).unwrap(), &["fleet.linked_or_not_for_s="]);
-            transcript.wire(&format!("{title}; {state}"), text.as_bytes());
+            transcript.add_bytes(&format!("{title}; {state}"), text.as_bytes());
         }
     }
     transcript.check("console_operator_metrics.txt");
 }
 
-/// Reads one frame of the fleet's protocol: a length of four bytes, big end first, and JSON.
+/// Reads one frame of the fleet's protocol: a four-byte big-endian length and JSON.
 fn read_frame(stream: &mut TcpStream) -> Option<Value> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
@@ -148,11 +148,12 @@
 fn write_frame(stream: &mut TcpStream, message: &Value) {
     let body = message.to_string();
     let length = (body.len() as u32).to_be_bytes();
-    // The worker may have ended meanwhile; then nothing more is read either.
+    // The worker may have exited meanwhile; the next read then ends the loop.
     let _ = stream.write_all(&[&length, body.as_bytes()].concat());
 }
 
-/// A coordinator that grants both tasks and answers each heartbeat with renewals and totals, until the worker ends.
+/// Acts as a coordinator that grants both leases and answers each heartbeat with renewals and totals, until the worker
+/// exits.
 fn serve_as_coordinator(mut stream: TcpStream) {
     let leases = [("report", 7), ("audit", 8)].map(|(task, token)| json!({"task": task, "token": token}));
     let renewed = leases.clone().map(|held| json!({"held": held, "ttl_ms": 30_000}));
@@ -178,7 +179,7 @@
 fn console_metrics_with_a_coordinator_match_the_fixture() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let coordinator = listener.local_addr().unwrap();
-    // Nobody listens where the tasks' calls would go.
+    // Nothing listens on the target address of the scheduled calls.
     let (_reserved, target) = reserve_address();
     let task = |name: &str, safe: bool| {
         format!("[[fleet.task]]\nname = \"{name}\"\nperiod_s = 60.0\naddress = \"{target}\"\nsafe = {safe}\n")
@@ -192,16 +193,16 @@
     let _executor = worker.accept_link();
     let stream = accept_link(&listener);
     let server = std::thread::spawn(move || serve_as_coordinator(stream));
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     let mut text = String::new();
     while !["fleet.lease.report", "fleet.lease.audit", "fleet.totals"].iter().all(|part| text.contains(part))
     {
-        assert!(Instant::now() < until, "no lease or no totals in {text}");
-        text = String::from_utf8(console_call(&worker, "GET", "/-/metrics")).unwrap();
+        assert!(Instant::now() < deadline, "leases or totals missing in {text}");
+        text = String::from_utf8(console_request(&worker, "GET", "/-/metrics")).unwrap();
     }
     let text = mask_metrics(&text, &["fleet.linked_or_not_for_s=", ".left_s=", "fleet.totals.age_s="]);
     let mut transcript = Transcript::default();
-    transcript.wire("fleet with two leases and totals", text.as_bytes());
+    transcript.add_bytes("fleet with two leases and totals", text.as_bytes());
     drop(worker);
     server.join().unwrap();
     transcript.check("console_fleet_metrics.txt");
--- a/tests/output_pins/main.rs
+++ b/tests/output_pins/main.rs
@@ -1,8 +1,8 @@
-//! What the programs print, compared byte for byte with the fixtures under `tests/fixtures/output`: console replies,
-//! exit statuses and error lines, the simulator's replies, and the answers of the platform's front.
+//! Compares the programs' output byte for byte with the fixtures under `tests/fixtures/output`: console responses, exit
+//! statuses and error lines, the simulator adapter's replies, and the responses of the HTTP/1.1 frontend.
 //!
-//! To write the fixtures anew from the present programs, run with `UPDATE_OUTPUT_FIXTURES=1` and read the difference.
-//! Such a run fails: nothing is compared in it.
+//! To regenerate the fixtures from the current programs, run with `UPDATE_OUTPUT_FIXTURES=1` and review the difference.
+//! Such a run fails, because it compares nothing.
 
 mod console;
 mod frontend;
@@ -17,47 +17,48 @@
 /// The program under test.
 const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));
 
-/// The programs as cargo built them, and the names by which they speak of themselves.
+/// The names that the programs use in their messages, and the path of the simulator adapter.
 const WORKER_NAME: &str = "port-worker";
 const SIMULATOR_ADAPTER: &str = env!("CARGO_BIN_EXE_simulator-adapter");
 const SIMULATOR_ADAPTER_NAME: &str = "simulator-adapter";
 
 const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
 
-/// Two class pools, one for each class of `settings`.
+/// An operator's file with two class pools, one for each class of `settings`.
 const POOLS: &str = "[pools]\n[[pools.pool]]\nname = \"cheap\"\nclasses = [\"look\"]\n\
     [[pools.pool]]\nname = \"heavy\"\nclasses = [\"order\"]\nguarantee = 0.5\n";
 
-/// What a run of programs or requests printed, case by case.
+/// The output of a series of cases, each under a title.
 #[derive(Default)]
 struct Transcript {
     text: String,
 }
 
 impl Transcript {
-    fn title(&mut self, title: &str) {
+    fn add_title(&mut self, title: &str) {
         if !self.text.is_empty() {
             self.text.push('\n');
         }
         writeln!(self.text, "== {title}").unwrap();
     }
 
-    /// Adds bytes of the wire, a line each, with what is not printable escaped: line ends can be read in the fixture.
-    fn wire(&mut self, title: &str, bytes: &[u8]) {
-        self.title(title);
+    /// Adds bytes sent on the wire, one line each. Non-printable characters are escaped, so that line ends are visible
+    /// in the fixture.
+    fn add_bytes(&mut self, title: &str, bytes: &[u8]) {
+        self.add_title(title);
         for line in bytes.split_inclusive(|byte| *byte == b'\n') {
             writeln!(self.text, "{}", line.escape_ascii()).unwrap();
         }
     }
 
-    /// Adds an exit status and both output streams as they are.
-    fn ended(&mut self, title: &str, status: Option<i32>, stdout: &str, stderr: &str) {
-        self.title(title);
+    /// Adds an exit status and both output streams.
+    fn add_exit(&mut self, title: &str, status: Option<i32>, stdout: &str, stderr: &str) {
+        self.add_title(title);
         let status = status.map_or("none".to_owned(), |code| code.to_string());
         write!(self.text, "status {status}\nstdout {stdout:?}\nstderr\n{stderr}").unwrap();
     }
 
-    /// Compares all of it with the fixture.
+    /// Compares the transcript with the fixture.
     fn check(&self, fixture: &str) {
         let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/output").join(fixture);
         if std::env::var_os(UPDATE_VARIABLE).is_some() {
@@ -72,53 +73,60 @@
     }
 }
 
-/// A folder that goes away with its test.
-struct Folder(PathBuf);
+/// A temporary folder, which is removed when this value is dropped.
+struct TemporaryFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TemporaryFolder {
+    fn new() -> TemporaryFolder {
         let folder =
             std::env::temp_dir().join(format!("output-pins-{}-{}", std::process::id(), unique_request_id()));
         std::fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+        TemporaryFolder(folder)
     }
 
     fn path(&self, file: &str) -> String {
         self.0.join(file).to_str().unwrap().to_owned()
     }
 
+    /// Writes a file and returns its path.
     fn write(&self, file: &str, text: &str) -> String {
         std::fs::write(self.0.join(file), text).unwrap();
         self.path(file)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Replaces the value after each `mark` up to the end of its line.
-fn mask_after(text: &str, mark: &str) -> String {
-    let mask_line = |line: &str| match line.split_once(mark) {
+/// Replaces the text after `prefix` in each line that contains it.
+fn mask_after(text: &str, prefix: &str) -> String {
+    let mask_line = |line: &str| match line.split_once(prefix) {
         Some((before, value)) => {
             let end = if value.ends_with("\r\n") { "\r\n" } else { "\n" };
-            format!("{before}{mark}<varies>{end}")
+            format!("{before}{prefix}<varies>{end}")
         }
         None => line.to_owned(),
     };
     text.split_inclusive('\n').map(mask_line).collect()
 }
 
-/// Adds a failed start to the transcript, with the folder's and the program's name masked.
-fn add_failure(transcript: &mut Transcript, title: &str, folder: &Folder, program: &str, ended: &Output) {
-    let stdout = String::from_utf8(ended.stdout.clone()).unwrap();
-    let stderr = String::from_utf8(ended.stderr.clone()).unwrap();
+/// Adds a failed start to the transcript, with the folder's path and the program's name masked.
+fn add_failure(
+    transcript: &mut Transcript,
+    title: &str,
+    folder: &TemporaryFolder,
+    program: &str,
+    output: &Output,
+) {
+    let stdout = String::from_utf8(output.stdout.clone()).unwrap();
+    let stderr = String::from_utf8(output.stderr.clone()).unwrap();
     assert_eq!(stderr.lines().count(), 1, "{title}: {stderr}");
     assert!(stderr.ends_with('\n'), "{title}: {stderr}");
     let rest = stderr.strip_prefix(&format!("{program}: ")).unwrap_or_else(|| panic!("{title}: {stderr}"));
     let rest = rest.replace(folder.0.to_str().unwrap(), "<folder>");
     let rest = rest.replace(&format!("usage: {program} "), "usage: <program> ");
-    transcript.ended(title, ended.status.code(), &stdout, &format!("<program>: {rest}"));
+    transcript.add_exit(title, output.status.code(), &stdout, &format!("<program>: {rest}"));
 }
--- a/tests/output_pins/simulator_adapter.rs
+++ b/tests/output_pins/simulator_adapter.rs
@@ -1,15 +1,15 @@
-//! Replies and errors of the simulator's adapter.
+//! Replies and errors of the simulator adapter.
 
-use crate::{add_failure, Folder, Transcript, SIMULATOR_ADAPTER, SIMULATOR_ADAPTER_NAME};
+use crate::{add_failure, TemporaryFolder, Transcript, SIMULATOR_ADAPTER, SIMULATOR_ADAPTER_NAME};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Runs the adapter on these lines to its end.
+/// Runs the adapter on this input and waits for it to exit.
 fn run_adapter(input: &str) -> Output {
     let mut command = Command::new(SIMULATOR_ADAPTER);
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
-    // It may end at the first line that is malformed, before it has read the others.
+    // It may exit at the first malformed line, before it has read the others.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
@@ -41,14 +41,14 @@
         batch(3.0, r#"{"cmd":"Req","req":"after","tierClass":0,"kb":5.0}"#),
         batch(3.1, r#"{"cmd":"Stop"}"#),
     ];
-    let ended = run_adapter(&format!("{}\n", lines.join("\n")));
+    let output = run_adapter(&format!("{}\n", lines.join("\n")));
     let mut transcript = Transcript::default();
     let (stdout, stderr) =
-        (String::from_utf8(ended.stdout).unwrap(), String::from_utf8(ended.stderr).unwrap());
-    transcript.ended("a short exchange", ended.status.code(), "", &stderr);
+        (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
+    transcript.add_exit("a short exchange", output.status.code(), "", &stderr);
     let mut replies = stdout.split_inclusive('\n');
     for line in lines.iter().filter(|line| !line.is_empty()) {
-        transcript.title(line);
+        transcript.add_title(line);
         transcript.text.push_str(replies.next().expect("a reply"));
     }
     assert_eq!(replies.next(), None);
@@ -58,7 +58,7 @@
 #[test]
 fn simulator_adapter_errors_match_the_fixture() {
     let mut transcript = Transcript::default();
-    let folder = Folder::new();
+    let folder = TemporaryFolder::new();
     for (title, line) in [
         ("no JSON", "not json".to_owned()),
         ("JSON that ends early", r#"{"clockS":1.0,"#.to_owned()),
@@ -71,8 +71,8 @@
         ("event for a missing instance", batch(1.6, r#"{"cmd":"AtCall","req":"a"}"#).replace(":4,", ":9,")),
         ("stop of a missing instance", batch(1.6, r#"{"cmd":"Stop"}"#).replace(":4,", ":9,")),
     ] {
-        let ended = run_adapter(&format!("{ADAPTER_PROVISION}\n{line}\n"));
-        add_failure(&mut transcript, title, &folder, SIMULATOR_ADAPTER_NAME, &ended);
+        let output = run_adapter(&format!("{ADAPTER_PROVISION}\n{line}\n"));
+        add_failure(&mut transcript, title, &folder, SIMULATOR_ADAPTER_NAME, &output);
     }
     transcript.check("simulator_adapter_errors.txt");
 }
--- a/tests/output_pins/startup.rs
+++ b/tests/output_pins/startup.rs
@@ -1,30 +1,31 @@
 //! Exit statuses and error lines of the worker.
 
-use crate::{add_failure, mask_after, Folder, Transcript, POOLS, WORKER, WORKER_NAME};
+use crate::{add_failure, mask_after, TemporaryFolder, Transcript, POOLS, WORKER, WORKER_NAME};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpListener;
 use std::process::{Command, Output, Stdio};
 use test_support::{is_log_timestamp, settings};
 
-/// Replaces the time that begins each line of a log.
+/// Replaces the timestamp at the start of each log line.
 fn mask_times(log: &str) -> String {
     let mask = |line: &str| {
-        let (time, rest) = line.split_once(' ').expect("a time and a text");
-        assert!(is_log_timestamp(time), "{line:?} begins with no time");
+        let (time, rest) = line.split_once(' ').expect("a timestamp and a message");
+        assert!(is_log_timestamp(time), "{line:?} does not start with a timestamp");
         format!("<time> {rest}")
     };
     log.split_inclusive('\n').map(mask).collect()
 }
 
-/// A configuration that is good; nothing listens at its executor's address, which is never reached here.
-fn good_config() -> Value {
+/// A valid configuration. Nothing listens on its executor's address, to which these tests never connect.
+fn valid_config() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "executor": "127.0.0.1:9", "stop_ms": 300, "settings": settings()
     })
 }
 
-/// Runs the worker to its end in a clean environment, with this configuration file and these arguments.
+/// Runs the worker until it exits, without inherited settings in its environment, with this configuration file and
+/// these arguments.
 fn run_worker(config: Option<&str>, arguments: &[&str]) -> Output {
     let mut command = WORKER.command();
     for variable in ["ROUTER_CONFIG", "ROUTER_CONSOLE", "ROUTER_SOCKET_FD"] {
@@ -39,21 +40,21 @@
 #[test]
 fn configuration_errors_match_the_fixture() {
     let mut transcript = Transcript::default();
-    let folder = Folder::new();
+    let folder = TemporaryFolder::new();
     let mut add = |title: &str, config: Option<&str>, arguments: &[&str]| {
-        let ended = run_worker(config, arguments);
-        add_failure(&mut transcript, title, &folder, WORKER_NAME, &ended);
+        let output = run_worker(config, arguments);
+        add_failure(&mut transcript, title, &folder, WORKER_NAME, &output);
     };
-    let good = folder.write("good.json", &good_config().to_string());
+    let valid = folder.write("good.json", &valid_config().to_string());
     add("no ROUTER_CONFIG", None, &[]);
     add("ROUTER_CONFIG is empty", Some(""), &[]);
     add("missing configuration", Some(&folder.path("missing.json")), &[]);
     add("configuration is a folder", Some(&folder.path("")), &[]);
-    add("unknown flag", Some(&good), &["--nonsense"]);
-    add("unknown flag with a value", Some(&good), &["--nonsense", "x"]);
-    add("--operator without a value", Some(&good), &["--operator"]);
-    add("--operator with two values", Some(&good), &["--operator", "a", "b"]);
-    add("missing operator's file", Some(&good), &["--operator", &folder.path("missing.toml")]);
+    add("unknown flag", Some(&valid), &["--nonsense"]);
+    add("unknown flag with a value", Some(&valid), &["--nonsense", "x"]);
+    add("--operator without a value", Some(&valid), &["--operator"]);
+    add("--operator with two values", Some(&valid), &["--operator", "a", "b"]);
+    add("missing operator's file", Some(&valid), &["--operator", &folder.path("missing.toml")]);
     let texts = [
         ("empty configuration", ""),
         ("broken JSON", "{\"name\": \"n1\",\n  \"listen\": }"),
@@ -81,7 +82,7 @@
         ("cores of a wrong type", "/settings/domain/nCores", json!("two")),
     ];
     for (title, pointer, value) in changes {
-        let mut config = good_config();
+        let mut config = valid_config();
         *config.pointer_mut(pointer).unwrap() = value;
         add(title, Some(&folder.write("config.json", &config.to_string())), &[]);
     }
@@ -89,14 +90,14 @@
         ("limits.memory_mb too small", json!({"memory_mb": 1})),
         ("limits.sockets too small", json!({"sockets": 10})),
     ] {
-        let mut config = good_config();
+        let mut config = valid_config();
         config["limits"] = limits;
         add(title, Some(&folder.write("config.json", &config.to_string())), &[]);
     }
     transcript.check("worker_configuration_errors.txt");
 }
 
-/// Files that can't be read, or whose `[ajp]` or `[http2]` can't, by title.
+/// Titles and texts of operator's files that can't be parsed, or with an unusable `[ajp]` or `[http2]`.
 fn frontend_errors() -> Vec<(&'static str, String)> {
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\n[[ajp.route]]\npath = \"/p\"\nclass = \"look\"\n";
     let http2 = "[http2]\nlisten = \"127.0.0.1:0\"\n";
@@ -124,7 +125,7 @@
     ]
 }
 
-/// Files whose `[pools]` can't be used, by title.
+/// Titles and texts of operator's files with an unusable `[pools]`.
 fn pool_errors() -> Vec<(&'static str, String)> {
     vec![
         ("[pools] unknown key", POOLS.replacen("[pools]\n", "[pools]\nwindow = 5\n", 1)),
@@ -150,7 +151,7 @@
     ]
 }
 
-/// Files whose `[fleet]`, `[backend]` or `[directory]` can't be used, by title.
+/// Titles and texts of operator's files with an unusable `[fleet]`, `[backend]` or `[directory]`.
 fn upstream_errors() -> Vec<(&'static str, String)> {
     let fleet = "[fleet]\nname = \"f\"\ncoordinators = [\"127.0.0.1:1\"]\n";
     let task = "[[fleet.task]]\nname = \"t\"\nperiod_s = 60.0\naddress = \"127.0.0.1:1\"\nsafe = true\n";
@@ -182,24 +183,24 @@
 #[test]
 fn operator_file_errors_match_the_fixture() {
     let mut transcript = Transcript::default();
-    let folder = Folder::new();
-    let good = folder.write("good.json", &good_config().to_string());
+    let folder = TemporaryFolder::new();
+    let valid = folder.write("good.json", &valid_config().to_string());
     let cases = [frontend_errors(), pool_errors(), upstream_errors()].concat();
     for (title, text) in cases {
         let path = folder.write("operator.toml", &text);
-        let ended = run_worker(Some(&good), &["--operator", &path]);
-        add_failure(&mut transcript, title, &folder, WORKER_NAME, &ended);
+        let output = run_worker(Some(&valid), &["--operator", &path]);
+        add_failure(&mut transcript, title, &folder, WORKER_NAME, &output);
     }
     transcript.check("worker_operator_file_errors.txt");
 }
 
-/// An idle worker is sent SIGTERM.
+/// The output of an idle worker that is sent SIGTERM.
 #[test]
 fn sigterm_output_matches_the_fixture() {
-    let folder = Folder::new();
-    // It accepts and never speaks: there is a link, and no lines about one.
+    let folder = TemporaryFolder::new();
+    // The listener accepts and sends nothing: the worker has a link and logs nothing about it.
     let executor = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut config = good_config();
+    let mut config = valid_config();
     config["executor"] = json!(executor.local_addr().unwrap());
     config["settings"]["contract"]["drainGraceS"] = json!(0.1);
     let path = folder.write("config.json", &config.to_string());
@@ -210,15 +211,15 @@
     let mut stderr = BufReader::new(child.stderr.take().unwrap());
     let mut log = String::new();
     while !log.contains(" frontend=http address=") {
-        assert!(stderr.read_line(&mut log).unwrap() > 0, "it ended early: {log}");
+        assert!(stderr.read_line(&mut log).unwrap() > 0, "the worker exited early: {log}");
     }
     let id = child.id();
     assert!(Command::new("sh").arg("-c").arg(format!("kill -TERM {id}")).status().unwrap().success());
     stderr.read_to_string(&mut log).unwrap();
-    let ended = child.wait_with_output().unwrap();
-    let stdout = String::from_utf8(ended.stdout).unwrap();
+    let output = child.wait_with_output().unwrap();
+    let stdout = String::from_utf8(output.stdout).unwrap();
     let log = mask_after(&mask_times(&log), "address=127.0.0.1:");
     let mut transcript = Transcript::default();
-    transcript.ended("SIGTERM", ended.status.code(), &stdout, &log);
+    transcript.add_exit("SIGTERM", output.status.code(), &stdout, &log);
     transcript.check("worker_sigterm.txt");
 }
