--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -1,6 +1,6 @@
-//! Frames between port workers, operators' commands and coordinators.
+//! Frames between workers, operators' commands and coordinators.
 
-use crate::{bytes_of, fixture_lines, hex_of, paired};
+use crate::{fixture_lines, from_hex, pair_with_fixture, to_hex};
 use port_worker::fleet::frame::{
     decode, encode, CallOutcome, ClientMessage, Counters, FleetTotals, LeaseRef, OperatorQuery, RenewedLease,
     ServerMessage, MAX_CLIENT_FRAME_BYTES, MAX_SERVER_FRAME_BYTES, VERSION,
@@ -58,7 +58,7 @@
 
 /// Registrations and heartbeats, with their optional fields absent and present.
 fn session_requests() -> Vec<ClientMessage> {
-    let least = ClientMessage::Heartbeat {
+    let minimal = ClientMessage::Heartbeat {
         seq: 1,
         wants: vec![],
         leases: vec![],
@@ -81,7 +81,7 @@
             zone: "east".to_owned(),
             process: u64::MAX,
         },
-        least,
+        minimal,
         ClientMessage::Heartbeat {
             seq: 2,
             wants: vec!["totals".to_owned(), "nightly-report".to_owned()],
@@ -101,7 +101,7 @@
     ]
 }
 
-/// What the holder of a lease sends about it.
+/// Messages from the holder of a lease.
 fn lease_requests() -> Vec<ClientMessage> {
     let end =
         |outcome, period| ClientMessage::EndPeriod { lease: lease("nightly-report", 7), period, outcome };
@@ -126,21 +126,21 @@
     ]
 }
 
-/// Every kind of query that an operator sends.
+/// Every kind of operators' query.
 fn operator_queries() -> Vec<ClientMessage> {
-    let ask = |query| ClientMessage::Query { fleet: "polderlijn".to_owned(), query };
+    let query_message = |query| ClientMessage::Query { fleet: "polderlijn".to_owned(), query };
     vec![
-        ask(OperatorQuery::Status),
-        ask(OperatorQuery::Members),
-        ask(OperatorQuery::Leases),
-        ask(OperatorQuery::Tasks),
-        ask(OperatorQuery::Overload),
-        ask(OperatorQuery::Pin { tier: 1, share: 0.5, for_s: 60.0 }),
-        ask(OperatorQuery::Replace { coordinator: "c2".to_owned() }),
+        query_message(OperatorQuery::Status),
+        query_message(OperatorQuery::Members),
+        query_message(OperatorQuery::Leases),
+        query_message(OperatorQuery::Tasks),
+        query_message(OperatorQuery::Overload),
+        query_message(OperatorQuery::Pin { tier: 1, share: 0.5, for_s: 60.0 }),
+        query_message(OperatorQuery::Replace { coordinator: "c2".to_owned() }),
     ]
 }
 
-/// Every kind that is sent to a coordinator.
+/// Every kind of message to a coordinator.
 fn requests() -> Vec<ClientMessage> {
     let mut requests = session_requests();
     requests.extend(lease_requests());
@@ -150,9 +150,9 @@
     requests
 }
 
-/// Every kind that a coordinator sends, with its optional fields absent and present.
+/// Every kind of message from a coordinator, with its optional fields absent and present.
 fn responses() -> Vec<ServerMessage> {
-    let kept = ServerMessage::HeartbeatAck {
+    let minimal_ack = ServerMessage::HeartbeatAck {
         seq: 1,
         leases: vec![],
         totals: None,
@@ -163,7 +163,7 @@
         ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION },
         ServerMessage::NotLeader { leader: None, reason: "no leader is known".to_owned() },
         ServerMessage::NotLeader { leader: Some("127.0.0.1:7102".to_owned()), reason: "c2 leads".to_owned() },
-        kept,
+        minimal_ack,
         ServerMessage::HeartbeatAck {
             seq: 2,
             leases: vec![
@@ -197,9 +197,9 @@
     ]
 }
 
-/// What `fleet_requests_tolerated.jsonl` is read as: fields that are left out, unknown fields and unknown kinds.
+/// The values that `fleet_requests_tolerated.jsonl` decodes to: absent fields, unknown fields and unknown kinds.
 fn tolerated_requests() -> Vec<ClientMessage> {
-    let keep = |load| ClientMessage::Heartbeat {
+    let heartbeat = |load| ClientMessage::Heartbeat {
         seq: 4,
         wants: vec![],
         leases: vec![],
@@ -215,10 +215,10 @@
             zone: String::new(),
             process: 5,
         },
-        keep(None),
-        keep(None),
-        keep(Some(LoadReport::default())),
-        keep(Some(LoadReport { number: 5, ..LoadReport::default() })),
+        heartbeat(None),
+        heartbeat(None),
+        heartbeat(Some(LoadReport::default())),
+        heartbeat(Some(LoadReport { number: 5, ..LoadReport::default() })),
         ClientMessage::Heartbeat {
             seq: 4,
             wants: vec![],
@@ -234,9 +234,9 @@
     ]
 }
 
-/// What `fleet_responses_tolerated.jsonl` is read as.
+/// The values that `fleet_responses_tolerated.jsonl` decodes to.
 fn tolerated_responses() -> Vec<ServerMessage> {
-    let kept = |overload| ServerMessage::HeartbeatAck {
+    let ack = |overload| ServerMessage::HeartbeatAck {
         seq: 4,
         leases: vec![],
         totals: None,
@@ -246,9 +246,9 @@
     vec![
         ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: 3 },
         ServerMessage::NotLeader { leader: None, reason: String::new() },
-        kept(None),
-        kept(Some(FleetDigest::default())),
-        kept(Some(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..FleetDigest::default() })),
+        ack(None),
+        ack(Some(FleetDigest::default())),
+        ack(Some(FleetDigest { level: SheddingLevel { tier: 1, share: 0.25 }, ..FleetDigest::default() })),
         ServerMessage::LeaseGranted { lease: lease("totals", 7) },
         ServerMessage::SessionExpired,
         ServerMessage::Unknown,
@@ -256,51 +256,51 @@
     ]
 }
 
-/// A frame with this payload.
-fn framed(payload: &str) -> Vec<u8> {
+/// Encodes a frame with this payload.
+fn frame_with_payload(payload: &str) -> Vec<u8> {
     [&(payload.len() as u32).to_be_bytes()[..], payload.as_bytes()].concat()
 }
 
-fn reads_as<T: DeserializeOwned + PartialEq + Debug>(payload: &str, most_bytes: usize, value: &T) {
-    let frame = framed(payload);
-    let (read, length) = decode::<T>(&frame, most_bytes).unwrap().unwrap();
+fn assert_decodes_to<T: DeserializeOwned + PartialEq + Debug>(payload: &str, max_bytes: usize, value: &T) {
+    let frame = frame_with_payload(payload);
+    let (read, length) = decode::<T>(&frame, max_bytes).unwrap().unwrap();
     assert_eq!(&read, value, "{payload}");
     assert_eq!(length, frame.len(), "{payload}");
 }
 
-fn writes_as<T: Serialize>(payload: &str, value: &T) {
-    assert_eq!(hex_of(&encode(value)), hex_of(&framed(payload)), "{payload}");
+fn assert_encodes_to<T: Serialize>(payload: &str, value: &T) {
+    assert_eq!(to_hex(&encode(value)), to_hex(&frame_with_payload(payload)), "{payload}");
 }
 
 #[test]
-fn requests_are_written_and_read_as_the_fixture_has_them() {
-    for (payload, value) in paired("fleet_requests.jsonl", requests()) {
-        writes_as(&payload, &value);
-        reads_as(&payload, MAX_CLIENT_FRAME_BYTES, &value);
+fn requests_encode_and_decode_as_in_the_fixture() {
+    for (payload, value) in pair_with_fixture("fleet_requests.jsonl", requests()) {
+        assert_encodes_to(&payload, &value);
+        assert_decodes_to(&payload, MAX_CLIENT_FRAME_BYTES, &value);
     }
 }
 
 #[test]
-fn responses_are_written_and_read_as_the_fixture_has_them() {
-    for (payload, value) in paired("fleet_responses.jsonl", responses()) {
-        writes_as(&payload, &value);
-        reads_as(&payload, MAX_SERVER_FRAME_BYTES, &value);
+fn responses_encode_and_decode_as_in_the_fixture() {
+    for (payload, value) in pair_with_fixture("fleet_responses.jsonl", responses()) {
+        assert_encodes_to(&payload, &value);
+        assert_decodes_to(&payload, MAX_SERVER_FRAME_BYTES, &value);
     }
 }
 
-/// The value that each whole frame of `fleet_frames.hex` stands for.
-fn whole_frames() -> (Vec<ClientMessage>, Vec<ServerMessage>) {
+/// The values of the complete frames in `fleet_frames.hex`.
+fn complete_frames() -> (Vec<ClientMessage>, Vec<ServerMessage>) {
     (requests().split_off(3)[..1].to_vec(), responses().split_off(4)[..1].to_vec())
 }
 
 #[test]
 fn complete_frames_keep_their_bytes() {
     let lines = fixture_lines("fleet_frames.hex");
-    let (requests, responses) = whole_frames();
+    let (requests, responses) = complete_frames();
     assert_eq!(lines.len(), 2);
-    assert_eq!(hex_of(&encode(&requests[0])), lines[0]);
-    assert_eq!(hex_of(&encode(&responses[0])), lines[1]);
-    let (request_frame, response_frame) = (bytes_of(&lines[0]), bytes_of(&lines[1]));
+    assert_eq!(to_hex(&encode(&requests[0])), lines[0]);
+    assert_eq!(to_hex(&encode(&responses[0])), lines[1]);
+    let (request_frame, response_frame) = (from_hex(&lines[0]), from_hex(&lines[1]));
     let request = decode::<ClientMessage>(&request_frame, MAX_CLIENT_FRAME_BYTES).unwrap().unwrap();
     assert_eq!(request, (requests[0].clone(), request_frame.len()));
     let response = decode::<ServerMessage>(&response_frame, MAX_SERVER_FRAME_BYTES).unwrap().unwrap();
@@ -309,32 +309,38 @@
 
 #[test]
 fn absent_fields_unknown_fields_and_unknown_kinds_are_tolerated() {
-    for (payload, value) in paired("fleet_requests_tolerated.jsonl", tolerated_requests()) {
-        reads_as(&payload, MAX_CLIENT_FRAME_BYTES, &value);
+    for (payload, value) in pair_with_fixture("fleet_requests_tolerated.jsonl", tolerated_requests()) {
+        assert_decodes_to(&payload, MAX_CLIENT_FRAME_BYTES, &value);
     }
-    for (payload, value) in paired("fleet_responses_tolerated.jsonl", tolerated_responses()) {
-        reads_as(&payload, MAX_SERVER_FRAME_BYTES, &value);
+    for (payload, value) in pair_with_fixture("fleet_responses_tolerated.jsonl", tolerated_responses()) {
+        assert_decodes_to(&payload, MAX_SERVER_FRAME_BYTES, &value);
     }
 }
 
 #[test]
 fn missing_required_field_is_an_error() {
     for payload in fixture_lines("fleet_requests_unreadable.jsonl") {
-        assert!(decode::<ClientMessage>(&framed(&payload), MAX_CLIENT_FRAME_BYTES).is_err(), "{payload}");
+        assert!(
+            decode::<ClientMessage>(&frame_with_payload(&payload), MAX_CLIENT_FRAME_BYTES).is_err(),
+            "{payload}"
+        );
     }
     for payload in fixture_lines("fleet_responses_unreadable.jsonl") {
-        assert!(decode::<ServerMessage>(&framed(&payload), MAX_SERVER_FRAME_BYTES).is_err(), "{payload}");
+        assert!(
+            decode::<ServerMessage>(&frame_with_payload(&payload), MAX_SERVER_FRAME_BYTES).is_err(),
+            "{payload}"
+        );
     }
 }
 
 #[test]
 fn versions_and_bounds_keep_their_values() {
     assert_eq!((VERSION, MAX_CLIENT_FRAME_BYTES, MAX_SERVER_FRAME_BYTES), (2, 16_384, 1_048_576));
-    let bye_of = |length: usize| {
+    let goodbye_with_length = |length: usize| {
         let payload = r#"{"say":"bye"}"#;
-        framed(&format!("{payload}{}", " ".repeat(length - payload.len())))
+        frame_with_payload(&format!("{payload}{}", " ".repeat(length - payload.len())))
     };
-    let largest = decode(&bye_of(16_384), MAX_CLIENT_FRAME_BYTES).unwrap();
+    let largest = decode(&goodbye_with_length(16_384), MAX_CLIENT_FRAME_BYTES).unwrap();
     assert_eq!(largest, Some((ClientMessage::Goodbye, 16_388)));
-    assert!(decode::<ClientMessage>(&bye_of(16_385), MAX_CLIENT_FRAME_BYTES).is_err());
+    assert!(decode::<ClientMessage>(&goodbye_with_length(16_385), MAX_CLIENT_FRAME_BYTES).is_err());
 }
--- a/tests/stored_forms/hand_off.rs
+++ b/tests/stored_forms/hand_off.rs
@@ -1,7 +1,7 @@
-//! Frames between a process and the one that replaces it.
+//! Frames between a worker process and its successor.
 
 use crate::learned::learned;
-use crate::{bytes_of, fixture_lines, hex_of, paired};
+use crate::{fixture_lines, from_hex, pair_with_fixture, to_hex};
 use port_worker::hot_restart::frame::{
     Bytes, Frame, HandedOffConnection, Key, KeyOutcome, KeyState, QueuedRequest, Usage, HEADER_BYTES,
     MAX_FRAME_BYTES, VERSION,
@@ -18,7 +18,7 @@
     Frame::Key(KeyState { key, body_fingerprint: u64::MAX, expires_at_ms: 1_700_000_000_123.5, outcome })
 }
 
-fn request_with_all() -> QueuedRequest {
+fn request_with_optional_fields() -> QueuedRequest {
     QueuedRequest {
         name: "r-91".into(),
         class: 2,
@@ -34,7 +34,7 @@
     }
 }
 
-fn request_with_least() -> QueuedRequest {
+fn request_without_optional_fields() -> QueuedRequest {
     QueuedRequest {
         name: "r-92".into(),
         class: 0,
@@ -94,8 +94,8 @@
         Frame::Usage(Usage::default()),
         Frame::Usage(Usage { on_cores: 6, downstream_calls: 4, memory_kb: 1024.75, sockets: 311 }),
         Frame::Connection(HandedOffConnection::default()),
-        connection_with(Some(request_with_least())),
-        connection_with(Some(request_with_all())),
+        connection_with(Some(request_without_optional_fields())),
+        connection_with(Some(request_with_optional_fields())),
         Frame::Listener { frontend: "http2".to_owned() },
         Frame::StateComplete,
         Frame::TakeoverConfirmed,
@@ -104,9 +104,11 @@
     ]
 }
 
-/// What `hand_off_tolerated.jsonl` is read as: unknown fields, and optional fields that are left out.
+/// The values that `hand_off_tolerated.jsonl` decodes to: unknown fields and absent optional fields.
 fn tolerated_frames() -> Vec<Frame> {
-    let Frame::Connection(connection) = connection_with(Some(request_with_least())) else { unreachable!() };
+    let Frame::Connection(connection) = connection_with(Some(request_without_optional_fields())) else {
+        unreachable!()
+    };
     vec![
         Frame::Hello { version: 1, name: "n1".to_owned(), classes: vec![], tenants: vec![] },
         Frame::State {
@@ -122,80 +124,80 @@
     ]
 }
 
-/// A frame with this payload and mark.
-fn framed(payload: &str, carries_descriptor: bool) -> Vec<u8> {
+/// Encodes a frame with this payload and descriptor flag.
+fn frame_with_payload(payload: &str, carries_descriptor: bool) -> Vec<u8> {
     let length = (payload.len() as u32).to_be_bytes();
     [&length[..], &[u8::from(carries_descriptor)], payload.as_bytes()].concat()
 }
 
-/// Whether a descriptor comes with a frame of this payload, by the kind's name on the wire.
+/// Whether a frame with this payload carries a file descriptor, by the name of its kind on the wire.
 fn carries_descriptor(payload: &str) -> bool {
     payload.starts_with(r#"{"Passed":"#) || payload.starts_with(r#"{"Listener":"#)
 }
 
-fn reads_as(payload: &str, value: &Frame) {
-    let frame = framed(payload, carries_descriptor(payload));
+fn assert_decodes_to(payload: &str, value: &Frame) {
+    let frame = frame_with_payload(payload, carries_descriptor(payload));
     let (read, length) = Frame::decode(&frame).unwrap().unwrap();
     assert_eq!(&read, value, "{payload}");
     assert_eq!(length, frame.len(), "{payload}");
 }
 
 #[test]
-fn frames_are_written_and_read_as_the_fixture_has_them() {
-    for (payload, value) in paired("hand_off.jsonl", frames()) {
-        let expected = framed(&payload, carries_descriptor(&payload));
-        assert_eq!(hex_of(&value.encode()), hex_of(&expected), "{payload}");
-        reads_as(&payload, &value);
+fn frames_encode_and_decode_as_in_the_fixture() {
+    for (payload, value) in pair_with_fixture("hand_off.jsonl", frames()) {
+        let expected = frame_with_payload(&payload, carries_descriptor(&payload));
+        assert_eq!(to_hex(&value.encode()), to_hex(&expected), "{payload}");
+        assert_decodes_to(&payload, &value);
     }
 }
 
-/// The values of the whole frames in `hand_off_frames.hex`: one without a descriptor, and one with.
-fn whole_frames() -> Vec<Frame> {
-    vec![Frame::Welcome, connection_with(Some(request_with_all()))]
+/// The values of the complete frames in `hand_off_frames.hex`: one without a file descriptor and one with.
+fn complete_frames() -> Vec<Frame> {
+    vec![Frame::Welcome, connection_with(Some(request_with_optional_fields()))]
 }
 
 #[test]
 fn complete_frames_keep_their_bytes() {
-    for (hex, value) in paired("hand_off_frames.hex", whole_frames()) {
-        assert_eq!(hex_of(&value.encode()), hex);
-        let frame = bytes_of(&hex);
+    for (hex, value) in pair_with_fixture("hand_off_frames.hex", complete_frames()) {
+        assert_eq!(to_hex(&value.encode()), hex);
+        let frame = from_hex(&hex);
         assert_eq!(Frame::decode(&frame), Ok(Some((value, frame.len()))));
     }
 }
 
 #[test]
-fn unknown_fields_and_absent_options_are_tolerated() {
-    for (payload, value) in paired("hand_off_tolerated.jsonl", tolerated_frames()) {
-        reads_as(&payload, &value);
+fn unknown_fields_and_absent_optional_fields_are_tolerated() {
+    for (payload, value) in pair_with_fixture("hand_off_tolerated.jsonl", tolerated_frames()) {
+        assert_decodes_to(&payload, &value);
     }
 }
 
 #[test]
 fn unknown_kinds_and_missing_fields_are_errors() {
     for payload in fixture_lines("hand_off_unreadable.jsonl") {
-        let frame = framed(&payload, carries_descriptor(&payload));
+        let frame = frame_with_payload(&payload, carries_descriptor(&payload));
         assert!(Frame::decode(&frame).is_err(), "{payload}");
     }
 }
 
 #[test]
-fn a_mark_that_does_not_fit_is_an_error() {
-    assert!(Frame::decode(&framed(r#""Welcome""#, true)).is_err());
-    assert!(Frame::decode(&framed(r#"{"Listener":{"front":"http2"}}"#, false)).is_err());
+fn descriptor_flag_that_does_not_match_the_kind_is_an_error() {
+    assert!(Frame::decode(&frame_with_payload(r#""Welcome""#, true)).is_err());
+    assert!(Frame::decode(&frame_with_payload(r#"{"Listener":{"front":"http2"}}"#, false)).is_err());
 }
 
 #[test]
-fn a_number_that_is_not_finite_is_written_as_null() {
+fn non_finite_number_is_encoded_as_null_and_not_decoded() {
     let usage = Frame::Usage(Usage { memory_kb: f64::NAN, ..Usage::default() });
     let payload = r#"{"Usage":{"on_cores":0,"calling":0,"kb":null,"sockets":0}}"#;
-    assert_eq!(hex_of(&usage.encode()), hex_of(&framed(payload, false)));
-    assert!(Frame::decode(&framed(payload, false)).is_err());
+    assert_eq!(to_hex(&usage.encode()), to_hex(&frame_with_payload(payload, false)));
+    assert!(Frame::decode(&frame_with_payload(payload, false)).is_err());
 }
 
 #[test]
 fn version_and_bounds_keep_their_values() {
     assert_eq!((VERSION, MAX_FRAME_BYTES, HEADER_BYTES), (1, 131_072, 5));
-    let padded = |length: usize| framed(&format!("\"Done\"{}", " ".repeat(length - 6)), false);
+    let padded = |length: usize| frame_with_payload(&format!("\"Done\"{}", " ".repeat(length - 6)), false);
     assert_eq!(Frame::decode(&padded(131_072)), Ok(Some((Frame::StateComplete, 131_077))));
     assert!(Frame::decode(&padded(131_073)).is_err());
 }
--- a/tests/stored_forms/learned.rs
+++ b/tests/stored_forms/learned.rs
@@ -1,6 +1,6 @@
-//! What a controller has learned of its machine, as its successor reads it.
+//! The learned state of an admission controller, which its successor reads.
 
-use crate::{fixture_lines, paired};
+use crate::{fixture_lines, pair_with_fixture};
 use port_worker::interface::{LearnedState, Traffic};
 
 /// A value in which every field differs from its default.
@@ -26,7 +26,7 @@
     vec![LearnedState::default(), learned(), without_calls]
 }
 
-/// What `learned_tolerated.jsonl` is read as: every field may be left out, and unknown ones are passed over.
+/// The values that `learned_tolerated.jsonl` decodes to: every field is optional and unknown fields are ignored.
 fn tolerated_values() -> Vec<LearnedState> {
     let traffic = Traffic { arrivals_per_s: vec![2.0], ..Traffic::default() };
     vec![
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn values_are_written_and_read_as_the_fixture_has_them() {
-    for (json, value) in paired("learned.jsonl", values()) {
+fn values_encode_and_decode_as_in_the_fixture() {
+    for (json, value) in pair_with_fixture("learned.jsonl", values()) {
         assert_eq!(serde_json::to_string(&value).unwrap(), json);
         assert_eq!(serde_json::from_str::<LearnedState>(&json).unwrap(), value);
     }
@@ -46,13 +46,13 @@
 
 #[test]
 fn absent_and_unknown_fields_are_tolerated() {
-    for (json, value) in paired("learned_tolerated.jsonl", tolerated_values()) {
+    for (json, value) in pair_with_fixture("learned_tolerated.jsonl", tolerated_values()) {
         assert_eq!(serde_json::from_str::<LearnedState>(&json).unwrap(), value, "{json}");
     }
 }
 
 #[test]
-fn fields_of_another_shape_are_errors() {
+fn fields_of_the_wrong_type_are_errors() {
     for json in fixture_lines("learned_unreadable.jsonl") {
         assert!(serde_json::from_str::<LearnedState>(&json).is_err(), "{json}");
     }
