--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,36 +1,35 @@
-//! Pins the platform's configuration: the example as it stood at commit c001dc7 is kept under
-//! `tests/fixtures/configuration` and must go on being read with the same meaning, as `examples/config.json` of today
-//! is. Tests never write there.
+//! Compatibility of the configuration file. The example as of commit c001dc7 is kept under
+//! `tests/fixtures/configuration` and must decode to the same settings as the current `examples/config.json`. Tests never write there.
 
-#![expect(clippy::float_cmp, reason = "numbers of the file are passed through, and must come out exactly")]
+#![expect(clippy::float_cmp, reason = "numbers are passed through unchanged, so they must be exactly equal")]
 
 use port_worker::config::{read_gauges, Config};
 use port_worker::{Idempotency, Preemption, Settings, Signal};
 
-fn text_of(path: &str) -> String {
+fn read_text(path: &str) -> String {
     let path = format!("{}/{path}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path}: {e}"))
 }
 
 fn example() -> String {
-    text_of("tests/fixtures/configuration/example.json")
+    read_text("tests/fixtures/configuration/example.json")
 }
 
-/// The example as it stood, and as it is today.
-fn then_and_now() -> [Config; 2] {
-    [example(), text_of("examples/config.json")].map(|text| Config::decode(&text).unwrap())
+/// The example as of commit c001dc7 and the current one.
+fn pinned_and_current() -> [Config; 2] {
+    [example(), read_text("examples/config.json")].map(|text| Config::decode(&text).unwrap())
 }
 
-/// The controller's settings of the example with this changed in it.
+/// The admission controller's settings of the example after this replacement.
 fn settings_with(from: &str, to: &str) -> Settings {
     let text = example();
-    assert!(text.contains(from), "the example has no {from}");
+    assert!(text.contains(from), "the example does not contain {from}");
     Config::decode(&text.replacen(from, to, 1)).unwrap().settings.settings(0)
 }
 
 #[test]
 fn process_settings_are_decoded() {
-    for config in then_and_now() {
+    for config in pinned_and_current() {
         assert_eq!(config.name, "n1");
         assert_eq!((config.listen.port(), config.executor.port()), (7001, 7300));
         assert_eq!(config.console.map(|a| a.port()), Some(7010));
@@ -45,7 +44,7 @@
 
 #[test]
 fn classes_and_tenants_are_decoded() {
-    for config in then_and_now() {
+    for config in pinned_and_current() {
         let names = config.settings.profiles.iter().map(|p| p.name.as_str());
         assert_eq!(names.collect::<Vec<_>>(), ["status-check", "eligibility", "port-submit"]);
         let names = config.settings.tenants.iter().map(|t| t.name.as_str());
@@ -72,7 +71,7 @@
 
 #[test]
 fn controller_settings_are_decoded() {
-    for config in then_and_now() {
+    for config in pinned_and_current() {
         let settings = config.settings.settings(config.seed_number());
         assert_eq!(settings.seed, 0x8c1f_30d2_7a5b_e964);
         assert_eq!((settings.cores, settings.callers, settings.workers), (6, 3, 10));
@@ -98,20 +97,21 @@
 
 #[test]
 fn platform_terms_keep_their_meaning() {
-    let effect = |word: &str| settings_with("\"effect\": \"safe\"", &format!("\"effect\": \"{word}\""));
-    assert_eq!(effect("keyed").classes[0].idempotency, Idempotency::Keyed);
-    assert_eq!(effect("unsafe").classes[0].idempotency, Idempotency::NotIdempotent);
-
-    let halt =
-        |word: &str| settings_with("\"halt\": \"silent\"", &format!("\"halt\": \"{word}\"")).preemption;
-    assert_eq!(halt("discard"), Preemption::Discard);
-    assert_eq!(halt("freeze"), Preemption::Pause);
-    assert_eq!(halt("later"), Preemption::Never);
-
-    let signal =
-        |word: &str| settings_with("\"signal\": \"weight\"", &format!("\"signal\": \"{word}\"")).signal;
-    assert_eq!(signal("floor"), Signal::RankFloor);
-    assert_eq!(signal("silent"), Signal::None);
+    let with_effect =
+        |value: &str| settings_with("\"effect\": \"safe\"", &format!("\"effect\": \"{value}\""));
+    assert_eq!(with_effect("keyed").classes[0].idempotency, Idempotency::Keyed);
+    assert_eq!(with_effect("unsafe").classes[0].idempotency, Idempotency::NotIdempotent);
+
+    let with_halt =
+        |value: &str| settings_with("\"halt\": \"silent\"", &format!("\"halt\": \"{value}\"")).preemption;
+    assert_eq!(with_halt("discard"), Preemption::Discard);
+    assert_eq!(with_halt("freeze"), Preemption::Pause);
+    assert_eq!(with_halt("later"), Preemption::Never);
+
+    let with_signal =
+        |value: &str| settings_with("\"signal\": \"weight\"", &format!("\"signal\": \"{value}\"")).signal;
+    assert_eq!(with_signal("floor"), Signal::RankFloor);
+    assert_eq!(with_signal("silent"), Signal::None);
 
     assert!(settings_with("\"one_for_all\"", "\"silent\"").dependency.is_none());
     assert!(settings_with("\"nCores\"", "\"cold\": true, \"nCores\"").cold);
@@ -132,7 +132,7 @@
 
 #[test]
 fn missing_optional_keys_have_defaults_and_unknown_keys_are_ignored() {
-    let text = text_of("tests/fixtures/configuration/needed_keys.json");
+    let text = read_text("tests/fixtures/configuration/needed_keys.json");
     let config = Config::decode(&text).unwrap();
     assert_eq!((config.name.as_str(), config.seed.as_str(), config.stop_ms), ("n2", "", 3200.0));
     assert!(config.console.is_none() && config.registry.is_none() && config.records.is_none());
@@ -147,7 +147,7 @@
 
 #[test]
 fn missing_required_key_is_an_error() {
-    let text = text_of("tests/fixtures/configuration/needed_keys.json");
+    let text = read_text("tests/fixtures/configuration/needed_keys.json");
     for key in
         ["name", "listen", "executor", "settings", "nCores", "heapKb", "effect", "targetS", "deadlineS"]
     {
--- a/tests/log_events.rs
+++ b/tests/log_events.rs
@@ -1,20 +1,20 @@
-//! Compares the table of events in `docs/operators/log.md` with the events that the sources of the worker and of the
-//! coordinators define.
+//! Compares the table of log events in `docs/operators/log.md` with the events defined in the sources of the worker and
+//! the coordinator.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The folders whose sources define events.
-const SOURCES: [&str; 2] = ["src", "fleet-coordinator/src"];
+/// The folders with the sources that define log events.
+const SOURCE_FOLDERS: [&str; 2] = ["src", "fleet-coordinator/src"];
 const PAGE: &str = "docs/operators/log.md";
 const TABLE_HEADER: &str = "| event | program | level | fields | meaning | what to do |";
 const TABLE_COLUMNS: usize = 6;
 const LEVELS: [&str; 4] = ["ERROR", "WARN", "INFO", "DEBUG"];
 const PROGRAMS: [&str; 3] = ["worker", "coordinator", "both"];
-/// The constructor of a line that no `tracing` macro writes.
+/// The constructor of log lines that are written without a `tracing` macro.
 const LINE_CONSTRUCTOR: &str = "Line::new(Level::";
 
-/// The names of events, each with the levels at which it occurs.
+/// Event names with the levels at which each event occurs.
 type Events = BTreeMap<String, BTreeSet<String>>;
 
 /// A row of the table of events.
@@ -24,12 +24,12 @@
     levels: BTreeSet<String>,
 }
 
-fn text_of(path: &str) -> String {
+fn read_text(path: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// Calls `visit` with the text of each source file under a folder, tests left out.
+/// Calls `visit` with the text of each source file under a folder, except tests.
 fn visit_sources(folder: &Path, visit: &mut dyn FnMut(&Path, &str)) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -45,13 +45,13 @@
     }
 }
 
-/// The text up to the next double quote.
+/// Returns the text before the first double quote.
 fn until_quote(text: &str) -> Option<&str> {
     text.split_once('"').map(|(quoted, _)| quoted)
 }
 
-/// Adds the events of one kind of `tracing` macro. An event without a name has no place in the table, so that each macro
-/// begins with one.
+/// Adds the events of the `tracing` macro for one level. Each macro call must begin with a name, since an event without
+/// one can't be listed in the table.
 fn add_macro_events(path: &Path, text: &str, level: &str, events: &mut Events) {
     let opening = format!("{}!(", level.to_lowercase());
     let starts = text.match_indices(&opening).filter(|(at, _)| {
@@ -67,11 +67,11 @@
     }
 }
 
-/// Adds the events whose line is built without `tracing`.
+/// Adds the events whose log line is written without a `tracing` macro.
 fn add_constructed_events(text: &str, events: &mut Events) {
     for (at, _) in text.match_indices(LINE_CONSTRUCTOR) {
         let arguments = &text[at + LINE_CONSTRUCTOR.len()..];
-        let (level, rest) = arguments.split_once(", \"").expect("a level and a literal name");
+        let (level, rest) = arguments.split_once(", \"").expect("a level and a literal event name");
         let name = until_quote(rest).expect("a name");
         events.entry(name.to_owned()).or_default().insert(level.to_owned());
     }
@@ -79,7 +79,7 @@
 
 fn source_events() -> Events {
     let mut events = Events::new();
-    for folder in SOURCES {
+    for folder in SOURCE_FOLDERS {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
         visit_sources(&folder, &mut |path, text| {
             for level in LEVELS {
@@ -91,9 +91,9 @@
     events
 }
 
-/// The rows of the table of events.
-fn table() -> Vec<Row> {
-    let page = text_of(PAGE);
+/// The rows of the documented table of events.
+fn documented_rows() -> Vec<Row> {
+    let page = read_text(PAGE);
     let (_, table) = page.split_once(TABLE_HEADER).expect("the table of events");
     let lines = table.lines().skip(2).take_while(|line| line.starts_with('|'));
     lines.map(parse_row).collect()
@@ -102,39 +102,39 @@
 fn parse_row(line: &str) -> Row {
     let cells: Vec<&str> = line.trim_matches('|').split('|').map(str::trim).collect();
     assert_eq!(cells.len(), TABLE_COLUMNS, "{line}");
-    assert!(cells.iter().all(|cell| !cell.is_empty()), "an empty cell: {line}");
+    assert!(cells.iter().all(|cell| !cell.is_empty()), "empty cell: {line}");
     let event = cells[0].strip_prefix('`').and_then(|cell| cell.strip_suffix('`'));
-    let event = event.unwrap_or_else(|| panic!("an event is in backticks: {line}")).to_owned();
+    let event = event.unwrap_or_else(|| panic!("event without backticks: {line}")).to_owned();
     let levels = cells[2].split(", ").map(str::to_owned).collect();
     Row { event, program: cells[1].to_owned(), levels }
 }
 
 #[test]
-fn table_of_events_names_exactly_the_events_of_the_sources() {
-    let rows = table();
+fn table_of_events_lists_exactly_the_events_in_the_sources() {
+    let rows = documented_rows();
     let documented: BTreeSet<&str> = rows.iter().map(|row| row.event.as_str()).collect();
-    assert_eq!(documented.len(), rows.len(), "an event has two rows");
+    assert_eq!(documented.len(), rows.len(), "an event has more than one row");
     let events = source_events();
     let defined: BTreeSet<&str> = events.keys().map(String::as_str).collect();
     let missing: Vec<_> = defined.difference(&documented).collect();
     let surplus: Vec<_> = documented.difference(&defined).collect();
     assert!(
         missing.is_empty() && surplus.is_empty(),
-        "{PAGE} lacks {missing:?}, and has {surplus:?} too many"
+        "{PAGE} does not list {missing:?} and lists unknown {surplus:?}"
     );
 }
 
 #[test]
 fn each_row_has_a_program_and_levels_at_which_its_event_occurs() {
     let events = source_events();
-    for Row { event, program, levels } in table() {
-        assert!(PROGRAMS.contains(&program.as_str()), "{event} has the program {program:?}");
+    for Row { event, program, levels } in documented_rows() {
+        assert!(PROGRAMS.contains(&program.as_str()), "{event}: unknown program {program:?}");
         assert!(
             levels.iter().all(|level| LEVELS.contains(&level.as_str())),
-            "{event} has the levels {levels:?}"
+            "{event}: unknown level in {levels:?}"
         );
         let occurring = events.get(&event).cloned().unwrap_or_default();
-        assert_eq!(levels, occurring, "{event}: the levels of {PAGE} and of the sources");
+        assert_eq!(levels, occurring, "{event}: the levels in {PAGE} differ from those in the sources");
     }
 }
 
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -1,8 +1,8 @@
-//! The log lines of whole worker lives, compared with the fixtures under `tests/fixtures/log`. What differs from run to
-//! run (times, ports, durations, paths) is masked.
+//! Compares workers' complete logs, from start to exit, with the fixtures under `tests/fixtures/log`. Values that
+//! differ between runs (timestamps, ports, durations, paths) are masked.
 //!
-//! To record the fixtures anew from the present worker, run with `UPDATE_OUTPUT_FIXTURES=1` and read the difference. Such
-//! a run fails: nothing is compared in it.
+//! To regenerate the fixtures from the current worker, run with `UPDATE_OUTPUT_FIXTURES=1` and review the difference.
+//! Such a run fails, because it compares nothing.
 
 use serde_json::json;
 use std::path::PathBuf;
@@ -15,19 +15,19 @@
 
 const UPDATE_VARIABLE: &str = "UPDATE_OUTPUT_FIXTURES";
 
-/// Replaces each run of characters that `continues` after `mark`.
-fn mask_after(line: &str, mark: &str, replacement: &str, continues: fn(char) -> bool) -> String {
-    let mut parts = line.split(mark);
+/// Replaces the characters after each `prefix`, as long as `is_masked` accepts them.
+fn mask_after(line: &str, prefix: &str, replacement: &str, is_masked: fn(char) -> bool) -> String {
+    let mut parts = line.split(prefix);
     let mut masked = parts.next().unwrap_or_default().to_owned();
     for part in parts {
-        masked.push_str(mark);
+        masked.push_str(prefix);
         masked.push_str(replacement);
-        masked.push_str(part.trim_start_matches(continues));
+        masked.push_str(part.trim_start_matches(is_masked));
     }
     masked
 }
 
-/// Replaces each number with a fraction of three digits: a measured duration.
+/// Masks measured durations, which are the numbers with exactly three decimal places.
 fn mask_durations(line: &str) -> String {
     let is_number = |c: char| c.is_ascii_digit() || c == '.';
     let mut masked = String::new();
@@ -35,32 +35,33 @@
     while let Some(start) = rest.find(|c: char| c.is_ascii_digit()) {
         let number = &rest[start..];
         let number = &number[..number.find(|c| !is_number(c)).unwrap_or(number.len())];
-        let measured = number
+        let is_duration = number
             .split_once('.')
             .is_some_and(|(_, fraction)| fraction.len() == 3 && !fraction.contains('.'));
         masked.push_str(&rest[..start]);
-        masked.push_str(if measured { "<seconds>" } else { number });
+        masked.push_str(if is_duration { "<seconds>" } else { number });
         rest = &rest[start + number.len()..];
     }
     masked + rest
 }
 
-/// The line without its time, and with a mask for what differs from run to run.
+/// Masks the timestamp of a log line and the values that differ between runs.
 fn mask_line(line: &str) -> String {
-    let (time, text) = line.split_once(' ').expect("a time and a text");
-    assert!(is_log_timestamp(time), "{line:?} begins with no time");
+    let (time, text) = line.split_once(' ').expect("a timestamp and a message");
+    assert!(is_log_timestamp(time), "{line:?} does not start with a timestamp");
     let text = mask_after(text, "127.0.0.1:", "<port>", |c| c.is_ascii_digit());
     let folder = std::env::temp_dir();
     let text = mask_after(&text, folder.to_str().unwrap(), "<path>", |c| !" \",;:".contains(c));
     format!("<time> {}", mask_durations(&text))
 }
 
-fn log_of(worker: &mut WorkerUnderTest) -> String {
+/// The complete masked log of a worker that has exited.
+fn masked_log(worker: &mut WorkerUnderTest) -> String {
     worker.complete_log().iter().map(|line| mask_line(line) + "\n").collect()
 }
 
 /// Compares a log with its fixture.
-fn check(fixture: &str, found: &str) {
+fn check_log(fixture: &str, found: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/log").join(fixture);
     if std::env::var_os(UPDATE_VARIABLE).is_some() {
         std::fs::write(&path, found).unwrap();
@@ -83,7 +84,7 @@
     client.send(&RequestBuilder::new("look"));
     executor.serve_next(&mut client, "done");
     terminate(&mut worker);
-    check("shutdown.txt", &log_of(&mut worker));
+    check_log("shutdown.txt", &masked_log(&mut worker));
 }
 
 #[test]
@@ -106,7 +107,7 @@
         worker.wait_log("config_reloaded");
     }
     terminate(&mut worker);
-    check("reload.txt", &log_of(&mut worker));
+    check_log("reload.txt", &masked_log(&mut worker));
 }
 
 #[test]
@@ -120,7 +121,7 @@
     client.send(&RequestBuilder::new("look"));
     executor.serve_next(&mut client, "served over the second link");
     terminate(&mut worker);
-    check("executor_link.txt", &log_of(&mut worker));
+    check_log("executor_link.txt", &masked_log(&mut worker));
 }
 
 #[test]
@@ -131,7 +132,7 @@
         assert_eq!(worker.console_request("POST", path).0, 200);
     }
     terminate(&mut worker);
-    check("console_drain.txt", &log_of(&mut worker));
+    check_log("console_drain.txt", &masked_log(&mut worker));
 }
 
 #[test]
@@ -145,6 +146,6 @@
     successor.wait_ready();
     terminate(&mut predecessor);
     terminate(&mut successor);
-    let (predecessor, successor) = (log_of(&mut predecessor), log_of(&mut successor));
-    check("hot_restart.txt", &format!("== predecessor\n{predecessor}== successor\n{successor}"));
+    let (predecessor, successor) = (masked_log(&mut predecessor), masked_log(&mut successor));
+    check_log("hot_restart.txt", &format!("== predecessor\n{predecessor}== successor\n{successor}"));
 }
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -1,32 +1,32 @@
-//! Pins operators' TOML files: what came with the program at commit c001dc7 stands under `tests/fixtures/operator_files`
-//! and must go on being read with the same meaning, as the files in `deploy/` of today are. Tests never write there.
+//! Compatibility of operators' TOML files. The files as of commit c001dc7 are kept under
+//! `tests/fixtures/operator_files` and must decode to the same settings as the current files in `deploy/`. Tests never write there.
 
 use port_worker::config::{Config, Identity, OperatorSettings};
 use port_worker::PoolReserve;
 use std::net::SocketAddr;
 use std::path::Path;
 
-fn text_of(path: &str) -> String {
+fn read_text(path: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
 fn config() -> Config {
-    Config::decode(&text_of("tests/fixtures/configuration/example.json")).unwrap()
+    Config::decode(&read_text("tests/fixtures/configuration/example.json")).unwrap()
 }
 
-fn decoded(text: &str) -> OperatorSettings {
+fn decode(text: &str) -> OperatorSettings {
     OperatorSettings::decode(text, &config()).unwrap()
 }
 
-/// The file as it came with the program, and as it comes with it today.
-fn then_and_now(name: &str) -> [OperatorSettings; 2] {
-    ["tests/fixtures/operator_files", "deploy"].map(|folder| decoded(&text_of(&format!("{folder}/{name}"))))
+/// The file as of commit c001dc7 and the current one.
+fn pinned_and_current(name: &str) -> [OperatorSettings; 2] {
+    ["tests/fixtures/operator_files", "deploy"].map(|folder| decode(&read_text(&format!("{folder}/{name}"))))
 }
 
-/// The names of the blocks that this file switches on.
-fn blocks(operator: &OperatorSettings) -> Vec<&'static str> {
-    let on = [
+/// The names of the blocks that are present in this file.
+fn present_blocks(operator: &OperatorSettings) -> Vec<&'static str> {
+    let blocks = [
         ("ajp", operator.ajp.is_some()),
         ("backend", operator.backend.is_some()),
         ("directory", operator.directory.is_some()),
@@ -34,18 +34,18 @@
         ("http2", operator.http2.is_some()),
         ("fleet", operator.fleet.is_some()),
     ];
-    on.into_iter().filter_map(|(name, on)| on.then_some(name)).collect()
+    blocks.into_iter().filter_map(|(name, present)| present.then_some(name)).collect()
 }
 
 #[test]
 fn empty_file_enables_nothing() {
-    assert!(blocks(&decoded("")).is_empty());
+    assert!(present_blocks(&decode("")).is_empty());
 }
 
 #[test]
 fn ajp_file_is_decoded() {
-    for operator in then_and_now("ajp.toml") {
-        assert_eq!(blocks(&operator), ["ajp"]);
+    for operator in pinned_and_current("ajp.toml") {
+        assert_eq!(present_blocks(&operator), ["ajp"]);
         let ajp = operator.ajp.unwrap();
         assert_eq!(ajp.listen.port(), 8009);
         assert_eq!(ajp.secret.as_deref(), Some("change-me"));
@@ -60,8 +60,8 @@
 
 #[test]
 fn http2_file_is_decoded() {
-    for operator in then_and_now("http2.toml") {
-        assert_eq!(blocks(&operator), ["http2"]);
+    for operator in pinned_and_current("http2.toml") {
+        assert_eq!(present_blocks(&operator), ["http2"]);
         let http2 = operator.http2.unwrap();
         assert_eq!(http2.listen.port(), 7002);
         assert_eq!((http2.connections, http2.newcomers, http2.streams), (512, 32, 100));
@@ -76,8 +76,8 @@
 #[test]
 #[expect(clippy::float_cmp, reason = "the drift is 10 percent divided by 100, which is exactly this number")]
 fn fleet_file_is_decoded() {
-    for operator in then_and_now("fleet.toml") {
-        assert_eq!(blocks(&operator), ["fleet"]);
+    for operator in pinned_and_current("fleet.toml") {
+        assert_eq!(present_blocks(&operator), ["fleet"]);
         let fleet = operator.fleet.unwrap();
         assert!(!fleet.overload_enabled());
         let plan = fleet.membership(&config());
@@ -94,8 +94,8 @@
 
 #[test]
 fn pools_file_is_decoded() {
-    for operator in then_and_now("pools.toml") {
-        assert_eq!(blocks(&operator), ["pools"]);
+    for operator in pinned_and_current("pools.toml") {
+        assert_eq!(present_blocks(&operator), ["pools"]);
         let plan = operator.pools.unwrap().plan(&config().settings).unwrap();
         assert_eq!((plan.min_slots, plan.max_slots, plan.min_samples), (6, 12, 16));
         assert_eq!((plan.window_s, plan.review_s, plan.slow_ratio), (10.0, 0.5, 1.6));
@@ -112,8 +112,8 @@
 
 #[test]
 fn every_key_is_decoded() {
-    let operator = decoded(&text_of("tests/fixtures/operator_files/every_key.toml"));
-    assert_eq!(blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
+    let operator = decode(&read_text("tests/fixtures/operator_files/every_key.toml"));
+    assert_eq!(present_blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
 
     let ajp = operator.ajp.unwrap();
     assert_eq!((ajp.listen.port(), ajp.secret.as_deref()), (8109, Some("one")));
@@ -172,8 +172,8 @@
 
 #[test]
 fn missing_optional_keys_have_defaults() {
-    let operator = decoded(&text_of("tests/fixtures/operator_files/needed_keys.toml"));
-    assert_eq!(blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
+    let operator = decode(&read_text("tests/fixtures/operator_files/needed_keys.toml"));
+    assert_eq!(present_blocks(&operator), ["ajp", "backend", "directory", "pools", "http2", "fleet"]);
 
     let ajp = operator.ajp.unwrap();
     assert_eq!((ajp.secret.as_deref(), ajp.tenants.len()), (None, 0));
@@ -196,11 +196,11 @@
     let expected = [("orders", 0.0, 1.0, 1.0, 256), ("rest", 0.0, 1.0, 1.0, 256)];
     assert_eq!(pools.collect::<Vec<_>>(), expected);
 
-    // The file in `deploy/` shows the defaults.
+    // The file in `deploy/` lists the default values.
     let mut http2 = operator.http2.unwrap();
-    let [shown, _] = then_and_now("http2.toml").map(|o| o.http2.unwrap());
-    http2.listen = shown.listen;
-    assert_eq!(http2, shown);
+    let [defaults, _] = pinned_and_current("http2.toml").map(|o| o.http2.unwrap());
+    http2.listen = defaults.listen;
+    assert_eq!(http2, defaults);
 
     let fleet = operator.fleet.unwrap();
     assert!(!fleet.overload_enabled());
@@ -211,20 +211,20 @@
 
 #[test]
 fn unknown_key_in_any_block_is_an_error_that_names_it() {
-    let text = text_of("tests/fixtures/operator_files/every_key.toml");
+    let text = read_text("tests/fixtures/operator_files/every_key.toml");
     for header in text.lines().filter(|line| line.starts_with('[') && *line != "[backend.paths]") {
-        let wrong = text.replacen(header, &format!("{header}\nmisspelt = 1"), 1);
-        let error = OperatorSettings::decode(&wrong, &config()).expect_err(header).to_string();
+        let invalid = text.replacen(header, &format!("{header}\nmisspelt = 1"), 1);
+        let error = OperatorSettings::decode(&invalid, &config()).expect_err(header).to_string();
         assert!(error.contains("unknown field `misspelt`"), "{header}: {error}");
     }
     let error = OperatorSettings::decode("[misspelt]\n", &config()).unwrap_err().to_string();
     assert!(error.contains("unknown field `misspelt`"), "{error}");
 }
 
-/// The platform reads this file: its keys are fixed, and its paths are the repository's.
+/// The platform reads this file: its keys are fixed, and its paths must exist in the repository.
 #[test]
 fn platform_file_names_existing_paths() {
-    let file: toml::Table = text_of("deploy/balancer.toml").parse().unwrap();
+    let file: toml::Table = read_text("deploy/balancer.toml").parse().unwrap();
     let mut keys: Vec<&str> = file.keys().map(String::as_str).collect();
     keys.sort_unstable();
     assert_eq!(keys, ["build", "node", "packages", "policy", "run", "sim"]);
