--- a/examples/replace.rs
+++ b/examples/replace.rs
@@ -1,5 +1,6 @@
 //! Runs a port worker with the peers of the `toy_site` example, and replaces it by hot restart for each line on
-//! standard input. Like a supervisor in production, it holds the listening socket and passes it to every worker process.
+//! standard input. Like a supervisor in production, it holds the listening socket and passes it to every worker
+//! process.
 //!
 //! ```sh
 //! cargo run --example toy_site                                # in one terminal
--- a/tests/ajp/directory.rs
+++ b/tests/ajp/directory.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn silent_directory_costs_its_timeout_or_the_request_deadline() {
+fn request_fails_at_the_timeout_of_a_silent_directory_or_at_its_deadline() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let worker = start_with_directory(&listener, "timeout_ms = 300");
     let mut executor = worker.accept_link();
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn connection_lost_in_mid_body_runs_nothing_and_after_it_retains_the_result() {
+fn connection_lost_during_the_body_runs_nothing_and_after_it_retains_the_result() {
     let worker = WORKER.start_with(|_| {}, Some(FRONTEND));
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,5 +1,6 @@
 //! Compatibility of the configuration file. The example as of commit c001dc7 is kept under
-//! `tests/fixtures/configuration` and must decode to the same settings as the current `examples/config.json`. Tests never write there.
+//! `tests/fixtures/configuration` and must decode to the same settings as the current `examples/config.json`. Tests
+//! never write there.
 
 #![expect(clippy::float_cmp, reason = "numbers are passed through unchanged, so they must be exactly equal")]
 
--- a/tests/http/requests.rs
+++ b/tests/http/requests.rs
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn request_in_fragments_is_run_and_half_a_request_is_not() {
+fn request_in_fragments_is_run_and_an_incomplete_one_is_not() {
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn good_and_rejected_reloads_log_the_recorded_lines() {
+fn accepted_and_rejected_reloads_log_the_recorded_lines() {
     let pools = "[pools]\n[[pools.pool]]\nname = \"all\"\nclasses = [\"look\", \"order\"]\n";
     let mut worker = WORKER.start_with(|_| {}, Some(""));
     let _executor = worker.accept_link();
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -1,5 +1,6 @@
 //! Compatibility of operators' TOML files. The files as of commit c001dc7 are kept under
-//! `tests/fixtures/operator_files` and must decode to the same settings as the current files in `deploy/`. Tests never write there.
+//! `tests/fixtures/operator_files` and must decode to the same settings as the current files in `deploy/`. Tests never
+//! write there.
 
 use port_worker::config::{Config, Identity, OperatorSettings};
 use port_worker::PoolReserve;
--- a/tests/output_pins/console.rs
+++ b/tests/output_pins/console.rs
@@ -156,21 +156,21 @@
 /// exits.
 fn serve_as_coordinator(mut stream: TcpStream) {
     let leases = [("report", 7), ("audit", 8)].map(|(task, token)| json!({"task": task, "token": token}));
-    let renewed = leases.clone().map(|held| json!({"held": held, "ttl_ms": 30_000}));
+    let renewed = leases.clone().map(|lease| json!({"held": lease, "ttl_ms": 30_000}));
     while let Some(message) = read_frame(&mut stream) {
         if message["say"] == "hello" {
             let welcome = json!({"word": "welcome", "session": 1, "session_ttl_ms": 60_000,
                 "keep_every_ms": 50, "version": 2});
             write_frame(&mut stream, &welcome);
-            for held in &leases {
-                write_frame(&mut stream, &json!({"word": "granted", "held": held}));
+            for lease in &leases {
+                write_frame(&mut stream, &json!({"word": "granted", "held": lease}));
             }
         }
         if message["say"] == "keep" {
             let totals = json!({"counts": {"svc.replies.look.success": 5, "svc.concurrent": 2},
                 "workers": 2, "by": "n2", "age_ms": 100});
-            let kept = json!({"word": "kept", "seq": message["seq"], "leases": renewed, "totals": totals});
-            write_frame(&mut stream, &kept);
+            let ack = json!({"word": "kept", "seq": message["seq"], "leases": renewed, "totals": totals});
+            write_frame(&mut stream, &ack);
         }
     }
 }
