--- a/tests/console.rs
+++ b/tests/console.rs
@@ -63,9 +63,9 @@
     // The second attempt with a key is a second request, but not a second run.
     for _ in 0..2 {
         client.send(&RequestBuilder::new("order").key("k1"));
-        if executor.started.is_empty() {
+        if executor.started_jobs.is_empty() {
             let exec = executor.expect_command("EXEC");
-            executor.started.push(exec["job"].clone());
+            executor.started_jobs.push(exec["job"].clone());
             executor.send_exit(&exec["job"], "PASS", "");
         }
         assert_eq!(client.read_response().status, 200);
@@ -224,7 +224,7 @@
     );
     let mut link = Executor::accept(&executor);
     link.expect_command("JOIN");
-    link.welcome();
+    link.send_welcome();
     worker.wait_load_report("ready");
     assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
     drop((link, executor));
--- a/tests/crossings/downstream.rs
+++ b/tests/crossings/downstream.rs
@@ -15,7 +15,7 @@
     for round in 0..CALLS_TO_LEARN {
         let (mut client, job) =
             start_run(&worker, &mut executor, &RequestBuilder::new("order").key(&unique_request_id()));
-        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": encode("number?")}));
+        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": to_base64("number?")}));
         let mut service = worker.records.accept();
         let (_, head, _) = service.read_message();
         let head = Reply { status: 0, head, body: Vec::new() };
@@ -30,7 +30,7 @@
             service.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
         }
         let command = executor.expect_command("RETURN");
-        assert_eq!((&command["job"], &command["data"]), (&job, &json!(encode("yes"))));
+        assert_eq!((&command["job"], &command["data"]), (&job, &json!(to_base64("yes"))));
         finish_run(&mut executor, &job, &mut client);
         records = Some(service);
     }
@@ -48,16 +48,16 @@
     worker.suspend();
     executor.send_exit(&job_a, "PASS", "one");
     let partial =
-        json!({"type": "EXIT", "n": 2, "job": job_b, "state": "PASS", "took": 1.0, "data": encode("two")});
+        json!({"type": "EXIT", "n": 2, "job": job_b, "state": "PASS", "took": 1.0, "data": to_base64("two")});
     executor.send_raw(&partial.to_string()[..40]);
     drop(executor);
     worker.resume();
     assert_eq!(first.read_response().body, b"one");
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 1);
-    executor.welcome();
+    executor.send_welcome();
     executor.last_notice = 1;
-    executor.started = vec![job_a, job_b.clone()];
+    executor.started_jobs = vec![job_a, job_b.clone()];
     executor.send_exit(&job_b, "PASS", "two");
     assert_eq!(second.read_response().body, b"two");
     executor.expect_no_command(&worker);
@@ -103,8 +103,8 @@
     worker.resume();
     let mut executor = Executor::accept(&worker.executor);
     assert_eq!(executor.expect_command("JOIN")["n"], 0);
-    executor.welcome();
-    executor.started = vec![job.clone()];
+    executor.send_welcome();
+    executor.started_jobs = vec![job.clone()];
     executor.send_exit(&job, "PASS", "once");
     for client in [&mut first, &mut retry] {
         assert_eq!(client.read_response().body, b"once");
@@ -125,7 +125,7 @@
     ] {
         let key = unique_request_id();
         let (mut client, job) = start_run(&worker, &mut executor, &RequestBuilder::new("order").key(&key));
-        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": encode("number?")}));
+        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": to_base64("number?")}));
         let mut service = worker.records.accept();
         service.read_message();
         worker.suspend();
@@ -133,7 +133,7 @@
         drop(service);
         worker.resume();
         if complete {
-            assert_eq!(executor.expect_command("RETURN")["data"], json!(encode("yes")));
+            assert_eq!(executor.expect_command("RETURN")["data"], json!(to_base64("yes")));
             executor.send_exit(&job, "PASS", "done");
             assert_eq!(client.read_response().body, b"done");
         } else {
--- a/tests/hot_restart/lifecycle.rs
+++ b/tests/hot_restart/lifecycle.rs
@@ -12,7 +12,7 @@
     let (mut predecessor, _predecessor_executor) = start_first(&shared);
     assert_eq!(predecessor.console_request("POST", "/-/drain").0, 200);
     let successor = WORKER.start_on(&shared, |_| {});
-    let _successor_executor = successor.accept_link_unreported();
+    let _successor_executor = successor.accept_link_without_waiting();
     successor.wait_ready();
     assert_eq!(successor.check_health(), 503);
     successor.wait_load_report("draining");
@@ -119,13 +119,13 @@
     let mut successor_next = Executor::accept(&successor.executor);
     for executor in [&mut predecessor_next, &mut successor_next] {
         executor.expect_command("JOIN");
-        executor.welcome();
+        executor.send_welcome();
     }
     predecessor_next.last_notice = predecessor_executor.last_notice;
     let mut client = Client::connect(successor.http);
     client.send(&retry("k1"));
     // A command sent just before the move may be sent again on the new link.
-    predecessor_next.started.push(exec["job"].clone());
+    predecessor_next.started_jobs.push(exec["job"].clone());
     predecessor_next.send_exit(job(&exec), "PASS", "placed");
     assert_eq!(first_client.read_response().body, b"placed");
     assert_eq!(client.read_response().body, b"placed");
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -5,7 +5,7 @@
 use std::process::Stdio;
 use std::time::Instant;
 use test_support::{
-    encode, unique_request_id, Client, Executor, RequestBuilder, WorkerProgram, WorkerUnderTest, TIMEOUT,
+    to_base64, unique_request_id, Client, Executor, RequestBuilder, WorkerProgram, WorkerUnderTest, TIMEOUT,
 };
 
 /// The program under test.
@@ -121,7 +121,7 @@
     for _ in 0..2 {
         stuck.push(send_look(&worker));
         let job = expect_start(&mut executor, "look");
-        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": encode("?")}));
+        executor.send_notice(json!({"type": "CALLOUT", "job": job, "data": to_base64("?")}));
         let mut call = worker.records.accept();
         call.read_message();
         records.push((call, job));
@@ -232,7 +232,7 @@
             for (_, job) in due {
                 self.executor.send_exit(&job, "PASS", "seen");
             }
-            self.clients.retain_mut(|c| !c.take_response());
+            self.clients.retain_mut(|c| !c.try_read_response());
             if let Some(found) = self.worker.find_log(line) {
                 return found;
             }
