--- a/fleet-coordinator/tests/lease_world/main.rs
+++ b/fleet-coordinator/tests/lease_model/main.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// `cargo test --release -p fleet-coordinator --test lease_world -- --ignored --nocapture`.
+/// `cargo test --release -p fleet-coordinator --test lease_model -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
 fn two_holders_never_act_at_once_in_larger_worlds() {
