--- a/fleet-coordinator/tests/lease_model/properties.rs
+++ b/fleet-coordinator/tests/lease_model/properties.rs
@@ -1,110 +1,118 @@
-//! What holds in every world, what must be reachable, and the search itself.
+//! Properties that hold in every state, states that must be reachable, and the model's interface to the checker.
 
-use crate::limits::Limits;
+use crate::config::ModelConfig;
+use crate::model_state::{MessageToWorker, ModelState, NEWEST_LEADER, PREVIOUS_LEADER, TASK};
 use crate::steps::Action;
-use crate::world::{ToWorker, World, NEWEST, PREDECESSOR, TASK};
 use stateright::{Model, Property};
 
-/// Two workers never may act at the same time.
-pub const ONE_HOLDER: &str = "one holder";
+/// Two workers may never act at the same time.
+pub const SINGLE_HOLDER: &str = "at most one holder";
 /// The resource never accepts a lower token after a higher one.
-pub const TOKENS_ONLY_GROW: &str = "tokens only grow";
-/// Once nothing fails any more, a worker comes to hold the task.
-const HELD_IN_THE_END: &str = "held in the end";
-/// Rounds of heartbeats within which a worker must come to hold the task.
+pub const TOKENS_NEVER_DECREASE: &str = "accepted tokens never decrease";
+/// Without further faults, a worker eventually holds the lease.
+const EVENTUALLY_HELD: &str = "eventually held without further faults";
+/// Heartbeat rounds within which a worker must hold the lease.
 const MAX_RECOVERY_ROUNDS: usize = 20;
 
-impl World {
-    /// Once nothing fails any more, a worker comes to hold the task.
-    fn recovers(&self, limits: &Limits) -> bool {
-        let mut world = self.clone();
-        world.leaders[PREDECESSOR] = None;
+impl ModelState {
+    /// Returns whether a worker holds the lease within [`MAX_RECOVERY_ROUNDS`] if no further faults occur.
+    fn recovers(&self, config: &ModelConfig) -> bool {
+        let mut state = self.clone();
+        state.leaders[PREVIOUS_LEADER] = None;
         for worker in 0..2 {
-            world.step(limits, Action::Reconnect(worker));
+            state.step(config, Action::Reconnect(worker));
         }
         for _round in 0..MAX_RECOVERY_ROUNDS {
             for worker in 0..2 {
-                world.step(limits, Action::Heartbeat { worker, leader: NEWEST });
-                world.step(limits, Action::Arrive { worker, message: 0 });
+                state.step(config, Action::Heartbeat { worker, leader: NEWEST_LEADER });
+                state.step(config, Action::ReceiveAtLeader { worker, message: 0 });
             }
-            // One batch may be out already, with earlier heartbeats.
+            // A batch with earlier heartbeats may already await confirmation.
             for _batch in 0..2 {
-                world.step(limits, Action::Confirm);
-                world.deliver_all(limits);
+                state.step(config, Action::Confirm);
+                state.deliver_all(config);
             }
-            if (0..2).any(|worker| world.may_act(worker).is_some()) {
+            if (0..2).any(|worker| state.may_act(worker).is_some()) {
                 return true;
             }
             for action in [Action::Expire, Action::Commit, Action::Grant(0), Action::Commit] {
-                world.step(limits, action);
-                world.deliver_all(limits);
+                state.step(config, action);
+                state.deliver_all(config);
             }
-            world.step(limits, Action::Tick);
+            state.step(config, Action::Tick);
         }
         false
     }
 
-    /// Delivers all messages to workers.
-    fn deliver_all(&mut self, limits: &Limits) {
+    /// Lets the workers receive all messages in flight.
+    fn deliver_all(&mut self, config: &ModelConfig) {
         for worker in 0..2 {
-            while self.step(limits, Action::Deliver { worker, message: 0 }).is_some() {}
+            while self.step(config, Action::ReceiveAtWorker { worker, message: 0 }).is_some() {}
         }
     }
 
-    /// An answer that renews a lease is on its way when the newest leader knows of no lease.
+    /// Returns whether an acknowledgement that renews a lease is in flight although the newest leader's state has no lease.
     fn has_late_renewal(&self) -> bool {
-        let renews = |message: &ToWorker| matches!(message, ToWorker::HeartbeatAck { leases, .. } if !leases.is_empty());
-        let nobody_holds = self.leaders[NEWEST].as_ref().is_some_and(|leader| leader.state.leases.is_empty());
-        nobody_holds && self.workers.iter().any(|worker| worker.incoming.iter().any(renews))
+        let renews = |message: &MessageToWorker| matches!(message, MessageToWorker::HeartbeatAck { leases, .. } if !leases.is_empty());
+        let no_lease =
+            self.leaders[NEWEST_LEADER].as_ref().is_some_and(|leader| leader.state.leases.is_empty());
+        no_lease && self.workers.iter().any(|worker| worker.incoming.iter().any(renews))
     }
 
-    /// One worker may act while the other still knows a token.
-    fn has_unaware_predecessor(&self) -> bool {
-        let both_know = self.workers.iter().all(|worker| worker.holder.token(TASK).is_some());
-        both_know && (self.may_act(0).is_some() || self.may_act(1).is_some())
+    /// Returns whether a worker may act while the other one still has the token of a lease.
+    fn has_stale_holder(&self) -> bool {
+        let both_have_token = self.workers.iter().all(|worker| worker.holder.token(TASK).is_some());
+        both_have_token && (self.may_act(0).is_some() || self.may_act(1).is_some())
     }
 }
 
-impl Model for Limits {
-    type State = World;
+impl Model for ModelConfig {
+    type State = ModelState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World::initial(self).canonical(self)]
+    fn init_states(&self) -> Vec<ModelState> {
+        vec![ModelState::initial(self).canonical(self)]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
         use Action as A;
         actions.extend([A::Tick, A::StepDown, A::Confirm, A::Expire, A::ChangeTtl, A::Commit]);
-        actions.extend([true, false].map(|proposal_stays| A::Elect { proposal_stays }));
-        for (worker, state) in world.workers.iter().enumerate() {
-            actions.extend([A::Grant(worker), A::CheckLease(worker), A::Act(worker)]);
+        actions.extend([true, false].map(|proposal_committed| A::Elect { proposal_committed }));
+        for (worker, worker_state) in state.workers.iter().enumerate() {
+            actions.extend([A::Grant(worker), A::CheckLease(worker), A::UseResource(worker)]);
             actions.extend([A::Reconnect(worker), A::Restart(worker)]);
-            actions.extend([NEWEST, PREDECESSOR].map(|leader| A::Heartbeat { worker, leader }));
-            actions.extend([NEWEST, PREDECESSOR].map(|leader| A::Release { worker, leader }));
-            actions.extend((0..state.sent.len()).map(|message| A::Arrive { worker, message }));
-            actions.extend((0..state.incoming.len()).map(|message| A::Deliver { worker, message }));
+            actions.extend([NEWEST_LEADER, PREVIOUS_LEADER].map(|leader| A::Heartbeat { worker, leader }));
+            actions.extend([NEWEST_LEADER, PREVIOUS_LEADER].map(|leader| A::Release { worker, leader }));
+            actions
+                .extend((0..worker_state.sent.len()).map(|message| A::ReceiveAtLeader { worker, message }));
+            actions.extend(
+                (0..worker_state.incoming.len()).map(|message| A::ReceiveAtWorker { worker, message }),
+            );
         }
     }
 
-    fn next_state(&self, world: &World, action: Action) -> Option<World> {
-        let mut next = world.clone();
+    fn next_state(&self, state: &ModelState, action: Action) -> Option<ModelState> {
+        let mut next = state.clone();
         next.step(self, action)?;
         Some(next.canonical(self))
     }
 
-    fn properties(&self) -> Vec<Property<Limits>> {
+    fn properties(&self) -> Vec<Property<ModelConfig>> {
         vec![
-            Property::always(ONE_HOLDER, |_, world: &World| {
-                world.may_act(0).is_none() || world.may_act(1).is_none()
+            Property::always(SINGLE_HOLDER, |_, state: &ModelState| {
+                state.may_act(0).is_none() || state.may_act(1).is_none()
+            }),
+            Property::always(TOKENS_NEVER_DECREASE, |_, state: &ModelState| !state.token_decreased),
+            Property::always(EVENTUALLY_HELD, |config: &ModelConfig, state: &ModelState| {
+                state.recovers(config)
+            }),
+            // The search proves something only if these states are reachable.
+            Property::sometimes("renewal in flight for a released lease", |_, state: &ModelState| {
+                state.has_late_renewal()
             }),
-            Property::always(TOKENS_ONLY_GROW, |_, world: &World| !world.token_decreased),
-            Property::always(HELD_IN_THE_END, |limits: &Limits, world: &World| world.recovers(limits)),
-            // States that must be reachable for the search to prove anything.
-            Property::sometimes("a renewal is late", |_, world: &World| world.has_late_renewal()),
             Property::sometimes(
-                "one holds, and the other still believes that it has a lease",
-                |_, world: &World| world.has_unaware_predecessor(),
+                "one worker may act while the other has a stale lease",
+                |_, state: &ModelState| state.has_stale_holder(),
             ),
         ]
     }
--- a/fleet-coordinator/tests/lease_model/steps.rs
+++ b/fleet-coordinator/tests/lease_model/steps.rs
@@ -1,43 +1,46 @@
-//! What can happen next in a world.
-
-use crate::leader::{session, tasks, Leader};
-use crate::limits::{Limits, Resource, TtlChanges};
-use crate::world::{ToLeader, ToWorker, Upward, World, LEADER_CLOCK_RATE, NEWEST, PREDECESSOR, TASK};
+//! The model's actions and their effects on a state.
+
+use crate::config::{ModelConfig, Resource, TtlChanges};
+use crate::leader::{session_of, set_tasks_command, Leader};
+use crate::model_state::{
+    MessageToLeader, MessageToWorker, ModelState, SentMessage, LEADER_CLOCK_RATE, NEWEST_LEADER,
+    PREVIOUS_LEADER, TASK,
+};
 use fleet_coordinator::state_machine::{Command, ReleaseReason};
 use port_worker::fleet::frame::LeaseRef;
 
-/// Workers are named by their index, leaders by [`NEWEST`] and [`PREDECESSOR`], messages by their place.
+/// An action. Workers and messages are identified by their index, leaders by [`NEWEST_LEADER`] and [`PREVIOUS_LEADER`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     Tick,
-    /// Another member leads; what its predecessor had proposed is committed or lost.
+    /// Another member becomes leader. The previous leader's proposal is either committed or lost.
     Elect {
-        proposal_stays: bool,
+        proposal_committed: bool,
     },
-    /// The predecessor learns of the newer leader.
+    /// The previous leader learns of the newer one.
     StepDown,
     Heartbeat {
         worker: usize,
         leader: usize,
     },
-    /// The worker's link is lost with all messages on it, and made anew.
+    /// The worker's link is lost with all messages in flight, and re-established.
     Reconnect(usize),
     Restart(usize),
     Release {
         worker: usize,
         leader: usize,
     },
-    /// A message arrives at its leader.
-    Arrive {
+    /// A leader receives a message from the worker.
+    ReceiveAtLeader {
         worker: usize,
         message: usize,
     },
-    /// A message arrives at the worker.
-    Deliver {
+    /// The worker receives a message.
+    ReceiveAtWorker {
         worker: usize,
         message: usize,
     },
-    /// The quorum confirms that the newest leader led when it asked.
+    /// The quorum confirms that the newest leader was the leader when it requested confirmation.
     Confirm,
     Expire,
     Grant(usize),
@@ -45,85 +48,85 @@
     Commit,
     /// The worker checks its lease.
     CheckLease(usize),
-    /// The worker uses the resource under the lease that it has checked.
-    Act(usize),
+    /// The worker uses the resource under the token of the checked lease.
+    UseResource(usize),
 }
 
-impl World {
-    /// Performs the action; `None` where it is not possible now.
-    pub fn step(&mut self, limits: &Limits, action: Action) -> Option<()> {
+impl ModelState {
+    /// Performs the action. Returns `None` if the action is not possible in this state.
+    pub fn step(&mut self, config: &ModelConfig, action: Action) -> Option<()> {
         match action {
             Action::Tick => {
                 self.now += 1.0;
                 Some(())
             }
-            Action::Elect { proposal_stays } => self.elect(limits, proposal_stays),
+            Action::Elect { proposal_committed } => self.elect(config, proposal_committed),
             Action::StepDown => self.step_down(),
-            Action::Heartbeat { worker, leader } => self.send_heartbeat(limits, worker, leader),
+            Action::Heartbeat { worker, leader } => self.send_heartbeat(config, worker, leader),
             Action::Reconnect(worker) => self.reconnect(worker),
             Action::Restart(worker) => {
                 self.workers[worker].holder.clear();
                 self.workers[worker].lose_messages();
                 Some(())
             }
-            Action::Release { worker, leader } => self.send_release(limits, worker, leader),
-            Action::Arrive { worker, message } => self.arrive(limits, worker, message),
-            Action::Deliver { worker, message } => self.deliver(worker, message),
-            Action::Confirm => self.confirm(limits),
+            Action::Release { worker, leader } => self.send_release(config, worker, leader),
+            Action::ReceiveAtLeader { worker, message } => self.receive_at_leader(config, worker, message),
+            Action::ReceiveAtWorker { worker, message } => self.receive_at_worker(worker, message),
+            Action::Confirm => self.confirm(config),
             Action::Expire => self.expire(),
             Action::Grant(worker) => self.grant(worker),
-            Action::ChangeTtl => self.change_ttl(limits),
-            Action::Commit => self.commit(limits),
-            Action::CheckLease(worker) => self.check_lease(limits, worker),
-            Action::Act(worker) => {
+            Action::ChangeTtl => self.change_ttl(config),
+            Action::Commit => self.commit(config),
+            Action::CheckLease(worker) => self.check_lease(config, worker),
+            Action::UseResource(worker) => {
                 let token = self.workers[worker].checked_token.take()?;
-                self.use_resource(limits, token);
+                self.use_resource(config, token);
                 Some(())
             }
         }
     }
 
-    fn elect(&mut self, limits: &Limits, proposal_stays: bool) -> Option<()> {
-        let mut before = self.leaders[NEWEST].take()?;
-        let mut notification = None;
-        match (before.proposed.take(), proposal_stays) {
-            (Some(command), true) => notification = before.apply(self.now, &command),
+    fn elect(&mut self, config: &ModelConfig, proposal_committed: bool) -> Option<()> {
+        let mut previous = self.leaders[NEWEST_LEADER].take()?;
+        let mut grant_message = None;
+        match (previous.proposed.take(), proposal_committed) {
+            (Some(command), true) => grant_message = previous.apply(self.now, &command),
             (None, true) => return None,
             (_, false) => {}
         }
-        let leader = Leader::start_term(limits.checks, self.now, before.state.clone());
-        self.leaders = [Some(leader), Some(before).filter(|_| !limits.checks.read_index)];
-        // Messages to the predecessor reach it still; those to its own predecessor are lost.
-        let has_predecessor = self.leaders[PREDECESSOR].is_some();
+        let leader = Leader::start_term(config.safety_checks, self.now, previous.state.clone());
+        self.leaders = [Some(leader), Some(previous).filter(|_| !config.safety_checks.read_index)];
+        // Messages to the leader that is now the previous one can still arrive; those to the leader before it are lost.
+        let has_previous_leader = self.leaders[PREVIOUS_LEADER].is_some();
         for worker in &mut self.workers {
-            worker.sent.retain(|sent| sent.leader == NEWEST && has_predecessor);
+            worker.sent.retain(|sent| sent.leader == NEWEST_LEADER && has_previous_leader);
             for sent in &mut worker.sent {
-                sent.leader = PREDECESSOR;
+                sent.leader = PREVIOUS_LEADER;
             }
         }
-        // The notification is lost where the limit of messages is reached.
-        let _ = self.send(limits, notification);
+        // The grant message is lost if the maximum number of messages is in flight to the worker.
+        let _ = self.send(config, grant_message);
         Some(())
     }
 
     fn step_down(&mut self) -> Option<()> {
-        self.leaders[PREDECESSOR].take()?;
+        self.leaders[PREVIOUS_LEADER].take()?;
         for worker in &mut self.workers {
-            worker.sent.retain(|sent| sent.leader == NEWEST);
+            worker.sent.retain(|sent| sent.leader == NEWEST_LEADER);
         }
         Some(())
     }
 
-    fn send_heartbeat(&mut self, limits: &Limits, worker: usize, leader: usize) -> Option<()> {
+    fn send_heartbeat(&mut self, config: &ModelConfig, worker: usize, leader: usize) -> Option<()> {
         self.leaders[leader].as_ref()?;
         let worker = &mut self.workers[worker];
-        if worker.holder.outstanding().count() >= limits.outstanding_heartbeats {
+        if worker.holder.outstanding().count() >= config.max_outstanding_heartbeats {
             return None;
         }
         worker.last_sequence += 1;
         let sequence = worker.last_sequence;
         let leases = worker.holder.heartbeat_sent(self.now, sequence);
-        worker.sent.push(Upward { leader, message: ToLeader::Heartbeat { sequence, leases } });
+        worker.sent.push(SentMessage { leader, message: MessageToLeader::Heartbeat { sequence, leases } });
         Some(())
     }
 
@@ -138,62 +141,63 @@
         Some(())
     }
 
-    fn send_release(&mut self, limits: &Limits, worker: usize, leader: usize) -> Option<()> {
+    fn send_release(&mut self, config: &ModelConfig, worker: usize, leader: usize) -> Option<()> {
         self.leaders[leader].as_ref()?;
         let worker = &mut self.workers[worker];
-        if !limits.releases || worker.sent.len() > limits.outstanding_heartbeats {
+        if !config.allow_releases || worker.sent.len() > config.max_outstanding_heartbeats {
             return None;
         }
         let token = worker.holder.token(TASK)?;
         worker.holder.release(TASK);
-        let message = ToLeader::Release(LeaseRef { task: TASK.into(), token });
-        worker.sent.push(Upward { leader, message });
+        let message = MessageToLeader::Release(LeaseRef { task: TASK.into(), token });
+        worker.sent.push(SentMessage { leader, message });
         Some(())
     }
 
-    fn arrive(&mut self, limits: &Limits, worker: usize, message: usize) -> Option<()> {
+    fn receive_at_leader(&mut self, config: &ModelConfig, worker: usize, message: usize) -> Option<()> {
         if message >= self.workers[worker].sent.len() {
             return None;
         }
-        let Upward { leader: to, message } = self.workers[worker].sent.remove(message);
-        let leader = self.leaders[to].as_mut()?;
+        let SentMessage { leader: leader_index, message } = self.workers[worker].sent.remove(message);
+        let leader = self.leaders[leader_index].as_mut()?;
         match message {
-            ToLeader::Heartbeat { sequence, leases } => {
+            MessageToLeader::Heartbeat { sequence, leases } => {
                 leader.receive_heartbeat(self.now, worker, sequence, leases);
-                self.request_confirmation(limits, to)
+                self.request_confirmation(config, leader_index)
             }
-            ToLeader::Release(lease) => {
-                let own = leader.state.lease(&lease).is_some_and(|l| l.session == session(worker));
-                if own && leader.proposed.is_none() {
+            MessageToLeader::Release(lease) => {
+                let held_by_sender =
+                    leader.state.lease(&lease).is_some_and(|current| current.session == session_of(worker));
+                if held_by_sender && leader.proposed.is_none() {
                     leader.clock.start_release(self.now * LEADER_CLOCK_RATE, lease.token);
                     let release = Command::ReleaseLease { lease, reason: ReleaseReason::Returned };
-                    leader.proposed = (to == NEWEST).then_some(release);
+                    leader.proposed = (leader_index == NEWEST_LEADER).then_some(release);
                 }
                 Some(())
             }
         }
     }
 
-    fn deliver(&mut self, worker: usize, message: usize) -> Option<()> {
+    fn receive_at_worker(&mut self, worker: usize, message: usize) -> Option<()> {
         let worker = &mut self.workers[worker];
         if message >= worker.incoming.len() {
             return None;
         }
         match worker.incoming.remove(message) {
-            ToWorker::Granted(lease) => worker.holder.granted(&lease),
-            ToWorker::HeartbeatAck { sequence, leases } => {
+            MessageToWorker::Granted(lease) => worker.holder.granted(&lease),
+            MessageToWorker::HeartbeatAck { sequence, leases } => {
                 drop(worker.holder.heartbeat_acked(sequence, &leases));
             }
         }
         Some(())
     }
 
-    fn confirm(&mut self, limits: &Limits) -> Option<()> {
-        let leader = self.leaders[NEWEST].as_mut()?;
-        let received = leader.queue.confirm(leader.batch.take()?);
-        let answers = leader.answers(received);
-        self.send(limits, answers)?;
-        self.request_confirmation(limits, NEWEST)
+    fn confirm(&mut self, config: &ModelConfig) -> Option<()> {
+        let leader = self.leaders[NEWEST_LEADER].as_mut()?;
+        let received = leader.read_index_queue.confirm(leader.unconfirmed_batch.take()?);
+        let heartbeat_acks = leader.heartbeat_acks(received);
+        self.send(config, heartbeat_acks)?;
+        self.request_confirmation(config, NEWEST_LEADER)
     }
 
     fn expire(&mut self) -> Option<()> {
@@ -213,28 +217,28 @@
         if leader.state.leases.contains_key(TASK) {
             return None;
         }
-        leader.proposed = Some(Command::GrantLease { task: TASK.into(), session: session(worker) });
+        leader.proposed = Some(Command::GrantLease { task: TASK.into(), session: session_of(worker) });
         Some(())
     }
 
-    fn change_ttl(&mut self, limits: &Limits) -> Option<()> {
+    fn change_ttl(&mut self, config: &ModelConfig) -> Option<()> {
         let leader = self.leader_without_proposal()?;
-        if limits.ttl_changes == TtlChanges::Never || leader.state.epoch > 1 {
+        if config.ttl_changes == TtlChanges::Never || leader.state.epoch > 1 {
             return None;
         }
-        leader.proposed = Some(tasks(2));
+        leader.proposed = Some(set_tasks_command(2));
         Some(())
     }
 
-    fn commit(&mut self, limits: &Limits) -> Option<()> {
-        let leader = self.leaders[NEWEST].as_mut()?;
+    fn commit(&mut self, config: &ModelConfig) -> Option<()> {
+        let leader = self.leaders[NEWEST_LEADER].as_mut()?;
         let command = leader.proposed.take()?;
-        let notification = leader.apply(self.now, &command);
-        self.send(limits, notification)
+        let grant_message = leader.apply(self.now, &command);
+        self.send(config, grant_message)
     }
 
-    fn check_lease(&mut self, limits: &Limits, worker: usize) -> Option<()> {
-        if limits.resource == Resource::Absent {
+    fn check_lease(&mut self, config: &ModelConfig, worker: usize) -> Option<()> {
+        if config.resource == Resource::Absent {
             return None;
         }
         let token = self.may_act(worker)?;
