--- a/fleet-coordinator/tests/command_line.rs
+++ b/fleet-coordinator/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What operators' scripts depend on: help texts, exit statuses, and the lines on stderr.
+//! The command-line interface that operators' scripts depend on: help texts, exit statuses, and messages on stderr.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 use std::process::{Command, Output};
 
-/// A program under test, and the name it gives itself.
+/// A program under test, and the name in its messages.
 struct Program {
     path: &'static str,
     name: &'static str,
@@ -14,24 +14,24 @@
 
 const COORDINATOR: Program =
     Program { path: env!("CARGO_BIN_EXE_fleet-coordinator"), name: "fleet-coordinator" };
-const FLEET: Program = Program { path: env!("CARGO_BIN_EXE_fleetctl"), name: "fleetctl" };
-/// Variables that stand in for arguments.
-const VARIABLES: [&str; 2] = ["HONEYPOST_COORDINATORS", "HONEYPOST_FLEET"];
+const FLEETCTL: Program = Program { path: env!("CARGO_BIN_EXE_fleetctl"), name: "fleetctl" };
+/// Environment variables that replace arguments.
+const ENV_VARIABLES: [&str; 2] = ["HONEYPOST_COORDINATORS", "HONEYPOST_FLEET"];
 
-const REJECTED: i32 = 1;
-const UNUSABLE: i32 = 2;
-const NO_QUORUM: i32 = 3;
+const STATUS_REJECTED: i32 = 1;
+const STATUS_CANNOT_START: i32 = 2;
+const STATUS_NO_QUORUM: i32 = 3;
 
 fn run(program: &Program, arguments: &[&str]) -> Output {
     let mut command = Command::new(program.path);
     command.args(arguments).env_remove("RUST_LOG");
-    for variable in VARIABLES {
+    for variable in ENV_VARIABLES {
         command.env_remove(variable);
     }
     command.output().unwrap()
 }
 
-/// All help texts of a program: its own, then each subcommand's.
+/// A program's help text, followed by those of its subcommands.
 fn help_texts(program: &Program, subcommands: &[&str]) -> String {
     let mut text = String::new();
     for arguments in std::iter::once(vec!["--help"]).chain(subcommands.iter().map(|s| vec![*s, "--help"])) {
@@ -44,7 +44,7 @@
     text
 }
 
-/// Runs a program that must fail with this status, print nothing on stdout and this on stderr.
+/// Asserts that the program exits with this status, prints exactly this on stderr, and nothing on stdout.
 fn assert_fails(program: &Program, arguments: &[&str], status: i32, expected: &str) {
     let output = run(program, arguments);
     assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), expected, "{arguments:?}");
@@ -52,16 +52,16 @@
     assert!(output.stdout.is_empty(), "{arguments:?}");
 }
 
-/// A line on stderr, as the program itself begins it.
-fn line(program: &Program, message: &str) -> String {
+/// An error line with the program's name as its prefix.
+fn error_line(program: &Program, message: &str) -> String {
     format!("{}: {message}\n", program.name)
 }
 
-/// An address of this host on which nothing listens.
+/// A local address on which nothing listens.
 const CLOSED_ADDRESS: &str = "127.0.0.1:1";
 
-/// Runs `fleetctl` against a scripted coordinator that answers one query with this body; returns the query, too.
-fn ask_scripted(arguments: &[&str], answer: &'static str) -> (String, Output) {
+/// Runs `fleetctl` against a mock coordinator that answers one query with this body. Returns the query and the output.
+fn query_mock_coordinator(arguments: &[&str], answer: &'static str) -> (String, Output) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let coordinator = std::thread::spawn(move || {
@@ -74,86 +74,103 @@
         stream.write_all(answer.as_bytes()).unwrap();
         String::from_utf8(query).unwrap()
     });
-    let mut all = vec!["--coordinators", address.as_str()];
-    all.extend(arguments);
-    let output = run(&FLEET, &all);
+    let mut all_arguments = vec!["--coordinators", address.as_str()];
+    all_arguments.extend(arguments);
+    let output = run(&FLEETCTL, &all_arguments);
     (coordinator.join().unwrap(), output)
 }
 
 #[test]
-fn help_texts_stay_as_they_are() {
+fn help_texts_are_unchanged() {
     assert_eq!(help_texts(&COORDINATOR, &[]), include_str!("fixtures/coordinator-help.txt"));
     let subcommands = ["status", "members", "leases", "tasks", "overload", "pin", "replace"];
-    assert_eq!(help_texts(&FLEET, &subcommands), include_str!("fixtures/fleet-help.txt"));
+    assert_eq!(help_texts(&FLEETCTL, &subcommands), include_str!("fixtures/fleet-help.txt"));
 }
 
 #[test]
-fn a_missing_argument_is_a_usage_error() {
+fn missing_argument_is_a_usage_error() {
     let usage = |missing: &str, usage: &str| {
         format!("error: the following required arguments were not provided:\n  {missing}\n\nUsage: {usage}\n\nFor more information, try '--help'.\n")
     };
-    let (coordinator, fleet) = (COORDINATOR.name, FLEET.name);
+    let (coordinator, fleet) = (COORDINATOR.name, FLEETCTL.name);
     let expected = usage("--config <CONFIG>", &format!("{coordinator} --config <CONFIG>"));
-    assert_fails(&COORDINATOR, &[], UNUSABLE, &expected);
+    assert_fails(&COORDINATOR, &[], STATUS_CANNOT_START, &expected);
     let coordinators = "--coordinators <COORDINATORS>";
     let expected = usage(coordinators, &format!("{fleet} {coordinators} <COMMAND>"));
-    assert_fails(&FLEET, &["status"], UNUSABLE, &expected);
+    assert_fails(&FLEETCTL, &["status"], STATUS_CANNOT_START, &expected);
     let expected = usage("<COORDINATOR>", &format!("{fleet} {coordinators} replace <COORDINATOR>"));
-    assert_fails(&FLEET, &["--coordinators", "127.0.0.1:1", "replace"], UNUSABLE, &expected);
+    assert_fails(&FLEETCTL, &["--coordinators", "127.0.0.1:1", "replace"], STATUS_CANNOT_START, &expected);
 }
 
 #[test]
-fn an_argument_that_cannot_be_used_ends_with_one_line_or_the_usage() {
-    let expected = line(&FLEET, "--wait is 3601; expected 0 to 3600");
-    assert_fails(&FLEET, &["--coordinators", "127.0.0.1:1", "--wait", "3601", "status"], UNUSABLE, &expected);
+fn invalid_argument_value_is_reported_with_one_line_or_the_usage_hint() {
+    let expected = error_line(&FLEETCTL, "--wait is 3601; expected 0 to 3600");
+    assert_fails(
+        &FLEETCTL,
+        &["--coordinators", "127.0.0.1:1", "--wait", "3601", "status"],
+        STATUS_CANNOT_START,
+        &expected,
+    );
     let expected = "error: invalid value 'c1' for '--coordinators <COORDINATORS>': invalid socket address syntax\n\nFor more information, try '--help'.\n";
-    assert_fails(&FLEET, &["--coordinators", "c1", "status"], UNUSABLE, expected);
+    assert_fails(&FLEETCTL, &["--coordinators", "c1", "status"], STATUS_CANNOT_START, expected);
 }
 
 #[test]
-fn a_file_that_cannot_be_used_ends_a_coordinator_with_one_line() {
+fn invalid_configuration_file_is_reported_with_one_line() {
     let path = "/nowhere/coordinator.toml";
-    let expected = line(&COORDINATOR, &format!("{path}: No such file or directory (os error 2)"));
-    assert_fails(&COORDINATOR, &["--config", path], UNUSABLE, &expected);
+    let expected = error_line(&COORDINATOR, &format!("{path}: No such file or directory (os error 2)"));
+    assert_fails(&COORDINATOR, &["--config", path], STATUS_CANNOT_START, &expected);
 
     let file = std::env::temp_dir().join(format!("coordinator-file-{}.toml", std::process::id()));
     let path = file.to_str().unwrap();
     let shipped = include_str!("../../deploy/coordinator.toml");
     fs::write(&file, shipped.replacen("epoch = 1", "epoch = 0", 1)).unwrap();
-    let expected = line(&COORDINATOR, &format!("{path}: epoch is 0; expected 1 to 18446744073709551615"));
-    assert_fails(&COORDINATOR, &["--config", path], UNUSABLE, &expected);
+    let expected =
+        error_line(&COORDINATOR, &format!("{path}: epoch is 0; expected 1 to 18446744073709551615"));
+    assert_fails(&COORDINATOR, &["--config", path], STATUS_CANNOT_START, &expected);
     fs::remove_file(&file).unwrap();
 }
 
 #[test]
-fn an_address_in_use_ends_a_coordinator_with_one_line() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = taken.local_addr().unwrap();
+fn listen_address_in_use_is_reported_with_one_line() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
     let file = std::env::temp_dir().join(format!("coordinator-taken-{}.toml", std::process::id()));
     let text = format!(
         "fleet = 'f'\nname = 'a'\nfolder = '/nowhere'\nepoch = 1\n[[coordinator]]\nname = 'a'\naddress = '{address}'\n"
     );
     fs::write(&file, text).unwrap();
-    let expected = line(&COORDINATOR, &format!("listen {address}: Address already in use (os error 98)"));
-    assert_fails(&COORDINATOR, &["--config", file.to_str().unwrap()], UNUSABLE, &expected);
+    let expected =
+        error_line(&COORDINATOR, &format!("listen {address}: Address already in use (os error 98)"));
+    assert_fails(&COORDINATOR, &["--config", file.to_str().unwrap()], STATUS_CANNOT_START, &expected);
     fs::remove_file(&file).unwrap();
 }
 
 #[test]
-fn unreachable_coordinators_are_reported_as_no_quorum() {
+fn unreachable_coordinators_are_reported_as_missing_quorum() {
     let address = CLOSED_ADDRESS;
     let refused = format!("{address}: Connection refused (os error 111)");
-    let expected = line(&FLEET, &format!("no quorum within 0.2 s: {refused}"));
-    assert_fails(&FLEET, &["--coordinators", address, "--wait", "0.2", "leases"], NO_QUORUM, &expected);
-    let row = format!(r#"[{{"name":"{address}","standing":"silent","why":"{refused}"}}]"#);
-    let expected = line(&FLEET, &format!("no quorum within 0.2 s: {row}"));
-    assert_fails(&FLEET, &["--coordinators", address, "--wait", "0.2", "status"], NO_QUORUM, &expected);
+    let expected = error_line(&FLEETCTL, &format!("no quorum within 0.2 s: {refused}"));
+    assert_fails(
+        &FLEETCTL,
+        &["--coordinators", address, "--wait", "0.2", "leases"],
+        STATUS_NO_QUORUM,
+        &expected,
+    );
+    let status_rows = format!(r#"[{{"name":"{address}","standing":"silent","why":"{refused}"}}]"#);
+    let expected = error_line(&FLEETCTL, &format!("no quorum within 0.2 s: {status_rows}"));
+    assert_fails(
+        &FLEETCTL,
+        &["--coordinators", address, "--wait", "0.2", "status"],
+        STATUS_NO_QUORUM,
+        &expected,
+    );
 }
 
 #[test]
-fn an_answer_is_printed_as_a_table_or_with_json_as_it_is() {
+fn response_is_printed_as_a_table_or_as_unchanged_json() {
     let answer = r#"{"word":"answer","answer":[{"held":null,"task":"totals","token":7},{"held":true,"task":"a","token":12}]}"#;
-    let (query, output) = ask_scripted(&["leases"], answer);
+    let (query, output) = query_mock_coordinator(&["leases"], answer);
     assert_eq!(query, r#"{"say":"ask","fleet":"polderlijn","what":"leases"}"#);
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(
@@ -161,7 +178,7 @@
         "held  task    token\n-     totals  7\ntrue  a       12\n"
     );
 
-    let (query, output) = ask_scripted(&["--json", "--fleet", "f", "members"], answer);
+    let (query, output) = query_mock_coordinator(&["--json", "--fleet", "f", "members"], answer);
     assert_eq!(query, r#"{"say":"ask","fleet":"f","what":"members"}"#);
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(
@@ -171,17 +188,17 @@
 }
 
 #[test]
-fn a_rejected_query_ends_fleetctl_with_one_line_and_its_own_status() {
+fn rejected_query_is_reported_with_one_line_and_its_own_exit_status() {
     let cases: [(&[&str], &str); 3] = [
         (&["replace", "c2"], r#"{"replace":{"coordinator":"c2"}}"#),
         (&["pin", "2", "0.5", "--for", "30"], r#"{"pin":{"tier":2,"share":0.5,"for_s":30.0}}"#),
         (&["overload"], r#""overload""#),
     ];
     for (arguments, expected) in cases {
-        let (query, output) = ask_scripted(arguments, r#"{"word":"refused","why":"not now"}"#);
+        let (query, output) = query_mock_coordinator(arguments, r#"{"word":"refused","why":"not now"}"#);
         assert_eq!(query, format!(r#"{{"say":"ask","fleet":"polderlijn","what":{expected}}}"#));
-        assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), line(&FLEET, "refused: not now"));
-        assert_eq!(output.status.code(), Some(REJECTED), "{arguments:?}");
+        assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), error_line(&FLEETCTL, "refused: not now"));
+        assert_eq!(output.status.code(), Some(STATUS_REJECTED), "{arguments:?}");
         assert!(output.stdout.is_empty(), "{arguments:?}");
     }
 }
--- a/fleet-coordinator/tests/config_file.rs
+++ b/fleet-coordinator/tests/config_file.rs
@@ -1,4 +1,4 @@
-//! The coordinators' file: values that the shipped one decodes to, and the line for one that can't be used.
+//! The coordinator's configuration file: the shipped file's values, and the error messages for invalid files.
 
 use fleet_coordinator::config::ConfigFile;
 use fleet_coordinator::coordinator::CoordinatorAddress;
@@ -8,7 +8,7 @@
 const SHIPPED: &str = include_str!("../../deploy/coordinator.toml");
 
 #[test]
-fn the_shipped_file_decodes_to_its_values_and_defaults() {
+fn shipped_file_decodes_to_its_values_and_defaults() {
     let file = ConfigFile::decode(SHIPPED).unwrap();
 
     assert_eq!(file.fleet, "polderlijn");
@@ -19,7 +19,8 @@
     assert_eq!(file.epoch, 1);
     assert_eq!(file.write_overdue_ms, 1000);
     assert_eq!(file.version, LATEST_VERSION);
-    let peers: Vec<_> = file.coordinators.iter().map(|p| (p.name.as_str(), p.address.to_string())).collect();
+    let peers: Vec<_> =
+        file.coordinators.iter().map(|peer| (peer.name.as_str(), peer.address.to_string())).collect();
     let expected = [("c1", "127.0.0.1:7101"), ("c2", "127.0.0.1:7102"), ("c3", "127.0.0.1:7103")];
     assert_eq!(peers, expected.map(|(name, address)| (name, address.to_owned())));
     assert_eq!(
@@ -66,19 +67,23 @@
 }
 
 #[test]
-fn the_shipped_overload_block_decodes_once_it_is_switched_on() {
+fn shipped_overload_table_decodes_when_uncommented() {
     let text = SHIPPED
         .replace("#[overload]", "[overload]")
         .replace("#calls_part", "calls_part")
         .replace("#retry_percent", "retry_percent");
     let overload = ConfigFile::decode(&text).unwrap().overload.unwrap();
     assert_eq!((overload.calls_part, overload.retry_percent), (4.0, 10.0));
-    let without = text.replace("retry_percent = 10.0", "");
-    assert_eq!(ConfigFile::decode(&without).unwrap().overload, Some(overload), "10 percent is the default");
+    let without_retry_percent = text.replace("retry_percent = 10.0", "");
+    assert_eq!(
+        ConfigFile::decode(&without_retry_percent).unwrap().overload,
+        Some(overload),
+        "retry_percent defaults to 10"
+    );
 }
 
 #[test]
-fn an_unusable_file_is_rejected_with_one_complete_line() {
+fn invalid_file_is_rejected_with_a_one_line_error() {
     let cases = [
         ("epoch = 1", "epock = 1", "line 7: unknown field `epock`, expected one of `fleet`, `name`, `folder`, `listen`, `epoch`, `write_overdue_ms`, `version`, `coordinator`, `task`, `overload`"),
         ("epoch = 1", "epoch = 0", "epoch is 0; expected 1 to 18446744073709551615"),
@@ -93,13 +98,13 @@
     ];
     for (from, to, expected) in cases {
         let text = SHIPPED.replacen(from, to, 1);
-        assert_ne!(text, SHIPPED, "{from} is not in the file");
+        assert_ne!(text, SHIPPED, "the shipped file does not contain {from}");
         assert_eq!(ConfigFile::decode(&text).unwrap_err().to_string(), expected);
     }
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn unreadable_file_is_named_in_the_error() {
     let error = ConfigFile::read(Path::new("/nowhere/coordinator.toml")).unwrap_err().to_string();
     assert_eq!(error, "/nowhere/coordinator.toml: No such file or directory (os error 2)");
 }
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -1,5 +1,5 @@
-//! One coordinator whose disk fails: how soon it is suspended, that it acknowledges nothing it could not write, and that
-//! it takes part again without help. The clock and the disk are the test's own.
+//! A coordinator with a failing disk: it is suspended within a second, acknowledges nothing that it could not write, and
+//! resumes without intervention. The clock and the disk are simulated.
 
 use durable_log::simulated::SimulatedDisk;
 use durable_log::Store;
@@ -19,9 +19,10 @@
     coordinator: Coordinator,
     disk: SimulatedDisk,
     store: Option<Store<SimulatedDisk>>,
-    /// How long each job of the disk takes.
+    /// How long each disk job takes.
     job_duration_s: f64,
-    answers: Vec<(f64, DiskJobId, DiskResult)>,
+    /// Results of disk jobs, with the time when each is due.
+    pending_results: Vec<(f64, DiskJobId, DiskResult)>,
     messages: Vec<ServerMessage>,
     events: Vec<CoordinatorEvent>,
 }
@@ -45,12 +46,12 @@
             disk: SimulatedDisk::new(),
             store: None,
             job_duration_s: 0.0,
-            answers: Vec::new(),
+            pending_results: Vec::new(),
             messages: Vec::new(),
             events: Vec::new(),
         };
-        // A coordinator without peers founds its fleet when it ticks.
-        scenario.until("it leads", 10.0, |scenario| {
+        // An uninitialized coordinator without peers bootstraps its fleet.
+        scenario.step_until("elected leader", 10.0, |scenario| {
             if matches!(scenario.coordinator.replica.status, MemberStatus::Uninitialized(_)) {
                 scenario.coordinator.replica.bootstrap(scenario.now, &["c1".to_owned()], "c1");
             }
@@ -63,20 +64,20 @@
         self.now += TICK_S;
         self.coordinator.tick(self.now);
         loop {
-            let due = self.answers.iter().position(|(at, ..)| *at <= self.now);
-            if let Some((_, job, done)) = due.map(|at| self.answers.remove(at)) {
-                self.coordinator.on_disk_result(self.now, job, done);
+            let due = self.pending_results.iter().position(|(due_at, ..)| *due_at <= self.now);
+            if let Some((_, job_id, result)) = due.map(|index| self.pending_results.remove(index)) {
+                self.coordinator.on_disk_result(self.now, job_id, result);
             }
-            let out = self.coordinator.take_outputs();
-            if out.is_empty() && due.is_none() {
+            let outputs = self.coordinator.take_outputs();
+            if outputs.is_empty() && due.is_none() {
                 break;
             }
-            for one in out {
-                match one {
-                    Output::Disk(number, job) => {
+            for output in outputs {
+                match output {
+                    Output::Disk(job_id, job) => {
                         let disk = self.disk.clone();
-                        let done = execute_job(&mut self.store, &job, || Ok(disk));
-                        self.answers.push((self.now + self.job_duration_s, number, done));
+                        let result = execute_job(&mut self.store, &job, || Ok(disk));
+                        self.pending_results.push((self.now + self.job_duration_s, job_id, result));
                     }
                     Output::Frame(_, bytes) => {
                         let (message, _) =
@@ -91,7 +92,12 @@
     }
 
     /// Steps until the condition holds; returns how long that took (seconds).
-    fn until(&mut self, what: &str, limit_s: f64, mut condition: impl FnMut(&mut Scenario) -> bool) -> f64 {
+    fn step_until(
+        &mut self,
+        what: &str,
+        limit_s: f64,
+        mut condition: impl FnMut(&mut Scenario) -> bool,
+    ) -> f64 {
         let start = self.now;
         while !condition(self) {
             self.step();
@@ -104,22 +110,22 @@
         self.now - start
     }
 
-    /// A worker connects over a new link; its session has to be written to the log.
-    fn hello(&mut self, number: u64) {
-        let link = LinkId(number);
+    /// Connects a worker over a new link. Its session has to be written to the log.
+    fn connect_worker(&mut self, id: u64) {
+        let link = LinkId(id);
         self.coordinator.on_link_opened(link);
         let hello = ClientMessage::Hello {
             fleet: "f".into(),
             version: LATEST_VERSION,
-            name: format!("w{number}"),
+            name: format!("w{id}"),
             zone: "z".into(),
-            process: number,
+            process: id,
         };
         let bytes = encode(&hello);
         self.coordinator.receive(self.now, link, &bytes[4..]).unwrap();
     }
 
-    fn welcomed(&self) -> usize {
+    fn welcome_count(&self) -> usize {
         self.messages.iter().filter(|message| matches!(message, ServerMessage::Welcome { .. })).count()
     }
 
@@ -130,18 +136,13 @@
 
 #[test]
 fn a_failing_or_overdue_disk_suspends_its_coordinator_within_a_second_and_nothing_is_acknowledged() {
-    type Change = fn(&mut Scenario);
-    let cases: [(&str, Change, Change, f64); 4] = [
-        ("full", |s| s.disk.set_full(true), |s| s.disk.set_full(false), 0.02),
+    type DiskChange = fn(&mut Scenario);
+    let cases: [(&str, DiskChange, DiskChange, f64); 4] = [
+        ("disk full", |s| s.disk.set_full(true), |s| s.disk.set_full(false), 0.02),
+        ("error at the next call", |s| s.disk.fail_at(Some(s.disk.calls())), |s| s.disk.fail_at(None), 0.02),
+        ("sync takes 5 s", |s| s.job_duration_s = 5.0, |s| s.job_duration_s = 0.0, WRITE_OVERDUE_S + 0.05),
         (
-            "an error at the next call",
-            |s| s.disk.fail_at(Some(s.disk.calls())),
-            |s| s.disk.fail_at(None),
-            0.02,
-        ),
-        ("a sync of 5 s", |s| s.job_duration_s = 5.0, |s| s.job_duration_s = 0.0, WRITE_OVERDUE_S + 0.05),
-        (
-            "an error at the call after",
+            "error at the second call",
             |s| s.disk.fail_at(Some(s.disk.calls() + 1)),
             |s| s.disk.fail_at(None),
             0.02,
@@ -149,13 +150,13 @@
     ];
     for (n, (name, fail, repair, limit_s)) in cases.into_iter().enumerate() {
         let mut scenario = Scenario::start();
-        scenario.hello(1);
-        scenario.until("a session", 1.0, |s| s.welcomed() == 1);
+        scenario.connect_worker(1);
+        scenario.step_until("first session acknowledged", 1.0, |s| s.welcome_count() == 1);
         fail(&mut scenario);
-        scenario.hello(2 + n as u64);
-        let took = scenario.until(name, limit_s, |s| s.is_suspended());
-        assert!(took <= 1.0, "{name}: {took}");
-        assert_eq!(scenario.welcomed(), 1, "{name}: a session was acknowledged that the disk may not have");
+        scenario.connect_worker(2 + n as u64);
+        let elapsed_s = scenario.step_until(name, limit_s, |s| s.is_suspended());
+        assert!(elapsed_s <= 1.0, "{name}: {elapsed_s}");
+        assert_eq!(scenario.welcome_count(), 1, "{name}: acknowledged a session that may not be on disk");
         let reason = scenario.coordinator.replica.status.reason();
         assert!(
             reason.contains("disk is slow") == name.contains("sync") && reason.len() > 12,
@@ -171,24 +172,24 @@
         );
         let status = scenario.coordinator.status();
         assert_eq!((&status["standing"], &status["leads"]), (&"aside".into(), &false.into()), "{name}");
-        // It stays suspended while the disk fails, and takes part again without help once it works.
+        // The coordinator does not lead while the disk fails, and resumes without intervention once the disk works.
         for _ in 0..200 {
             scenario.step();
             assert!(name.contains("call") || !scenario.coordinator.replica.is_leader(), "{name}");
         }
         repair(&mut scenario);
-        scenario.until("it leads again", 10.0, |s| s.coordinator.replica.is_leader());
+        scenario.step_until("re-elected leader", 10.0, |s| s.coordinator.replica.is_leader());
         assert!(scenario.events.contains(&CoordinatorEvent::DiskResumed { member: MemberId(1) }), "{name}");
-        scenario.hello(90);
-        scenario.until("another session", 1.0, |s| s.welcomed() == 2);
+        scenario.connect_worker(90);
+        scenario.step_until("second session acknowledged", 1.0, |s| s.welcome_count() == 2);
     }
 }
 
 #[test]
-fn a_slow_disk_that_is_not_overdue_only_delays_answers() {
+fn a_slow_disk_that_is_not_overdue_only_delays_responses() {
     let mut scenario = Scenario::start();
     scenario.job_duration_s = WRITE_OVERDUE_S * 0.8;
-    scenario.hello(1);
-    let took = scenario.until("a session", 1.0, |s| s.welcomed() == 1);
-    assert!(took >= WRITE_OVERDUE_S * 0.8 && !scenario.is_suspended(), "{took}");
+    scenario.connect_worker(1);
+    let elapsed_s = scenario.step_until("first session acknowledged", 1.0, |s| s.welcome_count() == 1);
+    assert!(elapsed_s >= WRITE_OVERDUE_S * 0.8 && !scenario.is_suspended(), "{elapsed_s}");
 }
--- a/fleet-coordinator/tests/log_events.rs
+++ b/fleet-coordinator/tests/log_events.rs
@@ -1,4 +1,4 @@
-//! The log of one coordinator from its start to its end, as the process writes it.
+//! The log events that a coordinator process writes, from start to shutdown.
 
 use durable_log::{Folder, Store};
 use fleet_coordinator::replica::{execute_job, Replica, ReplicaOutput};
@@ -11,12 +11,12 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// How long a line may take to come.
-const TIMEOUT: Duration = Duration::from_secs(20);
-/// Keeps a busy machine's disk from suspending the coordinator in between.
-const PATIENT_DISK: &str = "write_overdue_ms = 60000";
+/// Maximum wait for a log line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The longest write deadline, so that slow disk writes on a busy machine don't suspend the coordinator during the test.
+const LONG_WRITE_DEADLINE: &str = "write_overdue_ms = 60000";
 
-/// A coordinator without peers, and its log.
+/// A coordinator process without peers, and its log.
 struct CoordinatorProcess {
     folder: PathBuf,
     child: Child,
@@ -30,7 +30,7 @@
         fs::create_dir_all(&folder).unwrap();
         prepare_data(&data_folder(&folder));
         let config = folder.join("coordinator.toml");
-        fs::write(&config, config_text(&folder, &format!("epoch = 1\n{PATIENT_DISK}"))).unwrap();
+        fs::write(&config, config_text(&folder, &format!("epoch = 1\n{LONG_WRITE_DEADLINE}"))).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-coordinator"));
         command.arg("--config").arg(config).env_remove("RUST_LOG").stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
@@ -38,11 +38,11 @@
         CoordinatorProcess { folder, child, lines }
     }
 
-    /// The next line without its time, and with what differs from run to run replaced.
+    /// The next line without its timestamp, with placeholders for the folder and the address, which differ between runs.
     fn next_line(&self) -> String {
-        let line = self.lines.recv_timeout(TIMEOUT).expect("another line");
-        let (time, rest) = line.split_once(' ').unwrap();
-        assert!(time.ends_with('Z') && time.contains('T'), "{line}");
+        let line = self.lines.recv_timeout(LINE_TIMEOUT).expect("no further log line within the timeout");
+        let (timestamp, rest) = line.split_once(' ').unwrap();
+        assert!(timestamp.ends_with('Z') && timestamp.contains('T'), "{line}");
         let rest = rest.replace(self.folder.to_str().unwrap(), "FOLDER");
         match rest.split_once(" address=") {
             Some((event, address)) => {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Replaces these keys of the file, and lets the coordinator read it.
+    /// Writes a configuration file with these keys, and signals the coordinator to reload it.
     fn reload(&self, keys: &str) {
         fs::write(self.folder.join("coordinator.toml"), config_text(&self.folder, keys)).unwrap();
         self.send_signal(Signal::HUP);
@@ -101,32 +101,32 @@
     )
 }
 
-/// Makes the data folder that of the only founder of a fleet.
-fn found_fleet(data: &Path) {
+/// Initializes the data folder of a fleet's only initial member.
+fn bootstrap_fleet(data: &Path) {
     let mut store: Option<Store<Folder>> = None;
     let mut replica = Replica::new(0.0, 1, 1.0, LATEST_VERSION);
-    let mut carry_out_jobs = |replica: &mut Replica| {
+    let mut execute_disk_jobs = |replica: &mut Replica| {
         for output in replica.take_outputs() {
-            if let ReplicaOutput::Disk(number, job) = output {
+            if let ReplicaOutput::Disk(job_id, job) = output {
                 let result = execute_job(&mut store, &job, || Folder::lock(data));
-                replica.on_disk_result(0.0, number, result);
+                replica.on_disk_result(0.0, job_id, result);
             }
         }
     };
-    carry_out_jobs(&mut replica);
+    execute_disk_jobs(&mut replica);
     replica.bootstrap(0.0, &["a".to_owned()], "a");
-    carry_out_jobs(&mut replica);
+    execute_disk_jobs(&mut replica);
 }
 
 #[test]
-fn a_coordinator_reports_its_start_its_reloads_and_its_end_as_events_in_order() {
-    let mut coordinator = CoordinatorProcess::start("life", found_fleet);
+fn coordinator_logs_start_reloads_and_shutdown_in_order() {
+    let mut coordinator = CoordinatorProcess::start("life", bootstrap_fleet);
     coordinator.assert_next_lines(&[
         "INFO listener_opened frontend=coordinator coordinator=a fleet=f address=ADDRESS",
         "INFO member_started member=1",
         "INFO leader_elected term=2",
     ]);
-    coordinator.reload(&format!("epoch = 2\n{PATIENT_DISK}"));
+    coordinator.reload(&format!("epoch = 2\n{LONG_WRITE_DEADLINE}"));
     coordinator.assert_next_lines(&["INFO config_reloaded epoch=2 tasks=0"]);
     coordinator.reload("epoch = 3\nversion = 1");
     coordinator.assert_next_lines(&[
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_coordinator_with_an_empty_disk_reports_that_it_is_uninitialized() {
+fn coordinator_with_an_empty_disk_logs_that_it_is_uninitialized() {
     let coordinator = CoordinatorProcess::start("empty", |_| ());
     coordinator.assert_next_lines(&[
         "INFO listener_opened frontend=coordinator coordinator=a fleet=f address=ADDRESS",
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -1,4 +1,4 @@
-//! The answers to operators' queries, whose keys operators' scripts read.
+//! The JSON keys of responses to operators' queries. Operators' scripts depend on them.
 
 use durable_log::simulated::SimulatedDisk;
 use durable_log::Store;
@@ -18,7 +18,7 @@
 const TICK_S: f64 = 0.05;
 const HEADER_BYTES: usize = 4;
 
-/// A coordinator that leads alone, with one worker that holds the task `totals`.
+/// A single coordinator, which is the leader, and one worker, which holds the task `totals`.
 struct Fleet {
     now: f64,
     coordinator: Coordinator,
@@ -70,7 +70,7 @@
         fleet
     }
 
-    /// Lets one tick pass; returns the messages that were sent.
+    /// Advances the time by one tick. Returns the messages that were sent.
     fn step(&mut self) -> Vec<ServerMessage> {
         self.now += TICK_S;
         self.coordinator.tick(self.now);
@@ -82,10 +82,10 @@
             }
             for output in outputs {
                 match output {
-                    Output::Disk(number, job) => {
+                    Output::Disk(job_id, job) => {
                         let disk = self.disk.clone();
                         let result = execute_job(&mut self.store, &job, || Ok(disk));
-                        self.coordinator.on_disk_result(self.now, number, result);
+                        self.coordinator.on_disk_result(self.now, job_id, result);
                     }
                     Output::Frame(_, bytes) => {
                         messages.push(decode(&bytes, MAX_SERVER_FRAME_BYTES).unwrap().unwrap().0);
@@ -110,36 +110,36 @@
         );
     }
 
-    fn ask(&mut self, query: OperatorQuery) -> Value {
+    fn query(&mut self, query: OperatorQuery) -> Value {
         self.coordinator.on_link_opened(OPERATOR);
         let messages = self.send(OPERATOR, &ClientMessage::Query { fleet: "f".into(), query });
         let answer = messages.into_iter().find_map(|message| match message {
             ServerMessage::QueryResult { answer } => Some(answer),
             _ => None,
         });
-        answer.expect("an answer")
+        answer.expect("response to the query")
     }
 }
 
 #[test]
-fn answers_about_sessions_leases_and_tasks_keep_their_keys() {
+fn members_leases_and_tasks_responses_keep_their_keys() {
     let mut fleet = Fleet::start();
     assert_eq!(
-        fleet.ask(OperatorQuery::Members),
+        fleet.query(OperatorQuery::Members),
         json!([{
             "session": 1, "name": "w", "zone": "east", "version": 2, "linked": true, "silent_s": 0.1,
             "holds": ["totals"], "twice": false,
         }])
     );
     assert_eq!(
-        fleet.ask(OperatorQuery::Leases),
+        fleet.query(OperatorQuery::Leases),
         json!([{
             "task": "totals", "holder": "w", "session": 1, "token": 1, "ttl_ms": 3000, "free_in_s": 2.9,
             "waiting": 0,
         }])
     );
     assert_eq!(
-        fleet.ask(OperatorQuery::Tasks),
+        fleet.query(OperatorQuery::Tasks),
         json!({
             "epoch": 1, "unknown": [], "unknown_in_all": 0,
             "tasks": [{
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn the_answer_about_overload_keeps_its_keys() {
+fn overload_response_keeps_its_keys() {
     let mut fleet = Fleet::start();
-    let quiet = json!({
+    let idle = json!({
         "level": "open", "workers": 0, "age_s": 0.0, "asked_per_s": 0.0, "further_per_s": 0.0,
         "capacity_per_s": 0.0, "calls_per_s": 0.0, "call_ms": 0.0, "retries_pass": 1.0,
         "retries_saved": 0.0, "calls_lent": 0.0, "calls_in_slices": 0.0, "zones": [],
     });
-    assert_eq!(fleet.ask(OperatorQuery::Overload), quiet);
-    let pinned = fleet.ask(OperatorQuery::Pin { tier: 2, share: 0.5, for_s: 30.0 });
+    assert_eq!(fleet.query(OperatorQuery::Overload), idle);
+    let pinned = fleet.query(OperatorQuery::Pin { tier: 2, share: 0.5, for_s: 30.0 });
     assert_eq!(pinned["level"], json!({"tier": 2, "share": 0.5}));
 }
--- a/fleet-coordinator/tests/peer_frames.rs
+++ b/fleet-coordinator/tests/peer_frames.rs
@@ -1,10 +1,10 @@
-//! The frames with which coordinators introduce themselves: coordinators of two versions must understand each other.
+//! The encoding of the handshake between coordinators. Coordinators of different versions must understand each other.
 
 use fleet_coordinator::coordinator::{PeerAnswer, PeerHello};
 use fleet_coordinator::ids::MemberId;
 
 #[test]
-fn a_hello_is_encoded_in_the_same_keys() {
+fn hello_encoding_keeps_its_keys() {
     let hello = PeerHello {
         name: "c2".to_owned(),
         fleet: "f".to_owned(),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_answer_is_encoded_in_the_same_keys_and_missing_ones_have_their_defaults() {
+fn answer_encoding_keeps_its_keys_and_missing_keys_have_defaults() {
     let answer = PeerAnswer {
         member: MemberId(1),
         version: 2,
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -1,5 +1,6 @@
-//! Data folders that an earlier build wrote must be recovered in full, and what is written next must be the same bytes.
-//! States are compared as JSON, which is how they are stored. `fixtures/README.md` says what the folders hold.
+//! Compatibility of stored data: data folders written by an earlier build must be recovered completely, and later writes
+//! must produce the same bytes. States are compared as JSON, the format in which they are stored. `fixtures/README.md`
+//! describes the folders.
 
 use durable_log::{Folder, Store};
 use fleet_coordinator::config::ConfigFile;
@@ -19,14 +20,14 @@
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures");
 const TICK_S: f64 = 0.05;
-const OVERDUE_S: f64 = 1.0;
-/// Folders in `fixtures/data`.
-const MEMBERS: [&str; 3] = ["c1", "c2", "c3"];
+const WRITE_OVERDUE_S: f64 = 1.0;
+/// The folders in `fixtures/data`, one per coordinator.
+const COORDINATORS: [&str; 3] = ["c1", "c2", "c3"];
 const MEMBER_C1: MemberId = MemberId(1);
 const MEMBER_C3: MemberId = MemberId(3);
-/// c2 came back with another number.
+/// c2 lost its disk and rejoined with a new member ID.
 const MEMBER_C2: MemberId = MemberId(4);
-/// Where the snapshot ends, and the log.
+/// The last indices of the snapshot and of the log.
 const SNAPSHOT_INDEX: u64 = 25;
 const LAST_INDEX: u64 = 47;
 
@@ -38,38 +39,38 @@
     fs::read_to_string(fixture(name)).unwrap()
 }
 
-/// A copy of the data folders. It stays where a test fails, for comparison.
+/// A copy of the data folders. If the test fails, the copy is kept for inspection.
 struct DataCopy(PathBuf);
 
 impl DataCopy {
     fn new(test: &str) -> DataCopy {
         let root = std::env::temp_dir().join(format!("coordinator-data-{}-{test}", std::process::id()));
         let _ = fs::remove_dir_all(&root);
-        for member in MEMBERS {
-            fs::create_dir_all(root.join(member)).unwrap();
-            for (name, bytes) in files(&fixture("data").join(member)) {
-                fs::write(root.join(member).join(name), bytes).unwrap();
+        for coordinator in COORDINATORS {
+            fs::create_dir_all(root.join(coordinator)).unwrap();
+            for (name, bytes) in files(&fixture("data").join(coordinator)) {
+                fs::write(root.join(coordinator).join(name), bytes).unwrap();
             }
         }
         DataCopy(root)
     }
 
-    fn member(&self, name: &str) -> PathBuf {
-        self.0.join(name)
+    fn folder_of(&self, coordinator: &str) -> PathBuf {
+        self.0.join(coordinator)
     }
 }
 
 impl Drop for DataCopy {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("what was written is in {}", self.0.display());
+            eprintln!("the written data folders are kept in {}", self.0.display());
         } else {
             let _ = fs::remove_dir_all(&self.0);
         }
     }
 }
 
-/// A folder's files by name.
+/// Reads the files of a folder, by name.
 fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let entries = fs::read_dir(folder).unwrap_or_else(|e| panic!("{}: {e}", folder.display()));
     entries
@@ -80,7 +81,7 @@
         .collect()
 }
 
-/// Compares all files of two folders byte by byte.
+/// Asserts that two folders have the same files with the same bytes.
 fn assert_same_files(written: &Path, expected: &Path) {
     let (written, expected) = (files(written), files(expected));
     assert_eq!(written.keys().collect::<Vec<_>>(), expected.keys().collect::<Vec<_>>());
@@ -88,14 +89,14 @@
         let found = &written[name];
         assert!(
             found == bytes,
-            "{name}: {:?}\nis not {:?}",
+            "{name}: found {:?}\nexpected {:?}",
             String::from_utf8_lossy(found),
             String::from_utf8_lossy(bytes)
         );
     }
 }
 
-/// Starts the coordinator `c3` over a folder, and carries out the jobs for its disk.
+/// Starts the coordinator `c3` with this data folder and executes its disk jobs.
 fn start_c3(folder: &Path) -> Coordinator {
     let text =
         include_str!("../../deploy/coordinator.toml").replacen("name = \"c1\"  ", "name = \"c3\"  ", 1);
@@ -103,51 +104,51 @@
     let mut coordinator = Coordinator::new(0.0, config, 1);
     let mut store: Option<Store<Folder>> = None;
     loop {
-        let out = coordinator.take_outputs();
-        if out.is_empty() {
+        let outputs = coordinator.take_outputs();
+        if outputs.is_empty() {
             return coordinator;
         }
-        for one in out {
-            if let Output::Disk(number, job) = one {
-                let done = execute_job(&mut store, &job, || Folder::lock(folder));
-                coordinator.on_disk_result(0.0, number, done);
+        for output in outputs {
+            if let Output::Disk(job_id, job) = output {
+                let result = execute_job(&mut store, &job, || Folder::lock(folder));
+                coordinator.on_disk_result(0.0, job_id, result);
             }
         }
     }
 }
 
 #[test]
-fn a_coordinator_recovers_its_snapshot_and_keeps_the_log_after_it() {
+fn coordinator_recovers_its_snapshot_and_keeps_the_log_after_it() {
     let data = DataCopy::new("recover");
-    let coordinator = start_c3(&data.member("c3"));
+    let coordinator = start_c3(&data.folder_of("c3"));
 
     let replica = &coordinator.replica;
     assert_eq!(replica.status, MemberStatus::Active);
     assert_eq!((replica.member(), replica.term()), (MEMBER_C3, 2));
-    // What is behind the snapshot is applied once a quorum has confirmed it.
+    // Entries after the snapshot are applied only once a quorum has confirmed that they are committed.
     assert_eq!(replica.log_position(), LogPosition { last: LAST_INDEX, applied: SNAPSHOT_INDEX });
     assert_eq!((replica.is_leader(), replica.leader()), (false, None));
     assert_eq!(sorted(replica.voters()), [MEMBER_C1, MEMBER_C3]);
     let status = serde_json::to_string(&coordinator.status()).unwrap();
     assert_eq!(status, fixture_text("expected/status.json").trim_end());
-    assert_state_is(&replica.state_machine, "expected/snapshot-facts.json");
+    assert_state_matches_fixture(&replica.state_machine, "expected/snapshot-facts.json");
 }
 
 #[test]
-fn a_quorum_recovers_the_complete_state_of_snapshot_and_log() {
+fn quorum_recovers_the_complete_state_of_snapshot_and_log() {
     let data = DataCopy::new("quorum");
     let mut quorum = Quorum::start(&data);
-    quorum.tick_until_led();
+    quorum.tick_until_leader();
     let leader = quorum.leader().unwrap();
     assert_eq!((leader.member(), leader.term()), (MEMBER_C3, 3));
-    // One more than was stored: a new leader's own first entry.
+    // One entry more than was stored: the first entry of a new leader's term.
     assert_eq!(leader.log_position(), LogPosition { last: LAST_INDEX + 1, applied: LAST_INDEX + 1 });
     assert_eq!(sorted(leader.voters()), [MEMBER_C3, MEMBER_C2]);
     assert_eq!(serde_json::to_value(&leader.state_machine).unwrap(), expected_state());
-    assert_state_is(&leader.state_machine, "expected/facts.json");
+    assert_state_matches_fixture(&leader.state_machine, "expected/facts.json");
 }
 
-/// The state that the fleet of the fixtures was brought to.
+/// The final state of the fixtures' fleet.
 fn expected_state() -> Value {
     let lease = |session: u64, token: u64, granted_ms: u64| json!({"session": session, "token": token, "granted_ms": granted_ms, "ttl_ms": 4000, "whole_ms": 4000});
     let session = |name: &str, zone: &str, process: u64, opened_ms: u64| json!({"name": name, "zone": zone, "process": process, "version": 2, "opened_ms": opened_ms});
@@ -156,7 +157,7 @@
     let task_names = ["archive", "billing", "cleanup", "digest", "export", "forward", "inventory", "totals"];
     let tasks: BTreeMap<&str, Value> = task_names.into_iter().map(|name| (name, task(name))).collect();
     json!({
-        // The time of a later version's command counts, though the command changes nothing else.
+        // A command of a later version advances the time, but has no other effect.
         "version": 2, "at_ms": 9999, "epoch": 2, "last_token": 10, "last_session": 5,
         "tasks": tasks,
         // worker-d's session was closed.
@@ -164,8 +165,8 @@
             "1": session("worker-a", "east", 11, 2479), "2": session("worker-b", "west", 12, 2489),
             "3": session("worker-c", "east", 13, 2499), "5": session("worker-e", "east", 15, 9999),
         },
-        // archive was transferred, digest granted anew; cleanup lapsed, totals' holders failed, nobody has had
-        // inventory: those three wait for a holder.
+        // archive was transferred and digest granted again. cleanup's lease expired, totals' holders failed, and
+        // inventory was never granted: these three tasks have no holder.
         "leases": {
             "archive": lease(3, 9, 5729), "billing": lease(2, 2, 2519), "digest": lease(1, 10, 5759),
             "export": lease(1, 5, 2549), "forward": lease(1, 7, 2569),
@@ -184,62 +185,65 @@
         "doubts": [{"task": "cleanup", "period": 1, "token": 3, "at_ms": 5659}],
         "doubts_in_all": 1,
         "progress": {"3": 25, "4": 25},
-        // c2 came back as member 4; c1 was removed, and its next member is 5.
+        // c2 rejoined as member 4; c1's member was removed, and its next one is member 5.
         "members": {"3": "c3", "4": "c2", "5": "c1"},
         "last_member": 5, "founders": 3,
     })
 }
 
-/// Compares a state with its stored form, both ways.
-fn assert_state_is(state: &LeaseStateMachine, name: &str) {
+/// Asserts that the state encodes to the fixture and the fixture decodes to the state.
+fn assert_state_matches_fixture(state: &LeaseStateMachine, name: &str) {
     let expected = fixture_text(name);
     assert_eq!(serde_json::to_string(state).unwrap(), expected.trim_end());
     assert_eq!(&serde_json::from_str::<LeaseStateMachine>(&expected).unwrap(), state);
 }
 
 #[test]
-fn opening_a_folder_writes_the_same_files_each_time() {
+fn opening_a_data_folder_writes_the_same_files_each_time() {
     let data = DataCopy::new("open");
     for _ in 0..2 {
-        drop(start_c3(&data.member("c3")));
-        assert_same_files(&data.member("c3"), &fixture("expected/recovered/c3"));
+        drop(start_c3(&data.folder_of("c3")));
+        assert_same_files(&data.folder_of("c3"), &fixture("expected/recovered/c3"));
     }
 }
 
-/// Members that speak to each other without sockets, each with its own folder.
+/// Replicas that exchange messages in memory, each with its own data folder.
 struct Quorum {
     now: f64,
-    members: Vec<(Replica, Option<Store<Folder>>, PathBuf)>,
+    replicas: Vec<(Replica, Option<Store<Folder>>, PathBuf)>,
 }
 
 impl Quorum {
     fn start(data: &DataCopy) -> Quorum {
-        let folders = MEMBERS.map(|name| data.member(name));
-        let start = |(seed, folder)| (Replica::new(0.0, seed, OVERDUE_S, LATEST_VERSION), None, folder);
-        let mut quorum = Quorum { now: 0.0, members: (1..).zip(folders).map(start).collect() };
-        quorum.exchange();
+        let folders = COORDINATORS.map(|name| data.folder_of(name));
+        let start_replica =
+            |(seed, folder)| (Replica::new(0.0, seed, WRITE_OVERDUE_S, LATEST_VERSION), None, folder);
+        let mut quorum = Quorum { now: 0.0, replicas: (1..).zip(folders).map(start_replica).collect() };
+        quorum.exchange_messages();
         quorum
     }
 
-    fn exchange(&mut self) {
+    fn exchange_messages(&mut self) {
         let now = self.now;
         loop {
             let mut messages = Vec::new();
             let mut idle = true;
-            for (replica, store, folder) in &mut self.members {
-                for effect in replica.take_outputs() {
+            for (replica, store, folder) in &mut self.replicas {
+                for output in replica.take_outputs() {
                     idle = false;
-                    match effect {
-                        ReplicaOutput::Disk(number, job) => {
-                            let done = execute_job(store, &job, || Folder::lock(folder));
-                            replica.on_disk_result(now, number, done);
+                    match output {
+                        ReplicaOutput::Disk(job_id, job) => {
+                            let result = execute_job(store, &job, || Folder::lock(folder));
+                            replica.on_disk_result(now, job_id, result);
                         }
                         ReplicaOutput::Send(to, bytes) => messages.push((replica.member(), to, bytes)),
                     }
                 }
             }
             for (from, to, bytes) in messages {
-                if let Some((replica, ..)) = self.members.iter_mut().find(|(r, ..)| r.member() == to) {
+                if let Some((replica, ..)) =
+                    self.replicas.iter_mut().find(|(replica, ..)| replica.member() == to)
+                {
                     replica.step(now, from, &bytes).unwrap();
                 }
             }
@@ -249,39 +253,39 @@
         }
     }
 
-    fn tick_until_led(&mut self) {
+    fn tick_until_leader(&mut self) {
         for _ in 0..100 {
             self.now += TICK_S;
-            for (replica, ..) in &mut self.members {
+            for (replica, ..) in &mut self.replicas {
                 replica.tick(self.now);
             }
-            self.exchange();
+            self.exchange_messages();
             if self.leader().is_some() {
                 return;
             }
         }
-        panic!("nobody leads after 100 ticks");
+        panic!("no leader after 100 ticks");
     }
 
     fn leader(&mut self) -> Option<&mut Replica> {
-        self.members.iter_mut().map(|(replica, ..)| replica).find(|replica| replica.is_leader())
+        self.replicas.iter_mut().map(|(replica, ..)| replica).find(|replica| replica.is_leader())
     }
 
     fn propose(&mut self, command: Command) {
         let now = self.now;
         assert!(self.leader().unwrap().propose(now, command));
-        self.exchange();
+        self.exchange_messages();
     }
 }
 
 #[test]
-fn recovered_members_elect_a_leader_and_write_the_same_bytes_next() {
+fn recovered_members_elect_a_leader_and_write_the_same_bytes() {
     let data = DataCopy::new("continue");
     let mut quorum = Quorum::start(&data);
-    quorum.tick_until_led();
+    quorum.tick_until_leader();
     quorum.leader().unwrap().take_events();
 
-    quorum.propose(open("worker-f", "west", 16));
+    quorum.propose(open_session("worker-f", "west", 16));
     quorum.propose(Command::GrantLease { task: "inventory".into(), session: SessionId(6) });
 
     let leader = quorum.leader().unwrap();
@@ -298,14 +302,14 @@
     assert!(outcomes.iter().all(|outcome| outcome.starts_with("Ok(")), "{outcomes:?}");
     let state = serde_json::to_value(&leader.state_machine).unwrap();
     assert_eq!(state["sessions"]["6"]["name"], "worker-f");
-    assert_eq!(state["leases"]["inventory"]["token"], 11, "tokens only grow");
-    for member in MEMBERS {
-        assert_same_files(&data.member(member), &fixture("expected/continued").join(member));
+    assert_eq!(state["leases"]["inventory"]["token"], 11, "tokens never decrease");
+    for coordinator in COORDINATORS {
+        assert_same_files(&data.folder_of(coordinator), &fixture("expected/continued").join(coordinator));
     }
 }
 
 #[test]
-fn every_command_is_encoded_in_the_same_line() {
+fn command_encoding_is_unchanged() {
     let text = fixture_text("commands.jsonl");
     let lines: Vec<&str> = text.lines().collect();
     let entries = one_of_each_command();
@@ -317,19 +321,23 @@
 }
 
 #[test]
-fn commands_of_a_later_version_are_read_as_unknown_and_their_new_keys_passed_over() {
+fn commands_of_a_later_version_decode_as_unknown_and_additional_keys_are_ignored() {
     let read = |line: &str| serde_json::from_str::<LogEntry>(line).unwrap();
-    let later = read(r#"{"at_ms":9999,"do":"seal","held":{"task":"archive","token":9},"until_ms":12000}"#);
-    assert_eq!(later, LogEntry { at_ms: 9999, command: Command::Unknown });
-    let more_keys = read(r#"{"at_ms":7,"do":"close","session":4,"later":true}"#);
-    assert_eq!(more_keys, LogEntry { at_ms: 7, command: Command::CloseSession { session: SessionId(4) } });
+    let later_command =
+        read(r#"{"at_ms":9999,"do":"seal","held":{"task":"archive","token":9},"until_ms":12000}"#);
+    assert_eq!(later_command, LogEntry { at_ms: 9999, command: Command::Unknown });
+    let additional_key = read(r#"{"at_ms":7,"do":"close","session":4,"later":true}"#);
+    assert_eq!(
+        additional_key,
+        LogEntry { at_ms: 7, command: Command::CloseSession { session: SessionId(4) } }
+    );
 }
 
-/// In the order of `commands.jsonl`; variants with an enum inside stand once for each of its values.
+/// In the order of `commands.jsonl`. Variants that contain an enum occur once for each of its values.
 fn one_of_each_command() -> Vec<LogEntry> {
     let lease = || LeaseRef { task: "archive".into(), token: 9 };
-    let end = |outcome| Command::EndPeriod { lease: lease(), period: 3, outcome };
-    let free = |reason| Command::ReleaseLease { lease: lease(), reason };
+    let end_period = |outcome| Command::EndPeriod { lease: lease(), period: 3, outcome };
+    let release = |reason| Command::ReleaseLease { lease: lease(), reason };
     let task = Task {
         name: "archive".into(),
         ttl_ms: 4000,
@@ -337,17 +345,17 @@
         backoff_ms: 2000,
     };
     let commands = vec![
-        open("worker-a", "east", u64::MAX),
+        open_session("worker-a", "east", u64::MAX),
         Command::CloseSession { session: SessionId(4) },
         Command::GrantLease { task: "archive".into(), session: SessionId(4) },
-        free(ReleaseReason::Expired),
-        free(ReleaseReason::Returned),
-        free(ReleaseReason::Failed),
+        release(ReleaseReason::Expired),
+        release(ReleaseReason::Returned),
+        release(ReleaseReason::Failed),
         Command::TransferLease { lease: lease(), session: SessionId(5) },
         Command::BeginPeriod { lease: lease(), every_ms: 60_000, idempotent: true, attempt: 2 },
-        end(CallOutcome::Done),
-        end(CallOutcome::NotDone),
-        end(CallOutcome::Unknown),
+        end_period(CallOutcome::Done),
+        end_period(CallOutcome::NotDone),
+        end_period(CallOutcome::Unknown),
         Command::SetTasks { epoch: 2, tasks: vec![task] },
         Command::RecordProgress {
             persisted: vec![
@@ -361,11 +369,11 @@
     (1..).zip(commands).map(|(at_ms, command)| LogEntry { at_ms, command }).collect()
 }
 
-fn open(name: &str, zone: &str, incarnation: u64) -> Command {
+fn open_session(name: &str, zone: &str, incarnation: u64) -> Command {
     Command::OpenSession { name: name.into(), zone: zone.into(), incarnation, version: LATEST_VERSION }
 }
 
-fn sorted(mut numbers: Vec<MemberId>) -> Vec<MemberId> {
-    numbers.sort_unstable();
-    numbers
+fn sorted(mut members: Vec<MemberId>) -> Vec<MemberId> {
+    members.sort_unstable();
+    members
 }
