--- a/src/net/frontends/ajp/head.rs
+++ b/src/net/frontends/ajp/head.rs
@@ -51,7 +51,7 @@
 /// Validates the head of a request and builds the pending request.
 pub(super) fn check_head(
     settings: &AjpSettings,
-    directory: Option<Identity>,
+    identity_source: Option<Identity>,
     forward: &Forward,
     context: &FrontendContext,
     unix_ms: f64,
@@ -71,8 +71,8 @@
     }
     let mut identity = None;
     let mut tenant = None;
-    if let Some(kind) = directory {
-        identity = Some(directory_identity(kind, forward)?);
+    if let Some(source) = identity_source {
+        identity = Some(directory_identity(source, forward)?);
     } else if !settings.tenants.is_empty() {
         let name = settings.tenant_of(forward.remote_user, forward.server_name);
         let known = name.and_then(|name| context.catalog.tenant(name));
@@ -131,8 +131,8 @@
 }
 
 /// The identity under which the directory lists the tenant.
-fn directory_identity(kind: Identity, forward: &Forward) -> Result<String, Rejection> {
-    let identity = match kind {
+fn directory_identity(source: Identity, forward: &Forward) -> Result<String, Rejection> {
+    let identity = match source {
         Identity::RemoteUser => forward.remote_user.unwrap_or(""),
         Identity::ServerName => forward.server_name,
     };
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -38,7 +38,7 @@
     pub connections: Connections<ProtocolState>,
     settings: AjpSettings,
     /// The kind of identity by which the directory finds the tenant; `None` without a directory.
-    directory: Option<Identity>,
+    identity_source: Option<Identity>,
     /// The seed for generated request ids.
     seed: u64,
     /// The number of request ids generated so far.
@@ -48,9 +48,14 @@
 impl AjpFrontend {
     /// A frontend that doesn't listen yet.
     #[must_use]
-    pub fn new(poll: &Poll, settings: AjpSettings, directory: Option<Identity>, seed: u64) -> AjpFrontend {
+    pub fn new(
+        poll: &Poll,
+        settings: AjpSettings,
+        identity_source: Option<Identity>,
+        seed: u64,
+    ) -> AjpFrontend {
         let connections = Connections::new(poll, FrontendKind::Ajp, 2 * MAX_PACKET_BYTES);
-        AjpFrontend { connections, settings, directory, seed, generated_ids: 0 }
+        AjpFrontend { connections, settings, identity_source, seed, generated_ids: 0 }
     }
 
     fn process_connection(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
@@ -63,7 +68,7 @@
                 NextStep::Yield => break,
                 NextStep::Close => return self.connections.disconnected(id, turn.inputs),
             }
-            let filled = connection.link.fill();
+            let read_status = connection.link.fill();
             if connection.state == ConnectionState::Idle && !connection.link.data().is_empty() {
                 connection.set_state(now, ConnectionState::Reading);
             }
@@ -73,7 +78,7 @@
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
                 // The client is gone before the request was complete: it never reaches the dispatcher.
-                Ok(None) if filled != ReadStatus::Open => return self.connections.close(id),
+                Ok(None) if read_status != ReadStatus::Open => return self.connections.close(id),
                 Ok(None) => return,
                 // After a wrong magic number or length, the start of the next message can't be found.
                 Err(error) => {
@@ -113,7 +118,7 @@
         let message = connection.link.data().get(payload).map(ajp_codec::parse_to_container);
         let checked = match message {
             Some(Ok(ToContainer::Forward(forward))) => {
-                check_head(&self.settings, self.directory, &forward, turn.context, turn.clock.unix_ms())
+                check_head(&self.settings, self.identity_source, &forward, turn.context, turn.clock.unix_ms())
             }
             Some(Ok(ToContainer::CPing)) => {
                 connection.link.push(ajp_codec::write_cpong());
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records that connections are waiting to be accepted.
-    pub fn mark_listener(&mut self) {
+    pub fn mark_listener_ready(&mut self) {
         if let Some(acceptor) = &mut self.acceptor {
             acceptor.mark_ready();
         }
@@ -72,7 +72,7 @@
     /// apart. Returns `false` if connections may still be waiting: the caller retries after it has processed others.
     pub fn close_listener(&mut self, now: f64) -> bool {
         // Asks the system again: the readiness that the event loop reported may be out of date.
-        self.mark_listener();
+        self.mark_listener_ready();
         if self.accept(now) {
             return false;
         }
@@ -93,7 +93,7 @@
                 // Guards against a busy loop: the connection stays in the backlog, and a timer triggers a retry.
                 Accepted::NoDescriptor | Accepted::RetryLater => return true,
             };
-            if self.by_id.len() >= self.limit {
+            if self.by_id.len() >= self.max_open {
                 match self.evict_one(now) {
                     Eviction::Evicted => {}
                     Eviction::Deferred => {
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -137,11 +137,11 @@
 
     /// Reads and discards input received after the half-close.
     fn discard_input(&mut self, now: f64) -> NextStep {
-        let (filled, received) = self.link.discard(MAX_DISCARD_BYTES);
+        let (read_status, received) = self.link.discard(MAX_DISCARD_BYTES);
         if received {
             self.last_received_at = now;
         }
-        match filled {
+        match read_status {
             ReadStatus::Open if self.link.has_unread() => NextStep::Yield,
             ReadStatus::Open => NextStep::Wait,
             _ => NextStep::Close,
@@ -153,9 +153,9 @@
     pub(super) fn check_for_input(&mut self) -> bool {
         let length_before = self.link.data().len();
         self.link.mark_ready(Readiness { readable: true, writable: false });
-        let filled = self.link.fill();
+        let read_status = self.link.fill();
         self.has_unseen_bytes |= self.link.data().len() > length_before;
-        self.has_unseen_bytes || filled != ReadStatus::Open
+        self.has_unseen_bytes || read_status != ReadStatus::Open
     }
 
     /// Whether a lingering close continues. If it doesn't, discards the unread input.
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -40,7 +40,7 @@
     touched: Vec<u64>,
     /// A connection that has sent no complete request for this long may be evicted.
     silence_limit_s: f64,
-    limit: usize,
+    max_open: usize,
     /// Accepted, but over the limit: waits for an eviction until the frontend has processed the input that just came.
     pending_stream: Option<TcpStream>,
 }
@@ -57,7 +57,7 @@
             by_id: HashMap::new(),
             touched: Vec::new(),
             silence_limit_s: eviction::SILENCE_LIMIT_S,
-            limit: usize::MAX,
+            max_open: usize::MAX,
             pending_stream: None,
         }
     }
@@ -65,7 +65,7 @@
     /// Limits the number of connections. Above the limit a new connection replaces an idle one; if there is none, the
     /// new one is closed.
     pub fn set_max_connections(&mut self, max_connections: usize) {
-        self.limit = max_connections;
+        self.max_open = max_connections;
     }
 
     /// Lets a new connection replace the oldest one that has sent no complete request, regardless of its age.
--- a/src/net/frontends/connections/set.rs
+++ b/src/net/frontends/connections/set.rs
@@ -12,7 +12,7 @@
     /// The listening socket.
     fn socket(&self) -> Option<Rc<TcpListener>>;
     /// Records that connections are waiting to be accepted.
-    fn mark_listener(&mut self);
+    fn mark_listener_ready(&mut self);
     /// Records a connection's readiness.
     fn mark_ready(&mut self, id: u64, readiness: Readiness);
     /// Whether a connection has to be processed without waiting for a poll event.
@@ -44,8 +44,8 @@
         self.socket()
     }
 
-    fn mark_listener(&mut self) {
-        self.mark_listener();
+    fn mark_listener_ready(&mut self) {
+        self.mark_listener_ready();
     }
 
     fn mark_ready(&mut self, id: u64, readiness: Readiness) {
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -7,7 +7,7 @@
 
 /// Connections whose clock is set by the test.
 struct Fixture {
-    _events: EventLoop<'static, ReadyEvents>,
+    _event_loop: EventLoop<'static, ReadyEvents>,
     listener: TcpListener,
     clients: Vec<TcpStream>,
     connections: Connections<()>,
@@ -15,11 +15,11 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
-        let poll = Poll::new(events.handle(), 100);
+        let event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
+        let poll = Poll::new(event_loop.handle(), 100);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let connections = Connections::new(&poll, FrontendKind::Http1, 1024);
-        Fixture { _events: events, listener, clients: Vec::new(), connections }
+        Fixture { _event_loop: event_loop, listener, clients: Vec::new(), connections }
     }
 
     /// Opens a connection that has sent `requests_read` requests and been idle since `idle_since`.
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -69,9 +69,9 @@
                 NextStep::Yield => break,
                 NextStep::Close => return self.connections.disconnected(id, inputs),
             }
-            let filled = connection.link.fill();
+            let read_status = connection.link.fill();
             if connection.link.data().is_empty() {
-                if filled != ReadStatus::Open {
+                if read_status != ReadStatus::Open {
                     self.connections.close(id);
                 }
                 return;
@@ -80,7 +80,7 @@
                 connection.set_state(now, ConnectionState::Reading);
             }
             let parsed = parse(connection.link.data(), Ticket(id), &context.catalog, clock);
-            match on_parsed(connection, parsed, filled, now, context, inputs) {
+            match on_parsed(connection, parsed, read_status, now, context, inputs) {
                 Progress::Continue => {}
                 Progress::Wait => return,
                 Progress::Close => return self.connections.close(id),
@@ -157,14 +157,14 @@
 fn on_parsed(
     connection: &mut Connection<bool>,
     parsed: Parsed,
-    filled: ReadStatus,
+    read_status: ReadStatus,
     now: f64,
     context: &FrontendContext,
     inputs: &mut Vec<Input>,
 ) -> Progress {
     match parsed {
         // The peer has closed, possibly within the body: the request can't become complete and is ignored.
-        Parsed::Partial { .. } if filled != ReadStatus::Open => Progress::Close,
+        Parsed::Partial { .. } if read_status != ReadStatus::Open => Progress::Close,
         Parsed::Partial { wants_continue } => {
             let continue_sent = connection.protocol_state;
             if !wants_continue || continue_sent {
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -40,7 +40,7 @@
     /// The codec and its streams.
     pub(super) session: Session,
     /// Charges the client for traffic that belongs to no request.
-    pub(super) overhead: AbuseDetector,
+    pub(super) abuse_detector: AbuseDetector,
 }
 
 impl ActiveSession {
@@ -52,8 +52,8 @@
             max_streams: MAX_STREAMS_PER_ROUND,
             next_ticket: &|| poll.next_id(),
         });
-        self.overhead.credit(output.request_bytes);
-        self.overhead.revoke_credit(output.reset_bytes);
+        self.abuse_detector.credit(output.request_bytes);
+        self.abuse_detector.revoke_credit(output.reset_bytes);
         output
     }
 }
@@ -108,7 +108,7 @@
     /// Whether more input may be available than one poll processes.
     poll_again: bool,
     /// The result of writing to the socket.
-    flushed: io::Result<()>,
+    flush_result: io::Result<()>,
 }
 
 impl Http2Frontend {
@@ -121,13 +121,13 @@
         if connection.link.flush().is_err() {
             return self.close(id, turn.inputs);
         }
-        let filled = connection.link.fill();
-        if filled == ReadStatus::Broken {
+        let read_status = connection.link.fill();
+        if read_status == ReadStatus::Broken {
             return self.close(id, turn.inputs);
         }
         let has_session = connection.protocol_state.active.is_some();
-        if has_session || self.start_session(id, filled, turn) {
-            self.process_session(id, filled, turn);
+        if has_session || self.start_session(id, read_status, turn) {
+            self.process_session(id, read_status, turn);
         }
     }
 
@@ -146,12 +146,12 @@
     }
 
     /// Starts a session once the preface is complete and the connection is admitted. Returns `true` if it was started.
-    fn start_session(&mut self, id: u64, filled: ReadStatus, turn: &mut Turn) -> bool {
+    fn start_session(&mut self, id: u64, read_status: ReadStatus, turn: &mut Turn) -> bool {
         let Some(connection) = self.connections.get_mut(id) else { return false };
         match Preface::read(connection.link.data()) {
             Preface::Complete => {}
             Preface::Partial => {
-                self.await_preface(id, filled, turn);
+                self.await_preface(id, read_status, turn);
                 return false;
             }
             Preface::Mismatch => {
@@ -166,13 +166,13 @@
         }
         let session = Session::new(&self.settings);
         let budget = overhead_budget(&self.settings);
-        let overhead = AbuseDetector::new(turn.now, budget, self.pressure.is_elevated(turn.now));
-        connection.protocol_state.active = Some(Box::new(ActiveSession { session, overhead }));
+        let abuse_detector = AbuseDetector::new(turn.now, budget, self.pressure.is_elevated(turn.now));
+        connection.protocol_state.active = Some(Box::new(ActiveSession { session, abuse_detector }));
         true
     }
 
-    fn await_preface(&mut self, id: u64, filled: ReadStatus, turn: &mut Turn) {
-        if filled == ReadStatus::Ended {
+    fn await_preface(&mut self, id: u64, read_status: ReadStatus, turn: &mut Turn) {
+        if read_status == ReadStatus::Ended {
             return self.close(id, turn.inputs);
         }
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -183,9 +183,9 @@
         }
     }
 
-    fn process_session(&mut self, id: u64, filled: ReadStatus, turn: &mut Turn) {
+    fn process_session(&mut self, id: u64, read_status: ReadStatus, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(exchange) = exchange(connection, filled, &self.poll, &mut self.pressure, turn) else {
+        let Some(exchange) = exchange(connection, read_status, &self.poll, &mut self.pressure, turn) else {
             return;
         };
         record_progress(connection, &exchange, turn.now);
@@ -201,7 +201,7 @@
             self.owners.insert(request.ticket.0, id);
             turn.inputs.push(Input::Arrived(request));
         }
-        if exchange.flushed.is_err() {
+        if exchange.flush_result.is_err() {
             return self.close(id, turn.inputs);
         }
         if output.protocol_error {
@@ -229,7 +229,7 @@
 /// Feeds the session as much input as its budget allows, polls it, and writes its output.
 fn exchange(
     connection: &mut Connection<SessionEntry>,
-    filled: ReadStatus,
+    read_status: ReadStatus,
     poll: &Poll,
     pressure: &mut PressureMonitor,
     turn: &mut Turn,
@@ -239,7 +239,7 @@
     let available = link.data().len().min(active.session.pipe().free_bytes()).min(MAX_BYTES_PER_POLL);
     let decision = decide_read(active, available, pressure, turn);
     let read_bytes = decision.read_bytes();
-    feed(&active.session, link, read_bytes, filled);
+    feed(&active.session, link, read_bytes, read_status);
     let accepted_before = active.session.accepted_streams();
     let output = active.poll(poll, turn);
     let session = &active.session;
@@ -255,15 +255,15 @@
         accepted: session.accepted_streams() > accepted_before,
         has_streams: session.has_streams(),
         poll_again: has_more && matches!(decision, ReadDecision::Read(_)),
-        flushed: link.flush(),
+        flush_result: link.flush(),
     })
 }
 
 /// Moves `length` bytes from the socket's buffer to the codec, and signals the end of the client's input.
-fn feed(session: &Session, link: &mut Link, length: usize, filled: ReadStatus) {
+fn feed(session: &Session, link: &mut Link, length: usize, read_status: ReadStatus) {
     session.pipe().feed(&link.data()[..length]);
     link.consume(length);
-    if filled == ReadStatus::Ended && link.data().is_empty() {
+    if read_status == ReadStatus::Ended && link.data().is_empty() {
         session.pipe().end();
     }
 }
@@ -283,7 +283,7 @@
     pressure: &mut PressureMonitor,
     turn: &mut Turn,
 ) -> ReadDecision {
-    let decision = active.overhead.charge(turn.now, available);
+    let decision = active.abuse_detector.charge(turn.now, available);
     match decision {
         ReadDecision::Read(_) | ReadDecision::Throttle { first: false } => {}
         ReadDecision::Throttle { first: true } => {
--- a/src/net/frontends/http2/session/request.rs
+++ b/src/net/frontends/http2/session/request.rs
@@ -17,7 +17,7 @@
     pub(super) fields: Box<RequestFields>,
     pub(super) class: usize,
     pub(super) body: Vec<u8>,
-    pub(super) receive: RecvStream,
+    pub(super) recv_stream: RecvStream,
 }
 
 /// Why a body can't be received.
@@ -38,7 +38,7 @@
         received_bytes: &mut usize,
     ) -> Poll<Result<(), BodyError>> {
         loop {
-            let data = match self.receive.poll_data(cx) {
+            let data = match self.recv_stream.poll_data(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => return Poll::Ready(Ok(())),
                 Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(BodyError::Reset)),
@@ -50,7 +50,7 @@
             self.body.extend_from_slice(&data);
             *received_bytes += data.len();
             // The window reopens only by the bytes read.
-            let _ = self.receive.flow_control().release_capacity(data.len());
+            let _ = self.recv_stream.flow_control().release_capacity(data.len());
         }
     }
 }
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -58,7 +58,7 @@
         now: f64,
         context: &FrontendContext,
     ) -> Stream {
-        let (head, receive) = request.into_parts();
+        let (head, recv_stream) = request.into_parts();
         let mut stream =
             Stream { responder, stage: StreamStage::AwaitingResponse, since: now, request_bytes: 0 };
         if repeats_content_length(&head) {
@@ -69,7 +69,7 @@
         match read_head(&head, context) {
             Ok((target, fields)) => {
                 stream.request_bytes = uncompressed_bytes(&head);
-                stream.begin(target, fields, receive, context);
+                stream.begin(target, fields, recv_stream, context);
             }
             Err(error) => stream.send_error(error, context),
         }
@@ -80,7 +80,7 @@
         &mut self,
         target: Target,
         fields: RequestFields,
-        receive: RecvStream,
+        recv_stream: RecvStream,
         context: &FrontendContext,
     ) {
         match target {
@@ -89,7 +89,7 @@
             Target::Run(class) => {
                 let fields = Box::new(fields);
                 let body = Vec::new();
-                self.stage = StreamStage::ReceivingBody(IncomingRequest { fields, class, body, receive });
+                self.stage = StreamStage::ReceivingBody(IncomingRequest { fields, class, body, recv_stream });
             }
         }
     }
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -38,7 +38,7 @@
     clock: Clock,
     context: FrontendContext,
     session: Session,
-    wire: Pipe,
+    client_pipe: Pipe,
     client: SendRequest<Bytes>,
     connection: Connection<Pipe, Bytes>,
     streams: Vec<ClientStream>,
@@ -65,10 +65,10 @@
     fn new(window: u32) -> Harness {
         let (http2, config) = settings();
         let catalog = Rc::new(Catalog::new(&config.settings, &config.settings.settings(1)));
-        let wire = Pipe::default();
+        let client_pipe = Pipe::default();
         let mut builder = h2::client::Builder::new();
         builder.initial_window_size(window);
-        let mut handshake = Box::pin(builder.handshake::<_, Bytes>(wire.clone()));
+        let mut handshake = Box::pin(builder.handshake::<_, Bytes>(client_pipe.clone()));
         let waker: Waker = Arc::new(NoopWaker).into();
         let Poll::Ready(Ok((client, connection))) = handshake.as_mut().poll(&mut Context::from_waker(&waker))
         else {
@@ -86,7 +86,7 @@
                 },
             },
             session: Session::new(&http2),
-            wire,
+            client_pipe,
             client,
             connection,
             streams: Vec::new(),
@@ -105,7 +105,7 @@
         let waker = self.waker.clone();
         let cx = &mut Context::from_waker(&waker);
         let _ = Pin::new(&mut self.connection).poll(cx);
-        self.towards_server.extend(self.wire.drain());
+        self.towards_server.extend(self.client_pipe.drain());
         let length = max_bytes.min(self.towards_server.len()).min(self.session.pipe().free_bytes());
         self.session.pipe().feed(&self.towards_server[..length]);
         self.towards_server.drain(..length);
@@ -132,8 +132,8 @@
             self.session_ended = output.ended;
         }
         self.towards_client.extend(self.session.pipe().drain());
-        let length = max_bytes.min(self.towards_client.len()).min(self.wire.free_bytes());
-        self.wire.feed(&self.towards_client[..length]);
+        let length = max_bytes.min(self.towards_client.len()).min(self.client_pipe.free_bytes());
+        self.client_pipe.feed(&self.towards_client[..length]);
         self.towards_client.drain(..length);
         let _ = Pin::new(&mut self.connection).poll(cx);
     }
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -44,15 +44,23 @@
 impl Catalog {
     /// Indexes the classes and tenants in the order of the settings.
     #[must_use]
-    pub fn new(options: &PlatformSettings, settings: &Settings) -> Catalog {
+    pub fn new(platform_settings: &PlatformSettings, settings: &Settings) -> Catalog {
         let index_by_name = |names: Vec<&String>| {
             names.into_iter().enumerate().map(|(index, name)| (name.clone(), index)).collect()
         };
         Catalog {
-            class_indices: index_by_name(options.profiles.iter().map(|profile| &profile.name).collect()),
-            tenant_indices: index_by_name(options.tenants.iter().map(|tenant| &tenant.name).collect()),
+            class_indices: index_by_name(
+                platform_settings.profiles.iter().map(|profile| &profile.name).collect(),
+            ),
+            tenant_indices: index_by_name(
+                platform_settings.tenants.iter().map(|tenant| &tenant.name).collect(),
+            ),
             classes: settings.classes.clone(),
-            class_names: options.profiles.iter().map(|profile| profile.name.as_str().into()).collect(),
+            class_names: platform_settings
+                .profiles
+                .iter()
+                .map(|profile| profile.name.as_str().into())
+                .collect(),
         }
     }
 
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -75,12 +75,12 @@
     }
 
     /// Records that connections are waiting to be accepted at a listener.
-    pub fn mark_listener(&mut self, kind: FrontendKind) {
+    pub fn mark_listener_ready(&mut self, kind: FrontendKind) {
         match (kind, &mut self.console) {
-            (FrontendKind::Console, Some(console)) => console.connections.mark_listener(),
+            (FrontendKind::Console, Some(console)) => console.connections.mark_listener_ready(),
             _ => {
                 if let Some(frontend) = self.of_kind(kind) {
-                    frontend.connections_mut().mark_listener();
+                    frontend.connections_mut().mark_listener_ready();
                 }
             }
         }
--- a/src/net/io/poll/tests.rs
+++ b/src/net/io/poll/tests.rs
@@ -3,8 +3,8 @@
 
 #[test]
 fn descriptors_held_by_another_process_reduce_the_budget() {
-    let events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
-    let poll = Poll::new(events.handle(), 100);
+    let event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
+    let poll = Poll::new(event_loop.handle(), 100);
     poll.set_other_process_usage(100 - RESERVED_FOR_UPSTREAMS);
     assert!(poll.has_capacity() && !poll.has_capacity_for_client());
     assert_eq!(poll.used(), 100 - RESERVED_FOR_UPSTREAMS);
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -88,13 +88,13 @@
             NextStep::Yield => return self.connections.touch(id),
             NextStep::Close => return self.connections.close(id),
         }
-        let filled = c.link.fill();
+        let read_status = c.link.fill();
         if c.state == ConnectionState::Idle && !c.link.data().is_empty() {
             c.set_state(now, ConnectionState::Reading);
         }
         match parse(c.link.data()) {
             // The peer has closed its side, so the request will never be complete.
-            Ok(None) if filled != ReadStatus::Open => self.connections.close(id),
+            Ok(None) if read_status != ReadStatus::Open => self.connections.close(id),
             Ok(None) => {}
             Ok(Some(request)) => {
                 c.set_state(now, ConnectionState::AwaitingResponse);
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -13,33 +13,33 @@
     pub(in crate::net) fn poll_coordinators(&mut self, now: f64) {
         let Some(fleet_now) = self.upstreams.coordinators.as_ref().map(CoordinatorLink::now) else { return };
         self.update_membership(now, fleet_now);
-        let Some(fleet) = &mut self.upstreams.coordinators else { return };
+        let Some(coordinators) = &mut self.upstreams.coordinators else { return };
         let (dispatcher, catalog) = (self.dispatcher.as_ref(), &self.context.catalog);
         let counters = || {
             dispatcher
                 .map(|dispatcher| request_counters(dispatcher, |class| catalog.class_name(class)))
                 .unwrap_or_default()
         };
-        fleet.turn(now, counters, &mut self.wheel);
+        coordinators.turn(now, counters, &mut self.wheel);
         self.apply_overload_directive(now, fleet_now);
     }
 
     /// Reports to the membership whether this process leaves the fleet or accepts tasks, and a load sample if one is
     /// due.
     fn update_membership(&mut self, now: f64, fleet_now: f64) {
-        let Some(fleet) = &mut self.upstreams.coordinators else { return };
+        let Some(coordinators) = &mut self.upstreams.coordinators else { return };
         let replaced = self.hot_restart.as_ref().is_some_and(|r| r.ownership.has_handed_off());
         if replaced || self.shutdown.is_some() {
-            fleet.member.leave(replaced);
+            coordinators.member.leave(replaced);
         }
         // A new process that does not own the listeners yet must not take leases while the old one holds its own.
         let owns_listeners = self.hot_restart.as_ref().is_none_or(|r| r.ownership.is_owner());
         let serves = owns_listeners && self.dispatcher.is_some();
-        fleet.member.set_accepting_tasks(fleet_now, serves && !self.context.availability.draining);
-        if fleet.member.load_report_due(fleet_now) {
+        coordinators.member.set_accepting_tasks(fleet_now, serves && !self.context.availability.draining);
+        if coordinators.member.load_report_due(fleet_now) {
             let sample = self.dispatcher.as_mut().and_then(|dispatcher| dispatcher.fleet_load_sample(now));
             if let Some(sample) = sample {
-                fleet.member.set_load_sample(sample);
+                coordinators.member.set_load_sample(sample);
             }
         }
     }
@@ -47,8 +47,11 @@
     /// Passes the fleet's directive to the dispatcher. Its times are converted to the worker's clock, which stops while
     /// the machine is suspended; the membership's clock does not.
     fn apply_overload_directive(&mut self, now: f64, fleet_now: f64) {
-        let directive =
-            self.upstreams.coordinators.as_ref().and_then(|fleet| fleet.member.overload_directive(fleet_now));
+        let directive = self
+            .upstreams
+            .coordinators
+            .as_ref()
+            .and_then(|coordinators| coordinators.member.overload_directive(fleet_now));
         let policy = self.dispatcher.as_mut().and_then(Dispatcher::overload);
         if let (Some(directive), Some(policy)) = (directive, policy) {
             policy.set_directive(OverloadDirective {
@@ -61,9 +64,9 @@
 
     /// Formats the fleet's metrics for operators, one per line.
     pub(in crate::net) fn fleet_metrics(&self) -> String {
-        let Some(fleet) = &self.upstreams.coordinators else { return String::new() };
+        let Some(coordinators) = &self.upstreams.coordinators else { return String::new() };
         let mut text = String::new();
-        for (name, value) in fleet.member.metrics(fleet.now()) {
+        for (name, value) in coordinators.member.metrics(coordinators.now()) {
             let _ = writeln!(text, "{name}={value}");
         }
         let overload = self.dispatcher.as_ref().map(Dispatcher::overload_metrics).unwrap_or_default();
--- a/src/net/lifecycle/hot_restart/effects.rs
+++ b/src/net/lifecycle/hot_restart/effects.rs
@@ -77,7 +77,7 @@
 
     fn release_handed_off(&mut self) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        hot_restart.handed_off.clear();
+        hot_restart.handed_off_requests.clear();
         for id in self.frontends.http1.connections.ids_where(|c| c.state == ConnectionState::HandedOff) {
             self.frontends.http1.connections.close(id);
         }
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -109,7 +109,7 @@
     }
 
     /// Records that the loop has reported the listener as ready.
-    pub(in crate::net) fn mark_listener(&mut self) {
+    pub(in crate::net) fn mark_listener_ready(&mut self) {
         self.accept_pending = true;
     }
 
--- a/src/net/lifecycle/hot_restart/messages.rs
+++ b/src/net/lifecycle/hot_restart/messages.rs
@@ -29,13 +29,17 @@
 
 /// `latest_expiry` is the end of the longest window that could begin now (loop's clock, seconds). It caps the expiry, since
 /// no key matches retries for longer.
-pub(super) fn to_key_update(state: KeyState, epoch_unix_ms: f64, latest_expiry: f64) -> IdempotencyUpdate {
-    let Key { class, tenant, key } = state.key;
+pub(super) fn to_key_update(
+    key_state: KeyState,
+    epoch_unix_ms: f64,
+    latest_expiry: f64,
+) -> IdempotencyUpdate {
+    let Key { class, tenant, key } = key_state.key;
     IdempotencyUpdate {
         key: IdempotencyKey { class, tenant, key },
-        body_fingerprint: state.body_fingerprint,
-        expires_at: ((state.expires_at_ms - epoch_unix_ms) / 1000.0).min(latest_expiry),
-        progress: match state.outcome {
+        body_fingerprint: key_state.body_fingerprint,
+        expires_at: ((key_state.expires_at_ms - epoch_unix_ms) / 1000.0).min(latest_expiry),
+        progress: match key_state.outcome {
             KeyOutcome::Open => Some(KeyProgress::Open),
             KeyOutcome::Served(result) => Some(KeyProgress::Served(result.map(|bytes| bytes.0))),
             KeyOutcome::Failed => Some(KeyProgress::Failed),
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -39,7 +39,7 @@
     http_socket: Rc<TcpListener>,
     staged: StagedState,
     /// Requests that were sent to the successor, which has not confirmed the takeover yet.
-    handed_off: Vec<HandedOffRequest>,
+    handed_off_requests: Vec<HandedOffRequest>,
     /// Listening sockets that were received from the predecessor or sent to the successor.
     frontend_listeners: Vec<FrontendListener>,
     /// Why a frontend could not be opened.
@@ -64,7 +64,7 @@
             ownership: ListenerOwnership::new(longest_window_s),
             http_socket,
             staged: StagedState::default(),
-            handed_off: Vec::new(),
+            handed_off_requests: Vec::new(),
             frontend_listeners: Vec::new(),
             frontend_error: None,
             reported_usage: Usage::default(),
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -41,13 +41,13 @@
                 let state = PredecessorState { fingerprint_key, draining, learned, running };
                 hot_restart.staged.state = Some(state);
             }
-            Frame::Key(state) if hot_restart.staged.adopted => self.update_keys(now, vec![state], inputs),
+            Frame::Key(key) if hot_restart.staged.adopted => self.update_keys(now, vec![key], inputs),
             // More than a worker can have, so the sender is not a port worker.
             _ if exceeds_limits => {
                 HotRestartEvent::StateTooLarge.emit();
                 self.on_hot_restart_event(now, Event::Incompatible, inputs);
             }
-            Frame::Key(state) => hot_restart.staged.add_key(state),
+            Frame::Key(key) => hot_restart.staged.add_key(key),
             Frame::Usage(usage) => self.on_predecessor_usage(usage, inputs),
             Frame::Connection(connection) => self.on_connection(now, connection, descriptor, inputs),
             Frame::Listener { frontend } => self.on_listener(&frontend, descriptor),
@@ -78,10 +78,10 @@
         staged.key_bytes > max_key_bytes || staged.connections.len() > limits.sockets
     }
 
-    fn update_keys(&self, now: f64, states: Vec<KeyState>, inputs: &mut Vec<Input>) {
+    fn update_keys(&self, now: f64, key_states: Vec<KeyState>, inputs: &mut Vec<Input>) {
         let epoch_unix_ms = loop_epoch_unix_ms(&self.clock);
         let latest_expiry = now + self.longest_window_s();
-        let updates = states.into_iter().map(|state| to_key_update(state, epoch_unix_ms, latest_expiry));
+        let updates = key_states.into_iter().map(|key| to_key_update(key, epoch_unix_ms, latest_expiry));
         inputs.extend(updates.map(Input::IdempotencyUpdate));
     }
 
--- a/src/net/lifecycle/hot_restart/staged_state.rs
+++ b/src/net/lifecycle/hot_restart/staged_state.rs
@@ -37,13 +37,13 @@
 }
 
 impl StagedState {
-    pub(super) fn add_key(&mut self, state: KeyState) {
-        let result_bytes = match &state.outcome {
+    pub(super) fn add_key(&mut self, key_state: KeyState) {
+        let result_bytes = match &key_state.outcome {
             KeyOutcome::Served(Some(result)) => result.0.len(),
             _ => 0,
         };
-        self.key_bytes += KEY_BYTES + state.key.key.len() + result_bytes;
-        self.keys.push(state);
+        self.key_bytes += KEY_BYTES + key_state.key.key.len() + result_bytes;
+        self.keys.push(key_state);
     }
 
     /// Takes the staged state. Later frames are acted on immediately.
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -82,18 +82,18 @@
         let mut commands = Vec::new();
         self.close_listeners_for_hand_off();
         self.send_listeners();
-        if let Some(handed_off) = self.hand_off_dispatcher(now, &mut commands) {
-            self.send_handed_off(now, handed_off, inputs);
+        if let Some(state) = self.hand_off_dispatcher(now, &mut commands) {
+            self.send_hand_off_state(now, state, inputs);
         }
         for id in self.frontends.http1.connections.ids_where(is_idle) {
             self.send_connection(id);
         }
-        let queued = self.hot_restart.as_ref().map_or(0, |r| r.handed_off.len());
+        let queued = self.hot_restart.as_ref().map_or(0, |r| r.handed_off_requests.len());
         HotRestartEvent::RequestsHandedOff { queued }.emit();
         // Handed-off connections are counted by the successor.
-        let handed_off =
+        let handed_off_connections =
             self.frontends.http1.connections.ids_where(|c| c.state == ConnectionState::HandedOff).len();
-        self.report_usage(handed_off);
+        self.report_usage(handed_off_connections);
         self.send_to_successor(&Frame::StateComplete);
         for command in commands {
             self.execute(now, command, inputs);
@@ -124,23 +124,23 @@
     fn hand_off_dispatcher(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<HandOffState> {
         let dispatcher = self.dispatcher.as_mut()?;
         let connections = &self.frontends.http1.connections;
-        let handed_off = dispatcher.hand_off(now, |ticket| connections.owns(ticket.0), commands);
+        let state = dispatcher.hand_off(now, |ticket| connections.owns(ticket.0), commands);
         dispatcher.set_indeterminate_keys(IndeterminateKeys::All);
-        Some(handed_off)
+        Some(state)
     }
 
-    fn send_handed_off(&mut self, now: f64, handed_off: HandOffState, inputs: &mut Vec<Input>) {
+    fn send_hand_off_state(&mut self, now: f64, state: HandOffState, inputs: &mut Vec<Input>) {
         let epoch_unix_ms = loop_epoch_unix_ms(&self.clock);
         self.send_to_successor(&Frame::State {
-            fingerprint_key: handed_off.fingerprint_key,
+            fingerprint_key: state.fingerprint_key,
             draining: self.context.availability.draining,
-            learned: handed_off.learned,
-            running: handed_off.running,
+            learned: state.learned,
+            running: state.running,
         });
-        for update in &handed_off.keys {
+        for update in &state.keys {
             self.send_to_successor(&Frame::Key(to_key_state(update, epoch_unix_ms)));
         }
-        for request in handed_off.requests {
+        for request in state.requests {
             self.send_request(now, request, epoch_unix_ms, inputs);
         }
     }
@@ -162,7 +162,7 @@
         let queued = to_queued_request(&request, epoch_unix_ms);
         let frame = Frame::Connection(to_connection(&detached, Some(queued)));
         hot_restart.links.send_to_successor(&frame, Some(detached.stream));
-        hot_restart.handed_off.push(request);
+        hot_restart.handed_off_requests.push(request);
     }
 
     /// Sends a connection that has no pending request.
@@ -187,7 +187,7 @@
     pub(super) fn reclaim(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.accept_clients(now);
         let Some(hot_restart) = &mut self.hot_restart else { return };
-        for request in std::mem::take(&mut hot_restart.handed_off) {
+        for request in std::mem::take(&mut hot_restart.handed_off_requests) {
             self.frontends.http1.connections.reattach(now, request.request.ticket.0, true);
             inputs.push(Input::Arrived(request.at(now)));
         }
@@ -205,8 +205,8 @@
 
     /// Sends the successor an update of an idempotency key.
     pub(in crate::net) fn send_key_update(&mut self, update: &IdempotencyUpdate) {
-        let state = to_key_state(update, loop_epoch_unix_ms(&self.clock));
-        self.send_to_successor(&Frame::Key(state));
+        let key_state = to_key_state(update, loop_epoch_unix_ms(&self.clock));
+        self.send_to_successor(&Frame::Key(key_state));
     }
 
     /// Forwards a drain that operators began or ended here to the successor. Returns `false` if this process has not
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -170,9 +170,10 @@
     }
 
     /// Handles the expiry of a run's timer.
-    pub fn on_timer(&mut self, now: f64, number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
-        let has_timer =
-            |connection: &Connection| connection.run.as_ref().is_some_and(|run| run.timer_number == number);
+    pub fn on_timer(&mut self, now: f64, timer_number: u64, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
+        let has_timer = |connection: &Connection| {
+            connection.run.as_ref().is_some_and(|run| run.timer_number == timer_number)
+        };
         let expired_id =
             self.connections.iter().find(|(_, connection)| has_timer(connection)).map(|(id, _)| *id);
         if let Some(id) = expired_id {
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -206,11 +206,11 @@
 
     fn start_call(&mut self, now: f64, call: &ScheduledCall) {
         let config = self.member.config();
-        let Some(task) = config.tasks.get(call.task) else { return };
+        let Some(schedule) = config.tasks.get(call.task) else { return };
         let id = self.poll.next_id();
-        let started = CallInFlight::start(&self.poll, id, now, task, &config.name, call);
-        match started {
-            Ok(started) => self.calls.push(started),
+        let result = CallInFlight::start(&self.poll, id, now, schedule, &config.name, call);
+        match result {
+            Ok(call) => self.calls.push(call),
             Err(_) => self.member.call_ended(now, call.task, CallOutcome::NotDone),
         }
     }
--- a/src/net/upstreams/coordinator_link/scheduled_call.rs
+++ b/src/net/upstreams/coordinator_link/scheduled_call.rs
@@ -34,18 +34,18 @@
         poll: &Poll,
         id: u64,
         now: f64,
-        task: &Schedule,
+        schedule: &Schedule,
         holder: &str,
         call: &ScheduledCall,
     ) -> io::Result<CallInFlight> {
-        let link = Link::connect(poll, task.address, Source::Coordinator(id), MAX_HEAD_BYTES)?;
+        let link = Link::connect(poll, schedule.address, Source::Coordinator(id), MAX_HEAD_BYTES)?;
         Ok(CallInFlight {
             id,
             link,
-            deadline: now + task.deadline_s,
+            deadline: now + schedule.deadline_s,
             task: call.task,
             connected: false,
-            request: Some(encode_request(task, holder, call)),
+            request: Some(encode_request(schedule, holder, call)),
         })
     }
 
@@ -102,11 +102,11 @@
     }
 }
 
-fn encode_request(task: &Schedule, holder: &str, call: &ScheduledCall) -> Vec<u8> {
+fn encode_request(schedule: &Schedule, holder: &str, call: &ScheduledCall) -> Vec<u8> {
     format!(
         "POST {} HTTP/1.1\r\nHost: {}\r\nFencing-Token: {}\r\nTask-Period: {}\r\nTask: {}\r\nTask-Holder: {}\r\n\
          Content-Length: 0\r\nConnection: close\r\n\r\n",
-        task.path, task.address, call.lease.token, call.period, task.name, holder
+        schedule.path, schedule.address, call.lease.token, call.period, schedule.name, holder
     )
     .into_bytes()
 }
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -53,9 +53,9 @@
     to: f64,
 }
 
-/// A connection to the executor, with its number as an event source.
-struct NumberedLink {
-    number: u64,
+/// A connection to the executor, with its id as an event source.
+struct ExecutorConnection {
+    id: u64,
     link: Link,
 }
 
@@ -64,9 +64,9 @@
     address: SocketAddr,
     poll: Poll,
     /// The link in use.
-    link: Option<NumberedLink>,
+    link: Option<ExecutorConnection>,
     /// A link being established, which will replace `link`.
-    next_link: Option<NumberedLink>,
+    next_link: Option<ExecutorConnection>,
     /// Commands queued while there is no link; sent on the next one.
     queued_commands: Vec<Vec<u8>>,
     queued_command_bytes: usize,
@@ -138,9 +138,9 @@
     }
 
     /// Records the readiness that the event loop reported for a link.
-    pub fn mark_ready(&mut self, number: u64, readiness: Readiness) {
+    pub fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         for connection in [&mut self.link, &mut self.next_link].into_iter().flatten() {
-            if connection.number == number {
+            if connection.id == id {
                 connection.link.mark_ready(readiness);
             }
         }
@@ -222,10 +222,10 @@
     }
 
     fn connect(&mut self, now: f64) {
-        let number = self.poll.next_id();
-        match Link::connect(&self.poll, self.address, Source::Executor(number), MAX_LINE_BYTES) {
+        let id = self.poll.next_id();
+        match Link::connect(&self.poll, self.address, Source::Executor(id), MAX_LINE_BYTES) {
             Ok(link) => {
-                self.next_link = Some(NumberedLink { number, link });
+                self.next_link = Some(ExecutorConnection { id, link });
                 self.reconnect_at = None;
             }
             Err(error) => {
@@ -237,7 +237,7 @@
 
     fn read(&mut self, now: f64, inputs: &mut Vec<Input>) {
         loop {
-            let Some(NumberedLink { link, .. }) = &mut self.link else { return };
+            let Some(ExecutorConnection { link, .. }) = &mut self.link else { return };
             let read_status = link.fill();
             let lines = Lines::parse(link.data());
             let exceeds_max_line = lines.length == 0 && link.data().len() >= MAX_LINE_BYTES;
@@ -265,7 +265,7 @@
     fn send(&mut self, command: &Command) -> bool {
         let line = command.to_line();
         match &mut self.link {
-            Some(NumberedLink { link, .. }) if link.queued() < MAX_QUEUED_BYTES => link.push(line),
+            Some(ExecutorConnection { link, .. }) if link.queued() < MAX_QUEUED_BYTES => link.push(line),
             None if self.queued_command_bytes < MAX_QUEUED_BYTES => {
                 self.queued_command_bytes += line.len();
                 self.queued_commands.push(line);
@@ -294,14 +294,14 @@
     /// Requests the gauges, unless commands are still queued, which means that the executor is not reading.
     pub fn request_gauges(&mut self) {
         let idle = self.link.as_mut().filter(|connection| connection.link.queued() == 0);
-        if let Some(NumberedLink { link, .. }) = idle {
+        if let Some(ExecutorConnection { link, .. }) = idle {
             link.push(Command::Meter { r#ref: GAUGES_REFERENCE }.to_line());
         }
     }
 
     /// Writes queued commands until the socket would block.
     pub fn flush(&mut self, now: f64) {
-        let Some(NumberedLink { link, .. }) = &mut self.link else { return };
+        let Some(ExecutorConnection { link, .. }) = &mut self.link else { return };
         let flush_result = link.flush();
         if link.queued() == 0 {
             self.flushed_at = now;
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -36,9 +36,13 @@
 }
 
 /// Polls the event loop once, processes the ready connections and returns the inputs.
-fn poll_once(events: &mut EventLoop<ReadyEvents>, records: &mut Records, wheel: &mut Wheel) -> Vec<Input> {
+fn poll_once(
+    event_loop: &mut EventLoop<ReadyEvents>,
+    records: &mut Records,
+    wheel: &mut Wheel,
+) -> Vec<Input> {
     let (mut ready_events, mut inputs) = (ReadyEvents::default(), Vec::new());
-    events.dispatch(Some(Duration::from_millis(5)), &mut ready_events).unwrap();
+    event_loop.dispatch(Some(Duration::from_millis(5)), &mut ready_events).unwrap();
     for ready in ready_events.take() {
         if let Source::Records(id) = ready.source {
             records.mark_ready(id, ready.readiness);
@@ -52,20 +56,20 @@
 /// event loop woke up for another reason.
 #[test]
 fn call_on_reused_connection_is_sent_without_readiness_event() {
-    let mut events: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
+    let mut event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut records = Records::new(&Poll::new(events.handle(), 8), listener.local_addr().unwrap());
+    let mut records = Records::new(&Poll::new(event_loop.handle(), 8), listener.local_addr().unwrap());
     let mut wheel = Wheel::new(0.0);
     let body: Rc<[u8]> = Rc::from(*b"first");
     records.call(0.0, "r1".into(), body, 5.0, true, &mut wheel);
     let (mut service, _) = listener.accept().unwrap();
     service.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
-    poll_once(&mut events, &mut records, &mut wheel);
+    poll_once(&mut event_loop, &mut records, &mut wheel);
     let mut bytes = [0; 1024];
     let length = service.read(&mut bytes).unwrap();
     assert!(bytes[..length].ends_with(b"first"));
     service.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
-    let ended = (0..1000).find_map(|_| poll_once(&mut events, &mut records, &mut wheel).pop());
+    let ended = (0..1000).find_map(|_| poll_once(&mut event_loop, &mut records, &mut wheel).pop());
     assert!(matches!(ended, Some(Input::CallEnded { outcome: Outcome::Ok, .. })), "{ended:?}");
     assert!(!records.has_pending());
     // The second call must be written without another poll of the event loop.
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -24,17 +24,17 @@
     let mut worker = Worker::new(options, config, &poll, log)?;
     worker.find_predecessor(worker.clock.now())?;
     let mut timer = WheelTimer::new(handle);
-    let mut gathered = ReadyEvents::default();
-    worker.poll_once(&mut gathered);
+    let mut ready_events = ReadyEvents::default();
+    worker.poll_once(&mut ready_events);
     while !worker.loop_state.finished {
         let next = worker.wheel.next();
         timer.set(&worker, next)?;
-        event_loop.dispatch(None, &mut gathered).map_err(WorkerError::EventLoop)?;
+        event_loop.dispatch(None, &mut ready_events).map_err(WorkerError::EventLoop)?;
         if next.is_some_and(|due| worker.clock.now() > due + STALL_THRESHOLD_S) {
             // The process stalled, so the readiness that the wait returned predates the stall: poll again.
-            event_loop.dispatch(Some(Duration::ZERO), &mut gathered).map_err(WorkerError::EventLoop)?;
+            event_loop.dispatch(Some(Duration::ZERO), &mut ready_events).map_err(WorkerError::EventLoop)?;
         }
-        worker.poll_once(&mut gathered);
+        worker.poll_once(&mut ready_events);
     }
     Ok(())
 }
@@ -43,9 +43,9 @@
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(WorkerError::Signals)?;
     handle
-        .insert_source(signals, |event, (), gathered: &mut ReadyEvents| match event.signal() {
-            Signal::SIGHUP => gathered.reload = true,
-            _ => gathered.shutdown = true,
+        .insert_source(signals, |event, (), ready_events: &mut ReadyEvents| match event.signal() {
+            Signal::SIGHUP => ready_events.reload = true,
+            _ => ready_events.shutdown = true,
         })
         .map_err(|insert_error| WorkerError::WatchSignals(insert_error.error))?;
     Ok(())
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -122,8 +122,8 @@
 }
 
 fn inherited_socket(options: &StartupOptions) -> Result<Option<Rc<TcpListener>>, WorkerError> {
-    let Some(number) = options.socket.as_deref() else { return Ok(None) };
-    Ok(Some(inherited_listener(number)?))
+    let Some(setting) = options.socket.as_deref() else { return Ok(None) };
+    Ok(Some(inherited_listener(setting)?))
 }
 
 fn build_upstreams(configuration: &Configuration, poll: &Poll) -> Result<Upstreams, WorkerError> {
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -24,16 +24,16 @@
     /// 6. Fleet membership: its heartbeat includes the counts of the preceding steps.
     /// 7. The sweep, after all ready sockets were read: a request may have been waiting while the process was stopped.
     /// 8. The next steps of a shutdown, which depend on whether anything is still pending.
-    pub(super) fn poll_once(&mut self, gathered: &mut ReadyEvents) {
+    pub(super) fn poll_once(&mut self, ready_events: &mut ReadyEvents) {
         let now = self.clock.now();
         self.loop_state.begin_turn(now);
         self.log.report_suppressed();
-        for ready in gathered.take() {
-            self.mark_ready(ready);
+        for ready_source in ready_events.take() {
+            self.mark_ready(ready_source);
         }
         let mut inputs = std::mem::take(&mut self.loop_state.deferred_inputs);
         self.receive_hot_restart_frames(now, &mut inputs);
-        self.handle_signals(now, gathered, &mut inputs);
+        self.handle_signals(now, ready_events, &mut inputs);
         self.gather(&mut inputs);
         self.run_timers(now, &mut inputs);
         self.process_ready(inputs);
@@ -43,14 +43,14 @@
     }
 
     /// Records a socket's readiness with its owner.
-    fn mark_ready(&mut self, ready: ReadySource) {
-        let ReadySource { source, readiness } = ready;
+    fn mark_ready(&mut self, ready_source: ReadySource) {
+        let ReadySource { source, readiness } = ready_source;
         match source {
-            Source::Listener(frontend) => self.frontends.mark_listener(frontend),
-            Source::Client(frontend, id) => self.frontends.mark_ready(frontend, id, readiness),
+            Source::Listener(kind) => self.frontends.mark_listener_ready(kind),
+            Source::Client(kind, id) => self.frontends.mark_ready(kind, id, readiness),
             Source::SuccessorListener => {
                 if let Some(hot_restart) = &mut self.hot_restart {
-                    hot_restart.links.mark_listener();
+                    hot_restart.links.mark_listener_ready();
                 }
             }
             Source::HotRestartPeer(id) => {
@@ -62,13 +62,13 @@
         }
     }
 
-    fn handle_signals(&mut self, now: f64, gathered: &mut ReadyEvents, inputs: &mut Vec<Input>) {
-        if std::mem::take(&mut gathered.shutdown) {
+    fn handle_signals(&mut self, now: f64, ready_events: &mut ReadyEvents, inputs: &mut Vec<Input>) {
+        if std::mem::take(&mut ready_events.shutdown) {
             let mut shutdown_inputs = Vec::new();
             self.begin_shutdown(now, &mut shutdown_inputs);
             inputs.splice(0..0, shutdown_inputs);
         }
-        if std::mem::take(&mut gathered.reload) {
+        if std::mem::take(&mut ready_events.reload) {
             self.reload(now, inputs);
         }
     }
@@ -145,19 +145,19 @@
                 inputs.push(Input::Woken(self.upstreams.executor.gauges(now)));
                 self.upstreams.executor.request_gauges();
             }
-            Timer::Call(number) => {
+            Timer::Call(timer_number) => {
                 if let Some(records) = &mut self.upstreams.records {
-                    records.on_timer(number, inputs);
+                    records.on_timer(timer_number, inputs);
                 }
             }
-            Timer::Run(number) => {
+            Timer::Run(timer_number) => {
                 if let Some(ajp_backend) = &mut self.upstreams.ajp_backend {
-                    ajp_backend.on_timer(now, number, inputs, &mut self.wheel);
+                    ajp_backend.on_timer(now, timer_number, inputs, &mut self.wheel);
                 }
             }
-            Timer::Search(number) => {
+            Timer::Search(timer_number) => {
                 if let Some(directory) = &mut self.upstreams.directory {
-                    directory.on_timer(now, number);
+                    directory.on_timer(now, timer_number);
                 }
             }
             Timer::Heartbeat => {
