--- a/durable-log/src/error.rs
+++ b/durable-log/src/error.rs
@@ -9,15 +9,15 @@
     /// A disk operation failed.
     #[error("{operation} {file}: {source}")]
     Disk {
-        /// The operation.
+        /// The operation, named after the method of [`Disk`](crate::Disk).
         operation: &'static str,
-        /// The file.
+        /// The name of the file, or "the folder".
         file: String,
         /// The disk's error.
         source: io::Error,
     },
     /// A record or snapshot of this size (bytes) is too large.
-    #[error("record of {0} bytes exceeds the limit of {MAX_RECORD_BYTES}")]
+    #[error("record or snapshot of {0} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes")]
     TooLarge(usize),
     /// An earlier write failed.
     #[error("an earlier write failed; the store must be reopened")]
--- a/durable-log/src/record.rs
+++ b/durable-log/src/record.rs
@@ -5,6 +5,7 @@
 
 /// The size of the header before the body (bytes).
 pub(crate) const HEADER_BYTES: usize = 24;
+// Offsets of the header's fields (bytes); the body's length is at 0.
 const CHECKSUM_OFFSET: usize = 4;
 const SEQUENCE_OFFSET: usize = 8;
 const BATCH_OFFSET: usize = 16;
--- a/durable-log/src/recovery.rs
+++ b/durable-log/src/recovery.rs
@@ -149,9 +149,10 @@
     Ok(last_sequence)
 }
 
-/// Returns whether the bytes contain a complete record of a batch later than the one that starts after `last`.
-fn has_later_batch(bytes: &[u8], last: u64) -> bool {
-    let is_later = |record: Record| record.batch > last + 1;
+/// Returns whether the bytes contain a complete record of a batch that starts after the first dropped record, whose sequence
+/// number is `last_sequence + 1`.
+fn has_later_batch(bytes: &[u8], last_sequence: u64) -> bool {
+    let is_later = |record: Record| record.batch > last_sequence + 1;
     let starts = 0..bytes.len().saturating_sub(HEADER_BYTES - 1);
     starts.into_iter().any(|at| record::decode(&bytes[at..]).is_some_and(is_later))
 }
--- a/durable-log/src/simulated.rs
+++ b/durable-log/src/simulated.rs
@@ -42,11 +42,13 @@
 
 #[derive(Clone, Debug, Default)]
 struct DiskState {
+    /// All files that were ever created. Names refer to them by index.
     files: Vec<FileState>,
-    /// The current names, before any power loss.
+    /// The current names, whether synced or not.
     names: BTreeMap<String, usize>,
     /// The names as of the folder's last sync.
     synced_names: BTreeMap<String, usize>,
+    /// The number of calls so far.
     calls: u64,
     /// All calls from this number on fail.
     fail_at: Option<u64>,
@@ -112,8 +114,8 @@
         self.state().calls
     }
 
-    /// Makes the call with this number and all later ones fail, as if the process had ended. A failing append writes some
-    /// of its bytes, as on a disk that becomes full.
+    /// Makes the call with this number and all later ones fail, as if the process had ended; `None` lets all calls succeed. A
+    /// failing append writes half of its bytes, as on a disk that becomes full.
     pub fn fail_at(&self, call: Option<u64>) {
         self.state().fail_at = call;
     }
@@ -129,7 +131,7 @@
         SimulatedDisk(Arc::new(Mutex::new(self.state().clone())))
     }
 
-    /// Flips bits in one byte of a file.
+    /// Flips bits in one byte of a file; does nothing if the file does not exist or is shorter.
     pub fn corrupt_byte(&self, name: &str, at: usize) {
         let mut state = self.state();
         let Some(file) = state.names.get(name).copied() else { return };
--- a/durable-log/src/tests.rs
+++ b/durable-log/src/tests.rs
@@ -4,7 +4,7 @@
 use crate::{Disk, Folder, Recovered, Store, StoreError};
 use std::io;
 
-/// Returns a seeded random source (xorshift).
+/// Returns a seeded source (xorshift) of random numbers below its argument.
 fn random_source(seed: u64) -> impl FnMut(usize) -> usize {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     move |n| {
@@ -151,8 +151,8 @@
     disk.corrupt_byte("log.1", HEADER_BYTES + 20 + 6);
     let (_, recovered) = Store::open(disk, values).unwrap();
     assert!(recovered.damaged && values(&recovered) == [1], "{recovered:?}");
-    let rest = "log.1: 176 bytes after record 1: corrupt record followed by complete ones";
-    assert_eq!(recovered.dropped[0].to_string(), rest);
+    let expected = "log.1: 176 bytes after record 1: corrupt record followed by complete ones";
+    assert_eq!(recovered.dropped[0].to_string(), expected);
     let length = torn_tail.lengths().iter().find(|(name, _)| name == "log.1").unwrap().1;
     torn_tail.corrupt_byte("log.1", length - 1);
     let (_, recovered) = Store::open(torn_tail, values).unwrap();
@@ -160,8 +160,8 @@
         !recovered.damaged && values(&recovered) == [1, 2, 3, 4] && recovered.dropped.len() == 1,
         "{recovered:?}"
     );
-    let rest = "log.1: 44 bytes after record 4: incomplete record";
-    assert_eq!(recovered.dropped[0].to_string(), rest);
+    let expected = "log.1: 44 bytes after record 4: incomplete record";
+    assert_eq!(recovered.dropped[0].to_string(), expected);
 }
 
 #[test]
