--- a/fleet-coordinator/src/bin/fleetctl.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -29,7 +29,7 @@
     /// Print JSON instead of tables.
     #[arg(long)]
     json: bool,
-    /// How long to wait for a quorum (seconds).
+    /// How long to wait for a quorum (seconds, at most 3600).
     #[arg(long, default_value_t = 5.0)]
     wait: f64,
     #[command(subcommand)]
@@ -48,16 +48,21 @@
     Tasks,
     /// Show the fleet's shedding level, its load and capacity, and which worker probes a service.
     Overload,
-    /// Pin the shedding level for a time or until the leader changes: admits all tiers before TIER, and SHARE of it.
+    /// Pin the shedding level until --for has passed or the leader changes: admit all tiers above TIER, and SHARE of TIER.
     Pin {
+        /// First tier that is not admitted in full; 0 is the highest.
         tier: usize,
+        /// Share of that tier to admit (0 to 1).
         share: f32,
-        /// Duration (seconds).
+        /// How long to pin the level (seconds, at most 3600).
         #[arg(long = "for", default_value_t = 60.0)]
         for_s: f64,
     },
     /// Replace the member of a coordinator that has lost its disk with a new one.
-    Replace { coordinator: String },
+    Replace {
+        /// Name of the coordinator.
+        coordinator: String,
+    },
 }
 
 impl Command {
--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -8,9 +8,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The timeout of a query to one coordinator.
+/// The maximum timeout of a status query to one coordinator. An attempt at a query for the leader may take twice as long.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The minimum timeout of one attempt at a query for the leader, before [`ATTEMPT_TIMEOUT`] is added.
+/// The lower bound of the caller's timeout in a query for the leader; [`ATTEMPT_TIMEOUT`] is added to it for each attempt.
 const MIN_LEADER_TIMEOUT: Duration = Duration::from_millis(100);
 /// The pause before all coordinators are queried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -73,8 +73,8 @@
 
 impl Overload {
     fn check(&self) -> Result<(), ConfigError> {
-        check_fraction("overload.calls_part", self.calls_part, MAX_CALLS_PART)?;
-        check_fraction("overload.retry_percent", self.retry_percent, MAX_RETRY_PERCENT)
+        check_decimal("overload.calls_part", self.calls_part, MAX_CALLS_PART)?;
+        check_decimal("overload.retry_percent", self.retry_percent, MAX_RETRY_PERCENT)
     }
 }
 
@@ -85,9 +85,9 @@
     Err(ConfigError::OutOfRange { key: key.to_owned(), found, min, max })
 }
 
-fn check_fraction(key: &'static str, found: f64, max: f64) -> Result<(), ConfigError> {
+fn check_decimal(key: &'static str, found: f64, max: f64) -> Result<(), ConfigError> {
     if (0.0..=max).contains(&found) {
         return Ok(());
     }
-    Err(ConfigError::FractionOutOfRange { key, found, max })
+    Err(ConfigError::DecimalOutOfRange { key, found, max })
 }
--- a/fleet-coordinator/src/config/error.rs
+++ b/fleet-coordinator/src/config/error.rs
@@ -30,7 +30,7 @@
         /// The parser's error.
         source: Box<toml::de::Error>,
     },
-    /// A number is out of range.
+    /// An integer is out of range.
     #[error("{key} is {found}; expected {min} to {max}")]
     OutOfRange {
         /// The key.
@@ -42,9 +42,9 @@
         /// The largest valid value.
         max: u64,
     },
-    /// A fraction is out of range; the minimum is 0.
+    /// A decimal number is out of range; the minimum is 0.
     #[error("{key} is {found}; expected 0 to {max}")]
-    FractionOutOfRange {
+    DecimalOutOfRange {
         /// The key.
         key: &'static str,
         /// Its value.
@@ -60,8 +60,8 @@
         /// Its value.
         found: String,
     },
-    /// The number of coordinators is even, which tolerates no more failures than one fewer.
-    #[error("coordinator: found {found}; expected an odd number, 3 or 5")]
+    /// The number of coordinators is even. A fleet with one coordinator fewer tolerates as many failures.
+    #[error("coordinator: found {found}; expected an odd number of entries, such as 3 or 5")]
     EvenCoordinators {
         /// How many are listed.
         found: usize,
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -25,9 +25,10 @@
     pub folder: PathBuf,
     /// The listen address, if different from the coordinator's address in the list.
     pub listen: Option<SocketAddr>,
-    /// The version of the task list. The tasks take effect if it is higher than the fleet's current epoch.
+    /// The version of the task list. The tasks take effect if this epoch is higher than
+    /// the fleet's current one.
     pub epoch: u64,
-    /// A write that takes longer suspends the coordinator (milliseconds).
+    /// A write that takes longer than this suspends the coordinator (milliseconds).
     #[serde(default = "default_write_overdue_ms")]
     pub write_overdue_ms: u64,
     /// The latest protocol version to report as supported. Keeps a fleet at an older version until all coordinators run
@@ -44,7 +45,7 @@
     pub overload: Option<Overload>,
 }
 
-/// `[overload]`.
+/// The table `[overload]`: settings of fleet-wide overload control.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Overload {
@@ -56,7 +57,7 @@
     pub retry_percent: f64,
 }
 
-/// `[[coordinator]]`.
+/// An entry of the array of tables `[[coordinator]]`.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatorEntry {
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -39,9 +39,9 @@
     pub epoch: u64,
     /// The fleet's tasks.
     pub tasks: Vec<Task>,
-    /// A write that takes longer suspends this member (seconds).
+    /// A write that takes longer than this suspends the member (seconds).
     pub write_overdue_s: f64,
-    /// The latest version that this coordinator reports as supported.
+    /// The latest protocol version that this coordinator reports as supported.
     pub version: u32,
     /// Safety checks; all are enabled in production.
     pub safety_checks: SafetyChecks,
@@ -82,10 +82,12 @@
     #[error("malformed frame: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The sender is a coordinator of another fleet, which has this name.
-    #[error("coordinator of another fleet, {0}")]
+    #[error("hello from a coordinator of the fleet {0}; expected one of this fleet")]
     OtherFleet(String),
-    /// The sender is a coordinator with this name, which the configuration file does not list.
-    #[error("coordinator {0} is not in the configuration file")]
+    /// The sender's name is not that of another coordinator in the configuration file.
+    #[error(
+        "hello from coordinator {0}; expected the name of another coordinator in the configuration file"
+    )]
     UnknownPeer(String),
     /// The replica rejected a peer's message.
     #[error(transparent)]
@@ -117,8 +119,10 @@
     /// Peers' answers by name, since this member's status last changed.
     peer_answers: BTreeMap<String, PeerAnswer>,
     pending_queries: Vec<PendingQuery>,
+    /// The number of the last confirmation that was requested for a query.
     last_query: u64,
     peers_queried_at: f64,
+    /// The status when it was last reported to the log and to peers.
     reported_status: MemberStatus,
     outputs: Vec<Output>,
 }
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -24,7 +24,7 @@
 /// A shedding level can't be pinned: the arguments are invalid or overload control is not configured.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "can't pin: needs [overload] in the configuration, a share of 0 to 1, and a time of 0 to {MAX_PIN_S} s"
+    "can't pin the shedding level: expected [overload] in the configuration file, a share of 0 to 1, and a time of 0 to {MAX_PIN_S} s"
 )]
 struct PinRejected;
 
@@ -47,7 +47,8 @@
             return self.send(link, &answer);
         }
         if self.pending_queries.len() >= MAX_PENDING_QUERIES {
-            return self.reject(link, "too many pending queries");
+            return self
+                .reject(link, format!("query limit reached: {MAX_PENDING_QUERIES} queries are pending"));
         }
         self.last_query += 1;
         let number = self.last_query;
@@ -62,7 +63,7 @@
         self.pending_queries = waiting;
         let expired: Vec<PendingQuery> = expired;
         for query in expired {
-            let reason = "no quorum has confirmed this leader".to_owned();
+            let reason = format!("no quorum has confirmed this leader within {QUERY_TIMEOUT_S} s");
             self.send(query.link, &ServerMessage::NotLeader { leader: None, reason });
         }
     }
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -20,7 +20,7 @@
     /// The last index of its log.
     #[serde(rename = "last")]
     pub last_index: u64,
-    /// The latest version that its program can apply.
+    /// The latest protocol version whose commands its program can apply.
     pub version: u32,
 }
 
@@ -30,7 +30,7 @@
 pub struct PeerAnswer {
     /// The answering member's number.
     pub member: MemberId,
-    /// The latest version that its program can apply.
+    /// The latest protocol version whose commands its program can apply.
     pub version: u32,
     /// The caller's member number; 0 if the answering member does not know the caller.
     #[serde(rename = "yours")]
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -1,4 +1,4 @@
-//! Dispatch of messages from workers and operators' commands.
+//! Dispatch of messages from workers and operators, and of the first message from a peer.
 
 use super::{Coordinator, PeerHello, ReceiveError, Role};
 use crate::ids::LinkId;
@@ -64,7 +64,7 @@
     }
 
     fn reject_other_fleet(&mut self, link: LinkId) {
-        let reason = format!("this is the fleet {}", self.config.fleet);
+        let reason = format!("message for another fleet; expected the fleet {}", self.config.fleet);
         self.reject(link, reason);
     }
 
--- a/fleet-coordinator/src/events/mod.rs
+++ b/fleet-coordinator/src/events/mod.rs
@@ -24,22 +24,22 @@
         /// Its member number.
         member: MemberId,
     },
-    /// The disk holds no member. The coordinator queries its peers whether to bootstrap the fleet, join it, or report a
+    /// The disk holds no member's log. The coordinator queries its peers whether to bootstrap the fleet, join it, or report a
     /// lost disk.
     MemberUninitialized {
-        /// Why the disk holds no member.
+        /// Why the disk holds no member's log.
         cause: UninitializedCause,
     },
-    /// The disk holds no member, but peers know that the member had persisted data.
+    /// The disk holds no member's log, but peers know that the member had persisted one.
     DiskLost {
-        /// Why the disk holds no member.
+        /// Why the disk holds no member's log.
         cause: UninitializedCause,
-        /// The log index up to which it had persisted.
+        /// The log index up to which the member had persisted.
         lost_index: u64,
     },
     /// This coordinator does not participate in the quorum until its disk has been reopened.
     DiskSuspended {
-        /// Why.
+        /// Why the coordinator is suspended.
         cause: SuspensionCause,
     },
     /// The disk was reopened, and this coordinator participates again.
@@ -51,14 +51,14 @@
     MemberExcluded {
         /// This coordinator's name.
         coordinator: String,
-        /// Why.
+        /// Why the peers accept no messages.
         cause: ExclusionCause,
     },
     /// This coordinator accepts no messages from a peer.
     PeerExcluded {
         /// The peer's name.
         coordinator: String,
-        /// Why.
+        /// Why the peer's messages are not accepted.
         cause: ExclusionCause,
     },
     /// An operator pinned the fleet's shedding level.
--- a/fleet-coordinator/src/ids.rs
+++ b/fleet-coordinator/src/ids.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Identifies a link to a coordinator. Assigned by the caller and never reused.
+/// Identifies a link to a coordinator. Assigned by the code that runs the [`Coordinator`](crate::coordinator::Coordinator),
+/// and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -107,7 +107,7 @@
     sessions: BTreeMap<SessionId, LiveSession>,
     /// The session of each link.
     links: BTreeMap<LinkId, SessionId>,
-    /// Links whose session is being opened.
+    /// Links whose session is being opened, with the process that opens it.
     opening: BTreeMap<LinkId, ProcessId>,
     lease_clock: LeaseClock,
     overload: Option<FleetOverload>,
--- a/fleet-coordinator/src/leader_state/renewals.rs
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -22,8 +22,8 @@
     received_at: f64,
     /// Whether the worker sent its load; if so, the answer includes the fleet's digest.
     reports_load: bool,
-    /// Each with the TTL recorded when the heartbeat was received. The answer grants no more than that, even if the task's
-    /// TTL has been raised since.
+    /// The leases to renew, each with the TTL recorded when the heartbeat was received. The answer grants no more than that,
+    /// even if the task's TTL has been raised since.
     leases: Vec<RenewedLease>,
 }
 
--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -4,7 +4,7 @@
 //! Invariants: a lease expires no sooner than its TTL after the last renewal that may have been answered, by this leader
 //! or an earlier one; a renewal is answered with no more than the TTL recorded when it was received, and not at all once
 //! the lease is being released. [`ReadIndexQueue`] holds renewals until a quorum has confirmed the leader after they were
-//! received. `tests/lease_model/` checks both, together with the worker's lease holder, in all reachable states.
+//! received. `tests/lease_model/` checks these invariants, together with the worker's lease holder, in all reachable states.
 
 mod read_index_queue;
 
--- a/fleet-coordinator/src/lease_clock/read_index_queue.rs
+++ b/fleet-coordinator/src/lease_clock/read_index_queue.rs
@@ -11,15 +11,19 @@
     pub requests: Vec<T>,
 }
 
-/// Requests that wait for a quorum to confirm the leader. One batch is in progress at a time; later requests wait for the
+/// Requests that wait for a quorum to confirm the leader. One batch is in progress at a time, unless its
+/// confirmation is overdue; later requests wait for the
 /// next batch, so that a confirmation answers only requests received before it was requested.
 #[derive(Clone, Debug)]
 pub struct ReadIndexQueue<T> {
     /// Requests that are not in a batch yet.
     unsent: Vec<T>,
+    /// Batches in progress, oldest first.
     sent: VecDeque<ReadIndexBatch<T>>,
     next_number: u64,
+    /// When the latest batch was started.
     sent_at: f64,
+    /// After this time without a confirmation the next batch may start (seconds).
     retry_s: f64,
 }
 
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -56,7 +56,7 @@
         source: Box<dyn Error>,
     },
     /// The configuration file has no listen address for this coordinator.
-    #[error("listen: no address configured")]
+    #[error("listen: no address found; expected the key listen, or a [[coordinator]] with this coordinator's name")]
     NoListenAddress,
     /// The listen address can't be bound.
     #[error("listen {address}: {source}")]
@@ -67,8 +67,8 @@
         source: std::io::Error,
     },
     /// The operating system does not return the listener's address.
-    #[error(transparent)]
-    LocalAddress(std::io::Error),
+    #[error("can't read the listener's address: {0}")]
+    LocalAddress(#[source] std::io::Error),
 }
 
 impl NetError {
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -20,7 +20,7 @@
 pub(super) struct Server {
     poll: Poll,
     acceptor: Acceptor,
-    /// The zero of the coordinator's time, on the boot clock.
+    /// When the server was started, on the boot clock (seconds). The coordinator's times are relative to it.
     started_at: f64,
     inbound: InboundLinks,
     peers: PeerLinks,
--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// Encodes the content of a store as one record. If data was lost it is encoded as that of no member, since the member
-/// may have forgotten a vote and must not vote again in the same term.
+/// Encodes the content of a store as one record. Content that is damaged or can't be decoded is replaced by that of a disk
+/// without a member: a vote may be among the lost data, and a member must not vote twice in a term.
 fn encode(recovered: &Recovered) -> Vec<u8> {
     match RecoveredLog::read(recovered) {
         Ok(log) if !recovered.damaged => log.encode(),
--- a/fleet-coordinator/src/replica/election.rs
+++ b/fleet-coordinator/src/replica/election.rs
@@ -3,7 +3,9 @@
 use super::{Replica, ReplicaEvent, TermStart, TICK_S};
 use raft::StateRole;
 
+/// How often a leader sends a heartbeat (ticks).
 pub(super) const HEARTBEAT_TICKS: usize = 2;
+/// The minimum election timeout (ticks); the random timeout is less than twice this.
 pub(super) const ELECTION_TICKS: usize = 10;
 /// The maximum number of ticks caught up after a delay. More could start an election although the peers are healthy and
 /// only this process was paused.
--- a/fleet-coordinator/src/replica/membership.rs
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplaceError {
     /// No member has this name.
-    #[error("unknown coordinator {0}")]
+    #[error("unknown coordinator {0}; expected the name of a member")]
     UnknownCoordinator(String),
     /// The coordinator with this name is the leader, so it has not lost its disk.
     #[error("{0} is the leader, which can't be replaced")]
--- a/fleet-coordinator/src/replica/proposals.rs
+++ b/fleet-coordinator/src/replica/proposals.rs
@@ -13,7 +13,7 @@
     #[error(transparent)]
     Parse(#[from] ParseError),
     /// The message's sender or receiver is not that of the link.
-    #[error("message with wrong sender or receiver: from {from} to {to}")]
+    #[error("message from member {from} to member {to}; expected one from the link's member to this one")]
     WrongAddress {
         /// The sender in the message.
         from: u64,
--- a/fleet-coordinator/src/replica/recovered_log.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -6,7 +6,7 @@
 use durable_log::{Recovered, RecoveredRecord};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
-/// The first byte of a record: its kind.
+// Kinds of records. The first byte of a record is its kind.
 const HARD_STATE: u8 = 1;
 const ENTRY: u8 = 2;
 const SNAPSHOT: u8 = 3;
@@ -21,7 +21,7 @@
     #[error("empty record")]
     Empty,
     /// The record's kind is unknown.
-    #[error("unknown record kind {0}")]
+    #[error("unknown record kind {0}; expected {HARD_STATE} to {MEMBER}")]
     UnknownKind(u8),
     /// The record's message can't be parsed.
     #[error(transparent)]
@@ -35,7 +35,7 @@
         last: u64,
     },
     /// A member number does not have eight bytes.
-    #[error("member number does not have eight bytes")]
+    #[error("member number of wrong length; expected 8 bytes")]
     MemberNumber,
 }
 
--- a/fleet-coordinator/src/replica/scan/mod.rs
+++ b/fleet-coordinator/src/replica/scan/mod.rs
@@ -6,7 +6,7 @@
 use protobuf::{Message, ProtobufError};
 use raft::eraftpb::{ConfChange, Entry, HardState, Message as RaftMessage, Snapshot};
 
-/// Protobuf's wire types.
+// Protobuf's wire types.
 const VARINT: u64 = 0;
 const FIXED_64: u64 = 1;
 const LENGTH_DELIMITED: u64 = 2;
@@ -36,7 +36,9 @@
 pub struct MessageFields(&'static [(u64, &'static MessageFields)]);
 
 const NO_MESSAGE_FIELDS: MessageFields = MessageFields(&[]);
+/// The metadata's field 1 is `conf_state`.
 const METADATA_FIELDS: MessageFields = MessageFields(&[(1, &NO_MESSAGE_FIELDS)]);
+/// A snapshot's field 2 is `metadata`.
 const SNAPSHOT_FIELDS: MessageFields = MessageFields(&[(2, &METADATA_FIELDS)]);
 
 /// A message of the Raft library whose nested messages are known.
@@ -52,6 +54,7 @@
     const MESSAGE_FIELDS: MessageFields = SNAPSHOT_FIELDS;
 }
 impl NestedMessages for RaftMessage {
+    /// Field 7 is `entries`, field 9 `snapshot`.
     const MESSAGE_FIELDS: MessageFields = MessageFields(&[(7, &NO_MESSAGE_FIELDS), (9, &SNAPSHOT_FIELDS)]);
 }
 
--- a/fleet-coordinator/src/replica/status.rs
+++ b/fleet-coordinator/src/replica/status.rs
@@ -73,7 +73,7 @@
     #[error("can't decode the snapshot's state: {0}")]
     UnreadableSnapshot(String),
     /// The Raft library rejected the log on the disk.
-    #[error("the log was rejected: {0}")]
+    #[error("the Raft library rejected the log on the disk: {0}")]
     RejectedLog(String),
     /// The state in a leader's snapshot can't be decoded.
     #[error("can't decode the leader's snapshot: {0}")]
@@ -93,7 +93,7 @@
         index: u64,
     },
     /// The Raft library rejected a committed membership change.
-    #[error("the membership change in entry {index} was rejected: {error}")]
+    #[error("the Raft library rejected the membership change in entry {index}: {error}")]
     RejectedMemberChange {
         /// The entry's index.
         index: u64,
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -120,7 +120,7 @@
         #[serde(rename = "kept")]
         persisted: Vec<MemberProgress>,
     },
-    /// Records that all coordinators can apply commands of this version.
+    /// Records that all coordinators can apply commands of this protocol version.
     #[serde(rename = "raise")]
     RaiseVersion {
         /// The version.
@@ -197,7 +197,7 @@
     #[error("command not supported by all coordinators yet")]
     UnsupportedVersion,
     /// The name is not valid.
-    #[error("invalid name {0}: expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
+    #[error("invalid name {0:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
     InvalidName(String),
     /// The session limit is reached.
     #[error("session limit reached: {0} sessions are open")]
--- a/fleet-coordinator/src/state_machine/periods.rs
+++ b/fleet-coordinator/src/state_machine/periods.rs
@@ -67,7 +67,7 @@
             if latest.outcome.is_none() && !latest.idempotent {
                 self.record_indeterminate_call(&request.lease.task);
             }
-            // Periods stay aligned to the grid unless a whole period was missed.
+            // Due times stay one period apart, unless a whole period was missed.
             let missed = now >= next_ms.saturating_add(request.every_ms);
             let due_ms = if missed { now } else { next_ms };
             return Ok(self.insert_period(request, latest.number + 1, due_ms));
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -58,7 +58,7 @@
     Command::EndPeriod { lease: lease("t", token), period, outcome }
 }
 
-fn free(token: u64) -> Command {
+fn expire(token: u64) -> Command {
     Command::ReleaseLease { lease: lease("t", token), reason: ReleaseReason::Expired }
 }
 
@@ -86,10 +86,10 @@
         (2, grant(1), "Granted(LeaseRef { task: \"t\", token: 1 })"),
         (2, grant(2), "AlreadyHeld"),
         (3, Command::CloseSession { session: SessionId(1) }, "StillHoldsLeases"),
-        (4, free(1), "Done"),
-        (4, free(1), "NotHeld"),
+        (4, expire(1), "Done"),
+        (4, expire(1), "NotHeld"),
         (5, grant(2), "Granted(LeaseRef { task: \"t\", token: 2 })"),
-        (5, free(1), "NotHeld"),
+        (5, expire(1), "NotHeld"),
         (6, Command::TransferLease { lease: lease("t", 2), session: SessionId(9) }, "UnknownSession"),
         (
             6,
@@ -141,11 +141,11 @@
         ),
         (1, 1, 1)
     );
-    // A holder dies during its call: the next holder may repeat the call only if it is idempotent.
+    // A holder loses its lease during its call: the next holder may repeat the call only if it is idempotent.
     let idempotent = run_after_setup(vec![
         (10, begin(1, true), "Begun(1)"),
         (20, begin(1, true), "NotDue"),
-        (30, free(1), "Done"),
+        (30, expire(1), "Done"),
         (30, grant(1), "Granted"),
         (40, begin(1, true), "NotHeld"),
         (40, begin(2, true), "Begun(1)"),
@@ -155,7 +155,7 @@
     assert!(idempotent.indeterminate_calls.is_empty());
     let not_idempotent = run_after_setup(vec![
         (10, begin(1, false), "Begun(1)"),
-        (30, free(1), "Done"),
+        (30, expire(1), "Done"),
         (30, grant(1), "Granted"),
         (40, begin(2, false), "NotDue"),
         (1010, begin(2, false), "Begun(2)"),
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn periods_keep_their_grid_and_restart_after_a_gap() {
+fn due_times_stay_one_period_apart_and_restart_after_a_missed_period() {
     run(vec![
         (0, tasks(1, 3000), "Done"),
         (0, open(1), "Opened"),
@@ -233,7 +233,7 @@
     let mut state = run(vec![(0, tasks(1, 3000), "Done"), (0, open(1), "Opened"), (0, grant(1), "Granted")]);
     state.version = 1;
     let before = state.clone();
-    let later: LogEntry = serde_json::from_str(r#"{"at_ms":0,"do":"levitate","height":3}"#).unwrap();
+    let later: LogEntry = serde_json::from_str(r#"{"at_ms":0,"do":"later-command","argument":3}"#).unwrap();
     assert_eq!(state.apply(&later), Err(Rejection::UnsupportedVersion));
     assert_eq!(
         state.apply(&LogEntry { at_ms: 0, command: begin(1, true) }),
--- a/fleet-coordinator/tests/lease_model/steps.rs
+++ b/fleet-coordinator/tests/lease_model/steps.rs
@@ -12,39 +12,33 @@
 /// An action. Workers and messages are identified by their index, leaders by [`NEWEST_LEADER`] and [`PREVIOUS_LEADER`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// The holders' clock advances by one second.
     Tick,
     /// Another member becomes leader. The previous leader's proposal is either committed or lost.
-    Elect {
-        proposal_committed: bool,
-    },
+    Elect { proposal_committed: bool },
     /// The previous leader learns of the newer one.
     StepDown,
-    Heartbeat {
-        worker: usize,
-        leader: usize,
-    },
+    /// The worker sends a heartbeat to the leader.
+    Heartbeat { worker: usize, leader: usize },
     /// The worker's link is lost with all messages in flight, and re-established.
     Reconnect(usize),
+    /// The worker restarts, and loses its leases and all messages in flight.
     Restart(usize),
-    Release {
-        worker: usize,
-        leader: usize,
-    },
+    /// The worker stops acting under its lease and returns it to the leader.
+    Release { worker: usize, leader: usize },
     /// A leader receives a message from the worker.
-    ReceiveAtLeader {
-        worker: usize,
-        message: usize,
-    },
+    ReceiveAtLeader { worker: usize, message: usize },
     /// The worker receives a message.
-    ReceiveAtWorker {
-        worker: usize,
-        message: usize,
-    },
+    ReceiveAtWorker { worker: usize, message: usize },
     /// The quorum confirms that the newest leader was the leader when it requested confirmation.
     Confirm,
+    /// The newest leader proposes releasing the lease, which has expired.
     Expire,
+    /// The newest leader proposes granting the task to the worker.
     Grant(usize),
+    /// The newest leader proposes the task list of epoch 2.
     ChangeTtl,
+    /// The proposal of the newest leader is committed and applied.
     Commit,
     /// The worker checks its lease.
     CheckLease(usize),
