--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -2,7 +2,8 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock that counts seconds since the start. The Unix clock is used only to read and write time stamps.
+/// A monotonic clock that counts seconds since its creation at the start of the worker. The Unix clock is used only to
+/// read and write time stamps.
 pub struct Clock {
     start: Instant,
 }
@@ -12,12 +13,13 @@
         Clock { start: Instant::now() }
     }
 
-    /// Returns the seconds since the start.
+    /// Returns the time since the clock's creation (seconds).
     #[must_use]
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
+    /// Converts a time of this clock (seconds) to an [`Instant`]; a negative one to the clock's creation.
     pub(in crate::net) fn instant(&self, at: f64) -> Instant {
         self.start + Duration::from_secs_f64(at.max(0.0))
     }
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -51,15 +51,19 @@
     stream: Rc<TcpStream>,
     _watch: Watch,
     input: Vec<u8>,
+    /// Number of bytes at the start of `input` that have been consumed.
     consumed: usize,
     max_unread_bytes: usize,
     output: VecDeque<Chunk>,
+    /// Number of bytes of the first chunk of `output` that have been written.
     front_written: usize,
+    /// Number of bytes in `output` that have not been written.
     queued: usize,
     /// Total number of bytes written to the socket.
     pub sent: u64,
     readable: bool,
     writable: bool,
+    /// Whether the peer has closed its sending side.
     read_ended: bool,
 }
 
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -55,9 +55,11 @@
 #[derive(Clone)]
 pub struct Poll {
     handle: LoopHandle<'static, ReadyEvents>,
+    /// Number of descriptors of the budget that this process does not use.
     available: Rc<Cell<usize>>,
     /// Number of descriptors that another process holds and that count against the same limit.
     other_process_descriptors: Rc<Cell<usize>>,
+    /// Maximum number of descriptors in use.
     budget: usize,
     last_id: Rc<Cell<u64>>,
 }
--- a/src/net/io/timer_wheel.rs
+++ b/src/net/io/timer_wheel.rs
@@ -32,9 +32,11 @@
 
 /// The timer wheel; times are in seconds on the event loop's clock.
 pub struct Wheel {
+    /// The timers, each with the tick at which it expires, in the slot of that tick modulo [`SLOTS`].
     slots: Vec<Vec<(u64, Timer)>>,
     /// The last tick processed.
     last_tick: u64,
+    /// Number of timers in all slots.
     timer_count: usize,
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -17,7 +17,6 @@
 pub mod frontends;
 pub mod io;
 pub mod lifecycle;
-
 pub mod upstreams;
 pub mod worker;
 
--- a/src/net/worker/loop_state.rs
+++ b/src/net/worker/loop_state.rs
@@ -24,7 +24,7 @@
 /// shutdown notice first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
-    /// It may.
+    /// The next round may defer its inputs.
     Allowed,
     /// The next round dispatches its inputs in any case: they were deferred once already, or no further turn may
     /// follow.
