--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -3,9 +3,9 @@
 //! Closing a socket with unread bytes sends a reset, and a reset discards responses that the peer has not read yet.
 //! Every close that this side starts is therefore the lingering close of RFC 9112, section 9.6: the socket is read
 //! until it is empty, and the frontend processes and answers whatever came. If nothing came, the writing side is shut
-//! down (half-close), further input is discarded, and the socket is closed once the peer has closed too or a short
-//! time limit has passed. Discarded input never reaches the dispatcher: the client could not read the response, and it
-//! sees that the connection had ended.
+//! down (half-close), further input is discarded, and the socket is closed once the peer has closed too, has sent
+//! nothing for `LINGER_IDLE_TIMEOUT_S`, or `MAX_LINGER_S` has passed since the half-close. Discarded input never
+//! reaches the dispatcher: the client could not read the response, and it sees that the connection had ended.
 
 #![warn(missing_docs)]
 
@@ -33,15 +33,17 @@
     poll: Poll,
     /// The frontend that they belong to.
     kind: FrontendKind,
-    /// Size limit of a connection's input buffer.
+    /// Size limit of a connection's input buffer (bytes).
     max_unread_bytes: usize,
     by_id: HashMap<u64, Connection<P>>,
-    /// Connections that the frontend has to process.
+    /// Ids of the connections that the frontend has to process.
     touched: Vec<u64>,
     /// A connection that has sent no complete request for this long may be evicted.
     silence_limit_s: f64,
+    /// Limit on the number of connections.
     max_open: usize,
-    /// Accepted, but over the limit: waits for an eviction until the frontend has processed the input that just came.
+    /// A connection accepted over the limit `max_open`. It waits for an eviction until the frontend has processed the
+    /// input that other connections have just received.
     pending_stream: Option<TcpStream>,
 }
 
--- a/src/net/frontends/http2/abuse_detection.rs
+++ b/src/net/frontends/http2/abuse_detection.rs
@@ -6,16 +6,18 @@
 //! wire. Clients that send requests therefore never exhaust their budget, whereas PING, SETTINGS, PRIORITY,
 //! `WINDOW_UPDATE`, empty DATA, and streams that are reset as soon as they are opened are only charged. A client with
 //! an exhausted budget is read at the refill rate, which puts back-pressure on its socket; it is terminated if that
-//! continues for [`MAX_THROTTLED_S`]. For some time after a client has exhausted its budget, or was disconnected for
-//! a protocol error, new connections start with a reduced budget: a flood gains nothing by reconnecting.
+//! continues for [`MAX_THROTTLED_S`]. For [`PRESSURE_DURATION_S`] after a client has exhausted its budget, or was
+//! disconnected for a protocol error, new connections start with a reduced budget: a flood gains nothing by
+//! reconnecting.
 
-/// Reads smaller than this are not worth a poll: a client with an exhausted budget waits until it has refilled so far.
+/// A client with an exhausted budget is not read until its budget has refilled to this size (bytes): smaller reads are
+/// not worth a poll.
 const MIN_READ_BYTES: f64 = 256.0;
 /// How long a client may be throttled before it is terminated (seconds).
 const MAX_THROTTLED_S: f64 = 10.0;
 /// The fraction of its budget that must be available before a client no longer counts as exhausted.
 const RECOVERED_FRACTION: f64 = 0.5;
-/// How long after abuse new connections start with a reduced budget (seconds).
+/// How long new connections start with a reduced budget after a client was abusive (seconds).
 const PRESSURE_DURATION_S: f64 = 10.0;
 
 /// The budget of a connection for traffic that belongs to no request: a burst size and a rate.
@@ -58,8 +60,11 @@
 #[derive(Clone, Debug)]
 pub struct AbuseDetector {
     budget: OverheadBudget,
+    /// The bytes that may be read now.
     balance_bytes: f64,
+    /// When the bucket was last refilled (seconds).
     refilled_at: f64,
+    /// When the client exhausted its budget (seconds); `None` once the budget has recovered.
     exhausted_since: Option<f64>,
 }
 
@@ -119,6 +124,7 @@
 /// Whether any client has recently been abusive.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PressureMonitor {
+    /// Until when new connections start with a reduced budget (seconds).
     elevated_until: f64,
 }
 
--- a/src/net/frontends/http2/response_backlog.rs
+++ b/src/net/frontends/http2/response_backlog.rs
@@ -1,7 +1,7 @@
 //! Limits the total size of responses that wait for clients to read them, over all connections. No I/O.
 //!
-//! Per connection they are limited by the number of streams, the size of a response and time, but many connections
-//! within these limits could together exceed the worker's memory.
+//! The pending responses of one connection are limited by the number of streams, the size of a response and a timeout,
+//! but many connections within these limits could together exceed the worker's memory.
 
 use std::cmp::Reverse;
 
--- a/src/net/frontends/http2/session/idle.rs
+++ b/src/net/frontends/http2/session/idle.rs
@@ -34,11 +34,11 @@
 pub(super) struct KeepAlive {
     /// Absent until the handshake is complete.
     ping_pong: Option<PingPong>,
-    /// When the outstanding PING was sent.
+    /// When the outstanding PING was sent (seconds); `None` if none is outstanding.
     ping_sent_at: Option<f64>,
-    /// When the last PING was answered.
+    /// When the last PING was answered (seconds).
     pong_received_at: f64,
-    /// When a GOAWAY was sent because the client was idle.
+    /// When a GOAWAY was sent because the client was idle (seconds).
     goaway_sent_at: Option<f64>,
 }
 
--- a/src/net/frontends/http2/session/mod.rs
+++ b/src/net/frontends/http2/session/mod.rs
@@ -27,8 +27,8 @@
 use std::task::{Context, Poll, Wake, Waker};
 use stream::{Progress, Stream};
 
-/// Limit on the rounds of polling in one [`Session::poll`]: the codec's progress in one may let streams advance in the
-/// next.
+/// Limit on the rounds of polling in one [`Session::poll`]. There are several, since the codec's progress in one round
+/// may let streams advance in the next.
 const MAX_POLL_ROUNDS: usize = 4;
 /// The maximum length of a frame from a client (bytes).
 const MAX_FRAME_BYTES: u32 = 16 * 1024;
@@ -78,9 +78,11 @@
     pipe: Pipe,
     codec: Codec,
     waker: Waker,
-    /// By ticket.
+    /// The open streams, by ticket.
     streams: BTreeMap<u64, Stream>,
+    /// The number of streams accepted so far.
     accepted_streams: u64,
+    /// Whether a graceful shutdown of the connection has begun.
     shutting_down: bool,
     keep_alive: KeepAlive,
 }
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -44,7 +44,7 @@
 pub(super) struct Stream {
     responder: SendResponse<SharedBytes>,
     stage: StreamStage,
-    /// When the stream was opened or, once there is a response, when that was received from the dispatcher.
+    /// When the stream was opened; once the dispatcher has responded, when it did (seconds).
     since: f64,
     /// Size of the request's fields and body received so far (bytes).
     request_bytes: usize,
--- a/src/net/frontends/http2/session_admission.rs
+++ b/src/net/frontends/http2/session_admission.rs
@@ -14,7 +14,9 @@
 /// A connection that has a session and has not sent a request.
 #[derive(Clone, Copy, Debug)]
 struct SlotHolder {
+    /// When it was given its slot (seconds).
     since: f64,
+    /// The connection.
     id: u64,
 }
 
@@ -22,9 +24,9 @@
 #[derive(Debug)]
 pub struct SessionAdmission {
     max_slots: usize,
-    /// Oldest first.
+    /// The connections that hold a slot, oldest first.
     holders: VecDeque<SlotHolder>,
-    /// Oldest first.
+    /// The connections that wait for a slot, oldest first.
     waiting: VecDeque<u64>,
 }
 
--- a/src/net/frontends/http2/transport.rs
+++ b/src/net/frontends/http2/transport.rs
@@ -9,9 +9,9 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Limit on the bytes that wait for the codec.
+/// Limit on the received bytes that wait for the codec.
 pub const MAX_INPUT_BYTES: usize = 16 * 1024;
-/// Limit on the bytes that wait for the event loop.
+/// Limit on the codec's output that waits for the event loop (bytes).
 pub const MAX_OUTPUT_BYTES: usize = 64 * 1024;
 
 #[derive(Default)]
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -225,6 +225,7 @@
             body: body.into(),
         })
     }
+
     /// The tenant that X-Org names; `None` if no tenants are configured.
     fn tenant(&self, catalog: &Catalog) -> Result<Option<usize>, FieldError> {
         if catalog.tenant_indices.is_empty() {
