--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -6,9 +6,9 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Worker;
 
-/// SIGKILL follows SIGTERM after the longest deadline of all classes, or after this time if that is longer (seconds).
+/// Lower bound of the longest deadline of all classes, from which the time of SIGKILL is derived (seconds).
 const MIN_LONGEST_DEADLINE_S: f64 = 3.0;
-/// Time between that deadline and SIGKILL (seconds).
+/// SIGKILL follows SIGTERM after the longest deadline of all classes plus this time (seconds).
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 /// The process exits this long before SIGKILL (seconds).
 const EXIT_MARGIN_S: f64 = 0.1;
--- a/src/net/lifecycle/hot_restart/inherited_listener.rs
+++ b/src/net/lifecycle/hot_restart/inherited_listener.rs
@@ -11,20 +11,20 @@
 /// Why the descriptor that the platform passes can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedListenerError {
-    /// The setting is not a number, or is the number of a standard stream.
+    /// The setting is not a number, or is at most 2, the number of a standard stream.
     #[error("{EXPECTED}, found {setting:?}")]
     NotADescriptor {
         /// The value of the setting.
         setting: String,
     },
     /// The socket does not listen.
-    #[error("{EXPECTED}, found {descriptor}, a socket that does not")]
+    #[error("{EXPECTED}, found descriptor {descriptor}, which does not listen")]
     NotListening {
         /// The descriptor number.
         descriptor: RawFd,
     },
     /// A system call on the descriptor failed.
-    #[error("{EXPECTED}, found {descriptor}: {source}")]
+    #[error("{EXPECTED}, found descriptor {descriptor}: {source}")]
     System {
         /// The descriptor number.
         descriptor: RawFd,
@@ -33,7 +33,7 @@
     },
 }
 
-const EXPECTED: &str = "ROUTER_SOCKET_FD: expected the number of a descriptor that listens";
+const EXPECTED: &str = "ROUTER_SOCKET_FD: expected the descriptor number of a listening socket";
 
 /// Opens the listening socket that the platform passes: returns a duplicate of the descriptor, in non-blocking mode.
 pub(in crate::net) fn inherited_listener(setting: &str) -> Result<Rc<TcpListener>, InheritedListenerError> {
--- a/src/net/lifecycle/hot_restart/links.rs
+++ b/src/net/lifecycle/hot_restart/links.rs
@@ -13,8 +13,8 @@
 
 /// File name of the Unix socket in `$TMPDIR`.
 const SOCKET_NAME: &str = "honeypost-handover.sock";
-/// Descriptor budget of the links: those to the predecessor and the successor, the listener, and a connection that
-/// waits.
+/// Descriptor budget of the links: one each for the predecessor, the successor, the listener and a connection that
+/// waits to be accepted.
 const MAX_LINKS: usize = 4;
 
 /// An event on one of the links.
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -177,7 +177,8 @@
         }
     }
 
-    /// Maximum time for which a key matches retries: the longest window plus the controller's safety margin (seconds).
+    /// Maximum time for which a key matches retries: the longest window plus the controller's safety margin of 1 s
+    /// (seconds).
     fn longest_window_s(&self) -> f64 {
         self.configuration.settings.classes.iter().map(|c| c.window_s).fold(0.0, f64::max) + 1.0
     }
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -28,10 +28,10 @@
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// A frame that requires a descriptor was received without one.
-    #[error("a frame came without its descriptor")]
+    #[error("received a frame without the descriptor that it carries")]
     MissingDescriptor,
-    /// Too many descriptors were received without frames that claim them.
-    #[error("descriptors without frames")]
+    /// More than [`MAX_UNCLAIMED_DESCRIPTORS`] descriptors were received without frames that claim them.
+    #[error("received more than {MAX_UNCLAIMED_DESCRIPTORS} descriptors without their frames")]
     UnclaimedDescriptors,
 }
 
@@ -63,6 +63,7 @@
     input: Vec<u8>,
     /// Offset of the first unprocessed frame in `input`.
     input_start: usize,
+    /// Received descriptors whose frames have not been processed, in the order of their frames.
     descriptors: VecDeque<OwnedFd>,
     output: VecDeque<OutgoingFrame>,
     /// Number of bytes of the first outgoing frame that have been sent.
--- a/src/net/lifecycle/operator_commands.rs
+++ b/src/net/lifecycle/operator_commands.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether this process can serve requests. The reasons are documented for operators.
+    /// Reports whether this process can serve requests and, if not, why. The texts are documented for operators.
     fn readiness(&self) -> ConsoleResponse {
         let can_run = self.dispatcher.is_some() && self.upstreams.can_run();
         if self.context.availability.shutting_down {
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -18,14 +18,14 @@
 const IDLE_CLOSE_DELAY_S: f64 = 0.15;
 /// How long the process waits for peers to close after all responses have been written (seconds).
 const LINGER_S: f64 = 0.3;
-/// Maximum number of accept rounds before the listeners close. Each round accepts some dozens of connections, and the
-/// system queues about a thousand.
+/// Maximum number of accept rounds before the listeners close. Each round accepts up to 64 connections of each
+/// listener, and the system queues up to 1024 for a listener that this process has opened.
 const MAX_ACCEPT_ROUNDS: usize = 64;
 
 /// The state of a shutdown in progress.
 pub(in crate::net) struct Shutdown {
     pub(in crate::net) timeline: Timeline,
-    /// When the listeners were closed.
+    /// When the listeners were closed (loop's clock, seconds).
     pub(in crate::net) listeners_closed_at: Option<f64>,
     /// All pending requests have been answered because the deadline for responses was reached.
     responded_all: bool,
@@ -164,10 +164,10 @@
         self.process_ready(inputs);
     }
 
-    /// Ends all idle connections and, with `at_once`, those with a partially read request too. Returns `true` once
-    /// their peers have closed as well, or the linger time is over.
-    pub(in crate::net) fn end_connections(&mut self, now: f64, at_once: bool) -> bool {
-        let is_first = self.frontends.end_connections(now, at_once);
+    /// Ends all idle connections and, with `include_partial`, those with a partially read request too. Returns `true`
+    /// once their peers have closed as well, or the linger time is over.
+    pub(in crate::net) fn end_connections(&mut self, now: f64, include_partial: bool) -> bool {
+        let is_first = self.frontends.end_connections(now, include_partial);
         // Completes the reads and writes that are possible in this turn.
         if self.has_pending() {
             self.process_ready(Vec::new());
--- a/src/net/lifecycle/shutdown/timeline.rs
+++ b/src/net/lifecycle/shutdown/timeline.rs
@@ -1,16 +1,17 @@
-//! The times of a shutdown's steps, computed without I/O. Times are seconds on the clock of the notice's time.
+//! The times of a shutdown's steps, computed without I/O. All times are seconds on the same clock as `noticed_at`.
 //!
-//! If the time to the stop is short, each margin is a share of it: the settings allow any grace and any stop time, and
-//! responses may be pending at the end under all of them.
+//! Each step has a margin before SIGKILL: a number of seconds, or a share of the stop time if that is shorter. The stop
+//! time is the time from SIGTERM to SIGKILL. The settings allow any grace and any stop time, and responses may be
+//! pending at the end under all of them.
 
-/// The listeners close at least this long before the kill, even if the grace is longer (seconds, share of the stop
+/// The listeners close at least this long before SIGKILL, even if the grace is longer (seconds, share of the stop
 /// time).
 const ACCEPT_MARGIN: (f64, f64) = (0.4, 0.5);
-/// All pending requests are answered this long before the kill. The controller rejects them earlier unless the stop
+/// All pending requests are answered this long before SIGKILL. The controller rejects them earlier unless the stop
 /// time is too short (seconds, share of the stop time).
 const ANSWER_MARGIN: (f64, f64) = (0.15, 0.4);
-/// The process exits at least this long before the kill, since SIGKILL closes sockets without reading them (seconds,
-/// share of the stop time).
+/// The process exits at least this long before SIGKILL, which closes sockets without reading them (seconds, share of
+/// the stop time).
 const EXIT_MARGIN: (f64, f64) = (0.05, 0.2);
 
 /// The times of a graceful shutdown's steps.
