--- a/src/net/upstreams/ajp_backend/error.rs
+++ b/src/net/upstreams/ajp_backend/error.rs
@@ -13,10 +13,10 @@
     #[error("{0}")]
     Connect(#[source] io::Error),
     /// Writing failed.
-    #[error("broken")]
+    #[error("writing to AJP server failed")]
     Write,
     /// The server has closed the connection.
-    #[error("closed")]
+    #[error("AJP server closed the connection")]
     Closed,
     /// A packet is invalid.
     #[error("invalid AJP packet: {0:?}")]
--- a/src/net/upstreams/ajp_codec/codes.rs
+++ b/src/net/upstreams/ajp_codec/codes.rs
@@ -73,20 +73,20 @@
 /// Length field of a null string.
 pub(super) const NULL_STRING_LENGTH: u16 = 0xFFFF;
 
-/// Types of messages to a container.
+// Types of messages to a container.
 pub(super) const FORWARD_REQUEST: u8 = 2;
 pub(super) const SHUTDOWN: u8 = 7;
 pub(super) const PING: u8 = 8;
 pub(super) const CPING: u8 = 10;
 
-/// Types of messages to a web server.
+// Types of messages to a web server.
 pub(super) const SEND_BODY_CHUNK: u8 = 3;
 pub(super) const SEND_HEADERS: u8 = 4;
 pub(super) const END_RESPONSE: u8 = 5;
 pub(super) const GET_BODY_CHUNK: u8 = 6;
 pub(super) const CPONG: u8 = 9;
 
-/// Attributes of a Forward Request.
+// Attributes of a Forward Request.
 pub(super) const ATTRIBUTE_CONTEXT: u8 = 0x01;
 pub(super) const ATTRIBUTE_REMOTE_USER: u8 = 0x03;
 pub(super) const ATTRIBUTE_SSL_SESSION: u8 = 0x09;
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -27,7 +27,7 @@
 /// Maximum number of rounds in one turn in which actions are executed that result from earlier actions; further ones
 /// are executed in the next turn.
 const MAX_ACTION_ROUNDS: usize = 8;
-/// Size of a frame's length prefix.
+/// Size of a frame's length prefix (bytes).
 const LENGTH_PREFIX_BYTES: usize = 4;
 /// Resolution of the worker's timer wheel (seconds).
 const TIMER_RESOLUTION_S: f64 = 0.004;
@@ -50,6 +50,7 @@
     calls: Vec<CallInFlight>,
     /// When the next [`Timer::Fleet`] expires (event loop's clock, seconds).
     next_wakeup_at: f64,
+    /// When the membership was created (boot clock, seconds).
     started_at: f64,
     /// Whether messages or actions are left for the next turn.
     has_pending_work: bool,
--- a/src/net/upstreams/coordinator_link/scheduled_call.rs
+++ b/src/net/upstreams/coordinator_link/scheduled_call.rs
@@ -16,7 +16,7 @@
 pub(super) struct CallInFlight {
     pub(super) id: u64,
     pub(super) link: Link,
-    /// Time at which it times out.
+    /// Time at which it times out (membership's clock, seconds).
     pub(super) deadline: f64,
     /// Index of its task in the configuration.
     pub(super) task: usize,
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -63,6 +63,7 @@
 struct CacheEntry {
     /// `None` if the directory has no unique tenant for the identity.
     tenant: Option<Rc<str>>,
+    /// When it expires (event loop's clock, seconds).
     expires_at: f64,
 }
 
@@ -90,8 +91,10 @@
     /// Whether a search has completed on this link. If such a link is lost, the server may just have closed it for
     /// idleness, so a reconnect is tried.
     link_has_served: bool,
+    /// Until when lookups fail immediately (event loop's clock, seconds).
     unavailable_until: f64,
     last_message_id: i32,
+    /// Searches in flight, by message id.
     searches: HashMap<i32, Search>,
     waiting: Vec<WaitingLookup>,
     /// Results by identity.
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -25,16 +25,18 @@
 const MAX_LINE_BYTES: usize = 64 * 1024;
 /// Maximum size of the commands queued for a slow or disconnected executor (bytes); larger than any single request.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
-/// Commands sent within this time before the link is lost may be lost too (seconds): 50 ms, plus an allowance for lag
-/// of the event loop.
+/// Commands sent within this time before the link is lost may be lost too (seconds): 50 ms, plus 100 ms for lag of the
+/// event loop.
 const LOSS_WINDOW_S: f64 = 0.15;
-/// Bounds of the exponential backoff between connection attempts (seconds).
+/// Lower bound of the exponential backoff between connection attempts (seconds).
 const MIN_RECONNECT_S: f64 = 0.02;
+/// Upper bound of the exponential backoff between connection attempts (seconds).
 const MAX_RECONNECT_S: f64 = 0.5;
 /// Gauges older than this are ignored (seconds).
 const MAX_GAUGE_AGE_S: f64 = 0.5;
-/// References of METER commands: one constant for plain requests; for fences, a prefix followed by the fence number.
+/// Reference of METER commands that only request the gauges.
 const GAUGES_REFERENCE: &str = "g";
+/// Prefix of the reference of METER commands that serve as fences; the fence's number follows it.
 const FENCE_PREFIX: char = 'f';
 
 /// What the executor reports about its start.
@@ -70,7 +72,7 @@
     /// Commands queued while there is no link; sent on the next one.
     queued_commands: Vec<Vec<u8>>,
     queued_command_bytes: usize,
-    /// Last time at which the write queue was empty.
+    /// Last time at which the write queue was empty (event loop's clock, seconds).
     flushed_at: f64,
     /// Set when a link is lost, until the response to the next link's fence arrives.
     lost_commands: Option<LostCommands>,
@@ -85,6 +87,7 @@
     /// The last gauges, with the time at which they were received.
     gauges: Option<(f64, Gauges)>,
     reconnect_backoff_s: f64,
+    /// Time of the next connection attempt (event loop's clock, seconds); `None` if none is planned.
     reconnect_at: Option<f64>,
 }
 
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -19,8 +19,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Idle connections older than this are closed instead of reused (seconds). The service closes its side after 10 s
-/// idle, and a call must not race with that.
+/// Connections that have been idle for this long are closed instead of reused (seconds). The service closes its side
+/// after 10 s idle, and a call must not race with that.
 const IDLE_TIMEOUT_S: f64 = 5.0;
 /// How long a connection must be idle before reuse (seconds). Stray bytes that arrive late after a reply would
 /// otherwise be parsed as the reply to the next call.
