--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -87,7 +87,7 @@
                 }
             }
         }
-        self.connections.touch(id);
+        self.connections.schedule(id);
     }
 
     /// Processes a packet that carries part of a request's body.
@@ -216,7 +216,7 @@
             Err(error) => {
                 let rejection = Rejection::from(error);
                 write_response(connection, turn.clock.now(), rejection.into(), turn.context);
-                self.connections.touch(id);
+                self.connections.schedule(id);
             }
         }
     }
@@ -241,7 +241,7 @@
 
     fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
         let accept_again = self.connections.accept(turn.clock.now());
-        for id in self.connections.take_touched() {
+        for id in self.connections.take_scheduled() {
             self.process_connection(id, turn);
         }
         accept_again
@@ -274,7 +274,7 @@
         connection.protocol_state.0 = None;
         let response = failed_lookup_response(&result);
         write_response(connection, turn.clock.now(), response, turn.context);
-        self.connections.touch(ticket.0);
+        self.connections.schedule(ticket.0);
     }
 
     fn respond(&mut self, now: f64, ticket: Ticket, response: Response, context: &FrontendContext) {
@@ -283,7 +283,7 @@
             return;
         }
         write_response(connection, now, response.into(), context);
-        self.connections.touch(ticket.0);
+        self.connections.schedule(ticket.0);
     }
 }
 
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -132,7 +132,7 @@
         if let Ok(link) = Link::new(&self.poll, stream, Source::Client(self.kind, id), self.max_unread_bytes)
         {
             self.by_id.insert(id, Connection::new(link, now, P::default()));
-            self.touched.push(id);
+            self.scheduled.push(id);
         }
     }
 }
--- a/src/net/frontends/connections/eviction.rs
+++ b/src/net/frontends/connections/eviction.rs
@@ -90,7 +90,7 @@
             if connection.state == ConnectionState::Closing {
                 connection.drop_unread();
             } else if connection.check_for_input() && connection.has_unseen_bytes {
-                self.touched.push(id);
+                self.scheduled.push(id);
                 continue;
             }
             self.by_id.remove(&id);
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -28,7 +28,7 @@
         // Not through `set_state`, which would count a new request.
         connection.state = resumed_state(&connection.link, request_in_flight);
         connection.state_since = now;
-        self.touched.push(id);
+        self.scheduled.push(id);
     }
 
     /// Adopts a connection from another process; its socket is in non-blocking mode. `request_in_flight` tells whether
@@ -50,7 +50,7 @@
         connection.close = detached.close;
         connection.has_unseen_bytes = !connection.link.data().is_empty();
         self.by_id.insert(id, connection);
-        self.touched.push(id);
+        self.scheduled.push(id);
         Some(id)
     }
 }
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -37,7 +37,7 @@
     max_unread_bytes: usize,
     by_id: HashMap<u64, Connection<P>>,
     /// Ids of the connections that the frontend has to process.
-    touched: Vec<u64>,
+    scheduled: Vec<u64>,
     /// A connection that has sent no complete request for this long may be evicted.
     silence_limit_s: f64,
     /// Limit on the number of connections.
@@ -57,7 +57,7 @@
             kind,
             max_unread_bytes,
             by_id: HashMap::new(),
-            touched: Vec::new(),
+            scheduled: Vec::new(),
             silence_limit_s: eviction::SILENCE_LIMIT_S,
             max_open: usize::MAX,
             pending_stream: None,
@@ -90,14 +90,14 @@
 
     /// Whether all remaining connections are held by another process.
     #[must_use]
-    pub fn all_ended(&self) -> bool {
+    pub fn all_closed_or_handed_off(&self) -> bool {
         self.by_id.values().all(|connection| connection.state == ConnectionState::HandedOff)
     }
 
     /// Whether a connection has to be processed without waiting for a poll event.
     #[must_use]
     pub fn has_pending(&self) -> bool {
-        !self.touched.is_empty()
+        !self.scheduled.is_empty()
     }
 
     /// Whether there is a connection with this id.
@@ -123,31 +123,31 @@
     pub fn mark_ready(&mut self, id: u64, readiness: Readiness) {
         if let Some(connection) = self.by_id.get_mut(&id) {
             connection.link.mark_ready(readiness);
-            self.touched.push(id);
+            self.scheduled.push(id);
         }
     }
 
     /// Schedules all connections for processing.
-    pub fn touch_all(&mut self) {
-        self.touched.extend(self.by_id.keys());
+    pub fn schedule_all(&mut self) {
+        self.scheduled.extend(self.by_id.keys());
     }
 
     /// Schedules a connection for processing again in the same turn.
-    pub fn touch(&mut self, id: u64) {
-        self.touched.push(id);
+    pub fn schedule(&mut self, id: u64) {
+        self.scheduled.push(id);
     }
 
     /// Takes the ids of the connections to process, without duplicates, in the order in which they were accepted.
-    pub fn take_touched(&mut self) -> Vec<u64> {
-        let mut touched = std::mem::take(&mut self.touched);
-        touched.sort_unstable();
-        touched.dedup();
-        for id in &touched {
+    pub fn take_scheduled(&mut self) -> Vec<u64> {
+        let mut scheduled = std::mem::take(&mut self.scheduled);
+        scheduled.sort_unstable();
+        scheduled.dedup();
+        for id in &scheduled {
             if let Some(connection) = self.by_id.get_mut(id) {
                 connection.has_unseen_bytes = false;
             }
         }
-        touched
+        scheduled
     }
 
     /// Closes a connection that has no request in flight.
--- a/src/net/frontends/connections/set.rs
+++ b/src/net/frontends/connections/set.rs
@@ -22,7 +22,7 @@
     /// Whether no response is pending or being written, and no request is partly read.
     fn all_idle(&self) -> bool;
     /// Whether all remaining connections are held by another process.
-    fn all_ended(&self) -> bool;
+    fn all_closed_or_handed_off(&self) -> bool;
     /// Closes connections that have been idle for `idle_s` or are too slow; with `closing`, all idle ones.
     fn sweep(&mut self, now: f64, idle_s: f64, closing: bool);
     /// Accepts the waiting connections, then closes the listener. Returns `false` if some may still be waiting.
@@ -64,8 +64,8 @@
         self.all_idle()
     }
 
-    fn all_ended(&self) -> bool {
-        self.all_ended()
+    fn all_closed_or_handed_off(&self) -> bool {
+        self.all_closed_or_handed_off()
     }
 
     fn sweep(&mut self, now: f64, idle_s: f64, closing: bool) {
--- a/src/net/frontends/connections/sweeping.rs
+++ b/src/net/frontends/connections/sweeping.rs
@@ -23,7 +23,7 @@
     /// Closes connections that have been idle for `idle_s` and those whose peer sends or reads too slowly; with
     /// `closing`, all idle ones. A connection with new input is processed instead: see [`Connections::has_pending`].
     pub fn sweep(&mut self, now: f64, idle_s: f64, closing: bool) {
-        let touched = &mut self.touched;
+        let scheduled = &mut self.scheduled;
         self.by_id.retain(|id, connection| {
             let in_state_s = now - connection.state_since;
             let first_request = connection.requests_read == 0;
@@ -46,9 +46,9 @@
             let past_grace = request_age_s >= REQUEST_TIMEOUT_S + REQUEST_TIMEOUT_GRACE_S;
             if expired && connection.state == ConnectionState::Reading && past_grace {
                 connection.finish(now);
-                touched.push(*id);
+                scheduled.push(*id);
             } else if expired {
-                begin_close(*id, connection, now, touched);
+                begin_close(*id, connection, now, scheduled);
             }
             true
         });
@@ -61,7 +61,7 @@
         for (id, connection) in &mut self.by_id {
             let is_idle = connection.state == ConnectionState::Idle;
             if is_idle || include_partial && connection.state == ConnectionState::Reading {
-                begin_close(*id, connection, now, &mut self.touched);
+                begin_close(*id, connection, now, &mut self.scheduled);
             }
         }
     }
@@ -75,9 +75,9 @@
 
 /// Begins a lingering close unless new input has come; that is processed by the frontend, and the next sweep decides
 /// again. The input is bounded by the buffer, so a peer can't postpone the close for long.
-fn begin_close<P>(id: u64, connection: &mut Connection<P>, now: f64, touched: &mut Vec<u64>) {
+fn begin_close<P>(id: u64, connection: &mut Connection<P>, now: f64, scheduled: &mut Vec<u64>) {
     if !connection.check_for_input() {
         connection.finish(now);
     }
-    touched.push(id);
+    scheduled.push(id);
 }
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -86,7 +86,7 @@
                 Progress::Close => return self.connections.close(id),
             }
         }
-        self.connections.touch(id);
+        self.connections.schedule(id);
     }
 }
 
@@ -109,7 +109,7 @@
 
     fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
         let accept_again = self.connections.accept(turn.clock.now());
-        for id in self.connections.take_touched() {
+        for id in self.connections.take_scheduled() {
             self.process_connection(id, turn);
         }
         accept_again
@@ -140,7 +140,7 @@
         if let Some(body) = mapped.body {
             connection.link.push_shared(body);
         }
-        self.connections.touch(ticket.0);
+        self.connections.schedule(ticket.0);
     }
 
     /// `None`: every process of this worker inherits the same socket from the platform.
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -140,7 +140,7 @@
         }
         match connection.advance(turn.now) {
             NextStep::Close => self.close(id, turn.inputs),
-            NextStep::Yield => self.connections.touch(id),
+            NextStep::Yield => self.connections.schedule(id),
             NextStep::Read | NextStep::Wait => {}
         }
     }
@@ -156,7 +156,7 @@
             }
             Preface::Mismatch => {
                 reject_protocol(connection, turn.now);
-                self.connections.touch(id);
+                self.connections.schedule(id);
                 return false;
             }
         }
@@ -211,7 +211,7 @@
             return self.finish(id, turn.now, turn.inputs);
         }
         if exchange.poll_again {
-            self.connections.touch(id);
+            self.connections.schedule(id);
         }
     }
 }
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -87,7 +87,7 @@
             if let Some(id) = admitted.evicted {
                 self.finish(id, now, inputs);
             }
-            self.connections.touch(admitted.id);
+            self.connections.schedule(admitted.id);
         }
     }
 
@@ -101,7 +101,7 @@
             queue_output(&active.session, &mut connection.link);
         }
         connection.finish(now);
-        self.connections.touch(id);
+        self.connections.schedule(id);
     }
 
     /// Closes a connection immediately.
@@ -144,7 +144,7 @@
         let now = turn.clock.now();
         let accept_paused = self.connections.accept(now);
         self.admit_waiting(now, turn.inputs);
-        for id in self.connections.take_touched() {
+        for id in self.connections.take_scheduled() {
             let now = turn.clock.now();
             let mut turn = Turn { now, clock: turn.clock, context: turn.context, inputs: turn.inputs };
             self.process_connection(id, &mut turn);
@@ -162,7 +162,7 @@
         if let Some(active) = connection.protocol_state.active.as_deref_mut() {
             active.session.respond(now, ticket, response, context);
         }
-        self.connections.touch(id);
+        self.connections.schedule(id);
     }
 
     /// Longer than the idle timeout of sessions, which send a GOAWAY first.
@@ -176,6 +176,6 @@
 
     /// Schedules all connections for processing, which sends each a GOAWAY.
     fn announce_close(&mut self) {
-        self.connections.touch_all();
+        self.connections.schedule_all();
     }
 }
--- a/src/net/frontends/http2/sweep.rs
+++ b/src/net/frontends/http2/sweep.rs
@@ -19,7 +19,7 @@
         self.close_stalled(now, inputs);
         self.end_largest_backlogs(now, inputs);
         self.end_idle(now, draining, inputs);
-        self.connections.touch_all();
+        self.connections.schedule_all();
     }
 
     /// Closes connections whose client accepts none of its queued output.
--- a/src/net/frontends/set.rs
+++ b/src/net/frontends/set.rs
@@ -243,8 +243,8 @@
 
     /// Whether all remaining connections are held by a successor.
     #[must_use]
-    pub fn all_ended(&self) -> bool {
-        self.all().all(|frontend| frontend.connections().all_ended())
+    pub fn all_closed_or_handed_off(&self) -> bool {
+        self.all().all(|frontend| frontend.connections().all_closed_or_handed_off())
     }
 
     /// Whether at least `duration_s` seconds have passed since connections were first closed for the exit.
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -74,7 +74,7 @@
     /// here. Returns `true` if accepting was paused.
     pub fn gather(&mut self, now: f64, requests: &mut Vec<(u64, ConsoleRequest)>) -> bool {
         let paused = self.connections.accept(now);
-        for id in self.connections.take_touched() {
+        for id in self.connections.take_scheduled() {
             self.process_connection(id, now, requests);
         }
         paused
@@ -85,7 +85,7 @@
         match c.advance(now) {
             NextStep::Read => {}
             NextStep::Wait => return,
-            NextStep::Yield => return self.connections.touch(id),
+            NextStep::Yield => return self.connections.schedule(id),
             NextStep::Close => return self.connections.close(id),
         }
         let read_status = c.link.fill();
@@ -171,13 +171,13 @@
     let mut text = String::new();
     for (class, counts) in metrics.classes().iter().enumerate() {
         let name = catalog.class_name(class);
-        for (what, n) in [
+        for (counter, count) in [
             ("success", counts.success),
             ("overload", counts.overload),
             ("error", counts.error),
             ("dispatches", counts.dispatches),
         ] {
-            let _ = writeln!(text, "svc.replies.{name}.{what}={n}");
+            let _ = writeln!(text, "svc.replies.{name}.{counter}={count}");
         }
     }
     let _ = writeln!(text, "svc.concurrent={pending_responses}");
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -176,7 +176,7 @@
             self.wheel.set(now, LINGER_S, Timer::NextTurn);
         }
         let has_lingered = self.frontends.ended_for(now, LINGER_S);
-        self.frontends.all_ended() || self.all_answered() && has_lingered
+        self.frontends.all_closed_or_handed_off() || self.all_answered() && has_lingered
     }
 
     /// Ends the process. Console requests that have arrived are answered, and unread bytes are discarded first, since
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -115,7 +115,7 @@
         is_retryable: bool,
         wheel: &mut Wheel,
     ) {
-        self.abandon(&name);
+        self.cancel(&name);
         let timer_number = self.poll.next_id();
         let idle = if is_retryable {
             take_idle(&mut self.connections, now, MIN_IDLE_S, IDLE_TIMEOUT_S)
@@ -157,7 +157,7 @@
     }
 
     /// Cancels a run's call, if it has one.
-    pub fn abandon(&mut self, name: &str) {
+    pub fn cancel(&mut self, name: &str) {
         if let Some(id) = self.connection_by_run.remove(name) {
             self.connections.remove(&id);
         }
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -32,7 +32,7 @@
             },
             Command::CancelCall(name) => {
                 if let Some(records) = &mut self.upstreams.records {
-                    records.abandon(&name);
+                    records.cancel(&name);
                 }
             }
             Command::Resume { name, reply } => {
