--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -19,8 +19,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Idle connections older than this are closed instead of reused (seconds). The service closes its side after 10 s
-/// idle, and a call must not race with that.
+/// Connections that have been idle for this long are closed instead of reused (seconds). The service closes its side
+/// after 10 s idle, and a call must not race with that.
 const IDLE_TIMEOUT_S: f64 = 5.0;
 /// How long a connection must be idle before reuse (seconds). Stray bytes that arrive late after a reply would
 /// otherwise be parsed as the reply to the next call.
@@ -115,7 +115,7 @@
         is_retryable: bool,
         wheel: &mut Wheel,
     ) {
-        self.abandon(&name);
+        self.cancel(&name);
         let timer_number = self.poll.next_id();
         let idle = if is_retryable {
             take_idle(&mut self.connections, now, MIN_IDLE_S, IDLE_TIMEOUT_S)
@@ -157,7 +157,7 @@
     }
 
     /// Cancels a run's call, if it has one.
-    pub fn abandon(&mut self, name: &str) {
+    pub fn cancel(&mut self, name: &str) {
         if let Some(id) = self.connection_by_run.remove(name) {
             self.connections.remove(&id);
         }
