--- a/src/net/upstreams/ajp_backend/error.rs
+++ b/src/net/upstreams/ajp_backend/error.rs
@@ -13,10 +13,10 @@
     #[error("{0}")]
     Connect(#[source] io::Error),
     /// Writing failed.
-    #[error("writing to AJP server failed")]
+    #[error("broken")]
     Write,
     /// The server has closed the connection.
-    #[error("AJP server closed the connection")]
+    #[error("closed")]
     Closed,
     /// A packet is invalid.
     #[error("invalid AJP packet: {0:?}")]
--- a/src/net/upstreams/directory/error.rs
+++ b/src/net/upstreams/directory/error.rs
@@ -10,7 +10,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The server has closed the link.
-    #[error("the directory closed the connection")]
+    #[error("closed")]
     Closed,
     /// A message exceeds the maximum length.
     #[error("LDAP message exceeds the maximum length")]
