--- a/src/admission/controller/arrival.rs
+++ b/src/admission/controller/arrival.rs
@@ -21,7 +21,7 @@
         self.health.record_read(arrival.read_delay_s, self.settings.classes[arrival.class].objective_s);
         let over_retry_budget = self.count_arrival(request.tier, arrival.retry);
         // No run starts after the grace, and a shared response might come too late. The earlier attempt may have run,
-        // so that the response can't be a rejection.
+        // so the response can't be a rejection.
         if too_late && arrival.retry_of.is_some() {
             self.abandon(id, out);
             return;
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Counts an arrival and returns whether it is a retry over the fleet's retry budget. Such a retry is rejected, so
-    /// it does not count towards the arrival rate that other requests wait behind.
+    /// Counts an arrival and returns whether it is a retry over the fleet's retry budget. Such a retry is rejected and
+    /// delays no other request, so it does not count towards the arrival rates of the tiers.
     fn count_arrival(&mut self, tier: Tier, is_retry: bool) -> bool {
         if is_retry {
             self.arrivals.count_retry();
@@ -114,7 +114,8 @@
         true
     }
 
-    /// Makes a request the holder of a key, which is retained for as long as callers may repeat it.
+    /// Makes a request the holder of a key, which is retained for as long as callers may repeat it and for two sweep
+    /// intervals more.
     pub(super) fn retain_key(&mut self, id: RequestId, entry_id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let window_s = self.settings.classes[request.class].window_s;
--- a/src/admission/controller/completion.rs
+++ b/src/admission/controller/completion.rs
@@ -16,7 +16,8 @@
         let pending_key = self.pending_key_of(id);
         self.remove_request(id);
         let Some(entry_id) = pending_key else { return };
-        // The holder of a key has left without having run: the oldest attempt that waits for it becomes the holder.
+        // The caller of the key's holder has disconnected before the holder ran: the oldest waiting attempt becomes the
+        // holder.
         if let Some(&next) = self.idempotency.waiting(entry_id).first() {
             self.retain_key(next, entry_id, out);
             self.transition(next, Some(RequestState::Queued));
@@ -62,8 +63,9 @@
         self.remove_key(entry_id);
     }
 
-    /// Answers a request whose response is no longer useful, with a Retry-After if it may run again, and preempts its
-    /// run if possible. This spares the cores useless runs after bursts and hangs, at the cost of another attempt.
+    /// Answers a request whose response is due or no longer useful, and preempts its run if possible. If it has started
+    /// and is idempotent, the answer is a rejection with a Retry-After, otherwise an error. Preemption prevents useless
+    /// runs after bursts and hangs, at the cost of another attempt.
     pub(super) fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| !request.completed) else { return };
         let unstarted = request.state.is_unstarted();
--- a/src/admission/controller/start.rs
+++ b/src/admission/controller/start.rs
@@ -67,8 +67,8 @@
     }
 
     /// While runs fail or stall, rejects queued requests, which other workers may serve; one idempotent request at a
-    /// time stays as a probe. If the fleet is full and runs still end, all idempotent requests stay, since a small
-    /// chance is better than none.
+    /// time stays as a probe. If the fleet is full and runs still end, all idempotent requests stay, since other
+    /// workers would reject them too and some of them may succeed here.
     pub(super) fn reject_queued_during_run_fault(&mut self, out: &mut Vec<Action>) {
         if !self.health.has_run_fault() {
             return;
--- a/src/admission/downstream/budget.rs
+++ b/src/admission/downstream/budget.rs
@@ -4,7 +4,7 @@
 use crate::admission::timing::SWEEP_INTERVAL_S;
 use crate::interface::Dependency;
 
-/// The part of the share that may accumulate.
+/// The part of a share of less than one call that may accumulate as balance; the limit on calls gets the rest.
 pub(super) const BURST_SHARE: f64 = 0.3;
 /// A call starts once the balance covers this many mean lengths.
 const MIN_BALANCE_CALLS: f64 = 3.0;
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -1,7 +1,8 @@
 //! The health of this worker, whatever the cause: runs that fail, runs that hang, and requests that are read too late.
 //!
 //! A worker whose runs fail quickly is idle, and would attract the traffic of the whole fleet. Hangs and failing disks
-//! are detected too. Faulty requests are indistinguishable from a faulty worker, and take a good one out of service.
+//! are detected too. Faulty requests can't be distinguished from a faulty worker: their failures make a healthy worker
+//! unavailable.
 
 mod signals;
 
@@ -110,7 +111,8 @@
         failed >= MIN_FAILED_RUNS && failed > FAILING_SHARE * self.signals.ended()
     }
 
-    /// Marks the runs as stalled if they have been on the cores for too long without any of them ending.
+    /// Marks the runs as stalled if no run has ended or reached a call for more than [`MIN_STALLED_S`], and runs have
+    /// since been on the cores for more than [`STALLED_RUNS`] mean lengths in total.
     pub(super) fn check_stalled(&mut self, now: f64, mean_run_s: f64) {
         let overdue = self.signals.since_progress_s(now) > MIN_STALLED_S;
         if overdue && self.signals.core_time_since_progress_s() > STALLED_RUNS * mean_run_s {
@@ -124,7 +126,8 @@
         self.run_fault.is_some()
     }
 
-    /// Whether runs still end, so that some requests may succeed even though others fail.
+    /// Whether more than [`RECOVERY_SUCCESSES`] runs have ended recently, so that some requests may succeed even though
+    /// others fail.
     pub(super) fn is_completing_runs(&self) -> bool {
         self.signals.ended() > f64::from(RECOVERY_SUCCESSES)
     }
@@ -139,7 +142,8 @@
         self.next_probe = now + PROBE_INTERVAL_S;
     }
 
-    /// Whether no run is on the cores and none has ended for so long that only another probe can show a change.
+    /// Whether no run is on the cores and none has ended or reached a call for more than [`HEALTH_TIME_CONSTANT_S`], so
+    /// that only another probe can show a change.
     fn is_idle(&self, now: f64, running: usize) -> bool {
         running == 0 && self.signals.since_progress_s(now) > HEALTH_TIME_CONSTANT_S
     }
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -12,7 +12,7 @@
 use crate::admission::tiers::PriorityTiers;
 use crate::interface::{Class, RequestId, Settings};
 
-/// The waiting time allowed is computed for a run of this many expected lengths.
+/// A request may wait for as long as its objective leaves time for a run of this many expected lengths.
 const RUN_ALLOWANCE: f64 = 1.3;
 /// Queues of the higher tiers may take up to this share of the time that the objective leaves.
 const HIGHER_TIERS_SHARE: f64 = 0.6;
@@ -22,7 +22,7 @@
 /// never empties.
 const POOL_WAIT_SHARE: f64 = 0.4;
 /// Higher tiers are assumed to leave at least this share of the service rate.
-const MIN_RATE_LEFT: f64 = 0.1;
+const MIN_RATE_SHARE_LEFT: f64 = 0.1;
 
 /// Why an arrival is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,20 +108,20 @@
     fn is_queue_too_long(&self, request: &Request) -> bool {
         let wait_budget_s = self.wait_budget_s(request);
         let rate = self.run_slots.service_rate(request.class, self.run_lengths);
-        let rate_left = self.rate_left(request.tier, rate);
+        let rate_share_left = self.rate_share_left(request.tier, rate);
         // Requests over quota may wait only in proportion to their reduced weight.
         let quota_share = if request.over_quota { self.settings.over_quota_weight } else { 1.0 };
-        let max_total = (wait_budget_s * rate * rate_left * quota_share).max(1.0);
+        let max_total = (wait_budget_s * rate * rate_share_left * quota_share).max(1.0);
         let max_ahead = (wait_budget_s * rate * HIGHER_TIERS_SHARE).max(1.0);
         self.queued_total(request) as f64 >= max_total
             || self.queued_ahead(request, request.tier) as f64 >= max_ahead
     }
 
-    /// The share of the service rate that higher tiers leave for this tier.
-    fn rate_left(&self, tier: Tier, rate: f64) -> f64 {
+    /// The share of the service rate that higher tiers leave for this tier; with pools [`POOL_WAIT_SHARE`].
+    fn rate_share_left(&self, tier: Tier, rate: f64) -> f64 {
         match self.run_slots.pools() {
             Some(_) => POOL_WAIT_SHARE,
-            None => (1.0 - self.arrivals.above(tier) / rate).max(MIN_RATE_LEFT),
+            None => (1.0 - self.arrivals.above(tier) / rate).max(MIN_RATE_SHARE_LEFT),
         }
     }
 
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -9,8 +9,8 @@
 /// If retries are not marked, other workers are assumed to reject too when the arrivals, at the baseline run length,
 /// need more than this multiple of the time that the cores have.
 const OVERLOAD_FACTOR: f64 = 1.2;
-/// The time to a caller's next attempt is ignored from this multiple of the longest Retry-After on.
-const MAX_NEXT_ATTEMPT_FACTOR: f64 = 2.0;
+/// The time to a caller's next request is ignored if it is at least this multiple of the longest Retry-After.
+const MAX_NEXT_REQUEST_FACTOR: f64 = 2.0;
 /// The shortest Retry-After (seconds).
 const MIN_RETRY_AFTER_S: f64 = 4.0 * SWEEP_INTERVAL_S;
 
@@ -40,7 +40,7 @@
 
     /// The Retry-After of a healthy worker without the fleet's overload control (seconds): half the time that `ahead`
     /// queued requests take to start. If the fleet is full, at least half the mean time between a caller's requests,
-    /// unless that is very long.
+    /// unless that half is [`MAX_NEXT_REQUEST_FACTOR`] times the longest Retry-After or more.
     pub(super) fn standalone_s(
         &self,
         ahead: usize,
@@ -48,10 +48,10 @@
         arrivals: &ArrivalRates,
         fleet_is_full: bool,
     ) -> f64 {
-        let next_attempt_s = self.callers / 2.0 / arrivals.total();
+        let next_request_s = self.callers / 2.0 / arrivals.total();
         let half_wait_s = (ahead as f64 / service_rate / 2.0).max(MIN_RETRY_AFTER_S);
-        if fleet_is_full && next_attempt_s < self.max_s * MAX_NEXT_ATTEMPT_FACTOR {
-            half_wait_s.max(next_attempt_s)
+        if fleet_is_full && next_request_s < self.max_s * MAX_NEXT_REQUEST_FACTOR {
+            half_wait_s.max(next_request_s)
         } else {
             half_wait_s
         }
@@ -60,10 +60,11 @@
     /// Whether this worker's own measurements suggest that other workers reject too, so that another attempt would
     /// only cost reads.
     ///
-    /// A high share of retries indicates that. If retries are not marked, arrivals over the capacity of the cores at
-    /// the baseline run length do: callers spread their requests evenly, so an overload here is an overload everywhere,
-    /// while a fault of this worker alone brings no additional arrivals. The drawback is that callers then don't find
-    /// another worker that has capacity.
+    /// If retries are marked, a share of them above [`FLEET_FULL_RETRY_SHARE`] indicates that, provided that the recent
+    /// arrivals outnumber the cores. Otherwise arrivals that need more than [`OVERLOAD_FACTOR`] times the capacity of
+    /// the cores at the baseline run length do: callers spread their requests evenly, so an overload here is an
+    /// overload everywhere, while a fault of this worker alone brings no additional arrivals. The drawback is that
+    /// callers then don't find another worker that has capacity.
     pub(super) fn infers_full_fleet(&self, arrivals: &ArrivalRates, baseline_run_s: f64) -> bool {
         let total = arrivals.total();
         if self.marks_retries {
--- a/src/admission/run_length.rs
+++ b/src/admission/run_length.rs
@@ -55,27 +55,27 @@
 /// The length of a class's runs: decayed core time divided by the decayed count of ended runs. Unfinished runs count
 /// with the time they have taken so far.
 struct RunLengthEstimate {
-    core_time: f64,
+    core_time_s: f64,
     ended: f64,
     hinted: HintRegression,
     /// Upper bound on a measured length: a run that exceeds the objective is late whatever its length, and without
     /// the bound a hang would affect the estimate long after it ended.
-    max_length: f64,
+    max_length_s: f64,
 }
 
 impl RunLengthEstimate {
     fn new(class: &Class) -> Self {
         let prior = class.objective_s * PRIOR_SHARE_OF_OBJECTIVE;
         RunLengthEstimate {
-            core_time: prior * PRIOR_RUNS,
+            core_time_s: prior * PRIOR_RUNS,
             ended: PRIOR_RUNS,
             hinted: HintRegression::default(),
-            max_length: class.objective_s,
+            max_length_s: class.objective_s,
         }
     }
 
-    /// The expected length of a run with this hint. Hints have as much influence as ended runs confirm, so that
-    /// inaccurate, missing and absurd hints do no harm.
+    /// The expected length of a run with this hint. The regression over ended runs determines the influence of
+    /// hints, so that inaccurate, missing and absurd hints do no harm.
     fn predict(&self, hint: Option<f64>) -> f64 {
         let mean = self.mean();
         let Some(hint) = hint.filter(|_| self.hinted.count >= MIN_HINTED_RUNS) else { return mean };
@@ -88,7 +88,7 @@
     fn run_ended(&mut self, hint: Option<f64>, length: f64) {
         self.ended += 1.0;
         if let Some(hint) = hint {
-            self.hinted.add(hint, length.min(self.max_length));
+            self.hinted.add(hint, length.min(self.max_length_s));
         }
     }
 
@@ -96,15 +96,15 @@
     fn advance(&mut self, running: f64, elapsed_s: f64) {
         if self.ended > PRIOR_RUNS {
             let decay = decay_factor(elapsed_s);
-            self.core_time *= decay;
+            self.core_time_s *= decay;
             self.ended *= decay;
         }
-        self.core_time = (self.core_time + running * elapsed_s).min(self.max_length * self.ended);
+        self.core_time_s = (self.core_time_s + running * elapsed_s).min(self.max_length_s * self.ended);
     }
 
     /// The mean length (seconds).
     fn mean(&self) -> f64 {
-        (self.core_time / self.ended).max(1e-6)
+        (self.core_time_s / self.ended).max(1e-6)
     }
 }
 
@@ -149,9 +149,9 @@
     /// The mean length over the classes for which `counts` is true (seconds).
     pub(super) fn mean_s_of(&self, counts: impl Fn(usize) -> bool) -> f64 {
         let counted = || self.by_class.iter().enumerate().filter(|(class, _)| counts(*class));
-        let core_time: f64 = counted().map(|(_, estimate)| estimate.core_time).sum();
+        let core_time_s: f64 = counted().map(|(_, estimate)| estimate.core_time_s).sum();
         let ended: f64 = counted().map(|(_, estimate)| estimate.ended).sum();
-        (core_time / ended.max(1e-6)).max(1e-6)
+        (core_time_s / ended.max(1e-6)).max(1e-6)
     }
 
     /// The mean lengths by class (seconds).
@@ -172,7 +172,7 @@
     /// The estimates to hand to a successor.
     pub(super) fn learned(&self) -> Vec<LearnedRunLength> {
         let learned = |estimate: &RunLengthEstimate| LearnedRunLength {
-            core_time_s: estimate.core_time,
+            core_time_s: estimate.core_time_s,
             ended: estimate.ended,
             hint_sums: estimate.hinted.to_sums(),
         };
@@ -183,7 +183,7 @@
     pub(super) fn adopt(&mut self, learned: Vec<LearnedRunLength>, baseline_s: f64) {
         self.baseline_s = baseline_s;
         for (estimate, learned) in self.by_class.iter_mut().zip(learned) {
-            estimate.core_time = learned.core_time_s;
+            estimate.core_time_s = learned.core_time_s;
             estimate.ended = learned.ended;
             estimate.hinted = HintRegression::from_sums(learned.hint_sums);
         }
