--- a/src/pools/limit/baseline.rs
+++ b/src/pools/limit/baseline.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Baseline {
     pub(super) length_s: f64,
-    /// Number of ended runs behind it, at most [`BASELINE_RUNS`].
+    /// Number of ended runs that it averages, at most [`BASELINE_RUNS`].
     pub(super) runs: f64,
     /// Whether it was measured without contention. If not, contention may have lengthened it, and the first window without
     /// contention replaces it.
--- a/src/pools/limit/calibration.rs
+++ b/src/pools/limit/calibration.rs
@@ -36,7 +36,7 @@
         Calibration { resume_limit, resume_cause, phase: Phase::Draining, phase_s: 0.0 }
     }
 
-    /// Advances time. `drained` tells that no more runs than the lower bound of the limit are on the cores.
+    /// Advances time. `drained` is whether no more runs than the lower bound of the limit are on the cores.
     pub(super) fn advance(&mut self, elapsed_s: f64, drained: bool, mean_run_s: f64, review_s: f64) {
         self.phase_s += elapsed_s;
         let overdue = self.phase_s >= MAX_PHASE_REVIEWS * review_s;
--- a/src/pools/limit/contention.rs
+++ b/src/pools/limit/contention.rs
@@ -3,7 +3,8 @@
 use super::baseline::BASELINE_RUNS;
 use super::settings::LimitSettings;
 
-/// Time with contention before a calibration while baselines are uncertain, in review intervals.
+/// Time with contention before a calibration, in review intervals, while the baselines have fewer than [`BASELINE_RUNS`]
+/// samples or were measured under contention.
 const FIRST_CALIBRATION_REVIEWS: f64 = 3.0;
 /// Time with contention before any other calibration, in measurement windows: each costs up to two seconds of low
 /// concurrency.
@@ -36,7 +37,7 @@
     }
 
     /// Discards the sample count, so that baselines are measured again.
-    pub(super) fn forget_samples(&mut self) {
+    pub(super) fn discard_samples(&mut self) {
         self.uncontended_samples = 0.0;
     }
 
--- a/src/pools/limit/mod.rs
+++ b/src/pools/limit/mod.rs
@@ -6,9 +6,10 @@
 //! Vegas; Brakmo and Peterson 1995).
 //!
 //! The baseline run length of a class is measured only without contention, that is while no more runs than the lower bound
-//! of the limit are on the cores, or by runs that are shorter still. If no such window has occurred for four windows, the
-//! limit is lowered below its lower bound for a calibration. A minimum over a window of noisy lengths would not do: it
-//! would count all contention as gained throughput (docs/design/01-class-pools.md has the figures).
+//! of the limit are on the cores; runs that are shorter than it over several windows lower it too. If no window without
+//! contention has occurred for four windows, the limit is lowered below its lower bound for a calibration. A minimum over a
+//! window of noisy lengths would not do: it would count all contention as gained throughput
+//! (docs/design/01-class-pools.md has the figures).
 //!
 //! Runs that take longer than the number of concurrent runs explains show that the executor has slowed down. The limit
 //! then falls to its lower bound immediately and the learned capacity is kept. Once runs are as long as their baseline
--- a/src/pools/limit/slot_limit.rs
+++ b/src/pools/limit/slot_limit.rs
@@ -108,7 +108,7 @@
         self.set_limit(slots, PoolLimitCause::Reload, survivable_runs);
     }
 
-    /// Advances time with this number of runs on the cores. `limit_reached` tells that requests wait because of the limit.
+    /// Advances time with this number of runs on the cores. `limit_reached` is whether requests wait because of the limit.
     pub fn advance(&mut self, elapsed_s: f64, on_cores: usize, limit_reached: bool) {
         self.window.advance(elapsed_s, on_cores, limit_reached);
     }
@@ -127,7 +127,7 @@
         if survivable_runs != self.survivable_runs {
             // The executor is warming up, so run lengths change: measure the baselines again.
             self.survivable_runs = survivable_runs;
-            self.contention.forget_samples();
+            self.contention.discard_samples();
         }
         if self.window.span_s >= self.settings.review_s / 2.0 && self.is_stalled(on_cores) {
             self.enter_slow_state(survivable_runs);
--- a/src/pools/limit/window.rs
+++ b/src/pools/limit/window.rs
@@ -12,8 +12,9 @@
     pub(super) limit_reached_s: f64,
     /// Totals of ended runs.
     ended: RunTotals,
-    /// Sum of the baseline lengths of ended runs, and the sum of their squares.
+    /// Sum of the baseline lengths of ended runs.
     pub(super) ended_baseline_s: f64,
+    /// Sum of the squares of those lengths.
     ended_baseline_squared: f64,
     /// Totals of ended runs, by class.
     pub(super) ended_by_class: Vec<RunTotals>,
--- a/src/pools/tests/division.rs
+++ b/src/pools/tests/division.rs
@@ -17,9 +17,9 @@
     assert_eq!((harness.on_cores(1), harness.on_cores(2)), (4, 4));
     harness.saturate(&[0, 1, 2], 5.0, 0.5);
     assert!(
-        harness.served[1] >= 0.4 * 10.0 * 5.0 && harness.served[2] >= 0.4 * 10.0 * 5.0,
+        harness.used_slot_s[1] >= 0.4 * 10.0 * 5.0 && harness.used_slot_s[2] >= 0.4 * 10.0 * 5.0,
         "{:?}",
-        harness.served
+        harness.used_slot_s
     );
 }
 
@@ -36,7 +36,7 @@
     assert!(harness.pools.state().pools[1].credit_slot_s > 2.0, "{:?}", harness.pools.state());
     assert!(harness.on_cores(1) >= 3, "credit gave it no third slot: {}", harness.on_cores(1));
     harness.saturate(&[0, 1], 20.0 - (harness.now - wants_since), 2.0);
-    assert!(harness.served[1] >= 0.5 * 4.0 * 20.0 - 2.0, "{:?}", harness.served);
+    assert!(harness.used_slot_s[1] >= 0.5 * 4.0 * 20.0 - 2.0, "{:?}", harness.used_slot_s);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     let items = vec![pool_spec("more", 0.75, 1.0, 1.0), pool_spec("less", 0.25, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 1, 1), 2);
     harness.saturate(&[0, 1], 40.0, 0.2);
-    let share = harness.served[1] / (harness.served[0] + harness.served[1]);
+    let share = harness.used_slot_s[1] / (harness.used_slot_s[0] + harness.used_slot_s[1]);
     assert!((share - 0.25).abs() < 0.03, "{share}");
 }
 
@@ -109,7 +109,7 @@
     let items = vec![pool_spec("top", 0.0, 1.0, 3.0), pool_spec("low", 0.0, 1.0, 1.0)];
     let mut harness = PoolsHarness::new(plan(items, None, 8, 8), 2);
     harness.saturate(&[0, 1], 20.0, 0.3);
-    let share = harness.served[0] / (harness.served[0] + harness.served[1]);
+    let share = harness.used_slot_s[0] / (harness.used_slot_s[0] + harness.used_slot_s[1]);
     assert!((share - 0.75).abs() < 0.05, "{share}");
     // Both pools are below their share: the request of the higher tier starts first.
     let items = vec![pool_spec("top", 0.5, 1.0, 1.0), pool_spec("low", 0.5, 1.0, 1.0)];
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -45,7 +45,7 @@
     ended
 }
 
-/// Plays the part of the admission controller. Each class is a tier, the first one the highest, and requests are queued in
+/// Stands in for the admission controller. Each class is a tier, the first one the highest, and requests are queued in
 /// the order of their ids.
 pub(super) struct PoolsHarness {
     pub(super) pools: Pools,
@@ -56,7 +56,7 @@
     pub(super) at_calls: Vec<Run>,
     pub(super) survivable_runs: usize,
     /// Slot seconds used, by class.
-    pub(super) served: Vec<f64>,
+    pub(super) used_slot_s: Vec<f64>,
 }
 
 impl PoolsHarness {
@@ -69,7 +69,7 @@
             running: Vec::new(),
             at_calls: Vec::new(),
             survivable_runs: 1000,
-            served: vec![0.0; classes],
+            used_slot_s: vec![0.0; classes],
         }
     }
 
@@ -82,7 +82,7 @@
     pub(super) fn advance(&mut self, dt: f64) {
         self.now += dt;
         for run in &self.running {
-            self.served[run.class] += dt;
+            self.used_slot_s[run.class] += dt;
         }
         self.pools.advance(dt);
     }
--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -16,20 +16,25 @@
 fn plans() -> impl Strategy<Value = PoolPlan> {
     let pool = (0.0..1.0f64, 0.0..1.0f64, 0.1..5.0f64);
     (vec(pool, 2..5), 0.0..1.0f64, 0usize..4, 0usize..4, 0usize..9).prop_map(
-        |(pools, sum, of, slots, more)| {
+        |(pools, guarantee_sum, reserve_pool, slots, extra_slots)| {
             let all: f64 = pools.iter().map(|p| p.0).sum::<f64>().max(1e-9);
-            let of = of % pools.len();
-            let items = pools.iter().enumerate().map(|(i, (g, c, harness))| {
-                let guarantee = g / all * sum;
+            let reserve_pool = reserve_pool % pools.len();
+            let items = pools.iter().enumerate().map(|(i, (g, c, weight))| {
+                let guarantee = g / all * guarantee_sum;
                 pool_spec(
                     &format!("p{i}"),
                     guarantee,
                     (guarantee + c * (1.0 - guarantee)).clamp(0.01, 1.0),
-                    *harness,
+                    *weight,
                 )
             });
-            let limit = slots + 1 + more;
-            plan(items.collect(), (slots > 0).then_some(PoolReserve { pool: of, slots }), limit, limit)
+            let limit = slots + 1 + extra_slots;
+            plan(
+                items.collect(),
+                (slots > 0).then_some(PoolReserve { pool: reserve_pool, slots }),
+                limit,
+                limit,
+            )
         },
     )
 }
@@ -126,10 +131,10 @@
                 harness.saturate(&classes, for_s * length, length);
             }
             let all: Vec<usize> = (0..n).collect();
-            let served = harness.served.clone();
+            let used_before = harness.used_slot_s.clone();
             harness.saturate(&all, 10.0 * length, length);
-            for (pool, before) in served.iter().enumerate() {
-                let got = (harness.served[pool] - before) / (10.0 * length);
+            for (pool, before) in used_before.iter().enumerate() {
+                let got = (harness.used_slot_s[pool] - before) / (10.0 * length);
                 // A saturated pool gets its guarantee and its reserve, less the time of one run on one slot in ten, since
                 // slots and runs are indivisible. A ceiling below one slot counts as one.
                 let entitled = harness.pools.guarantee(pool) + harness.pools.reserved_slots(pool) as f64;
--- a/src/pools/tests/report.rs
+++ b/src/pools/tests/report.rs
@@ -22,7 +22,7 @@
         _ => None,
     };
     let limits: Vec<(f64, PoolLimitChange)> = events.iter().filter_map(limit_change).collect();
-    assert!(limits.windows(2).all(|harness| harness[1].0 - harness[0].0 >= 0.99), "{limits:?}");
+    assert!(limits.windows(2).all(|pair| pair[1].0 - pair[0].0 >= 0.99), "{limits:?}");
     let first = limits[0].1;
     assert!(
         first.previous == 4 && first.cause == PoolLimitCause::Rate && first.baseline_run_s > 0.0,
@@ -40,6 +40,6 @@
         })
     };
     let rejections: Vec<f64> = rejections_of("b").collect();
-    assert!(rejections.len() > 50 && rejections.windows(2).all(|harness| harness[1] - harness[0] >= 0.99));
+    assert!(rejections.len() > 50 && rejections.windows(2).all(|pair| pair[1] - pair[0] >= 0.99));
     assert_eq!(rejections_of("a").count(), 0);
 }
