--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -31,7 +31,7 @@
             Action::ShareResponse(id) => self.share_response(id, effects),
             Action::Call { id, until_s } => self.call(id, until_s, effects),
             Action::SkipCall(id) => self.skip_call(id, effects),
-            // No backend supports preemption, and the settings tell the controller so.
+            // No backend supports preemption, and the settings state that.
             Action::Preempt(_) => {}
             Action::Health(healthy) => effects.commands.push(Command::Health(healthy)),
             Action::Publish(weight) => effects.commands.push(Command::Publish(weight)),
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -204,7 +204,8 @@
         self.in_flight.remove(id);
     }
 
-    /// Releases the abandoned requests. Must be called after the controller has been told about them.
+    /// Releases the abandoned requests. Must be called after the controller has handled their
+    /// [`Event::CallerDisconnected`].
     pub(super) fn release_abandoned(&mut self) {
         while let Some(id) = self.abandoned.pop() {
             self.release(id);
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -41,11 +41,12 @@
     pub(super) classes: Vec<Class>,
     /// Replies that may have been lost with a connection to a backend.
     pub(super) unconfirmed_replies: UnconfirmedReplies,
-    /// Requests that have not started and whose client no longer waits. Released after the controller has been told.
+    /// Requests that have not started and whose client no longer waits. Released once the controller has handled their
+    /// [`Event::CallerDisconnected`].
     pub(super) abandoned: Vec<RequestId>,
     pub(super) metrics: Metrics,
     /// Ratio of the memory that a request takes while it runs to what it takes while queued.
-    pub(super) run_factor: f64,
+    pub(super) run_memory_factor: f64,
     /// Whether callers mark retries as such.
     pub(super) marks_retries: bool,
     /// Determines which keys outside the table may have run in another process.
@@ -68,7 +69,7 @@
         let classes = settings.classes.clone();
         let longest_deadline_s = classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
         let max_keys = (result_bytes / RESULT_BYTES_PER_KEY).max(MIN_KEYS);
-        let run_factor = settings.run_memory_factor;
+        let run_memory_factor = settings.run_memory_factor;
         let marks_retries = settings.marks_retries;
         let fingerprint_key = FingerprintKey(settings.seed, !settings.seed);
         let mut dispatcher = Dispatcher {
@@ -83,7 +84,7 @@
             classes,
             unconfirmed_replies: UnconfirmedReplies::default(),
             abandoned: Vec::new(),
-            run_factor,
+            run_memory_factor,
             marks_retries,
             indeterminate_keys: IndeterminateKeys::None,
             running_in_predecessor: HashSet::new(),
@@ -199,9 +200,11 @@
             Input::ClientDisconnected(ticket) => self.on_client_disconnected(ticket, effects),
             Input::RunsLost => self.fail_all_runs(effects),
             Input::Shutdown { noticed_at, stop_at } => {
-                let ago_s = effects.now - noticed_at;
-                let in_s = stop_at - effects.now;
-                effects.events.push_back(Event::Shutdown { notice_age_s: ago_s, stop_in_s: in_s });
+                let since_notice_s = effects.now - noticed_at;
+                let until_stop_s = stop_at - effects.now;
+                effects
+                    .events
+                    .push_back(Event::Shutdown { notice_age_s: since_notice_s, stop_in_s: until_stop_s });
             }
             Input::RespondAll => self.respond_to_all(effects),
             Input::Woken(gauges) => effects.events.push_back(Event::Woken(gauges)),
--- a/src/dispatch/idempotency/table.rs
+++ b/src/dispatch/idempotency/table.rs
@@ -233,7 +233,8 @@
     pub fn remove_expired(&mut self, now: f64) {
         self.remove_expired_keys(now);
         self.remove_expired_previous_runs(now);
-        // A key may be listed more often than it has results; its newer result is then dropped earlier than its turn.
+        // A key may be listed more often than it has results; its newer result is then dropped before older
+        // results of other keys.
         let entries = &self.entries;
         self.served.retain(|key| entries.contains_key(key));
         self.served.shrink_to(SHRINK_FACTOR * self.served.len());
--- a/src/dispatch/idempotency/tests.rs
+++ b/src/dispatch/idempotency/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn results_beyond_the_capacity_go_oldest_first_and_their_keys_stay() {
+fn results_beyond_the_capacity_are_dropped_oldest_first_and_their_keys_stay() {
     let mut keys = IdempotencyTable::new(10, 9, 0.0);
     for (i, name) in ["a", "b"].iter().enumerate() {
         keys.retain(&key(name), RequestId(i as u64), 0, 10.0);
--- a/src/dispatch/request_handoff.rs
+++ b/src/dispatch/request_handoff.rs
@@ -75,7 +75,7 @@
         let mut usage = self.predecessor_usage;
         for in_flight in self.in_flight.values() {
             let on_core = in_flight.has_started() && in_flight.pending_call.is_none();
-            let memory_factor = if in_flight.has_started() { self.run_factor } else { 1.0 };
+            let memory_factor = if in_flight.has_started() { self.run_memory_factor } else { 1.0 };
             usage.on_cores += usize::from(on_core);
             usage.downstream_calls += usize::from(in_flight.calling);
             usage.memory_kb += in_flight.request.memory_kb * memory_factor;
--- a/src/dispatch/tests/metrics.rs
+++ b/src/dispatch/tests/metrics.rs
@@ -14,17 +14,17 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let ran = runner.run(&steps, |steps| {
         let (mut h, mut received, mut started) = (Harness::new(), 0, 0);
-        for (what, number, which, ms) in steps {
+        for (kind, number, selector, ms) in steps {
             h.now += f64::from(ms) / 1000.0;
             let any_name: Rc<str> = format!("r{number}").into();
-            let outcome = [Outcome::Ok, Outcome::Error, Outcome::NotStarted, Outcome::Cancelled][which];
+            let outcome = [Outcome::Ok, Outcome::Error, Outcome::NotStarted, Outcome::Cancelled][selector];
             let body: Rc<[u8]> = Rc::from(*b"!");
-            let out = match what {
+            let out = match kind {
                 // Generates names that are already in flight, repeated keys, and sometimes another body for the same
                 // key.
                 0..=3 => {
                     received += 1;
-                    let mut request = request(number, ["", "a", "b", "c"][which]);
+                    let mut request = request(number, ["", "a", "b", "c"][selector]);
                     request.ticket = Ticket(received);
                     request.time_left_s = f64::from(ms) / 10.0;
                     if number == 7 {
@@ -40,7 +40,7 @@
                 _ => h.input(Input::RunEnded { name: any_name, outcome, result: Some(body) }),
             };
             // Commands that are resent after a lost connection belong to the same run.
-            started += if what == 7 { 0 } else { runs(&out) as u64 };
+            started += if kind == 7 { 0 } else { runs(&out) as u64 };
             let counts = h.dispatcher.metrics().classes();
             let ended: u64 = counts.iter().map(crate::dispatch::metrics::ClassCounters::ended).sum();
             prop_assert_eq!(received, ended + h.dispatcher.pending_responses() as u64);
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -101,10 +101,10 @@
         self.input(role, Input::Arrived(request(number, key)));
     }
 
-    fn end(&mut self, which: usize, outcome: Outcome) {
+    fn end(&mut self, selector: usize, outcome: Outcome) {
         let mut names: Vec<_> = self.runs.keys().cloned().collect();
         names.sort();
-        let Some(name) = names.get(which % names.len().max(1)).cloned() else { return };
+        let Some(name) = names.get(selector % names.len().max(1)).cloned() else { return };
         let ExecutorRun { key, started_by } = self.runs.remove(&name).unwrap();
         let end_is_reported = started_by == Role::Successor || self.predecessor_alive;
         // Nothing was started, so it does not count as a run.
@@ -167,7 +167,7 @@
     let ran = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
         let mut pair = ProcessPair::new();
         let (mut count, hand_off_at, predecessor_dies) = (0, steps.len() / 3, steps[0].0 < 8);
-        for (i, (what, which, key, ms)) in steps.iter().enumerate() {
+        for (i, (kind, selector, key, ms)) in steps.iter().enumerate() {
             pair.advance(f64::from(*ms) / 1000.0);
             if i == hand_off_at {
                 pair.hand_off();
@@ -175,13 +175,16 @@
             if predecessor_dies && i == 2 * hand_off_at {
                 pair.kill_predecessor();
             }
-            match what {
+            match kind {
                 0..=8 => {
                     count += 1;
                     pair.arrive(count, ["", "a", "b", "c"][*key]);
                 }
                 9..=14 => {
-                    pair.end(*which, [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::NotStarted][*key]);
+                    pair.end(
+                        *selector,
+                        [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::NotStarted][*key],
+                    );
                 }
                 _ => drop(pair.receive_report()),
             }
