--- a/src/simulator_adapter/error.rs
+++ b/src/simulator_adapter/error.rs
@@ -21,7 +21,7 @@
         source: ItemError,
     },
     /// The reply can't be encoded.
-    #[error("{0}")]
+    #[error("can't encode the reply: {0}")]
     Reply(#[source] serde_json::Error),
 }
 
@@ -45,6 +45,6 @@
     #[error("Req: no tenant {0}")]
     UnknownTenant(usize),
     /// The item starts or stops an instance, so it is not an event of a running one.
-    #[error("not an event of a running instance")]
+    #[error("expected an event of a running instance, got Provision or Stop")]
     NotAnEvent,
 }
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -6,7 +6,7 @@
 use crate::interface::{Action, Outcome, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// Token of the timer. A single timer suffices, because the controller keeps its own list of due times.
+/// Token of the timer. A single timer suffices, because the controller sets it again only after it has expired.
 const TIMER_TOKEN: &str = "wake";
 
 /// An input line: the events of all instances at one time.
