--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -7,7 +7,7 @@
 pub enum Action {
     /// Start a queued request.
     Start(RequestId),
-    /// Reject the request; it had no effect.
+    /// Reject the request: it has not run, or it is idempotent.
     Reject {
         /// The request.
         id: RequestId,
--- a/src/interface/learned.rs
+++ b/src/interface/learned.rs
@@ -142,7 +142,7 @@
 }
 
 impl Traffic {
-    fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
+    fn non_negative_numbers(&self) -> impl Iterator<Item = f64> + '_ {
         let tenants = self.tenants.iter().flat_map(|tenant| [tenant.tokens, tenant.arrivals]);
         let recent = [self.recent.retries_per_s, self.recent.failed_runs, self.recent.ended_runs];
         tenants.chain(self.arrivals_per_s.iter().copied()).chain(recent)
@@ -150,10 +150,12 @@
 }
 
 impl LearnedState {
-    /// Whether the values could be measurements. Adopting any others would corrupt all later decisions.
+    /// Whether the values could be measurements: all are finite, only the call budget may be negative, and the limit on
+    /// calls, the baseline of the run length and the counts of ended runs by class are above 0. Adopting any others
+    /// would corrupt all later decisions.
     #[must_use]
     pub fn is_valid(&self) -> bool {
-        self.numbers().all(|number| number.is_finite() && number >= 0.0)
+        self.non_negative_numbers().all(|number| number.is_finite() && number >= 0.0)
             && self.call_budget_s.is_none_or(f64::is_finite)
             && self.run_lengths.iter().all(|run_length| run_length.ended > 0.0)
             && self.baseline_run_s > 0.0
@@ -161,12 +163,12 @@
     }
 
     /// All numbers that must not be negative.
-    fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
+    fn non_negative_numbers(&self) -> impl Iterator<Item = f64> + '_ {
         let run_lengths = self.run_lengths.iter().flat_map(|run_length| {
             [run_length.core_time_s, run_length.ended].into_iter().chain(run_length.hint_sums)
         });
         let calls = [self.call_limit, self.recent_calls.time_s, self.recent_calls.ended];
         let lengths = [self.baseline_run_s, self.call_baseline_s.unwrap_or(1.0)];
-        run_lengths.chain(calls).chain(lengths).chain(self.traffic.numbers())
+        run_lengths.chain(calls).chain(lengths).chain(self.traffic.non_negative_numbers())
     }
 }
