--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -98,9 +98,9 @@
             self.requests.queued_in(request.tier + 1).filter(|id| self.makes_call(*id)).count();
         let ahead = self.requests.waiting_for_call_in(request.tier + 1) + queued_calls;
         let wait_s = self.downstream.wait_s(ahead);
-        let within_s =
+        let available_s =
             if wait_s > 0.0 { self.wait_budget_s(request) } else { request.objective_deadline - self.now };
-        wait_s + self.downstream.expected_call_s() > within_s
+        wait_s + self.downstream.expected_call_s() > available_s
     }
 
     /// Whether the queues ahead of a request are longer than what can be started within its waiting time, at the
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -137,14 +137,15 @@
         }
         request.state = to.unwrap_or(from);
         request.state_entered_at = now;
-        self.count_leave(id, &before);
+        self.leave_state(id, &before);
         if let Some(state) = to {
-            self.count_enter(id, &Request { state, ..before });
+            self.enter_state(id, &Request { state, ..before });
         }
         Some(Transition { class: before.class, from: from.place(), to: to.and_then(RequestState::place) })
     }
 
-    fn count_leave(&mut self, id: RequestId, request: &Request) {
+    /// Updates the queues and counts for a request that leaves its state.
+    fn leave_state(&mut self, id: RequestId, request: &Request) {
         if request.state.is_unstarted() {
             self.unstarted_kb -= request.memory_kb;
         } else {
@@ -166,7 +167,8 @@
         }
     }
 
-    fn count_enter(&mut self, id: RequestId, request: &Request) {
+    /// Updates the queues and counts for a request that enters its state.
+    fn enter_state(&mut self, id: RequestId, request: &Request) {
         if request.state.is_unstarted() {
             self.unstarted_kb += request.memory_kb;
         } else {
