--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -143,12 +143,12 @@
     /// below it.
     fn pools_for_unclaimed_slots(&self, mean_run_s: f64) -> Vec<usize> {
         let pools = self.indices().filter(|pool| self.can_use_common(*pool));
-        let others: Vec<usize> =
+        let without_claim: Vec<usize> =
             pools.filter(|pool| self.claim(*pool, mean_run_s).slots <= EPSILON).collect();
         let below_share: Vec<usize> =
-            others.iter().copied().filter(|pool| self.is_below_fair_share(*pool)).collect();
+            without_claim.iter().copied().filter(|pool| self.is_below_fair_share(*pool)).collect();
         if below_share.is_empty() {
-            others
+            without_claim
         } else {
             below_share
         }
