--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -74,8 +74,8 @@
         if is_new && self.indeterminate_keys.covers(times.arrived, may_be_retry) {
             return Some(Response::Failed);
         }
-        // It was unread for longer than keys are retained, so the entry of an earlier run may already have been
-        // removed.
+        // It was unread for at least as long as keys are retained after their window, so the entry of an earlier run
+        // may already have been removed.
         if times.read_delay_s >= self.keys.late_reading_s() {
             return Some(Response::DeadlineExceeded);
         }
--- a/src/dispatch/messages.rs
+++ b/src/dispatch/messages.rs
@@ -47,7 +47,7 @@
 pub enum Response {
     /// The run succeeded with this result.
     Served(Rc<[u8]>),
-    /// The request was shed and did not run.
+    /// The request was shed: it has not run, or it is idempotent.
     Rejected {
         /// Value of Retry-After (seconds).
         retry_after_s: f64,
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -11,7 +11,7 @@
 pub struct ClassCounters {
     /// Requests that were served with a result.
     pub success: u64,
-    /// Requests that were rejected without a run.
+    /// Requests that were rejected: they have not run, or they are idempotent.
     pub overload: u64,
     /// Requests that failed for any reason, including those whose client disconnected before they ended.
     pub error: u64,
