--- a/src/config/directory.rs
+++ b/src/config/directory.rs
@@ -62,10 +62,13 @@
         let timeout_usable = self.timeout_ms.is_finite() && self.timeout_ms > 0.0;
         let cache_usable = self.cache_s.is_finite() && self.cache_s >= 0.0;
         if !(timeout_usable && cache_usable) {
-            return Err(ConfigError::DirectoryTimes);
+            return Err(ConfigError::DirectoryTimes { timeout_ms: self.timeout_ms, cache_s: self.cache_s });
         }
         if self.identity_attribute.is_empty() || self.tenant_attribute.is_empty() {
-            return Err(ConfigError::EmptyAttribute);
+            return Err(ConfigError::EmptyAttribute {
+                identity: self.identity_attribute.clone(),
+                tenant: self.tenant_attribute.clone(),
+            });
         }
         Ok(())
     }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -36,10 +36,12 @@
         message: String,
     },
     /// A value does not meet a requirement.
-    #[error("{key} must be {expected}")]
+    #[error("{key} is {found}; expected {expected}")]
     Requirement {
         /// The key.
         key: &'static str,
+        /// The value.
+        found: String,
         /// The requirement.
         expected: String,
     },
@@ -81,7 +83,7 @@
     #[error("settings.profiles is empty; expected at least one class")]
     NoClasses,
     /// The name of a class or tenant is empty or not unique.
-    #[error("settings.{list}: the name {name:?} is empty or not unique")]
+    #[error("settings.{list}: name is {name:?}; expected a unique name that is not empty")]
     EmptyOrDuplicateName {
         /// The list in the settings.
         list: &'static str,
@@ -89,10 +91,16 @@
         name: String,
     },
     /// The deadline or latency objective of a class is missing or not positive.
-    #[error("settings.profiles {class:?}: deadlineS and targetS must be above 0")]
+    #[error(
+        "settings.profiles {class:?}: deadlineS is {deadline_s} and targetS is {objective_s}; expected both above 0"
+    )]
     ClassTimes {
         /// The class.
         class: String,
+        /// Its deadline (seconds).
+        deadline_s: f64,
+        /// Its latency objective (seconds).
+        objective_s: f64,
     },
     /// The effect of a class is unknown.
     #[error("settings.profiles {class:?}: effect is {effect:?}; expected safe, keyed or unsafe")]
@@ -118,7 +126,7 @@
         path: String,
     },
     /// A tenant rule has no condition, so it would match every request.
-    #[error("ajp.tenant: a rule must have remote_user or server_name")]
+    #[error("ajp.tenant: a rule has neither remote_user nor server_name; expected at least one of them")]
     EmptyTenantRule,
     /// The secret of the AJP frontend is empty.
     #[error("ajp.secret is empty; omit it to accept requests without a secret")]
@@ -127,11 +135,27 @@
     #[error("backend.servers is empty; expected at least one address")]
     NoServers,
     /// A timeout or cache duration of `[directory]` is out of its range.
-    #[error("directory: timeout_ms must be above 0 and cache_s must be 0 or more")]
-    DirectoryTimes,
+    #[error(
+        "directory: timeout_ms is {timeout_ms} and cache_s is {cache_s}; expected timeout_ms above 0 and cache_s of 0 \
+         or more"
+    )]
+    DirectoryTimes {
+        /// The timeout of a search (milliseconds).
+        timeout_ms: f64,
+        /// How long a result is cached (seconds).
+        cache_s: f64,
+    },
     /// The name of an attribute of `[directory]` is empty.
-    #[error("directory: identity_attribute and tenant_attribute must not be empty")]
-    EmptyAttribute,
+    #[error(
+        "directory: identity_attribute is {identity:?} and tenant_attribute is {tenant:?}; expected both to \
+         name an attribute"
+    )]
+    EmptyAttribute {
+        /// The name of the attribute that holds the identity.
+        identity: String,
+        /// The name of the attribute that holds the tenant's name.
+        tenant: String,
+    },
     /// `[pools]` has no pool.
     #[error("pools: there is no [[pools.pool]]; expected at least one")]
     NoPools,
--- a/src/config/fleet/error.rs
+++ b/src/config/fleet/error.rs
@@ -1,6 +1,7 @@
 //! Errors in `[fleet]` of an operator's file.
 
 use crate::fleet::frame::MAX_NAME_BYTES;
+use crate::fleet::TOTALS_TASK;
 
 /// An invalid setting in `[fleet]`. Its message is one line with the key, the value found and the value expected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -29,7 +30,7 @@
         max: f64,
     },
     /// Two tasks have the same name, or a task has the name that is reserved for the totals.
-    #[error("fleet.task.name is {name:?}, which is taken")]
+    #[error("fleet.task.name is {name:?}; expected a unique name other than {TOTALS_TASK:?}")]
     DuplicateTask {
         /// The name.
         name: String,
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -14,8 +14,11 @@
         (valid.replace("\"polder\"", "\"a b\""), "fleet.name is \"a b\"; expected letters"),
         (valid.replace("[\"127.0.0.1:1\"]", "[]"), "fleet.coordinators is 0; expected 1 to 9"),
         (valid.replace("5.0", "0.0"), "fleet.task t.period_s is 0; expected 0.1 to 604800"),
-        (valid.replace("\"t\"", "\"totals\""), "fleet.task.name is \"totals\", which is taken"),
-        (format!("{valid}{TASK}"), "fleet.task.name is \"t\", which is taken"),
+        (
+            valid.replace("\"t\"", "\"totals\""),
+            "fleet.task.name is \"totals\"; expected a unique name other than \"totals\"",
+        ),
+        (format!("{valid}{TASK}"), "fleet.task.name is \"t\"; expected a unique name other than \"totals\""),
         (valid.replace("safe", "path = \"x\"\nsafe"), "fleet.task t.path is \"x\""),
         (valid.replace("safe = true", "save = true"), "line 8: unknown field `save`"),
         (valid.replace("5.0", "nan"), "fleet.task t.period_s is NaN"),
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -72,8 +72,8 @@
 
 /// Converts an error of the parser, and finds its line.
 fn toml_error(text: &str, error: &toml::de::Error) -> ConfigError {
-    let at = error.span().map_or(0, |span| span.start.min(text.len()));
-    let line = text.as_bytes()[..at].split(|byte| *byte == b'\n').count();
+    let offset = error.span().map_or(0, |span| span.start.min(text.len()));
+    let line = text.as_bytes()[..offset].split(|byte| *byte == b'\n').count();
     ConfigError::Toml { line, message: error.message().replace('\n', " ") }
 }
 
--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -11,12 +11,12 @@
 pub const REST_POOL: &str = "rest";
 /// Largest number of pools. Each start of a run examines all of them.
 pub const MAX_POOLS: usize = 16;
-/// Largest number of slots.
+/// Largest number of run slots that `least_slots` and `most_slots` may set.
 pub const MAX_SLOTS: usize = 4096;
 /// Default of `most_slots`, as a multiple of the number of cores.
 const DEFAULT_SLOTS_PER_CORE: usize = 2;
-/// Tolerance for rounding errors of guarantees, which are decimal fractions: by this much their sum may exceed 1, and a
-/// guarantee its ceiling.
+/// Tolerance for rounding errors of guarantees, which are decimal fractions: the sum of all guarantees may exceed 1, and a
+/// guarantee may exceed its ceiling, by this much.
 const GUARANTEE_TOLERANCE: f64 = 1e-9;
 
 /// Class pools.
@@ -29,7 +29,7 @@
     /// The upper bound of the limit on runs (slots); by default twice the number of cores.
     #[serde(rename = "most_slots")]
     pub max_slots: Option<usize>,
-    /// The time for which measured rates and run lengths are used (seconds).
+    /// How long a measured rate and the baseline of run lengths remain valid (seconds).
     #[serde(default = "default_window_s")]
     pub window_s: f64,
     /// The interval at which the limit is reviewed (seconds).
@@ -66,16 +66,16 @@
     pub name: String,
     /// The names of its classes in the settings.
     pub classes: Vec<String>,
-    /// The share of the common slots that it gets whenever it wants them.
+    /// The share of the slots outside of the reserve that it gets whenever it wants them.
     #[serde(default)]
     pub guarantee: f64,
-    /// The largest share of the common slots that it may use.
+    /// The largest share of the slots outside of the reserve that it may use.
     #[serde(default = "default_ceiling")]
     pub ceiling: f64,
     /// Its weight in the division of unclaimed slots.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Largest number of queued requests.
+    /// Largest number of requests that it queues.
     #[serde(default = "default_queue")]
     pub queue: usize,
 }
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -8,8 +8,8 @@
 /// Number of descriptors that are reserved for uses other than client connections: standard streams, the event loop,
 /// listeners, links, and a margin.
 pub const RESERVED_SOCKETS: usize = 32;
-/// The console may use one in this many of the other descriptors.
-const CONSOLE_SHARE: usize = 8;
+/// Number of descriptors, reserved ones excluded, per concurrent call at the console.
+const SOCKETS_PER_CONSOLE_CALL: usize = 8;
 /// Lower bound of the limit on concurrent calls at the console.
 const MIN_CONSOLE_CALLS: usize = 2;
 /// Upper bound of the limit on concurrent calls at the console.
@@ -69,11 +69,12 @@
     3200.0
 }
 
-/// Largest number of concurrent calls at the console, for this limit on descriptors: a small share of the clients'
-/// descriptors, but enough that clients which keep calls open can't exclude others for long.
+/// Largest number of concurrent calls at the console of a process that may have `sockets` descriptors: a small share of the
+/// clients' descriptors, but enough that clients which keep calls open can't exclude others for long.
 #[must_use]
 pub fn max_console_calls(sockets: usize) -> usize {
-    (sockets.saturating_sub(RESERVED_SOCKETS) / CONSOLE_SHARE).clamp(MIN_CONSOLE_CALLS, MAX_CONSOLE_CALLS)
+    (sockets.saturating_sub(RESERVED_SOCKETS) / SOCKETS_PER_CONSOLE_CALL)
+        .clamp(MIN_CONSOLE_CALLS, MAX_CONSOLE_CALLS)
 }
 
 impl Config {
@@ -104,13 +105,13 @@
 
     fn check(&self) -> Result<(), ConfigError> {
         if self.name.is_empty() || self.name.contains(char::is_whitespace) {
-            return Err(requirement("name", "one word"));
+            return Err(requirement("name", format!("{:?}", self.name), "one word"));
         }
         self.check_classes()?;
         self.check_tenants()?;
         self.check_machine()?;
         if !is_at_least(self.stop_ms, 0.0) {
-            return Err(requirement("stop_ms", "0 or more"));
+            return Err(requirement("stop_ms", self.stop_ms.to_string(), "0 or more"));
         }
         Ok(())
     }
@@ -127,7 +128,11 @@
                 return Err(ConfigError::EmptyOrDuplicateName { list: "profiles", name: name.clone() });
             }
             if !(is_positive(class.deadline_s) && is_positive(class.objective_s)) {
-                return Err(ConfigError::ClassTimes { class: name.clone() });
+                return Err(ConfigError::ClassTimes {
+                    class: name.clone(),
+                    deadline_s: class.deadline_s,
+                    objective_s: class.objective_s,
+                });
             }
             if !matches!(class.effect.as_str(), "safe" | "keyed" | "unsafe") {
                 return Err(ConfigError::UnknownEffect { class: name.clone(), effect: class.effect.clone() });
@@ -149,17 +154,20 @@
     }
 
     fn check_machine(&self) -> Result<(), ConfigError> {
-        if self.settings.domain.n_cores == 0 {
-            return Err(requirement("settings.domain.nCores", "at least 1"));
+        let (cores, memory_kb) = (self.settings.domain.n_cores, self.settings.domain.heap_kb);
+        if cores == 0 {
+            return Err(requirement("settings.domain.nCores", cores.to_string(), "at least 1"));
         }
-        if !is_positive(self.settings.domain.heap_kb) {
-            return Err(requirement("settings.domain.heapKb", "above 0"));
+        if !is_positive(memory_kb) {
+            return Err(requirement("settings.domain.heapKb", memory_kb.to_string(), "above 0"));
         }
         if !is_at_least(self.limits.memory_mb, MIN_MEMORY_MB) {
-            return Err(requirement("limits.memory_mb", &format!("at least {MIN_MEMORY_MB}")));
+            let found = self.limits.memory_mb.to_string();
+            return Err(requirement("limits.memory_mb", found, &format!("at least {MIN_MEMORY_MB}")));
         }
         if self.limits.sockets < RESERVED_SOCKETS * 2 {
-            return Err(requirement("limits.sockets", &format!("at least {}", RESERVED_SOCKETS * 2)));
+            let found = self.limits.sockets.to_string();
+            return Err(requirement("limits.sockets", found, &format!("at least {}", RESERVED_SOCKETS * 2)));
         }
         Ok(())
     }
@@ -183,13 +191,13 @@
     #[must_use]
     pub fn seed_number(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
-            self.seed.bytes().fold(7, |mixed, byte| mixed.wrapping_mul(31).wrapping_add(u64::from(byte)))
+            self.seed.bytes().fold(7, |hash, byte| hash.wrapping_mul(31).wrapping_add(u64::from(byte)))
         })
     }
 }
 
-fn requirement(key: &'static str, expected: &str) -> ConfigError {
-    ConfigError::Requirement { key, expected: expected.to_owned() }
+fn requirement(key: &'static str, found: String, expected: &str) -> ConfigError {
+    ConfigError::Requirement { key, found, expected: expected.to_owned() }
 }
 
 fn is_positive(value: f64) -> bool {
