--- a/src/log/limiter.rs
+++ b/src/log/limiter.rs
@@ -20,6 +20,7 @@
 /// State of one folded event.
 #[derive(Debug)]
 struct FoldedEvent {
+    /// When the last line was written or suppressed (seconds since the log was set up).
     written_at_s: f64,
     /// Occurrences since the last line.
     occurrences: u32,
@@ -29,8 +30,11 @@
 /// bounded.
 #[derive(Debug)]
 pub(super) struct LineLimiter<K> {
+    /// The second in which the last line was admitted or suppressed, counted from when the log was set up.
     second: u64,
+    /// Lines in that second, both written and suppressed.
     lines: u32,
+    /// Suppressed lines that were not reported yet.
     suppressed: u32,
     /// The second in which lines were last suppressed.
     suppressed_in: Option<u64>,
@@ -47,7 +51,7 @@
         self.admit_line(now_s, 1)
     }
 
-    /// Decides whether to write an event whose repeats are folded into one line.
+    /// Decides whether to write an event whose repeats within [`FOLD_INTERVAL_S`] are folded into one line.
     pub(super) fn admit_folded(&mut self, now_s: f64, key: K) -> Decision {
         let never_written = FoldedEvent { written_at_s: f64::NEG_INFINITY, occurrences: 0 };
         let event = self.folded.entry(key).or_insert(never_written);
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_long_value_is_cut_between_characters() {
+fn a_long_value_is_truncated_between_characters() {
     let long = "é".repeat(MAX_VALUE_BYTES);
     assert!(fields("state", &long).len() <= MAX_VALUE_BYTES + "state=\"\"\n".len());
     assert_eq!(excerpt(&"é".repeat(150)).len(), 200);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn lines_beyond_the_limit_are_left_out_and_counted() {
+fn lines_beyond_the_limit_are_suppressed_and_counted() {
     let mut limiter: LineLimiter<&str> = LineLimiter::new();
     for _ in 0..MAX_LINES_PER_S {
         assert_eq!(limiter.admit(5.0), Decision::Write { occurrences: 1 });
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn lines_left_out_are_reported_though_the_next_second_begins_with_an_event() {
+fn suppressed_lines_are_reported_even_if_the_next_second_begins_with_an_event() {
     let mut limiter: LineLimiter<&str> = LineLimiter::new();
     for _ in 0..=MAX_LINES_PER_S {
         limiter.admit(5.0);
