--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -4,18 +4,18 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Exit status after invalid input or an I/O error.
+/// Exit status after an invalid line or an I/O error.
 const EXIT_FAILED: u8 = 2;
 
 /// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
-    #[error("line {number}: {source}")]
+    #[error("line {number} can't be read: {source}")]
     Read { number: u64, source: io::Error },
     #[error("line {number}: {source}")]
-    Line { number: u64, source: AdapterError },
-    #[error("reply: {0}")]
-    Reply(#[source] io::Error),
+    InvalidLine { number: u64, source: AdapterError },
+    #[error("the reply to line {number} can't be written: {source}")]
+    Write { number: u64, source: io::Error },
 }
 
 fn main() -> ExitCode {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Processes input lines until the end of the input; skips empty lines.
+/// Answers each input line with one reply until the end of the input; skips empty lines.
 fn serve() -> Result<(), ServeError> {
     let mut adapter = SimulatorAdapter::default();
     let mut input = io::stdin().lock();
@@ -42,8 +42,12 @@
         if line.trim().is_empty() {
             continue;
         }
-        let reply = adapter.handle_line(&line).map_err(|source| ServeError::Line { number, source })?;
-        output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(ServeError::Reply)?;
+        let reply =
+            adapter.handle_line(&line).map_err(|source| ServeError::InvalidLine { number, source })?;
+        output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush())
+            .map_err(|source| ServeError::Write { number, source })?;
     }
     Ok(())
 }
