--- a/src/hot_restart/frame/codec.rs
+++ b/src/hot_restart/frame/codec.rs
@@ -4,14 +4,14 @@
 
 /// The longest JSON object that is accepted (bytes), far more than a partially read request or a retained result needs.
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// Size of the header: length and descriptor flag (bytes).
+/// Size of the header: four bytes of length and one byte of descriptor flag.
 pub const HEADER_BYTES: usize = 5;
 
 /// Why bytes are not a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The header announces an object that is too long.
-    #[error("frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")]
+    #[error("frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     TooLong {
         /// The announced length (bytes).
         length: usize,
@@ -20,8 +20,13 @@
     #[error("malformed frame: {0}")]
     Malformed(#[source] serde_json::Error),
     /// The descriptor flag of the header does not match the type of the frame.
-    #[error("the descriptor flag of the frame does not match its type")]
-    DescriptorMismatch,
+    #[error("the descriptor flag of the frame is {found}; expected {expected} for its type")]
+    DescriptorMismatch {
+        /// The flag in the header.
+        found: u8,
+        /// The flag that frames of this type have.
+        expected: u8,
+    },
 }
 
 /// Compares the messages, since `serde_json::Error` does not implement `PartialEq`.
@@ -65,7 +70,8 @@
         let Some(object) = data.get(HEADER_BYTES..end) else { return Ok(None) };
         let frame: Frame = serde_json::from_slice(object).map_err(FrameError::Malformed)?;
         if frame.carries_descriptor() != (header[4] == 1) {
-            return Err(FrameError::DescriptorMismatch);
+            let expected = u8::from(frame.carries_descriptor());
+            return Err(FrameError::DescriptorMismatch { found: header[4], expected });
         }
         Ok(Some((frame, end)))
     }
--- a/src/hot_restart/frame/messages.rs
+++ b/src/hot_restart/frame/messages.rs
@@ -23,7 +23,7 @@
 impl<'de> Deserialize<'de> for Bytes {
     fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Bytes, D::Error> {
         let text = String::deserialize(from)?;
-        STANDARD.decode(text).map(|b| Bytes(b.into())).map_err(serde::de::Error::custom)
+        STANDARD.decode(text).map(|decoded| Bytes(decoded.into())).map_err(serde::de::Error::custom)
     }
 }
 
@@ -133,7 +133,7 @@
     pub queued_request: Option<QueuedRequest>,
 }
 
-/// A message.
+/// A message between a process and its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// The successor's first message: its identity and its indices of classes and tenants.
--- a/src/hot_restart/messages.rs
+++ b/src/hot_restart/messages.rs
@@ -29,7 +29,7 @@
     SuccessorDisconnected,
     /// The shutdown notice has arrived.
     ShutdownNotice,
-    /// Time has passed.
+    /// Time has passed, so a wait for the predecessor may have timed out.
     Tick,
 }
 
