--- a/src/fleet/lease_holder.rs
+++ b/src/fleet/lease_holder.rs
@@ -21,6 +21,7 @@
     token: u64,
     /// `None` until the first renewal, since a grant does not state when the coordinators granted the lease.
     valid_until: Option<f64>,
+    /// The time to live that the last renewal stated (seconds); 0 until the first renewal.
     ttl_s: f64,
 }
 
@@ -131,8 +132,8 @@
         self.outstanding.iter()
     }
 
-    /// The heartbeat interval at which all leases are renewed in time (seconds): a third of the shortest time to live. `None`
-    /// without leases.
+    /// The heartbeat interval at which all leases are renewed in time (seconds): the shortest time to live divided by
+    /// `RENEWALS_PER_TTL`. `None` without leases.
     #[must_use]
     pub fn renewal_interval_s(&self) -> Option<f64> {
         let interval_s = |held: &HeldLease| {
--- a/src/fleet/overload/capacity_leases/client.rs
+++ b/src/fleet/overload/capacity_leases/client.rs
@@ -34,12 +34,15 @@
 pub struct CapacityClient {
     /// The worker's base allocation (calls in flight).
     base_calls: f64,
+    /// The share by which clocks may drift apart.
     drift: f64,
     loans: VecDeque<Loan>,
     /// In sending order.
     outstanding: VecDeque<OutstandingReport>,
+    /// The slice in the last digest (calls in flight).
     slice: f64,
     slice_until: f64,
+    /// Number of the last digest received on this link; 0 for none.
     last_digest: u64,
 }
 
--- a/src/fleet/overload/capacity_leases/mod.rs
+++ b/src/fleet/overload/capacity_leases/mod.rs
@@ -30,7 +30,7 @@
 pub const UNLENDABLE_SHARE: f64 = 0.75;
 /// Maximum number of unanswered messages that either side tracks.
 const MAX_OUTSTANDING: usize = 16;
-/// Amounts are sent in multiples of this fraction of a call, which `f32` represents exactly.
+/// Amounts are sent in multiples of 1/64 of a call in flight, which `f32` represents exactly.
 const STEPS_PER_CALL: f64 = 64.0;
 
 /// The capacity part of a load report (calls in flight).
--- a/src/fleet/overload/capacity_leases/server.rs
+++ b/src/fleet/overload/capacity_leases/server.rs
@@ -5,9 +5,9 @@
 
 /// Time without a report after which a worker's state is removed (seconds). Its loans and slices expire long before that.
 const REMOVE_AFTER_S: f64 = 10.0;
-/// How long computed fair shares are reused (seconds): a fraction of the reporting interval.
+/// How long computed fair shares are reused (seconds): a fifth of the reporting interval.
 const FAIR_SHARES_VALID_S: f64 = 0.1;
-/// Lower bound for a worker's weight.
+/// Lower bound for a worker's weight, so that demand per weight stays finite.
 const MIN_WEIGHT: f64 = 1e-3;
 
 /// A digest that the worker may name in its next reports as the last one that it received.
@@ -30,6 +30,7 @@
 /// One worker's loans, slices and demand, as known to the leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkerCapacity {
+    /// Number of the last digest sent to the worker; 0 for none.
     last_digest: u64,
     /// In sending order.
     pub(super) sent_digests: VecDeque<SentDigest>,
--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -8,7 +8,7 @@
 const MAX_OUTSTANDING: usize = 8;
 /// Digits sent of each value beyond the first significant one: precise enough for every decision, and short on the wire.
 const REPORT_DIGITS: i32 = 3;
-/// Smaller values are rounded with the precision that applies to this one.
+/// Values below this one are rounded to the same unit as this one.
 const MIN_ROUNDED: f64 = 1e-6;
 
 /// A worker's load since the last sample, as measured by its admission control. Rates are per second.
@@ -67,6 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct FleetOverloadClient {
     capacity: CapacityClient,
+    /// The share by which clocks may drift apart.
     drift: f64,
     latest: Option<ReceivedDigest>,
     /// In sending order.
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -17,7 +17,7 @@
 const MAX_SPREAD_S: f64 = 10.0;
 /// How long the fleet still counts as short of capacity after the last sign of a shortage (seconds).
 const SHORTAGE_HOLD_S: f64 = 3.0;
-/// The fleet counts as short of capacity while its workers reject more than this share of first attempts.
+/// Share of first attempts; while its workers reject more than this, the fleet counts as short of capacity.
 const MAX_REJECTED_SHARE: f64 = 0.01;
 /// Lower bound for the capacity by which demand is divided (requests per second).
 const MIN_CAPACITY: f64 = 1e-3;
@@ -40,7 +40,9 @@
     retry_budget: RetryBudget,
     capacity: CapacityLeaseServer,
     evaluated_at: f64,
+    /// Until when the fleet counts as short of capacity.
     shortage_until: f64,
+    /// The fleet's sums as of the last evaluation.
     sums: LoadSums,
 }
 
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -2,8 +2,8 @@
 //! same level, so that no worker serves a low tier while another rejects a higher one.
 //!
 //! Guarantees to callers: no lower tier is admitted while a higher one is shed; the level tightens within one second of a
-//! lasting shortage and relaxes step by step, so that load oscillating around the threshold changes it at most once per
-//! period; every change states its cause.
+//! lasting shortage and relaxes step by step, so that load that oscillates around the threshold changes it at most once per
+//! period of the oscillation; every change states its cause.
 
 use super::view::LoadSums;
 use super::MAX_TIERS;
@@ -28,7 +28,7 @@
 const MAX_RETRY_DEMAND: f64 = 0.1;
 /// Minimum number of reporting workers. With fewer, the fleet's load counts as unknown.
 const MIN_WORKERS: usize = 2;
-/// Tolerance when comparing numbers of admitted tiers.
+/// Tolerance for rounding errors when comparing numbers of admitted tiers.
 const TIER_TOLERANCE: f64 = 1e-9;
 
 /// A shedding level: admits all tiers above `tier`, a share of `tier`, and no tier below it.
@@ -111,16 +111,16 @@
 pub enum LevelChangeCause {
     /// Demand exceeds the capacity of the cores.
     Shortage {
-        /// First attempts and retries that arrive (requests a second).
+        /// First attempts and retries that arrive (requests per second).
         demand_per_s: f64,
-        /// The capacity of the cores (requests a second).
+        /// The capacity of the cores (requests per second).
         capacity_per_s: f64,
     },
     /// Capacity has exceeded demand for some time.
     Headroom {
-        /// First attempts and retries that arrive (requests a second).
+        /// First attempts and retries that arrive (requests per second).
         demand_per_s: f64,
-        /// The capacity of the cores (requests a second).
+        /// The capacity of the cores (requests per second).
         capacity_per_s: f64,
     },
     /// Too few workers report to justify shedding.
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -23,8 +23,8 @@
 const MAX_INITIAL_PEAK: f64 = 1e6;
 /// Relative increase of the Retry-After period with each lower tier.
 const SPREAD_PER_TIER: f64 = 0.25;
-/// Minimum base allocation for lending (calls in flight). A smaller allocation is a mean over time, which only admission
-/// control maintains.
+/// Minimum base allocation for lending (calls in flight). A smaller allocation can only be a mean over time, which admission
+/// control enforces.
 const MIN_LENDABLE_CALLS: f64 = 1.0;
 /// Lower bound for the duration over which a sample's rates are computed (seconds).
 const MIN_SAMPLE_S: f64 = 0.05;
--- a/src/fleet/overload/retries.rs
+++ b/src/fleet/overload/retries.rs
@@ -4,7 +4,7 @@
 
 use super::view::LoadSums;
 
-/// Bound of the balance, as the time in which the ratio earns it (seconds).
+/// The balance is bounded to the retries that first attempts earn in this time (seconds).
 const MAX_BURST_S: f64 = 2.0;
 /// Upper bound for the time that one evaluation accounts for (seconds).
 const MAX_ELAPSED_S: f64 = 5.0;
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -15,8 +15,8 @@
 const SHRINK_FACTOR: f64 = 0.7;
 /// Lower bound for the share of calls to an overloaded service.
 const MIN_CALL_SHARE: f64 = 0.25;
-/// Amount by which the share grows at each evaluation. At this rate it is restored within two seconds; each worker's own
-/// limit below it grows in smaller steps.
+/// Amount by which the share of calls grows at each evaluation. At this rate the whole share is restored within two seconds;
+/// each worker's own limit below it grows in smaller steps.
 const RECOVERY_STEP: f64 = 0.25;
 /// Smoothing factor of the baseline, per evaluation, for a latency below it.
 const BASELINE_FALL_RATE: f64 = 0.25;
@@ -241,9 +241,9 @@
     }
 
     fn update_baseline(&mut self, call_s: f64) {
-        let share = if call_s < self.baseline_s { BASELINE_FALL_RATE } else { BASELINE_RISE_RATE };
+        let rate = if call_s < self.baseline_s { BASELINE_FALL_RATE } else { BASELINE_RISE_RATE };
         self.baseline_s = if self.baseline_s.is_finite() {
-            self.baseline_s + (call_s - self.baseline_s) * share
+            self.baseline_s + (call_s - self.baseline_s) * rate
         } else {
             call_s
         };
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -1,5 +1,6 @@
-//! Outlier-robust aggregation of load reports. Wrong values from one worker shift a sum by at most a few workers' shares.
-//! Workers that have stopped reporting, or that repeat the same measurements under load, are excluded.
+//! Outlier-robust aggregation of load reports. Each worker's values are bounded (`MAX_OUTLIER_FACTOR`,
+//! `MAX_ARRIVALS_FACTOR`), so that wrong values from one worker shift a sum by at most a few workers' shares. Workers that
+//! have stopped reporting, or that repeat the same measurements under load, are excluded.
 
 use super::{LoadReport, MAX_TIERS};
 use std::collections::BTreeMap;
@@ -10,9 +11,10 @@
 const FROZEN_AFTER_S: f64 = 3.0;
 /// Time without a report after which a worker is removed (seconds).
 const REMOVE_AFTER_S: f64 = 10.0;
-/// A value is bounded to this multiple of the other workers' mean: the ratio of a worker with 16 cores to one with 2.
+/// A value is bounded to this multiple of the trimmed mean of all workers' values: the ratio of a worker with 16 cores to one
+/// with 2.
 const MAX_OUTLIER_FACTOR: f64 = 8.0;
-/// Share of the highest values that is excluded from that mean; always at least one value.
+/// Share of the values, from the highest down, that is excluded from the trimmed mean; always at least one value.
 const TRIMMED_SHARE: f64 = 0.05;
 /// A worker's arrivals are bounded to this multiple of its capacity.
 const MAX_ARRIVALS_FACTOR: f64 = 3.0;
@@ -116,8 +118,8 @@
     }
 }
 
-/// Upper bound for one worker's value. It is computed over the whole fleet: within a zone of two workers, each would
-/// contribute half of its own bound.
+/// Upper bound for one worker's value: `MAX_OUTLIER_FACTOR` times the trimmed mean. It is computed over the whole fleet: within
+/// a zone of two workers, each would contribute half of its own bound.
 fn outlier_bound(live: &[&LatestReport], value: fn(&LoadReport) -> f32) -> f64 {
     let mut values: Vec<f64> = live.iter().map(|report| f64::from(value(&report.load))).collect();
     values.sort_by(f64::total_cmp);
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -1,8 +1,9 @@
 //! A worker's session with the coordinators: chooses the coordinator to connect to, sends heartbeats, and abandons links that
 //! do not answer. All times are on the membership's clock (seconds).
 //!
-//! Guarantees to callers: connection attempts are randomized, so that a fleet that is cut off at once reconnects over a
-//! period of seconds; a leader that does not answer is abandoned; no function blocks.
+//! Guarantees to callers: connection attempts are randomized, so that workers that lose their links at the same time are
+//! spread over more than `RECONNECT_SPREAD_S` when they reconnect; a leader that does not answer is abandoned; no function
+//! blocks.
 
 use super::frame::{ClientMessage, ServerMessage};
 use std::net::SocketAddr;
@@ -259,8 +260,8 @@
 
     /// Selects the leader that a coordinator has named, if it is among the configured coordinators.
     fn follow_leader(&mut self, leader: Option<&str>) {
-        let address = leader.and_then(|l| l.parse::<SocketAddr>().ok());
-        let index = address.and_then(|a| self.coordinators.iter().position(|c| *c == a));
+        let address = leader.and_then(|text| text.parse::<SocketAddr>().ok());
+        let index = address.and_then(|address| self.coordinators.iter().position(|known| *known == address));
         if let Some(index) = index {
             self.current = index;
         }
