--- a/fleet-coordinator/src/leader_state/periods.rs
+++ b/fleet-coordinator/src/leader_state/periods.rs
@@ -15,7 +15,7 @@
             self.propose(Command::BeginPeriod { lease, every_ms, idempotent, attempt });
         } else {
             let reason = Rejection::NotHeld.to_string();
-            self.send(link, ServerMessage::PeriodNotBegun { lease, in_ms: 0, reason });
+            self.send(link, ServerMessage::PeriodNotBegun { lease, retry_after_ms: 0, reason });
         }
     }
 
@@ -36,12 +36,14 @@
         let answer = match result {
             Ok(Outcome::Begun(period)) => ServerMessage::PeriodBegun { lease, period: *period, attempt },
             Ok(_) => return,
-            Err(Rejection::NotDue(in_ms)) => {
-                ServerMessage::PeriodNotBegun { lease, in_ms: *in_ms, reason: String::new() }
-            }
+            Err(Rejection::NotDue(retry_after_ms)) => ServerMessage::PeriodNotBegun {
+                lease,
+                retry_after_ms: *retry_after_ms,
+                reason: String::new(),
+            },
             Err(rejection) => ServerMessage::PeriodNotBegun {
                 lease,
-                in_ms: HEARTBEAT_INTERVAL_MS,
+                retry_after_ms: HEARTBEAT_INTERVAL_MS,
                 reason: rejection.to_string(),
             },
         };
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -86,7 +86,7 @@
                     ServerMessage::Welcome {
                         session: session.0,
                         session_ttl_ms: SESSION_TTL_MS,
-                        keep_every_ms: HEARTBEAT_INTERVAL_MS,
+                        heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
                         version: LATEST_VERSION,
                     }
                 }
--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -199,7 +199,8 @@
         /// Time after the last heartbeat at which the session expires (milliseconds).
         session_ttl_ms: u64,
         /// Interval at which heartbeats are expected (milliseconds).
-        keep_every_ms: u64,
+        #[serde(rename = "keep_every_ms")]
+        heartbeat_interval_ms: u64,
         /// The coordinator's [`VERSION`].
         version: u32,
     },
@@ -253,7 +254,8 @@
         #[serde(rename = "held")]
         lease: LeaseRef,
         /// Time after which the period may be requested again (milliseconds).
-        in_ms: u64,
+        #[serde(rename = "in_ms")]
+        retry_after_ms: u64,
         /// The cause, for logs.
         #[serde(rename = "why")]
         reason: String,
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -39,7 +39,9 @@
                 let begun = BegunPeriod { lease, period: *period, attempt: *attempt };
                 self.begin_period(now, &begun);
             }
-            ServerMessage::PeriodNotBegun { lease, in_ms, .. } => self.postpone_period(now, lease, *in_ms),
+            ServerMessage::PeriodNotBegun { lease, retry_after_ms, .. } => {
+                self.postpone_period(now, lease, *retry_after_ms);
+            }
             _ => {}
         }
     }
@@ -110,9 +112,9 @@
         }
     }
 
-    fn postpone_period(&mut self, now: f64, lease: &LeaseRef, pause_ms: u64) {
+    fn postpone_period(&mut self, now: f64, lease: &LeaseRef, retry_after_ms: u64) {
         if let Some(task) = self.tasks.iter_mut().find(|task| task.schedule.name == lease.task) {
-            task.period_not_begun(now, pause_ms as f64 / 1000.0 + PERIOD_REQUEST_MARGIN_S);
+            task.period_not_begun(now, retry_after_ms as f64 / 1000.0 + PERIOD_REQUEST_MARGIN_S);
         }
     }
 
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -36,8 +36,12 @@
     let mut member = FleetMember::new(0.0, config(), Incarnation(1), 1);
     member.tick(1.0, Counters::new);
     member.connected();
-    let welcome =
-        ServerMessage::Welcome { session: 5, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION };
+    let welcome = ServerMessage::Welcome {
+        session: 5,
+        session_ttl_ms: 3000,
+        heartbeat_interval_ms: 500,
+        version: VERSION,
+    };
     member.receive(1.0, &welcome);
     member.receive(1.0, &ServerMessage::LeaseGranted { lease: lease(3) });
     member.take_actions();
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -212,8 +212,8 @@
     /// Processes messages that concern the session itself. Returns `true` if the previous session has ended.
     pub fn receive(&mut self, now: f64, message: &ServerMessage, actions: &mut Vec<LinkAction>) -> bool {
         match message {
-            ServerMessage::Welcome { session, keep_every_ms, .. } => {
-                self.receive_welcome(now, *session, *keep_every_ms as f64 / 1000.0)
+            ServerMessage::Welcome { session, heartbeat_interval_ms, .. } => {
+                self.receive_welcome(now, *session, *heartbeat_interval_ms as f64 / 1000.0)
             }
             ServerMessage::HeartbeatAck { seq, .. } => {
                 self.receive_heartbeat_ack(now, *seq);
--- a/src/fleet/session/tests.rs
+++ b/src/fleet/session/tests.rs
@@ -6,7 +6,7 @@
 }
 
 fn welcome(session: u64) -> ServerMessage {
-    ServerMessage::Welcome { session, session_ttl_ms: 10_000, keep_every_ms: 1000, version: 2 }
+    ServerMessage::Welcome { session, session_ttl_ms: 10_000, heartbeat_interval_ms: 1000, version: 2 }
 }
 
 #[test]
--- a/tests/stored_forms/fleet.rs
+++ b/tests/stored_forms/fleet.rs
@@ -160,7 +160,12 @@
         overload: None,
     };
     vec![
-        ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: VERSION },
+        ServerMessage::Welcome {
+            session: 41,
+            session_ttl_ms: 3000,
+            heartbeat_interval_ms: 500,
+            version: VERSION,
+        },
         ServerMessage::NotLeader { leader: None, reason: "no leader is known".to_owned() },
         ServerMessage::NotLeader { leader: Some("127.0.0.1:7102".to_owned()), reason: "c2 leads".to_owned() },
         minimal_ack,
@@ -185,7 +190,7 @@
         ServerMessage::PeriodBegun { lease: lease("nightly-report", 7), period: 29_000_000, attempt: 1 },
         ServerMessage::PeriodNotBegun {
             lease: lease("nightly-report", 7),
-            in_ms: 400,
+            retry_after_ms: 400,
             reason: "it is made".to_owned(),
         },
         ServerMessage::SessionExpired,
@@ -244,7 +249,7 @@
         overload,
     };
     vec![
-        ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, keep_every_ms: 500, version: 3 },
+        ServerMessage::Welcome { session: 41, session_ttl_ms: 3000, heartbeat_interval_ms: 500, version: 3 },
         ServerMessage::NotLeader { leader: None, reason: String::new() },
         ack(None),
         ack(Some(FleetDigest::default())),
