--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -29,7 +29,11 @@
 /// The factor by which rate steps change the arrival rate at a time.
 #[must_use]
 pub fn rate_factor(steps: &[RateStep], at: f64) -> f64 {
-    steps.iter().filter(|j| (j.at_s..j.at_s + j.for_s).contains(&at)).map(|j| j.factor).product()
+    steps
+        .iter()
+        .filter(|step| (step.at_s..step.at_s + step.for_s).contains(&at))
+        .map(|step| step.factor)
+        .product()
 }
 
 /// Generates all requests of a trial in advance: open-loop arrivals do not wait for responses.
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -169,7 +169,7 @@
         let limit = words.next().and_then(|w| w.parse().ok()).unwrap_or(0);
         let cause = words.find_map(|w| w.strip_prefix("cause=")).unwrap_or("");
         let since_start = seconds_of_day(line).unwrap_or(0.0) - started_at;
-        // Midnight may pass in between.
+        // Log times are seconds of the day, and midnight may pass during the trial.
         let at = since_start.rem_euclid(SECONDS_PER_DAY);
         result.limits.push(LimitChange { at, slots: limit, cause: cause.to_owned() });
     }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -307,7 +307,7 @@
     let mut trials = Vec::new();
     for (index, &seed) in experiment.seeds.iter().enumerate() {
         let mut variants: Vec<_> = experiment.variant.iter().collect();
-        // The second variant of a pair finds the machine in another state: the order alternates.
+        // The order alternates, since the trials of one variant change the state of the machine for the next.
         if index % 2 == 1 {
             variants.reverse();
         }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -154,12 +154,14 @@
             TrialResult { variant: variant.to_owned(), seed, memory_growth: 1.0, ..TrialResult::default() };
         let (mut worth, mut total_worth, mut weighted_worth, mut total_weighted_worth) = (0.0, 0.0, 0.0, 0.0);
         for (number, class) in experiment.class.iter().enumerate() {
-            let mut r = ClassResult { name: class.name.clone(), ..ClassResult::default() };
+            let mut class_result = ClassResult { name: class.name.clone(), ..ClassResult::default() };
             // Up to a minute with three significant digits; these bounds are always valid.
             let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
-            for (request, outcome) in requests.iter().zip(outcomes).filter(|(r, _)| r.class == number) {
+            for (request, outcome) in
+                requests.iter().zip(outcomes).filter(|(request, _)| request.class == number)
+            {
                 let work = request.work.before_s + request.work.after_s;
-                r.requests += 1;
+                class_result.requests += 1;
                 total_worth += class.worth;
                 total_weighted_worth += class.worth * work;
                 match outcome {
@@ -170,26 +172,26 @@
                         }
                         let within_objective = latency_s * 1000.0 <= class.objective_ms;
                         if within_objective {
-                            r.within_objective += 1;
+                            class_result.within_objective += 1;
                         } else {
-                            r.late += 1;
+                            class_result.late += 1;
                         }
-                        r.degraded += u64::from(*degraded);
+                        class_result.degraded += u64::from(*degraded);
                         let degraded_factor = if *degraded { class.skip_worth } else { 1.0 };
                         let factor = if within_objective { 1.0 } else { class.late_worth } * degraded_factor;
                         worth += class.worth * factor;
                         weighted_worth += class.worth * factor * work;
                     }
-                    Some(RequestOutcome::Rejected) => r.rejected += 1,
-                    Some(RequestOutcome::Failed) => r.failed += 1,
+                    Some(RequestOutcome::Rejected) => class_result.rejected += 1,
+                    Some(RequestOutcome::Failed) => class_result.failed += 1,
                     None => result.unanswered += 1,
                 }
             }
             if let Some(latencies) = latencies {
-                r.p50_ms = latencies.value_at_quantile(0.5) as f64 / 1000.0;
-                r.p99_ms = latencies.value_at_quantile(0.99) as f64 / 1000.0;
+                class_result.p50_ms = latencies.value_at_quantile(0.5) as f64 / 1000.0;
+                class_result.p99_ms = latencies.value_at_quantile(0.99) as f64 / 1000.0;
             }
-            result.classes.push(r);
+            result.classes.push(class_result);
         }
         (result.worth, result.worth_by_work) =
             (worth / f64::max(total_worth, 1e-9), weighted_worth / f64::max(total_weighted_worth, 1e-9));
@@ -247,13 +249,13 @@
     let find = |variant: &str, seed: u64| trials.iter().find(|t| t.variant == variant && t.seed == seed);
     let of_variant = trials.iter().filter(|t| t.variant == expectation.variant);
     of_variant
-        .filter_map(|p| {
-            let value = p.metric(&expectation.metric, expectation.class.as_deref());
+        .filter_map(|trial| {
+            let value = trial.metric(&expectation.metric, expectation.class.as_deref());
             match &expectation.baseline {
                 None => Some(value),
                 Some(baseline) => Some(
                     value
-                        / find(baseline, p.seed)?
+                        / find(baseline, trial.seed)?
                             .metric(&expectation.metric, expectation.class.as_deref())
                             .max(1e-9),
                 ),
@@ -266,17 +268,18 @@
 #[must_use]
 pub fn verdict(experiment: &Experiment, trials: &[TrialResult]) -> (String, bool) {
     let (mut text, mut all_hold) = (String::new(), true);
-    for x in &experiment.expect {
-        let (mean, half) = confidence_interval(&values(trials, x));
-        let holds = x.min.map_or(true, |min| mean >= min) && x.max.map_or(true, |max| mean <= max);
+    for expectation in &experiment.expect {
+        let (mean, half) = confidence_interval(&values(trials, expectation));
+        let holds = expectation.min.map_or(true, |min| mean >= min)
+            && expectation.max.map_or(true, |max| mean <= max);
         all_hold &= holds;
-        let class = x.class.as_ref().map_or(String::new(), |c| format!(" of {c}"));
-        let baseline = x.baseline.as_ref().map_or(String::new(), |b| format!(" relative to {b}"));
-        let bounds = [("at least", x.min), ("at most", x.max)];
+        let class = expectation.class.as_ref().map_or(String::new(), |c| format!(" of {c}"));
+        let baseline = expectation.baseline.as_ref().map_or(String::new(), |b| format!(" relative to {b}"));
+        let bounds = [("at least", expectation.min), ("at most", expectation.max)];
         let bounds: Vec<String> =
             bounds.iter().filter_map(|(word, b)| b.map(|b| format!("{word} {b}"))).collect();
         let word = if holds { "holds" } else { "BROKEN" };
-        let (variant, metric, bounds) = (&x.variant, &x.metric, bounds.join(", "));
+        let (variant, metric, bounds) = (&expectation.variant, &expectation.metric, bounds.join(", "));
         let _ = writeln!(
             text,
             "{word:6}  {variant}: {metric}{class}{baseline} = {mean:.4} +- {half:.4}  ({bounds})"
@@ -293,7 +296,8 @@
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for variant in &experiment.variant {
-        let of_variant: Vec<&TrialResult> = trials.iter().filter(|p| p.variant == variant.name).collect();
+        let of_variant: Vec<&TrialResult> =
+            trials.iter().filter(|trial| trial.variant == variant.name).collect();
         add_class_rows(&mut text, experiment, &variant.name, &of_variant);
         add_pool_rows(&mut text, &variant.name, &of_variant);
         add_total_row(&mut text, &variant.name, &of_variant);
@@ -311,8 +315,9 @@
 fn add_class_rows(text: &mut String, experiment: &Experiment, variant: &str, trials: &[&TrialResult]) {
     let n = trials.len().max(1) as f64;
     for class in 0..experiment.class.len() {
-        let mean =
-            |of: &dyn Fn(&ClassResult) -> f64| trials.iter().map(|p| of(&p.classes[class])).sum::<f64>() / n;
+        let mean = |of: &dyn Fn(&ClassResult) -> f64| {
+            trials.iter().map(|trial| of(&trial.classes[class])).sum::<f64>() / n
+        };
         let requests = mean(&|c| c.requests as f64).max(1e-9);
         let percent = |of: fn(&ClassResult) -> u64| 100.0 * mean(&|c| of(c) as f64) / requests;
         let _ = writeln!(
@@ -333,12 +338,14 @@
 
 fn add_pool_rows(text: &mut String, variant: &str, trials: &[&TrialResult]) {
     let n = trials.len().max(1) as f64;
-    let names = trials.first().map_or(Vec::new(), |p| p.pools.iter().map(|q| &q.name).collect());
+    let names =
+        trials.first().map_or(Vec::new(), |trial| trial.pools.iter().map(|pool| &pool.name).collect());
     for (pool, name) in names.into_iter().enumerate() {
         let mean = |of: fn(&PoolResult) -> u64| {
-            trials.iter().filter_map(|p| p.pools.get(pool)).map(|q| of(q) as f64).sum::<f64>() / n
+            trials.iter().filter_map(|trial| trial.pools.get(pool)).map(|pool| of(pool) as f64).sum::<f64>()
+                / n
         };
-        let (started, rejected) = (mean(|q| q.started), mean(|q| q.rejected));
+        let (started, rejected) = (mean(|pool| pool.started), mean(|pool| pool.rejected));
         let _ = writeln!(
             text,
             "| {variant} | pool {name} | started {started:.0} | rejected {rejected:.0} | | | | | | |"
@@ -347,10 +354,10 @@
 }
 
 fn add_total_row(text: &mut String, variant: &str, trials: &[&TrialResult]) {
-    let (worth, half) = mean_of(trials, &|p| p.worth);
-    let (by_work, by_work_half) = mean_of(trials, &|p| p.worth_by_work);
-    let (concurrency, _) = mean_of(trials, &|p| p.peak_concurrency_ratio);
-    let (cpu, _) = mean_of(trials, &|p| p.cpu_ms);
+    let (worth, half) = mean_of(trials, &|trial| trial.worth);
+    let (by_work, by_work_half) = mean_of(trials, &|trial| trial.worth_by_work);
+    let (concurrency, _) = mean_of(trials, &|trial| trial.peak_concurrency_ratio);
+    let (cpu, _) = mean_of(trials, &|trial| trial.cpu_ms);
     let _ = writeln!(
             text,
             "| {variant} | all | | worth {worth:.4} +- {half:.4} | worth by work {by_work:.4} +- {by_work_half:.4} | \
@@ -359,27 +366,27 @@
 }
 
 fn add_flood_row(text: &mut String, variant: &str, trials: &[&TrialResult]) {
-    let connections: u64 = trials.iter().map(|p| p.flood_connections).sum();
+    let connections: u64 = trials.iter().map(|trial| trial.flood_connections).sum();
     if connections > 0 {
-        let closed: u64 = trials.iter().map(|p| p.flood_closed).sum();
-        let peak = trials.iter().map(|p| p.peak_extra_memory_mb).fold(0.0, f64::max);
+        let closed: u64 = trials.iter().map(|trial| trial.flood_closed).sum();
+        let peak = trials.iter().map(|trial| trial.peak_extra_memory_mb).fold(0.0, f64::max);
         let _ = writeln!(
                 text,
                 "| {} | flood | connections {connections} | closed by the worker {closed} | {:.1} MB per trial | \
                  peak memory above idle {peak:.2} MB | | | | |",
                 variant,
-                mean_of(trials, &|p| p.flood_mb).0
+                mean_of(trials, &|trial| trial.flood_mb).0
             );
     }
 }
 
 fn add_console_row(text: &mut String, variant: &str, trials: &[&TrialResult]) {
-    let calls: u64 = trials.iter().map(|p| p.console_calls).sum();
+    let calls: u64 = trials.iter().map(|trial| trial.console_calls).sum();
     if calls > 0 {
-        let max = trials.iter().map(|p| p.console_ms[2]).fold(0.0, f64::max);
-        let (p50, _) = mean_of(trials, &|p| p.console_ms[0]);
-        let (p99, _) = mean_of(trials, &|p| p.console_ms[1]);
-        let failed: u64 = trials.iter().map(|p| p.console_failures).sum();
+        let max = trials.iter().map(|trial| trial.console_ms[2]).fold(0.0, f64::max);
+        let (p50, _) = mean_of(trials, &|trial| trial.console_ms[0]);
+        let (p99, _) = mean_of(trials, &|trial| trial.console_ms[1]);
+        let failed: u64 = trials.iter().map(|trial| trial.console_failures).sum();
         let _ = writeln!(
             text,
             "| {variant} | console | calls {calls} | failed {failed} | p50 {p50:.2} ms | p99 {p99:.2} ms | \
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -149,7 +149,7 @@
     }
 
     pub fn accepted_calls(&self, task: &str) -> Vec<TaskCall> {
-        self.rig.task_calls().into_iter().filter(|a| a.accepted && a.task == task).collect()
+        self.rig.task_calls().into_iter().filter(|call| call.accepted && call.task == task).collect()
     }
 
     /// Waits until a task has `more` more accepted calls than now.
@@ -265,8 +265,8 @@
         let violations = find_violations(&calls);
         assert!(violations.is_empty(), "{violations:#?}\n{}", self.log_tails());
         assert!(
-            calls.iter().filter(|a| a.accepted).count() > 8,
-            "too few calls for the check to mean something"
+            calls.iter().filter(|call| call.accepted).count() > 8,
+            "fewer than 9 accepted calls, too few for the check to mean something"
         );
     }
 }
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -25,11 +25,11 @@
     fleet.rig.resume(&holder).unwrap();
     fleet.wait_all_tasks(4);
     // Calls that were in transit when the holder was suspended may arrive late; they must be rejected.
-    let late = |a: &&testbed::fleet::task_log::TaskCall| a.accepted && a.token == token;
+    let late = |call: &&testbed::fleet::task_log::TaskCall| call.accepted && call.token == token;
     let calls = fleet.accepted_calls("report");
-    let first_after = calls.iter().find(|a| a.token > token).unwrap().begin_ms;
+    let first_after = calls.iter().find(|call| call.token > token).unwrap().begin_ms;
     assert!(
-        !calls.iter().filter(late).any(|a| a.begin_ms > first_after),
+        !calls.iter().filter(late).any(|call| call.begin_ms > first_after),
         "the suspended holder carried out a call with its old token"
     );
     fleet.assert_no_violations();
@@ -68,8 +68,8 @@
         while !condition(sessions) {
             sessions.turn();
             let holders = sessions.holders("wanted");
-            assert!(holders.len() <= 1, "{holders:?}");
-            assert!(Instant::now() < deadline, "{what}");
+            assert!(holders.len() <= 1, "more than one holder of the lease: {holders:?}");
+            assert!(Instant::now() < deadline, "{what}: not within 40 s");
             std::thread::sleep(Duration::from_millis(2));
         }
     };
@@ -96,7 +96,7 @@
     let token = fleet.accepted_calls("report").pop().unwrap().token;
     fleet.rig.replace(&holder).unwrap();
     fleet.wait("calls of its successor", |_| {
-        fleet.accepted_calls("report").pop().filter(|a| a.token > token && a.holder == holder)
+        fleet.accepted_calls("report").pop().filter(|call| call.token > token && call.holder == holder)
     });
     fleet.wait_all_tasks(2);
     fleet.assert_no_violations();
@@ -132,7 +132,8 @@
     }
 }
 
-/// Holds back a call in transit while its holder is suspended and another worker calls, and then delivers it.
+/// Holds back a call of "report" in transit while its holder is suspended and another worker calls, and then delivers it.
+/// Returns the suspended holder and its fencing token.
 fn delay_task_call(fleet: &mut FleetUnderTest) -> (String, u64) {
     let holder = fleet.lease_holder("report");
     let token = fleet.accepted_calls("report").pop().unwrap().token;
@@ -151,7 +152,9 @@
     let mut fleet = FleetUnderTest::start();
     let (_, token) = delay_task_call(&mut fleet);
     fleet.wait("the rejected late call", |rig| {
-        rig.task_calls().into_iter().find(|a| a.task == "report" && a.token == token && !a.accepted)
+        rig.task_calls()
+            .into_iter()
+            .find(|call| call.task == "report" && call.token == token && !call.accepted)
     });
     fleet.wait_all_tasks(2);
     fleet.assert_no_violations();
@@ -165,7 +168,7 @@
     fleet.wait("the violation", |rig| {
         testbed::fleet::task_log::find_violations(&rig.task_calls())
             .iter()
-            .any(|w| w.contains("token decreases"))
+            .any(|violation| violation.contains("token decreases"))
             .then_some(())
     });
 }
--- a/testbed/tests/fleet_virtual.rs
+++ b/testbed/tests/fleet_virtual.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn same_seed_plays_the_same_run() {
+fn same_seed_gives_the_same_run() {
     let scenario = Scenario { fault_phase_s: 20.0, recovery_phase_s: 15.0, ..Scenario::default() };
     let (one, two) = (simulate(&scenario, 7), simulate(&scenario, 7));
     assert_eq!((one.digest, one.faults, one.accepted), (two.digest, two.faults, two.accepted));
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -9,7 +9,7 @@
     Experiment::decode(include_str!("../experiments/pools-110.toml")).unwrap()
 }
 
-fn play(experiment: &Experiment, variant: &str, seed: u64) -> TrialResult {
+fn run_in_virtual_time(experiment: &Experiment, variant: &str, seed: u64) -> TrialResult {
     let variant = experiment.variant.iter().find(|v| v.name == variant).unwrap();
     virtual_time::run_trial(experiment, variant, seed).unwrap()
 }
@@ -17,10 +17,11 @@
 #[test]
 fn experiment_bounds_hold_in_virtual_time_and_fail_without_pools() {
     let experiment = experiment();
-    let plays: Vec<TrialResult> =
-        (1..=5).flat_map(|seed| ["plain", "pools"].map(|variant| play(&experiment, variant, seed))).collect();
-    let (text, passed) = verdict(&experiment, &plays);
-    assert!(passed, "{text}\n{}", table(&experiment, &plays));
+    let trials: Vec<TrialResult> = (1..=5)
+        .flat_map(|seed| ["plain", "pools"].map(|variant| run_in_virtual_time(&experiment, variant, seed)))
+        .collect();
+    let (text, passed) = verdict(&experiment, &trials);
+    assert!(passed, "{text}\n{}", table(&experiment, &trials));
     // Verifies that the bounds can fail: without pools, the cheapest requests starve.
     let mut without_pools = experiment.clone();
     without_pools
@@ -28,87 +29,91 @@
         .iter_mut()
         .filter(|x| x.baseline.is_none())
         .for_each(|x| x.variant = "plain".to_owned());
-    assert!(!verdict(&without_pools, &plays).1);
+    assert!(!verdict(&without_pools, &trials).1);
 }
 
 #[test]
-fn same_seed_plays_the_same_experiment() {
+fn same_seed_gives_the_same_results() {
     let experiment = experiment();
-    let text = |seed| serde_json::to_string(&play(&experiment, "pools", seed)).unwrap();
+    let text = |seed| serde_json::to_string(&run_in_virtual_time(&experiment, "pools", seed)).unwrap();
     assert_eq!(text(3), text(3));
     assert_ne!(text(3), text(4));
 }
 
 #[test]
 fn load_step_from_70_percent_and_back_keeps_the_reserve_available() {
-    let mut e = experiment();
-    (e.load, e.slow) = (0.7, Vec::new());
-    e.jump = vec![RateStep { at_s: 8.0, for_s: 8.0, factor: 1.6 }];
+    let mut experiment = experiment();
+    (experiment.load, experiment.slow) = (0.7, Vec::new());
+    experiment.jump = vec![RateStep { at_s: 8.0, for_s: 8.0, factor: 1.6 }];
     for seed in 1..=4 {
-        let p = play(&e, "pools", seed);
-        assert_eq!((p.idle_reserve_waits, p.unanswered), (0, 0));
-        assert!(p.metric("in_aim", Some("status-check")) >= 0.99, "{p:?}");
-        assert!(p.metric("in_aim", Some("port-submit")) >= 0.95, "{p:?}");
+        let result = run_in_virtual_time(&experiment, "pools", seed);
+        assert_eq!((result.idle_reserve_waits, result.unanswered), (0, 0));
+        assert!(result.metric("in_aim", Some("status-check")) >= 0.99, "{result:?}");
+        assert!(result.metric("in_aim", Some("port-submit")) >= 0.95, "{result:?}");
     }
 }
 
 #[test]
 fn flood_of_one_class_at_three_times_capacity_leaves_the_others_their_guarantee() {
-    let mut e = experiment();
-    (e.load, e.slow, e.jump) = (0.7, Vec::new(), Vec::new());
+    let mut experiment = experiment();
+    (experiment.load, experiment.slow, experiment.jump) = (0.7, Vec::new(), Vec::new());
     // The class eligibility alone demands three times the capacity of the cores.
-    e.class[1].jump = vec![RateStep { at_s: 5.0, for_s: 15.0, factor: 6.0 }];
+    experiment.class[1].jump = vec![RateStep { at_s: 5.0, for_s: 15.0, factor: 6.0 }];
     let (mut plain, mut pools) = (0.0, 0.0);
     for seed in 1..=4 {
-        let p = play(&e, "pools", seed);
-        assert!(p.metric("in_aim", Some("status-check")) >= 0.99, "{p:?}");
-        assert!(p.metric("in_aim", Some("port-submit")) >= 0.95, "{p:?}");
-        pools += p.metric("in_aim", Some("status-check"));
-        plain += play(&e, "plain", seed).metric("in_aim", Some("status-check"));
+        let result = run_in_virtual_time(&experiment, "pools", seed);
+        assert!(result.metric("in_aim", Some("status-check")) >= 0.99, "{result:?}");
+        assert!(result.metric("in_aim", Some("port-submit")) >= 0.95, "{result:?}");
+        pools += result.metric("in_aim", Some("status-check"));
+        plain += run_in_virtual_time(&experiment, "plain", seed).metric("in_aim", Some("status-check"));
     }
     assert!(plain < 0.75 * pools, "{plain} against {pools}");
 }
 
 #[test]
 fn executor_slowed_ten_times_stays_far_below_the_survivable_concurrency() {
-    let mut e = experiment();
-    e.jump = Vec::new();
-    e.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, factor: 10.0 }];
+    let mut experiment = experiment();
+    experiment.jump = Vec::new();
+    experiment.slow = vec![Slowdown { at_s: 8.0, for_s: 10.0, factor: 10.0 }];
     for seed in 1..=4 {
-        let p = play(&e, "pools", seed);
-        assert!(p.peak_concurrency_ratio < 0.5 && p.unanswered == 0, "{p:?}");
-        assert!(p.limits.iter().any(|l| l.cause == "slow" && l.at > 8.0 && l.at < 10.5), "{:?}", p.limits);
+        let result = run_in_virtual_time(&experiment, "pools", seed);
+        assert!(result.peak_concurrency_ratio < 0.5 && result.unanswered == 0, "{result:?}");
+        assert!(
+            result.limits.iter().any(|l| l.cause == "slow" && l.at > 8.0 && l.at < 10.5),
+            "{:?}",
+            result.limits
+        );
         // Runs end normally again from 18 s on: within three seconds the executor no longer counts as slow, whatever the limit is.
-        let after = p.limits.iter().find(|l| l.cause != "slow" && l.at > 18.0);
+        let after = result.limits.iter().find(|l| l.cause != "slow" && l.at > 18.0);
         let already_recovered =
-            p.limits.iter().rev().find(|l| l.at <= 18.0).is_some_and(|l| l.cause != "slow");
-        assert!(already_recovered || after.is_some_and(|l| l.at <= 21.0), "{:?}", p.limits);
+            result.limits.iter().rev().find(|l| l.at <= 18.0).is_some_and(|l| l.cause != "slow");
+        assert!(already_recovered || after.is_some_and(|l| l.at <= 21.0), "{:?}", result.limits);
     }
 }
 
 #[test]
 fn reserved_class_silent_for_a_minute_is_served_when_it_bursts() {
-    let mut e = experiment();
-    (e.length_s, e.slow, e.jump) = (70.0, Vec::new(), Vec::new());
-    e.class[0].jump = vec![
+    let mut experiment = experiment();
+    (experiment.length_s, experiment.slow, experiment.jump) = (70.0, Vec::new(), Vec::new());
+    experiment.class[0].jump = vec![
         RateStep { at_s: 0.0, for_s: 60.0, factor: 0.0 },
         RateStep { at_s: 60.0, for_s: 10.0, factor: 3.0 },
     ];
-    let p = play(&e, "pools", 1);
-    assert!(p.classes[0].requests > 300, "{p:?}");
-    assert_eq!(p.idle_reserve_waits, 0);
-    assert!(p.metric("in_aim", Some("status-check")) >= 0.99, "{p:?}");
+    let result = run_in_virtual_time(&experiment, "pools", 1);
+    assert!(result.classes[0].requests > 300, "{result:?}");
+    assert_eq!(result.idle_reserve_waits, 0);
+    assert!(result.metric("in_aim", Some("status-check")) >= 0.99, "{result:?}");
 }
 
 #[test]
 fn stalled_records_service_leaves_every_pool_its_slots() {
-    let mut e = experiment();
-    (e.load, e.slow, e.jump) = (0.9, Vec::new(), Vec::new());
-    e.stall = vec![Slowdown { at_s: 8.0, for_s: 6.0, factor: 1.0 }];
+    let mut experiment = experiment();
+    (experiment.load, experiment.slow, experiment.jump) = (0.9, Vec::new(), Vec::new());
+    experiment.stall = vec![Slowdown { at_s: 8.0, for_s: 6.0, factor: 1.0 }];
     for seed in 1..=3 {
-        let p = play(&e, "pools", seed);
-        assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
-        assert!(p.peak_concurrency_ratio <= 0.8, "{p:?}");
+        let result = run_in_virtual_time(&experiment, "pools", seed);
+        assert_eq!((result.unanswered, result.idle_reserve_waits), (0, 0), "{result:?}");
+        assert!(result.peak_concurrency_ratio <= 0.8, "{result:?}");
     }
 }
 
@@ -146,24 +151,24 @@
 
 /// Returns the path of the worker, which `cargo test --workspace` builds.
 fn worker() -> PathBuf {
-    let own = std::env::current_exe().unwrap();
-    let path = own.parent().and_then(|p| p.parent()).unwrap().join("port-worker");
+    let test_program = std::env::current_exe().unwrap();
+    let path = test_program.parent().and_then(|folder| folder.parent()).unwrap().join("port-worker");
     assert!(path.exists(), "{} is not built: run cargo test --workspace", path.display());
     path
 }
 
 #[test]
 fn short_loopback_run_answers_all_requests_and_keeps_the_reserve() {
-    let mut e = experiment();
-    e.length_s = 4.0;
-    e.jump = vec![RateStep { at_s: 1.0, for_s: 2.0, factor: 1.6 }];
-    e.slow = Vec::new();
-    let variant = e.variant.iter().find(|v| v.name == "pools").unwrap().clone();
-    let p = loopback::run_trial(&e, &variant, 1, &worker()).unwrap();
+    let mut experiment = experiment();
+    experiment.length_s = 4.0;
+    experiment.jump = vec![RateStep { at_s: 1.0, for_s: 2.0, factor: 1.6 }];
+    experiment.slow = Vec::new();
+    let variant = experiment.variant.iter().find(|v| v.name == "pools").unwrap().clone();
+    let result = loopback::run_trial(&experiment, &variant, 1, &worker()).unwrap();
     // Holds on a slow machine too: every request got a response, and the reserve was never withheld from its pool.
-    assert_eq!((p.unanswered, p.idle_reserve_waits), (0, 0), "{p:?}");
-    assert!(p.classes.iter().all(|c| c.requests == c.within_objective + c.late + c.rejected + c.failed));
-    assert!(p.classes[0].within_objective > 0 && p.cpu_ms > 0.0, "{p:?}");
-    let owed = e.expect.iter().find(|x| x.metric == "owed").unwrap();
-    assert_eq!(values(&[p], owed), vec![0.0]);
+    assert_eq!((result.unanswered, result.idle_reserve_waits), (0, 0), "{result:?}");
+    assert!(result.classes.iter().all(|c| c.requests == c.within_objective + c.late + c.rejected + c.failed));
+    assert!(result.classes[0].within_objective > 0 && result.cpu_ms > 0.0, "{result:?}");
+    let owed = experiment.expect.iter().find(|x| x.metric == "owed").unwrap();
+    assert_eq!(values(&[result], owed), vec![0.0]);
 }
