--- a/test-support/src/executor.rs
+++ b/test-support/src/executor.rs
@@ -113,7 +113,7 @@
     pub fn read_command_or_end(&mut self) -> Option<Value> {
         let deadline = Instant::now() + TIMEOUT;
         loop {
-            assert!(Instant::now() < deadline, "no command except gauge queries arrived");
+            assert!(Instant::now() < deadline, "no command except gauge queries arrived within {TIMEOUT:?}");
             let mut line = String::new();
             match self.reader.read_line(&mut line) {
                 Ok(0) => return None,
--- a/test-support/src/network.rs
+++ b/test-support/src/network.rs
@@ -28,7 +28,7 @@
             stream.set_nonblocking(false).unwrap();
             return with_timeouts(stream);
         }
-        assert!(Instant::now() < deadline, "no connection arrived");
+        assert!(Instant::now() < deadline, "no connection arrived within {TIMEOUT:?}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/test-support/src/registry.rs
+++ b/test-support/src/registry.rs
@@ -53,9 +53,12 @@
             match self.socket.recv(&mut bytes) {
                 Ok(n) if bytes[..n] == *format!("BEAT n1 {state}").as_bytes() => return,
                 Ok(_) => {}
-                Err(e) => assert!(e.kind() == ErrorKind::Interrupted, "no report of {state}: {e}"),
+                Err(e) => assert!(
+                    e.kind() == ErrorKind::Interrupted,
+                    "waiting for a load report of state {state:?}: {e}"
+                ),
             }
-            assert!(Instant::now() < deadline, "no report of {state}");
+            assert!(Instant::now() < deadline, "no load report of state {state:?} within {TIMEOUT:?}");
         }
     }
 
--- a/test-support/src/request.rs
+++ b/test-support/src/request.rs
@@ -75,7 +75,7 @@
         RequestBuilder { extra_headers, ..self }
     }
 
-    /// Marks the request as a retry.
+    /// Marks the request as a retry. The header line for this replaces those of [`RequestBuilder::extra_headers`].
     #[must_use]
     pub fn retry(self) -> RequestBuilder<'a> {
         self.extra_headers("X-Resent: 1\r\n")
--- a/test-support/src/worker.rs
+++ b/test-support/src/worker.rs
@@ -99,10 +99,9 @@
     /// Panics if none arrives within [`TIMEOUT`].
     pub fn wait_log(&mut self, part: &str) -> String {
         loop {
-            let line = self
-                .lines
-                .recv_timeout(TIMEOUT)
-                .unwrap_or_else(|_| panic!("no log line contains {part:?}: {:?}", self.log));
+            let line = self.lines.recv_timeout(TIMEOUT).unwrap_or_else(|_| {
+                panic!("no log line with {part:?} within {TIMEOUT:?}; read: {:?}", self.log)
+            });
             self.log.push(line.clone());
             if line.contains(part) {
                 return line;
@@ -179,7 +178,7 @@
     pub fn wait_ready(&self) {
         let deadline = Instant::now() + TIMEOUT;
         while self.console_request("GET", "/-/ready").0 != 200 {
-            assert!(Instant::now() < deadline, "the worker did not become ready");
+            assert!(Instant::now() < deadline, "the worker did not become ready within {TIMEOUT:?}");
         }
     }
 
@@ -284,7 +283,7 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
-            assert!(Instant::now() < deadline, "the worker did not exit");
+            assert!(Instant::now() < deadline, "the worker did not exit within {TIMEOUT:?}");
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
