--- a/tests/crossings/closing.rs
+++ b/tests/crossings/closing.rs
@@ -122,7 +122,8 @@
     finish_run(&mut executor, &job, &mut client);
 }
 
-/// A response is still unread when a malformed packet arrives, followed by more data than the worker ever buffers.
+/// Guards against a reset that loses an unread response: a malformed packet follows it, and more data than the worker
+/// ever buffers.
 #[test]
 fn malformed_ajp_packet_ends_its_connection_without_a_reset() {
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3cret\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n";
--- a/tests/crossings/downstream.rs
+++ b/tests/crossings/downstream.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// The link fails after the command to run was sent, and a retry arrives before the executor has answered the `JOIN` of
-/// the new link.
+/// Guards against a second run when the link fails after the command to run was sent, and a retry arrives before the
+/// executor has answered the `JOIN` of the new link.
 #[test]
 fn retry_between_a_link_failure_and_the_next_welcome_shares_the_run() {
     let worker = WORKER.start();
@@ -112,7 +112,8 @@
     executor.expect_no_command(&worker);
 }
 
-/// A reply together with the close of its connection; a reply truncated by one byte; extra bytes after a reply.
+/// Guards against losing a complete reply that arrives with the close of its connection or with extra bytes, and against
+/// repeating a call whose reply is truncated by one byte.
 #[test]
 fn complete_reply_is_used_and_truncated_one_leaves_the_call_indeterminate() {
     let worker = WORKER.start();
--- a/tests/crossings/keys.rs
+++ b/tests/crossings/keys.rs
@@ -10,7 +10,7 @@
     RequestBuilder::new("order").key("5c0f6e1a")
 }
 
-/// The window of the key ends long before its run does.
+/// Guards against dropping a key whose window ends long before its run does: a retry would run again.
 #[test]
 fn key_is_retained_until_its_run_ends_however_short_its_window() {
     for window_s in [0.0, 0.1] {
@@ -30,7 +30,7 @@
     }
 }
 
-/// The retry and the end of the run arrive in one turn.
+/// Guards against a second run, or a retry without its result, when the retry and the end of the run arrive in one turn.
 #[test]
 fn retry_handled_with_the_end_of_its_run_gets_its_result() {
     let worker = WORKER.start();
@@ -52,7 +52,8 @@
     executor.expect_no_command(&worker);
 }
 
-/// The first caller resets its connection, its run ends, and the retry arrives, all in one turn.
+/// Guards against a second run when the first caller resets its connection, its run ends, and the retry arrives, all in
+/// one turn.
 #[test]
 fn reset_run_end_and_retry_in_one_turn_give_one_run() {
     let worker = WORKER.start();
@@ -68,8 +69,8 @@
     executor.expect_no_command(&worker);
 }
 
-/// An attempt that arrived within the window is read after one that arrived when the window was over and is queued. It
-/// still gets the result of the first run.
+/// Guards against a second run for an attempt that arrived within the window and is read after one that arrived when the
+/// window was over and is queued.
 #[test]
 fn attempt_within_the_window_read_after_a_later_one_does_not_run_again() {
     let worker = start_with_window(0.3);
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -117,7 +117,7 @@
     assert!(worker.exits_successfully());
 }
 
-/// A request arrives on an idle connection in the turn in which idle connections are closed.
+/// Guards against losing a request that arrives on an idle connection in the turn in which idle connections are closed.
 #[test]
 fn request_in_the_turn_that_closes_its_idle_connection_is_answered() {
     let mut worker = start_with_shutdown(1.0, 8000);
--- a/tests/failures/downstream_calls.rs
+++ b/tests/failures/downstream_calls.rs
@@ -101,7 +101,7 @@
 fn the_call_limit_falls_to_a_quarter_of_the_share_as_calls_get_longer() {
     let mut worker = Harness::new(settings_with_calls(4.0));
     let in_flight = |worker: &mut Harness, length: f64, first_id: u64| {
-        let mut most = 0;
+        let mut called_at_once = 0;
         for round in 0..20 {
             let ids: Vec<u64> = (first_id + round * 10..first_id + round * 10 + 2).collect();
             let mut actions = Vec::new();
@@ -117,7 +117,7 @@
                 .iter()
                 .filter_map(|a| if let Action::Call { id, .. } = a { Some(id.0) } else { None })
                 .collect();
-            most = called.len();
+            called_at_once = called.len();
             while let Some(id) = called.pop() {
                 worker.now += length;
                 let next_actions =
@@ -132,7 +132,7 @@
                 worker.end_run(id, Outcome::Ok);
             }
         }
-        most
+        called_at_once
     };
     assert_eq!(in_flight(&mut worker, 0.02, 1_000), 2);
     assert_eq!(in_flight(&mut worker, 0.5, 5_000), 1);
@@ -198,7 +198,11 @@
             }
         }
     }
-    assert!(length > 0.5 && (1..=3).contains(&in_flight.len()), "{length} {}", in_flight.len());
+    assert!(
+        length > 0.5 && (1..=3).contains(&in_flight.len()),
+        "calls take {length} s, {} are in flight; expected more than 0.5 s, and 1 to 3",
+        in_flight.len()
+    );
 }
 
 /// Guards against limiting a dependency that is slow by itself, and not by this load, to one call in flight, which left
@@ -238,7 +242,7 @@
             at += 1;
         }
     }
-    assert!(called.len() >= 3, "{} in flight", called.len());
+    assert!(called.len() >= 3, "{} calls in flight; expected 3 or more", called.len());
     assert!(skipped > 300 && rejections == 0, "{skipped} skipped their call, {rejections} were rejected");
 }
 
@@ -346,7 +350,7 @@
     let Some(Action::Call { until_s, .. }) = first.first() else {
         panic!("the first call is not made immediately: {first:?}")
     };
-    assert!(*until_s >= 0.4, "{until_s}");
+    assert!(*until_s >= 0.4, "the first call may last until {until_s} s; expected 0.4 s or later");
     worker.now = 0.2;
     worker.handle(Event::CallEnded { id: RequestId(1), outcome: Outcome::Ok });
     worker.end_run(1, Outcome::Ok);
@@ -369,7 +373,7 @@
         worker.handle(Event::CallEnded { id: RequestId(id), outcome: Outcome::Ok });
         worker.end_run(id, Outcome::Ok);
     }
-    assert!(times.iter().all(|t| *t >= 0.25), "{times:?}");
+    assert!(times.iter().all(|t| *t >= 0.25), "calls may last {times:?} s; expected 0.25 s or more");
 }
 
 /// Guards against a call length learned in a slow period that prevents the calls which would show that the period is
--- a/tests/failures/tenants.rs
+++ b/tests/failures/tenants.rs
@@ -48,7 +48,12 @@
         }
         admitted
     };
-    assert!(admitted(true) < admitted(false), "{} {}", admitted(true), admitted(false));
+    assert!(
+        admitted(true) < admitted(false),
+        "{} requests admitted with a heavy tenant, {} without; expected fewer with it",
+        admitted(true),
+        admitted(false)
+    );
 }
 
 /// Guards against small tenants whose token buckets are emptied by rejected requests and unmarked retries.
--- a/tests/http/connections.rs
+++ b/tests/http/connections.rs
@@ -41,7 +41,8 @@
     assert_eq!(client.read_response().body, b"served");
 }
 
-/// Hundreds of silent clients used up the file descriptors, and incomplete requests stayed open for 10 s.
+/// Guards against silent clients that use up the file descriptors (hundreds did), and against incomplete requests
+/// that stay open for 10 s.
 #[test]
 fn silent_and_incomplete_connections_are_closed_and_used_ones_stay() {
     let worker = WORKER.start();
@@ -69,7 +70,7 @@
     request(&mut client);
 }
 
-/// During a flood of silent clients, a router's connection was evicted because it had been idle for longer. A
+/// Guards against evicting a router's connection during a flood of silent clients, for having been idle for longer. A
 /// connection that has carried more than one request must never be evicted, however long it is idle; after a single
 /// request it may be (`Connection::rank`).
 #[test]
@@ -95,7 +96,8 @@
     request(&mut router);
 }
 
-/// With all connections busy, 622 requests in one day stayed unread until their deadlines had passed.
+/// Guards against requests that stay unread until their deadlines have passed because all connections are busy; there
+/// were 622 in one day.
 #[test]
 fn new_client_is_closed_immediately_when_all_connections_are_busy() {
     let small_limits = |c: &mut serde_json::Value| {
@@ -124,7 +126,8 @@
     assert_eq!(busy[0].read_response().body, b"served");
 }
 
-/// Closing while the rest of the body was still arriving reset the connection, and the client lost the rejection.
+/// Guards against closing a connection while the rest of the body is still arriving: that resets it, and the client loses
+/// the rejection.
 #[test]
 fn body_of_60_mb_is_rejected_immediately_with_a_readable_response() {
     let worker = WORKER.start();
@@ -142,11 +145,11 @@
 fn wait_pending_responses(worker: &WorkerUnderTest, expected: u64) {
     let deadline = Instant::now() + TIMEOUT;
     while worker.metric("svc.concurrent") != expected {
-        assert!(Instant::now() < deadline, "did not reach {expected} pending responses");
+        assert!(Instant::now() < deadline, "did not reach {expected} pending responses within {TIMEOUT:?}");
     }
 }
 
-/// The dispatcher kept working on requests whose clients had reset their connections.
+/// Guards against a dispatcher that keeps working on requests whose clients have reset their connections.
 #[test]
 fn reset_connection_drops_its_queued_request_and_keeps_its_keyed_run() {
     let worker = WORKER.start_with(|c| c["console"] = json!("127.0.0.1:0"), None);
--- a/tests/http/executor_link.rs
+++ b/tests/http/executor_link.rs
@@ -32,7 +32,7 @@
     executor.expect_no_command(&worker);
 }
 
-/// A run whose EXEC was lost when the link broke never started, but occupied its run slot for a long time.
+/// Guards against a run whose EXEC is lost with a broken link: it never starts, but occupies its run slot for a long time.
 #[test]
 fn start_lost_with_a_broken_link_is_sent_again_after_the_fence_response() {
     let worker = WORKER.start();
@@ -40,7 +40,7 @@
     let mut client = Client::connect(worker.http);
     let deadline = Instant::now() + TIMEOUT;
     loop {
-        assert!(Instant::now() < deadline, "this machine is too slow for the test");
+        assert!(Instant::now() < deadline, "no link broke within 100 ms of its request in {TIMEOUT:?}");
         let before = Instant::now();
         client.send(&RequestBuilder::new("look"));
         let lost = executor.expect_command("EXEC");
--- a/tests/http/lifecycle.rs
+++ b/tests/http/lifecycle.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// SIGHUP terminated the worker, by its default action, together with all requests in flight.
+/// Guards against a SIGHUP that terminates the worker, by its default action, together with all requests in flight.
 #[test]
 fn reload_moves_to_new_peers_and_runs_and_queued_requests_continue() {
     let mut worker = WORKER.start();
--- a/tests/http2/limits.rs
+++ b/tests/http2/limits.rs
@@ -64,7 +64,8 @@
     assert_eq!(client.read_response().body, b"seen");
 }
 
-/// A client that sent only PINGs, each of which is answered, could occupy the worker's core indefinitely.
+/// Guards against a client that sends only PINGs, each of which is answered, and so occupies the worker's core
+/// indefinitely.
 #[test]
 fn no_op_frame_flood_is_throttled_then_disconnected_and_requests_are_not() {
     let mut worker = WORKER.start_with(|_| {}, Some(FRONTEND));
@@ -168,7 +169,8 @@
     assert_eq!(requester.read_response(1).body, b"seen");
 }
 
-/// Each connection stayed within its own limit, but together their unsent responses exceeded the worker's memory.
+/// Guards against connections that each stay within their own limit, but whose unsent responses together exceed the
+/// worker's memory.
 #[test]
 fn response_backlog_limit_disconnects_the_client_with_the_largest_backlog() {
     let cores = |c: &mut Value| c["settings"]["domain"]["nCores"] = json!(64);
--- a/tests/http2/shutdown.rs
+++ b/tests/http2/shutdown.rs
@@ -35,7 +35,8 @@
     assert!(worker.exits_successfully());
 }
 
-/// A drain requested at the console changed only the health checks; clients that kept their connection were not told.
+/// Guards against a drain from the console that changes only the health checks and sends clients with an open connection
+/// no GOAWAY.
 #[test]
 fn console_drain_sends_goaway_to_idle_clients_and_serves_crossing_requests() {
     let worker = WORKER.start_with(|c| c["console"] = json!("127.0.0.1:0"), Some(FRONTEND));
@@ -128,8 +129,8 @@
         peer.frame(PING, 0, 0, b"whatever");
         peer.next("the PING acknowledgement", |f| f.kind == PING && f.flags & ACK != 0);
         worker.terminate();
-        let status = [1, 3, 5].map(|stream| peer.read_response(stream).status);
-        assert!([500, 504].contains(&status[0]) && status[2] == 503, "{status:?}");
+        let statuses = [1, 3, 5].map(|stream| peer.read_response(stream).status);
+        assert!([500, 504].contains(&statuses[0]) && statuses[2] == 503, "{statuses:?}");
         assert!(worker.exits_successfully());
     }
 }
