--- a/testbed/src/loopback/attempt.rs
+++ b/testbed/src/loopback/attempt.rs
@@ -67,7 +67,7 @@
     fields
 }
 
-/// The fields of [`platform_fields`] as HTTP/1.1 header lines, each with its line end.
+/// The fields of `platform_fields` as HTTP/1.1 header lines, each with its line end.
 #[must_use]
 pub fn platform_header_lines(
     request: &PlannedRequest,
