--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -1,8 +1,8 @@
 //! The admission controller: takes one event at a time and returns actions, as `interface.rs` defines them.
 //!
 //! Requests are queued by tier, which follows from their priority weight. A free run slot starts the oldest request of
-//! the highest non-empty tier, and it runs to completion. An arrival of a lower tier is rejected immediately while the
-//! queues of all tiers, or those of the tiers above it, are too long for its latency objective.
+//! the highest non-empty tier, and it runs to completion. An arrival is rejected immediately if the queues that it
+//! would wait behind are too long for its latency objective.
 //!
 //! The controller only calls its components in order; each keeps its state and its rules in a file of its own.
 
@@ -96,10 +96,10 @@
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
         self.apply(event, now, out);
-        // During a run fault the queues come first, since requests that are rejected here must not start below. These
-        // rejections still use the Retry-After of the health reported so far.
+        // During a run fault, queued requests are rejected before `start_queued` could start them. The Retry-After of
+        // these rejections follows from the health that was last reported, before this event.
         self.reject_queued_during_run_fault(out);
-        // Then the health, so that callers go elsewhere before this worker starts more requests.
+        // A change of health is reported before requests start, so that callers can go elsewhere first.
         self.update_health(out);
         // Calls come before starts: a run that skips its call returns to the cores and occupies the slot that a new run
         // would otherwise get.
--- a/src/admission/controller/arrival.rs
+++ b/src/admission/controller/arrival.rs
@@ -20,8 +20,8 @@
         self.requests.insert(id, request);
         self.health.record_read(arrival.read_delay_s, self.settings.classes[arrival.class].objective_s);
         let over_retry_budget = self.count_arrival(request.tier, arrival.retry);
-        // No run starts after the grace, and a shared response might come too late. The earlier attempt may have run,
-        // so the response can't be a rejection.
+        // No run starts after the grace period of a shutdown, and a shared response might come after the worker is
+        // stopped. The earlier attempt may have run, so the response can't be a rejection.
         if too_late && arrival.retry_of.is_some() {
             self.abandon(id, out);
             return;
--- a/src/admission/controller/completion.rs
+++ b/src/admission/controller/completion.rs
@@ -34,7 +34,7 @@
             let length_s = request.running_core_time_s(self.now);
             self.run_lengths.run_ended(request.class, request.hint, length_s);
             self.run_slots.run_ended(request.class, length_s);
-            // A cancelled run counts as time on the cores, but says nothing about health.
+            // A cancelled run has used the cores, but it is no evidence of success or failure.
             if outcome != Outcome::Cancelled {
                 self.health.run_ended(self.now, outcome == Outcome::Error);
                 self.run_slots.count_completed_run();
@@ -63,9 +63,10 @@
         self.remove_key(entry_id);
     }
 
-    /// Answers a request whose response is due or no longer useful, and preempts its run if possible. If it has started
-    /// and is idempotent, the answer is a rejection with a Retry-After, otherwise an error. Preemption prevents useless
-    /// runs after bursts and hangs, at the cost of another attempt.
+    /// Answers a request whose response is due or no longer useful, and preempts its run if possible. If the request
+    /// has started and is idempotent, the answer is a rejection with a Retry-After, otherwise an error. After a burst
+    /// or a hang, preemption frees the cores of runs whose response nobody waits for; the cost is that a retry needs a
+    /// new run.
     pub(super) fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| !request.completed) else { return };
         let unstarted = request.state.is_unstarted();
--- a/src/admission/controller/start.rs
+++ b/src/admission/controller/start.rs
@@ -7,7 +7,8 @@
 
 impl Controller {
     /// Fills free slots, the oldest request of the highest non-empty tier first. Requests that can't end in time are
-    /// rejected, except for one run at a time: otherwise a worker would never measure that its runs are short again.
+    /// rejected. If no run is on the cores, one of them starts nevertheless before its objective ends: a worker that
+    /// starts none would never measure that its runs have become short again.
     pub(super) fn start_queued(&mut self, out: &mut Vec<Action>) {
         while let Some(id) = self.next_to_start() {
             let request = self.requests[id];
--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -115,7 +115,7 @@
         (expected_call_s * calls).max(class.objective_s * share_of_objective)
     }
 
-    /// Records a call that was abandoned, and may stay in flight in the dependency for a while.
+    /// Records a call that was abandoned. It may stay in flight in the dependency for up to [`Dependency::linger_s`].
     pub(super) fn call_abandoned(&mut self, now: f64) {
         if let Some(linger_s) = self.budget.linger_s() {
             self.abandoned_until.push(now + linger_s);
--- a/src/admission/downstream/budget.rs
+++ b/src/admission/downstream/budget.rs
@@ -4,12 +4,13 @@
 use crate::admission::timing::SWEEP_INTERVAL_S;
 use crate::interface::Dependency;
 
-/// The part of a share of less than one call that may accumulate as balance; the limit on calls gets the rest.
+/// If a worker's share of the dependency is less than one call, this part of the share may accumulate as balance, and
+/// the rest of it bounds the limit on calls.
 pub(super) const BURST_SHARE: f64 = 0.3;
 /// A call starts once the balance covers this many mean lengths.
 const MIN_BALANCE_CALLS: f64 = 3.0;
-/// A call starts at the latest once the balance reaches this share of its maximum.
-const MAX_WAIT_SHARE: f64 = 0.9;
+/// No call requires more than this share of the maximum balance to start.
+const MAX_REQUIRED_SHARE: f64 = 0.9;
 
 /// The balance of time that downstream calls may use.
 pub(super) struct CallBudget {
@@ -45,7 +46,7 @@
         };
         let budget_s = self.balance_s - dependency.linger_s;
         let max_s = max_balance_s(dependency) - dependency.linger_s;
-        let needed_s = (expected_call_s * MIN_BALANCE_CALLS).min(max_s * MAX_WAIT_SHARE);
+        let needed_s = (expected_call_s * MIN_BALANCE_CALLS).min(max_s * MAX_REQUIRED_SHARE);
         if budget_s >= needed_s && budget_s > SWEEP_INTERVAL_S {
             CallAllowance::Limited { budget_s }
         } else {
--- a/src/admission/downstream/limit.rs
+++ b/src/admission/downstream/limit.rs
@@ -7,8 +7,8 @@
 use crate::fleet::overload::policy::OverloadPolicy;
 use crate::interface::Dependency;
 
-/// The limit starts at this part of the worker's share of the dependency. It never falls below this part of one call,
-/// or of its maximum if that is less than one call.
+/// The limit starts at this part of the worker's share of the dependency, but at no less than one call or its maximum,
+/// whichever is lower. The limit never falls below this part of one call, or of its maximum if that is lower.
 const INITIAL_SHARE: f64 = 0.5;
 /// The limit is multiplied by this factor when calls are slow.
 const DECREASE_FACTOR: f64 = 0.75;
--- a/src/admission/fleet_overload.rs
+++ b/src/admission/fleet_overload.rs
@@ -50,7 +50,7 @@
         self.policy.as_ref().is_some_and(|policy| policy.skips_call(is_idempotent))
     }
 
-    /// Whether a downstream call may be made now.
+    /// Whether the fleet's circuit breaker allows a downstream call now, possibly only as a probe.
     pub(super) fn may_call(&self, is_idempotent: bool) -> bool {
         self.policy.as_ref().is_none_or(|policy| policy.may_call(is_idempotent))
     }
--- a/src/admission/health/tests.rs
+++ b/src/admission/health/tests.rs
@@ -59,7 +59,7 @@
     let mut health = with_read_lag();
     assert_eq!(health.update_availability(0.0, 0, true), None);
     assert_eq!(health.update_availability(0.0, 0, false), Some(false));
-    // It does not become available again because the fleet is full, but only when the read lag has ended.
+    // An unavailable worker stays unavailable while the fleet is full, until the read lag has ended.
     assert_eq!(health.update_availability(0.0, 0, true), None);
     health.record_free_core();
     assert_eq!(health.update_availability(0.0, 0, true), Some(true));
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -1,4 +1,4 @@
-//! The memory limit on requests and idempotency keys, including those of another process.
+//! The memory limit on requests and idempotency keys, including those of the other process of a hot restart.
 
 use crate::admission::request::Request;
 use crate::interface::Settings;
@@ -32,7 +32,7 @@
         used_kb > self.max_kb
     }
 
-    /// Whether a request can start while this amount is in use, since its memory grows when it starts.
+    /// Whether a request can start while this amount is in use: starting multiplies its memory by `run_memory_factor`.
     pub(super) fn has_room_to_start(&self, request: &Request, used_kb: f64) -> bool {
         let growth_kb = request.memory_kb * (self.run_memory_factor - 1.0).max(0.0);
         used_kb + growth_kb <= self.max_kb
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -62,7 +62,8 @@
     pub(super) deadline: f64,
     /// When its latency objective ends.
     pub(super) objective_deadline: f64,
-    /// A response after this time has no weight.
+    /// When its response stops being useful: at its deadline if a late response has weight or the request is not
+    /// idempotent, otherwise when its latency objective ends.
     pub(super) useful_until: f64,
     pub(super) state: RequestState,
     /// No response is pending any more; the run may still continue.
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -13,7 +13,7 @@
     pub(super) to: Option<Place>,
 }
 
-/// Requests by number, queues by tier (oldest first), and counts.
+/// Requests by ID, queues by tier (oldest first), and counts.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
@@ -62,7 +62,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// All requests, in the order of their numbers.
+    /// All requests, in the order of their IDs.
     pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> + '_ {
         self.requests.iter().map(|(id, request)| (*id, request))
     }
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -9,7 +9,7 @@
 /// If retries are not marked, other workers are assumed to reject too when the arrivals, at the baseline run length,
 /// need more than this multiple of the time that the cores have.
 const OVERLOAD_FACTOR: f64 = 1.2;
-/// The time to a caller's next request is ignored if it is at least this multiple of the longest Retry-After.
+/// The expected time to a caller's next request is ignored if it is at least this multiple of the longest Retry-After.
 const MAX_NEXT_REQUEST_FACTOR: f64 = 2.0;
 /// The shortest Retry-After (seconds).
 const MIN_RETRY_AFTER_S: f64 = 4.0 * SWEEP_INTERVAL_S;
--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -43,7 +43,8 @@
         self.limit.runs()
     }
 
-    /// The number of concurrent runs that the machine survives for certain, including runs that return to the cores.
+    /// The number of concurrent runs that the machine survives for certain. Runs that make or wait for downstream calls
+    /// count, since they return to the cores.
     pub(super) fn survivable_runs(&self, now: f64) -> usize {
         self.survivable.at(now)
     }
--- a/src/admission/survivable_runs.rs
+++ b/src/admission/survivable_runs.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The number of runs at this time, including runs that return to the cores.
+    /// The number of runs that the machine survives at this time. Runs that make or wait for downstream calls count,
+    /// since they return to the cores.
     pub(super) fn at(&self, now: f64) -> usize {
         let speed = self.warm_up.as_ref().map_or(1.0, |warm_up| warm_up.speed(now));
         let runs = self.cores * (1.0 + self.extra_per_core * speed);
--- a/src/admission/tenant_quotas.rs
+++ b/src/admission/tenant_quotas.rs
@@ -6,7 +6,8 @@
 
 /// The capacity of a tenant's bucket: its quota on this worker for this time (seconds).
 const BURST_S: f64 = 2.0;
-/// The least capacity of a tenant's bucket (requests).
+/// The least capacity of a tenant's bucket (requests). A tenant with no more recent arrivals than this is never
+/// [`QuotaStatus::Excessive`].
 const MIN_BURST: f64 = 4.0;
 /// A tenant's share of the arrivals is excessive above this multiple of its share of the quotas.
 const EXCESSIVE_MULTIPLE: f64 = 1.3;
@@ -44,7 +45,7 @@
     }
 }
 
-/// All tenants, by number.
+/// All tenants, by index.
 pub(super) struct TenantQuotas {
     tenants: Vec<TenantUsage>,
 }
@@ -73,7 +74,7 @@
     /// Counts an arrival of a tenant and returns the tenant's status.
     pub(super) fn count_arrival(&mut self, tenant: Option<usize>) -> QuotaStatus {
         let all_rates_per_s: f64 = self.tenants.iter().map(|usage| usage.bucket.rate_per_s()).sum();
-        // Without this arrival.
+        // Summed before this arrival is counted.
         let all_arrivals: f64 = self.tenants.iter().map(|usage| usage.recent_arrivals).sum();
         let Some(usage) = self.usage_mut(tenant) else { return QuotaStatus::Within };
         usage.recent_arrivals += 1.0;
--- a/src/admission/timing.rs
+++ b/src/admission/timing.rs
@@ -1,6 +1,7 @@
 //! Times that several components share.
 
-/// Interval between two sweeps, which check deadlines; well below the slack on responses (seconds).
+/// Interval between two sweeps, which check deadlines (seconds). Must be well below
+/// [`Settings::answer_slack_s`](crate::interface::Settings::answer_slack_s).
 pub(super) const SWEEP_INTERVAL_S: f64 = 0.025;
 
 /// Time constant of the exponentially decaying averages: long compared with one run, short compared with a change of
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -40,9 +40,9 @@
     SkipCall(RequestId),
     /// Stop or pause a run, according to [`Preemption`](super::Preemption) in the settings.
     Preempt(RequestId),
-    /// Answer health checks with this availability from now on.
+    /// Answer health checks as available (`true`) or unavailable from now on.
     Health(bool),
-    /// Publish this value with responses from now on.
+    /// Publish this value with responses from now on; [`Signal`](super::Signal) defines its meaning.
     Publish(f64),
     /// Send [`Event::Woken`](super::Event::Woken) after this time (seconds).
     WakeIn(f64),
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -5,13 +5,13 @@
 /// A request that the worker has read.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    /// Its number.
+    /// Its ID.
     pub id: RequestId,
-    /// The number of its class.
+    /// The index of its class.
     pub class: usize,
-    /// The number of its tenant, if it has one.
+    /// The index of its tenant, if it has one.
     pub tenant: Option<usize>,
-    /// The number of the caller that sent it.
+    /// Identifies the caller that sent it.
     pub caller: u64,
     /// Its memory while it is queued (KB).
     pub memory_kb: f64,
@@ -21,9 +21,9 @@
     pub time_left_s: Option<f64>,
     /// The expected run length, if the request carries a hint (seconds on a reference core).
     pub estimate_s: Option<f64>,
-    /// The earlier attempt with the same idempotency key.
+    /// The earlier attempt with the same idempotency key, if there was one.
     pub retry_of: Option<RequestId>,
-    /// Whether it is marked as a retry.
+    /// Whether its caller marked it as a retry.
     pub retry: bool,
 }
 
--- a/src/interface/learned.rs
+++ b/src/interface/learned.rs
@@ -34,7 +34,7 @@
     pub traffic: Traffic,
 }
 
-/// Recent requests and their outcomes, and the rest of tenants' quotas.
+/// Recent requests and their outcomes, and what is left of tenants' quotas.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Traffic {
--- a/src/interface/reports.rs
+++ b/src/interface/reports.rs
@@ -75,9 +75,9 @@
     MaxSlots,
     /// The number of runs that the executor survives for certain.
     SurvivableRuns,
-    /// Runs take longer than their concurrency explains.
+    /// Runs take longer than the number of concurrent runs explains.
     Slow,
-    /// Runs are back at their baseline length, and the limit doubles until it is restored.
+    /// Runs are no longer slow, and the limit doubles in each review until it is restored.
     Recovery,
     /// A window with few runs, in which the baseline of their lengths is measured.
     Calibration,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -113,7 +113,7 @@
 /// Run slots that are reserved for one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolReserve {
-    /// The number of the pool.
+    /// The index of the pool.
     pub pool: usize,
     /// The number of reserved slots.
     pub slots: usize,
@@ -122,9 +122,9 @@
 /// Class pools as the operator configures them, validated: each class belongs to an existing pool.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolPlan {
-    /// Pools by number.
+    /// The pools, by index.
     pub pools: Vec<PoolSpec>,
-    /// The number of each class's pool, by class.
+    /// The index of each class's pool, by class.
     pub pool_of: Vec<usize>,
     /// Slots that are reserved for one pool.
     pub reserve: Option<PoolReserve>,
@@ -138,7 +138,8 @@
     pub review_s: f64,
     /// The number of ended runs that a review requires.
     pub min_samples: usize,
-    /// The executor counts as slow if runs take this multiple of the length that their concurrency explains.
+    /// The executor counts as slow if runs take more than this multiple of the length that the number of concurrent
+    /// runs explains.
     pub slow_ratio: f64,
 }
 
@@ -195,9 +196,9 @@
     pub signal: Signal,
     /// The shared downstream service, if there is one.
     pub dependency: Option<Dependency>,
-    /// Classes, by number.
+    /// Classes, by index.
     pub classes: Vec<Class>,
-    /// Tenants, by number.
+    /// Tenants, by index.
     pub tenants: Vec<Tenant>,
     /// Class pools, if the operator configured any.
     pub pools: Option<PoolPlan>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! honeypost: an overload controller that runs inside each server of a fleet.
 //!
 //! A worker owns one [`Controller`]. It passes [`Event`]s to it one at a time, each with the current time, and executes
-//! the [`Action`]s that are returned, in their order. The controller performs no I/O, starts no threads, reads no clock
-//! and uses no randomness: the same events always give the same actions.
+//! the [`Action`]s that are returned, in their order. The controller performs no I/O, starts no threads and reads no
+//! clock, and its random numbers follow from [`Settings::seed`]: the same settings and inputs give the same actions.
 //!
 //! ```
 //! use port_worker::{Action, Arrival, Class, Controller, Event, Idempotency, Outcome, RequestId, Settings};
@@ -38,8 +38,8 @@
 //! ```
 //!
 //! [`interface`] defines all types of the controller's interface, and [`Controller`] makes all decisions. Two adapters
-//! use it with the settings of [`config`]: [`net`] is a port worker on real sockets, whose bookkeeping is in
-//! [`dispatch`]; [`simulator_adapter`] hosts many controllers behind the simulator's line protocol.
+//! use the controller with the settings of [`config`]: [`net`] is a port worker on real sockets, whose bookkeeping is
+//! in [`dispatch`]; [`simulator_adapter`] hosts many controllers behind the simulator's line protocol.
 
 pub mod admission;
 pub mod config;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The port worker's executable: runs a worker with the configuration that the platform names in the environment.
+//! The port worker's executable: runs a worker with the configuration file that the environment variable
+//! `ROUTER_CONFIG` names.
 
 use port_worker::config::StartupOptions;
 use port_worker::log;
