--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -10,7 +10,7 @@
     request: T,
 }
 
-/// The common slots to which a pool is entitled beyond those in use, by its guarantee and its credit.
+/// A pool's claim on common slots: its guarantee and its credit, less the common slots that it uses.
 #[derive(Clone, Copy)]
 struct Claim {
     pool: usize,
@@ -27,7 +27,7 @@
         survivable_runs: usize,
     ) -> Option<T> {
         self.survivable_runs = survivable_runs;
-        if self.all.queued == 0 {
+        if self.total_counts.queued == 0 {
             self.limit_reached = false;
             for account in &mut self.accounts {
                 account.wants_slot = false;
@@ -37,7 +37,7 @@
         if self.free_common_slots() == 0 && !self.can_start_on_reserve() {
             // Nothing can start, so the queue need not be searched.
             self.limit_reached = true;
-            for (account, counts) in self.accounts.iter_mut().zip(&self.counts) {
+            for (account, counts) in self.accounts.iter_mut().zip(&self.pool_counts) {
                 account.wants_slot = counts.queued > 0;
             }
             return None;
@@ -79,8 +79,8 @@
         candidates
     }
 
-    /// Counts pools whose request waits although one of their reserved slots is free. A pool that has used up its own
-    /// survivable runs, for example with runs at calls, is not counted: it waits for its own runs.
+    /// Counts the pools that have a startable request and a free reserved slot but may not start a run. A pool that has
+    /// used up its own survivable runs, for example with runs at calls, is not counted: it waits for its own runs.
     fn count_idle_reserve_waits(&mut self, permitted: &[bool]) {
         let waits = |pool: &usize| {
             let wants = self.accounts[*pool].wants_slot && !permitted[*pool];
--- a/src/pools/credit.rs
+++ b/src/pools/credit.rs
@@ -5,7 +5,7 @@
 /// Bound on credit and debt: this many mean run lengths on each slot of the guarantee and on one slot more.
 const MAX_CREDIT_RUNS: f64 = 1.0;
 /// Time constant with which the credit of a pool that wants no slot, and any debt, decays (seconds).
-const CREDIT_MEMORY_S: f64 = 5.0;
+const CREDIT_TIME_CONSTANT_S: f64 = 5.0;
 /// Credits smaller than this are set to 0 (slot seconds).
 const MIN_CREDIT_SLOT_S: f64 = 1e-6;
 
@@ -27,12 +27,13 @@
         if elapsed_s <= 0.0 {
             return;
         }
-        self.limit.advance(elapsed_s, self.all.on_cores, self.limit_reached);
+        self.limit.advance(elapsed_s, self.total_counts.on_cores, self.limit_reached);
         // Fast path, the usual case without overload: no pool wants a slot and none has credit or debt.
         if self.accounts.iter().all(|account| !account.wants_slot && account.credit_slot_s == 0.0) {
             return;
         }
-        // After the limit falls, more slots than exist may be in use. That alone causes no debt.
+        // After the limit falls, more slots may be in use than it allows. A pool only gets a debt from that while another
+        // pool is underserved.
         let underserved_pools = self.indices().filter(|pool| self.is_underserved(*pool)).count();
         let mean_run_s = self.mean_run_s();
         for pool in self.indices() {
@@ -54,7 +55,7 @@
             let min_credit = if others_underserved { -max_credit } else { 0.0 };
             credit = (credit + shortfall * elapsed_s).max(min_credit.min(credit));
         } else if !wants_slot || credit < 0.0 {
-            credit *= (-elapsed_s / CREDIT_MEMORY_S).exp();
+            credit *= (-elapsed_s / CREDIT_TIME_CONSTANT_S).exp();
         }
         if credit.abs() < MIN_CREDIT_SLOT_S {
             0.0
@@ -63,6 +64,7 @@
         }
     }
 
+    /// Whether a pool wants slots and has fewer than its guarantee.
     fn is_underserved(&self, pool: usize) -> bool {
         self.accounts[pool].wants_slot && self.shortfall(pool) > EPSILON
     }
@@ -76,7 +78,7 @@
     pub(super) fn mean_run_s(&self) -> f64 {
         let mut sum = 0.0;
         let mut weights = 0.0;
-        for (class, counts) in self.classes.iter().enumerate() {
+        for (class, counts) in self.class_counts.iter().enumerate() {
             let weight = (counts.on_cores + counts.queued) as f64 + EPSILON;
             sum += self.limit.baseline_s(class) * weight;
             weights += weight;
--- a/src/pools/limit/baseline.rs
+++ b/src/pools/limit/baseline.rs
@@ -4,9 +4,9 @@
 
 /// Number of ended runs over which a baseline is averaged.
 pub(super) const BASELINE_RUNS: f64 = 64.0;
-/// Number of ended runs of a class from which its baseline is used as evidence.
+/// Least number of ended runs of a class for which its baseline counts as evidence of the executor's speed.
 const MIN_KNOWN_RUNS: f64 = 4.0;
-/// Weight in the mean of a class without ended runs (runs).
+/// The weight that a class without ended runs has in the mean over all classes (runs).
 const MIN_MEAN_WEIGHT: f64 = 0.1;
 
 /// Smoothing factor of the slowdown, per window.
@@ -21,8 +21,8 @@
     pub(super) length_s: f64,
     /// Number of ended runs that it averages, at most [`BASELINE_RUNS`].
     pub(super) runs: f64,
-    /// Whether it was measured without contention. If not, contention may have lengthened it, and the first window without
-    /// contention replaces it.
+    /// Whether it was measured without contention. If not, contention may have lengthened the measured runs, and the
+    /// first window without contention replaces the length.
     pub(super) uncontended: bool,
 }
 
@@ -43,7 +43,7 @@
         } else if uncontended || !self.uncontended {
             totals.runs / (self.runs + totals.runs)
         } else {
-            // Contention lengthens runs, so these say nothing about an uncontended baseline.
+            // Contention lengthens runs, so runs of a contended window must not change an uncontended baseline.
             return;
         };
         self.length_s += (mean_s - self.length_s) * share;
@@ -56,6 +56,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Baselines {
     by_class: Vec<Baseline>,
+    /// Ratio of run lengths to baselines, smoothed over windows.
     smoothed_slowdown: f64,
 }
 
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Shortens all baselines if runs have been shorter than these over several windows.
+    /// Updates the smoothed slowdown with that of a window, and shortens all baselines if it is below
+    /// [`MIN_SMOOTHED_SLOWDOWN`].
     pub(super) fn correct(&mut self, slowdown: f64) {
         self.smoothed_slowdown += (slowdown - self.smoothed_slowdown) * SLOWDOWN_GAIN;
         if self.smoothed_slowdown >= MIN_SMOOTHED_SLOWDOWN {
--- a/src/pools/limit/calibration.rs
+++ b/src/pools/limit/calibration.rs
@@ -11,10 +11,10 @@
 /// The phases of a calibration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Runs from before the calibration end. The last of them are the longest and would distort the mean.
+    /// The runs that started before the calibration are ending. The last of them are the longest and would distort the mean.
     Draining,
-    /// The first runs of the calibration end, so that their successors start at different times. Of runs that started
-    /// together, only the short ones would have ended within the measurement.
+    /// The first runs of the calibration are ending, so that the next ones start at different times. Of runs that start
+    /// together, only the short ones would end within the measurement.
     Settling,
     /// Run lengths are measured.
     Measuring,
@@ -23,7 +23,7 @@
 /// A calibration in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Calibration {
-    /// The limit to restore afterwards, and its cause.
+    /// The limit to restore after the calibration, and its cause.
     pub(super) resume_limit: usize,
     pub(super) resume_cause: PoolLimitCause,
     pub(super) phase: Phase,
@@ -36,7 +36,7 @@
         Calibration { resume_limit, resume_cause, phase: Phase::Draining, phase_s: 0.0 }
     }
 
-    /// Advances time. `drained` is whether no more runs than the lower bound of the limit are on the cores.
+    /// Advances time. `drained` is whether the number of runs on the cores is at most the lower bound of the limit.
     pub(super) fn advance(&mut self, elapsed_s: f64, drained: bool, mean_run_s: f64, review_s: f64) {
         self.phase_s += elapsed_s;
         let overdue = self.phase_s >= MAX_PHASE_REVIEWS * review_s;
--- a/src/pools/limit/contention.rs
+++ b/src/pools/limit/contention.rs
@@ -3,8 +3,8 @@
 use super::baseline::BASELINE_RUNS;
 use super::settings::LimitSettings;
 
-/// Time with contention before a calibration, in review intervals, while the baselines have fewer than [`BASELINE_RUNS`]
-/// samples or were measured under contention.
+/// Time with contention before a calibration, in review intervals, while fewer than [`BASELINE_RUNS`] samples were taken
+/// without contention or a baseline was measured under contention.
 const FIRST_CALIBRATION_REVIEWS: f64 = 3.0;
 /// Time with contention before any other calibration, in measurement windows: each costs up to two seconds of low
 /// concurrency.
--- a/src/pools/limit/mod.rs
+++ b/src/pools/limit/mod.rs
@@ -5,15 +5,16 @@
 //! smoothed. The limit is the capacity plus some headroom, in which an increase of throughput can show (like alpha of TCP
 //! Vegas; Brakmo and Peterson 1995).
 //!
-//! The baseline run length of a class is measured only without contention, that is while no more runs than the lower bound
-//! of the limit are on the cores; runs that are shorter than it over several windows lower it too. If no window without
-//! contention has occurred for four windows, the limit is lowered below its lower bound for a calibration. A minimum over a
-//! window of noisy lengths would not do: it would count all contention as gained throughput
+//! The baseline run length of a class is measured without contention, that is, while the number of runs on the cores is at
+//! most the lower bound of the limit. If runs are shorter than their baselines over several windows, the baselines are
+//! shortened. After four measurement windows ([`LimitSettings::window_s`] each) without a review window free of contention,
+//! and earlier while the baselines are uncertain, the limit is lowered to its lower bound or below for a calibration. If
+//! the baseline were the minimum of the noisy lengths in a window instead, all contention would count as gained throughput
 //! (docs/design/01-class-pools.md has the figures).
 //!
 //! Runs that take longer than the number of concurrent runs explains show that the executor has slowed down. The limit
-//! then falls to its lower bound immediately and the learned capacity is kept. Once runs are as long as their baseline
-//! again, the limit doubles in each review until it is back.
+//! then falls to its lower bound immediately and the learned capacity is kept. Once run lengths match the number of
+//! concurrent runs again, the limit doubles in each review until it reaches the value that follows from the capacity.
 
 mod baseline;
 mod calibration;
--- a/src/pools/limit/settings.rs
+++ b/src/pools/limit/settings.rs
@@ -7,7 +7,7 @@
     pub min_slots: usize,
     /// Upper bound of the limit.
     pub max_slots: usize,
-    /// How long measurements are used (seconds).
+    /// How long measurements remain valid: the length of a measurement window (seconds).
     pub window_s: f64,
     /// Interval at which the limit is reviewed (seconds).
     pub review_s: f64,
--- a/src/pools/limit/slot_limit.rs
+++ b/src/pools/limit/slot_limit.rs
@@ -23,7 +23,8 @@
 const MIN_CALIBRATION_SHARE: f64 = 0.5;
 /// A window without enough samples is closed after this many review intervals.
 const MAX_REVIEWS_WITHOUT_SAMPLES: f64 = 4.0;
-/// Number of measurement windows after which the run lengths of a slow executor become its baselines.
+/// Number of measurement windows ([`LimitSettings::window_s`]) after which the run lengths of a slow executor become its
+/// baselines.
 const SLOW_WINDOWS: f64 = 2.0;
 
 /// The limit on runs on the cores, with the measurements that determine it.
@@ -42,7 +43,8 @@
     /// Whether the limit is rising back after a slowdown.
     recovering: bool,
     contention: Contention,
-    /// Mean number of runs above the limit in the last window that reached it. These returned from downstream calls.
+    /// Mean number of runs above the limit in the last window in which it was reached. These runs returned from downstream
+    /// calls.
     runs_above_limit: f64,
     calibration: Option<Calibration>,
     /// Number of concurrent runs that the executor survives for certain, as of the last review. It grows while the executor
@@ -77,7 +79,7 @@
         self.slots
     }
 
-    /// What set the limit.
+    /// The reason for the present limit.
     #[must_use]
     pub fn cause(&self) -> PoolLimitCause {
         self.cause
@@ -161,8 +163,9 @@
         calibration.advance(span_s, drained, mean_run_s, self.settings.review_s);
     }
 
-    /// Whether runs have used far more time in this window than the ended and the current runs together are expected to
-    /// take. This detects a tenfold slowdown, in which the first run would end seconds too late for a review.
+    /// Whether the ended and the current runs together have used more time on the cores in this window than they would take
+    /// on an executor that just counts as slow, plus the time of half the required samples. This detects a tenfold
+    /// slowdown, in which the first run would end seconds too late for a review.
     fn is_stalled(&self, on_cores: usize) -> bool {
         let mean_run_s = self.baselines.mean_s();
         let expected_s = self.window.ended_baseline_s + on_cores as f64 * mean_run_s;
@@ -288,7 +291,7 @@
 
     /// Sets the limit within its bounds. If a bound applies, it becomes the cause.
     fn set_limit(&mut self, target: usize, cause: PoolLimitCause, survivable_runs: usize) {
-        // A calibration uses a limit below the lower bound and ends only by itself.
+        // The limit of a calibration may be below the lower bound, and stays until the calibration has ended.
         if self.calibration.is_some() {
             return;
         }
--- a/src/pools/limit/window.rs
+++ b/src/pools/limit/window.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReviewWindow {
     pub(super) span_s: f64,
-    /// Total time of all runs on the cores.
+    /// Total time of all runs on the cores (seconds).
     pub(super) core_time_s: f64,
-    /// Time for which requests waited because of the limit.
+    /// Time for which requests waited because of the limit (seconds).
     pub(super) limit_reached_s: f64,
     /// Totals of ended runs.
     ended: RunTotals,
-    /// Sum of the baseline lengths of ended runs.
+    /// Sum of the baseline lengths of ended runs (seconds).
     pub(super) ended_baseline_s: f64,
     /// Sum of the squares of those lengths.
     ended_baseline_squared: f64,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Counts an ended run. If the baseline of its class is not known, its own length is taken, so that it is no
-    /// evidence of a slowdown.
+    /// Counts an ended run. If the baseline of its class is not known, the run's own length is taken as its baseline, so
+    /// that the run is no evidence of a slowdown.
     pub(super) fn run_ended(&mut self, class: usize, length_s: f64, known_baseline_s: Option<f64>) {
         let Some(of_class) = self.ended_by_class.get_mut(class) else { return };
         of_class.add(length_s);
--- a/src/pools/limit/window_assessment.rs
+++ b/src/pools/limit/window_assessment.rs
@@ -3,7 +3,7 @@
 use super::settings::LimitSettings;
 use super::window::ReviewWindow;
 
-/// Share of a window for which the limit must have been reached for the window to count as at the limit.
+/// A window counts as at the limit if the limit was reached for at least this share of it.
 const LIMIT_REACHED_SHARE: f64 = 0.5;
 /// Mean number of runs above the lower bound of the limit up to which a window counts as uncontended.
 const UNCONTENDED_MARGIN: f64 = 0.5;
@@ -27,14 +27,16 @@
     pub(super) on_cores: f64,
     /// Ratio of the length of the ended runs to their baselines.
     pub(super) slowdown: f64,
-    /// Whether requests waited because of the limit.
+    /// Whether requests waited because of the limit for at least [`LIMIT_REACHED_SHARE`] of the window.
     pub(super) limit_reached: bool,
-    /// Whether no more runs than the lower bound of the limit were on the cores.
+    /// Whether the mean number of runs on the cores exceeded the lower bound of the limit by no more than
+    /// [`UNCONTENDED_MARGIN`]; false for the first window of a process.
     pub(super) uncontended: bool,
 }
 
 impl WindowAssessment {
-    /// Assesses a window. `is_first` marks one in which only short runs can have ended, so that it yields no baselines.
+    /// Assesses a window. `is_first` marks the first window of a process, in which only short runs can have ended: it
+    /// counts as contended, so that it yields no uncontended baselines.
     pub(super) fn new(
         window: &ReviewWindow,
         settings: &LimitSettings,
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -37,16 +37,16 @@
 #[derive(Clone, Debug)]
 pub struct Pools {
     plan: PoolPlan,
-    /// By class. Unlike the pools, the classes are the same in every plan.
-    classes: Vec<Counts>,
-    /// By pool: the sums over its classes.
-    counts: Vec<Counts>,
+    /// Counts by class. Unlike the pools, the classes are the same in every plan.
+    class_counts: Vec<Counts>,
+    /// Counts by pool: the sums over its classes.
+    pool_counts: Vec<Counts>,
     /// The sum over all classes.
-    all: Counts,
+    total_counts: Counts,
     /// By pool.
     accounts: Vec<Account>,
     limit: SlotLimit,
-    /// Number of concurrent runs that the executor survives for certain, as of the last call.
+    /// Number of concurrent runs that the executor survives for certain, as last passed in.
     survivable_runs: usize,
     /// Whether requests wait only because of the limit.
     limit_reached: bool,
@@ -60,9 +60,9 @@
     #[must_use]
     pub fn new(plan: PoolPlan, initial_lengths_s: &[f64], survivable_runs: usize) -> Pools {
         Pools {
-            classes: vec![Counts::default(); initial_lengths_s.len()],
-            counts: vec![Counts::default(); plan.pools.len()],
-            all: Counts::default(),
+            class_counts: vec![Counts::default(); initial_lengths_s.len()],
+            pool_counts: vec![Counts::default(); plan.pools.len()],
+            total_counts: Counts::default(),
             accounts: vec![Account::default(); plan.pools.len()],
             limit: SlotLimit::new(limit_settings(&plan), initial_lengths_s),
             plan,
@@ -82,10 +82,10 @@
         };
         self.accounts = plan.pools.iter().map(|pool| account_of(&pool.name)).collect();
         self.plan = plan;
-        self.counts = vec![Counts::default(); self.plan.pools.len()];
-        for class in 0..self.classes.len() {
+        self.pool_counts = vec![Counts::default(); self.plan.pools.len()];
+        for class in 0..self.class_counts.len() {
             let pool = self.pool_of(class);
-            self.counts[pool] += self.classes[class];
+            self.pool_counts[pool] += self.class_counts[class];
         }
         let before = self.limit();
         self.limit.set_settings(limit_settings(&self.plan), self.survivable_runs);
@@ -95,12 +95,14 @@
     /// Records that a request of this class changed its place; `None` stands for a place that is not counted.
     pub fn record_transition(&mut self, class: usize, from: Option<Place>, to: Option<Place>) {
         let pool = self.pool_of(class);
-        let (Some(of_class), Some(of_pool)) = (self.classes.get_mut(class), self.counts.get_mut(pool)) else {
+        let (Some(of_class), Some(of_pool)) =
+            (self.class_counts.get_mut(class), self.pool_counts.get_mut(pool))
+        else {
             return;
         };
         of_class.record_transition(from, to);
         of_pool.record_transition(from, to);
-        self.all.record_transition(from, to);
+        self.total_counts.record_transition(from, to);
         if (from, to) == (Some(Place::Queued), Some(Place::OnCores)) {
             self.accounts[pool].started += 1;
         }
@@ -121,7 +123,7 @@
     pub fn review(&mut self, now: f64, survivable_runs: usize) {
         self.survivable_runs = survivable_runs;
         let before = self.limit();
-        if self.limit.review(self.all.on_cores, survivable_runs) {
+        if self.limit.review(self.total_counts.on_cores, survivable_runs) {
             self.report.limit_changed(before);
         }
         let queue =
--- a/src/pools/report.rs
+++ b/src/pools/report.rs
@@ -13,15 +13,15 @@
 pub struct PoolsState {
     /// The limit on runs on the cores.
     pub limit_slots: usize,
-    /// What set the limit.
+    /// The reason for the present limit.
     pub cause: &'static str,
     /// Estimated capacity of the executor (slots at full speed).
     pub capacity_slots: f64,
     /// Ended runs per second in the last review window.
     pub rate_per_s: f64,
-    /// The mean length of those runs.
+    /// The mean length of those runs (seconds).
     pub run_s: f64,
-    /// The mean length of those runs by their baselines, that is without contention.
+    /// The mean baseline of those runs, that is, their length without contention (seconds).
     #[serde(rename = "usual_run_s")]
     pub baseline_run_s: f64,
     /// How often a request of the pool that owns the reserve waited although a reserved slot was free.
@@ -103,7 +103,7 @@
     }
 
     fn report_limit(&mut self, now: f64, limit: &SlotLimit) {
-        // A calibration lasts a window or two and leaves the estimated capacity as it was: not worth an event.
+        // A calibration lasts a window or two and leaves the estimated capacity as it was, so it is not reported.
         let due = self.limit_reported_at.is_none_or(|at| is_due(now, at));
         if !due || limit.cause() == PoolLimitCause::Calibration {
             return;
@@ -125,16 +125,16 @@
         }));
     }
 
-    fn report_rejections(&mut self, now: f64, pool: usize, item: &PoolSpec, queue: QueueCounts) {
+    fn report_rejections(&mut self, now: f64, pool: usize, spec: &PoolSpec, queue: QueueCounts) {
         let reported = &mut self.rejections[pool];
         // A new plan may have reset the count.
         reported.rejected = reported.rejected.min(queue.rejected);
         if queue.rejected > reported.rejected && is_due(now, reported.at) {
             self.events.push(AdmissionEvent::PoolRequestsRejected {
-                pool: item.name.clone(),
+                pool: spec.name.clone(),
                 rejected: queue.rejected - reported.rejected,
                 queued: queue.queued,
-                queue_capacity: item.queue_capacity,
+                queue_capacity: spec.queue_capacity,
             });
             *reported = ReportedRejections { at: now, rejected: queue.rejected };
         }
@@ -159,7 +159,7 @@
             name: self.plan.pools[pool].name.clone(),
             queued: self.queued(pool),
             on_cores: self.on_cores(pool),
-            at_calls: self.counts[pool].at_call,
+            at_calls: self.pool_counts[pool].at_call,
             guarantee_slots: self.guarantee(pool),
             ceiling_slots: self.ceiling(pool),
             reserve_slots: self.reserved_slots(pool),
--- a/src/pools/slots.rs
+++ b/src/pools/slots.rs
@@ -23,11 +23,11 @@
     }
 
     pub(super) fn queued(&self, pool: usize) -> usize {
-        self.counts[pool].queued
+        self.pool_counts[pool].queued
     }
 
     pub(super) fn on_cores(&self, pool: usize) -> usize {
-        self.counts[pool].on_cores
+        self.pool_counts[pool].on_cores
     }
 
     /// The limit on runs on the cores, including the reserve (slots).
@@ -140,13 +140,14 @@
         let rest = self.survivable_runs.saturating_sub(reserved) as f64;
         let guaranteed = (self.plan.pools[pool].guarantee * rest + EPSILON).floor() as usize;
         let own = guaranteed + self.reserved_slots(pool).min(reserved);
-        own.saturating_sub(self.counts[pool].runs_in_progress())
+        own.saturating_sub(self.pool_counts[pool].runs_in_progress())
     }
 
-    /// Whether a pool may start another run while the shares of the survivable runs of all other pools stay available to
-    /// them. Guards against a pool whose runs are all at calls, where they occupy no slot but from where they return.
+    /// Whether a pool may start another run and leave all other pools their own shares of the survivable runs. Runs at calls
+    /// occupy no slot, so without this check a pool whose runs are all at calls could use up the survivable runs of all
+    /// pools; its runs still return to the cores.
     pub(super) fn has_room_for_run(&self, pool: usize) -> bool {
-        let runs = self.all.runs_in_progress();
+        let runs = self.total_counts.runs_in_progress();
         if runs >= self.survivable_runs {
             return false;
         }
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -13,14 +13,14 @@
 }
 
 pub(super) fn plan(
-    items: Vec<PoolSpec>,
+    specs: Vec<PoolSpec>,
     reserve: Option<PoolReserve>,
     min_slots: usize,
     max_slots: usize,
 ) -> PoolPlan {
     PoolPlan {
-        pool_of: (0..items.len()).collect(),
-        pools: items,
+        pool_of: (0..specs.len()).collect(),
+        pools: specs,
         reserve,
         min_slots,
         max_slots,
--- a/src/pools/tests/limit.rs
+++ b/src/pools/tests/limit.rs
@@ -22,7 +22,8 @@
     cause: PoolLimitCause,
 }
 
-/// A closed loop on shared cores: as many runs as the limit allows, and `runs_above_limit` more that returned from calls.
+/// A closed loop on shared cores: a new run starts when one ends, so that as many run as the limit allows, and
+/// `runs_above_limit` more that returned from calls.
 struct ClosedLoop {
     limit: SlotLimit,
     cores: f64,
@@ -116,7 +117,7 @@
 
 #[test]
 fn limit_rises_to_throughput_beyond_the_configured_cores() {
-    // Servers behind the executor provide 30 slots, which no gauge shows; the configured lower bound is 6.
+    // Servers behind the executor provide 30 slots, which none of the worker's gauges shows; the lower bound is 6.
     let mut load = ClosedLoop::new(30.0, bounds(6, 64));
     load.run_for(60.0, 1000);
     let mean = load.mean_limit(40.0);
--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -19,7 +19,7 @@
         |(pools, guarantee_sum, reserve_pool, slots, extra_slots)| {
             let all: f64 = pools.iter().map(|p| p.0).sum::<f64>().max(1e-9);
             let reserve_pool = reserve_pool % pools.len();
-            let items = pools.iter().enumerate().map(|(i, (g, c, weight))| {
+            let specs = pools.iter().enumerate().map(|(i, (g, c, weight))| {
                 let guarantee = g / all * guarantee_sum;
                 pool_spec(
                     &format!("p{i}"),
@@ -30,7 +30,7 @@
             });
             let limit = slots + 1 + extra_slots;
             plan(
-                items.collect(),
+                specs.collect(),
                 (slots > 0).then_some(PoolReserve { pool: reserve_pool, slots }),
                 limit,
                 limit,
@@ -89,7 +89,7 @@
                     _ => {}
                 }
                 harness.settle(length);
-                let counted: usize = harness.pools.all.on_cores;
+                let counted: usize = harness.pools.total_counts.on_cores;
                 assert_eq!(counted, harness.running.len());
                 assert!(harness
                     .pools
@@ -110,8 +110,12 @@
                 rounds += 1;
                 assert!(rounds < 4000, "a request is never served");
             }
-            let counts =
-                harness.pools.classes.iter().chain(&harness.pools.counts).chain([&harness.pools.all]);
+            let counts = harness
+                .pools
+                .class_counts
+                .iter()
+                .chain(&harness.pools.pool_counts)
+                .chain([&harness.pools.total_counts]);
             assert!(counts.into_iter().all(|c| *c == Counts::default()));
             Ok(())
         })
@@ -135,8 +139,9 @@
             harness.saturate(&all, 10.0 * length, length);
             for (pool, before) in used_before.iter().enumerate() {
                 let got = (harness.used_slot_s[pool] - before) / (10.0 * length);
-                // A saturated pool gets its guarantee and its reserve, less the time of one run on one slot in ten, since
-                // slots and runs are indivisible. A ceiling below one slot counts as one.
+                // A saturated pool gets its guarantee and its reserve, less a tolerance of 0.15 slots: slots and runs are
+                // indivisible, which can cost one run on one slot in ten run lengths. A ceiling below one slot counts as
+                // one.
                 let entitled = harness.pools.guarantee(pool) + harness.pools.reserved_slots(pool) as f64;
                 assert!(
                     got >= entitled - 0.15,
--- a/src/pools/tests/report.rs
+++ b/src/pools/tests/report.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn limit_changes_and_rejections_are_reported_at_most_once_a_second() {
-    let items = vec![pool_spec("a", 0.5, 1.0, 1.0), pool_spec("b", 0.5, 1.0, 1.0)];
-    let mut harness = PoolsHarness::new(plan(items.clone(), None, 4, 40), 2);
+    let specs = vec![pool_spec("a", 0.5, 1.0, 1.0), pool_spec("b", 0.5, 1.0, 1.0)];
+    let mut harness = PoolsHarness::new(plan(specs.clone(), None, 4, 40), 2);
     let mut events: Vec<(f64, AdmissionEvent)> = Vec::new();
     for round in 0..4000 {
         harness.saturate(&[0, 1], 0.025, 0.1);
         harness.pools.count_rejection(1);
         if round == 2000 {
-            harness.pools.apply_plan(plan(items.clone(), None, 2, 3));
+            harness.pools.apply_plan(plan(specs.clone(), None, 2, 3));
         }
         harness.pools.review(harness.now, 1000);
         events.extend(harness.pools.take_events().into_iter().map(|event| (harness.now, event)));
