--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -31,7 +31,8 @@
             Action::ShareResponse(id) => self.share_response(id, effects),
             Action::Call { id, until_s } => self.call(id, until_s, effects),
             Action::SkipCall(id) => self.skip_call(id, effects),
-            // No backend supports preemption, and the settings state that.
+            // No backend can preempt a run, so the run continues. The controller returns this action only if the settings
+            // claim that runs can be preempted.
             Action::Preempt(_) => {}
             Action::Health(healthy) => effects.commands.push(Command::Health(healthy)),
             Action::Publish(weight) => effects.commands.push(Command::Publish(weight)),
--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -59,8 +59,8 @@
         Some(KeyedAttempt { key, body_fingerprint, matched })
     }
 
-    /// Returns the response to an attempt that must not be admitted, because its key could run twice or it could be
-    /// served with another request's result.
+    /// Returns the response to an attempt that must not be admitted, because its key could run twice, because the table
+    /// of keys is full, or because the attempt could be served with another request's result.
     fn response_to_unsafe_attempt(
         &self,
         attempt: &KeyedAttempt,
@@ -74,8 +74,8 @@
         if is_new && self.indeterminate_keys.covers(times.arrived, may_be_retry) {
             return Some(Response::Failed);
         }
-        // It was unread for at least as long as keys are retained after their window, so the entry of an earlier run
-        // may already have been removed.
+        // The attempt was unread for at least as long as keys are retained after their window, so the entry of an
+        // earlier run may already have been removed.
         if times.read_delay_s >= self.keys.late_reading_s() {
             return Some(Response::DeadlineExceeded);
         }
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -166,7 +166,7 @@
             self.end_overdue_runs(&mut effects);
         }
         self.send_key_updates(effects.commands);
-        // Discarded: the controller releases only requests that have fully ended, and their IDs are never reused.
+        // The released IDs are discarded: the dispatcher removes ended requests by itself, and no ID is used again.
         self.controller.take_released();
     }
 
@@ -224,8 +224,8 @@
         effects: &mut Effects<'_>,
     ) {
         let Some(id) = self.in_flight.id_of(name) else { return };
-        // The backend started nothing, because the request was already over. If the run was commanded twice, the first
-        // command may still have started one, so the key must be retained.
+        // `NotStarted` means that the backend started no run, because the request had already ended. If the run was
+        // commanded twice, the first command may still have started a run, so the key must be retained.
         let commanded_once = self.in_flight.get(id).is_some_and(InFlight::run_commanded_once);
         if outcome == Outcome::NotStarted && commanded_once {
             self.complete_never_ran(id, &Response::not_started(), effects);
--- a/src/dispatch/idempotency/table.rs
+++ b/src/dispatch/idempotency/table.rs
@@ -94,7 +94,7 @@
         matches.then_some(MatchedAttempt { holder: entry.holder, body_fingerprint: entry.body_fingerprint })
     }
 
-    /// Returns how the previous run ended, if that is the run which an attempt that arrived at `arrived` shares.
+    /// Returns the progress of the key's previous run if an attempt that arrived at `arrived` shares that run.
     #[must_use]
     pub fn previous_progress(&self, key: &IdempotencyKey, arrived: f64) -> Option<KeyProgress> {
         Some(self.entries.get(key)?.previous_for(arrived)?.progress.clone())
@@ -233,8 +233,8 @@
     pub fn remove_expired(&mut self, now: f64) {
         self.remove_expired_keys(now);
         self.remove_expired_previous_runs(now);
-        // A key may be listed more often than it has results; its newer result is then dropped before older
-        // results of other keys.
+        // `served` may list a key more often than the key has results. The newer result of such a key is then dropped
+        // before older results of other keys.
         let entries = &self.entries;
         self.served.retain(|key| entries.contains_key(key));
         self.served.shrink_to(SHRINK_FACTOR * self.served.len());
--- a/src/dispatch/lost_commands.rs
+++ b/src/dispatch/lost_commands.rs
@@ -15,10 +15,10 @@
     /// Resends each command that was issued within `lost` (event loop's clock, seconds) and has not been confirmed
     /// since.
     ///
-    /// Without this, runs whose commands were lost would occupy their run slots. Resending is safe: backends ignore a
-    /// second start of a run that is in progress or has ended, and a skip identifies its call by sequence number. A
-    /// reply does not identify its call. Therefore the call is skipped instead if the class allows that; otherwise the
-    /// reply is resent once the run must still be waiting for it.
+    /// Otherwise, runs whose commands were lost would occupy their run slots until long after their deadlines. Resending
+    /// is safe: backends ignore a second start of a run that is in progress or has ended, and a skip identifies its call
+    /// by sequence number. A reply does not identify its call. Therefore the call is skipped instead if the class allows
+    /// that; otherwise the reply is resent after [`RESEND_REPLY_OBJECTIVE_SHARE`] of the latency objective.
     pub(super) fn resend_lost_commands(&mut self, lost: Range<f64>, effects: &mut Effects<'_>) {
         let may_be_lost = |r: &InFlight| r.last_command.as_ref().is_some_and(|sent| lost.contains(&sent.at));
         for id in self.in_flight.ids_where(|_, r| may_be_lost(r)) {
--- a/src/dispatch/tests/crossings/simulation.rs
+++ b/src/dispatch/tests/crossings/simulation.rs
@@ -66,6 +66,7 @@
     }
 }
 
+/// State of a request's run, as the backend knows it.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Run {
     None,
@@ -97,6 +98,7 @@
 
 pub(super) const EFFECTS: [Idempotency; 3] =
     [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NotIdempotent];
+/// Time between the shutdown notice and the stop of the process (seconds).
 const STOP_S: f64 = 2.0;
 
 impl Simulation {
@@ -223,8 +225,8 @@
         Ok(())
     }
 
-    /// Asserts that the client of a run is waiting, that it is the only run of its key in the window, and that its
-    /// request didn't arrive after the shutdown grace.
+    /// Asserts that the client of a run is waiting, that no other run of its key covers the request's arrival, and that
+    /// the request didn't arrive after the shutdown grace.
     fn check_run(&mut self, i: usize) -> Result<(), TestCaseError> {
         let now = self.harness.now;
         if self.sent[i].run != Run::None {
@@ -374,7 +376,8 @@
         self.input(Input::Shutdown { noticed_at: notice_at, stop_at: notice_at + STOP_S })
     }
 
-    /// Asks for all pending responses, as shortly before the process is stopped.
+    /// Sends `RespondAll`, as the event loop does shortly before the process is stopped, and checks that no response is
+    /// pending afterwards.
     fn respond_all(&mut self) -> Result<(), TestCaseError> {
         self.input(Input::RespondAll)?;
         let pending = self.find(0, SentRequest::is_pending);
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A dispatcher with a simulated clock and its commands.
+/// A dispatcher, its simulated clock (seconds) and its commands.
 struct Harness {
     dispatcher: Dispatcher,
     now: f64,
@@ -123,7 +123,7 @@
     assert_eq!(responses(&out), vec![(3, served(b"done")), (4, served(b"done")), (5, served(b"done"))]);
     h.now = 9.9;
     assert_eq!(responses(&h.arrive(6, "k")), vec![(6, served(b"done"))]);
-    // A retry that arrived within the window and is read after it.
+    // This retry arrived within the window and is read after the window's end.
     h.now = 11.0;
     let out = h.input(Input::Arrived(Request { read_delay_s: 1.5, time_left_s: 1.5, ..request(7, "k") }));
     assert_eq!((runs(&out), responses(&out)), (0, vec![(7, served(b"done"))]));
@@ -219,8 +219,8 @@
     assert!(h
         .input(commands_lost(-0.1, 0.1))
         .contains(&Command::SkipCall { name: "r1".into(), sequence: 7 }));
-    // Otherwise the reply is resent after a period without messages about the run, and not if the run has made
-    // progress.
+    // Otherwise the reply is resent after 0.8 s (0.4 of the latency objective) without a message about the run. It is
+    // not resent if the run has made progress.
     h.input(at_call(2, 8));
     h.input(reply(2));
     assert!(!h.input(commands_lost(-0.1, 0.1)).iter().any(|c| matches!(c, Command::Resume { .. })));
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -24,17 +24,21 @@
     started_by: Role,
 }
 
+/// A worker, its successor and the executor that both use.
 struct ProcessPair {
     predecessor: Harness,
     successor: Harness,
     handed_off: bool,
     predecessor_alive: bool,
+    /// Reports of the predecessor that the successor has not received, oldest first.
     reports: VecDeque<Report>,
     /// Runs in progress, by request name.
     runs: HashMap<Rc<str>, ExecutorRun>,
     /// Number of runs of each key that may have had an effect.
     runs_by_key: HashMap<String, u32>,
+    /// The key of each request, by its number; empty for a request without a key.
     keys: HashMap<u64, String>,
+    /// Number of responses to each request, by its number.
     responses: HashMap<u64, u32>,
 }
 
@@ -299,7 +303,7 @@
     let with_quota = || Harness::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
     let hand_off = |h: &mut Harness| h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new());
     let mut old = with_quota();
-    let whole = hand_off(&mut old).learned.traffic.tenants[0].tokens;
+    let full_bucket_tokens = hand_off(&mut old).learned.traffic.tenants[0].tokens;
     old.dispatcher.end_hand_off();
     for number in 1..=2 {
         old.input(Input::Arrived(of_tenant(number)));
@@ -308,7 +312,7 @@
     // Two requests run and are charged here; the two queued ones are charged by the successor.
     (3..=6).for_each(|number| drop(old.input(Input::Arrived(of_tenant(number)))));
     let handed_off = hand_off(&mut old);
-    assert_eq!((whole, handed_off.requests.len()), (6.0, 2));
+    assert_eq!((full_bucket_tokens, handed_off.requests.len()), (6.0, 2));
     let Traffic { tenants, arrivals_per_s, recent } = handed_off.learned.traffic.clone();
     assert_eq!(tenants, [(2.0, 4.0).into()]);
     let arrivals = arrivals_per_s[0];
@@ -353,6 +357,6 @@
     assert_eq!(new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned, before);
     let mut new = Harness::new();
     new.input(Input::LearnedState(LearnedState { run_limit: 1_000_000, ..learned }));
-    let most = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned.run_limit;
-    assert!(most <= 16, "{most}");
+    let adopted_limit = new.dispatcher.hand_off(0.0, |_| true, &mut Vec::new()).learned.run_limit;
+    assert!(adopted_limit <= 16, "{adopted_limit}");
 }
