--- a/src/log/layer.rs
+++ b/src/log/layer.rs
@@ -79,7 +79,7 @@
 /// program's own crates at level `INFO` and above. Events of libraries are excluded, because peers can cause them with
 /// every request.
 ///
-/// If a log has already been set up, only returns a handle.
+/// If a log has already been set up, that log stays in use, and the returned handle has nothing to report.
 #[must_use]
 pub fn install(filter: Option<Targets>) -> LogHandle {
     let own_crates = || {
--- a/src/log/limiter.rs
+++ b/src/log/limiter.rs
@@ -64,7 +64,8 @@
         self.admit_line(now_s, occurrences)
     }
 
-    /// Returns the number of suppressed lines and resets it; `None` if it is 0 or the second is not over yet.
+    /// Returns the number of suppressed lines and resets it; `None` if it is 0 or if the second in which lines were last
+    /// suppressed is not over yet.
     pub(super) fn take_suppressed(&mut self, now_s: f64) -> Option<u32> {
         if self.suppressed_in == Some(now_s as u64) {
             return None;
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -86,7 +86,7 @@
         if request.class >= self.classes {
             return Err(ItemError::UnknownClass(request.class));
         }
-        // The settings may contain no tenants although requests carry tenant numbers; these are ignored then.
+        // If the settings contain no tenants, the tenants of requests are ignored.
         let tenant = request.tenant.filter(|_| self.tenants > 0);
         if let Some(unknown) = tenant.filter(|tenant| *tenant >= self.tenants) {
             return Err(ItemError::UnknownTenant(unknown));
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -52,7 +52,7 @@
     DepReply { req: String, disposition: WireOutcome },
     /// The shutdown notice: the instance will be stopped after `remaining_s` seconds.
     Sigterm { remaining_s: f64 },
-    /// The timer has expired. Contains the values of the gauges, in the order of the settings.
+    /// The timer has expired. Contains the values of the gauges, in the order in which the settings name them.
     DeadlineHit {
         #[serde(default, rename = "gauge")]
         gauges: Vec<f64>,
