--- a/src/admission/fleet_overload.rs
+++ b/src/admission/fleet_overload.rs
@@ -27,7 +27,8 @@
         self.policy.as_mut().is_some_and(|policy| policy.exceeds_retry_budget(tier, is_retry))
     }
 
-    /// Whether the fleet sheds a request of this tier. The policy counts each call, and may draw a random number.
+    /// Whether the fleet sheds a request of this tier. The policy counts every request that it checks, and may draw a
+    /// random number.
     pub(super) fn sheds(&self, tier: Tier, can_start: bool) -> bool {
         self.policy.as_ref().is_some_and(|policy| policy.sheds(tier, can_start))
     }
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -56,7 +56,7 @@
     /// The reason for which a request that has just been read is rejected, if there is one.
     pub(super) fn rejection_reason(&self, request: &Request) -> Option<RejectionReason> {
         let starts_at_once = self.run_slots.starts_at_once(request.class, self.demand);
-        // Called even if there is another reason, since the fleet's policy counts each call.
+        // Checked even if there is another reason, since the fleet's policy counts every request that it checks.
         let fleet_sheds = self.fleet.sheds(request.tier, starts_at_once);
         if self.cannot_call_in_time(request) {
             Some(RejectionReason::NoDownstreamCall)
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Whether this worker's own measurements suggest that other workers reject too, so that another attempt would
-    /// only cost reads.
+    /// Whether this worker's own measurements suggest that other workers reject too, so that another attempt would be
+    /// read only to be rejected.
     ///
     /// If retries are marked, a share of them above [`FLEET_FULL_RETRY_SHARE`] indicates that, provided that the recent
     /// arrivals outnumber the cores. Otherwise arrivals that need more than [`OVERLOAD_FACTOR`] times the capacity of
--- a/src/admission/run_length.rs
+++ b/src/admission/run_length.rs
@@ -34,7 +34,8 @@
         self.hints_times_lengths = self.hints_times_lengths * HINT_DECAY + hint * length;
     }
 
-    /// The slope of the regression line, between 0 (hints say nothing) and that of lengths proportional to hints.
+    /// The slope of the regression line, between 0 (lengths don't depend on hints) and that of lengths proportional to
+    /// hints.
     fn slope(&self) -> f64 {
         let covariance = self.hints_times_lengths - self.hints * self.lengths / self.count;
         let variance = self.hints_squared - self.hints * self.hints / self.count;
@@ -94,6 +95,7 @@
 
     /// Advances the clock, with this many runs on the cores in that time.
     fn advance(&mut self, running: f64, elapsed_s: f64) {
+        // The sums decay no further than to the weight of the prior, so that a single run can't dominate the estimate.
         if self.ended > PRIOR_RUNS {
             let decay = decay_factor(elapsed_s);
             self.core_time_s *= decay;
--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -43,14 +43,14 @@
             return None;
         }
         let candidates = self.candidates_by_pool(queued);
-        for (account, first) in self.accounts.iter_mut().zip(&candidates) {
-            account.wants_slot = first.is_some();
+        for (account, candidate) in self.accounts.iter_mut().zip(&candidates) {
+            account.wants_slot = candidate.is_some();
         }
         self.limit_reached = self.free_common_slots() == 0 && candidates.iter().any(Option::is_some);
         let permitted = self.permitted();
         self.count_idle_reserve_waits(&permitted);
         let startable = self.indices().filter(|pool| permitted[*pool]).filter_map(|pool| candidates[pool]);
-        startable.min_by_key(|first| first.position).map(|first| first.request)
+        startable.min_by_key(|candidate| candidate.position).map(|candidate| candidate.request)
     }
 
     /// Whether a reserved slot is free and the pool that owns the reserve has a queued request.
@@ -70,9 +70,9 @@
             if missing == 0 {
                 break;
             }
-            let first = &mut candidates[self.pool_of(class)];
-            if first.is_none() {
-                *first = Some(Candidate { position, request });
+            let candidate = &mut candidates[self.pool_of(class)];
+            if candidate.is_none() {
+                *candidate = Some(Candidate { position, request });
                 missing -= 1;
             }
         }
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -87,7 +87,8 @@
         self.pools.advance(dt);
     }
 
-    /// Ends the runs that are due, then starts those that may start, and checks each start against the rules.
+    /// Ends the runs that are due, then starts those that may start, and checks each start against the rules. Started runs
+    /// take `length` seconds. Returns the classes of the started runs.
     pub(super) fn settle(&mut self, length: f64) -> Vec<usize> {
         for Run { class, .. } in take_ended(&mut self.running, self.now) {
             self.pools.record_transition(class, Some(Place::OnCores), None);
@@ -101,10 +102,10 @@
         while let Some(class) = self.choose() {
             self.queued[class].remove(0);
             let pool = self.pools.pool_of(class);
-            let own = self.pools.on_cores(pool) < self.pools.reserved_slots(pool);
-            assert!(own || self.pools.free_common_slots() > 0, "a run started without a free slot");
+            let uses_reserve = self.pools.on_cores(pool) < self.pools.reserved_slots(pool);
+            assert!(uses_reserve || self.pools.free_common_slots() > 0, "a run started without a free slot");
             assert!(
-                own || self.pools.common_in_use(pool) < self.pools.ceiling(pool),
+                uses_reserve || self.pools.common_in_use(pool) < self.pools.ceiling(pool),
                 "a run started above the ceiling of its pool"
             );
             self.pools.record_transition(class, Some(Place::Queued), Some(Place::OnCores));
@@ -124,15 +125,18 @@
     /// No pool has a queued request while a slot that it may use is free.
     pub(super) fn assert_no_request_waits_with_a_free_slot(&self) {
         for pool in self.pools.indices().filter(|p| self.pools.queued(*p) > 0) {
-            let own = self.pools.on_cores(pool) < self.pools.reserved_slots(pool);
-            let common = self.pools.free_common_slots() > 0
+            let reserve_is_free = self.pools.on_cores(pool) < self.pools.reserved_slots(pool);
+            let common_is_free = self.pools.free_common_slots() > 0
                 && self.pools.common_in_use(pool) < self.pools.ceiling(pool);
             let has_room = self.pools.has_room_for_run(pool);
-            assert!(!has_room || !own && !common, "pool {pool} has a queued request and a free slot");
+            assert!(
+                !has_room || !reserve_is_free && !common_is_free,
+                "pool {pool} has a queued request and a free slot"
+            );
         }
     }
 
-    /// Keeps requests of these classes queued for this time; all runs take `length`.
+    /// Keeps requests of these classes queued for this time; all runs take `length` seconds.
     pub(super) fn saturate(&mut self, classes: &[usize], for_s: f64, length: f64) {
         let until = self.now + for_s;
         while self.now < until {
