--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -133,7 +133,7 @@
         self.review(calls_wait);
     }
 
-    /// Adjusts the limit if the window contains enough calls.
+    /// Adjusts the limit if its review window is complete.
     pub(super) fn review(&mut self, calls_wait: bool) {
         self.limit.review(&mut self.lengths, calls_wait);
     }
--- a/src/admission/downstream/limit.rs
+++ b/src/admission/downstream/limit.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Adjusts the limit and closes the window, if the window contains enough calls.
+    /// Adjusts the limit and closes the window, if the window contains [`WINDOW_CALLS`] ended calls or as much time on calls
+    /// as that many slow ones take.
     pub(super) fn review(&mut self, lengths: &mut CallLengthEstimate, calls_wait: bool) {
         let slow_time_s = WINDOW_CALLS * SLOW_CALL_FACTOR * lengths.baseline_s();
         if lengths.window_ended() < WINDOW_CALLS && lengths.window_time_s() < slow_time_s {
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -68,7 +68,7 @@
     pub(super) state: RequestState,
     /// No response is pending any more; the run may still continue.
     pub(super) completed: bool,
-    /// Its tenant's quota is exhausted, and the tenant sends far more than its share.
+    /// Whether its tenant's quota status was `QuotaStatus::Excessive` when it arrived.
     pub(super) over_quota: bool,
     /// The entry of its idempotency key in the table.
     pub(super) entry_id: Option<RequestId>,
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -60,11 +60,11 @@
     /// Whether this worker's own measurements suggest that other workers reject too, so that another attempt would be
     /// read only to be rejected.
     ///
-    /// If retries are marked, a share of them above [`FLEET_FULL_RETRY_SHARE`] indicates that, provided that the recent
-    /// arrivals outnumber the cores. Otherwise arrivals that need more than [`OVERLOAD_FACTOR`] times the capacity of
-    /// the cores at the baseline run length do: callers spread their requests evenly, so an overload here is an
-    /// overload everywhere, while a fault of this worker alone brings no additional arrivals. The drawback is that
-    /// callers then don't find another worker that has capacity.
+    /// If callers mark retries, the fleet counts as full if the share of retries exceeds [`FLEET_FULL_RETRY_SHARE`] and
+    /// the recent arrivals outnumber the cores. If they don't, the fleet counts as full if the arrivals, at the baseline
+    /// run length, need more than [`OVERLOAD_FACTOR`] times the time that the cores have: callers spread their requests
+    /// evenly, so an overload here is an overload everywhere, while a fault of this worker alone brings no additional
+    /// arrivals. The drawback is that callers then don't find another worker that has capacity.
     pub(super) fn infers_full_fleet(&self, arrivals: &ArrivalRates, baseline_run_s: f64) -> bool {
         let total = arrivals.total();
         if self.marks_retries {
--- a/src/admission/tenant_quotas.rs
+++ b/src/admission/tenant_quotas.rs
@@ -19,8 +19,9 @@
     Within,
     /// Its bucket is empty.
     Exhausted,
-    /// Its bucket is empty, and its share of the arrivals far exceeds its share of the quotas. An empty bucket alone
-    /// may result from a smaller fleet, a lost zone or retries, in which case all tenants seem to be over quota.
+    /// Its bucket is empty, and its share of the arrivals is more than [`EXCESSIVE_MULTIPLE`] times its share of the
+    /// quotas. An empty bucket alone may result from a smaller fleet, a lost zone or retries, in which case all tenants
+    /// seem to be over quota.
     Excessive,
 }
 
@@ -38,7 +39,8 @@
 }
 
 impl TenantUsage {
-    /// Whether its share of the arrivals far exceeds its share of the quotas.
+    /// Whether its share of the arrivals is more than [`EXCESSIVE_MULTIPLE`] times its share of the quotas, with more than
+    /// [`MIN_BURST`] recent arrivals.
     fn is_excessive(&self, all_arrivals: f64, all_rates_per_s: f64) -> bool {
         let threshold = EXCESSIVE_MULTIPLE * self.bucket.rate_per_s() * (all_arrivals + 1.0);
         self.recent_arrivals > MIN_BURST && self.recent_arrivals * all_rates_per_s > threshold
--- a/src/pools/limit/slot_limit.rs
+++ b/src/pools/limit/slot_limit.rs
@@ -212,7 +212,7 @@
                 self.update_capacity(&assessment, survivable_runs);
                 self.calibrate_if_due(&assessment);
             }
-            // The worker is idle or too few runs ended: keep what was learned.
+            // The worker was idle or too few runs have ended, so the capacity and the limit are kept.
             Speed::Unknown => {
                 self.publish_measurements();
                 self.start_next_window();
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Starts a calibration if contention has lasted long enough and the limit is reached.
+    /// Starts a calibration if one is due after the time with contention and the window reached the limit.
     fn calibrate_if_due(&mut self, assessment: &WindowAssessment) {
         let min_samples = self.settings.min_samples;
         let contended_baselines =
