--- a/src/admission/downstream/limit.rs
+++ b/src/admission/downstream/limit.rs
@@ -7,8 +7,8 @@
 use crate::fleet::overload::policy::OverloadPolicy;
 use crate::interface::Dependency;
 
-/// The limit starts at this part of the worker's share of the dependency. It never falls below this part of one call,
-/// or of its maximum if that is less than one call.
+/// The limit starts at this part of the worker's share of the dependency, but at no less than one call or its maximum,
+/// whichever is lower. The limit never falls below this part of one call, or of its maximum if that is lower.
 const INITIAL_SHARE: f64 = 0.5;
 /// The limit is multiplied by this factor when calls are slow.
 const DECREASE_FACTOR: f64 = 0.75;
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Adjusts the limit and closes the window, if the window contains enough calls.
+    /// Adjusts the limit and closes the window, if the window contains [`WINDOW_CALLS`] ended calls or as much time on calls
+    /// as that many slow ones take.
     pub(super) fn review(&mut self, lengths: &mut CallLengthEstimate, calls_wait: bool) {
         let slow_time_s = WINDOW_CALLS * SLOW_CALL_FACTOR * lengths.baseline_s();
         if lengths.window_ended() < WINDOW_CALLS && lengths.window_time_s() < slow_time_s {
--- a/src/admission/fleet_overload.rs
+++ b/src/admission/fleet_overload.rs
@@ -27,7 +27,8 @@
         self.policy.as_mut().is_some_and(|policy| policy.exceeds_retry_budget(tier, is_retry))
     }
 
-    /// Whether the fleet sheds a request of this tier. The policy counts each call, and may draw a random number.
+    /// Whether the fleet sheds a request of this tier. The policy counts every request that it checks, and may draw a
+    /// random number.
     pub(super) fn sheds(&self, tier: Tier, can_start: bool) -> bool {
         self.policy.as_ref().is_some_and(|policy| policy.sheds(tier, can_start))
     }
@@ -50,7 +51,7 @@
         self.policy.as_ref().is_some_and(|policy| policy.skips_call(is_idempotent))
     }
 
-    /// Whether a downstream call may be made now.
+    /// Whether the fleet's circuit breaker allows a downstream call now, possibly only as a probe.
     pub(super) fn may_call(&self, is_idempotent: bool) -> bool {
         self.policy.as_ref().is_none_or(|policy| policy.may_call(is_idempotent))
     }
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -62,12 +62,13 @@
     pub(super) deadline: f64,
     /// When its latency objective ends.
     pub(super) objective_deadline: f64,
-    /// A response after this time has no weight.
+    /// When its response stops being useful: at its deadline if a late response has weight or the request is not
+    /// idempotent, otherwise when its latency objective ends.
     pub(super) useful_until: f64,
     pub(super) state: RequestState,
     /// No response is pending any more; the run may still continue.
     pub(super) completed: bool,
-    /// Its tenant's quota is exhausted, and the tenant sends far more than its share.
+    /// Whether its tenant's quota status was `QuotaStatus::Excessive` when it arrived.
     pub(super) over_quota: bool,
     /// The entry of its idempotency key in the table.
     pub(super) entry_id: Option<RequestId>,
--- a/src/admission/tenant_quotas.rs
+++ b/src/admission/tenant_quotas.rs
@@ -6,7 +6,8 @@
 
 /// The capacity of a tenant's bucket: its quota on this worker for this time (seconds).
 const BURST_S: f64 = 2.0;
-/// The least capacity of a tenant's bucket (requests).
+/// The least capacity of a tenant's bucket (requests). A tenant with no more recent arrivals than this is never
+/// [`QuotaStatus::Excessive`].
 const MIN_BURST: f64 = 4.0;
 /// A tenant's share of the arrivals is excessive above this multiple of its share of the quotas.
 const EXCESSIVE_MULTIPLE: f64 = 1.3;
@@ -18,8 +19,9 @@
     Within,
     /// Its bucket is empty.
     Exhausted,
-    /// Its bucket is empty, and its share of the arrivals far exceeds its share of the quotas. An empty bucket alone
-    /// may result from a smaller fleet, a lost zone or retries, in which case all tenants seem to be over quota.
+    /// Its bucket is empty, and its share of the arrivals is more than [`EXCESSIVE_MULTIPLE`] times its share of the
+    /// quotas. An empty bucket alone may result from a smaller fleet, a lost zone or retries, in which case all tenants
+    /// seem to be over quota.
     Excessive,
 }
 
@@ -37,14 +39,15 @@
 }
 
 impl TenantUsage {
-    /// Whether its share of the arrivals far exceeds its share of the quotas.
+    /// Whether its share of the arrivals is more than [`EXCESSIVE_MULTIPLE`] times its share of the quotas, with more than
+    /// [`MIN_BURST`] recent arrivals.
     fn is_excessive(&self, all_arrivals: f64, all_rates_per_s: f64) -> bool {
         let threshold = EXCESSIVE_MULTIPLE * self.bucket.rate_per_s() * (all_arrivals + 1.0);
         self.recent_arrivals > MIN_BURST && self.recent_arrivals * all_rates_per_s > threshold
     }
 }
 
-/// All tenants, by number.
+/// All tenants, by index.
 pub(super) struct TenantQuotas {
     tenants: Vec<TenantUsage>,
 }
@@ -73,7 +76,7 @@
     /// Counts an arrival of a tenant and returns the tenant's status.
     pub(super) fn count_arrival(&mut self, tenant: Option<usize>) -> QuotaStatus {
         let all_rates_per_s: f64 = self.tenants.iter().map(|usage| usage.bucket.rate_per_s()).sum();
-        // Without this arrival.
+        // Summed before this arrival is counted.
         let all_arrivals: f64 = self.tenants.iter().map(|usage| usage.recent_arrivals).sum();
         let Some(usage) = self.usage_mut(tenant) else { return QuotaStatus::Within };
         usage.recent_arrivals += 1.0;
--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -10,7 +10,7 @@
     request: T,
 }
 
-/// The common slots to which a pool is entitled beyond those in use, by its guarantee and its credit.
+/// A pool's claim on common slots: its guarantee and its credit, less the common slots that it uses.
 #[derive(Clone, Copy)]
 struct Claim {
     pool: usize,
@@ -27,7 +27,7 @@
         survivable_runs: usize,
     ) -> Option<T> {
         self.survivable_runs = survivable_runs;
-        if self.all.queued == 0 {
+        if self.total_counts.queued == 0 {
             self.limit_reached = false;
             for account in &mut self.accounts {
                 account.wants_slot = false;
@@ -37,20 +37,20 @@
         if self.free_common_slots() == 0 && !self.can_start_on_reserve() {
             // Nothing can start, so the queue need not be searched.
             self.limit_reached = true;
-            for (account, counts) in self.accounts.iter_mut().zip(&self.counts) {
+            for (account, counts) in self.accounts.iter_mut().zip(&self.pool_counts) {
                 account.wants_slot = counts.queued > 0;
             }
             return None;
         }
         let candidates = self.candidates_by_pool(queued);
-        for (account, first) in self.accounts.iter_mut().zip(&candidates) {
-            account.wants_slot = first.is_some();
+        for (account, candidate) in self.accounts.iter_mut().zip(&candidates) {
+            account.wants_slot = candidate.is_some();
         }
         self.limit_reached = self.free_common_slots() == 0 && candidates.iter().any(Option::is_some);
         let permitted = self.permitted();
         self.count_idle_reserve_waits(&permitted);
         let startable = self.indices().filter(|pool| permitted[*pool]).filter_map(|pool| candidates[pool]);
-        startable.min_by_key(|first| first.position).map(|first| first.request)
+        startable.min_by_key(|candidate| candidate.position).map(|candidate| candidate.request)
     }
 
     /// Whether a reserved slot is free and the pool that owns the reserve has a queued request.
@@ -70,17 +70,17 @@
             if missing == 0 {
                 break;
             }
-            let first = &mut candidates[self.pool_of(class)];
-            if first.is_none() {
-                *first = Some(Candidate { position, request });
+            let candidate = &mut candidates[self.pool_of(class)];
+            if candidate.is_none() {
+                *candidate = Some(Candidate { position, request });
                 missing -= 1;
             }
         }
         candidates
     }
 
-    /// Counts pools whose request waits although one of their reserved slots is free. A pool that has used up its own
-    /// survivable runs, for example with runs at calls, is not counted: it waits for its own runs.
+    /// Counts the pools that have a startable request and a free reserved slot but may not start a run. A pool that has
+    /// used up its own survivable runs, for example with runs at calls, is not counted: it waits for its own runs.
     fn count_idle_reserve_waits(&mut self, permitted: &[bool]) {
         let waits = |pool: &usize| {
             let wants = self.accounts[*pool].wants_slot && !permitted[*pool];
