--- a/src/fleet/frame/codec.rs
+++ b/src/fleet/frame/codec.rs
@@ -7,7 +7,7 @@
 /// Size of the length prefix (bytes).
 const LENGTH_BYTES: usize = 4;
 
-/// A frame cannot be decoded. The connection has to be closed, since the start of the next frame is unknown.
+/// Why a frame cannot be decoded. The connection has to be closed, since the start of the next frame is unknown.
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The announced length exceeds the receiver's limit.
@@ -27,7 +27,7 @@
 #[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut frame = vec![0; LENGTH_BYTES];
-    // Writing to memory cannot fail, and neither can serializing the message types: strings, numbers and lists of them.
+    // Writing to memory cannot fail, and neither can serializing the message types, since the keys of their maps are strings.
     let _ = serde_json::to_writer(&mut frame, message);
     let length = (frame.len() - LENGTH_BYTES) as u32;
     frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -7,9 +7,9 @@
 
 /// Protocol version of this program. Version 1 has sessions and leases; version 2 adds periods of tasks.
 pub const VERSION: u32 = 2;
-/// Maximum size of a frame that a coordinator accepts (bytes).
+/// Maximum size of the body of a frame that a coordinator accepts (bytes).
 pub const MAX_CLIENT_FRAME_BYTES: usize = 16 * 1024;
-/// Maximum size of a frame that a coordinator sends (bytes): large enough for the counters of a whole fleet.
+/// Maximum size of the body of a frame that a coordinator sends (bytes): large enough for the counters of a whole fleet.
 pub const MAX_SERVER_FRAME_BYTES: usize = 1024 * 1024;
 /// Maximum length of a name of a fleet, a worker, a zone or a task (bytes).
 pub const MAX_NAME_BYTES: usize = 64;
@@ -92,7 +92,7 @@
         /// Leases to renew.
         #[serde(rename = "held", default)]
         leases: Vec<LeaseRef>,
-        /// The worker's counters, if due.
+        /// The worker's counters; included at most once per second.
         #[serde(rename = "figures", default, skip_serializing_if = "Option::is_none")]
         counters: Option<Counters>,
         /// Totals that this worker computed for the fleet.
@@ -108,7 +108,7 @@
         /// The released lease.
         #[serde(rename = "held")]
         lease: LeaseRef,
-        /// Whether the worker failed at the task, so that another worker should be granted the lease.
+        /// Whether the task's calls failed at this worker, so that another worker should be granted the lease.
         #[serde(default)]
         failed: bool,
         /// Whether to grant the lease to the newest process of the same worker name.
@@ -158,13 +158,14 @@
     Unknown,
 }
 
-/// An operator's query or command.
+/// An operator's query or command. Each one except [`OperatorQuery::Status`] is answered only by a leader that a quorum has
+/// confirmed.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorQuery {
     /// State of this coordinator. Any coordinator answers, even a suspended one.
     Status,
-    /// Workers with a session. This query and all following ones are answered only by a leader confirmed by a quorum.
+    /// Workers with a session.
     Members,
     /// Leases and their holders.
     Leases,
@@ -172,7 +173,7 @@
     Tasks,
     /// State of fleet-wide overload control: shedding level, shortages, and probers of failed services.
     Overload,
-    /// Overrides the shedding level temporarily.
+    /// Overrides the shedding level for a time.
     Pin {
         /// The first tier that is not admitted in full.
         tier: usize,
@@ -181,7 +182,7 @@
         /// How long the override lasts (seconds).
         for_s: f64,
     },
-    /// Replaces a coordinator that has lost its disk with one that starts without state.
+    /// Replaces the quorum's member of a coordinator that has lost its disk with a new member, which starts without state.
     Replace {
         /// Name of the coordinator.
         coordinator: String,
--- a/src/fleet/lease_holder.rs
+++ b/src/fleet/lease_holder.rs
@@ -1,14 +1,15 @@
-//! The leases that a worker holds, and until when, on the worker's clock, no other process can hold them.
+//! Tracks the leases that a worker holds, and until when the worker may act under each of them. All times are on the
+//! worker's clock (seconds), which must advance while the machine is suspended.
 //!
 //! Guarantee to callers: [`LeaseHolder::may_act`] permits an action only while no other process can hold the lease. A
 //! lease's time to live starts when the heartbeat that requested its renewal was *sent*, and is reduced by a share for clock
-//! drift; for the coordinators it starts when they received the heartbeat. The clock must advance while the machine is
-//! suspended.
+//! drift. At the coordinators it starts later, when they receive the heartbeat, so that the lease expires at its holder
+//! first.
 
 use super::frame::{LeaseRef, RenewedLease};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of unacknowledged heartbeats that are tracked.
+/// Maximum number of unacknowledged heartbeats that are tracked; a further one displaces the oldest.
 const MAX_OUTSTANDING: usize = 64;
 /// Number of renewals per time to live.
 const RENEWALS_PER_TTL: f64 = 3.0;
@@ -39,7 +40,7 @@
 /// The leases that a worker holds.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
-    /// Share of a time to live that is left unused as a margin for the drift between both clocks.
+    /// Share of a time to live that is left unused as a margin for the drift between the clocks of worker and coordinators.
     drift: f64,
     leases: BTreeMap<String, HeldLease>,
     /// In sending order.
@@ -102,8 +103,8 @@
         held.valid_until = Some(held.valid_until.map_or(valid_until, |known| known.max(valid_until)));
     }
 
-    /// The fencing token under which an action of up to `duration_s` seconds may start now; `None` if the lease is not held
-    /// or expires before the action would end.
+    /// The fencing token under which an action of up to `duration_s` seconds may start now; `None` if the lease is not held,
+    /// has not been renewed yet, or may expire before the action ends.
     #[must_use]
     pub fn may_act(&self, now: f64, task: &str, duration_s: f64) -> Option<u64> {
         let held = self.leases.get(task)?;
@@ -116,7 +117,7 @@
         self.leases.get(task).map(|held| held.token)
     }
 
-    /// When a lease expires on this worker's clock.
+    /// When a lease expires on this worker's clock; `None` if it is not held or has not been renewed yet.
     #[must_use]
     pub fn valid_until(&self, task: &str) -> Option<f64> {
         self.leases.get(task)?.valid_until
@@ -132,8 +133,8 @@
         self.outstanding.iter()
     }
 
-    /// The heartbeat interval at which all leases are renewed in time (seconds): the shortest time to live divided by
-    /// `RENEWALS_PER_TTL`. `None` without leases.
+    /// The heartbeat interval at which every lease is renewed `RENEWALS_PER_TTL` times per time to live (seconds). While a
+    /// time to live is unknown, at most `INITIAL_RENEWAL_INTERVAL_S`. `None` without leases.
     #[must_use]
     pub fn renewal_interval_s(&self) -> Option<f64> {
         let interval_s = |held: &HeldLease| {
@@ -151,13 +152,14 @@
         self.leases.remove(task);
     }
 
-    /// Removes all leases, because the session has expired.
+    /// Removes all leases, since the session under which they were granted has expired.
     pub fn clear(&mut self) {
         self.leases.clear();
         self.outstanding.clear();
     }
 
-    /// Called when the session continues over a new link. Leases remain; acknowledgements on the old link may be lost.
+    /// Called when the session continues over a new link. The leases remain held; unacknowledged heartbeats are forgotten,
+    /// since their acknowledgements were lost with the old link.
     pub fn reconnected(&mut self) {
         self.outstanding.clear();
     }
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -117,7 +117,8 @@
         }));
     }
 
-    /// Performs what is due by now. `counters` returns this worker's counters; it is called only if they are due.
+    /// Connects, abandons a link that does not answer, sends a heartbeat, and requests periods of tasks, as far as each is
+    /// due. `counters` returns this worker's counters; it is called only if they are due.
     pub fn tick(&mut self, now: f64, counters: impl FnOnce() -> Counters) {
         let mut link_actions = Vec::new();
         let heartbeat_due = self.session.tick(now, &mut link_actions);
@@ -167,7 +168,7 @@
         self.session.disconnected(now);
     }
 
-    /// Called when a scheduled call has ended. `task` is its index in the configuration.
+    /// Called when a scheduled call has ended. `task` is the index of its task in the configuration.
     pub fn call_ended(&mut self, now: f64, task: usize, outcome: CallOutcome) {
         let Some(scheduled) = self.tasks.get_mut(task) else { return };
         if let Some(report) = scheduled.call_ended(now, outcome) {
@@ -201,14 +202,15 @@
         self.session.is_established()
     }
 
-    /// Until when no other process can hold the task's lease; `None` if this worker does not hold it.
+    /// Until when no other process can hold the task's lease; `None` if this worker does not hold it or has not renewed it
+    /// yet.
     #[must_use]
     pub fn lease_valid_until(&self, task: &str) -> Option<f64> {
         self.leases.valid_until(task)
     }
 
     /// The fencing token under which an action of up to `duration_s` seconds may start for a task now; `None` if the lease is
-    /// not held or expires before the action would end.
+    /// not held, has not been renewed yet, or may expire before the action ends.
     #[must_use]
     pub fn may_act(&self, now: f64, task: &str, duration_s: f64) -> Option<u64> {
         self.leases.may_act(now, task, duration_s)
--- a/src/fleet/member/events.rs
+++ b/src/fleet/member/events.rs
@@ -27,7 +27,7 @@
     },
     /// This worker was granted a lease.
     LeaseAcquired(LeaseRef),
-    /// A lease or its session has expired.
+    /// This worker lost a lease that it had not released.
     LeaseLost {
         /// The lease.
         lease: LeaseRef,
@@ -48,8 +48,8 @@
 /// The cause of the loss of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseLossCause {
-    /// The coordinators did not renew it.
+    /// The coordinators did not renew the lease.
     NotRenewed,
-    /// The session under which it was granted has expired.
+    /// The session under which the lease was granted has expired.
     SessionExpired,
 }
--- a/src/fleet/member/leaving.rs
+++ b/src/fleet/member/leaving.rs
@@ -1,4 +1,4 @@
-//! Release of leases, when a worker drains, leaves its fleet, or fails at a task; and the end of its membership.
+//! Releases leases when a worker drains, leaves its fleet, or fails at a task, and ends its membership.
 
 use super::FleetMember;
 use crate::fleet::frame::{ClientMessage, LeaseRef};
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Sets whether this worker accepts leases. A draining worker releases the leases that it holds, and accepts leases again
-    /// after the drain.
+    /// Sets whether this worker accepts leases. A draining worker releases the leases that it holds (one with a scheduled
+    /// call in flight when that call ends), and accepts leases again after the drain.
     pub fn set_accepting_tasks(&mut self, now: f64, accepting: bool) {
         if self.accepting_tasks == accepting {
             return;
@@ -59,7 +59,8 @@
     }
 
     /// Ends the membership because the worker shuts down or was `replaced` by another process. Releases the leases, in the
-    /// latter case to that process, and then closes the session. Calls after the first have no effect.
+    /// latter case to that process, and closes the session once no scheduled call is in flight. Calls after the first have no
+    /// effect.
     pub fn leave(&mut self, replaced: bool) {
         if self.leave_state.is_some() {
             return;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 //! | [`tasks`] | scheduled calls under a lease |
 //! | [`overload`] | fleet-wide overload control |
 //!
-//! None of it is constructed without `[fleet]` in the operator's file.
+//! Without `[fleet]` in the operator's file, no [`FleetMember`] is created.
 
 #![warn(missing_docs)]
 
--- a/src/fleet/overload/capacity_leases/client.rs
+++ b/src/fleet/overload/capacity_leases/client.rs
@@ -11,12 +11,12 @@
     sent_at: f64,
 }
 
-/// The capacity part of a report.
+/// The fields of a load report that [`CapacityClient`] determines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanOffer {
     /// The part of its base allocation that the worker lends (calls in flight).
     pub lent_calls: f64,
-    /// Number of the last digest that the worker has received; 0 for none.
+    /// Number of the last digest received on this link; 0 for none.
     pub last_digest: u64,
 }
 
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Records that a report is sent now, and returns its capacity part. `spare` is the number of calls that the worker does
-    /// not need.
+    /// Records that a report is sent now, and returns the loan that it offers. `spare` is the number of calls in flight that
+    /// the worker does not need.
     pub fn report(&mut self, now: f64, number: u64, spare: f64) -> LoanOffer {
         self.loans.retain(|loan| loan.until > now);
         self.outstanding.push_back(OutstandingReport { number, sent_at: now });
@@ -81,7 +81,8 @@
     }
 
     fn lendable_calls(&self, spare: f64) -> f64 {
-        // The leader counts a loan from a digest that the worker has received, and cannot use a loan without one.
+        // The leader counts a loan from when it sent the last digest that the worker has received, so it cannot use a loan
+        // from a worker without a digest.
         if self.last_digest == 0 {
             return 0.0;
         }
@@ -98,8 +99,9 @@
         self.slice_until = answered.sent_at + SLICE_S * (1.0 - self.drift);
     }
 
-    /// Called when the session continues over a new link, on which digest numbers restart; messages on the old link are lost.
-    /// The slice ends, since the next one may come from another leader; loans last as long as promised.
+    /// Called when the session continues over a new link; messages on the old link are lost. The new link may lead to another
+    /// leader, which numbers its digests from 1 and does not know the slice. Therefore the slice ends, and no loan is offered
+    /// before the first digest on the link. Existing loans last until they expire.
     pub fn reconnected(&mut self) {
         self.outstanding.clear();
         self.last_digest = 0;
--- a/src/fleet/overload/capacity_leases/server.rs
+++ b/src/fleet/overload/capacity_leases/server.rs
@@ -3,7 +3,8 @@
 use super::{round_down, CapacityReport, Loan, LOAN_S, MAX_OUTSTANDING, SLICE_S, UNLENDABLE_SHARE};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time without a report after which a worker's state is removed (seconds). Its loans and slices expire long before that.
+/// Time without a report after which a worker's state is removed (seconds). By then its loans, which last [`LOAN_S`], and
+/// its slices, which last [`SLICE_S`], have expired.
 const REMOVE_AFTER_S: f64 = 10.0;
 /// How long computed fair shares are reused (seconds): a fifth of the reporting interval.
 const FAIR_SHARES_VALID_S: f64 = 0.1;
@@ -36,7 +37,9 @@
     pub(super) sent_digests: VecDeque<SentDigest>,
     loans: Vec<Loan>,
     granted: Vec<GrantedSlice>,
+    /// As in the last report (calls in flight).
     wanted_calls: f64,
+    /// As in the last report.
     weight: f64,
     last_report_at: f64,
 }
@@ -63,14 +66,14 @@
     pub(super) weight: f64,
 }
 
-/// Cached division of the lent capacity among the workers that want some.
+/// Cached division of the lent capacity among the workers that want some (calls in flight, by session number).
 #[derive(Clone, Debug)]
 struct FairShares {
     computed_at: f64,
     by_worker: BTreeMap<u64, f64>,
 }
 
-/// The capacity part of a digest.
+/// The fields of a digest that [`CapacityLeaseServer`] determines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SliceGrant {
     /// Number of the digest.
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Processes a worker's report.
+    /// Processes the report of a worker, which is identified by its session number.
     pub fn receive_report(&mut self, now: f64, worker: u64, report: CapacityReport) {
         let worker_state = self.workers.entry(worker).or_default();
         worker_state.last_report_at = now;
--- a/src/fleet/overload/capacity_leases/tests.rs
+++ b/src/fleet/overload/capacity_leases/tests.rs
@@ -10,7 +10,8 @@
 
 const WORKERS: usize = 3;
 const BASE_CALLS: f64 = 4.0;
-/// Clocks differ by the maximum drift, in the direction that shortens loans and lengthens slices.
+/// The relative drift between clocks that workers tolerate. In the simulation, clocks differ by this maximum, in the
+/// direction that shortens loans and lengthens slices.
 const DRIFT: f64 = 0.1;
 const FAST_CLOCK: f64 = 1.0 + DRIFT / 2.0;
 const SLOW_CLOCK: f64 = 1.0 - DRIFT / 2.0;
@@ -60,7 +61,7 @@
     AnyDigest,
     /// A new process uses its full base allocation.
     FullAllocation,
-    /// Loans and slices have no margin for clock drift on the worker's side.
+    /// Workers apply no margin for clock drift to loans and slices.
     NoDrift,
 }
 
--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -1,4 +1,4 @@
-//! A worker's side of the protocol: creates load reports, receives digests, and tracks their validity.
+//! A worker's side of the overload protocol: creates load reports, receives digests, and tracks their validity.
 
 use super::capacity_leases::{CapacityClient, SliceGrant, SLICE_S};
 use super::service::DIGEST_VALID_S;
@@ -146,6 +146,7 @@
             None => (FleetDigest::default(), f64::NEG_INFINITY),
         };
         digest.slice = current.slice as f32;
+        // A digest and its slice are valid for different times from the same moment, when the report was sent.
         let slice_valid_until = if current.slice > 0.0 {
             valid_until - (DIGEST_VALID_S - SLICE_S) * (1.0 - self.drift)
         } else {
--- a/src/fleet/overload/digest.rs
+++ b/src/fleet/overload/digest.rs
@@ -4,14 +4,14 @@
 use super::MAX_MEASUREMENT;
 use serde::{Deserialize, Serialize};
 
-/// Upper bound for [`FleetDigest::spread_s`] (seconds).
+/// Upper bound for [`FleetDigest::spread_s`] in a valid digest (seconds).
 const MAX_SPREAD_S: f32 = 60.0;
 
 /// The fleet's state and decisions, as sent to one worker.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct FleetDigest {
-    /// Sequence number within the session.
+    /// Sequence number among the digests that one leader sends in the session, from 1.
     pub number: u64,
     /// Number of workers whose reports the digest is based on.
     #[serde(rename = "of")]
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -1,5 +1,6 @@
 //! The leading coordinator's side: evaluates load reports and answers them with digests. A new leader starts without state
-//! and rebuilds it from the reports. Times are on the leader's clock (seconds).
+//! and rebuilds it from the reports. Workers are identified by their session numbers. Times are on the leader's clock
+//! (seconds).
 
 use super::capacity_leases::{CapacityLeaseServer, CapacityReport, CapacityTotals};
 use super::events::OverloadEvent;
@@ -17,7 +18,7 @@
 const MAX_SPREAD_S: f64 = 10.0;
 /// How long the fleet still counts as short of capacity after the last sign of a shortage (seconds).
 const SHORTAGE_HOLD_S: f64 = 3.0;
-/// Share of first attempts; while its workers reject more than this, the fleet counts as short of capacity.
+/// The fleet counts as short of capacity while its workers reject more than this share of first attempts.
 const MAX_REJECTED_SHARE: f64 = 0.01;
 /// Lower bound for the capacity by which demand is divided (requests per second).
 const MIN_CAPACITY: f64 = 1e-3;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Processes a worker's report.
+    /// Processes a worker's report. An invalid or outdated report is ignored.
     pub fn receive(&mut self, now: f64, worker: u64, zone: &str, load: &LoadReport) {
         if !self.view.receive(now, worker, zone, load) {
             return;
@@ -107,7 +108,8 @@
     }
 
     fn update_shortage(&mut self, now: f64) {
-        // Rejections by individual workers count too: during a retry storm they may be the only sign of a shortage.
+        // Rejections by individual workers count too: in a retry storm they may be the only sign of a shortage, since the
+        // level counts only a part of the retries as demand.
         let first_attempts = self.sums.arrivals.iter().sum::<f64>();
         let workers_reject = self.sums.rejected > MAX_REJECTED_SHARE * first_attempts;
         if !self.levels.level(now).is_open() || self.service.limits_calls() || workers_reject {
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -1,9 +1,9 @@
 //! The fleet's shedding level: which tiers are admitted in full, and which share of the next tier. All workers apply the
 //! same level, so that no worker serves a low tier while another rejects a higher one.
 //!
-//! Guarantees to callers: no lower tier is admitted while a higher one is shed; the level tightens within one second of a
-//! lasting shortage and relaxes step by step, so that load that oscillates around the threshold changes it at most once per
-//! period of the oscillation; every change states its cause.
+//! Guarantees to callers: no lower tier is admitted while a higher one is shed; the level tightens within one second after a
+//! lasting shortage begins; it relaxes step by step, so that load that oscillates around the capacity changes it at most
+//! once per period of the oscillation; every change states its cause.
 
 use super::view::LoadSums;
 use super::MAX_TIERS;
@@ -20,11 +20,11 @@
 const STEPS_PER_TIER: f64 = 4.0;
 /// Time between two steps while the level relaxes (seconds).
 const RELAX_INTERVAL_S: f64 = 0.5;
-/// Minimum share of first attempts that the workers themselves must reject before a shortage counts. Below it, the reported
-/// capacity may be a mere estimate, as it is after a start.
+/// Minimum share of first attempts that the workers themselves must reject before a shortage tightens an open level. If they
+/// reject fewer, the shortage may be an error of the reported capacity, which is only an estimate after a start.
 const MIN_REJECTED_SHARE: f64 = 0.01;
-/// Retries count as demand up to this share of first attempts, which the retry budget admits. If all retries counted, each
-/// rejection would cause further ones.
+/// Retries count as demand up to this share of first attempts, which the retry budget admits by default. If all retries
+/// counted, shed requests that return as retries would tighten the level further.
 const MAX_RETRY_DEMAND: f64 = 0.1;
 /// Minimum number of reporting workers. With fewer, the fleet's load counts as unknown.
 const MIN_WORKERS: usize = 2;
@@ -75,10 +75,10 @@
         SheddingLevel { tier: tier as usize, share: (admitted_tiers.max(0.0) - tier) as f32 }
     }
 
-    /// The level whose admitted demand matches the cores' capacity.
+    /// The level whose admitted demand is `TARGET_UTILIZATION` times the cores' capacity, rounded up to a whole step.
     fn for_load(sums: &LoadSums) -> SheddingLevel {
         let mut headroom = sums.capacity * TARGET_UTILIZATION;
-        // Retries are assumed to be distributed over the tiers as first attempts are.
+        // Reports do not state the tiers of retries, so retries are assumed to be distributed as first attempts are.
         let first_attempts: f64 = sums.arrivals.iter().sum();
         let retry_factor = if first_attempts > 0.0 {
             1.0 + (sums.retries / first_attempts).min(MAX_RETRY_DEMAND)
@@ -116,7 +116,7 @@
         /// The capacity of the cores (requests per second).
         capacity_per_s: f64,
     },
-    /// Capacity has exceeded demand for some time.
+    /// The load has allowed a more open level for `HEADROOM_DELAY_S`.
     Headroom {
         /// First attempts and retries that arrive (requests per second).
         demand_per_s: f64,
--- a/src/fleet/overload/mod.rs
+++ b/src/fleet/overload/mod.rs
@@ -15,7 +15,7 @@
 //! | [`client`] | a worker's side of the protocol |
 //! | [`policy`] | how a worker's admission control applies the fleet's decisions |
 //!
-//! None of it is constructed without `[fleet.overload]` in the operator's file and `[overload]` in the coordinators' file.
+//! A worker takes part only with `[fleet.overload]` in the operator's file, coordinators only with `[overload]` in theirs.
 
 pub mod capacity_leases;
 pub mod client;
@@ -38,7 +38,7 @@
 pub const MAX_TIERS: usize = 8;
 /// Interval at which a worker sends load reports (seconds).
 pub const REPORT_INTERVAL_S: f64 = 0.5;
-/// Largest value accepted for a measurement, in any unit.
+/// Largest value of a measurement in a valid report or digest, in any unit.
 const MAX_MEASUREMENT: f32 = 1e6;
 
 #[cfg(test)]
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -1,6 +1,6 @@
-//! How a worker's admission control applies the fleet's overload decisions. The policy holds the latest directive until it
+//! How a worker's admission control applies the fleet's overload decisions. The policy applies the latest directive until it
 //! expires, and counts the worker's load for its reports. Without a valid directive, decisions are the same as for a worker
-//! without a fleet.
+//! without a fleet, except that a loan stays in force.
 //!
 //! Guarantees to callers: the policy only adds rejections to those of admission control, and rejects no request that could
 //! start immediately, except retries beyond the budget; the limit on downstream calls in flight never exceeds the base
@@ -14,17 +14,17 @@
 
 /// Minimum interval between the half-open probes of a zone (seconds).
 const PROBE_INTERVAL_S: f64 = 0.5;
-/// Share of its base allocation that a worker retains as a margin above its recent peak, at least one call. It lends the
-/// remainder.
+/// Margin that a worker retains above its recent peak of calls in flight, as a share of its base allocation; at least one
+/// call. The worker lends the rest.
 const SPARE_MARGIN: f64 = 0.25;
 /// Time constant of the exponential decay of the peak of calls in flight (seconds).
 const PEAK_DECAY_S: f64 = 3.0;
-/// Upper bound for the initial peak (calls in flight).
+/// Upper bound for the initial peak (calls in flight), which otherwise would be infinite without a downstream service.
 const MAX_INITIAL_PEAK: f64 = 1e6;
-/// Relative increase of the Retry-After period with each lower tier.
+/// Relative increase of the Retry-After period with each tier below the shedding level.
 const SPREAD_PER_TIER: f64 = 0.25;
-/// Minimum base allocation for lending (calls in flight). A smaller allocation can only be a mean over time, which admission
-/// control enforces.
+/// Minimum base allocation for lending (calls in flight). Less than one call in flight is possible only as a mean over time,
+/// which admission control enforces.
 const MIN_LENDABLE_CALLS: f64 = 1.0;
 /// Lower bound for the duration over which a sample's rates are computed (seconds).
 const MIN_SAMPLE_S: f64 = 0.05;
@@ -175,8 +175,8 @@
     }
 
     /// The Retry-After of a rejected request of this tier (seconds). `local_s` is the value of a worker without a fleet,
-    /// which applies while other workers have headroom. Otherwise retries are spread over the digest's period, longer for
-    /// lower tiers.
+    /// which applies while other workers have headroom. Otherwise retries are spread over the period in the digest, or a
+    /// longer one for tiers below the shedding level.
     #[must_use]
     pub fn retry_after_s(&self, tier: usize, local_s: f64) -> f64 {
         let Some(digest) = self.digest() else { return local_s };
@@ -194,7 +194,7 @@
         self.digest().is_some_and(|digest| digest.circuit_open && !(digest.is_prober && is_idempotent))
     }
 
-    /// Whether a call may be made now.
+    /// Whether a call may be made now: with an open circuit, only the prober's idempotent calls, one per `PROBE_INTERVAL_S`.
     #[must_use]
     pub fn may_call(&self, is_idempotent: bool) -> bool {
         let probe_due = self.now - self.last_call_at >= PROBE_INTERVAL_S;
@@ -242,7 +242,7 @@
             arrivals: counts.arrivals[..tiers].iter().map(|count| *count as f64 * per_s).collect(),
             retries: counts.retries as f64 * per_s,
             rejected: own_rejected as f64 * per_s,
-            // The rate just completed is a lower bound of the capacity.
+            // The capacity is at least the rate at which requests were completed since the last sample.
             capacity: self.capacity.max(completed as f64 * per_s),
             calls_succeeded: counts.calls_succeeded as f64 * per_s,
             calls_failed: counts.calls_failed as f64 * per_s,
--- a/src/fleet/overload/report.rs
+++ b/src/fleet/overload/report.rs
@@ -7,10 +7,10 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Sequence number.
+    /// Sequence number of the heartbeat that carries the report.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Number of the last digest that the worker received; 0 if it received none in this session.
+    /// Number of the last digest that the worker received on this link; 0 for none.
     #[serde(rename = "h")]
     pub last_digest: u64,
     /// First attempts by tier, highest tier first.
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -249,7 +249,7 @@
         };
     }
 
-    /// Closes the circuit after [`PROBES_TO_CLOSE`] consecutive successes.
+    /// Closes the circuit after [`PROBES_TO_CLOSE`] consecutive evaluations with only successful probes.
     fn evaluate_probes(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         if sums.calls_failed > 0.0 {
             self.consecutive_successes = 0;
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -1,6 +1,6 @@
-//! Outlier-robust aggregation of load reports. Each worker's values are bounded (`MAX_OUTLIER_FACTOR`,
-//! `MAX_ARRIVALS_FACTOR`), so that wrong values from one worker shift a sum by at most a few workers' shares. Workers that
-//! have stopped reporting, or that repeat the same measurements under load, are excluded.
+//! Outlier-robust aggregation of load reports. Each worker's values are bounded by `MAX_OUTLIER_FACTOR` and
+//! `MAX_ARRIVALS_FACTOR`, which limits how far wrong values from one worker shift a sum. Workers that have stopped
+//! reporting, or that repeat the same measurements under load, are excluded.
 
 use super::{LoadReport, MAX_TIERS};
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     pub call_s: f64,
 }
 
-/// The latest report of each worker.
+/// The latest report of each worker, by session number.
 #[derive(Clone, Debug, Default)]
 pub struct FleetLoadView {
     reports: BTreeMap<u64, LatestReport>,
@@ -118,15 +118,15 @@
     }
 }
 
-/// Upper bound for one worker's value: `MAX_OUTLIER_FACTOR` times the trimmed mean. It is computed over the whole fleet: within
-/// a zone of two workers, each would contribute half of its own bound.
+/// Upper bound for one worker's value: `MAX_OUTLIER_FACTOR` times the trimmed mean of the whole fleet. The mean of a zone
+/// would be less robust: in a zone of two workers, it would be the lower of their values.
 fn outlier_bound(live: &[&LatestReport], value: fn(&LoadReport) -> f32) -> f64 {
     let mut values: Vec<f64> = live.iter().map(|report| f64::from(value(&report.load))).collect();
     values.sort_by(f64::total_cmp);
     let trimmed = ((values.len() as f64 * TRIMMED_SHARE) as usize).max(1);
     let kept = values.len().saturating_sub(trimmed);
     if kept == 0 {
-        // No other worker to compare with.
+        // There is no other worker to compare with.
         return f64::INFINITY;
     }
     MAX_OUTLIER_FACTOR * values[..kept].iter().sum::<f64>() / kept as f64
@@ -138,8 +138,8 @@
     included.iter().map(|report| f64::from(value(&report.load)).min(bound)).sum()
 }
 
-/// First attempts by tier. A worker's arrivals are bounded to a multiple of its capacity, so that a worker that reports many
-/// arrivals and no capacity has no effect.
+/// First attempts by tier. A worker's arrivals are bounded to `MAX_ARRIVALS_FACTOR` times its capacity, so that a worker that
+/// reports many arrivals and no capacity has no effect.
 fn bounded_arrivals(live: &[&LatestReport], included: &[&LatestReport]) -> [f64; MAX_TIERS] {
     let capacity_bound = outlier_bound(live, |load| load.capacity);
     let mut sums = [0.0; MAX_TIERS];
--- a/src/fleet/overload/view/tests.rs
+++ b/src/fleet/overload/view/tests.rs
@@ -50,11 +50,12 @@
     }
     assert!(!view.receive(5.0, 1, "east", &load(10, 99.0)), "a duplicate number");
     let all = view.sums(5.0, None);
-    // The second worker has repeated its measurements for 4.5 s under load; the third is idle, so its may stay the same.
+    // The second worker has repeated its measurements for 4.5 s under load. The third worker is idle, and the measurements of
+    // an idle worker may stay the same.
     assert_eq!((all.workers, all.capacity), (2, 27.0));
     assert_eq!(view.sums(5.0, Some("west")).workers, 1);
     assert_eq!(view.sums(5.0 + STALE_AFTER_S + 0.1, None), LoadSums::default());
     assert_eq!(view.zones(), ["east", "west"]);
     view.sums(16.0, None);
-    assert!(view.zones().is_empty(), "removed");
+    assert!(view.zones().is_empty(), "workers that stopped reporting are removed");
 }
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -45,7 +45,8 @@
     BackingOff { until: f64 },
     /// Connecting, or waiting for the welcome.
     Handshaking { since: f64 },
-    /// The session is established. `unacknowledged_since` is when the oldest unacknowledged heartbeat was sent.
+    /// The session is established. `unacknowledged_since` is when the oldest unacknowledged heartbeat was sent, or when an
+    /// earlier one was acknowledged, if that is later; `None` if all are acknowledged.
     Established { unacknowledged_since: Option<f64> },
 }
 
@@ -117,8 +118,8 @@
         self.coordinators.get(self.current).copied()
     }
 
-    /// Performs what is due by now. Returns `true` if a heartbeat is due; the caller sends it with the sequence number that
-    /// [`Session::heartbeat_sent`] returns.
+    /// Connects after a backoff, and abandons a link that does not answer. Returns `true` if a heartbeat is due; the caller
+    /// sends it with the sequence number that [`Session::heartbeat_sent`] returns.
     pub fn tick(&mut self, now: f64, actions: &mut Vec<LinkAction>) -> bool {
         match self.state {
             LinkState::BackingOff { until } => {
@@ -133,7 +134,7 @@
                 }
                 false
             }
-            // The leader may have lost its quorum, or the link may work in one direction only.
+            // Acknowledgements stop if the leader has lost its quorum, or if the link works in one direction only.
             LinkState::Established { unacknowledged_since: Some(since) }
                 if now - since > self.ack_timeout_s() =>
             {
@@ -156,7 +157,7 @@
         self.disconnected(now);
     }
 
-    /// Time after which the link is abandoned without an acknowledgement (seconds).
+    /// Time without an acknowledgement after which the link is abandoned (seconds).
     fn ack_timeout_s(&self) -> f64 {
         MAX_UNACKNOWLEDGED_INTERVALS * self.heartbeat_interval_s
     }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -115,8 +115,8 @@
         matches!(self.state, TaskState::Calling(_))
     }
 
-    /// Whether the holder should release the lease because `MAX_CONSECUTIVE_FAILURES` calls have failed. If so, the count
-    /// is reset.
+    /// Whether the holder should release the lease because `MAX_CONSECUTIVE_FAILURES` consecutive calls have failed. If so,
+    /// the count is reset.
     pub fn take_failure_limit_reached(&mut self) -> bool {
         let is_reached = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && !self.is_calling();
         if is_reached {
@@ -211,8 +211,8 @@
         report
     }
 
-    /// Called when the session continues over a new link. Returns the report that may have been lost with the old link;
-    /// coordinators ignore a report that they have already received.
+    /// Called when the session continues over a new link. An unanswered request for a period becomes due again. Returns the
+    /// report that may have been lost with the old link; coordinators ignore a report that they have already received.
     pub fn reconnected(&mut self, now: f64) -> Option<ClientMessage> {
         if matches!(self.state, TaskState::Requested { .. }) {
             self.state = TaskState::Requested { at: now - REQUEST_TIMEOUT_S };
--- a/src/fleet/totals.rs
+++ b/src/fleet/totals.rs
@@ -13,8 +13,8 @@
     pub(super) received_at: f64,
 }
 
-/// Sums all workers' counters. The age of the totals is that of the oldest counters. Sums saturate, so that no value sent by
-/// a worker can make them overflow.
+/// Sums all workers' counters. The age of the totals is that of the oldest counters. Sums saturate at the largest `u64`, so
+/// that no value sent by a worker makes them overflow.
 pub(super) fn sum_counters(computed_by: &str, workers: &[AgedCounters]) -> FleetTotals {
     let mut counts = Counters::new();
     for worker in workers {
