--- a/src/hot_restart/frame/codec.rs
+++ b/src/hot_restart/frame/codec.rs
@@ -2,15 +2,16 @@
 
 use super::Frame;
 
-/// The longest JSON object that is accepted (bytes), far more than a partially read request or a retained result needs.
+/// The longest JSON object that is accepted (bytes). Enough for a partially read request (10 KiB) and a retained result
+/// (64 KiB), which are sent as base64 and thus take a third more.
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// Size of the header: four bytes of length and one byte of descriptor flag.
+/// Size of the header (bytes): a length of four bytes and a descriptor flag of one byte.
 pub const HEADER_BYTES: usize = 5;
 
 /// Why bytes are not a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The header announces an object that is too long.
+    /// The header announces an object longer than [`MAX_FRAME_BYTES`].
     #[error("frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     TooLong {
         /// The announced length (bytes).
@@ -59,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes are not the beginning of a frame, whatever follows.
+    /// The bytes are not the beginning of a frame, so no further bytes can complete them.
     pub fn decode(data: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
         let Some(header) = data.get(..HEADER_BYTES) else { return Ok(None) };
         let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
--- a/src/hot_restart/frame/messages.rs
+++ b/src/hot_restart/frame/messages.rs
@@ -30,19 +30,19 @@
 /// The predecessor's use of the resources that both processes share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Runs on the cores.
+    /// Number of runs on the cores.
     pub on_cores: usize,
-    /// Calls in flight to the records service.
+    /// Number of calls in flight to the records service.
     #[serde(rename = "calling")]
     pub downstream_calls: usize,
     /// Memory of queued and running requests, as the executor accounts for it (KB).
     #[serde(rename = "kb")]
     pub memory_kb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
-/// The outcome of a key's run, if it has ended.
+/// The outcome of the run of a key's request, if the run has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "KeyEnd")]
 pub enum KeyOutcome {
@@ -68,18 +68,18 @@
     pub key: Rc<str>,
 }
 
-/// A key that may have run.
+/// The state of a key whose request may have run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyState {
     /// The key.
     pub key: Key,
-    /// Fingerprint of the body of its request.
+    /// Fingerprint of the body of the request.
     #[serde(rename = "print")]
     pub body_fingerprint: u64,
-    /// When its window ends (Unix milliseconds).
+    /// When the window ends in which callers may repeat the request (Unix milliseconds).
     #[serde(rename = "until_ms")]
     pub expires_at_ms: f64,
-    /// The outcome of its run, if it has ended.
+    /// The outcome of the run, if it has ended.
     #[serde(rename = "end")]
     pub outcome: KeyOutcome,
 }
@@ -93,7 +93,7 @@
     pub class: usize,
     /// The index of its tenant.
     pub tenant: Option<usize>,
-    /// The caller that sent it.
+    /// The number of the caller that sent it.
     pub caller: u64,
     /// Its memory while queued (KB).
     #[serde(rename = "kb")]
@@ -118,14 +118,14 @@
 /// A connection of the HTTP frontend; its file descriptor accompanies the frame.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandedOffConnection {
-    /// The part of its next request that has been read.
+    /// The part of the next request that has been read.
     pub unread: Bytes,
     /// Whether `100 Continue` has been sent for the next request.
     pub continued: bool,
     /// Number of requests that have been read completely.
     #[serde(rename = "asked")]
     pub requests_read: u32,
-    /// Whether it is to be closed after the next response.
+    /// Whether the connection is to be closed after the next response.
     #[serde(rename = "close")]
     pub close_after_response: bool,
     /// The request whose response is pending.
@@ -138,7 +138,7 @@
 pub enum Frame {
     /// The successor's first message: its identity and its indices of classes and tenants.
     Hello {
-        /// The version of its protocol.
+        /// The successor's [`VERSION`].
         version: u32,
         /// The worker's name.
         name: String,
@@ -166,12 +166,12 @@
         fingerprint_key: FingerprintKey,
         /// Whether operators have begun a drain.
         draining: bool,
-        /// The learned state of its admission controller.
+        /// The learned state of the predecessor's admission controller.
         learned: LearnedState,
         /// Names of the requests that run in the predecessor.
         running: Vec<Rc<str>>,
     },
-    /// The state of a key that may have run. Sent for all keys during the hand-off, then whenever a key changes.
+    /// The state of a key whose request may have run. Sent for all keys during the hand-off, then whenever a key changes.
     Key(KeyState),
     /// The resources that the predecessor currently uses.
     Usage(Usage),
@@ -180,7 +180,7 @@
     Connection(HandedOffConnection),
     /// A listening socket of an operator's frontend, with its descriptor.
     Listener {
-        /// The block of the operator's file that configures the frontend.
+        /// The name of the block in the operator's file that configures the frontend.
         #[serde(rename = "front")]
         frontend: String,
     },
--- a/src/hot_restart/indeterminate_keys.rs
+++ b/src/hot_restart/indeterminate_keys.rs
@@ -1,20 +1,20 @@
-//! Idempotency keys that may have run in another process which can't report them.
+//! Idempotency keys whose requests may have run in another process that does not report them.
 
-/// Which of the keys that are unknown to this process may have run in another.
+/// For which of the keys that are unknown to this process a request may have run in another process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum IndeterminateKeys {
-    /// None: all keys that have run are known.
+    /// For none: the keys of all requests that have run are known.
     None,
-    /// All: another process is alive and does not report its keys.
+    /// For all: another process is alive and does not report its keys.
     All,
-    /// Those of retries that arrive until this time (event loop's clock, seconds): a process that has ended may have run
-    /// them.
+    /// For those of retries that arrive until this time (event loop's clock, seconds): a process that has ended may have run
+    /// an earlier attempt.
     RetriesUntil(f64),
 }
 
 impl IndeterminateKeys {
-    /// Whether an unknown key of a request that arrived at `arrived` may have run elsewhere. `may_be_retry` is `false` only
-    /// if callers mark their retries and this request is not marked.
+    /// Whether another process may have run an earlier attempt of a request that arrived at `arrived` with an unknown key.
+    /// `may_be_retry` is `false` only if callers mark their retries and this request is not marked.
     #[must_use]
     pub fn covers(self, arrived: f64, may_be_retry: bool) -> bool {
         match self {
--- a/src/hot_restart/messages.rs
+++ b/src/hot_restart/messages.rs
@@ -42,7 +42,7 @@
     RequestListeners,
     /// Confirm to the predecessor that this process owns the listeners.
     ConfirmTakeover,
-    /// Discard the received state, and replace the link by one that carries no messages and only shows when the predecessor
+    /// Discard the received state, and replace the link by one that carries no messages and is closed when the predecessor
     /// ends.
     WatchPredecessor,
     /// Discard the received state.
@@ -51,7 +51,7 @@
     AdoptState,
     /// Start to accept clients.
     OpenListeners,
-    /// Set which of the unknown keys may have run in another process.
+    /// Set for which of the unknown keys a request may have run in another process.
     SetIndeterminateKeys(IndeterminateKeys),
     /// Stop accepting clients, and hand off all requests that have not started.
     HandOff,
--- a/src/hot_restart/ownership.rs
+++ b/src/hot_restart/ownership.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, Event, IndeterminateKeys};
 
-/// How long a successor waits for an answer of the predecessor, once after connecting and once after requesting the
+/// How long a successor waits for an answer from the predecessor, once after connecting and once after requesting the
 /// listeners (seconds). The platform requires a new process to be ready within 6 s, which has to cover both waits and the
 /// start of the executor.
 pub const PREDECESSOR_TIMEOUT_S: f64 = 1.5;
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Drops the link to an incompatible predecessor, but only before the takeover: afterwards the end of the link must mean
-    /// the end of the predecessor.
+    /// Before the takeover, replaces the link to an incompatible predecessor and becomes the owner. After it, keeps the link,
+    /// since its end tells this process that the predecessor has ended.
     fn on_incompatible(&mut self, out: &mut Vec<Effect>) {
         if self.is_waiting() {
             self.predecessor.keys_unknown = true;
@@ -212,7 +212,7 @@
                 self.state = State::Owner;
                 out.push(Effect::Reclaim);
             }
-            // The successor has ended, so it is not known which keys it ran.
+            // The successor has ended, so the keys of the requests that it ran are unknown.
             State::Released if !self.shutting_down => {
                 out.push(self.indeterminate_retries(now));
                 self.become_owner(out);
@@ -242,8 +242,8 @@
         }
     }
 
-    /// Becomes the owner although the connected predecessor does not answer. If it recovers, it receives these messages
-    /// first, and so hands off everything before it accepts another client.
+    /// Becomes the owner although the connected predecessor does not answer. If the predecessor recovers, it receives the
+    /// request for the listeners and the confirmation first, and so hands off everything before it accepts another client.
     fn take_over_from_unresponsive_predecessor(&mut self, handshake: Handshake, out: &mut Vec<Effect>) {
         if !handshake.listeners_requested {
             out.push(Effect::RequestListeners);
@@ -280,7 +280,7 @@
     }
 
     /// Marks the unknown keys of retries as indeterminate for the longest window: a process that has ended may have run
-    /// them, and their retries arrive within that window.
+    /// their requests, whose retries arrive within that window.
     fn indeterminate_retries(&self, now: f64) -> Effect {
         Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(now + self.longest_window_s))
     }
--- a/src/hot_restart/tests.rs
+++ b/src/hot_restart/tests.rs
@@ -124,7 +124,7 @@
     );
     let indeterminate = Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(5.0 + WINDOW_S));
     assert_eq!(effects(&mut new, 5.0, Event::PredecessorDisconnected), [Effect::DiscardState, indeterminate]);
-    // After the takeover a damaged frame has no effect: the end of the link must mean the end of the process.
+    // After the takeover a damaged frame has no effect. The link stays, since its end shows that the process has ended.
     let mut new = ListenerOwnership::new(WINDOW_S);
     for event in
         [Event::PredecessorConnected, Event::HelloAccepted, Event::ReadyToServe, Event::StateReceived]
--- a/src/hot_restart/tests/process_chain.rs
+++ b/src/hot_restart/tests/process_chain.rs
@@ -23,7 +23,7 @@
     hung: bool,
     /// Requests that it processes.
     requests: BTreeSet<u64>,
-    /// Requests that it has handed off, whose takeover is not confirmed.
+    /// Requests that it has handed off, while the successor has not confirmed the takeover.
     handed_off: BTreeSet<u64>,
     /// Requests that it has received but must not process yet.
     staged: Vec<u64>,
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Handles the next message on one of its links. Returns `false` if there is none or the process can't receive.
+    /// Lets a process handle the next message on one of its links. Returns `false` if there is none or the process is dead or
+    /// hung.
     fn receive(&mut self, i: usize) -> bool {
         let p = &mut self.chain[i];
         if !p.alive || p.hung {
@@ -150,7 +151,7 @@
         }
         let (requests, handed_off) = (std::mem::take(&mut p.requests), std::mem::take(&mut p.handed_off));
         self.requests_of_dead_processes.extend(requests);
-        // Requests that were handed off belong to the successor if it has received them.
+        // Handed-off requests may be lost, too: the successor owns them only if it has received them.
         self.requests_of_dead_processes.extend(handed_off);
         self.send_to_predecessor(i, Message::Disconnected);
         self.send_to_successor(i, Message::Disconnected);
@@ -165,7 +166,7 @@
         let mut seen = BTreeSet::new();
         for p in self.chain.iter().filter(|p| p.alive) {
             for request in &p.requests {
-                prop_assert!(seen.insert(*request), "two processes own {}", request);
+                prop_assert!(seen.insert(*request), "two processes own request {}", request);
             }
         }
         Ok(())
@@ -197,14 +198,14 @@
                     let is_successor = |o: &ListenerOwnership| !o.is_owner() && !o.has_handed_off();
                     let was_successor = is_successor(&simulation.chain[i].ownership);
                     simulation.notify_if_alive(i, Event::ShutdownNotice);
-                    // It has no pending response, so it exits immediately.
+                    // A successor without the listeners has no pending response, so it exits immediately.
                     if was_successor && simulation.chain[i].ownership.has_handed_off() {
                         simulation.kill(i);
                     }
                 }
                 6 | 7 => simulation.notify_if_alive(i, Event::ReadyToServe),
                 8 => {
-                    // Processes that do not hang receive everything first: messages take far less time than the step.
+                    // Processes that do not hang receive everything first, since messages take far less than 0.4 s.
                     while (0..simulation.chain.len()).any(|i| simulation.receive(i)) {}
                     simulation.now += 0.4;
                     (0..simulation.chain.len()).for_each(|i| simulation.notify_if_alive(i, Event::Tick));
@@ -220,7 +221,7 @@
             }
             simulation.check()?;
         }
-        // All processes recover, become ready, receive everything and wait long enough.
+        // All processes recover, become ready, receive everything, and wait for longer than any timeout (8 s).
         for _ in 0..40 {
             simulation.now += 0.2;
             for i in 0..simulation.chain.len() {
@@ -236,7 +237,7 @@
         for request in 0..simulation.next_request {
             prop_assert!(
                 owned.contains(&request) || simulation.requests_of_dead_processes.contains(&request),
-                "{} is lost",
+                "request {} is lost",
                 request
             );
         }
