--- a/src/config/ajp.rs
+++ b/src/config/ajp.rs
@@ -43,7 +43,7 @@
 }
 
 impl AjpSettings {
-    /// The class of a path: that of the longest route that matches it or a parent of it.
+    /// The class of a path: that of the longest route that is the path or a parent of it.
     #[must_use]
     pub fn class_of(&self, path: &str) -> Option<&str> {
         let covers_path = |route: &&Route| {
--- a/src/config/backend.rs
+++ b/src/config/backend.rs
@@ -16,7 +16,7 @@
     /// The server name that is sent with each request.
     #[serde(default = "default_server_name")]
     pub server_name: String,
-    /// The path at the servers, by class; `/do/CLASS` for classes that are not listed.
+    /// The path of a request at the servers, by class; `/do/CLASS` for classes that are not listed.
     #[serde(default)]
     pub paths: HashMap<String, String>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl BackendSettings {
-    /// The path of a class at the servers.
+    /// The path at the servers of requests of a class.
     #[must_use]
     pub fn path_of(&self, class: &str) -> String {
         self.paths.get(class).cloned().unwrap_or_else(|| format!("/do/{class}"))
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -113,7 +113,7 @@
     /// `$ROUTER_CONSOLE` is not an address.
     #[error("ROUTER_CONSOLE: expected an address such as 10.0.0.4:7002, found {found:?}")]
     ConsoleAddress {
-        /// Its value.
+        /// The value of the variable.
         found: String,
     },
     /// `[ajp]` has no routes.
@@ -208,11 +208,14 @@
     /// The sum of all guarantees is above 1.
     #[error("pools.pool: the guarantees add up to {sum:.3}; expected at most 1")]
     GuaranteesAboveOne {
-        /// Their sum.
+        /// The sum of the guarantees.
         sum: f64,
     },
-    /// The pool for the remaining classes would have none.
-    #[error("pools.pool {pool:?}: classes is empty, and every class is in another pool")]
+    /// The pool for the classes that no other pool lists would have no class.
+    #[error(
+        "pools.pool {pool:?}: classes is empty, and every class is in another pool; expected a class that no \
+         other pool lists"
+    )]
     NoRemainingClass {
         /// The pool.
         pool: String,
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -43,7 +43,7 @@
     /// The tasks for which this worker is a candidate.
     #[serde(default, rename = "task")]
     pub tasks: Vec<TaskSettings>,
-    /// Its participation in fleet-wide overload control.
+    /// This worker's participation in fleet-wide overload control.
     pub overload: Option<OverloadSettings>,
 }
 
@@ -134,8 +134,8 @@
         self.overload.as_ref().is_some_and(|overload| overload.on)
     }
 
-    /// Creates the configuration of the membership, without overload control: this needs the worker's base allocation, which
-    /// depends on the platform's settings.
+    /// Creates the configuration of the membership, without overload control. The caller adds that, since it needs the
+    /// worker's base allocation, which depends on the platform's settings.
     #[must_use]
     pub fn membership(&self, config: &Config) -> MembershipConfig {
         MembershipConfig {
--- a/src/config/fleet/error.rs
+++ b/src/config/fleet/error.rs
@@ -22,7 +22,7 @@
     OutOfRange {
         /// The key within the block.
         key: String,
-        /// The value found.
+        /// The number, or the number of entries.
         found: f64,
         /// The least value.
         min: f64,
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -8,8 +8,11 @@
 fn invalid_fleet_settings_are_rejected_in_one_line_with_key_found_and_expected() {
     let config = Config::decode(VALID).unwrap();
     let valid = format!("{FLEET}{TASK}");
-    let plan = OperatorSettings::decode(&valid, &config).unwrap().fleet.unwrap().membership(&config);
-    assert_eq!((plan.drift, plan.computes_totals, plan.tasks[0].deadline_s), (0.1, true, 0.5));
+    let membership = OperatorSettings::decode(&valid, &config).unwrap().fleet.unwrap().membership(&config);
+    assert_eq!(
+        (membership.drift, membership.computes_totals, membership.tasks[0].deadline_s),
+        (0.1, true, 0.5)
+    );
     for (text, expected) in [
         (valid.replace("\"polder\"", "\"a b\""), "fleet.name is \"a b\"; expected letters"),
         (valid.replace("[\"127.0.0.1:1\"]", "[]"), "fleet.coordinators is 0; expected 1 to 9"),
--- a/src/config/http2.rs
+++ b/src/config/http2.rs
@@ -29,16 +29,18 @@
     /// Largest header list of a request, names and values (KiB).
     #[serde(default = "default_header_list_kb")]
     pub header_list_kb: u32,
-    /// Largest part of a response that the codec buffers per stream (KiB).
+    /// Largest part of a response that the HTTP/2 codec buffers per stream (KiB).
     #[serde(default = "default_send_buffer_kb")]
     pub send_buffer_kb: u32,
-    /// Largest amount of response data of all connections that waits for clients' windows and sockets (KiB).
+    /// Largest amount of response data that waits for clients' windows and sockets, on all connections together (KiB).
     #[serde(default = "default_waiting_kb")]
     pub waiting_kb: u32,
-    /// Number of streams reset before they were accepted after which a connection is closed.
+    /// Largest number of streams on a connection that the client has reset before the frontend accepted them (rapid reset).
+    /// With more, the connection is closed.
     #[serde(default = "default_pending_resets")]
     pub pending_resets: usize,
-    /// Number of streams in error after which a connection is closed.
+    /// Largest number of streams that were reset because of the client's errors, per connection. With more, the connection is
+    /// closed.
     #[serde(default = "default_error_resets")]
     pub error_resets: usize,
     /// Idle time after which a connection without streams is closed (seconds).
@@ -47,10 +49,10 @@
     /// Interval of PINGs to an idle client (seconds); 0 disables them.
     #[serde(default = "default_ping_s")]
     pub ping_s: f64,
-    /// Largest burst of data outside of requests that a client may send (KiB).
+    /// Largest burst of frames that carry no request, such as PING, that a client may send before it is throttled (KiB).
     #[serde(default = "default_overhead_kb")]
     pub overhead_kb: u32,
-    /// Largest mean rate of data outside of requests that a client may send (KiB per second).
+    /// Largest mean rate of frames that carry no request, beyond that burst (KiB per second).
     #[serde(default = "default_overhead_kb_per_s")]
     pub overhead_kb_per_s: u32,
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! Configuration: the platform's settings, the configuration of a port worker, and the operator's file, which configures
 //! subsystems in addition to those of the platform.
 //!
-//! The platform and operators determine the names of keys; serde attributes map these to the names in the code.
+//! The names of keys are fixed by the platform and by operators' files; serde attributes map them to the names in the code.
 
 pub mod ajp;
 pub mod backend;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -38,7 +38,7 @@
     /// The priority weight of a response within the latency objective.
     #[serde(rename = "credit")]
     pub weight: f64,
-    /// The share of the weight that a later response keeps.
+    /// The share of the weight that a response after the latency objective keeps.
     #[serde(rename = "lateWorth")]
     pub late_weight: f64,
     /// The latency objective (seconds).
@@ -68,12 +68,12 @@
 pub struct Domain {
     /// Whether runs call the downstream dependency, by class.
     pub class_calls: Vec<bool>,
-    /// Whether the worker starts cold.
+    /// Whether the worker has just been started and must warm up.
     pub cold: bool,
     /// The share of the weight that a response without its downstream call keeps, by class; 0 forbids skipping the call.
     #[serde(rename = "degradedWorth")]
     pub skipped_call_weights: Vec<f64>,
-    /// The time over which the downstream share is averaged (seconds).
+    /// The time over which the number of downstream calls in flight is averaged (seconds).
     pub dep_window_s: f64,
     /// `one_for_all` if all workers share one downstream dependency.
     pub depends_on: String,
@@ -100,9 +100,9 @@
     pub run_factor: f64,
     /// Number of callers.
     pub senders: u32,
-    /// The meaning of the published value: `floor`, `weight`, or none.
+    /// The meaning of the value that the worker publishes with its responses: `floor`, `weight`, or none.
     pub signal: String,
-    /// Longest time for which an abandoned call stays at the dependency (seconds).
+    /// Longest time for which an abandoned call stays in flight at the dependency (seconds).
     pub stays_for_s: f64,
 }
 
@@ -118,7 +118,7 @@
     pub warm_up_s: f64,
     /// The time after the shutdown notice in which new requests may still run (seconds).
     pub drain_grace_s: f64,
-    /// Concurrent runs per core that a warm worker survives.
+    /// The number of concurrent runs per core that a warm worker survives, as a mean over `tip_after_s`.
     pub fall_multiple: f64,
     /// The time after its deadline in which a response still counts (seconds).
     pub grace_to_answer_s: f64,
--- a/src/config/pools.rs
+++ b/src/config/pools.rs
@@ -9,7 +9,7 @@
 
 /// The name of the pool for the classes that no other pool lists.
 pub const REST_POOL: &str = "rest";
-/// Largest number of pools. Each start of a run examines all of them.
+/// Largest number of pools. It is bounded since each start of a run examines all pools.
 pub const MAX_POOLS: usize = 16;
 /// Largest number of run slots that `least_slots` and `most_slots` may set.
 pub const MAX_SLOTS: usize = 4096;
@@ -26,7 +26,8 @@
     /// The lower bound of the limit on runs (slots); by default the number of cores.
     #[serde(rename = "least_slots")]
     pub min_slots: Option<usize>,
-    /// The upper bound of the limit on runs (slots); by default twice the number of cores.
+    /// The upper bound of the limit on runs (slots); by default twice the number of cores, or the lower bound if that is
+    /// higher.
     #[serde(rename = "most_slots")]
     pub max_slots: Option<usize>,
     /// How long a measured rate and the baseline of run lengths remain valid (seconds).
@@ -66,7 +67,7 @@
     pub name: String,
     /// The names of its classes in the settings.
     pub classes: Vec<String>,
-    /// The share of the slots outside of the reserve that it gets whenever it wants them.
+    /// The share of the slots outside of the reserve that it gets whenever its requests need them.
     #[serde(default)]
     pub guarantee: f64,
     /// The largest share of the slots outside of the reserve that it may use.
@@ -75,7 +76,7 @@
     /// Its weight in the division of unclaimed slots.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Largest number of requests that it queues.
+    /// Largest number of its requests that are queued.
     #[serde(default = "default_queue")]
     pub queue: usize,
 }
--- a/src/config/pools/assignment.rs
+++ b/src/config/pools/assignment.rs
@@ -59,7 +59,7 @@
             return Err(ConfigError::UnknownName { key, kind: "class", name: class.to_owned() });
         };
         if let Some(other) = self.pool_of[index] {
-            // A pool that is not in the list yet is this one, so it lists the class twice.
+            // If the index is beyond the list, it is that of this pool, which lists the class twice.
             let other = self.pools.get(other).map_or(&block.name, |pool| &pool.name);
             return Err(ConfigError::ClassInTwoPools {
                 pool: block.name.clone(),
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -69,8 +69,9 @@
     3200.0
 }
 
-/// Largest number of concurrent calls at the console of a process that may have `sockets` descriptors: a small share of the
-/// clients' descriptors, but enough that clients which keep calls open can't exclude others for long.
+/// Largest number of concurrent calls at the console of a process that may have `sockets` descriptors: one per
+/// `SOCKETS_PER_CONSOLE_CALL` unreserved descriptors, from `MIN_CONSOLE_CALLS` to `MAX_CONSOLE_CALLS`. That is a small share
+/// of the clients' descriptors, but enough that callers that keep calls open can't exclude others for long.
 #[must_use]
 pub fn max_console_calls(sockets: usize) -> usize {
     (sockets.saturating_sub(RESERVED_SOCKETS) / SOCKETS_PER_CONSOLE_CALL)
@@ -78,7 +79,7 @@
 }
 
 impl Config {
-    /// Number of descriptors for clients and upstreams: the limit without the reserved ones.
+    /// Number of descriptors for clients and upstreams: the limit without the reserved ones and those of the console.
     #[must_use]
     pub fn socket_budget(&self) -> usize {
         let console = self.console.map_or(0, |_| max_console_calls(self.limits.sockets) + 1);
--- a/src/config/startup_options.rs
+++ b/src/config/startup_options.rs
@@ -3,7 +3,7 @@
 use super::{Config, ConfigError, OperatorSettings};
 use std::io::Read;
 
-/// The longest prefix of a configuration or operator's file that is read (bytes).
+/// The longest part of a configuration or operator's file that is read (bytes); the rest is ignored.
 const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// The options given by the environment and the command line.
@@ -13,7 +13,7 @@
     pub config: String,
     /// The path of the operator's file.
     pub operator: Option<String>,
-    /// The address of the console, which overrides that of the configuration.
+    /// The address of the console; overrides that in the configuration.
     pub console: Option<String>,
     /// The descriptor of the inherited listening socket.
     pub socket: Option<String>,
