--- a/durable-log/src/disk.rs
+++ b/durable-log/src/disk.rs
@@ -8,8 +8,8 @@
 /// The file that is locked to keep other processes out of the folder.
 const LOCK_FILE: &str = "lock";
 
-/// A flat folder of files. Written bytes are persisted only by a sync of the file, changes of names only by a sync of the
-/// folder.
+/// A folder of files, without subfolders. Written bytes are persisted only by a sync of the file; creations, renames and
+/// removals only by a sync of the folder.
 pub trait Disk {
     /// Reads a complete file; returns `None` if it does not exist.
     ///
@@ -65,6 +65,7 @@
     path: PathBuf,
     /// Files that are open for appending, by name.
     open: HashMap<String, File>,
+    /// Holds the lock until the folder is dropped.
     _lock: File,
 }
 
--- a/durable-log/src/error.rs
+++ b/durable-log/src/error.rs
@@ -16,7 +16,7 @@
         /// The disk's error.
         source: io::Error,
     },
-    /// A record or snapshot of this size (bytes) is too large.
+    /// A record or snapshot of this size (bytes) exceeds [`MAX_RECORD_BYTES`].
     #[error("record or snapshot of {0} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes")]
     TooLarge(usize),
     /// An earlier write failed.
--- a/durable-log/src/lib.rs
+++ b/durable-log/src/lib.rs
@@ -14,9 +14,10 @@
 //! recovered, but only as a prefix of what was written and never as a partial record. Opening does not fail because of the
 //! folder's content: it reports the data that it dropped, and whether a crash explains that ([`Recovered::damaged`]).
 //!
-//! Files, in one folder: `snapshot` (a complete state), `log.N` (records from sequence number N), and `*.new` while one
-//! of them is being written. No file is written to after a failed call, since cached data may not be on the disk then. A
-//! store that failed must be reopened, which first writes all recovered data to new files.
+//! Files, in one folder: `snapshot` (a complete state), `log.N` (records from sequence number N), and `snapshot.new` while a
+//! snapshot is being written. No file is written to after a failed call, since a failed sync may leave data in the operating
+//! system's cache that never reaches the disk. A store that failed must be reopened, which first writes all recovered data
+//! to new files.
 
 mod disk;
 mod error;
@@ -31,8 +32,8 @@
 pub use recovery::{DroppedData, Recovered, RecoveredRecord};
 pub use store::Store;
 
-/// The maximum record size (bytes). Also limits how much of a file is read for one record. With all limits of the
-/// coordinators exhausted, an encoded snapshot is under 4 MiB.
+/// The maximum size of the body of a record, and of a snapshot (bytes). A record in a file that announces a longer body is
+/// treated as unreadable. With all limits of the coordinators exhausted, an encoded snapshot is under 4 MiB.
 pub const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
 
 #[cfg(test)]
--- a/durable-log/src/record.rs
+++ b/durable-log/src/record.rs
@@ -1,5 +1,6 @@
-//! The encoding of records: length, checksum, sequence number, first sequence number of the record's batch, body. A batch
-//! is the records that are synced together. All numbers are little-endian; the checksum (CRC-32) covers all other fields.
+//! The encoding of records: length of the body (4 bytes), checksum (4), sequence number (8), first sequence number of the
+//! record's batch (8), body. A batch is the records that are synced together. All numbers are little-endian; the checksum
+//! (CRC-32) covers all other fields.
 
 use crate::MAX_RECORD_BYTES;
 
@@ -25,6 +26,7 @@
     }
 }
 
+/// Appends an encoded record to `out`. `batch` is the first sequence number of the record's batch.
 pub(crate) fn encode(out: &mut Vec<u8>, sequence: u64, batch: u64, body: &[u8]) {
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(&checksum(sequence, batch, body).to_le_bytes());
@@ -33,7 +35,8 @@
     out.extend_from_slice(body);
 }
 
-/// Decodes the record at the start of `bytes`; `None` if it is incomplete or its checksum does not match.
+/// Decodes the record at the start of `bytes`; `None` if it is incomplete, its length exceeds [`MAX_RECORD_BYTES`], or its
+/// checksum does not match.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
     let length = read_u32(bytes, 0)? as usize;
     if length > MAX_RECORD_BYTES {
--- a/durable-log/src/recovery.rs
+++ b/durable-log/src/recovery.rs
@@ -31,7 +31,8 @@
 /// Data that was found but could not be recovered.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DroppedData {
-    /// A snapshot without a valid header or checksum. It is synced before it is renamed, so a crash can't explain this.
+    /// A snapshot without a valid header or checksum. A snapshot file is synced before it gets its name, so a crash can't
+    /// explain this.
     #[error("snapshot: {bytes} unreadable bytes")]
     UnreadableSnapshot {
         /// The size of the file (bytes).
@@ -66,7 +67,7 @@
 }
 
 impl DroppedData {
-    /// Returns whether a crash can't explain the loss.
+    /// Returns `true` unless a crash explains the loss.
     fn is_damage(&self) -> bool {
         !matches!(self, DroppedData::IncompleteRecord { .. })
     }
@@ -106,8 +107,9 @@
     Ok(0)
 }
 
-/// Checks for logs whose snapshot is missing. A log that begins before the snapshot's end is covered by it and ignored,
-/// since its removal may not have been synced. A log that begins later is empty unless its snapshot was lost.
+/// Checks for logs whose snapshot is missing. A log that begins before the snapshot's end is covered by the snapshot and
+/// ignored: it remains if a crash came before its removal was persisted. A log that begins later is empty unless its
+/// snapshot was lost, since nothing is appended to a log before its snapshot is persisted.
 fn check_for_later_logs<D: Disk>(
     disk: &mut D,
     snapshot_end: u64,
@@ -139,7 +141,8 @@
     let rest = &bytes[at..];
     if !rest.is_empty() {
         let bytes = rest.len();
-        // Parts of an unsynced batch may reach the disk in any order, but a later batch is written only after a sync.
+        // After a crash, any part of an unsynced batch may be on the disk. If a later batch follows, the earlier one had been
+        // synced, since the later one is written only after that.
         recovered.drop_data(if has_later_batch(rest, last_sequence) {
             DroppedData::CorruptRecord { file, bytes, last_sequence }
         } else {
--- a/durable-log/src/simulated.rs
+++ b/durable-log/src/simulated.rs
@@ -52,7 +52,7 @@
     calls: u64,
     /// All calls from this number on fail.
     fail_at: Option<u64>,
-    /// All writing calls fail.
+    /// Whether all writing calls fail, as on a full disk.
     full: bool,
 }
 
@@ -114,8 +114,8 @@
         self.state().calls
     }
 
-    /// Makes the call with this number and all later ones fail, as if the process had ended; `None` lets all calls succeed. A
-    /// failing append writes half of its bytes, as on a disk that becomes full.
+    /// Makes the call with this number (counted from 1) and all later ones fail, as if the process had ended; `None` lets all
+    /// calls succeed. A failing append writes half of its bytes, as on a disk that becomes full.
     pub fn fail_at(&self, call: Option<u64>) {
         self.state().fail_at = call;
     }
@@ -131,7 +131,7 @@
         SimulatedDisk(Arc::new(Mutex::new(self.state().clone())))
     }
 
-    /// Flips bits in one byte of a file; does nothing if the file does not exist or is shorter.
+    /// Flips bits in the byte at offset `at` of a file; does nothing if there is no such file or byte.
     pub fn corrupt_byte(&self, name: &str, at: usize) {
         let mut state = self.state();
         let Some(file) = state.names.get(name).copied() else { return };
--- a/durable-log/src/store.rs
+++ b/durable-log/src/store.rs
@@ -5,7 +5,7 @@
 use crate::recovery::{self, FolderContents, Recovered};
 use crate::{record, Disk, StoreError, MAX_RECORD_BYTES};
 
-/// The size of a single write of a snapshot (bytes), so that no call blocks the disk for long.
+/// The largest part of a snapshot that one call writes (bytes), so that no call keeps the disk busy for long.
 const WRITE_STEP_BYTES: usize = 64 * 1024;
 
 /// An open store.
@@ -21,12 +21,12 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Recovers the folder's content and rewrites it to new files. That removes an incomplete record at the end of the log,
-    /// and data that after a failed sync exists only in the operating system's cache. `encode` creates a snapshot of the
-    /// recovered data.
+    /// Recovers the folder's content and writes it to new files. That drops an incomplete record at the end of the log, and
+    /// persists data that a failed sync may have left only in the operating system's cache. `encode` creates a snapshot of
+    /// the recovered data.
     ///
     /// # Errors
-    /// The folder can't be read or written now. No data is lost.
+    /// The folder can't be read or written now, or the snapshot is too large. No data is lost.
     pub fn open(
         mut disk: D,
         encode: impl FnOnce(&Recovered) -> Vec<u8>,
@@ -52,8 +52,8 @@
     /// Appends records as one batch, with a single sync.
     ///
     /// # Errors
-    /// A record is too large, in which case nothing is written; or the disk fails, in which case any of the records may or
-    /// may not be recovered.
+    /// A record exceeds [`MAX_RECORD_BYTES`], in which case nothing is written; or the disk fails, in which case the next
+    /// opening recovers none, some or all of the records, without gaps.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Result<(), StoreError> {
         let mut lengths = records.iter().map(|record| record.as_ref().len());
         if let Some(length) = lengths.find(|length| *length > MAX_RECORD_BYTES) {
@@ -78,8 +78,8 @@
     /// Replaces all previous data with a snapshot and starts a new log.
     ///
     /// # Errors
-    /// The snapshot is too large, in which case nothing is written; or the disk fails, in which case the next opening
-    /// recovers either the previous state or the snapshot.
+    /// The snapshot exceeds [`MAX_RECORD_BYTES`], in which case nothing is written; or the disk fails, in which case the next
+    /// opening recovers either the previous state or the snapshot.
     pub fn replace(&mut self, snapshot: &[u8]) -> Result<(), StoreError> {
         if snapshot.len() > MAX_RECORD_BYTES {
             return Err(StoreError::TooLarge(snapshot.len()));
