--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// Rounds to [`REPORT_DIGITS`] digits beyond the first significant one.
+/// Rounds to [`REPORT_DIGITS`] digits beyond the first significant one, but never more coarsely than to a whole number.
 fn round(value: f64) -> f32 {
     let exponent = value.abs().max(MIN_ROUNDED).log10().floor() as i32 - REPORT_DIGITS;
     let unit = 10f64.powi(exponent.min(0));
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -20,7 +20,7 @@
 const SHORTAGE_HOLD_S: f64 = 3.0;
 /// The fleet counts as short of capacity while its workers reject more than this share of first attempts.
 const MAX_REJECTED_SHARE: f64 = 0.01;
-/// Lower bound for the capacity by which demand is divided (requests per second).
+/// Lower bound for the capacity by which demand is divided, which may be reported as 0 (requests per second).
 const MIN_CAPACITY: f64 = 1e-3;
 
 /// `[overload]` of the coordinators' file.
@@ -135,7 +135,8 @@
         }
     }
 
-    /// The time in which the current demand can be completed: demand divided by capacity.
+    /// The time in which the fleet's capacity completes one second's demand (seconds), bounded by `MIN_SPREAD_S` and
+    /// `MAX_SPREAD_S`.
     fn spread_s(&self) -> f64 {
         let demand = self.sums.arrivals.iter().sum::<f64>() + self.sums.retries;
         (demand / self.sums.capacity.max(MIN_CAPACITY)).clamp(MIN_SPREAD_S, MAX_SPREAD_S)
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -176,8 +176,8 @@
         if self.shortage_since.is_some_and(|since| now - since >= SHORTAGE_DELAY_S) {
             return self.tighten(now, sums);
         }
-        let has_headroom = self.headroom_since.is_some_and(|since| now - since >= HEADROOM_DELAY_S);
-        if has_headroom && now - self.changed_at >= RELAX_INTERVAL_S && !self.level.is_open() {
+        let has_lasting_headroom = self.headroom_since.is_some_and(|since| now - since >= HEADROOM_DELAY_S);
+        if has_lasting_headroom && now - self.changed_at >= RELAX_INTERVAL_S && !self.level.is_open() {
             return self.relax_one_step(now, sums);
         }
         None
--- a/src/fleet/overload/level/tests.rs
+++ b/src/fleet/overload/level/tests.rs
@@ -31,7 +31,7 @@
         assert_eq!(
             SheddingLevel::for_load(&sums(arrivals, capacity)),
             SheddingLevel { tier, share },
-            "{arrivals:?} of {capacity}"
+            "arrivals {arrivals:?}, capacity {capacity}"
         );
     }
     // Retries count as demand only up to the share that the retry budget admits.
@@ -82,7 +82,7 @@
     let oscillating = |now: f64| sums(&[10.0, 10.0], if now % 3.0 < 1.5 { 15.0 } else { 30.0 });
     let changes = evaluate(&mut levels, 0.0, 60.0, oscillating);
     assert!(changes.len() <= 20 && !changes.is_empty(), "{changes:?}");
-    // It changes only once here, since headroom never lasts long enough for the level to relax.
+    // Here the level changes only once: the headroom of each period lasts 1.5 s, too short for the level to relax.
     assert_eq!(changes.len(), 1, "{changes:?}");
 }
 
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -160,7 +160,7 @@
         is_over_budget
     }
 
-    /// Whether the fleet's level sheds a request. A request that `can_start` immediately is never shed.
+    /// Whether the fleet's level sheds a request, and counts it if so. A request that `can_start` immediately is never shed.
     pub fn sheds(&self, tier: usize, can_start: bool) -> bool {
         let Some(digest) = self.digest() else { return false };
         let is_shed = !can_start && !digest.level.admits(tier, self.random());
--- a/src/fleet/overload/policy/tests.rs
+++ b/src/fleet/overload/policy/tests.rs
@@ -94,7 +94,7 @@
         assert_eq!(
             (max_limit, limit),
             (expected, f64::min(expected, 2.0)),
-            "{lent} {slice} {call_share} {now}"
+            "lent {lent}, slice {slice}, call share {call_share}, at {now} s"
         );
     }
 }
--- a/src/fleet/overload/retries.rs
+++ b/src/fleet/overload/retries.rs
@@ -4,7 +4,7 @@
 
 use super::view::LoadSums;
 
-/// The balance is bounded to the retries that first attempts earn in this time (seconds).
+/// Upper bound for the balance, as the time in which first attempts earn it (seconds).
 const MAX_BURST_S: f64 = 2.0;
 /// Upper bound for the time that one evaluation accounts for (seconds).
 const MAX_ELAPSED_S: f64 = 5.0;
@@ -12,9 +12,9 @@
 /// A token bucket of retries, filled by first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Retries per first attempt.
+    /// Retries that each first attempt earns.
     ratio: f64,
-    /// Accumulated retries.
+    /// Number of retries that were earned and not spent.
     balance: f64,
     evaluated_at: f64,
     admitted_share: f64,
@@ -34,6 +34,7 @@
         let earned = self.ratio * sums.arrivals.iter().sum::<f64>();
         let spent = sums.retries * self.admitted_share;
         self.balance = (self.balance + (earned - spent) * elapsed_s).clamp(0.0, earned * MAX_BURST_S);
+        // Retries per second: those that are earned now, and the balance at the rate that spends it within one second.
         let available = earned + self.balance;
         let is_limited = has_shortage && sums.retries > available;
         self.admitted_share = if is_limited { available / sums.retries } else { 1.0 };
--- a/src/fleet/overload/retries/tests.rs
+++ b/src/fleet/overload/retries/tests.rs
@@ -13,10 +13,10 @@
 }
 
 /// Evaluates the sums twice per second for ten seconds; returns the number of admitted retries.
-fn admitted(budget: &mut RetryBudget, from: f64, sums: &LoadSums, short: bool) -> f64 {
+fn admitted(budget: &mut RetryBudget, from: f64, sums: &LoadSums, has_shortage: bool) -> f64 {
     let mut admitted = 0.0;
     for n in 1..=20 {
-        budget.evaluate(from + f64::from(n) * 0.5, sums, short);
+        budget.evaluate(from + f64::from(n) * 0.5, sums, has_shortage);
         admitted += budget.admitted_share() * sums.retries * 0.5;
     }
     admitted
@@ -32,7 +32,7 @@
         let limit = 0.1 * first_attempts * (10.0 + MAX_BURST_S) + 1e-6;
         assert!(
             retries_admitted <= limit && retries_admitted >= limit * 0.8,
-            "{first_attempts}, {retries}: {retries_admitted} of {limit}"
+            "first attempts {first_attempts}, retries {retries}: admitted {retries_admitted}, limit {limit}"
         );
     }
 }
--- a/src/fleet/overload/service.rs
+++ b/src/fleet/overload/service.rs
@@ -28,7 +28,7 @@
 const MIN_CALLS_PER_S: f64 = 1.0;
 /// How long failures have to last before the circuit opens (seconds).
 const FAILING_DELAY_S: f64 = 0.4;
-/// Number of consecutive evaluations with successful probes and no failed ones after which the circuit closes.
+/// Number of evaluations with successful probes, and no failed one since the first of them, after which the circuit closes.
 const PROBES_TO_CLOSE: u32 = 3;
 /// How long a digest is valid after the worker sent its report (seconds).
 pub const DIGEST_VALID_S: f64 = 2.0;
@@ -46,6 +46,7 @@
 /// One zone's circuit breaker.
 #[derive(Clone, Debug)]
 struct ZoneCircuit {
+    /// Share of their downstream capacity that the zone's workers may use.
     call_share: f64,
     /// Baseline latency of successful calls (seconds); infinite until a call has succeeded.
     baseline_s: f64,
@@ -54,6 +55,7 @@
     prober: Option<Prober>,
     /// No prober is appointed before this time.
     prober_allowed_from: f64,
+    /// Number of evaluations with successful probes since the last failed one.
     consecutive_successes: u32,
 }
 
@@ -225,7 +227,7 @@
             }
             self.update_baseline(sums.call_s);
         } else if sums.calls_succeeded + sums.calls_failed == 0.0 {
-            // Without calls there is no sign of an overload.
+            // Without calls, nothing shows that the service is still overloaded.
             self.grow_call_share();
         }
         let starts_to_shrink = self.call_share < share_before && share_before >= 1.0;
@@ -249,7 +251,8 @@
         };
     }
 
-    /// Closes the circuit after [`PROBES_TO_CLOSE`] consecutive evaluations with only successful probes.
+    /// Closes the circuit after [`PROBES_TO_CLOSE`] evaluations with successful probes. A failed probe restarts the count;
+    /// evaluations without a probe leave it unchanged.
     fn evaluate_probes(&mut self, zone: &str, sums: &LoadSums) -> Option<ServiceEvent> {
         if sums.calls_failed > 0.0 {
             self.consecutive_successes = 0;
--- a/src/fleet/overload/view/tests.rs
+++ b/src/fleet/overload/view/tests.rs
@@ -32,10 +32,18 @@
             (expected.capacity / expected.arrivals[0], skewed.capacity / skewed.arrivals[0]),
             (expected.calls_succeeded, skewed.calls_succeeded),
         ] {
-            assert!((0.7..1.4).contains(&(b / a)), "{wrong}: {a} became {b}");
+            assert!((0.7..1.4).contains(&(b / a)), "wrong value {wrong}: {a} became {b}");
         }
-        assert!((0.5..2.0).contains(&(skewed.call_s / expected.call_s)), "{wrong}: {}", skewed.call_s);
-        assert!(skewed.retries <= 1.0, "{wrong}: no other worker has retries; {}", skewed.retries);
+        assert!(
+            (0.5..2.0).contains(&(skewed.call_s / expected.call_s)),
+            "wrong value {wrong}: {}",
+            skewed.call_s
+        );
+        assert!(
+            skewed.retries <= 1.0,
+            "wrong value {wrong}: {} retries, but no other worker has any",
+            skewed.retries
+        );
     }
 }
 
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -1,8 +1,8 @@
 //! A worker's session with the coordinators: chooses the coordinator to connect to, sends heartbeats, and abandons links that
 //! do not answer. All times are on the membership's clock (seconds).
 //!
-//! Guarantees to callers: connection attempts are randomized, so that workers that lose their links at the same time are
-//! spread over more than `RECONNECT_SPREAD_S` when they reconnect; a leader that does not answer is abandoned; no function
+//! Guarantees to callers: the times of connection attempts are randomized, so that workers that lose their links at the same
+//! time reconnect over a period longer than `RECONNECT_SPREAD_S`; a leader that does not answer is abandoned; no function
 //! blocks.
 
 use super::frame::{ClientMessage, ServerMessage};
