--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -13,22 +13,22 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The event loop failed.
-    #[error("event loop: {0}")]
+    #[error("event loop failed: {0}")]
     EventLoop(#[source] calloop::Error),
     /// The signal source can't be created.
-    #[error("signals: {0}")]
+    #[error("can't create the signal source: {0}")]
     Signals(#[source] calloop::Error),
     /// The signal source can't be registered with the event loop.
-    #[error("signals: error inserting event source: {0}")]
+    #[error("can't register the signal source with the event loop: {0}")]
     WatchSignals(#[source] calloop::Error),
     /// The timer can't be registered with the event loop.
-    #[error("timer: error inserting event source: {0}")]
+    #[error("can't register the timer with the event loop: {0}")]
     Timer(#[source] calloop::Error),
     /// A frontend can't listen.
     #[error(transparent)]
     Listen(#[from] ListenError),
     /// The console can't listen.
-    #[error("console {address}: {source}")]
+    #[error("console can't listen on {address}: {source}")]
     Console {
         /// The address to listen on.
         address: SocketAddr,
@@ -36,15 +36,15 @@
         source: io::Error,
     },
     /// The registry's socket can't be opened.
-    #[error("registry {address}: {source}")]
+    #[error("can't open a socket for the registry at {address}: {source}")]
     Registry {
         /// The registry's address.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
     },
-    /// The inherited listening socket can't be used.
-    #[error("ROUTER_SOCKET_FD: {0}")]
+    /// The inherited listening socket can't be watched.
+    #[error("ROUTER_SOCKET_FD: can't watch the inherited listening socket: {0}")]
     InheritedSocket(#[source] io::Error),
     /// `$ROUTER_SOCKET_FD` does not name a listening socket.
     #[error(transparent)]
@@ -53,7 +53,7 @@
 
 /// A frontend can't listen.
 #[derive(Debug, thiserror::Error)]
-#[error("{address}: {source}")]
+#[error("can't listen on {address}: {source}")]
 pub struct ListenError {
     /// The address to listen on.
     pub address: SocketAddr,
--- a/src/net/events/executor.rs
+++ b/src/net/events/executor.rs
@@ -9,7 +9,7 @@
 pub enum ExecutorEvent<'a> {
     /// The executor is up, and requests can run.
     Ready {
-        /// The executor was started recently and is still slow.
+        /// The executor started with empty caches, within the last `warm_up_s` seconds of the settings.
         cold: bool,
         /// Time since the executor was started (seconds).
         started_ago_s: f64,
--- a/src/net/events/frontends.rs
+++ b/src/net/events/frontends.rs
@@ -50,7 +50,7 @@
 pub enum SessionEndCause {
     /// The client keeps sending frames that carry no request.
     IdleFrames,
-    /// The backlog of unread responses is too large in total, and this client's share is the largest.
+    /// The responses that clients have not read exceed the configured total, and this client has the most of them.
     ResponseBacklog,
 }
 
--- a/src/net/events/lifecycle.rs
+++ b/src/net/events/lifecycle.rs
@@ -40,7 +40,7 @@
     },
     /// The shutdown notice was received.
     ShutdownStarted {
-        /// Time until the process is stopped (seconds).
+        /// Time until the process is killed (seconds).
         stop_in_s: f64,
     },
     /// The state of the pools when the process ends.
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -58,7 +58,8 @@
 }
 
 impl Console {
-    /// Listens on `address` with a descriptor budget of its own, derived from the process's limit on sockets.
+    /// Listens on `address`. The console's own descriptor budget is derived from `sockets`, the process's limit on
+    /// sockets.
     ///
     /// # Errors
     /// The address can't be listened on.
@@ -107,7 +108,7 @@
     /// Sends the response to a request and closes the connection after it.
     pub fn respond(&mut self, id: u64, now: f64, response: &ConsoleResponse) {
         let Some(c) = self.connections.get_mut(id) else { return };
-        // Discards bytes after the head: a connection carries one request, and none has a body.
+        // Bytes after the head are discarded: a connection carries one request, and a console request has no body.
         c.link.consume(c.link.data().len());
         c.close = true;
         c.link.push(encode(response));
--- a/src/net/lifecycle/console/tests.rs
+++ b/src/net/lifecycle/console/tests.rs
@@ -4,7 +4,7 @@
 fn request_is_parsed_only_once_its_head_is_complete() {
     let text = b"POST /-/drain HTTP/1.1\r\nHost: n1\r\nContent-Length: 0\r\n\r\n";
     for cut in 0..text.len() {
-        assert_eq!(parse(&text[..cut]), Ok(None), "{cut}");
+        assert_eq!(parse(&text[..cut]), Ok(None), "cut after {cut} bytes");
     }
     assert_eq!(parse(text), Ok(Some(ConsoleRequest::Drain)));
 }
--- a/src/net/lifecycle/fleet.rs
+++ b/src/net/lifecycle/fleet.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 
 impl Worker {
-    /// Runs the membership's part of a turn.
+    /// Exchanges messages with the coordinators, and applies the fleet's overload directive. Runs once per turn.
     pub(in crate::net) fn poll_coordinators(&mut self, now: f64) {
         let Some(fleet_now) = self.upstreams.coordinators.as_ref().map(CoordinatorLink::now) else { return };
         self.update_membership(now, fleet_now);
--- a/src/net/lifecycle/hot_restart/exit.rs
+++ b/src/net/lifecycle/hot_restart/exit.rs
@@ -31,7 +31,7 @@
         HotRestartEvent::ExitPending.emit();
     }
 
-    /// Exits if everything has been handed off and connections have ended, or the time to exit has come.
+    /// Exits if everything has been handed off and connections have ended, or once `exit_by` is reached.
     pub(in crate::net) fn advance_exit_after_hand_off(&mut self, now: f64) {
         let Some(exit_by) = self.hot_restart.as_ref().and_then(|r| r.exit_by) else { return };
         let must_exit = now >= exit_by;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether no response is pending and everything has been sent to the successor.
+    /// Whether no response is pending, everything has been sent to the successor, and the predecessor has exited.
     fn has_handed_off_everything(&self) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
         let idle = self.dispatcher.as_ref().is_none_or(Dispatcher::is_idle);
--- a/src/net/lifecycle/hot_restart/frontends.rs
+++ b/src/net/lifecycle/hot_restart/frontends.rs
@@ -19,7 +19,7 @@
 }
 
 impl Worker {
-    /// Opens all frontends and ends any hand-off.
+    /// Opens all frontends, and ends a hand-off that was in progress.
     pub(super) fn accept_clients(&mut self, now: f64) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         self.context.availability.handing_off = false;
--- a/src/net/lifecycle/hot_restart/messages.rs
+++ b/src/net/lifecycle/hot_restart/messages.rs
@@ -27,8 +27,8 @@
     }
 }
 
-/// Converts a key's state to an update. `latest_expiry` is the end of the longest window that could begin now (loop's
-/// clock, seconds). It caps the expiry, since no key matches retries for longer.
+/// Converts a key's state to an update. `latest_expiry` is when a key that is first used now would expire at the latest
+/// (loop's clock, seconds). It caps the expiry, since no key matches retries for longer.
 pub(super) fn to_key_update(
     key_state: KeyState,
     epoch_unix_ms: f64,
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -48,7 +48,8 @@
     reported_usage: Usage,
     /// The successor's hello was accepted.
     successor_accepted: bool,
-    /// How unknown keys were treated before the hand-off.
+    /// How unknown keys are treated unless a hand-off is in progress or complete: during and after it, the dispatcher
+    /// treats all of them as indeterminate.
     indeterminate_keys: IndeterminateKeys,
     /// Latest time of the exit, set after the shutdown notice once the listeners are handed off (loop's clock,
     /// seconds).
@@ -117,7 +118,7 @@
         frontend_error.map_or(Ok(()), Err)
     }
 
-    /// Passes an event to the state machine and executes the effects that it returns.
+    /// Passes an event to the state machine of listener ownership and executes the effects that it returns.
     pub(in crate::net) fn on_hot_restart_event(&mut self, now: f64, event: Event, inputs: &mut Vec<Input>) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let mut effects = Vec::new();
@@ -135,8 +136,7 @@
         while let Some(event) = self.hot_restart.as_mut().and_then(|r| r.links.next_event()) {
             self.on_link_event(now, event, inputs);
         }
-        // Timeouts are checked only after reading: the awaited frame may have arrived while this process was not
-        // running.
+        // Timeouts are checked only after reading: the awaited frame may have arrived while this process was stopped.
         self.on_hot_restart_event(now, Event::Tick, inputs);
     }
 
@@ -179,7 +179,7 @@
 
     /// Maximum time for which a key matches retries: the longest window plus the controller's safety margin of 1 s
     /// (seconds).
-    fn longest_window_s(&self) -> f64 {
+    fn max_key_retention_s(&self) -> f64 {
         self.configuration.settings.classes.iter().map(|c| c.window_s).fold(0.0, f64::max) + 1.0
     }
 }
--- a/src/net/lifecycle/hot_restart/peer_link.rs
+++ b/src/net/lifecycle/hot_restart/peer_link.rs
@@ -28,10 +28,10 @@
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// A frame that requires a descriptor was received without one.
-    #[error("received a frame without the descriptor that it carries")]
+    #[error("received a frame without the descriptor that must accompany it")]
     MissingDescriptor,
     /// More than [`MAX_UNCLAIMED_DESCRIPTORS`] descriptors were received without frames that claim them.
-    #[error("received more than {MAX_UNCLAIMED_DESCRIPTORS} descriptors without their frames")]
+    #[error("received more than {MAX_UNCLAIMED_DESCRIPTORS} descriptors without the frames that claim them")]
     UnclaimedDescriptors,
 }
 
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -42,7 +42,7 @@
                 hot_restart.staged.state = Some(state);
             }
             Frame::Key(key) if hot_restart.staged.adopted => self.update_keys(now, vec![key], inputs),
-            // More than a worker can have, so the sender is not a port worker.
+            // The sender has sent more state than a worker can have, so it is not a port worker.
             _ if exceeds_limits => {
                 HotRestartEvent::StateTooLarge.emit();
                 self.on_hot_restart_event(now, Event::Incompatible, inputs);
@@ -80,7 +80,7 @@
 
     fn update_keys(&self, now: f64, key_states: Vec<KeyState>, inputs: &mut Vec<Input>) {
         let epoch_unix_ms = loop_epoch_unix_ms(&self.clock);
-        let latest_expiry = now + self.longest_window_s();
+        let latest_expiry = now + self.max_key_retention_s();
         let updates = key_states.into_iter().map(|key| to_key_update(key, epoch_unix_ms, latest_expiry));
         inputs.extend(updates.map(Input::IdempotencyUpdate));
     }
--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -10,7 +10,8 @@
 use crate::net::frontends::connections::{Connection, ConnectionState};
 use crate::net::Worker;
 
-/// Descriptors that a process holds outside its budget: the standard streams, the event loop's and the links.
+/// Descriptors that a process holds outside its budget: the standard streams, those of the event loop, and the links to
+/// the other processes of a hot restart.
 const OVERHEAD_DESCRIPTORS: usize = 10;
 
 /// Why a process is not accepted as the successor.
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Sends everything that the successor needs, all at once. What is sent is also retained until the successor
-    /// confirms.
+    /// Sends everything that the successor needs, all at once. The sent requests, connections and listening sockets are
+    /// retained until the successor confirms the takeover.
     pub(super) fn hand_off(&mut self, now: f64, inputs: &mut Vec<Input>) {
         // Inputs gathered so far concern requests that are about to be handed off, so they are dispatched first.
         self.dispatch(now, inputs);
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -6,9 +6,9 @@
 use crate::net::Worker;
 
 impl Worker {
-    /// Applies a changed configuration: upstream addresses and the stop time. Runs, keys and queued requests are kept,
-    /// and calls in flight complete at the old address. If the file is incomplete or invalid, the old configuration
-    /// stays.
+    /// Applies the changes that need no restart: the pools of the operator's file, and the upstream addresses and the
+    /// stop time of the configuration. Runs, keys and queued requests are kept, and calls in flight complete at the old
+    /// address. If a file is incomplete or invalid, its old values stay in effect.
     pub(in crate::net) fn reload(&mut self, now: f64, inputs: &mut Vec<Input>) {
         self.reload_operator(inputs);
         let next = match self.configuration.options.config() {
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -13,10 +13,10 @@
 use crate::net::Worker;
 use timeline::Timeline;
 
-/// Delay between closing the listeners and ending idle connections. Clients resend a request that crosses the close of
-/// its connection within 50 ms; the connection must stay open for that time (seconds).
+/// Delay between closing the listeners and ending idle connections. A client resends a request that crosses the close
+/// of its connection if the two are at most 50 ms apart, so connections must stay open for longer than that (seconds).
 const IDLE_CLOSE_DELAY_S: f64 = 0.15;
-/// How long the process waits for peers to close after all responses have been written (seconds).
+/// How long the process waits for peers to close their side after it has ended idle connections (seconds).
 const LINGER_S: f64 = 0.3;
 /// Maximum number of accept rounds before the listeners close. Each round accepts up to 64 connections of each
 /// listener, and the system queues up to 1024 for a listener that this process has opened.
@@ -27,7 +27,7 @@
     pub(in crate::net) timeline: Timeline,
     /// When the listeners were closed (loop's clock, seconds).
     pub(in crate::net) listeners_closed_at: Option<f64>,
-    /// All pending requests have been answered because the deadline for responses was reached.
+    /// All pending requests have been answered because `Timeline::answer_by` was reached.
     responded_all: bool,
 }
 
@@ -72,8 +72,8 @@
         self.frontends.sweep_connections(now, idle_s, closing, availability);
         self.frontends.sweep_protocols(now, availability, &mut self.loop_state.deferred_inputs);
         self.upstreams.sweep(now);
-        // Connections on which input was found are processed in this turn, as the others are ended in it: the longer
-        // this takes, the more requests can cross the close.
+        // Processes in this turn the connections on which the sweep found input and those that it closes: the more time
+        // passes between its check for input and the close, the more requests can cross the close.
         if self.has_pending() {
             self.process_ready(Vec::new());
         }
@@ -149,8 +149,8 @@
         self.frontends.stop_listening();
     }
 
-    /// Answers all pending requests. The stop may be too close for the controller to cancel requests in time, and a
-    /// directory may not respond.
+    /// Answers all requests that are still pending shortly before SIGKILL: the controller may have had too little time
+    /// to cancel them, or the directory may not have answered their lookup.
     pub(in crate::net) fn respond_all(&mut self) {
         let mut inputs = vec![Input::RespondAll];
         self.frontends.respond_all(&mut FrontendTurn {
@@ -165,7 +165,7 @@
     }
 
     /// Ends all idle connections and, with `include_partial`, those with a partially read request too. Returns `true`
-    /// once their peers have closed as well, or the linger time is over.
+    /// once all peers have closed as well, or once [`LINGER_S`] has passed and everything is answered.
     pub(in crate::net) fn end_connections(&mut self, now: f64, include_partial: bool) -> bool {
         let is_first = self.frontends.end_connections(now, include_partial);
         // Completes the reads and writes that are possible in this turn.
--- a/src/net/lifecycle/shutdown/timeline.rs
+++ b/src/net/lifecycle/shutdown/timeline.rs
@@ -1,8 +1,8 @@
 //! The times of a shutdown's steps, computed without I/O. All times are seconds on the same clock as `noticed_at`.
 //!
 //! Each step has a margin before SIGKILL: a number of seconds, or a share of the stop time if that is shorter. The stop
-//! time is the time from SIGTERM to SIGKILL. The settings allow any grace and any stop time, and responses may be
-//! pending at the end under all of them.
+//! time is the time from SIGTERM to SIGKILL. Any grace and any stop time can be configured, and whatever they are,
+//! responses may still be pending when SIGKILL comes near.
 
 /// The listeners close at least this long before SIGKILL, even if the grace is longer (seconds, share of the stop
 /// time).
--- a/src/net/worker/commands.rs
+++ b/src/net/worker/commands.rs
@@ -8,7 +8,7 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::Health;
 
-/// Retry-After of rejections before the executor is up (seconds).
+/// How long a request that is rejected before the executor is up should wait before its retry (seconds).
 const NOT_UP_RETRY_AFTER_S: f64 = 1.0;
 
 impl Worker {
@@ -58,8 +58,8 @@
         self.report_load(false);
     }
 
-    /// Sends a load report to the registry once the executor is up. A worker that is not ready reports `draining`.
-    /// Unless a report is `due`, it is sent only if the readiness has changed.
+    /// Sends a load report to the registry if the executor is up and this process owns the listeners. A worker that is
+    /// not ready reports `draining`. Unless a report is `due`, it is sent only if the readiness has changed.
     pub(in crate::net) fn report_load(&mut self, due: bool) {
         let ready = self.context.availability.is_ready();
         let listed = self.dispatcher.is_some() && self.owns_listeners();
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -17,7 +17,7 @@
 pub fn run(options: StartupOptions, log: LogHandle) -> Result<(), WorkerError> {
     let mut event_loop: EventLoop<ReadyEvents> = EventLoop::try_new().map_err(WorkerError::EventLoop)?;
     let handle = event_loop.handle();
-    // First of all: from here on a shutdown notice is handled by the loop instead of killing the process.
+    // Signals are watched before anything else, since a shutdown notice that comes earlier kills the process.
     watch_signals(&handle)?;
     let config = options.config()?;
     let poll = Poll::new(handle.clone(), config.socket_budget());
--- a/src/net/worker/loop_state.rs
+++ b/src/net/worker/loop_state.rs
@@ -20,8 +20,8 @@
     pub finished: bool,
 }
 
-/// Whether a round that detects a stall of the process may defer its inputs to the next turn, which checks for a
-/// shutdown notice first.
+/// Whether a round (one pass of gathering, dispatching and executing within a turn) that detects a stall of the process
+/// may defer its inputs to the next turn, which checks for a shutdown notice first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
     /// The next round may defer its inputs.
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -3,7 +3,7 @@
 //! | file | purpose |
 //! | --- | --- |
 //! | `setup.rs` | builds a worker from its configuration |
-//! | `event_loop.rs` | runs it: signals, the timer, and a turn whenever a source is ready or a timer is due |
+//! | `event_loop.rs` | runs the worker: signals, the timer, and a turn whenever a source is ready or a timer is due |
 //! | `loop_state.rs` | state that is carried from one turn to the next |
 //! | `turn.rs` | one turn: readiness, signals, inputs, timers, commands |
 //! | `gather.rs` | reads from upstreams and frontends that are ready |
@@ -37,8 +37,9 @@
 
 /// Interval between checks for idle and slow connections (seconds).
 const SWEEP_INTERVAL_S: f64 = 0.25;
-/// Delay of a wake-up from which the process counts as stalled: it was stopped or got no CPU time, and signals may have
-/// arrived meanwhile that the loop has not reported yet (seconds).
+/// The process counts as stalled if the loop wakes up this long after a timer was due, or if a turn lasts longer than
+/// this: the process was stopped or got no CPU time, and signals may have arrived meanwhile that the loop has not
+/// reported yet (seconds).
 const STALL_THRESHOLD_S: f64 = 0.05;
 
 /// One port worker.
@@ -78,5 +79,5 @@
     }
 }
 
-/// Lower bound of the idle timeout of connections, which applies whatever the settings say (seconds).
+/// Lower bound of the idle timeout of connections, used if the settings give a shorter one (seconds).
 const MIN_IDLE_TIMEOUT_S: f64 = 1.0;
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -75,14 +75,15 @@
 /// Derives the admission controller's settings from the platform's settings and the operator's file.
 fn controller_settings(config: &Config, operator: &OperatorSettings) -> Result<Settings, WorkerError> {
     let mut settings = config.settings.settings(config.seed_number());
-    // Retained keys and results are kept in this process's own memory, so the platform accounts no memory for them.
+    // Keys and retained results are in this process's own memory, so they take no share of the memory for requests.
     settings.key_entry_kb = 0.0;
     settings.fleet_overload_control = operator.fleet.as_ref().is_some_and(FleetSettings::overload_enabled);
     settings.pools = operator.pools.as_ref().map(|pools| pools.plan(&config.settings)).transpose()?;
     Ok(settings)
 }
 
-/// Creates all frontends. They start to listen, except those whose addresses a predecessor may own and hand off.
+/// Creates all frontends. They start to listen, except the HTTP/1.1 frontend if its socket is inherited, and those
+/// whose listening sockets a predecessor may own and hand off.
 fn build_frontends(
     configuration: &Configuration,
     poll: &Poll,
--- a/src/net/worker/start.rs
+++ b/src/net/worker/start.rs
@@ -23,8 +23,8 @@
         let result_bytes =
             self.configuration.platform.limits.memory_mb * BYTES_PER_MB / RESULT_MEMORY_DIVISOR;
         let mut commands = Vec::new();
-        // The controller's time starts now rather than with the executor: given a start in the past, it would take the
-        // first run for a hung one.
+        // The controller starts at the current time, not at the executor's start: with a start in the past, it would
+        // take the first run for a hung one.
         let mut dispatcher = Dispatcher::new(settings, now, result_bytes as usize, &mut commands);
         // Random keys, so that clients can't construct bodies with equal fingerprints.
         let random = RandomState::new();
@@ -51,9 +51,9 @@
 
     fn settings_at_start(&mut self, now: f64, welcome: Welcome) -> Settings {
         let mut settings = self.configuration.settings.clone();
-        let started_s = now - welcome.started;
-        settings.cold = welcome.cold && started_s < settings.warm_up_s;
-        ExecutorEvent::Ready { cold: settings.cold, started_ago_s: started_s }.emit();
+        let executor_age_s = now - welcome.started;
+        settings.cold = welcome.cold && executor_age_s < settings.warm_up_s;
+        ExecutorEvent::Ready { cold: settings.cold, started_ago_s: executor_age_s }.emit();
         settings
     }
 }
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -9,20 +9,23 @@
 use crate::net::io::timer_wheel::Timer;
 use crate::net::upstreams::registry::HEARTBEAT_INTERVAL_S;
 
-/// Maximum number of rounds in one turn. Later rounds process requests that were read after answered ones, and
-/// outcomes of commands that were just executed.
+/// Maximum number of rounds in one turn. A round gathers input, dispatches it and executes the commands. The rounds
+/// after the first process the next request of a connection whose previous one was just answered, and the outcomes of
+/// the commands that were just executed.
 const MAX_ROUNDS: usize = 8;
 
 impl Worker {
     /// Runs one turn. The order of its steps matters:
     ///
     /// 1. Readiness is recorded, so that every later step sees it.
-    /// 2. Hot restart frames: once a successor owns the listeners, a shutdown notice does not start a graceful shutdown.
+    /// 2. Hot restart frames are handled: once a successor owns the listeners, a shutdown notice does not start a
+    ///    graceful shutdown.
     /// 3. Signals: a shutdown notice is dispatched before all input read in this turn, since it may have arrived first.
     /// 4. Sockets are read before timers run, so that data that arrived in time precedes the expiry of its timeout.
     /// 5. Inputs are dispatched, and commands are executed.
-    /// 6. Fleet membership: its heartbeat includes the counts of the preceding steps.
-    /// 7. The sweep, after all ready sockets were read: a request may have been waiting while the process was stopped.
+    /// 6. Fleet membership: its heartbeat includes the requests that the preceding steps have counted.
+    /// 7. The sweep, after all ready sockets were read: a connection that looks idle may have received a request while
+    ///    the process was stopped.
     /// 8. The next steps of a shutdown, which depend on whether anything is still pending.
     pub(super) fn poll_once(&mut self, ready_events: &mut ReadyEvents) {
         let now = self.clock.now();
@@ -73,8 +76,8 @@
         }
     }
 
-    /// Gathers input, dispatches it and executes the resulting commands, until no work is left that the event loop
-    /// would not report by itself.
+    /// Gathers input, dispatches it and executes the resulting commands, for [`MAX_ROUNDS`] rounds at most, until the
+    /// rest of the work waits for a readiness event or a timer.
     pub(in crate::net) fn process_ready(&mut self, mut inputs: Vec<Input>) {
         inputs.splice(0..0, self.loop_state.deferred_inputs.drain(..));
         for round in 0..MAX_ROUNDS {
@@ -94,8 +97,8 @@
                 self.wheel.set(now, 0.0, Timer::NextTurn);
             }
         }
-        // Outcomes of the last round's commands: if they were dropped, a request whose run was returned there as never
-        // started would not be answered.
+        // What is left here is dispatched in the next turn. It may contain the outcomes of the last round's commands,
+        // such as a run that could not be started: without that outcome its request would never be answered.
         self.loop_state.deferred_inputs = inputs;
     }
 
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Whether work is pending that the event loop will not report.
+    /// Whether work is pending that no readiness event will announce, such as input that has already been read.
     pub(in crate::net) fn has_pending(&self) -> bool {
         self.frontends.has_pending() || self.upstreams.has_pending()
     }
