--- a/src/net/frontends/ajp/head.rs
+++ b/src/net/frontends/ajp/head.rs
@@ -106,14 +106,15 @@
     Ok(Headers { fields, content_length })
 }
 
-/// Parses a Content-Length. Accepts digits only, as the HTTP frontend does: others may interpret a sign differently.
+/// Parses a Content-Length. Accepts digits only, as the HTTP frontend does: an intermediary may interpret a sign
+/// differently.
 fn parse_content_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).map_or("", str::trim);
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     text.parse::<usize>().ok().filter(|_| only_digits)
 }
 
-/// The class that the path selects, if it allows the method.
+/// The class that the path selects, if its requests may use the method: POST, or GET if the class is idempotent.
 fn check_class(
     settings: &AjpSettings,
     forward: &Forward,
--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -10,7 +10,7 @@
 use crate::log::LogEvent;
 use crate::net::events::FrontendEvent;
 use crate::net::frontends::connections::{
-    Connection, ConnectionSet, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
+    Connection, ConnectionSet, ConnectionState, Connections, NextStep, MAX_CONSECUTIVE_STEPS,
 };
 use crate::net::frontends::frontend::{Frontend, FrontendTurn};
 use crate::net::frontends::request_fields::MAX_BODY_BYTES;
@@ -60,7 +60,7 @@
 
     fn process_connection(&mut self, id: u64, turn: &mut FrontendTurn<'_>) {
         let now = turn.clock.now();
-        for _ in 0..MAX_STEPS_PER_TURN {
+        for _ in 0..MAX_CONSECUTIVE_STEPS {
             let Some(connection) = self.connections.get_mut(id) else { return };
             match connection.advance(now) {
                 NextStep::Read => {}
@@ -77,7 +77,7 @@
                     self.on_body_packet(now, id, payload, turn);
                 }
                 Ok(Some(payload)) => self.on_message(now, id, payload, turn),
-                // The client is gone before the request was complete: it never reaches the dispatcher.
+                // The client has closed before the request was complete: the request never reaches the dispatcher.
                 Ok(None) if read_status != ReadStatus::Open => return self.connections.close(id),
                 Ok(None) => return,
                 // After a wrong magic number or length, the start of the next message can't be found.
--- a/src/net/frontends/ajp/response.rs
+++ b/src/net/frontends/ajp/response.rs
@@ -76,7 +76,7 @@
     if let Some(weight) = context.availability.published_weight {
         headers.push(("X-Backend-Says", weight.to_string()));
     }
-    // Can't fail: these few short headers fit into one packet.
+    // Encoding can't fail: these few short headers fit into one packet.
     let head = ajp_codec::write_headers(response.code, response.reason, &headers);
     connection.link.push(head.unwrap_or_default());
     if let Some(body) = response.body {
--- a/src/net/frontends/connections/accepting.rs
+++ b/src/net/frontends/connections/accepting.rs
@@ -67,9 +67,10 @@
         self.pending_stream = None;
     }
 
-    /// Closes the listener when no other process listens on its socket. Waiting connections are accepted first, since
-    /// the close resets them even if they have sent a request; the last accept and the close are only a system call
-    /// apart. Returns `false` if connections may still be waiting: the caller retries after it has processed others.
+    /// Closes a listener on whose socket no other process listens. The waiting connections are accepted first, since
+    /// the close resets them even if they have sent a request. Only connections that come between the last system call
+    /// to accept and the close are still reset. Returns `false` if connections may still be waiting: the caller retries
+    /// after it has processed others.
     pub fn close_listener(&mut self, now: f64) -> bool {
         // Asks the system again: the readiness that the event loop reported may be out of date.
         self.mark_listener_ready();
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -3,8 +3,9 @@
 use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::source::Readiness;
 
-/// Limit on the steps of one connection per turn: a peer that sends continuously must not monopolize the event loop.
-pub const MAX_STEPS_PER_TURN: usize = 32;
+/// Limit on the steps of one connection before the others are processed: a peer that sends continuously must not
+/// monopolize the event loop.
+pub const MAX_CONSECUTIVE_STEPS: usize = 32;
 
 /// Idle timeout of a lingering close, measured from the last byte received: a peer that continues to send after its
 /// rejection must not lose the response to a reset (seconds).
@@ -87,13 +88,14 @@
     /// Flushes pending output and performs the state transitions common to all protocols.
     pub fn advance(&mut self, now: f64) -> NextStep {
         use ConnectionState::{AwaitingResponse, Closing, HandedOff, Idle, Reading, Responding};
-        for _ in 0..MAX_STEPS_PER_TURN {
+        for _ in 0..MAX_CONSECUTIVE_STEPS {
             if self.link.flush().is_err() {
                 return NextStep::Close;
             }
             match self.state {
-                // One request at a time: further input stays in the buffer, and beyond that in the kernel. It is read
-                // because only a read reveals a reset, and the dispatcher need not continue for a client that is gone.
+                // A connection handles one request at a time: further input stays in the buffer, and in the kernel once
+                // the buffer is full. The socket is read here because only a read reveals a reset, after which the
+                // dispatcher need not continue the request.
                 AwaitingResponse if self.link.fill() == ReadStatus::Broken => return NextStep::Close,
                 AwaitingResponse | HandedOff => return NextStep::Wait,
                 Responding if self.link.queued() > 0 => return NextStep::Wait,
--- a/src/net/frontends/connections/eviction.rs
+++ b/src/net/frontends/connections/eviction.rs
@@ -19,9 +19,9 @@
     Closing,
     /// Idle after a single request.
     IdleAfterOneRequest,
-    /// Accepted recently, with no complete request yet.
+    /// Accepted less than the silence limit ago, with no byte of a request yet.
     JustAccepted,
-    /// Idle, and used recently or for several requests.
+    /// Idle after several requests, or after a single one for less than [`CLOSE_RACE_WINDOW_S`].
     Idle,
 }
 
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -25,7 +25,7 @@
     pub fn reattach(&mut self, now: f64, id: u64, request_in_flight: bool) {
         let detached = self.by_id.get_mut(&id).filter(|c| c.state == ConnectionState::HandedOff);
         let Some(connection) = detached else { return };
-        // Not through `set_state`, which would count a new request.
+        // The state is set directly, since `set_state` would count a new request.
         connection.state = resumed_state(&connection.link, request_in_flight);
         connection.state_since = now;
         self.scheduled.push(id);
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by all frontends: accepting connections, the states of a connection, and closing it.
+//! The connections of a frontend, for all protocols: accepting them, their states, and closing them.
 //!
 //! Closing a socket with unread bytes sends a reset, and a reset discards responses that the peer has not read yet.
 //! Every close that this side starts is therefore the lingering close of RFC 9112, section 9.6: the socket is read
@@ -16,7 +16,7 @@
 mod set;
 mod sweeping;
 
-pub use connection::{Connection, ConnectionState, NextStep, MAX_STEPS_PER_TURN};
+pub use connection::{Connection, ConnectionState, NextStep, MAX_CONSECUTIVE_STEPS};
 pub use handoff::DetachedConnection;
 pub use set::ConnectionSet;
 
@@ -132,7 +132,7 @@
         self.scheduled.extend(self.by_id.keys());
     }
 
-    /// Schedules a connection for processing again in the same turn.
+    /// Schedules a connection for processing in the next round of the same turn.
     pub fn schedule(&mut self, id: u64) {
         self.scheduled.push(id);
     }
--- a/src/net/frontends/connections/sweeping.rs
+++ b/src/net/frontends/connections/sweeping.rs
@@ -2,8 +2,9 @@
 
 use super::{Connection, ConnectionState, Connections};
 
-/// Timeout for receiving a complete request; for a connection's first request it runs from the accept. A peer that is
-/// silent or sends only part of a request is closed within 3 s (seconds).
+/// Timeout for receiving a complete request; for a connection's first request it runs from the accept. With the grace
+/// below and the time until the next sweep, the close of a peer that is silent or sends only part of a request begins
+/// within 3 s (seconds).
 const REQUEST_TIMEOUT_S: f64 = 2.0;
 
 /// How long a peer that is still sending may exceed the request timeout: guards against one that postpones the close
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -40,7 +40,7 @@
         id
     }
 
-    /// The connections that are closed, in order, when `count` descriptors are needed at time `now`.
+    /// The connections that are closed, in this order, when `count` descriptors are needed at time `now`.
     fn evicted(&mut self, now: f64, count: usize) -> Vec<u64> {
         let ids = |connections: &Connections<()>| connections.ids_where(|_| true);
         let mut evicted = Vec::new();
@@ -55,8 +55,8 @@
     }
 }
 
-/// When every request came on a new connection, connections just opened were evicted before their request arrived,
-/// although hundreds were idle after a single request.
+/// Regression test: when every request came on a new connection, connections just opened were evicted before their
+/// request arrived, although hundreds were idle after a single request.
 #[test]
 fn a_connection_idle_after_one_request_is_evicted_before_one_just_accepted() {
     let mut fixture = Fixture::new();
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::dispatch::{Input, Response, Ticket};
 use crate::net::frontends::connections::{
-    Connection, ConnectionSet, ConnectionState, Connections, NextStep, MAX_STEPS_PER_TURN,
+    Connection, ConnectionSet, ConnectionState, Connections, NextStep, MAX_CONSECUTIVE_STEPS,
 };
 use crate::net::frontends::frontend::{Frontend, FrontendTurn};
 use crate::net::frontends::request_fields::MAX_BODY_BYTES;
@@ -30,7 +30,7 @@
 /// Limit on the unread input of a connection: one complete request (bytes).
 const MAX_UNREAD_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
-/// The listener and its connections. The state of each is whether `100 Continue` has been sent.
+/// The listener and its connections. The protocol state of a connection is whether `100 Continue` has been sent.
 pub struct Http1Frontend {
     /// The connections.
     pub connections: Connections<bool>,
@@ -60,7 +60,7 @@
         let FrontendTurn { clock, context, inputs, .. } = turn;
         let Some(connection) = self.connections.get_mut(id) else { return };
         let now = clock.now();
-        for _ in 0..MAX_STEPS_PER_TURN {
+        for _ in 0..MAX_CONSECUTIVE_STEPS {
             match connection.advance(now) {
                 // The next request is left to the successor.
                 NextStep::Read if context.availability.handing_off => return,
--- a/src/net/frontends/http1/parsing.rs
+++ b/src/net/frontends/http1/parsing.rs
@@ -6,7 +6,7 @@
 use crate::net::frontends::status_mapping::{target, HttpError, Target};
 use crate::net::Clock;
 
-/// What the input buffer of a connection starts with.
+/// What the start of a connection's input buffer was parsed as.
 pub(super) enum Parsed {
     /// An incomplete request; `wants_continue` if the client waits for `100 Continue` before it sends the body.
     Partial { wants_continue: bool },
--- a/src/net/frontends/http2/abuse_detection.rs
+++ b/src/net/frontends/http2/abuse_detection.rs
@@ -1,5 +1,5 @@
-//! Limits what a client may send that belongs to no request, and terminates clients that keep exceeding the limit. No
-//! I/O: sizes and times come in, decisions come out.
+//! Limits what a client may send that belongs to no request, and terminates clients that keep exceeding the limit. The
+//! module does no I/O: sizes and times come in, decisions come out.
 //!
 //! Each connection has a token bucket. Every byte passed to the codec is charged; a request is credited with the
 //! uncompressed size of its fields (RFC 7541, section 4.1) and the size of its body, which is more than it took on the
@@ -93,7 +93,8 @@
 
     /// Revokes the credit for a request that the client has reset.
     pub fn revoke_credit(&mut self, bytes: usize) {
-        // Not below zero: credit is capped, and a request that was answered must not leave a negative balance.
+        // The balance never becomes negative: the bucket caps credit, so less may have been credited than is revoked
+        // here, and resetting a request that was answered must not leave a negative balance.
         self.balance_bytes = (self.balance_bytes - bytes as f64).max(0.0);
     }
 
--- a/src/net/frontends/http2/abuse_detection/tests.rs
+++ b/src/net/frontends/http2/abuse_detection/tests.rs
@@ -27,11 +27,14 @@
 fn a_flood_is_throttled_to_its_budget_and_then_terminated() {
     let (bytes_read, terminated_at) = flood(AbuseDetector::new(0.0, BUDGET, false), 8192, 0.001, 60.0);
     let terminated_at = terminated_at.expect("the flood was not terminated");
-    assert!((MAX_THROTTLED_S..MAX_THROTTLED_S + 0.1).contains(&terminated_at), "{terminated_at}");
+    assert!(
+        (MAX_THROTTLED_S..MAX_THROTTLED_S + 0.1).contains(&terminated_at),
+        "terminated at {terminated_at} s"
+    );
     let max_bytes = BUDGET.max_bytes + terminated_at * BUDGET.bytes_per_s;
     assert!(
         bytes_read as f64 <= max_bytes && bytes_read as f64 > 0.9 * max_bytes,
-        "{bytes_read} of {max_bytes}"
+        "read {bytes_read} bytes, expected over 90 % of {max_bytes}, and no more than that"
     );
 }
 
@@ -55,7 +58,7 @@
         }
         now += 0.01;
     }
-    assert!(bytes_read < 64 * 1024 + 1000 * 12 * 1024, "{bytes_read}");
+    assert!(bytes_read < 64 * 1024 + 1000 * 12 * 1024, "read {bytes_read} bytes");
     assert!(!pressure.is_elevated(now + PRESSURE_DURATION_S));
 }
 
@@ -90,7 +93,7 @@
             let uncompressed = head + 32 * 8;
             while wire > 0 {
                 let decision = detector.charge(0.0, segment.min(wire));
-                prop_assert!(matches!(decision, ReadDecision::Read(n) if n > 0), "{decision:?}");
+                prop_assert!(matches!(decision, ReadDecision::Read(n) if n > 0), "expected a read, got {decision:?}");
                 if let ReadDecision::Read(n) = decision {
                     wire -= n;
                 }
@@ -119,7 +122,7 @@
                 },
             }
             let max_bytes = BUDGET.max_bytes + now * BUDGET.bytes_per_s + credited as f64;
-            prop_assert!(bytes_read as f64 <= max_bytes + 1.0, "{} of {}", bytes_read, max_bytes);
+            prop_assert!(bytes_read as f64 <= max_bytes + 1.0, "read {} bytes of at most {}", bytes_read, max_bytes);
         }
     }
 }
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -134,7 +134,7 @@
     /// Continues to close a connection.
     fn process_ending(&mut self, id: u64, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        // Closed by the sweep: the codec's remaining output is sent first.
+        // The sweep has begun to close this connection: the codec's remaining output is sent first.
         if connection.protocol_state.active.is_some() {
             return self.finish(id, turn.now, turn.inputs);
         }
@@ -305,8 +305,8 @@
         connection.protocol_state.send_progress_at = now;
     }
     if exchange.accepted && connection.state != ConnectionState::AwaitingResponse {
-        // Via `Reading`, so that a request is counted: connections without one are evicted first when descriptors run
-        // out.
+        // The state passes through `Reading`, so that a request is counted: connections without one are evicted first
+        // when descriptors run out.
         connection.set_state(now, ConnectionState::Reading);
         connection.set_state(now, ConnectionState::AwaitingResponse);
     }
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -55,7 +55,7 @@
     pub connections: Connections<SessionEntry>,
     settings: Http2Settings,
     poll: Poll,
-    /// By ticket, the connection on which the response is pending.
+    /// The id of the connection on which a response is pending, by ticket.
     owners: HashMap<u64, u64>,
     pressure: PressureMonitor,
     admission: SessionAdmission,
@@ -139,7 +139,8 @@
         self.connections.open(socket, self.settings.listen)
     }
 
-    /// Connections that wait for a session count as paused accepting, so that this is called again soon.
+    /// Returns `true` also while connections wait for a session, so that `gather` is called again after the pause of
+    /// accepting.
     fn gather(&mut self, turn: &mut FrontendTurn<'_>) -> bool {
         let now = turn.clock.now();
         let accept_paused = self.connections.accept(now);
--- a/src/net/frontends/http2/response_backlog.rs
+++ b/src/net/frontends/http2/response_backlog.rs
@@ -1,4 +1,4 @@
-//! Limits the total size of responses that wait for clients to read them, over all connections. No I/O.
+//! Limits the total size of responses that wait for clients to read them, over all connections. The module does no I/O.
 //!
 //! The pending responses of one connection are limited by the number of streams, the size of a response and a timeout,
 //! but many connections within these limits could together exceed the worker's memory.
--- a/src/net/frontends/http2/session/mod.rs
+++ b/src/net/frontends/http2/session/mod.rs
@@ -99,8 +99,8 @@
             .max_header_list_size(settings.header_list_kb * 1024)
             .max_frame_size(MAX_FRAME_BYTES)
             .max_send_buffer_size(settings.send_buffer_kb as usize * 1024)
-            // Against rapid reset: limits streams that the client reset before they were accepted, and streams that
-            // this side has reset and still tracks.
+            // These limits guard against rapid reset: they bound the streams that the client reset before they were
+            // accepted, and the streams that this side has reset and still tracks.
             .max_pending_accept_reset_streams(settings.pending_resets)
             .max_concurrent_reset_streams(settings.pending_resets)
             .max_local_error_reset_streams(Some(settings.error_resets));
@@ -178,7 +178,7 @@
     pub fn abort_for_abuse(&mut self) {
         if let Codec::Open(connection) = &mut self.codec {
             connection.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
-            // Makes the codec write the frame.
+            // This poll makes the codec write the frame.
             let waker = self.waker.clone();
             let _ = connection.poll_closed(&mut Context::from_waker(&waker));
         }
--- a/src/net/frontends/http2/session/stream.rs
+++ b/src/net/frontends/http2/session/stream.rs
@@ -44,8 +44,8 @@
 pub(super) struct Stream {
     responder: SendResponse<SharedBytes>,
     stage: StreamStage,
-    /// When the stream was opened; once the dispatcher has responded, when it did (seconds).
-    since: f64,
+    /// The start of the timeout that applies: when the stream was opened, or when the dispatcher responded (seconds).
+    timeout_began: f64,
     /// Size of the request's fields and body received so far (bytes).
     request_bytes: usize,
 }
@@ -60,7 +60,7 @@
     ) -> Stream {
         let (head, recv_stream) = request.into_parts();
         let mut stream =
-            Stream { responder, stage: StreamStage::AwaitingResponse, since: now, request_bytes: 0 };
+            Stream { responder, stage: StreamStage::AwaitingResponse, timeout_began: now, request_bytes: 0 };
         if repeats_content_length(&head) {
             stream.responder.send_reset(Reason::PROTOCOL_ERROR);
             stream.stage = StreamStage::Complete;
@@ -155,7 +155,7 @@
     /// Whether the stream has ended, because it is complete or because a timeout has reset it. This limits how long
     /// responses wait for windows that never open.
     fn has_ended(&mut self, now: f64) -> bool {
-        let elapsed_s = now - self.since;
+        let elapsed_s = now - self.timeout_began;
         match &mut self.stage {
             StreamStage::ReceivingBody(_) if elapsed_s > REQUEST_TIMEOUT_S => {
                 self.responder.send_reset(Reason::CANCEL);
@@ -224,7 +224,7 @@
     /// Starts to send a response from the dispatcher, if one is still awaited.
     pub(super) fn respond(&mut self, now: f64, response: Response, context: &FrontendContext) {
         if self.awaits_response() {
-            self.since = now;
+            self.timeout_began = now;
             self.start_response(map_response(response), "", context);
         }
     }
--- a/src/net/frontends/http2/session/tests.rs
+++ b/src/net/frontends/http2/session/tests.rs
@@ -321,7 +321,7 @@
                 let is_rejected = matches!(stream.status, Some(503)) && stream.received_bytes == 0;
                 assert!(
                     is_served || is_rejected || stream.status.is_none(),
-                    "{:?} with {} bytes",
+                    "status {:?} with {} bytes of body",
                     stream.status,
                     stream.received_bytes
                 );
--- a/src/net/frontends/http2/session_admission.rs
+++ b/src/net/frontends/http2/session_admission.rs
@@ -1,4 +1,4 @@
-//! Decides which new connections get a session. No I/O: connections are ids, and the time is passed in.
+//! Decides which new connections get a session. The module does no I/O: connections are ids, and the time is passed in.
 //!
 //! A session uses many times the memory of a connection without one, and a preface is enough to get one. Connections
 //! that have not sent a request therefore share a limited number of slots. A connection releases its slot with its
--- a/src/net/frontends/http2/session_admission/tests.rs
+++ b/src/net/frontends/http2/session_admission/tests.rs
@@ -21,7 +21,7 @@
         }
     }
     // A hundred connections precede it, and are admitted four at a time.
-    assert!(now <= 26.0 * STEP_S, "{now}");
+    assert!(now <= 26.0 * STEP_S, "admitted only after {now} s");
     assert_eq!(closed, 97);
 }
 
--- a/src/net/frontends/request_fields.rs
+++ b/src/net/frontends/request_fields.rs
@@ -202,7 +202,8 @@
         if keyed && self.key.is_none() {
             return Err(FieldError::Field("X-Operation-Key"));
         }
-        // With an implausible arrival time, the request would be taken for overdue, or for one that never is.
+        // With an arrival time in the distant past the request would be overdue at once; with one in the distant future
+        // it would never be.
         let is_implausible = |arrived_ms: f64| (clock.unix_ms() - arrived_ms).abs() > MAX_DURATION_MS;
         if self.arrived_ms.is_some_and(is_implausible) {
             return Err(FieldError::Field("X-Arrived-Ms"));
