--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -168,9 +168,9 @@
         }
     }
 
-    /// Discards the available data without copying it, and stops after `max_bytes` bytes or somewhat more: a peer that
-    /// keeps sending after it was rejected must not cost processor time. Returns the state of the connection and
-    /// whether any data was received.
+    /// Discards the available data without copying it, since the data of a peer that keeps sending after it was
+    /// rejected is not worth the processor time. Stops once `max_bytes` bytes are discarded, or up to 64 KiB more.
+    /// Returns the state of the connection and whether any data was received.
     #[expect(clippy::large_stack_arrays, reason = "it is never initialized, and the stack has room for it")]
     pub fn discard(&mut self, max_bytes: usize) -> (ReadStatus, bool) {
         self.consume(self.input.len());
--- a/src/net/io/poll.rs
+++ b/src/net/io/poll.rs
@@ -18,13 +18,14 @@
 const ENFILE: i32 = 23;
 /// Error number: a non-blocking connect is in progress.
 pub const EINPROGRESS: i32 = 115;
-/// Maximum number of connections accepted in one turn, so that a flood of connections leaves time for other work.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Maximum number of connections accepted in a row, so that a flood of connections leaves time for other work.
+const MAX_CONSECUTIVE_ACCEPTS: usize = 64;
 /// Descriptors that are not available to clients, so that a flood of clients leaves some for upstreams.
 const RESERVED_FOR_UPSTREAMS: usize = 24;
 /// Backlog of a listening socket: maximum number of connections in the kernel's accept queue.
 const LISTEN_BACKLOG: i32 = 1024;
-/// How long accepting pauses when no descriptor is available or the limit of a turn is reached (seconds).
+/// How long accepting pauses when no descriptor is available, `MAX_CONSECUTIVE_ACCEPTS` is reached or accepting has
+/// failed (seconds).
 pub const ACCEPT_PAUSE_S: f64 = 0.02;
 
 /// The events collected by one poll.
@@ -74,6 +75,7 @@
     /// Returns a handle of the same event loop with a separate budget for one listener and this many clients.
     #[must_use]
     pub fn with_own_budget(&self, clients: usize) -> Poll {
+        // The reserve is added, since accepting a client requires that the reserve stays available.
         let budget = RESERVED_FOR_UPSTREAMS + 1 + clients;
         Poll::with_budget(self.handle.clone(), budget, self.last_id.clone())
     }
@@ -170,7 +172,7 @@
     NonePending,
     /// Connections may be pending, but no descriptor is available.
     NoDescriptor,
-    /// Connections may be pending, but accepting must pause: the limit of this turn is reached, or accepting has
+    /// Connections may be pending, but accepting must pause: `MAX_CONSECUTIVE_ACCEPTS` is reached, or accepting has
     /// failed.
     RetryLater,
 }
@@ -225,12 +227,12 @@
         self.listener.accept().is_ok()
     }
 
-    /// Accepts a connection; `accepted_in_turn` is the number already accepted in this turn.
-    pub fn accept(&mut self, accepted_in_turn: usize) -> Accepted {
+    /// Accepts a connection; `accepted_count` is the number that the caller has accepted in a row before it.
+    pub fn accept(&mut self, accepted_count: usize) -> Accepted {
         if !self.may_have_pending {
             return Accepted::NonePending;
         }
-        if accepted_in_turn >= MAX_ACCEPTS_PER_TURN {
+        if accepted_count >= MAX_CONSECUTIVE_ACCEPTS {
             return Accepted::RetryLater;
         }
         if !self.poll.has_capacity_for_client() {
--- a/src/net/io/timer_wheel.rs
+++ b/src/net/io/timer_wheel.rs
@@ -2,7 +2,8 @@
 
 /// The length of a tick (seconds).
 pub const TICK_S: f64 = 0.004;
-/// Number of slots; a timer that is further ahead stays in its slot for a later round of the wheel.
+/// Number of slots: one round of the wheel takes 2 s. A timer that is further ahead stays in its slot for a later
+/// round.
 const SLOTS: usize = 512;
 
 /// The kinds of timers. Timers can't be cancelled; the owner ignores those that no longer apply.
--- a/src/net/io/timer_wheel/tests.rs
+++ b/src/net/io/timer_wheel/tests.rs
@@ -25,7 +25,7 @@
     while now < 4.99 {
         now += 0.05;
         if now < 5.0 {
-            assert!(expired(&mut wheel, now).is_empty(), "{now}");
+            assert!(expired(&mut wheel, now).is_empty(), "the timer for 5 s expired by {now} s");
         }
     }
     assert_eq!(expired(&mut wheel, 5.01), vec![Timer::Heartbeat]);
--- a/src/net/upstreams/ajp_backend/error.rs
+++ b/src/net/upstreams/ajp_backend/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
     /// The server did not accept the connection or respond in time.
-    #[error("AJP server did not respond in time")]
+    #[error("AJP server did not accept the connection or respond before the timeout")]
     Timeout,
     /// The connection could not be established.
     #[error("{0}")]
--- a/src/net/upstreams/ajp_backend/mod.rs
+++ b/src/net/upstreams/ajp_backend/mod.rs
@@ -1,8 +1,8 @@
 //! Backend for AJP servers: each run is a Forward Request to one of them.
 //!
 //! A reused connection is first checked with a `CPing`. Until a byte of the request has been sent, the run can be moved
-//! to another connection or reported as never run. After the first byte, losing the connection means that it may have
-//! run, and it is never retried.
+//! to another connection or reported as never run. If the connection is lost after the first byte, the server may have
+//! executed the run, so the run is never retried.
 
 #![warn(missing_docs)]
 
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Processes the connections in `pending_ids`, and reports the runs that have ended or never ran in `inputs`.
+    /// Processes the connections in `pending_ids`, and adds to `inputs` the runs that have ended or never ran.
     pub fn gather(&mut self, now: f64, catalog: &Catalog, inputs: &mut Vec<Input>, wheel: &mut Wheel) {
         let mut pending_ids = std::mem::take(&mut self.pending_ids);
         pending_ids.sort_unstable();
@@ -241,7 +241,8 @@
         Ok(Progress::Continue)
     }
 
-    /// Reports a run that has completed, and returns its connection to the pool if that has room.
+    /// Reports a run that has completed, and returns its connection to the pool unless the server forbids its reuse or
+    /// the pool would hold more than [`MAX_IDLE`].
     fn on_complete(&mut self, id: u64, reuse: bool, turn: &mut Turn) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.used = true;
--- a/src/net/upstreams/ajp_codec/tests.rs
+++ b/src/net/upstreams/ajp_codec/tests.rs
@@ -26,7 +26,7 @@
     for n in 0..bytes.len() {
         assert_eq!(find_packet(&bytes[..n], Direction::ToContainer), Ok(None));
         if n > 4 {
-            assert!(parse_to_container(&bytes[4..n]).is_err(), "{n}");
+            assert!(parse_to_container(&bytes[4..n]).is_err(), "cut after {n} bytes");
         }
     }
     for i in 4..bytes.len() {
--- a/src/net/upstreams/coordinator_link.rs
+++ b/src/net/upstreams/coordinator_link.rs
@@ -24,14 +24,14 @@
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 /// Maximum number of messages read in one turn; further ones are read in the next turn.
 const MAX_MESSAGES_PER_TURN: usize = 64;
-/// Maximum number of rounds in one turn in which actions are executed that result from earlier actions; further ones
-/// are executed in the next turn.
+/// Executing actions can produce further actions. This is the maximum number of times in one turn that the new actions
+/// are taken and executed; the rest is left for the next turn.
 const MAX_ACTION_ROUNDS: usize = 8;
 /// Size of a frame's length prefix (bytes).
 const LENGTH_PREFIX_BYTES: usize = 4;
 /// Resolution of the worker's timer wheel (seconds).
 const TIMER_RESOLUTION_S: f64 = 0.004;
-/// Maximum time until the next turn (seconds).
+/// Maximum time until the next `Timer::Fleet` expires (seconds).
 const MAX_SLEEP_S: f64 = 3600.0;
 
 /// The connection to one coordinator.
@@ -163,7 +163,7 @@
             }
             MemberAction::Close => {
                 if let Some(connection) = &mut self.connection {
-                    // Best effort to deliver the last messages.
+                    // Sends the last messages if the socket accepts them; what it does not accept is lost.
                     let _ = connection.link.flush();
                 }
                 self.connection = None;
@@ -198,7 +198,8 @@
         let next_due =
             self.calls.iter().map(|call| call.deadline).fold(self.member.next_wakeup(now), f64::min);
         let next_wakeup_at = loop_now + (next_due - now).clamp(TIMER_RESOLUTION_S, MAX_SLEEP_S);
-        // Timers can't be removed from the wheel. An early one is harmless, but their number must stay small.
+        // Timers can't be removed from the wheel. One that expires too early is harmless, but to keep their number
+        // small, a new one is set only if it expires before the pending one or if none is pending.
         if next_wakeup_at < self.next_wakeup_at - TIMER_RESOLUTION_S || self.next_wakeup_at <= loop_now {
             self.next_wakeup_at = next_wakeup_at;
             wheel.set(loop_now, next_wakeup_at - loop_now, Timer::Fleet);
@@ -229,8 +230,8 @@
     }
 }
 
-/// Takes the complete messages from the receive buffer, up to the limit of a turn; also returns whether a malformed one
-/// followed.
+/// Takes the complete messages from the receive buffer, [`MAX_MESSAGES_PER_TURN`] at most; also returns whether a
+/// malformed one followed.
 fn read_messages(link: &mut Link) -> (Vec<ServerMessage>, bool) {
     let mut messages = Vec::new();
     while messages.len() < MAX_MESSAGES_PER_TURN {
--- a/src/net/upstreams/directory/error.rs
+++ b/src/net/upstreams/directory/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the link to the directory.
 
+use super::MAX_MESSAGE_BYTES;
 use ldap3_proto::LdapResultCode;
 use std::io;
 
@@ -12,8 +13,8 @@
     /// The server has closed the link.
     #[error("closed")]
     Closed,
-    /// A message exceeds the maximum length.
-    #[error("LDAP message exceeds the maximum length")]
+    /// A message exceeds the maximum length of 64 KiB.
+    #[error("LDAP message exceeds the maximum length of {MAX_MESSAGE_BYTES} bytes")]
     MessageTooLong,
     /// A message can't be decoded.
     #[error("malformed LDAP message")]
@@ -22,6 +23,6 @@
     #[error("LDAP bind rejected: {0:?}")]
     BindRejected(LdapResultCode),
     /// The server has sent a message that is not valid in this state.
-    #[error("unexpected LDAP message")]
+    #[error("LDAP message other than the awaited bind response or a search result")]
     UnexpectedMessage,
 }
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -236,7 +236,7 @@
         match message {
             Ok(Some(message)) => {
                 if let Err(error) = self.on_message(now, message) {
-                    // If this has started a new link, it is processed in the same turn.
+                    // If this has started a new link, that link is processed in the same turn.
                     self.on_link_lost(now, &error);
                 }
                 Ok(Progress::Continue)
--- a/src/net/upstreams/executor/mod.rs
+++ b/src/net/upstreams/executor/mod.rs
@@ -25,8 +25,8 @@
 const MAX_LINE_BYTES: usize = 64 * 1024;
 /// Maximum size of the commands queued for a slow or disconnected executor (bytes); larger than any single request.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
-/// Commands sent within this time before the link is lost may be lost too (seconds): 50 ms, plus 100 ms for lag of the
-/// event loop.
+/// Commands sent within this time before the loss of the link is noticed may be lost too (seconds): those of the last
+/// 50 ms before the loss, plus 100 ms by which the event loop may lag.
 const LOSS_WINDOW_S: f64 = 0.15;
 /// Lower bound of the exponential backoff between connection attempts (seconds).
 const MIN_RECONNECT_S: f64 = 0.02;
@@ -74,7 +74,7 @@
     queued_command_bytes: usize,
     /// Last time at which the write queue was empty (event loop's clock, seconds).
     flushed_at: f64,
-    /// Set when a link is lost, until the response to the next link's fence arrives.
+    /// The commands that may be lost, from the loss of a link until the response to the next link's fence arrives.
     lost_commands: Option<LostCommands>,
     /// Number of the last fence sent.
     last_fence: u64,
@@ -294,7 +294,7 @@
         self.send(&Command::Bypass { job: name, n: sequence })
     }
 
-    /// Requests the gauges, unless commands are still queued, which means that the executor is not reading.
+    /// Requests the gauges, unless earlier commands are still queued because the executor reads slowly or not at all.
     pub fn request_gauges(&mut self) {
         let idle = self.link.as_mut().filter(|connection| connection.link.queued() == 0);
         if let Some(ExecutorConnection { link, .. }) = idle {
--- a/src/net/upstreams/records/mod.rs
+++ b/src/net/upstreams/records/mod.rs
@@ -62,7 +62,7 @@
     connections: HashMap<u64, Connection>,
     /// Connection id of each call in flight, by run name.
     connection_by_run: HashMap<Rc<str>, u64>,
-    /// Run names of calls that could not be sent, by the number of the timer that reports it.
+    /// Run names of calls that could not be sent, by the number of the timer at whose expiry the failure is reported.
     unreachable: HashMap<u64, Rc<str>>,
     /// Ids of connections to process in the next [`Records::gather`].
     pending_ids: Vec<u64>,
@@ -123,7 +123,7 @@
             None
         };
         let Some(id) = idle.or_else(|| self.open(now)) else {
-            // Out of descriptors, or connecting failed immediately: the call was never sent.
+            // The descriptor budget is exhausted, or connecting failed immediately: the call was never sent.
             return self.report_unreachable(now, name, wheel);
         };
         let Some(c) = self.connections.get_mut(&id) else { return };
--- a/src/net/upstreams/records/reply.rs
+++ b/src/net/upstreams/records/reply.rs
@@ -44,7 +44,8 @@
             Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
             _ => return Err(ReplyError::Head),
         }
-        // An interim response has no body and is followed by the final one. 101 changes the protocol unrequested.
+        // An interim response has no body and is followed by the final one. A 101 would change the protocol, which was
+        // not requested.
         match head.code {
             Some(101) => return Err(ReplyError::ProtocolChange),
             Some(100..=199) => {}
--- a/src/net/upstreams/records/tests.rs
+++ b/src/net/upstreams/records/tests.rs
@@ -31,7 +31,7 @@
         &format!("HTTP/1.1 200 OK\r\nA: {}", "a".repeat(MAX_HEAD_BYTES)),
         &"HTTP/1.1 100 Continue\r\n\r\n".repeat(MAX_HEAD_BYTES / 20),
     ] {
-        assert!(parse(bad.as_bytes()).is_err(), "{bad:.60}");
+        assert!(parse(bad.as_bytes()).is_err(), "not rejected: {bad:.60}");
     }
 }
 
@@ -70,7 +70,10 @@
     assert!(bytes[..length].ends_with(b"first"));
     service.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
     let ended = (0..1000).find_map(|_| poll_once(&mut event_loop, &mut records, &mut wheel).pop());
-    assert!(matches!(ended, Some(Input::CallEnded { outcome: Outcome::Ok, .. })), "{ended:?}");
+    assert!(
+        matches!(ended, Some(Input::CallEnded { outcome: Outcome::Ok, .. })),
+        "expected Ok, got {ended:?}"
+    );
     assert!(!records.has_pending());
     // The second call must be written without another poll of the event loop.
     records.call(1.0, "r2".into(), Rc::from(*b"second"), 5.0, true, &mut wheel);
