--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -140,7 +140,7 @@
             Ok(pending) => self.begin_request(id, pending, turn),
             Err(rejection) => {
                 // The request's body may still be on its way, so the connection can't be reused.
-                connection.close = true;
+                connection.close_after_response = true;
                 write_response(connection, now, rejection.into(), turn.context);
             }
         }
@@ -175,7 +175,7 @@
         };
         if let Some(rejection) = rejection {
             connection.protocol_state.0 = None;
-            connection.close = true;
+            connection.close_after_response = true;
             return write_response(connection, turn.clock.now(), rejection.into(), turn.context);
         }
         match content_length {
--- a/src/net/frontends/ajp/response.rs
+++ b/src/net/frontends/ajp/response.rs
@@ -68,7 +68,7 @@
     response: AjpResponse,
     context: &FrontendContext,
 ) {
-    connection.close |= context.availability.closes_connections();
+    connection.close_after_response |= context.availability.closes_connections();
     connection.set_state(now, ConnectionState::Responding);
     let body_length = response.body.as_ref().map_or(0, |body| body.len());
     let mut headers = vec![("Content-Length", body_length.to_string())];
@@ -87,5 +87,5 @@
             connection.link.push(vec![0]);
         }
     }
-    connection.link.push(ajp_codec::write_end(!connection.close));
+    connection.link.push(ajp_codec::write_end(!connection.close_after_response));
 }
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -62,7 +62,7 @@
     /// The number of complete requests received.
     pub(super) requests_read: u32,
     /// Whether to close after the current response.
-    pub close: bool,
+    pub close_after_response: bool,
     /// Whether input has been buffered since the frontend last processed the connection.
     pub(super) has_unseen_bytes: bool,
     /// The protocol-specific state.
@@ -79,7 +79,7 @@
             opened_at: now,
             last_received_at: now,
             requests_read: 0,
-            close: false,
+            close_after_response: false,
             has_unseen_bytes: false,
             protocol_state,
         }
@@ -99,7 +99,7 @@
                 AwaitingResponse if self.link.fill() == ReadStatus::Broken => return NextStep::Close,
                 AwaitingResponse | HandedOff => return NextStep::Wait,
                 Responding if self.link.queued() > 0 => return NextStep::Wait,
-                Responding if self.close => self.half_close(now),
+                Responding if self.close_after_response => self.half_close(now),
                 Responding => self.set_state(now, Idle),
                 Closing => return self.discard_input(now),
                 Idle | Reading => return NextStep::Read,
@@ -110,7 +110,7 @@
 
     /// Reads no further request: writes the queued output, then closes the connection.
     pub fn finish(&mut self, now: f64) {
-        self.close = true;
+        self.close_after_response = true;
         self.set_state(now, ConnectionState::Responding);
     }
 
--- a/src/net/frontends/connections/handoff.rs
+++ b/src/net/frontends/connections/handoff.rs
@@ -15,7 +15,7 @@
     /// The number of complete requests received.
     pub requests_read: u32,
     /// Whether to close after the current response.
-    pub close: bool,
+    pub close_after_response: bool,
     /// The protocol-specific state.
     pub protocol_state: P,
 }
@@ -47,7 +47,7 @@
         let mut connection = Connection::new(link, now, detached.protocol_state);
         connection.state = resumed_state(&connection.link, request_in_flight);
         connection.requests_read = detached.requests_read;
-        connection.close = detached.close;
+        connection.close_after_response = detached.close_after_response;
         connection.has_unseen_bytes = !connection.link.data().is_empty();
         self.by_id.insert(id, connection);
         self.scheduled.push(id);
@@ -67,7 +67,7 @@
             stream,
             unread,
             requests_read: connection.requests_read,
-            close: connection.close,
+            close_after_response: connection.close_after_response,
             protocol_state: connection.protocol_state,
         })
     }
--- a/src/net/frontends/connections/tests.rs
+++ b/src/net/frontends/connections/tests.rs
@@ -32,7 +32,7 @@
             stream,
             unread: Vec::new(),
             requests_read,
-            close: false,
+            close_after_response: false,
             protocol_state: (),
         };
         let id = self.connections.adopt(opened_at, detached, false).unwrap();
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -124,7 +124,7 @@
         if connection.state != ConnectionState::AwaitingResponse {
             return;
         }
-        connection.close |= context.availability.shutting_down;
+        connection.close_after_response |= context.availability.shutting_down;
         connection.set_state(now, ConnectionState::Responding);
         let mapped = map_response(response);
         let mut extra = String::new();
@@ -135,7 +135,8 @@
             extra.push_str("X-Stop-Trying: 1\r\n");
         }
         let body_length = mapped.body.as_ref().map_or(0, |body| body.len());
-        let head = responses::head(mapped.code, body_length, &extra, context, connection.close);
+        let head =
+            responses::head(mapped.code, body_length, &extra, context, connection.close_after_response);
         connection.link.push(head);
         if let Some(body) = mapped.body {
             connection.link.push_shared(body);
@@ -176,21 +177,21 @@
         }
         Parsed::HealthCheck { length, keep_alive } => {
             connection.link.consume(length);
-            connection.close = !keep_alive || context.availability.shutting_down;
-            connection.link.push(responses::health_check_response(context, connection.close));
+            connection.close_after_response = !keep_alive || context.availability.shutting_down;
+            connection.link.push(responses::health_check_response(context, connection.close_after_response));
             connection.set_state(now, ConnectionState::Responding);
             Progress::Continue
         }
         Parsed::Complete { request, length, keep_alive } => {
             connection.link.consume(length);
-            connection.close = !keep_alive;
+            connection.close_after_response = !keep_alive;
             connection.protocol_state = false;
             connection.set_state(now, ConnectionState::AwaitingResponse);
             inputs.push(Input::Arrived(*request));
             Progress::Wait
         }
         Parsed::Invalid(error) => {
-            connection.close = true;
+            connection.close_after_response = true;
             connection.link.push(responses::error_response(&error, context));
             connection.set_state(now, ConnectionState::Responding);
             Progress::Continue
--- a/src/net/lifecycle/console.rs
+++ b/src/net/lifecycle/console.rs
@@ -110,7 +110,7 @@
         let Some(c) = self.connections.get_mut(id) else { return };
         // Bytes after the head are discarded: a connection carries one request, and a console request has no body.
         c.link.consume(c.link.data().len());
-        c.close = true;
+        c.close_after_response = true;
         c.link.push(encode(response));
         c.set_state(now, ConnectionState::Responding);
         if c.advance(now) == NextStep::Close {
--- a/src/net/lifecycle/hot_restart/messages.rs
+++ b/src/net/lifecycle/hot_restart/messages.rs
@@ -91,7 +91,7 @@
         unread: Bytes(detached.unread.as_slice().into()),
         continued: detached.protocol_state,
         requests_read: detached.requests_read,
-        close_after_response: detached.close,
+        close_after_response: detached.close_after_response,
         queued_request,
     }
 }
--- a/src/net/lifecycle/hot_restart/predecessor.rs
+++ b/src/net/lifecycle/hot_restart/predecessor.rs
@@ -167,7 +167,7 @@
             stream,
             unread: connection.unread.0.to_vec(),
             requests_read: connection.requests_read,
-            close: connection.close_after_response,
+            close_after_response: connection.close_after_response,
             protocol_state: connection.continued,
         };
         let has_request = connection.queued_request.is_some();
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -75,7 +75,7 @@
         // Processes in this turn the connections on which the sweep found input and those that it closes: the more time
         // passes between its check for input and the close, the more requests can cross the close.
         if self.has_pending() {
-            self.process_ready(Vec::new());
+            self.run_rounds(Vec::new());
         }
     }
 
@@ -114,7 +114,7 @@
         let idle_s = self.configuration.idle_timeout_s();
         self.frontends.sweep_connections(now, idle_s, true, &self.context.availability);
         self.update_shutdown(|shutdown| shutdown.listeners_closed_at = Some(now));
-        self.process_ready(Vec::new());
+        self.run_rounds(Vec::new());
         self.wheel.set(now, IDLE_CLOSE_DELAY_S, Timer::NextTurn);
     }
 
@@ -144,7 +144,7 @@
             if self.frontends.close_listeners(now) {
                 return;
             }
-            self.process_ready(Vec::new());
+            self.run_rounds(Vec::new());
         }
         self.frontends.stop_listening();
     }
@@ -161,7 +161,7 @@
         });
         // These inputs must not be deferred: no further turn may follow.
         self.loop_state.deferral = Deferral::Used;
-        self.process_ready(inputs);
+        self.run_rounds(inputs);
     }
 
     /// Ends all idle connections and, with `include_partial`, those with a partially read request too. Returns `true`
@@ -170,7 +170,7 @@
         let is_first = self.frontends.end_connections(now, include_partial);
         // Completes the reads and writes that are possible in this turn.
         if self.has_pending() {
-            self.process_ready(Vec::new());
+            self.run_rounds(Vec::new());
         }
         if is_first {
             self.wheel.set(now, LINGER_S, Timer::NextTurn);
--- a/src/net/worker/event_loop.rs
+++ b/src/net/worker/event_loop.rs
@@ -25,7 +25,7 @@
     worker.find_predecessor(worker.clock.now())?;
     let mut timer = WheelTimer::new(handle);
     let mut ready_events = ReadyEvents::default();
-    worker.poll_once(&mut ready_events);
+    worker.run_turn(&mut ready_events);
     while !worker.loop_state.finished {
         let next = worker.wheel.next();
         timer.set(&worker, next)?;
@@ -34,7 +34,7 @@
             // The process stalled, so the readiness that the wait returned predates the stall: poll again.
             event_loop.dispatch(Some(Duration::ZERO), &mut ready_events).map_err(WorkerError::EventLoop)?;
         }
-        worker.poll_once(&mut ready_events);
+        worker.run_turn(&mut ready_events);
     }
     Ok(())
 }
--- a/src/net/worker/turn.rs
+++ b/src/net/worker/turn.rs
@@ -27,7 +27,7 @@
     /// 7. The sweep, after all ready sockets were read: a connection that looks idle may have received a request while
     ///    the process was stopped.
     /// 8. The next steps of a shutdown, which depend on whether anything is still pending.
-    pub(super) fn poll_once(&mut self, ready_events: &mut ReadyEvents) {
+    pub(super) fn run_turn(&mut self, ready_events: &mut ReadyEvents) {
         let now = self.clock.now();
         self.loop_state.begin_turn(now);
         self.log.report_suppressed();
@@ -39,7 +39,7 @@
         self.handle_signals(now, ready_events, &mut inputs);
         self.gather(&mut inputs);
         self.run_timers(now, &mut inputs);
-        self.process_ready(inputs);
+        self.run_rounds(inputs);
         self.poll_coordinators(now);
         self.sweep_if_due();
         self.advance_exit(now);
@@ -78,7 +78,7 @@
 
     /// Gathers input, dispatches it and executes the resulting commands, for [`MAX_ROUNDS`] rounds at most, until the
     /// rest of the work waits for a readiness event or a timer.
-    pub(in crate::net) fn process_ready(&mut self, mut inputs: Vec<Input>) {
+    pub(in crate::net) fn run_rounds(&mut self, mut inputs: Vec<Input>) {
         inputs.splice(0..0, self.loop_state.deferred_inputs.drain(..));
         for round in 0..MAX_ROUNDS {
             self.gather(&mut inputs);
