--- a/src/net/frontends/ajp/response.rs
+++ b/src/net/frontends/ajp/response.rs
@@ -68,7 +68,7 @@
     response: AjpResponse,
     context: &FrontendContext,
 ) {
-    connection.close |= context.availability.closes_connections();
+    connection.close_after_response |= context.availability.closes_connections();
     connection.set_state(now, ConnectionState::Responding);
     let body_length = response.body.as_ref().map_or(0, |body| body.len());
     let mut headers = vec![("Content-Length", body_length.to_string())];
@@ -76,7 +76,7 @@
     if let Some(weight) = context.availability.published_weight {
         headers.push(("X-Backend-Says", weight.to_string()));
     }
-    // Can't fail: these few short headers fit into one packet.
+    // Encoding can't fail: these few short headers fit into one packet.
     let head = ajp_codec::write_headers(response.code, response.reason, &headers);
     connection.link.push(head.unwrap_or_default());
     if let Some(body) = response.body {
@@ -87,5 +87,5 @@
             connection.link.push(vec![0]);
         }
     }
-    connection.link.push(ajp_codec::write_end(!connection.close));
+    connection.link.push(ajp_codec::write_end(!connection.close_after_response));
 }
--- a/src/net/frontends/connections/connection.rs
+++ b/src/net/frontends/connections/connection.rs
@@ -3,8 +3,9 @@
 use crate::net::io::buffer::{Link, ReadStatus};
 use crate::net::io::source::Readiness;
 
-/// Limit on the steps of one connection per turn: a peer that sends continuously must not monopolize the event loop.
-pub const MAX_STEPS_PER_TURN: usize = 32;
+/// Limit on the steps of one connection before the others are processed: a peer that sends continuously must not
+/// monopolize the event loop.
+pub const MAX_CONSECUTIVE_STEPS: usize = 32;
 
 /// Idle timeout of a lingering close, measured from the last byte received: a peer that continues to send after its
 /// rejection must not lose the response to a reset (seconds).
@@ -61,7 +62,7 @@
     /// The number of complete requests received.
     pub(super) requests_read: u32,
     /// Whether to close after the current response.
-    pub close: bool,
+    pub close_after_response: bool,
     /// Whether input has been buffered since the frontend last processed the connection.
     pub(super) has_unseen_bytes: bool,
     /// The protocol-specific state.
@@ -78,7 +79,7 @@
             opened_at: now,
             last_received_at: now,
             requests_read: 0,
-            close: false,
+            close_after_response: false,
             has_unseen_bytes: false,
             protocol_state,
         }
@@ -87,17 +88,18 @@
     /// Flushes pending output and performs the state transitions common to all protocols.
     pub fn advance(&mut self, now: f64) -> NextStep {
         use ConnectionState::{AwaitingResponse, Closing, HandedOff, Idle, Reading, Responding};
-        for _ in 0..MAX_STEPS_PER_TURN {
+        for _ in 0..MAX_CONSECUTIVE_STEPS {
             if self.link.flush().is_err() {
                 return NextStep::Close;
             }
             match self.state {
-                // One request at a time: further input stays in the buffer, and beyond that in the kernel. It is read
-                // because only a read reveals a reset, and the dispatcher need not continue for a client that is gone.
+                // A connection handles one request at a time: further input stays in the buffer, and in the kernel once
+                // the buffer is full. The socket is read here because only a read reveals a reset, after which the
+                // dispatcher need not continue the request.
                 AwaitingResponse if self.link.fill() == ReadStatus::Broken => return NextStep::Close,
                 AwaitingResponse | HandedOff => return NextStep::Wait,
                 Responding if self.link.queued() > 0 => return NextStep::Wait,
-                Responding if self.close => self.half_close(now),
+                Responding if self.close_after_response => self.half_close(now),
                 Responding => self.set_state(now, Idle),
                 Closing => return self.discard_input(now),
                 Idle | Reading => return NextStep::Read,
@@ -108,7 +110,7 @@
 
     /// Reads no further request: writes the queued output, then closes the connection.
     pub fn finish(&mut self, now: f64) {
-        self.close = true;
+        self.close_after_response = true;
         self.set_state(now, ConnectionState::Responding);
     }
 
