--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -8,13 +8,15 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The maximum timeout of a status query to one coordinator. An attempt at a query for the leader may take twice as long.
+/// The maximum timeout of a status query to one coordinator. An attempt at a query for the leader has a timeout of at most
+/// twice this.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The lower bound of the caller's timeout in a query for the leader; [`ATTEMPT_TIMEOUT`] is added to it for each attempt.
+/// The timeout of an attempt at a query for the leader is [`ATTEMPT_TIMEOUT`] plus the caller's timeout, which counts as at
+/// least this and at most [`ATTEMPT_TIMEOUT`].
 const MIN_LEADER_TIMEOUT: Duration = Duration::from_millis(100);
 /// The pause before all coordinators are queried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The minimum timeout of a connection, since the operating system rejects zero.
+/// The minimum timeout of a connection, since the standard library rejects a timeout of zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 const READ_BYTES: usize = 16 * 1024;
 
@@ -25,7 +27,7 @@
     Answer(Value),
     /// The query was rejected for this reason.
     Rejected(String),
-    /// No leader was confirmed in time; the value describes the last attempt.
+    /// No coordinator was confirmed as the leader before the timeout; the value describes the last attempt.
     NoQuorum(String),
 }
 
@@ -45,10 +47,10 @@
     InvalidFrame {
         /// The coordinator.
         address: SocketAddr,
-        /// The error in it.
+        /// Why it is not valid.
         reason: String,
     },
-    /// The answer was not complete in time.
+    /// The answer was not complete before the timeout.
     #[error("{address}: timed out waiting for the answer")]
     Timeout {
         /// The coordinator.
@@ -65,7 +67,7 @@
 /// Sends a query to one coordinator and waits for the answer.
 ///
 /// # Errors
-/// The reason why there is no complete answer.
+/// The reason why no complete answer was received.
 pub fn query_coordinator(
     address: SocketAddr,
     fleet: &str,
@@ -108,8 +110,9 @@
     Ok(stream)
 }
 
-/// Queries the status of every coordinator. A coordinator that does not answer is listed with the reason. If no
-/// coordinator that answers is the leader, the outcome is [`QueryOutcome::NoQuorum`].
+/// Queries the status of every coordinator, until one of them reports that it is the leader. A coordinator that does not
+/// answer is listed with the reason. If none is the leader when `timeout` has passed, the outcome is
+/// [`QueryOutcome::NoQuorum`].
 #[must_use]
 pub fn query_all(addresses: &[SocketAddr], fleet: &str, timeout: Duration) -> QueryOutcome {
     let deadline = Instant::now() + timeout;
@@ -119,7 +122,7 @@
             return QueryOutcome::Rejected(refused["why"].as_str().unwrap_or_default().to_owned());
         }
         if rows.iter().any(|row| row["leads"] == true) {
-            // A table takes its columns from the first row, so a coordinator that answered must come first.
+            // `fleetctl` takes a table's columns from the first row, so a coordinator that answered must come first.
             let (mut sorted, silent): (Vec<Value>, Vec<Value>) =
                 rows.into_iter().partition(|row| row.get("term").is_some());
             sorted.extend(silent);
@@ -143,7 +146,8 @@
     }
 }
 
-/// Sends a query that only the leader answers, after a quorum has confirmed it.
+/// Sends a query that only the leader answers, after a quorum has confirmed that it still is the leader. Queries the
+/// coordinators in turn until one answers or rejects the query, or `timeout` has passed.
 #[must_use]
 pub fn query_leader(
     addresses: &[SocketAddr],
--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -4,7 +4,8 @@
 use crate::state_machine::LATEST_VERSION;
 use port_worker::fleet::frame::{is_valid_name, MAX_TASKS};
 
-/// The maximum number of coordinators. More of them delay every command without making it safer.
+/// The maximum number of coordinators. Every command waits for a majority, so more coordinators delay every command; nine
+/// already tolerate four failures.
 const MAX_COORDINATORS: usize = 9;
 const MIN_WRITE_OVERDUE_MS: u64 = 50;
 const MAX_WRITE_OVERDUE_MS: u64 = 60_000;
--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -21,12 +21,11 @@
     pub fleet: String,
     /// This coordinator's name.
     pub name: String,
-    /// The data folder, which must contain nothing else.
+    /// The data folder. It must contain only this coordinator's files.
     pub folder: PathBuf,
     /// The listen address, if different from the coordinator's address in the list.
     pub listen: Option<SocketAddr>,
-    /// The version of the task list. The tasks take effect if this epoch is higher than
-    /// the fleet's current one.
+    /// The version of the task list. The tasks take effect if this epoch is higher than the fleet's current one.
     pub epoch: u64,
     /// A write that takes longer than this suspends the coordinator (milliseconds).
     #[serde(default = "default_write_overdue_ms")]
@@ -49,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Overload {
-    /// A worker's base allocation: the calls that it may have in flight at the downstream service (mean number). A worker
+    /// A worker's base allocation: the mean number of calls that it may have in flight at the downstream service. A worker
     /// lends at most a quarter of that, whatever it reports.
     pub calls_part: f64,
     /// Retries admitted while the fleet is at capacity, as a percentage of first attempts.
@@ -151,9 +150,9 @@
     }
 }
 
-/// Returns the line number of a byte offset, starting at 1.
-fn line_of(text: &str, at: usize) -> usize {
-    let before = &text.as_bytes()[..at.min(text.len())];
+/// Returns the number of the line that contains the byte at this offset, starting at 1.
+fn line_of(text: &str, offset: usize) -> usize {
+    let before = &text.as_bytes()[..offset.min(text.len())];
     before.split(|byte| *byte == b'\n').count()
 }
 
--- a/fleet-coordinator/src/config/tests.rs
+++ b/fleet-coordinator/src/config/tests.rs
@@ -26,7 +26,10 @@
         let text = valid.replacen(from, to, 1);
         assert_ne!(text, valid, "{from} is not in the file");
         let error = ConfigFile::decode(&text).expect_err(expected).to_string();
-        assert!(error.starts_with(expected) && !error.contains('\n'), "{error}, not {expected}");
+        assert!(
+            error.starts_with(expected) && !error.contains('\n'),
+            "the error is {error:?}; expected one line that starts with {expected:?}"
+        );
     }
 }
 
--- a/fleet-coordinator/src/coordinator/frames.rs
+++ b/fleet-coordinator/src/coordinator/frames.rs
@@ -2,7 +2,8 @@
 
 /// The size of the length before each frame's body (bytes).
 pub const FRAME_HEADER_BYTES: usize = 4;
-/// The maximum size of a frame between coordinators (bytes). Large enough for a snapshot with all limits exhausted.
+/// The maximum size of a frame between coordinators (bytes). Large enough for a snapshot of a state that reaches all its
+/// limits.
 pub const MAX_PEER_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// A complete frame at the start of received data.
@@ -14,9 +15,9 @@
     pub length: usize,
 }
 
-/// A frame is longer than its link is allowed to send.
+/// A frame is longer than its link's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("frame of {length} bytes exceeds the limit of {limit}")]
+#[error("frame of {length} bytes exceeds the limit of {limit} bytes")]
 pub struct FrameTooLong {
     /// The body's length (bytes).
     pub length: usize,
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -23,7 +23,7 @@
 use port_worker::fleet::overload::leader::Settings as OverloadSettings;
 use std::collections::BTreeMap;
 
-/// How often an uninitialized member queries its peers for its identity (seconds).
+/// How often an uninitialized member queries its peers for its member number and whether it has lost its disk (seconds).
 const PEER_QUERY_INTERVAL_S: f64 = 0.5;
 
 /// A coordinator's settings.
@@ -67,7 +67,8 @@
     Close(LinkId),
     /// Send a complete frame to the peer with this name, if it is connected.
     Peer(String, Vec<u8>),
-    /// Reconnect to all peers, since this member's status has changed or it must query them.
+    /// Reconnect to all peers, since a hello is sent only on a new link: this member's status has changed, or it queries its
+    /// peers.
     ReconnectPeers,
     /// Execute a disk job, and report its result under this number.
     Disk(DiskJobId, DiskJob),
@@ -97,7 +98,7 @@
 /// The role of the other end of a link.
 #[derive(Clone, Debug, PartialEq)]
 enum Role {
-    /// Unknown: it has sent no hello or query yet.
+    /// Unknown: no hello or query has been received on the link yet.
     New,
     Worker,
     /// A coordinator, by its member number.
@@ -107,16 +108,16 @@
 
 /// One coordinator.
 pub struct Coordinator {
-    /// The settings; `epoch` and `tasks` change on a reload.
+    /// The settings; a reload changes `epoch` and `tasks`.
     pub config: CoordinatorConfig,
     /// Its replica of the log and the state.
     pub replica: Replica,
-    /// Its state as a leader.
+    /// The leader's unreplicated state; inactive while this member is not the leader.
     pub leader_state: LeaderState,
     roles: BTreeMap<LinkId, Role>,
     /// Names of members by number, from their hellos and answers.
     peer_names: BTreeMap<MemberId, String>,
-    /// Peers' answers by name, since this member's status last changed.
+    /// Peers' answers to hellos since this member's status last changed, by peer name.
     peer_answers: BTreeMap<String, PeerAnswer>,
     pending_queries: Vec<PendingQuery>,
     /// The number of the last confirmation that was requested for a query.
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -1,4 +1,5 @@
-//! Operators' queries. All but the status query are answered by the leader, after a quorum has confirmed it.
+//! Operators' queries. Every coordinator answers status queries. Only the leader answers the others, after a quorum has
+//! confirmed that it still is the leader.
 
 use super::answers::{
     round_to_tenths, to_value, LeaseRow, MemberRow, OverloadAnswer, StatusAnswer, TaskRow, TasksAnswer,
@@ -12,7 +13,7 @@
 use port_worker::fleet::overload::MAX_TIERS;
 use serde_json::{json, Value};
 
-/// Confirmations for queries have numbers above this, those for heartbeats below.
+/// Confirmations for queries have numbers above this, confirmations for heartbeats have numbers below it.
 pub(super) const FIRST_QUERY_NUMBER: u64 = 1 << 40;
 /// The maximum number of queries that wait for a confirmation.
 const MAX_PENDING_QUERIES: usize = 64;
@@ -167,12 +168,12 @@
         };
         let level = SheddingLevel { tier: tier.min(MAX_TIERS), share };
         leader.pin(level, now + for_s);
-        let summary = to_value(&OverloadAnswer::new(now, leader));
+        let answer = to_value(&OverloadAnswer::new(now, leader));
         self.log(CoordinatorEvent::SheddingLevelPinned { level, for_s });
-        Ok(summary)
+        Ok(answer)
     }
 
-    /// Returns this member's status, which also followers answer.
+    /// Returns this member's status, which is the answer to a status query. Followers answer status queries too.
     #[must_use]
     pub fn status(&self) -> Value {
         let replica = &self.replica;
--- a/fleet-coordinator/src/coordinator/peer_messages.rs
+++ b/fleet-coordinator/src/coordinator/peer_messages.rs
@@ -15,24 +15,24 @@
     pub name: String,
     /// The name of its fleet.
     pub fleet: String,
-    /// Its member number; 0 while its disk holds no member.
+    /// Its member number; 0 while it does not participate in the quorum.
     pub member: MemberId,
-    /// The last index of its log.
+    /// The last index of its log; 0 while it does not participate.
     #[serde(rename = "last")]
     pub last_index: u64,
     /// The latest protocol version whose commands its program can apply.
     pub version: u32,
 }
 
-/// The answer to a [`PeerHello`], which is the only frame sent back on the link.
+/// The answer to a [`PeerHello`], which is the only frame sent back on the link. "Caller" is the sender of the hello.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct PeerAnswer {
-    /// The answering member's number.
+    /// The answering member's number; 0 if it has none yet.
     pub member: MemberId,
     /// The latest protocol version whose commands its program can apply.
     pub version: u32,
-    /// The caller's member number; 0 if the answering member does not know the caller.
+    /// The caller's member number; 0 if the answering member's state has no member with the caller's name.
     #[serde(rename = "yours")]
     pub caller_member: MemberId,
     /// The log index up to which the caller is known to have persisted.
@@ -41,7 +41,7 @@
     /// Whether the caller is an initial member of the fleet.
     #[serde(rename = "founder")]
     pub caller_is_initial_member: bool,
-    /// If messages from the caller are not accepted, the reason.
+    /// Why messages from the caller are not accepted; `None` if they are.
     #[serde(rename = "barred")]
     pub exclusion: Option<String>,
 }
@@ -85,7 +85,7 @@
         let all_answered = self.peer_answers.len() + 1 == self.config.coordinators.len();
         let known = self.peer_answers.values().filter(|answer| answer.caller_member != MemberId::NONE);
         let Some(newest) = known.max_by_key(|answer| answer.caller_member).cloned() else {
-            // No peer knows this coordinator as a member. The fleet is new if all peers answer so.
+            // No answer has a member number for this coordinator. If that holds for all peers, the fleet is new.
             if all_answered {
                 self.bootstrap(now);
             }
@@ -98,12 +98,13 @@
         } else if !newest.caller_is_initial_member {
             self.replica.join(now, newest.caller_member);
         } else if all_answered {
-            // The other initial members have started; this disk has never acknowledged anything.
+            // The other initial members have started the fleet. No peer reports that this disk had persisted anything, so it
+            // may start from the same initial state.
             self.bootstrap(now);
         }
     }
 
-    /// Records that the disk was lost. The first index reported by peers is kept, since later ones are about the same loss.
+    /// Records that the disk was lost. Only the first index that peers report is recorded: later ones are about the same loss.
     fn record_lost_disk(&mut self, uninitialized: Uninitialized, persisted: u64) {
         if uninitialized.lost_index.is_none() {
             let lost = Uninitialized { lost_index: Some(persisted), ..uninitialized };
--- a/fleet-coordinator/src/coordinator/reporting.rs
+++ b/fleet-coordinator/src/coordinator/reporting.rs
@@ -65,7 +65,7 @@
     fn on_leader_action(&mut self, now: f64, action: LeaderAction) {
         match action {
             LeaderAction::Send(link, message) => self.send(link, &message),
-            // A rejected proposal needs no handling: its sender retries it if it is still needed.
+            // A rejected proposal needs no handling: the leader's state or the worker repeats it if it is still needed.
             LeaderAction::Propose(command) => drop(self.replica.propose(now, command)),
             LeaderAction::Confirm(number) => self.replica.request_read_index(now, number),
             LeaderAction::Log(event) => self.log(CoordinatorEvent::Overload(event)),
--- a/fleet-coordinator/src/coordinator/worker_messages.rs
+++ b/fleet-coordinator/src/coordinator/worker_messages.rs
@@ -36,7 +36,7 @@
             }
             message => self.on_session_message(now, link, message),
         }
-        // Other work waits for the tick, since it iterates over all sessions.
+        // The rest of the periodic work waits for the next tick, since it iterates over all sessions.
         self.leader_state.request_confirmation(now, &self.replica.state_machine);
         Ok(())
     }
--- a/fleet-coordinator/src/events/log_lines.rs
+++ b/fleet-coordinator/src/events/log_lines.rs
@@ -25,7 +25,7 @@
                 let detail = cause.to_string();
                 error!(name: "member_excluded", coordinator, cause = cause.key(), detail = excerpt(&detail));
             }
-            // Folded, since the peer reconnects repeatedly.
+            // Repeats of this line are folded, since an excluded peer reconnects repeatedly.
             CoordinatorEvent::PeerExcluded { coordinator, cause } => {
                 warn!(
                     name: "peer_excluded",
@@ -41,7 +41,7 @@
     }
 }
 
-/// Logs a pinned level. An open level has neither tier nor share, as in `shedding_level_changed`.
+/// Logs a pinned level. As in `shedding_level_changed`, the fields `tier` and `share` are left out for an open level.
 fn emit_pinned_level(level: SheddingLevel, for_s: f64) {
     let is_open = level.is_open();
     let tier = (!is_open).then_some(level.tier);
--- a/fleet-coordinator/src/events/mod.rs
+++ b/fleet-coordinator/src/events/mod.rs
@@ -24,13 +24,13 @@
         /// Its member number.
         member: MemberId,
     },
-    /// The disk holds no member's log. The coordinator queries its peers whether to bootstrap the fleet, join it, or report a
-    /// lost disk.
+    /// The disk holds no member's log. The peers' answers to hellos determine whether the coordinator bootstraps the fleet,
+    /// joins it, or reports a lost disk.
     MemberUninitialized {
         /// Why the disk holds no member's log.
         cause: UninitializedCause,
     },
-    /// The disk holds no member's log, but peers know that the member had persisted one.
+    /// The disk holds no member's log, although the member had persisted one according to its peers.
     DiskLost {
         /// Why the disk holds no member's log.
         cause: UninitializedCause,
@@ -51,7 +51,7 @@
     MemberExcluded {
         /// This coordinator's name.
         coordinator: String,
-        /// Why the peers accept no messages.
+        /// Why the peers accept none of its messages.
         cause: ExclusionCause,
     },
     /// This coordinator accepts no messages from a peer.
@@ -84,7 +84,8 @@
         /// The listen address.
         address: SocketAddr,
     },
-    /// The configuration file's tasks were reloaded; the leader proposes them for the log.
+    /// The configuration file was reloaded. If this coordinator is the leader and the file's epoch is higher than the fleet's,
+    /// it proposes the file's tasks for the log.
     ConfigReloaded {
         /// The file's epoch.
         epoch: u64,
@@ -93,12 +94,12 @@
     },
     /// The configuration file can't be used; the previous configuration stays in effect.
     ConfigReloadRejected {
-        /// The error in it, in one line.
+        /// Why it can't be used, in one line.
         cause: String,
     },
-    /// Keys of the configuration file have changed that are applied only at a restart.
+    /// The reloaded configuration file has new values for keys that are applied only at a restart.
     ConfigReloadDeferred {
-        /// The keys.
+        /// These keys.
         keys: Vec<&'static str>,
     },
     /// A link was closed because it sent data that does not come from a worker, operator or coordinator of this fleet.
--- a/fleet-coordinator/src/leader_state/granting.rs
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -41,8 +41,8 @@
 }
 
 impl LeaderState {
-    /// Converts the backoffs in the log to this leader's clock. A new leader uses the time that remained at the last log
-    /// entry, so a change of leader may extend a backoff a little, but never shortens it.
+    /// Converts the backoffs in the replicated state to this leader's clock. A new leader uses the time that remained at the
+    /// last log entry, so a change of leader may extend a backoff by the time since that entry, but never shortens it.
     pub(super) fn update_backoffs(&mut self, now: f64, state: &LeaseStateMachine) {
         self.backoffs.retain(|key, _| {
             state.failures.get(&key.task).is_some_and(|by_name| by_name.contains_key(&key.worker))
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Proposes granting each free task to one of the workers that wait for it. Only that worker is notified.
+    /// Proposes granting each free task to one of the workers that wait for it. Only that worker is notified when the grant
+    /// has been applied.
     pub(super) fn grant_free_tasks(&mut self, now: f64, state: &LeaseStateMachine) {
         for (name, task) in &state.tasks {
             let pending = self.pending_grants.get(name);
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -30,7 +30,8 @@
 use renewals::Renewal;
 use std::collections::BTreeMap;
 
-/// How long a session stays open without a heartbeat (milliseconds). Longer than a worker needs to find a new leader.
+/// How long a session stays open without a heartbeat (milliseconds). This is longer than a worker needs to find a new
+/// leader, so that a change of leader closes no sessions.
 pub const SESSION_TTL_MS: u64 = 10_000;
 /// How often a worker sends a heartbeat (milliseconds).
 pub const HEARTBEAT_INTERVAL_MS: u64 = 1000;
@@ -62,7 +63,7 @@
     wanted_tasks: BTreeMap<String, u64>,
     counters: Counters,
     counters_at: f64,
-    /// When its closing was last proposed.
+    /// When closing the session was last proposed.
     closing_since: Option<f64>,
 }
 
@@ -131,7 +132,8 @@
         LeaderState::empty(checks, 1, overload)
     }
 
-    /// Confirmation numbers continue from one term to the next; everything else is reset.
+    /// Returns the state without sessions, leases and requests. `next_number` is the next confirmation number: these numbers
+    /// continue from one term to the next.
     fn empty(checks: SafetyChecks, next_number: u64, overload: Option<FleetOverload>) -> LeaderState {
         LeaderState {
             checks,
--- a/fleet-coordinator/src/leader_state/periods.rs
+++ b/fleet-coordinator/src/leader_state/periods.rs
@@ -9,8 +9,8 @@
     pub fn on_begin_request(&mut self, link: LinkId, request: BeginRequest, state: &LeaseStateMachine) {
         let BeginRequest { lease, every_ms, idempotent, attempt } = request;
         let holder = state.lease(&lease).map(|current| current.session);
-        let own = holder.is_some() && holder == self.session(link);
-        if own && !self.lease_clock.is_releasing(lease.token) {
+        let is_holder = holder.is_some() && holder == self.session(link);
+        if is_holder && !self.lease_clock.is_releasing(lease.token) {
             let every_ms = every_ms.max(1);
             self.propose(Command::BeginPeriod { lease, every_ms, idempotent, attempt });
         } else {
--- a/fleet-coordinator/src/leader_state/releasing.rs
+++ b/fleet-coordinator/src/leader_state/releasing.rs
@@ -5,8 +5,8 @@
 use crate::state_machine::{Command, LeaseStateMachine, ReleaseReason};
 use port_worker::fleet::frame::LeaseRef;
 
-/// How long a lease waits for the session of its holder's successor (seconds). At a hot restart the successor may take over
-/// within milliseconds of its start, before it has a session.
+/// How long a lease waits for the session of its holder's successor (seconds). At a hot restart the predecessor may hand off
+/// its leases within milliseconds of the successor's start, before the successor has a session.
 const SUCCESSOR_WAIT_S: f64 = 2.0;
 
 /// A lease that waits for the session of its holder's successor.
@@ -37,7 +37,7 @@
     }
 
     /// Proposes transferring leases to their holders' successors, or releasing those whose successor has not opened a session
-    /// in time.
+    /// within [`SUCCESSOR_WAIT_S`].
     pub(super) fn hand_off_leases(&mut self, now: f64, state: &LeaseStateMachine) {
         let mut commands = Vec::new();
         self.hand_offs.retain(|_, hand_off| {
--- a/fleet-coordinator/src/leader_state/renewals.rs
+++ b/fleet-coordinator/src/leader_state/renewals.rs
@@ -30,8 +30,8 @@
 impl LeaderState {
     /// Handles a worker's heartbeat.
     pub fn on_heartbeat(&mut self, now: f64, link: LinkId, heartbeat: Heartbeat, state: &LeaseStateMachine) {
-        let open = self.session(link).filter(|session| state.sessions.contains_key(session));
-        let Some(session) = open else {
+        let open_session = self.session(link).filter(|session| state.sessions.contains_key(session));
+        let Some(session) = open_session else {
             return self.send(link, ServerMessage::SessionExpired);
         };
         let Some(live) = self.sessions.get_mut(&session) else { return };
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -62,7 +62,8 @@
         }
         self.propose(Command::CloseSession { session });
         if let Some(live) = self.sessions.get_mut(&session) {
-            // If a lease is still to be handed off, the session is closed after that.
+            // While a lease is still to be handed off, the proposal to close the session is rejected.
+            // `close_expired_sessions` repeats it once the session holds no lease.
             live.closing_since = Some(now);
             live.expires_at = now;
         }
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Attaches the link to the session, and detaches the session's previous link: its messages are no longer processed.
+    /// Attaches the link to the session, and detaches the session's previous link, whose messages are no longer processed.
     fn attach_link(&mut self, now: f64, session: SessionId, link: LinkId) {
         let live = self.sessions.entry(session).or_default();
         if let Some(previous) = live.link.replace(link).filter(|previous| *previous != link) {
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Proposes closing sessions that sent nothing for their TTL and hold no lease.
+    /// Proposes closing the expired sessions that hold no lease. A session expires [`SESSION_TTL_S`] after its last heartbeat,
+    /// or at its worker's goodbye.
     pub(super) fn close_expired_sessions(&mut self, now: f64, state: &LeaseStateMachine) {
         for id in state.sessions.keys() {
             let live = self.sessions.entry(*id).or_insert_with(|| LiveSession::starting(now));
--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -1,5 +1,5 @@
-//! A leader's tracking of lease expiry, and of which renewals it may answer. No I/O; the time is passed in, and only
-//! differences between times matter.
+//! A leader's tracking of lease expiry, and of which renewals it may answer. It does no I/O; the caller passes in the time,
+//! and only differences between times matter.
 //!
 //! Invariants: a lease expires no sooner than its TTL after the last renewal that may have been answered, by this leader
 //! or an earlier one; a renewal is answered with no more than the TTL recorded when it was received, and not at all once
@@ -16,7 +16,7 @@
 /// Safety checks. All are enabled in production; tests disable one at a time to show that the violation is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyChecks {
-    /// A new leader does not let a lease expire before its longest TTL has passed.
+    /// A new leader does not let a lease expire before the lease's longest TTL has passed since the start of its term.
     pub wait_full_ttl: bool,
     /// Renewals are answered only after a quorum has confirmed the leader.
     pub read_index: bool,
@@ -54,8 +54,9 @@
         self.expires_at.insert(token, now + seconds(ttl_ms));
     }
 
-    /// Records a renewal, which counts from now whether or not it is answered. Returns the TTL that the answer may grant
-    /// (milliseconds); 0 for a lease that is being released.
+    /// Records a renewal that was received now: the lease remains valid for its TTL from now, whether or not the renewal is
+    /// answered. Returns the TTL that the answer may grant (milliseconds). For a lease that is being released, returns 0 and
+    /// records nothing.
     pub fn record_renewal(&mut self, now: f64, lease: &Lease) -> u64 {
         if self.is_releasing(lease.token) {
             return 0;
@@ -65,7 +66,7 @@
         lease.ttl_ms
     }
 
-    /// Records that the lease was returned or its release proposed. From now on its renewals are not answered.
+    /// Records that the holder returned the lease or that its release was proposed. From now on its renewals are not answered.
     pub fn start_release(&mut self, now: f64, token: u64) {
         self.releasing_since.insert(token, now);
     }
@@ -76,12 +77,12 @@
         self.releasing_since.contains_key(&token)
     }
 
-    /// Returns whether the lease has expired and its release must be proposed now, and if so marks it as being released. A
-    /// proposal that was not applied is due again after `retry_s` (seconds).
+    /// Returns whether the lease has expired and its release must be proposed now; if so, also marks it as being released. A
+    /// proposal that has not been applied within `retry_s` (seconds) must be repeated.
     pub fn start_release_if_expired(&mut self, now: f64, lease: &Lease, retry_s: f64) -> bool {
         // A lease that is not tracked yet was granted under this leader and has its full TTL.
-        let first_seen = now + seconds(lease.max_ttl_ms);
-        let expires_at = *self.expires_at.entry(lease.token).or_insert(first_seen);
+        let untracked_expires_at = now + seconds(lease.max_ttl_ms);
+        let expires_at = *self.expires_at.entry(lease.token).or_insert(untracked_expires_at);
         let proposed_at = self.releasing_since.get(&lease.token);
         let expired = now >= expires_at && proposed_at.is_none_or(|at| now - at > retry_s);
         if expired {
--- a/fleet-coordinator/src/lease_clock/read_index_queue.rs
+++ b/fleet-coordinator/src/lease_clock/read_index_queue.rs
@@ -11,9 +11,9 @@
     pub requests: Vec<T>,
 }
 
-/// Requests that wait for a quorum to confirm the leader. One batch is in progress at a time, unless its
-/// confirmation is overdue; later requests wait for the
-/// next batch, so that a confirmation answers only requests received before it was requested.
+/// Requests that wait for a quorum to confirm the leader. While a batch is in progress, the next one starts only if the
+/// confirmation of the latest is overdue. Later requests wait for the next batch, so that a confirmation answers only
+/// requests received before it was requested.
 #[derive(Clone, Debug)]
 pub struct ReadIndexQueue<T> {
     /// Requests that are not in a batch yet.
@@ -23,12 +23,13 @@
     next_number: u64,
     /// When the latest batch was started.
     sent_at: f64,
-    /// After this time without a confirmation the next batch may start (seconds).
+    /// How long after the start of a batch its confirmation is overdue (seconds).
     retry_s: f64,
 }
 
 impl<T> ReadIndexQueue<T> {
-    /// Numbers batches from `next_number`. If a batch is not confirmed within `retry_s` (seconds), the next one may start.
+    /// Returns an empty queue whose first batch has the number `next_number`. If a batch is not confirmed within `retry_s`
+    /// (seconds), the next one may start.
     #[must_use]
     pub fn new(next_number: u64, retry_s: f64) -> ReadIndexQueue<T> {
         ReadIndexQueue { unsent: Vec::new(), sent: VecDeque::new(), next_number, sent_at: 0.0, retry_s }
@@ -39,7 +40,8 @@
         self.unsent.push(request);
     }
 
-    /// Starts a batch with all unsent requests and returns its number; `None` if there are none or a batch is in progress.
+    /// Starts a batch with all unsent requests and returns its number. Returns `None` if there are no such requests, or a
+    /// batch is in progress whose confirmation is not overdue.
     pub fn start_batch(&mut self, now: f64) -> Option<u64> {
         let may_send = self.sent.is_empty() || now - self.sent_at > self.retry_s;
         if self.unsent.is_empty() || !may_send {
--- a/fleet-coordinator/src/main.rs
+++ b/fleet-coordinator/src/main.rs
@@ -7,8 +7,8 @@
 
 /// Environment variable with the log filter: comma-separated `TARGET=LEVEL` pairs, or one level for all targets.
 const FILTER_VARIABLE: &str = "RUST_LOG";
-/// Exit status when the configuration file or the listen address can't be used.
-const EXIT_INVALID_CONFIG: u8 = 2;
+/// Exit status when the coordinator can't run, for example because its configuration file or listen address can't be used.
+const EXIT_CANNOT_RUN: u8 = 2;
 
 #[derive(Parser)]
 #[command(name = "fleet-coordinator", version, about = "Grants a fleet's leases, as one replica of a quorum")]
@@ -25,12 +25,12 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("fleet-coordinator: {}", error.to_string().replace('\n', " "));
-            ExitCode::from(EXIT_INVALID_CONFIG)
+            ExitCode::from(EXIT_CANNOT_RUN)
         }
     }
 }
 
-/// Returns the operator's log filter; an invalid value is ignored.
+/// Returns the operator's log filter; `None` if the variable is not set or its value is invalid.
 fn log_filter() -> Option<Targets> {
     std::env::var(FILTER_VARIABLE).ok()?.parse().ok()
 }
--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -45,7 +45,7 @@
 pub(super) enum LinkState {
     /// More data may arrive.
     Open,
-    /// It has ended or timed out; data received before is still to be processed.
+    /// The link has ended or timed out; data received before is still to be processed.
     Ended,
 }
 
@@ -86,12 +86,12 @@
         self.links.get_mut(&id).map(|inbound| &mut inbound.link)
     }
 
-    /// Marks a link that may have received data.
+    /// Records that the link may have received data.
     pub(super) fn mark_readable(&mut self, id: LinkId) {
         self.readable_links.insert(id);
     }
 
-    /// Returns the links to read from.
+    /// Returns the links to read from: those that may have received data, and once per [`SWEEP_INTERVAL_S`] all links.
     pub(super) fn take_readable(&mut self, now: f64) -> BTreeSet<LinkId> {
         if now - self.swept_at >= SWEEP_INTERVAL_S {
             self.swept_at = now;
@@ -155,7 +155,7 @@
     /// Closes a link; returns `false` if it was closed already.
     pub(super) fn close(&mut self, id: LinkId) -> bool {
         let Some(mut inbound) = self.links.remove(&id) else { return false };
-        // Try to send the last message.
+        // Tries once more to send the queued data, such as the answer to a rejected peer.
         let _ = inbound.link.flush();
         true
     }
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! Sockets, disk and clock for [`crate::coordinator`].
 //!
-//! A single event loop does all work except disk jobs. They run on a separate thread, since a sync may take seconds, during
-//! which the event loop must keep answering.
+//! A single event loop does all work except disk jobs. These run on a separate thread, since a sync may take seconds, and
+//! the event loop must answer messages meanwhile.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -38,7 +38,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the coordinator's clock is advanced (seconds).
+/// How often the event loop wakes up to do the coordinator's periodic work (seconds).
 const TICK_S: f64 = 0.02;
 
 /// Why a coordinator can't run.
--- a/fleet-coordinator/src/net/server.rs
+++ b/fleet-coordinator/src/net/server.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Processes the events gathered by the event loop, and periodic work.
+    /// Processes the events gathered by the event loop and the results of disk jobs, and does the periodic work that is due.
     pub(super) fn poll_once(&mut self, gathered: &mut ReadyEvents, results: Vec<JobResult>, path: &Path) {
         let now = boot_time_s() - self.started_at;
         for ready in gathered.take() {
@@ -130,6 +130,7 @@
         let Some(mut state) = self.inbound.fill(now, id) else { return };
         for count in 1..=MAX_FRAMES_PER_TURN {
             if count == MAX_FRAMES_PER_TURN {
+                // More frames may be left; they are read in the next turn.
                 self.inbound.mark_readable(id);
             }
             let limit = self.coordinator.max_frame_bytes(id);
@@ -168,7 +169,7 @@
                     }
                 }
                 Output::Close(id) => self.inbound.start_closing(id),
-                // The Raft library resends lost messages.
+                // A message to a peer without a link is dropped; the Raft library sends it again.
                 Output::Peer(name, bytes) => self.peers.send(&name, bytes),
                 Output::ReconnectPeers => self.peers.disconnect_all(),
                 Output::Disk(number, job) => {
--- a/fleet-coordinator/src/replica/disk.rs
+++ b/fleet-coordinator/src/replica/disk.rs
@@ -115,8 +115,9 @@
             }
             DiskResult::Failed(reason) => {
                 // Jobs queued behind a failed one fail only because of it.
-                let known = matches!(self.status, MemberStatus::Suspended(_)) && number != self.opening_job;
-                if !known && !matches!(self.status, MemberStatus::Excluded(_)) {
+                let caused_by_earlier =
+                    matches!(self.status, MemberStatus::Suspended(_)) && number != self.opening_job;
+                if !caused_by_earlier && !matches!(self.status, MemberStatus::Excluded(_)) {
                     self.suspend(now, SuspensionCause::DiskFailed(reason));
                 }
             }
--- a/fleet-coordinator/src/replica/mod.rs
+++ b/fleet-coordinator/src/replica/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! Its inputs are messages, ticks and disk results; its outputs are messages, disk jobs and events.
 //!
-//! Invariants: nothing is sent or applied that depends on data that the disk has not confirmed. A write that fails or is
-//! overdue suspends the member: it sends nothing to its peers until the disk has been reopened, and continues from what
-//! the disk holds then.
+//! Invariants: the member sends and applies nothing that depends on data that the disk has not confirmed. A write that fails
+//! or is overdue suspends the member: it sends nothing to its peers until the disk has been reopened, and then continues
+//! from what the disk holds.
 
 mod disk;
 mod election;
@@ -139,7 +139,7 @@
         self.peer_versions.insert(member, version);
     }
 
-    /// Returns whether this member is the leader and ready to serve.
+    /// Returns whether this member is the leader and has applied all entries of earlier terms.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.is_leader
@@ -158,7 +158,7 @@
         self.node.as_ref().map_or(0, |node| node.raft.term)
     }
 
-    /// Returns the indexes of the last and the last applied entry.
+    /// Returns the indexes of the log's last entry and of the last applied entry.
     #[must_use]
     pub fn log_position(&self) -> LogPosition {
         let last = self.node.as_ref().map_or(0, |node| node.raft.raft_log.last_index());
--- a/fleet-coordinator/src/replica/proposals.rs
+++ b/fleet-coordinator/src/replica/proposals.rs
@@ -33,8 +33,8 @@
         if message.from != from.0 || message.to != self.member.0 {
             return Err(StepError::WrongAddress { from: message.from, to: message.to });
         }
-        // A leader's heartbeat commits only what this disk has acknowledged. If it commits more, the disk has lost data; the
-        // library would panic.
+        // The commit index in a leader's heartbeat is at most the last index that this member has acknowledged. If it is
+        // beyond the end of the log, the disk has lost data, and the library would panic on the message.
         let last = node.raft.raft_log.last_index();
         let commit = message.commit;
         let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
@@ -42,7 +42,7 @@
             self.exclude(now, ExclusionCause::OlderDisk { last, persisted: commit });
             return Ok(());
         }
-        // The library rejects messages that don't match its state; that is not a fault of the link.
+        // The library rejects some valid messages, such as a response from a removed member. The link stays open.
         let _ = node.step(message);
         self.update_election_timeout();
         self.process_ready(now);
@@ -65,7 +65,7 @@
         let bytes = super::ready::to_json(&entry);
         // An entry that can't be decoded would suspend every member that applies it.
         if serde_json::from_slice::<LogEntry>(&bytes).ok().as_ref() != Some(&entry) {
-            debug_assert!(false, "{entry:?} does not survive encoding and decoding");
+            debug_assert!(false, "{entry:?} differs after encoding and decoding");
             return false;
         }
         let Some(node) = &mut self.node else { return false };
@@ -81,7 +81,8 @@
     }
 
     /// Requests confirmation by a quorum that this member is still the leader (Raft's `ReadIndex`).
-    /// [`Confirmed`](super::ReplicaEvent::Confirmed) with this number follows if it was the leader after this call.
+    /// [`Confirmed`](super::ReplicaEvent::Confirmed) with this number follows if a quorum confirms that this member was the
+    /// leader after this call.
     pub fn request_read_index(&mut self, now: f64, number: u64) {
         if let Some(node) = self.node.as_mut().filter(|_| self.is_leader) {
             node.read_index(number.to_le_bytes().to_vec());
--- a/fleet-coordinator/src/replica/raft_log.rs
+++ b/fleet-coordinator/src/replica/raft_log.rs
@@ -14,7 +14,7 @@
     pub members: ConfState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// Set when a follower needs a newer snapshot than this one. A `Cell`, since the library requests snapshots through a
+    /// Whether a follower needs a newer snapshot than this one. A `Cell`, since the library requests snapshots through a
     /// shared reference.
     pub snapshot_wanted: Cell<bool>,
 }
--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -12,7 +12,7 @@
 /// The number of entries after which the log is compacted into a snapshot.
 const MAX_LOG_ENTRIES: usize = 4096;
 
-/// Messages that wait for a disk job.
+/// Messages that are sent once a disk job and all earlier ones have finished.
 pub(super) struct PendingReady {
     /// The number of the library's `Ready`.
     ready_number: u64,
@@ -24,7 +24,8 @@
 }
 
 impl PendingReady {
-    /// Returns whether this waits for a job later than `persisted`; `None` means that no job has finished.
+    /// Returns whether the messages wait for a later job than `persisted`, the last one that has finished; `None` stands for
+    /// no job.
     fn waits_beyond(&self, persisted: Option<DiskJobId>) -> bool {
         self.job > persisted
     }
@@ -79,7 +80,7 @@
         Ok(())
     }
 
-    /// Replaces log and state with a leader's snapshot; returns its index.
+    /// Replaces the log and the state with those of a leader's snapshot; returns the snapshot's index.
     fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<u64, UnreadableSnapshot> {
         self.state_machine = serde_json::from_slice(&snapshot.data).map_err(UnreadableSnapshot)?;
         if let Some(node) = &mut self.node {
@@ -137,6 +138,7 @@
         if entry.get_entry_type() != EntryType::EntryNormal {
             return self.apply_member_change(now, entry);
         }
+        // The first entry of a leader's term is empty.
         if entry.data.is_empty() {
             return;
         }
--- a/fleet-coordinator/src/replica/recovered_log.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -39,10 +39,10 @@
     MemberNumber,
 }
 
-/// Why the content of a store is not a replicated log; it was written by something else.
+/// Why the content of a store is not a replicated log. Its checksums are valid, so another program has written it.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveredLogError {
-    /// A part of the snapshot is shorter than its length prefix.
+    /// A part of the snapshot is shorter than its length prefix says.
     #[error("truncated part of the snapshot")]
     TruncatedPart,
     /// A part of the snapshot can't be decoded.
@@ -108,7 +108,7 @@
     /// Decodes the content of a store.
     ///
     /// # Errors
-    /// A record has a valid checksum but can't be decoded; it was written by something else.
+    /// A part of the snapshot or a record can't be decoded. Its checksum is valid, so another program has written it.
     pub fn read(recovered: &Recovered) -> Result<RecoveredLog, RecoveredLogError> {
         let mut log = RecoveredLog::default();
         if let Some(snapshot) = &recovered.snapshot {
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    /// Adds an entry. It replaces all entries from its index on, which an earlier leader wrote.
+    /// Adds an entry, and drops the entries from its index on: they were not committed, and a new leader has replaced them.
     fn read_entry(&mut self, entry: Entry) -> Result<(), RecordError> {
         if entry.index <= self.snapshot.get_metadata().index {
             return Ok(());
--- a/fleet-coordinator/src/replica/scan/mod.rs
+++ b/fleet-coordinator/src/replica/scan/mod.rs
@@ -21,11 +21,11 @@
     /// The data ends within a field's key.
     #[error("truncated field key")]
     TruncatedKey,
-    /// The data ends within a field.
-    #[error("truncated field")]
+    /// The data ends within a field's value.
+    #[error("truncated field value")]
     TruncatedField,
     /// A field is a group, or has an unknown wire type.
-    #[error("unsupported field: group or unknown wire type")]
+    #[error("field that is a group or has an unknown wire type; expected a varint, fixed-size or length-delimited field")]
     Group,
     /// The parser rejected the data.
     #[error("invalid message: {0}")]
@@ -58,7 +58,7 @@
     const MESSAGE_FIELDS: MessageFields = MessageFields(&[(7, &NO_MESSAGE_FIELDS), (9, &SNAPSHOT_FIELDS)]);
 }
 
-/// Parses a message and rejects groups.
+/// Parses a message after checking that it contains no group.
 ///
 /// # Errors
 /// The data is not a valid message or contains a group.
--- a/fleet-coordinator/src/replica/status.rs
+++ b/fleet-coordinator/src/replica/status.rs
@@ -25,8 +25,8 @@
 pub struct Uninitialized {
     /// Why the disk holds no member's log.
     pub cause: UninitializedCause,
-    /// The log index up to which peers know that this member had persisted, if any. In that case the disk is lost and the
-    /// member must be replaced.
+    /// The log index up to which this member had persisted according to its peers; `None` if no peer has reported one. An
+    /// index means that the disk is lost and the member must be replaced.
     pub lost_index: Option<u64>,
 }
 
@@ -57,13 +57,13 @@
     /// A disk operation failed.
     #[error("{0}")]
     DiskFailed(String),
-    /// A write has not finished in time.
+    /// A write has not finished within `write_overdue_ms` of the configuration file.
     #[error("the disk is slow: a write has taken {waited_s:.1} s")]
     WriteOverdue {
         /// How long it has taken so far (seconds, rounded to tenths).
         waited_s: f64,
     },
-    /// The disk took too long to open.
+    /// Opening the disk took longer than `write_overdue_ms` of the configuration file.
     #[error("the disk is slow: opening took {took_s:.1} s")]
     OpeningOverdue {
         /// How long it took (seconds, rounded to tenths).
@@ -105,7 +105,7 @@
 /// Why peers accept no messages from a member.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExclusionCause {
-    /// A peer has answered that it accepts no messages.
+    /// A peer has answered that it accepts no messages from the member.
     #[error("{peer} says: {reason}")]
     ReportedByPeer {
         /// The peer's name.
@@ -114,7 +114,7 @@
         reason: String,
     },
     /// The member's log ends before the index that it is known to have persisted: its disk was restored from an older copy.
-    #[error("its disk is older than it was: the log ends at {last}, but {persisted} had been persisted")]
+    #[error("its disk is older than it was: the log ends at entry {last}, but entries up to {persisted} had been persisted")]
     OlderDisk {
         /// The last index of its log.
         last: u64,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Returns why the member does not participate; empty if it does or is recovering.
+    /// Returns why the member does not participate; empty if it participates or is recovering.
     #[must_use]
     pub fn reason(&self) -> String {
         match self {
@@ -159,7 +159,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", self.cause)?;
         match self.lost_index {
-            Some(index) => write!(f, ", but the quorum knows that it held the log up to {index}"),
+            Some(index) => write!(f, ", but the quorum recorded that it held the log up to {index}"),
             None => Ok(()),
         }
     }
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -16,7 +16,8 @@
     /// Zones whose workers are preferred, in order of preference.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The backoff of a holder that failed at the task (milliseconds); doubled with each consecutive failure.
+    /// How long a holder that failed at the task is not granted it again (milliseconds); doubled with each consecutive
+    /// failure.
     #[serde(rename = "pause_ms", default = "default_backoff_ms")]
     pub backoff_ms: u64,
 }
@@ -205,10 +206,10 @@
     /// The session is not open.
     #[error("session not found")]
     UnknownSession,
-    /// The task is not configured.
+    /// The list of tasks has no task with this name.
     #[error("task not found")]
     UnknownTask,
-    /// The sender does not hold the lease, or did not begin the period.
+    /// The sender does not hold the lease, or has not begun the period, or has already reported its outcome.
     #[error("the sender does not hold the lease")]
     NotHeld,
     /// The task's lease is already held.
--- a/fleet-coordinator/src/state_machine/failures.rs
+++ b/fleet-coordinator/src/state_machine/failures.rs
@@ -5,9 +5,9 @@
 use port_worker::fleet::frame::LeaseRef;
 use serde::{Deserialize, Serialize};
 
-/// How long after its backoff ended a holder's failures still count towards the next backoff (milliseconds).
+/// A holder's failures are forgotten this long after its last backoff has ended (milliseconds).
 const FAILURE_RETENTION_MS: u64 = 3_600_000;
-/// How often the task's backoff is doubled at most.
+/// The maximum number of times that the task's backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// A holder's consecutive failures at one task.
@@ -22,7 +22,8 @@
 }
 
 impl LeaseStateMachine {
-    /// Counts a failure and starts a backoff, twice as long as the previous one.
+    /// Counts a failure and starts a backoff: the task's own at the first failure, doubled with each further one up to
+    /// [`MAX_BACKOFF_DOUBLINGS`] times.
     pub(super) fn record_failure(&mut self, task: &str, session: SessionId) {
         let Some(name) = self.sessions.get(&session).map(|session| session.name.clone()) else { return };
         let backoff_ms = self.tasks.get(task).map_or(0, |task| task.backoff_ms);
--- a/fleet-coordinator/src/state_machine/leases.rs
+++ b/fleet-coordinator/src/state_machine/leases.rs
@@ -12,11 +12,12 @@
     pub session: SessionId,
     /// The fencing token.
     pub token: u64,
-    /// The log's time when it was granted (milliseconds).
+    /// The log's time when the lease was granted (milliseconds).
     pub granted_ms: u64,
     /// How long a grant or renewal is valid (milliseconds).
     pub ttl_ms: u64,
-    /// The longest TTL that any renewal under this token may have had (milliseconds); a new leader waits this long.
+    /// The longest TTL that any renewal under this token may have had (milliseconds). A new leader lets the lease expire no
+    /// sooner than this after the start of its term.
     #[serde(rename = "whole_ms")]
     pub max_ttl_ms: u64,
 }
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! Invariants: a task has at most one holder; fencing tokens only increase; a period of a task is begun only once, unless
 //! its call is known to have had no effect or is idempotent. An out-of-bounds or stale command is rejected and changes
-//! nothing.
+//! nothing but the log's time.
 
 mod command;
 mod failures;
@@ -30,10 +30,10 @@
 pub const MAX_INDETERMINATE_CALLS: usize = 100;
 /// The maximum number of failure records per task; the record whose backoff ends first is evicted.
 pub const MAX_FAILURES_PER_TASK: usize = 256;
-/// The maximum number of coordinators, past and present.
-const MAX_MEMBERS: usize = 64;
-/// The latest protocol version whose commands this program can apply. Commands of later versions are rejected, by all
-/// members alike.
+/// The maximum number of members whose progress one command records; the rest is ignored.
+const MAX_PROGRESS_RECORDS: usize = 64;
+/// The latest protocol version whose commands this program can apply. All members reject commands of later
+/// versions, so that their states stay equal.
 pub const LATEST_VERSION: u32 = port_worker::fleet::frame::VERSION;
 
 /// The complete replicated state. A snapshot is its JSON form, with key names fixed by `serde` attributes.
@@ -147,7 +147,7 @@
     }
 
     fn record_progress(&mut self, persisted: &[MemberProgress]) {
-        for progress in persisted.iter().take(MAX_MEMBERS) {
+        for progress in persisted.iter().take(MAX_PROGRESS_RECORDS) {
             let known = self.persisted.entry(progress.member).or_default();
             *known = (*known).max(progress.index);
         }
--- a/fleet-coordinator/src/state_machine/periods.rs
+++ b/fleet-coordinator/src/state_machine/periods.rs
@@ -18,7 +18,7 @@
     pub attempt: u64,
     /// The log's time when it was due (milliseconds).
     pub due_ms: u64,
-    /// How its call ended; `None` until it is reported.
+    /// How its call ended; `None` until the holder has reported it.
     #[serde(rename = "ending")]
     pub outcome: Option<CallOutcome>,
     /// Whether its call is idempotent.
@@ -61,19 +61,19 @@
         if (latest.token, latest.attempt, latest.outcome) == (request.lease.token, request.attempt, None) {
             return Ok(Outcome::Begun(latest.number));
         }
-        let next_ms = latest.due_ms.saturating_add(request.every_ms);
-        if now >= next_ms {
+        let next_due_ms = latest.due_ms.saturating_add(request.every_ms);
+        if now >= next_due_ms {
             // The outcome of the latest call was not reported, and no later report is accepted.
             if latest.outcome.is_none() && !latest.idempotent {
                 self.record_indeterminate_call(&request.lease.task);
             }
             // Due times stay one period apart, unless a whole period was missed.
-            let missed = now >= next_ms.saturating_add(request.every_ms);
-            let due_ms = if missed { now } else { next_ms };
+            let missed = now >= next_due_ms.saturating_add(request.every_ms);
+            let due_ms = if missed { now } else { next_due_ms };
             return Ok(self.insert_period(request, latest.number + 1, due_ms));
         }
         if !may_repeat(&latest, request) {
-            return Err(Rejection::NotDue(next_ms - now));
+            return Err(Rejection::NotDue(next_due_ms - now));
         }
         Ok(self.insert_period(request, latest.number, latest.due_ms))
     }
@@ -91,7 +91,8 @@
         Outcome::Begun(number)
     }
 
-    /// Also accepted from a holder that has lost the lease since: only it knows how its call ended.
+    /// Records the outcome that a holder reports. A report is also accepted from a holder that has lost the lease since, as
+    /// long as the period has not been begun again and is the task's latest: no other process can report how the call ended.
     pub(super) fn end_period(
         &mut self,
         lease: &LeaseRef,
--- a/fleet-coordinator/src/state_machine/tests.rs
+++ b/fleet-coordinator/src/state_machine/tests.rs
@@ -24,7 +24,10 @@
             Ok(outcome) => format!("{outcome:?}"),
             Err(rejection) => format!("{rejection:?}"),
         };
-        assert!(text.starts_with(expected), "{entry:?}: {text}, not {expected}");
+        assert!(
+            text.starts_with(expected),
+            "{entry:?}: the result is {text}; expected it to start with {expected}"
+        );
     }
     let copy: LeaseStateMachine = serde_json::from_slice(&serde_json::to_vec(&state).unwrap()).unwrap();
     assert_eq!(copy, state, "the state changed when it was encoded as a snapshot and decoded");
@@ -179,7 +182,7 @@
     assert_eq!(
         state.failures["t"]["w"],
         FailureRecord { count: 1, backoff_until_ms: 1202 },
-        "the backoff does not restart after a success"
+        "the backoff after a success is not the task's own 100 ms"
     );
     // Failures are forgotten after an hour, and immediately when their task is removed.
     steps.extend([(3_700_000, grant(1), "Granted"), (3_700_000, failed(11), "Done")]);
@@ -221,7 +224,7 @@
         (1401, end(1, 2, CallOutcome::Done), "Done"),
         (2000, begin(1, true), "Begun(3)"),
         (2001, end(1, 3, CallOutcome::Done), "Done"),
-        // There was no holder for a while: missed periods are not caught up.
+        // There was no holder from 2001 ms to 9300 ms: missed periods are not caught up.
         (9300, begin(1, true), "Begun(4)"),
         (9301, end(1, 4, CallOutcome::Done), "Done"),
         (9400, begin(1, true), "NotDue(900)"),
--- a/fleet-coordinator/tests/command_line.rs
+++ b/fleet-coordinator/tests/command_line.rs
@@ -44,7 +44,7 @@
     text
 }
 
-/// Asserts that the program exits with this status, prints exactly this on stderr, and nothing on stdout.
+/// Asserts that the program exits with this status, prints exactly `expected` on stderr, and prints nothing on stdout.
 fn assert_fails(program: &Program, arguments: &[&str], status: i32, expected: &str) {
     let output = run(program, arguments);
     assert_eq!(std::str::from_utf8(&output.stderr).unwrap(), expected, "{arguments:?}");
@@ -57,7 +57,7 @@
     format!("{}: {message}\n", program.name)
 }
 
-/// A local address on which nothing listens.
+/// A loopback address on which no process listens.
 const CLOSED_ADDRESS: &str = "127.0.0.1:1";
 
 /// Runs `fleetctl` against a mock coordinator that answers one query with this body. Returns the query and the output.
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -103,14 +103,14 @@
             self.step();
             assert!(
                 self.now - start <= limit_s + 1e-9,
-                "{what}: not within {limit_s} s; {:?}",
+                "{what}: not within {limit_s} s; the status is {:?}",
                 self.coordinator.replica.status
             );
         }
         self.now - start
     }
 
-    /// Connects a worker over a new link. Its session has to be written to the log.
+    /// Connects a worker over a new link. The coordinator must write the worker's session to the log before it answers.
     fn connect_worker(&mut self, id: u64) {
         let link = LinkId(id);
         self.coordinator.on_link_opened(link);
@@ -155,15 +155,15 @@
         fail(&mut scenario);
         scenario.connect_worker(2 + n as u64);
         let elapsed_s = scenario.step_until(name, limit_s, |s| s.is_suspended());
-        assert!(elapsed_s <= 1.0, "{name}: {elapsed_s}");
+        assert!(elapsed_s <= 1.0, "{name}: suspended after {elapsed_s} s; expected at most 1 s");
         assert_eq!(scenario.welcome_count(), 1, "{name}: acknowledged a session that may not be on disk");
         let reason = scenario.coordinator.replica.status.reason();
         assert!(
             reason.contains("disk is slow") == name.contains("sync") && reason.len() > 12,
-            "{name}: {reason}"
+            "{name}: unexpected reason {reason:?}"
         );
         let MemberStatus::Suspended(cause) = scenario.coordinator.replica.status.clone() else {
-            panic!("{name}")
+            panic!("{name}: the status is no longer Suspended")
         };
         let suspended = CoordinatorEvent::DiskSuspended { cause };
         assert_eq!(
@@ -191,5 +191,8 @@
     scenario.job_duration_s = WRITE_OVERDUE_S * 0.8;
     scenario.connect_worker(1);
     let elapsed_s = scenario.step_until("first session acknowledged", 1.0, |s| s.welcome_count() == 1);
-    assert!(elapsed_s >= WRITE_OVERDUE_S * 0.8 && !scenario.is_suspended(), "{elapsed_s}");
+    assert!(
+        elapsed_s >= WRITE_OVERDUE_S * 0.8 && !scenario.is_suspended(),
+        "acknowledged after {elapsed_s} s"
+    );
 }
--- a/fleet-coordinator/tests/lease_model/leader.rs
+++ b/fleet-coordinator/tests/lease_model/leader.rs
@@ -16,7 +16,7 @@
     pub leases: Vec<RenewedLease>,
 }
 
-/// The index of the receiving worker, and the message.
+/// A message to a worker: the worker's index, and the message.
 pub type OutgoingMessage = (usize, MessageToWorker);
 
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
 }
 
 impl Leader {
-    /// `now` is the time on the holders' clock.
+    /// Returns a leader at the start of its term. `now` is the time on the holders' clock, here as in all methods.
     pub fn start_term(safety_checks: SafetyChecks, now: f64, state: LeaseStateMachine) -> Leader {
         let clock = LeaseClock::start_term(safety_checks, now * LEADER_CLOCK_RATE, state.leases.values());
         // No retries: repeating a batch could only make its confirmation arrive sooner.
--- a/fleet-coordinator/tests/lease_model/model_state.rs
+++ b/fleet-coordinator/tests/lease_model/model_state.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Requests confirmation of the received heartbeats, or acknowledges them immediately if read index is disabled. Follows
-    /// `LeaderState::request_confirmation`.
+    /// Requests the quorum's confirmation of the leader for the received heartbeats, or acknowledges them immediately if read
+    /// index is disabled. Follows `LeaderState::request_confirmation`.
     pub fn request_confirmation(&mut self, config: &ModelConfig, leader: usize) -> Option<()> {
         let leader = self.leaders[leader].as_mut()?;
         if config.safety_checks.read_index {
--- a/fleet-coordinator/tests/lease_model/state_key.rs
+++ b/fleet-coordinator/tests/lease_model/state_key.rs
@@ -178,7 +178,8 @@
         list
     }
 
-    /// A heartbeat can renew only the current lease, since no other lease is ever granted under the same token.
+    /// Encodes a received heartbeat, with the TTL of the current lease if it renews that. Other leases are left out: they have
+    /// ended, and their tokens are never granted again.
     fn heartbeat(&self, leader: usize, heartbeat: &ReceivedHeartbeat) -> Vec<u8> {
         let current = self.model_state.token_at(leader);
         let renewed_leases = heartbeat.leases.iter().filter(|renewed| current == Some(renewed.lease.token));
--- a/fleet-coordinator/tests/lease_model/steps.rs
+++ b/fleet-coordinator/tests/lease_model/steps.rs
@@ -198,6 +198,7 @@
         let leader_now = self.now * LEADER_CLOCK_RATE;
         let leader = self.leader_without_proposal()?;
         let lease = leader.state.leases.get(TASK)?.clone();
+        // With a negative retry time a release is due again at once: no proposal is pending here.
         if !leader.clock.start_release_if_expired(leader_now, &lease, -1.0) {
             return None;
         }
--- a/fleet-coordinator/tests/log_events.rs
+++ b/fleet-coordinator/tests/log_events.rs
@@ -11,9 +11,9 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Maximum wait for a log line.
+/// How long to wait for a log line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest write deadline, so that slow disk writes on a busy machine don't suspend the coordinator during the test.
+/// The longest valid write deadline, so that slow disk writes on a busy machine don't suspend the coordinator during the test.
 const LONG_WRITE_DEADLINE: &str = "write_overdue_ms = 60000";
 
 /// A coordinator process without peers, and its log.
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -70,7 +70,7 @@
         fleet
     }
 
-    /// Advances the time by one tick. Returns the messages that were sent.
+    /// Advances the time by one tick. Returns the messages that the coordinator sent.
     fn step(&mut self) -> Vec<ServerMessage> {
         self.now += TICK_S;
         self.coordinator.tick(self.now);
@@ -117,7 +117,7 @@
             ServerMessage::QueryResult { answer } => Some(answer),
             _ => None,
         });
-        answer.expect("response to the query")
+        answer.expect("no response to the query")
     }
 }
 
