--- a/examples/replace.rs
+++ b/examples/replace.rs
@@ -68,7 +68,7 @@
     Ok(response.starts_with("HTTP/1.1 200"))
 }
 
-/// Sends SIGTERM, and SIGKILL if the process does not exit in time.
+/// Sends SIGTERM, and SIGKILL if the process does not exit within [`EXIT_TIMEOUT`].
 fn stop(mut child: Child) -> Result<()> {
     Command::new("kill").args(["-TERM", &child.id().to_string()]).status()?;
     let deadline = Instant::now() + EXIT_TIMEOUT;
--- a/examples/toy_site.rs
+++ b/examples/toy_site.rs
@@ -1,7 +1,7 @@
 //! Minimal loopback peers for trying out the port worker: an executor whose runs only sleep, a records service that
 //! accepts every call, and a registry that prints the reports it receives. Not suitable for measurements.
 //!
-//! The addresses are those of `examples/config.json`; the README describes how to start both.
+//! The addresses are those of `examples/config.json`. The README describes how to start the peers and the worker.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -50,7 +50,7 @@
         Client { reader: BufReader::new(stream) }
     }
 
-    /// Writes text without changes.
+    /// Writes the text as it is.
     ///
     /// # Panics
     /// Panics if the connection is broken.
@@ -74,7 +74,7 @@
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
             assert!(
-                self.reader.read_line(&mut head).expect("a message") > 0,
+                self.reader.read_line(&mut head).expect("can't read a message") > 0,
                 "connection closed after {head:?}"
             );
         }
@@ -103,7 +103,7 @@
         self.read_response()
     }
 
-    /// Reads a response if one has arrived, without waiting; returns whether one had.
+    /// Reads a response if one has arrived, without waiting for it; returns whether one had arrived.
     ///
     /// # Panics
     /// Panics if the response is incomplete.
@@ -117,7 +117,8 @@
         available
     }
 
-    /// Whether the connection ends without another byte. A read that fails counts as the end, also by timeout.
+    /// Returns whether the connection ends before another byte arrives. A failed read counts as the end, and so does one that
+    /// times out.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 16]), Ok(0) | Err(_))
     }
--- a/test-support/src/executor.rs
+++ b/test-support/src/executor.rs
@@ -6,7 +6,8 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Instant;
 
-/// Gauges of a two-core executor with one core free; with these, the worker may start a third run.
+/// Gauges of a two-core executor with one core free, in the order of `ownStats` in the settings. With these, the worker may
+/// start a third run.
 const DEFAULT_GAUGES: [f64; 4] = [0.5, 1.0, 0.1, 3.0];
 /// Uptime of a warm executor (milliseconds).
 const WARM_UPTIME_MS: f64 = 3_600_000.0;
@@ -24,10 +25,11 @@
     reader: BufReader<TcpStream>,
     /// The sequence number of the last notice sent.
     pub last_notice: u64,
-    /// The gauges that it reports. By default one of two cores is free, so that the worker may start a third run.
+    /// The gauges that it reports, in the order of `ownStats` in the settings. By default one of two cores is free, so that the
+    /// worker may start a third run.
     pub gauges: [f64; 4],
-    /// Jobs that were started before this link. The worker may send their EXEC again if it was lost; such commands are
-    /// skipped.
+    /// Jobs that were started before this link. The worker may send EXEC commands again that were lost with an earlier link;
+    /// those for these jobs are skipped.
     pub started_jobs: Vec<Value>,
 }
 
@@ -62,7 +64,7 @@
         self.send_raw(&format!("{notice}\n"));
     }
 
-    /// Sends text without a line end, such as a part of a notice.
+    /// Sends text as it is, without adding a line end; it may be a part of a notice.
     ///
     /// # Panics
     /// Panics if the link is broken.
@@ -101,7 +103,7 @@
     /// Reads the next command other than a gauge query.
     ///
     /// # Panics
-    /// Panics if none arrives within [`TIMEOUT`] or the link is closed.
+    /// Panics if no such command arrives within [`TIMEOUT`] or the link is closed.
     pub fn read_command(&mut self) -> Value {
         self.read_command_or_end().expect("the executor link was closed")
     }
@@ -118,7 +120,7 @@
             match self.reader.read_line(&mut line) {
                 Ok(0) => return None,
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return None,
-                read => read.expect("a command"),
+                read => read.expect("can't read a command"),
             };
             let command: Value = serde_json::from_str(&line).unwrap();
             if command["type"] == "EXEC" && self.started_jobs.contains(&command["job"]) {
@@ -137,12 +139,15 @@
     /// Reads the commands up to the next gauge query, which the worker sends at every wake-up.
     ///
     /// # Panics
-    /// Panics if none arrives within [`TIMEOUT`] or the link is closed.
+    /// Panics if no gauge query arrives within [`TIMEOUT`] or the link is closed.
     pub fn read_commands_of_one_wakeup(&mut self) -> Vec<Value> {
         let mut commands = Vec::new();
         loop {
             let mut line = String::new();
-            assert!(self.reader.read_line(&mut line).expect("a command") > 0, "the executor link was closed");
+            assert!(
+                self.reader.read_line(&mut line).expect("can't read a command") > 0,
+                "the executor link was closed"
+            );
             let command: Value = serde_json::from_str(&line).unwrap();
             if command["type"] == "METER" {
                 self.send(&json!({"type": "METERS", "ref": command["ref"], "gauges": self.gauges}));
@@ -158,14 +163,16 @@
     /// # Panics
     /// Panics if the link is not closed within [`TIMEOUT`].
     pub fn read_remaining_commands(&mut self) -> Vec<Value> {
-        let lines = (&mut self.reader).lines().map(|l| serde_json::from_str(&l.expect("a command")).unwrap());
+        let lines = (&mut self.reader)
+            .lines()
+            .map(|l| serde_json::from_str(&l.expect("can't read a command")).unwrap());
         lines.filter(|c: &Value| c["type"] != "METER").collect()
     }
 
     /// Reads the next command and checks its type.
     ///
     /// # Panics
-    /// Panics if it is of another type or none arrives.
+    /// Panics if no command arrives, or one of another type.
     pub fn expect_command(&mut self, kind: &str) -> Value {
         let command = self.read_command();
         assert_eq!(command["type"], kind, "{command}");
--- a/test-support/src/records.rs
+++ b/test-support/src/records.rs
@@ -1,4 +1,4 @@
-//! A scripted records service, which runs call.
+//! A scripted records service: the downstream service that the worker calls for its runs.
 
 use crate::{accept_link, Client};
 use std::net::{SocketAddr, TcpListener};
--- a/test-support/src/registry.rs
+++ b/test-support/src/registry.rs
@@ -1,11 +1,11 @@
-//! A scripted registry, which workers send load reports to.
+//! A scripted registry, to which workers send load reports.
 
 use crate::TIMEOUT;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Instant;
 
-/// Upper bound on the length of a report.
+/// Upper bound on the length of a report (bytes).
 const MAX_REPORT_BYTES: usize = 64;
 
 /// A registry that receives the load reports of the worker `n1`.
@@ -21,7 +21,7 @@
     /// Panics if there is no free port.
     #[must_use]
     pub fn start() -> RegistryPeer {
-        RegistryPeer::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port")
+        RegistryPeer::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("can't bind a free loopback port")
     }
 
     /// Listens on this address; `None` if it is in use.
@@ -44,12 +44,12 @@
     /// Waits for a report with this state.
     ///
     /// # Panics
-    /// Panics if none arrives within [`TIMEOUT`].
+    /// Panics if no such report arrives within [`TIMEOUT`].
     pub fn wait_for_state(&self, state: &str) {
         let mut bytes = [0; MAX_REPORT_BYTES];
         let deadline = Instant::now() + TIMEOUT;
         loop {
-            // SIGSTOP and SIGCONT interrupt this wait (EINTR); that is not a missing report.
+            // SIGSTOP and SIGCONT to this process interrupt the wait (EINTR); the loop then repeats it.
             match self.socket.recv(&mut bytes) {
                 Ok(n) if bytes[..n] == *format!("BEAT n1 {state}").as_bytes() => return,
                 Ok(_) => {}
--- a/test-support/src/worker.rs
+++ b/test-support/src/worker.rs
@@ -96,7 +96,7 @@
     /// Waits for a log line that contains this text.
     ///
     /// # Panics
-    /// Panics if none arrives within [`TIMEOUT`].
+    /// Panics if no further log line arrives within [`TIMEOUT`].
     pub fn wait_log(&mut self, part: &str) -> String {
         loop {
             let line = self.lines.recv_timeout(TIMEOUT).unwrap_or_else(|_| {
@@ -153,7 +153,7 @@
     /// Waits until the worker reports this state to the registry.
     ///
     /// # Panics
-    /// Panics if it does not within [`TIMEOUT`].
+    /// Panics if no such report arrives within [`TIMEOUT`].
     pub fn wait_load_report(&self, state: &str) {
         self.registry.wait_for_state(state);
     }
@@ -164,7 +164,7 @@
     /// Panics if there is no console or no response.
     #[must_use]
     pub fn console_request(&self, method: &str, path: &str) -> (u16, String) {
-        let mut client = Client::connect(self.console.expect("a console"));
+        let mut client = Client::connect(self.console.expect("the worker has no console"));
         client.write(&format!("{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n"));
         let reply = client.read_response();
         assert_eq!(reply.header("Connection"), Some("close"));
@@ -174,7 +174,7 @@
     /// Waits until the console reports that the worker is ready.
     ///
     /// # Panics
-    /// Panics if it does not within [`TIMEOUT`].
+    /// Panics if the worker does not become ready within [`TIMEOUT`].
     pub fn wait_ready(&self) {
         let deadline = Instant::now() + TIMEOUT;
         while self.console_request("GET", "/-/ready").0 != 200 {
@@ -276,7 +276,7 @@
     /// Waits for the process to exit and returns whether its exit status is 0.
     ///
     /// # Panics
-    /// Panics if it does not exit within [`TIMEOUT`].
+    /// Panics if the process does not exit within [`TIMEOUT`].
     pub fn exits_successfully(&mut self) -> bool {
         let deadline = Instant::now() + TIMEOUT;
         loop {
