--- a/fleet-coordinator/src/bin/fleetctl.rs
+++ b/fleet-coordinator/src/bin/fleetctl.rs
@@ -1,5 +1,5 @@
-//! Command-line tool for operators of a fleet. Exit status: 0 success, 1 rejected, 2 invalid arguments, 3 no quorum in
-//! time.
+//! Command-line tool for operators of a fleet. Exit status: 0 success, 1 query rejected, 2 invalid arguments, 3 no quorum
+//! within the time given by `--wait`.
 
 use clap::{Parser, Subcommand};
 use fleet_coordinator::client::{query_all, query_leader, QueryOutcome};
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -1,7 +1,7 @@
 //! One coordinator without I/O: the replica, the leader's state, the roles of links, and operators' queries.
 //!
-//! The same code runs with sockets ([`crate::net`]) and in the testbed's virtual time. The caller assigns link numbers and
-//! never reuses them; received and sent frames are byte buffers.
+//! The same code runs with sockets ([`crate::net`]) and in the testbed's virtual time. The caller passes in the time on its
+//! clock (seconds), and assigns link numbers, which it never reuses. Received and sent frames are byte buffers.
 
 mod answers;
 mod frames;
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -1,5 +1,5 @@
 //! The leader's unreplicated state: it processes workers' heartbeats, renews their leases, grants free tasks, and releases
-//! expired leases. It does no I/O and is rebuilt at the start of each term.
+//! expired leases. It does no I/O and is rebuilt at the start of each term. Times are on the leader's clock (seconds).
 //!
 //! Invariants: a renewal is answered only after a quorum has confirmed, later than the renewal was received, that this
 //! member is the leader; a lease is released no sooner than its TTL after the last renewal that may have been answered, by
--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -1,5 +1,5 @@
-//! A leader's tracking of lease expiry, and of which renewals it may answer. It does no I/O; the caller passes in the time,
-//! and only differences between times matter.
+//! A leader's tracking of lease expiry, and of which renewals it may answer. It does no I/O; the caller passes in the time
+//! (seconds), and only differences between times matter.
 //!
 //! Invariants: a lease expires no sooner than its TTL after the last renewal that may have been answered, by this leader
 //! or an earlier one; a renewal is answered with no more than the TTL recorded when it was received, and not at all once
--- a/fleet-coordinator/src/net/inbound.rs
+++ b/fleet-coordinator/src/net/inbound.rs
@@ -155,7 +155,7 @@
     /// Closes a link; returns `false` if it was closed already.
     pub(super) fn close(&mut self, id: LinkId) -> bool {
         let Some(mut inbound) = self.links.remove(&id) else { return false };
-        // Tries once more to send the queued data, such as the answer to a rejected peer.
+        // Tries to send the data that is still queued.
         let _ = inbound.link.flush();
         true
     }
--- a/fleet-coordinator/src/net/peers.rs
+++ b/fleet-coordinator/src/net/peers.rs
@@ -56,7 +56,7 @@
 /// The result of polling a peer's link.
 #[derive(Default)]
 struct PollResult {
-    /// The peer's answer, if one was received; also if the link has ended after it.
+    /// The peer's answer, if one was received, even if the link failed right after it.
     answer: Option<PeerAnswer>,
     /// Whether the link failed and must be re-established.
     failed: bool,
@@ -127,7 +127,7 @@
             link.ok().map(|link| Connection { id: LinkId(number), link, stage: Stage::Connecting });
     }
 
-    /// Writes queued data, and disconnects if that fails.
+    /// Writes queued data; disconnects if that fails or more than [`MAX_QUEUED_BYTES`] remain queued.
     fn flush(&mut self) {
         let Some(connection) = self.connection.as_mut().filter(|c| c.stage != Stage::Connecting) else {
             return;
--- a/fleet-coordinator/src/replica/membership.rs
+++ b/fleet-coordinator/src/replica/membership.rs
@@ -103,7 +103,7 @@
                 unrecorded.push(MemberProgress { member, index });
             }
         }
-        // The record itself advances each member by one entry.
+        // The entry that records progress advances each member by one entry itself; that alone requires no new record.
         let moved = unrecorded.iter().any(|progress| progress.index > recorded(progress.member) + 1);
         let since_s = now - self.progress_recorded_at;
         let due =
--- a/fleet-coordinator/src/replica/raft_log.rs
+++ b/fleet-coordinator/src/replica/raft_log.rs
@@ -42,13 +42,13 @@
     }
 
     /// Returns the snapshot's index; 0 if there is none.
-    pub fn start(&self) -> u64 {
+    pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
     /// Returns the last entry's index, or the snapshot's if there are no entries.
     pub fn last(&self) -> u64 {
-        self.entries.last().map_or(self.start(), |entry| entry.index)
+        self.entries.last().map_or(self.snapshot_index(), |entry| entry.index)
     }
 
     pub fn entries_since_snapshot(&self) -> usize {
@@ -85,7 +85,7 @@
 
     /// Returns the position in `entries` of the entry with this index, which must be greater than the snapshot's.
     fn offset(&self, index: u64) -> usize {
-        (index - self.start() - 1) as usize
+        (index - self.snapshot_index() - 1) as usize
     }
 }
 
@@ -101,7 +101,7 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        if low <= self.start() {
+        if low <= self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
         if high > self.last() + 1 {
@@ -113,10 +113,10 @@
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        if index == self.start() {
+        if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        if index < self.start() {
+        if index < self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
         let entry = self.entries.get(self.offset(index));
@@ -124,7 +124,7 @@
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.start() + 1)
+        Ok(self.snapshot_index() + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
@@ -132,7 +132,7 @@
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> Result<Snapshot> {
-        if self.start() == 0 || self.start() < request_index {
+        if self.snapshot_index() == 0 || self.snapshot_index() < request_index {
             self.snapshot_wanted.set(true);
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -26,7 +26,7 @@
 impl PendingReady {
     /// Returns whether the messages wait for a later job than `persisted`, the last one that has finished; `None` stands for
     /// no job.
-    fn waits_beyond(&self, persisted: Option<DiskJobId>) -> bool {
+    fn waits_for_job_after(&self, persisted: Option<DiskJobId>) -> bool {
         self.job > persisted
     }
 }
@@ -110,7 +110,7 @@
         let Some(node) = &mut self.node else { return };
         let mut persisted_number = None;
         let mut snapshot_index = None;
-        while self.pending_ready.front().is_some_and(|pending| !pending.waits_beyond(job)) {
+        while self.pending_ready.front().is_some_and(|pending| !pending.waits_for_job_after(job)) {
             let Some(pending) = self.pending_ready.pop_front() else { break };
             persisted_number = Some(pending.ready_number);
             snapshot_index = snapshot_index.max(pending.snapshot_index);
@@ -187,7 +187,7 @@
         let Some(node) = &mut self.node else { return };
         let log = node.mut_store();
         let is_long = log.entries_since_snapshot() >= MAX_LOG_ENTRIES;
-        if self.applied > log.start() && (is_long || log.snapshot_wanted.get()) {
+        if self.applied > log.snapshot_index() && (is_long || log.snapshot_wanted.get()) {
             log.compact(self.applied, to_json(&self.state_machine));
             let snapshot = log.to_recovered(self.member).encode();
             self.start_job(now, DiskJob::Replace(snapshot));
--- a/fleet-coordinator/src/replica/startup.rs
+++ b/fleet-coordinator/src/replica/startup.rs
@@ -18,10 +18,11 @@
 const MAX_UNCOMMITTED_BYTES: u64 = 4 * 1024 * 1024;
 
 impl Replica {
-    /// Bootstraps a new fleet; all coordinators must pass the same list. Does nothing unless this member is uninitialized.
-    pub fn bootstrap(&mut self, now: f64, coordinators: &[String], own: &str) {
+    /// Bootstraps a new fleet of these coordinators; all of them must pass the same list. Does nothing unless this member is
+    /// uninitialized.
+    pub fn bootstrap(&mut self, now: f64, coordinators: &[String], own_name: &str) {
         let state_machine = LeaseStateMachine::bootstrap(coordinators);
-        let Some(member) = state_machine.member(own) else { return };
+        let Some(member) = state_machine.member(own_name) else { return };
         let mut log = RecoveredLog { member, ..RecoveredLog::default() };
         log.snapshot.data = super::ready::to_json(&state_machine).into();
         let metadata = log.snapshot.mut_metadata();
--- a/fleet-coordinator/src/replica/status.rs
+++ b/fleet-coordinator/src/replica/status.rs
@@ -10,7 +10,7 @@
 pub enum MemberStatus {
     /// Its disk is being opened and its log recovered.
     Recovering,
-    /// Its disk holds no member: it is an initial member, a new member, or one that has lost its disk.
+    /// Its disk holds no member's log: it is an initial member, a new member, or one that has lost its disk.
     Uninitialized(Uninitialized),
     /// It participates.
     Active,
--- a/fleet-coordinator/tests/lease_model/state_key.rs
+++ b/fleet-coordinator/tests/lease_model/state_key.rs
@@ -15,7 +15,7 @@
 use port_worker::fleet::lease_holder::OutstandingHeartbeat;
 use std::collections::BTreeSet;
 
-/// Markers of absent values, and separators between parts of variable length. Ranks and times are far lower.
+// Markers of absent values, and separators between parts of variable length. Ranks and times are far lower.
 const NO_LEADER: u8 = 250;
 const LEADER: u8 = 251;
 const LIST_ITEM: u8 = 252;
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -1,8 +1,8 @@
 //! Shared support code for the port worker's integration tests: a worker process under test, its clients, and scripted
 //! peers that stand in for the executor, the records service and the registry.
 //!
-//! Every wait is for a condition and is bounded by [`TIMEOUT`], which is far longer than a slow machine needs. A failed
-//! expectation panics and so fails the test.
+//! Every wait ends when a condition holds, or fails after [`TIMEOUT`], which is far longer than any wait takes on a slow
+//! machine. A failed expectation panics and so fails the test.
 
 mod client;
 mod executor;
--- a/test-support/src/program.rs
+++ b/test-support/src/program.rs
@@ -6,7 +6,7 @@
 use std::os::fd::AsRawFd;
 use std::process::{Command, Stdio};
 
-/// The worker's executable. Cargo gives its path only to the integration tests of its own package:
+/// The worker's executable. Cargo gives its path only to the integration tests of the worker's package, which declare
 /// `const WORKER: WorkerProgram = WorkerProgram::new(env!("CARGO_BIN_EXE_port-worker"));`
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerProgram {
