--- a/fleet-coordinator/src/replica/ready.rs
+++ b/fleet-coordinator/src/replica/ready.rs
@@ -12,7 +12,7 @@
 /// The number of entries after which the log is compacted into a snapshot.
 const MAX_LOG_ENTRIES: usize = 4096;
 
-/// Messages that wait for a disk job.
+/// Messages that are sent once a disk job and all earlier ones have finished.
 pub(super) struct PendingReady {
     /// The number of the library's `Ready`.
     ready_number: u64,
@@ -24,8 +24,9 @@
 }
 
 impl PendingReady {
-    /// Returns whether this waits for a job later than `persisted`; `None` means that no job has finished.
-    fn waits_beyond(&self, persisted: Option<DiskJobId>) -> bool {
+    /// Returns whether the messages wait for a later job than `persisted`, the last one that has finished; `None` stands for
+    /// no job.
+    fn waits_for_job_after(&self, persisted: Option<DiskJobId>) -> bool {
         self.job > persisted
     }
 }
@@ -79,7 +80,7 @@
         Ok(())
     }
 
-    /// Replaces log and state with a leader's snapshot; returns its index.
+    /// Replaces the log and the state with those of a leader's snapshot; returns the snapshot's index.
     fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<u64, UnreadableSnapshot> {
         self.state_machine = serde_json::from_slice(&snapshot.data).map_err(UnreadableSnapshot)?;
         if let Some(node) = &mut self.node {
@@ -109,7 +110,7 @@
         let Some(node) = &mut self.node else { return };
         let mut persisted_number = None;
         let mut snapshot_index = None;
-        while self.pending_ready.front().is_some_and(|pending| !pending.waits_beyond(job)) {
+        while self.pending_ready.front().is_some_and(|pending| !pending.waits_for_job_after(job)) {
             let Some(pending) = self.pending_ready.pop_front() else { break };
             persisted_number = Some(pending.ready_number);
             snapshot_index = snapshot_index.max(pending.snapshot_index);
@@ -137,6 +138,7 @@
         if entry.get_entry_type() != EntryType::EntryNormal {
             return self.apply_member_change(now, entry);
         }
+        // The first entry of a leader's term is empty.
         if entry.data.is_empty() {
             return;
         }
@@ -185,7 +187,7 @@
         let Some(node) = &mut self.node else { return };
         let log = node.mut_store();
         let is_long = log.entries_since_snapshot() >= MAX_LOG_ENTRIES;
-        if self.applied > log.start() && (is_long || log.snapshot_wanted.get()) {
+        if self.applied > log.snapshot_index() && (is_long || log.snapshot_wanted.get()) {
             log.compact(self.applied, to_json(&self.state_machine));
             let snapshot = log.to_recovered(self.member).encode();
             self.start_job(now, DiskJob::Replace(snapshot));
--- a/fleet-coordinator/tests/lease_model/state_key.rs
+++ b/fleet-coordinator/tests/lease_model/state_key.rs
@@ -15,7 +15,7 @@
 use port_worker::fleet::lease_holder::OutstandingHeartbeat;
 use std::collections::BTreeSet;
 
-/// Markers of absent values, and separators between parts of variable length. Ranks and times are far lower.
+// Markers of absent values, and separators between parts of variable length. Ranks and times are far lower.
 const NO_LEADER: u8 = 250;
 const LEADER: u8 = 251;
 const LIST_ITEM: u8 = 252;
@@ -178,7 +178,8 @@
         list
     }
 
-    /// A heartbeat can renew only the current lease, since no other lease is ever granted under the same token.
+    /// Encodes a received heartbeat, with the TTL of the current lease if it renews that. Other leases are left out: they have
+    /// ended, and their tokens are never granted again.
     fn heartbeat(&self, leader: usize, heartbeat: &ReceivedHeartbeat) -> Vec<u8> {
         let current = self.model_state.token_at(leader);
         let renewed_leases = heartbeat.leases.iter().filter(|renewed| current == Some(renewed.lease.token));
