--- a/testbed/src/fleet/compatibility/fleet_upgrade.rs
+++ b/testbed/src/fleet/compatibility/fleet_upgrade.rs
@@ -20,6 +20,7 @@
 const UPGRADED_WORKERS: [&str; 3] = ["w1", "w3", "w5"];
 /// Number of accepted calls of each task after which a stage counts as working.
 const CALLS: usize = 3;
+/// Time in which each condition of a stage must hold.
 const TIMEOUT: Duration = Duration::from_secs(40);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -74,14 +75,14 @@
     results: &mut Vec<CheckResult>,
 ) -> Result<(), TestbedError> {
     let before = accepted_calls(rig);
-    let are_tasks_carried_out = wait(|| {
+    let all_tasks_carried_out = wait(|| {
         let now = accepted_calls(rig);
         rig.file.tasks.iter().all(|task| count(&now, &task.name) >= count(&before, &task.name) + CALLS)
     });
     results.push(CheckResult {
         subject: format!("tasks, {stage}"),
-        passed: are_tasks_carried_out,
-        observed: format!("{CALLS} more calls of each task: {are_tasks_carried_out}"),
+        passed: all_tasks_carried_out,
+        observed: format!("{CALLS} more calls of each task: {all_tasks_carried_out}"),
     });
     results.push(move_lease(rig, stage)?);
     let serving = rig.workers().iter().filter(|name| serves(rig, name)).count();
--- a/testbed/src/fleet/compatibility/fleetctl.rs
+++ b/testbed/src/fleet/compatibility/fleetctl.rs
@@ -6,10 +6,10 @@
 use serde_json::{Map, Value};
 use std::process::Command;
 
-/// Queries that change nothing.
+/// Queries of `fleetctl`, all of them read-only.
 const QUERIES: [&str; 5] = ["status", "members", "leases", "tasks", "overload"];
-/// Number of times that a query is compared before its answers count as different: a lease that moves between the calls of
-/// the two builds also makes them differ.
+/// Number of comparisons after which the answers to a query count as different. One comparison is not enough, since a lease
+/// that moves between the calls of the two builds also makes the answers differ.
 const MAX_ATTEMPTS: usize = 5;
 
 /// Runs each query with both builds; `stage` names the state of the fleet in the result.
--- a/testbed/src/fleet/compatibility/hot_restart.rs
+++ b/testbed/src/fleet/compatibility/hot_restart.rs
@@ -54,7 +54,7 @@
             subject: subject.clone(),
             passed: is_answered && counts.served > counts.rejected,
             observed: format!(
-                "{} requests: {} served, {} rejected, {} failed, {} without one response",
+                "{} requests: {} served, {} rejected, {} failed, {} without exactly one response",
                 counts.sent, counts.served, counts.rejected, counts.failed, counts.unanswered
             ),
         },
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -32,6 +32,7 @@
     Ok(start.elapsed().as_secs_f64())
 }
 
+/// Returns the holder and the end time (milliseconds) of the last accepted call; an empty name and 0 before the first.
 fn last_call(rig: &Rig) -> (String, u64) {
     let call = rig.task_calls().into_iter().rfind(|call| call.accepted);
     call.map_or_else(|| (String::new(), 0), |call| (call.holder, call.end_ms))
@@ -45,8 +46,8 @@
     format!("p50 {:.2} s, p90 {:.2} s, max {:.2} s of {}", at(0.5), at(0.9), at(1.0), seconds.len())
 }
 
-/// Measures the time until another worker carries out the task, after its holder was killed and after it was partitioned
-/// from the coordinators.
+/// Measures the time until another worker carries out the task: `times` times after the holder was killed, and `times`
+/// times after the holder was partitioned from the coordinators.
 ///
 /// # Errors
 /// A process does not start, no takeover happens in time, or a guarantee was violated.
@@ -113,7 +114,7 @@
         Ok(self.stream.write_all(&encode(message))?)
     }
 
-    /// Reads messages until `extract` extracts a value from one; `None` if no message arrives within the read timeout.
+    /// Reads messages until `extract` returns a value for one; `None` if no message arrives within the read timeout.
     fn read_until<T>(
         &mut self,
         extract: impl Fn(&ServerMessage) -> Option<T>,
@@ -136,8 +137,8 @@
     }
 }
 
-/// Measures the rate at which leases are granted and released, each lease by two log commands, with this many takers of one
-/// task each, and the memory of the leader meanwhile.
+/// Measures the rate at which the leader grants and releases leases, and its memory meanwhile. Each of the `takers` is a
+/// session that acquires and releases the lease of its own task for `for_s` seconds; a lease takes two log commands.
 ///
 /// # Errors
 /// A process does not start, or a session fails.
@@ -161,7 +162,7 @@
     let run_taker = |n: usize| -> Result<u64, TestbedError> {
         let stream = TcpStream::connect(at)?;
         let _ = stream.set_nodelay(true);
-        // A request for a lease that arrives while the lease is still being freed is ignored, so it is repeated after this time.
+        // The leader ignores a request for a lease that it is still freeing, so the taker repeats its request after 20 ms.
         let _ = stream.set_read_timeout(Some(Duration::from_millis(20)));
         let mut taker = LeaseTaker { stream, data: Vec::new() };
         let (fleet, process) = ("cost".to_owned(), n as u64 + 1);
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -26,6 +26,7 @@
     Healthy,
     Killed,
     Suspended,
+    /// The links of the worker are cut and healed in turn, every [`FLAP_INTERVAL`].
     Flapping,
 }
 
@@ -53,7 +54,7 @@
 }
 
 /// Runs each seed with and without `[fleet]` in each state, and returns a table of the ratios. `healthy_only` omits the other
-/// states and the requests to the console, whose own cost grows with what it shows.
+/// states, and also the requests to the console, whose cost grows with the length of its response.
 ///
 /// # Errors
 /// A process does not start.
--- a/testbed/src/fleet/overload_storm/result.rs
+++ b/testbed/src/fleet/overload_storm/result.rs
@@ -35,8 +35,9 @@
         seconds.iter().sum::<f64>() / (seconds.len() as f64).max(1.0)
     }
 
-    /// Returns the time from the second `end` until two consecutive seconds earned 95% of the mean weight between second 3
-    /// and `start`; infinite if none did.
+    /// Returns the recovery time (seconds) from a disturbance between the seconds `start` and `end`: the time from `end`
+    /// until the mean weight of two consecutive seconds is at least 95% of the mean between second 3 and `start`. Infinite
+    /// if it never is.
     #[must_use]
     pub fn recovery_s(&self, start: usize, end: usize) -> f64 {
         let expected = self.mean_weight(3, start) * 0.95;
--- a/testbed/src/fleet/overload_storm/scenario.rs
+++ b/testbed/src/fleet/overload_storm/scenario.rs
@@ -21,7 +21,7 @@
     pub slots_per_worker: f64,
     /// Largest number of retries that a client makes.
     pub max_retries: u32,
-    /// Fraction of routers that ignore Retry-After advice and the limit on retries.
+    /// Fraction of requests whose router ignores Retry-After advice and the limit on retries.
     pub share_ignoring_advice: f64,
     /// Mode of overload control.
     pub mode: FleetMode,
@@ -29,7 +29,7 @@
     pub digest_delay_s: f64,
 }
 
-/// Mode of overload control, or its fault.
+/// Mode of overload control; the last three modes have a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetMode {
     /// Every worker decides alone, as without `[fleet.overload]`.
--- a/testbed/src/fleet/overload_storm/worker.rs
+++ b/testbed/src/fleet/overload_storm/worker.rs
@@ -37,14 +37,16 @@
     pub client: FleetOverloadClient,
     pub wakes_at: f64,
     pub busy: BusyReading,
-    /// Time of the next load report, and the number of reports sent.
+    /// Time of the next load report.
     pub next_report: f64,
+    /// Number of load reports sent.
     pub reports: u64,
     /// Attempts without a response, by ticket.
     pub attempts_in_flight: BTreeMap<u64, Attempt>,
     /// Whether each ended run skipped its downstream call, by ticket.
     pub degraded: BTreeMap<u64, bool>,
-    /// Deadlines of runs; like the platform's executor, the simulated one ends a run that is at a call at its deadline.
+    /// Deadline (microseconds) and name of each run. Like the platform's executor, the simulated one ends a run that waits
+    /// for a downstream call when its deadline passes.
     pub run_deadlines: BTreeSet<(u64, Rc<str>)>,
     pub pending_inputs: Vec<Input>,
 }
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Collects the executor's notices, and ends runs at a call whose deadline has passed.
+    /// Collects the executor's notices, and ends the runs that wait for a downstream call after their deadline.
     fn gather(&mut self, now: f64) {
         for (_, notice) in self.executor.advance(now) {
             self.pending_inputs.push(match notice {
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -85,7 +85,7 @@
     reports: ReportExchange,
     /// Attempts in each second.
     counts: Vec<AttemptCounts>,
-    /// Timeout of each call in flight.
+    /// Time at which each call in flight times out.
     call_timeouts: BTreeMap<(usize, Rc<str>), f64>,
     pub result: StormResult,
 }
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -12,14 +12,16 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// Fleet that the faults are injected into.
 const FLEET: &str =
     "fleet = \"campaign\"\ncoordinators = 5\nworkers = 8\nzones = [\"east\", \"west\"]\nwork_ms = 30\n\
     [[task]]\nname = \"report\"\nperiod_s = 0.4\nttl_ms = 2000\ndeadline_ms = 300\nsafe = false\n\
     [[task]]\nname = \"refresh\"\nperiod_s = 0.3\nttl_ms = 3000\ndeadline_ms = 300\nsafe = true\n";
+/// Names of the tasks in [`FLEET`].
 const TASKS: [&str; 2] = ["report", "refresh"];
 /// Mean time between faults (seconds).
 const MEAN_FAULT_INTERVAL_S: f64 = 1.0;
-/// Time after the last fault in which every task must be carried out again.
+/// Time in which every task must be carried out twice before the faults, and three times after the last.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Largest number of runs used to shrink a schedule.
 const MAX_SHRINK_RUNS: usize = 40;
@@ -42,7 +44,7 @@
     Kill(String),
     /// The process is suspended.
     Pause(String),
-    /// The process's disk is full.
+    /// Writes of the process fail, as on a full disk.
     Fill(String),
     /// The worker is hot restarted.
     Replace(String),
@@ -170,7 +172,8 @@
             85..=92 => FaultAction::Reset { from, to },
             _ => FaultAction::Replace(worker),
         };
-        // A hot restart waits until the successor is ready; no other fault may affect that worker meanwhile.
+        // A hot restart waits until the successor is ready, for which the schedule allows 2 s. No other fault may affect
+        // that worker meanwhile, so there are 2 s between a hot restart and any other fault of the worker.
         let names: Vec<String> = action.names().into_iter().map(str::to_owned).collect();
         let is_replacement = matches!(action, FaultAction::Replace(_));
         let conflicts = faults.iter().any(|f| {
@@ -218,10 +221,11 @@
     let start = Instant::now();
     for (at_ms, begins, fault) in steps {
         std::thread::sleep(Duration::from_millis(at_ms).saturating_sub(start.elapsed()));
-        // A fault that overlaps another may have no effect.
+        // With overlapping faults a step may fail, for instance because the process is already killed; the others still run.
         let _ = if begins { fault.action.begin(&mut rig) } else { fault.action.end(&mut rig) };
     }
-    // With overlapping faults on one process, the end of the first may leave the effect of the second in place.
+    // The end of a fault may have failed, for instance because a restart timed out. Every process must run normally again
+    // before the recovery is measured.
     let names: Vec<String> = rig.coordinators().into_iter().chain(rig.workers()).collect();
     for name in &names {
         let _ = rig.resume(name);
@@ -293,8 +297,9 @@
 /// A seed, its number of faults, the report, and the shrunk schedule if a guarantee was violated.
 type SeedResult = (u64, usize, CampaignReport, Vec<Fault>);
 
-/// Runs seeds from `from` on for `for_s` seconds, in `concurrent_fleets` lanes. Returns a summary, and `true` if no guarantee
-/// was violated.
+/// Runs the schedules of consecutive seeds, beginning with `from`, and starts new ones for `for_s` seconds; each injects
+/// faults for `faults_s` seconds, and `concurrent_fleets` run at a time. A schedule that violates a guarantee is shrunk.
+/// Returns a summary, and `true` if no guarantee was violated.
 ///
 /// # Errors
 /// A fleet does not start.
--- a/testbed/src/fleet/relay.rs
+++ b/testbed/src/fleet/relay.rs
@@ -65,7 +65,7 @@
         *lock(&self.shared.target) = target;
     }
 
-    /// Starts or ends holding back the bytes from one process to the other.
+    /// Starts or ends a cut of the direction between these processes; a relay between other processes ignores it.
     pub fn set_cut(&self, from: &str, to: &str, cut: bool) {
         if (self.from.as_str(), self.to.as_str()) == (from, to) {
             self.shared.cut[0].store(cut, Ordering::Relaxed);
@@ -114,6 +114,7 @@
     let _ = return_thread.join();
 }
 
+/// Copies bytes in one direction, an index of [`Shared::cut`], until the connection ends or is reset.
 fn copy_bytes(shared: &Shared, direction: usize, generation: u64, mut from: &TcpStream, mut to: &TcpStream) {
     let _ = from.set_read_timeout(Some(Duration::from_millis(50)));
     let mut buffer = [0; 16 * 1024];
--- a/testbed/src/fleet/rig/faults_command.rs
+++ b/testbed/src/fleet/rig/faults_command.rs
@@ -12,7 +12,7 @@
 
 /// Reply to a command that was carried out.
 const DONE: &str = "done";
-/// Time in which a command must arrive.
+/// Time in which a command must arrive on an accepted connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval between polls for commands.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/testbed/src/fleet/rig/mod.rs
+++ b/testbed/src/fleet/rig/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes on loopback. A relay connects any two that communicate, and tests inject faults there and into
-//! the processes. Dropping a rig kills the processes that it started, each through its own handle, and no others.
+//! A fleet of real processes on loopback, which communicate through relays. Tests inject network faults into the relays and
+//! other faults into the processes. Dropping a rig kills only the processes that it started, each through its own handle.
 
 mod calls;
 mod configuration;
@@ -43,7 +43,7 @@
     programs: Programs,
     relays: Vec<Relay>,
     processes: Vec<Process>,
-    /// Downstream service of all workers, with fleet-wide overload control.
+    /// Downstream service of all workers; `None` without fleet-wide overload control.
     pub service: Option<Service>,
     experiment: Experiment,
     clock: Clock,
@@ -51,7 +51,7 @@
     stop: Arc<AtomicBool>,
     /// Listening sockets of the workers, by index.
     listeners: Vec<socket2::Socket>,
-    /// Address that accepts fault commands.
+    /// Address on which `testbed fleet` accepts fault commands.
     control: Option<SocketAddr>,
 }
 
@@ -64,7 +64,7 @@
         Rig::start_with(file, folder, programs, Fencing::Enforced)
     }
 
-    /// Starts the fleet like [`Rig::start`], with a resource that may accept every fencing token.
+    /// Starts the fleet like [`Rig::start`]; `fencing` says whether the task resource rejects outdated fencing tokens.
     ///
     /// # Errors
     /// A process does not start.
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -24,7 +24,7 @@
     pub name: String,
     pub child: Child,
     lines: Arc<Mutex<Vec<String>>>,
-    /// Whether it was neither killed nor seen to end.
+    /// Whether the process runs, as far as the rig knows: `false` once the rig has killed or terminated it.
     pub alive: bool,
     pub listen: Option<SocketAddr>,
     pub console: Option<SocketAddr>,
@@ -48,6 +48,7 @@
                 return parsed.map_err(|_| TestbedError::NoAddress { name: self.name.clone(), found: text });
             }
             if let Ok(Some(status)) = self.child.try_wait() {
+                // The thread that reads the log may not have reached the last lines yet.
                 thread::sleep(Duration::from_millis(50));
                 let log = lock(&self.lines).clone();
                 return Err(TestbedError::EndedAtStart { name: self.name.clone(), status, log });
@@ -98,7 +99,7 @@
             .ok_or_else(|| TestbedError::UnknownProcess { name: name.to_owned() })?;
         let executor = TcpListener::bind("127.0.0.1:0")?;
         let executor_address = executor.local_addr()?;
-        // The executor's thread ends with the fleet.
+        // The executor's thread is not joined; it ends once the rig has set `stop`.
         drop(serve_executor(executor, &self.experiment, self.clock, &self.stop));
         let listen = self.listeners[number]
             .local_addr()
@@ -173,7 +174,7 @@
         kill_process(pid, signal).map_err(|e| TestbedError::component(name)(e.into()))
     }
 
-    /// Kills a process with SIGKILL; relays to it then have no target.
+    /// Kills a process with SIGKILL. The relays to it then close new connections.
     ///
     /// # Errors
     /// There is no such process, or it is not running.
@@ -190,7 +191,7 @@
     /// Starts a process that has ended, with the data that it left.
     ///
     /// # Errors
-    /// It is still running, or does not start.
+    /// There is no such process, it is still running, or it does not start.
     pub fn restart(&mut self, name: &str) -> Result<(), TestbedError> {
         if self.process(name)?.alive {
             return Err(TestbedError::Running { name: name.to_owned() });
--- a/testbed/src/fleet/rig/relays.rs
+++ b/testbed/src/fleet/rig/relays.rs
@@ -77,7 +77,7 @@
         self.relays_between(from, to).for_each(Relay::reset);
     }
 
-    /// Delays data between two processes, in each direction.
+    /// Delays each block of data between two processes by `delay_ms`, in both directions.
     pub fn delay(&mut self, from: &str, to: &str, delay_ms: u64) {
         self.relays_between(from, to).for_each(|relay| relay.set_delay_ms(delay_ms));
     }
--- a/testbed/src/fleet/routers.rs
+++ b/testbed/src/fleet/routers.rs
@@ -39,7 +39,8 @@
 }
 
 impl Routers {
-    /// Starts sending requests of a class at this rate to workers, in proportion to their weights.
+    /// Starts sending `per_s` requests of a class per second. `workers` are addresses with weights: each worker receives
+    /// requests in proportion to its weight.
     #[must_use]
     pub fn start(workers: &[(SocketAddr, usize)], class: &ClassModel, per_s: f64) -> Routers {
         let workers: Vec<SocketAddr> = workers.iter().flat_map(|(worker, n)| vec![*worker; *n]).collect();
--- a/testbed/src/fleet/service.rs
+++ b/testbed/src/fleet/service.rs
@@ -1,4 +1,4 @@
-//! The records service that all workers of a fleet share. It responds after a set time, fails all calls on command, and
+//! The records service that all workers of a fleet share. It responds after a set time, can be set to fail all calls, and
 //! counts its calls and those in flight.
 
 use crate::error::TestbedError;
--- a/testbed/src/fleet/session_load.rs
+++ b/testbed/src/fleet/session_load.rs
@@ -1,4 +1,5 @@
-//! Many workers' sessions in one process, without the workers: the production [`FleetMember`] on plain sockets.
+//! Sessions of many workers in one process. Each is a production [`FleetMember`] on a plain socket, without the rest of the
+//! worker.
 
 use port_worker::fleet::frame::{decode, encode, ServerMessage, MAX_SERVER_FRAME_BYTES};
 use port_worker::fleet::tasks::Schedule;
@@ -23,7 +24,8 @@
 }
 
 impl SessionLoad {
-    /// Creates sessions that compete for the leases of the tasks `wants`. Their period is a day, and calls are ignored.
+    /// Creates sessions that compete for the leases of the tasks `wants`. The tasks have a period of one day, and calls that
+    /// become due are ignored.
     #[must_use]
     pub fn new(count: usize, fleet: &str, coordinators: &[SocketAddr], wants: &[&str]) -> SessionLoad {
         let schedule = |name: &&str| Schedule {
@@ -136,14 +138,14 @@
                         self.stream = Some(stream);
                         self.received_bytes.clear();
                         self.member.connected();
-                        // Its hello is sent in the next turn.
+                        // The next turn sends the member's hello.
                     }
                     Err(_) => self.member.disconnected(now),
                 },
                 MemberAction::Send(message) => {
                     let bytes = encode(&message);
                     up += bytes.len() as u64;
-                    // A whole frame fits into the socket's send buffer, since frames are far smaller.
+                    // A frame is far smaller than the socket's send buffer, so the write takes all of it.
                     let sent = self.stream.as_mut().map_or(true, |s| s.write_all(&bytes).is_ok());
                     if !sent {
                         self.disconnect(now);
--- a/testbed/src/fleet/task_log.rs
+++ b/testbed/src/fleet/task_log.rs
@@ -20,7 +20,7 @@
 pub enum Fencing {
     /// Calls with outdated tokens are rejected.
     Enforced,
-    /// Every token is accepted, to verify that the review detects the violations.
+    /// Every token is accepted, so that a test can verify that [`find_violations`] detects the violations.
     Disabled,
 }
 
@@ -37,9 +37,9 @@
     pub begin_ms: u64,
     /// End time (milliseconds).
     pub end_ms: u64,
-    /// Whether it was carried out.
+    /// Whether the resource carried out the call.
     pub accepted: bool,
-    /// Period of the task that it is for.
+    /// Period of the task that the call belongs to.
     pub period: u64,
 }
 
@@ -116,7 +116,7 @@
             if stale {
                 Err("409 Conflict")
             } else if record.completed.contains(&period) {
-                // It was carried out in this period already, so the caller may rely on it.
+                // The task was already carried out for this period, so the caller gets a success.
                 Err("200 OK")
             } else {
                 Ok(())
--- a/testbed/src/fleet/virtual_fleet/campaign.rs
+++ b/testbed/src/fleet/virtual_fleet/campaign.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns all results by seed; those of a thread that panicked are missing.
+/// Returns all results in order of their seeds; those of a thread that panicked are missing.
 fn simulate_all(scenario: &Scenario, from: u64, seeds: u64) -> Vec<SeedResult> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(MAX_THREADS) as u64;
     let mut results: Vec<SeedResult> = std::thread::scope(|scope| {
--- a/testbed/src/fleet/virtual_fleet/faults.rs
+++ b/testbed/src/fleet/virtual_fleet/faults.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Injects a random fault and schedules the next; at the end of the fault phase, ends all faults instead.
+    /// Injects a random fault and schedules the next; after the fault phase, calls `repair` instead.
     pub fn inject_fault(&mut self) {
         if self.now >= self.scenario.fault_phase_s {
             return self.repair();
@@ -67,7 +67,8 @@
             12 => self.fill_disk(target),
             13 => self.crash_all_coordinators(),
             15 => self.isolate_zone(target),
-            // Only while all replicas are up to date: a quorum of three does not survive two lost disks.
+            // One disk is lost per run, and only while all replicas are up to date: three coordinators have no quorum with
+            // the data once two of them have lost it or lack it.
             14 if self.report.lost_disks == 0 && self.all_up_to_date() => self.lose_disk(target),
             _ => self.reload_with_next_epoch(),
         };
@@ -242,7 +243,8 @@
             })
     }
 
-    /// Ends all faults.
+    /// Ends all partitions and disk faults, and starts the workers that are not running. Suspended processes resume, and
+    /// killed coordinators start, at the end that was drawn for their faults.
     fn repair(&mut self) {
         self.network.heal();
         for coordinator in &mut self.coordinators {
--- a/testbed/src/fleet/virtual_fleet/links.rs
+++ b/testbed/src/fleet/virtual_fleet/links.rs
@@ -21,7 +21,7 @@
 pub(super) struct LinkDirection {
     /// Arrival time of the last frame sent; later frames must not overtake it.
     pub last_arrival: f64,
-    /// A frame was lost, so nothing more is delivered in this direction, as on a broken TCP stream.
+    /// Whether a frame was lost; if so, nothing more is delivered in this direction, as on a broken TCP stream.
     pub lost: bool,
 }
 
--- a/testbed/src/fleet/virtual_fleet/processes.rs
+++ b/testbed/src/fleet/virtual_fleet/processes.rs
@@ -163,7 +163,7 @@
         process.member = None;
         process.incarnation += 1;
         for task in &mut self.tasks {
-            // A process that was killed makes no further calls.
+            // A killed process makes no further calls, so it no longer counts as a holder.
             task.claims.remove(&worker);
         }
     }
--- a/testbed/src/fleet/virtual_fleet/review.rs
+++ b/testbed/src/fleet/virtual_fleet/review.rs
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Checks mutual exclusion: no other worker may believe that it holds a task that this worker believes to hold.
+    /// Checks mutual exclusion: while this worker believes that it holds a task, no other worker may believe that it does.
+    /// Also records the intervals in which no worker holds a task.
     pub fn check_claims(&mut self, worker: usize) {
         let Some(member) = &self.workers[worker].member else { return };
         let clock = &self.workers[worker].clock;
@@ -104,7 +105,8 @@
         self.schedule(self.now + duration_s, Event::CallCompletes { worker, incarnation, call });
     }
 
-    /// Completes a call at the resource, unless it was aborted, and checks that tokens and periods never decrease.
+    /// Completes a call at the resource, unless it was aborted. Checks that fencing tokens never decrease, and that the
+    /// periods of a task that is not idempotent never decrease.
     pub fn call_completes(&mut self, worker: usize, incarnation: u64, call: &ScheduledCall) {
         let token = call.lease.token;
         let record = &mut self.tasks[call.task];
