--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -8,19 +8,19 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-/// A retry is not made if it would have less time than this until the deadline (seconds).
+/// The shortest time to the deadline with which a retry is still made (seconds).
 const MIN_RETRY_TIME_LEFT_S: f64 = 0.05;
 
 /// A request as its client plans it; it may take several attempts.
 #[derive(Clone, Debug)]
 pub struct PlannedRequest {
-    /// Its index among all requests of the trial.
+    /// The index of the request among all requests of the trial.
     pub number: usize,
     /// When it is due to be sent (seconds from the start); latencies count from here.
     pub at: f64,
     /// The index of its class in the experiment.
     pub class: usize,
-    /// The work that it asks of the executor.
+    /// The work that the request asks of the executor.
     pub work: Work,
     /// The memory need that the caller declares (kilobytes).
     pub memory_kb: f64,
@@ -44,8 +44,8 @@
     let Ok(gaps) = Exp::new(1.0f64) else { return Vec::new() };
     let (mut at, mut requests) = (0.0, Vec::new());
     loop {
-        // An inhomogeneous Poisson process: a unit-rate gap divided by the current rate. The gaps are short in
-        // comparison with the rate steps.
+        // An inhomogeneous Poisson process: each gap is drawn at a rate of 1 and divided by the current rate, which is taken
+        // as constant during the gap, since gaps are much shorter than rate steps.
         let weights: Vec<f64> = experiment.class.iter().map(|c| c.share * rate_factor(&c.jump, at)).collect();
         let total: f64 = weights.iter().sum();
         let current_rate = rate * rate_factor(&experiment.jump, at) * total;
--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -229,7 +229,7 @@
         to: String,
     },
     /// There is no fault with this name and these arguments.
-    #[error("unknown fault: {words}")]
+    #[error("unknown fault: {words}; expected cut A B [--one-way], heal A B, or pause, resume, kill, start, fill, free NAME")]
     UnknownFault {
         /// The command line of the fault.
         words: String,
@@ -263,7 +263,7 @@
         line: String,
     },
     /// The experiment's worker exited with a failure status after SIGTERM.
-    #[error("the worker failed: {status}")]
+    #[error("the worker exited after SIGTERM with {status}; expected exit status 0")]
     WorkerExit {
         /// Its exit status.
         status: ExitStatus,
--- a/testbed/src/error/tests.rs
+++ b/testbed/src/error/tests.rs
@@ -36,7 +36,10 @@
         (TestbedError::SuccessorNotReady { name: name() }, "w1: the successor did not become ready in time"),
         (TestbedError::NoLink { from: name(), to: "c1".to_owned() }, "no link from w1 to c1"),
         (TestbedError::NotConnected { from: name(), to: "w2".to_owned() }, "no link between w1 and w2"),
-        (TestbedError::UnknownFault { words: "melt w1".to_owned() }, "unknown fault: melt w1"),
+        (
+            TestbedError::UnknownFault { words: "melt w1".to_owned() },
+            "unknown fault: melt w1; expected cut A B [--one-way], heal A B, or pause, resume, kill, start, fill, free NAME",
+        ),
         (
             TestbedError::NotBuilt { program: PathBuf::from("t/port-worker") },
             "t/port-worker: not built; run cargo build --workspace",
--- a/testbed/src/executor.rs
+++ b/testbed/src/executor.rs
@@ -1,5 +1,5 @@
-//! A model of the executor: runs share cores, slow each other down beyond a concurrency, and wait for downstream calls;
-//! the executor warms up after its start and may be slower for a while.
+//! A model of the executor: runs share cores, slow each other down beyond a given concurrency, and wait for downstream
+//! calls; the executor warms up after its start and may be slower in given periods.
 
 use crate::experiment::{ExecutorModel, Slowdown};
 use std::collections::{BTreeMap, BTreeSet};
@@ -134,7 +134,7 @@
         self.speed(at) * (cores / n).min(1.0) / (1.0 + self.model.thrash * excess)
     }
 
-    /// Advances the model to a time; returns the notices on the way with their times, in order.
+    /// Advances the model to a time; returns the notices up to then with their times, in order.
     pub fn advance(&mut self, to: f64) -> Vec<(f64, Notice)> {
         let mut notices = Vec::new();
         // Steps of at most 10 ms, since speeds change with time; a step ends early where a run ends or requests its
@@ -168,7 +168,7 @@
         notices
     }
 
-    /// The earliest time of the next notice, unless a command changes the runs before.
+    /// The time of the next notice at the current speed, provided that no command changes the runs before then.
     #[must_use]
     pub fn next_notice_at(&self) -> Option<f64> {
         let rate = self.rate(self.now);
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name of the experiment.
     pub name: String,
-    /// Each variant is run with each seed.
+    /// The seeds with each of which each variant is run.
     pub seeds: Vec<u64>,
     /// How long requests arrive (seconds).
     pub length_s: f64,
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordsModel {
-    /// Concurrent calls that it handles at full speed.
+    /// Concurrent calls that the service handles at full speed.
     pub slots: usize,
     /// How long a call takes (milliseconds).
     pub call_ms: f64,
@@ -105,15 +105,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassModel {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its share of all requests.
+    /// The share of this class in all requests.
     pub share: f64,
-    /// Its mean work (core milliseconds).
+    /// The mean work of a request (core milliseconds).
     pub work_ms: f64,
     /// The coefficient of variation of the work.
     pub cv: f64,
-    /// Its latency objective (milliseconds).
+    /// The latency objective of a request (milliseconds).
     #[serde(rename = "aim_ms")]
     pub objective_ms: f64,
     /// The deadline of a request (milliseconds).
@@ -123,7 +123,7 @@
     /// The share of the worth that remains if the request is served later.
     #[serde(default)]
     pub late_worth: f64,
-    /// Whether its requests carry idempotency keys.
+    /// Whether requests carry idempotency keys.
     #[serde(default)]
     pub keyed: bool,
     /// The probability that a run makes a downstream call.
@@ -170,7 +170,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name.
+    /// The name of the variant.
     pub name: String,
     /// The text of the operator's file; empty for a worker without one.
     #[serde(default)]
--- a/testbed/src/floods.rs
+++ b/testbed/src/floods.rs
@@ -1,5 +1,5 @@
-//! Clients that attack the HTTP/2 frontend during a trial: they send endless frames that request nothing, or hold
-//! silent connections. A flood keeps a given number of connections until the trial ends, and replaces each that is
+//! Clients that attack the HTTP/2 frontend during a trial: they send frames without end that lead to no useful work, or
+//! hold silent connections. A flood keeps a given number of connections until the trial ends, and replaces each that is
 //! closed.
 
 use serde::Deserialize;
@@ -224,7 +224,8 @@
     }
 }
 
-/// The flood's next frames, about [`CHUNK_BYTES`] of them; one unit alone where a unit is that large.
+/// The next frames of a flood: as many repetitions of its unit as fit into [`CHUNK_BYTES`], or one where a single unit is
+/// about that large or larger.
 fn next_chunk(flood: Flood, index: u32) -> Vec<u8> {
     let unit = |n: u32| match flood {
         Flood::Resets => {
@@ -264,7 +265,7 @@
     (0..units).flat_map(|i| unit(index * units + i)).collect()
 }
 
-/// Samples a worker's resident memory until `stop` is set, and returns the peak (kilobytes).
+/// Samples a worker's resident memory with `read` every 20 ms until `stop` is set, and returns the peak (kilobytes).
 pub fn track_peak_memory(
     read: impl Fn() -> f64 + Send + 'static,
     stop: &Arc<AtomicBool>,
--- a/testbed/src/floods/tests.rs
+++ b/testbed/src/floods/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The worker closes a connection at the first malformed frame: such a flood would measure nothing else.
+/// The worker closes a connection at the first malformed frame, so a flood with one would measure only that.
 #[test]
 fn every_flood_consists_of_complete_frames() {
     use Flood::*;
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -31,7 +31,7 @@
 
 /// An algorithm that sets the limit on concurrent runs.
 pub trait LimitAlgorithm {
-    /// Tells the algorithm that this much time has passed with this number of running runs (seconds).
+    /// Tells the algorithm that `elapsed_s` seconds have passed, during which this number of runs was executing.
     fn advance(&mut self, elapsed_s: f64, running: usize, demand: Demand);
     /// Tells the algorithm that a run has ended, and how long it took (seconds).
     fn run_ended(&mut self, class: usize, run_s: f64);
@@ -123,14 +123,16 @@
     }
 }
 
-/// Vegas: queue = limit x (1 - minimum / run time). With a step of log10 of the limit, the limit rises by one step if
-/// the queue is below 3 steps, by 6 steps if it is at most one, and falls by one step above 6; the minimum run time is
-/// measured again from time to time.
+/// Vegas: queue = limit x (1 - minimum / run time). A step is log10 of the limit, but at least 1. The limit rises by 6
+/// steps if the queue is at most one step, rises by one step if the queue is below 3 steps, and falls by one step if the
+/// queue is above 6 steps. The minimum run time is measured again after 30 x limit runs.
 struct Vegas {
     min_slots: usize,
     limit: f64,
+    /// The minimum run time (seconds).
     shortest: f64,
     runs_ended: u32,
+    /// Whether at least half of the limit is in use; otherwise the limit does not change.
     limited: bool,
 }
 
@@ -172,6 +174,7 @@
     limit: f64,
     long_mean_s: f64,
     runs_ended: f64,
+    /// Whether at least half of the limit is in use; otherwise the limit does not change.
     limited: bool,
 }
 
@@ -318,6 +321,7 @@
 struct LoopResult {
     /// The work done, as a share of the cores' capacity without excess concurrency.
     throughput: f64,
+    /// The mean limit from 20 s on, without the idle period (slots).
     mean_limit: f64,
     /// The highest mean number of runs per core over 3 s.
     peak_concurrency: f64,
@@ -342,6 +346,7 @@
         .collect();
     let mut executor = Executor::new(model, slowdowns);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
+    // The work has a log-normal distribution with a coefficient of variation of 0.7.
     let sigma = (1.0f64 + 0.49).ln().sqrt();
     let mut algorithm = new_algorithm(name, 6);
     let mut open_runs: BTreeMap<String, (usize, f64, f64)> = BTreeMap::new();
--- a/testbed/src/loopback/attempt.rs
+++ b/testbed/src/loopback/attempt.rs
@@ -19,7 +19,7 @@
     pub status: u16,
     /// How long the worker advises to wait before a retry (seconds).
     pub retry_after_s: f64,
-    /// The run skipped its downstream call.
+    /// Whether the run skipped its downstream call.
     pub degraded: bool,
 }
 
--- a/testbed/src/loopback/http1_callers.rs
+++ b/testbed/src/loopback/http1_callers.rs
@@ -14,7 +14,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// The maximum number of callers that wait for a response at once; the worker accepts fewer connections than this.
+/// The maximum number of callers that wait for a response at once. Each has a connection; the worker accepts more
+/// connections than this with its `limits.sockets` of 1024.
 const MAX_CALLERS: usize = 448;
 /// The stack size of a caller's thread.
 const STACK_BYTES: usize = 256 * 1024;
--- a/testbed/src/loopback/http1_message.rs
+++ b/testbed/src/loopback/http1_message.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A longer body is truncated to this.
+/// The maximum number of bytes that are read of a body.
 const MAX_BODY_BYTES: usize = 1 << 16;
 
 /// Reads one message's head and body; `None` if the connection ends before a whole message.
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -1,7 +1,7 @@
 //! Runs an experiment on loopback: a real worker process in real time, with the models behind real sockets.
 //!
-//! Each peer takes one or two threads and each request in flight takes one: simple, and bounded by the experiment's
-//! length and its callers. All requests are generated in advance, so that each variant receives the same requests at
+//! Each connection of a peer has a thread and, over HTTP/1.1, each caller that has a request in flight has one, so the
+//! number of threads is bounded. All requests are generated in advance, so that each variant receives the same requests at
 //! the same times.
 
 mod attempt;
@@ -39,8 +39,8 @@
 use std::time::Duration;
 use worker_process::WorkerProcess;
 
-/// The time between the creation of a trial's clock and its start, in which the worker starts; for the models it is
-/// time 0.
+/// The time between the creation of a trial's clock and the clock's start. The worker starts in this time, in which the
+/// models see time 0.
 const START_DELAY: Duration = Duration::from_millis(700);
 
 /// The outcome of each request, by its number; `None` while it has no response.
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// The survivable concurrency is a mean over this time (seconds).
+/// The time over which concurrency is averaged for the comparison with [`SURVIVABLE_RUNS_PER_CORE`] (seconds).
 pub const SURVIVABLE_WINDOW_S: f64 = 3.0;
-/// The survivable concurrency (runs per core).
+/// The highest mean concurrency over [`SURVIVABLE_WINDOW_S`] that an executor survives (runs per core).
 pub const SURVIVABLE_RUNS_PER_CORE: f64 = 8.0;
 
 /// The outcome of a request for its client, after all attempts.
--- a/testbed/src/records.rs
+++ b/testbed/src/records.rs
@@ -1,5 +1,5 @@
-//! A model of the records service: calls slow each other down when more are in flight than it has slots, and it answers
-//! none during a stall.
+//! A model of the records service: calls slow each other down when more are in flight than the service has slots, and no
+//! call is answered during a stall.
 
 use crate::experiment::{RecordsModel, Slowdown};
 use std::collections::BTreeMap;
--- a/testbed/src/virtual_time.rs
+++ b/testbed/src/virtual_time.rs
@@ -33,7 +33,7 @@
     /// The request and the attempt for each ticket without a response.
     open_attempts: BTreeMap<u64, (usize, u32)>,
     outcomes: Vec<Option<RequestOutcome>>,
-    /// Whether the last run of a request was degraded, until its response.
+    /// Whether the last run of a request was degraded, by the request's number, until its response.
     degraded: BTreeMap<usize, bool>,
     /// When each downstream call in flight times out.
     call_timeouts: BTreeMap<String, f64>,
--- a/testbed/tests/fleet/coordinators.rs
+++ b/testbed/tests/fleet/coordinators.rs
@@ -30,7 +30,7 @@
     let (leader, follower) = (fleet.leader(), fleet.follower());
     fleet.rig.kill(&leader).unwrap();
     fleet.rig.kill(&follower).unwrap();
-    // The time to live of the leases, and the time that a call may take.
+    // Without a quorum no coordinator begins a period of a task. Calls whose period began before have ended by now.
     std::thread::sleep(Duration::from_secs(2));
     let before = fleet.rig.task_calls().len();
     std::thread::sleep(Duration::from_secs(1));
@@ -77,7 +77,7 @@
     let full = Instant::now();
     let why = fleet.wait_member_status(&leader, "aside");
     assert!(why.contains("append") || why.contains("create"), "{why}");
-    // The next write is due within a period, and it fails immediately.
+    // The next log write is due within a task's period, and it fails immediately.
     assert!(full.elapsed() < Duration::from_secs(10), "{:?}", full.elapsed());
     fleet.wait_all_tasks(3);
     assert_ne!(fleet.leader(), leader);
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -39,7 +39,7 @@
 fn lease_of_a_partitioned_holder_moves_to_another_worker() {
     let mut fleet = FleetUnderTest::start();
     let all = fleet.rig.coordinators();
-    // Renewals arrive but responses don't; renewals don't arrive; neither does.
+    // The holder's renewals arrive but the responses are held back; the renewals are held back; both are.
     for direction in ["down", "up", "both"] {
         let holder = fleet.lease_holder("refresh");
         for c in &all {
@@ -113,7 +113,8 @@
     let start = Instant::now();
     fleet.rig.terminate(&next).unwrap();
     fleet.wait_other_holder("report", &next);
-    // The lease was released rather than expired: that takes far less than the worker's shutdown notice and a time to live.
+    // The worker releases its lease when it shuts down, so the lease moves before its time to live has passed. The bound
+    // covers the shutdown and the move.
     assert!(start.elapsed() < Duration::from_secs(20));
     fleet.rig.restart(&next).unwrap();
     fleet.wait_all_tasks(2);
@@ -138,7 +139,7 @@
     let holder = fleet.lease_holder("report");
     let token = fleet.accepted_calls("report").pop().unwrap().token;
     fleet.hold_task_calls(&holder, true);
-    // Longer than a period, so that a call is in transit.
+    // Longer than the task's period of 0.4 s, so that a call is in transit.
     std::thread::sleep(Duration::from_millis(700));
     fleet.rig.pause(&holder).unwrap();
     fleet.wait_other_holder("report", &holder);
--- a/testbed/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 use testbed::fleet::routers::Routers;
 
-/// Starts sending requests of a class to all workers, in proportion to their weights.
+/// Starts sending `per_s` requests of a class per second to the workers, to each in proportion to its weight.
 fn send(fleet: &FleetUnderTest, class: &str, weights: [usize; 4], per_s: f64) -> Routers {
     let addresses: Vec<_> = fleet
         .rig
@@ -48,7 +48,7 @@
     let (before, start) = (calls_made(&fleet), Instant::now());
     std::thread::sleep(Duration::from_secs(3));
     let (calls, elapsed_s) = (calls_made(&fleet) - before, start.elapsed().as_secs_f64());
-    // Two per second and zone, and one that may have been due already.
+    // At most two probes per second in each of the two zones, and one per zone that may have been due already.
     assert!(calls as f64 <= 2.0 * (2.0 * elapsed_s + 1.0), "{calls} calls in {elapsed_s:.1} s");
     fleet.wait("a probe", |_| (calls_made(&fleet) > before).then_some(()));
     service.set_down(false);
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -165,7 +165,8 @@
     experiment.slow = Vec::new();
     let variant = experiment.variant.iter().find(|v| v.name == "pools").unwrap().clone();
     let result = loopback::run_trial(&experiment, &variant, 1, &worker()).unwrap();
-    // Holds on a slow machine too: every request got a response, and the reserve was never withheld from its pool.
+    // These checks hold on a slow machine too: every request got a response, and the reserve was never withheld from its
+    // pool.
     assert_eq!((result.unanswered, result.idle_reserve_waits), (0, 0), "{result:?}");
     assert!(result.classes.iter().all(|c| c.requests == c.within_objective + c.late + c.rejected + c.failed));
     assert!(result.classes[0].within_objective > 0 && result.cpu_ms > 0.0, "{result:?}");
