--- a/tests/admission_properties/simulation.rs
+++ b/tests/admission_properties/simulation.rs
@@ -17,7 +17,9 @@
 const SHUTDOWN_S: f64 = 20.0;
 const STOP_S: f64 = 23.0;
 
+/// The arrival rate: requests per second for each core.
 const ARRIVALS_PER_S_AND_CORE: f64 = 30.0;
+/// The number of idempotency keys from which each request draws one.
 const KEYS: usize = 60;
 /// The processor time of a run after its downstream call.
 const RUN_AFTER_CALL_S: f64 = 0.02;
--- a/tests/admission_properties/worker_model.rs
+++ b/tests/admission_properties/worker_model.rs
@@ -27,10 +27,10 @@
     /// The time until which its caller waits.
     pub(crate) deadline_s: f64,
     pub(crate) key: u64,
-    /// It has its response, or its caller has disconnected.
+    /// Whether the request has its response, or its caller has disconnected.
     pub(crate) responded: bool,
     pub(crate) started: bool,
-    /// A downstream call of it may have taken effect.
+    /// Whether a downstream call of the request may have taken effect.
     pub(crate) call_may_have_taken_effect: bool,
 }
 
--- a/tests/ajp/directory.rs
+++ b/tests/ajp/directory.rs
@@ -102,7 +102,7 @@
     let worker = start_with_directory(&listener, "timeout_ms = 10000");
     let mut executor = worker.accept_link();
     let mut portal = Ajp::connect(worker.ajp.unwrap());
-    // Characters that are special in a textual search filter.
+    // A user name with characters that are special in a textual search filter.
     let special = "an*na)(uid=\\";
     portal.send(&request_by(special), b"hello");
     let mut ldap = Ldap::accept(&listener);
@@ -111,7 +111,7 @@
     let exec = executor.expect_command("EXEC");
     executor.send_exit(&exec["job"], "PASS", "seen");
     assert_eq!(portal.read_response().0.status, 200);
-    // Unknown to the directory, or known with a tenant that the configuration does not have.
+    // The first user is unknown to the directory; the second has a tenant that is not in the configuration.
     for (user, tenant) in [("nobody", None), ("stranger", Some("elsewhere"))] {
         portal.send(&request_by(user), b"hello");
         ldap.answer_search(user, tenant);
@@ -141,7 +141,8 @@
     assert_eq!(portal.request(&request_by("anna"), b"hello").status, 503);
     let mut short_deadline = request_by("anna");
     short_deadline.headers.push(("X-Deadline-Ms", b"100"));
-    // While the directory counts as down it is not queried; then the request's deadline comes before the timeout.
+    // While the directory counts as down it is not queried. After that, the request's deadline of 100 ms comes before the
+    // directory's timeout of 300 ms.
     let timed_out = (0..100).any(|_| {
         std::thread::sleep(Duration::from_millis(50));
         portal.request(&short_deadline, b"hello").status == 504
--- a/tests/ajp/frontend.rs
+++ b/tests/ajp/frontend.rs
@@ -49,7 +49,7 @@
     let mut executor = worker.accept_link();
     let (mut portal, mut router) = (Ajp::connect(worker.ajp.unwrap()), Client::connect(worker.http));
     let f = forward("/portal/order", "k1");
-    // First over AJP, then over HTTP while it runs and after its response.
+    // The first order arrives over AJP, then over HTTP while it runs and after its response.
     portal.send(&f, b"hello");
     let exec = executor.expect_command("EXEC");
     router.send(&order("k1"));
@@ -58,7 +58,7 @@
     assert_eq!(portal.read_response().0.body, b"placed 1");
     assert_eq!(router.read_response().body, b"placed 1");
     assert_eq!(router.request(&order("k1")).body, b"placed 1");
-    // First over HTTP, then over AJP.
+    // The second order arrives over HTTP, then over AJP while it runs and after its response.
     router.send(&order("k2"));
     let exec = executor.expect_command("EXEC");
     let f = forward("/portal/order", "k2");
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -158,7 +158,7 @@
         if round % 8 == 0 {
             let sent = Instant::now();
             assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
-            // The documented limit; a response takes 1 ms when nothing else runs.
+            // The documented limit is 7.5 s; a response takes 1 ms when nothing else runs.
             assert!(sent.elapsed() < TIMEOUT / 2, "{:?}", sent.elapsed());
         }
     }
--- a/tests/crossings/closing.rs
+++ b/tests/crossings/closing.rs
@@ -9,7 +9,8 @@
 fn idle_connection_with_an_unread_request_is_not_evicted() {
     let worker = WORKER.start_with(|c| c["limits"]["sockets"] = json!(96), None);
     let mut executor = worker.accept_link();
-    // As many connections as the descriptor limit allows, each of which has sent a request.
+    // Connections that use most of the descriptor limit, each of which has sent a request. With the new clients below
+    // there are more than it allows.
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..28 {
         let mut client = Client::connect(worker.http);
@@ -122,8 +123,8 @@
     finish_run(&mut executor, &job, &mut client);
 }
 
-/// Guards against a reset that loses an unread response: a malformed packet follows it, and more data than the worker
-/// ever buffers.
+/// Guards against a reset by which a client loses a response that it has not read yet. After the packet that is answered,
+/// the client sends a malformed one and more data than the worker ever buffers.
 #[test]
 fn malformed_ajp_packet_ends_its_connection_without_a_reset() {
     let ajp = "[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3cret\"\n[[ajp.route]]\npath = \"/look\"\nclass = \"look\"\n";
--- a/tests/crossings/keys.rs
+++ b/tests/crossings/keys.rs
@@ -69,8 +69,8 @@
     executor.expect_no_command(&worker);
 }
 
-/// Guards against a second run for an attempt that arrived within the window and is read after one that arrived when the
-/// window was over and is queued.
+/// An attempt that arrived after the window of its key is queued; then another is read that arrived within the window.
+/// Guards against a second run for the latter.
 #[test]
 fn attempt_within_the_window_read_after_a_later_one_does_not_run_again() {
     let worker = start_with_window(0.3);
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -232,7 +232,7 @@
     worker.registry = RegistryPeer::start();
     worker.terminate();
     worker.wait_log("shutdown_started");
-    // Another process may have been given the address meanwhile; it releases it soon.
+    // The system may have given the address to another process meanwhile, which holds it only for a short time.
     let until = Instant::now() + TIMEOUT;
     worker.registry = loop {
         if let Some(registry) = RegistryPeer::bind(address) {
@@ -259,7 +259,7 @@
     let mut predecessor = WORKER.start_on(&shared, short_deadlines);
     let mut executor = predecessor.accept_link();
     while predecessor.console_request("GET", "/-/ready").0 != 200 {}
-    // Its caller waits for longer than the deadline of the class in the settings.
+    // The caller of this order waits for longer than the deadline of the class in the settings.
     let (mut client, _) = start_run(&predecessor, &mut executor, &RequestBuilder::new("order").key("k"));
     let successor = WORKER.start_on(&shared, short_deadlines);
     let _successor_executor = successor.accept_link();
--- a/tests/failures/scheduling.rs
+++ b/tests/failures/scheduling.rs
@@ -155,8 +155,8 @@
     assert_eq!(starts_above_cores(1.0), 1);
 }
 
-/// Guards against rejecting a request of the top class, which counts as over quota, because of queued requests of a
-/// tenth of its weight.
+/// Guards against rejecting a request of the top class, which counts as over quota, because of queued requests that have a
+/// fifth of its weight or less.
 #[test]
 fn queued_work_of_far_lower_weight_does_not_count_against_an_arrival() {
     let mut settings = settings();
@@ -182,7 +182,7 @@
     for id in 61..=64 {
         arrive(id, 0, 1);
     }
-    // Its tenant has used up its token bucket, so it is not in the top tier; the queued requests have a fifth of its
-    // weight.
+    // The tenant of request 100 has used up its token bucket, so that the request has half of its class's weight of 10. A
+    // queued request has a weight of 1, or of 0.5 over quota.
     assert!(first_rejected > 6 && !rejected(&arrive(100, 1, 1), 100));
 }
--- a/tests/hot_restart/peers.rs
+++ b/tests/hot_restart/peers.rs
@@ -116,7 +116,8 @@
         assert_eq!(client.request(&order("k1")).status, 500);
         client.send(&RequestBuilder::new("look"));
         executor.serve_next(&mut client, "");
-        // The successor monitors the process even so: keys are indeterminate for a limited time after its end.
+        // The successor also monitors a predecessor whose state it discarded: keys are indeterminate for a limited time
+        // after the end of that process.
         let monitor = malformed.then(|| listener.accept().unwrap());
         let (link, monitor) = (peer, monitor);
         drop((link, monitor));
@@ -137,7 +138,7 @@
     assert_eq!(predecessor.check_health(), 200);
     assert_eq!(predecessor.console_request("GET", "/-/ready").0, 200);
     drop(peer);
-    // Bytes that are not a frame have no other effect.
+    // Bytes that are not a frame are logged and have no other effect.
     let mut peer = ScriptedProcess::connect(&shared);
     peer.stream.write_all(&[0xff; 64]).unwrap();
     predecessor.wait_log("hot_restart_frame_damaged");
--- a/tests/hot_restart/requests.rs
+++ b/tests/hot_restart/requests.rs
@@ -8,7 +8,7 @@
 fn no_request_is_lost_in_a_hot_restart_and_each_is_answered_on_its_connection() {
     let shared = SharedListener::bind();
     let (mut predecessor, mut predecessor_executor) = start_first(&shared);
-    // Connections of each kind: idle, with a partially sent request, with a run, and with a queued request.
+    // There is one idle connection, one with a partially sent request, two with a run, and one with a queued request.
     let mut idle = Client::connect(predecessor.http);
     idle.send(&RequestBuilder::new("look"));
     predecessor_executor.serve_next(&mut idle, "first");
--- a/tests/http/connections.rs
+++ b/tests/http/connections.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn full_connection_table_makes_new_clients_wait_and_not_fail() {
-    // Limited by the configuration, and limited by the system (`ulimit -n`).
+    // The descriptors of one worker are limited by the configuration, those of the other by the system (`ulimit -n`).
     for worker in
         [WORKER.start_with(|c| c["limits"]["sockets"] = json!(64), None), WORKER.start_with_descriptors(40)]
     {
@@ -31,7 +31,7 @@
     let mut non_reading = std::net::TcpStream::connect(worker.http).unwrap();
     non_reading.set_write_timeout(Some(std::time::Duration::from_millis(300))).unwrap();
     let checks = "GET /check HTTP/1.1\r\n\r\n".repeat(4000);
-    // Unread data must accumulate on the client's side; the system's buffers hold far less than this.
+    // Unread data must accumulate on the client's side; the system's buffers hold far less than these 70 MB.
     let throttled = (0..800).any(|_| non_reading.write_all(checks.as_bytes()).is_err());
     assert!(throttled, "the worker read 70 MB of requests whose responses are not read");
     let mut client = Client::connect(worker.http);
--- a/tests/http/executor_link.rs
+++ b/tests/http/executor_link.rs
@@ -22,7 +22,8 @@
     assert_eq!(executor.expect_command("JOIN")["n"], 1);
     executor.send(&json!({"type": "WELCOME", "state": "LOADED", "took": 3_600_100.0}));
     executor.started_jobs.push(second["job"].clone());
-    // Notice 1 again, which the worker has already processed; then the end of a run from the time without a link.
+    // The executor sends notice 1 again, which the worker has already processed, and then reports a run that ended while
+    // there was no link.
     executor.send(&json!({"type": "EXIT", "n": 1, "job": second["job"], "state": "FAIL", "took": 1.0}));
     executor.last_notice = 1;
     executor.send_exit(&second["job"], "PASS", "second");
@@ -75,7 +76,7 @@
     executor.expect_command("JOIN");
     executor.send(&json!({"type": "WELCOME", "state": "EMPTY", "took": 0.0}));
     assert_eq!(client.read_response().status, 500);
-    // It may have run, so the key stays in use. The new executor numbers its notices from 1.
+    // The order may have run, so its key stays in use. The new executor numbers its notices from 1.
     assert_eq!(client.request(&RequestBuilder::new("order").key("k5")).status, 500);
     client.send(&RequestBuilder::new("look"));
     let exec = executor.expect_command("EXEC");
--- a/tests/http/requests.rs
+++ b/tests/http/requests.rs
@@ -108,7 +108,7 @@
     let worker = WORKER.start();
     let mut executor = worker.accept_link();
     let mut client = Client::connect(worker.http);
-    // Half of its time to the deadline has already passed.
+    // Half of the request's time to its deadline has already passed.
     let arrived_ms = unix_ms() - 600;
     client.send(&RequestBuilder::new("order").key("k4").deadline_ms(1200).arrived_ms(arrived_ms));
     let exec = executor.expect_command("EXEC");
--- a/tests/http2/limits.rs
+++ b/tests/http2/limits.rs
@@ -77,12 +77,12 @@
     assert_eq!(flood.read_response(1).body, b"seen");
     flood.stream.set_write_timeout(Some(Duration::from_millis(200))).unwrap();
     let pings = Peer::frame_bytes(PING, ACK, 0, b"whatever").repeat(1000);
-    // Unread data accumulates on the client's side; the system's buffers hold far less than this.
+    // Unread data accumulates on the client's side; the system's buffers hold far less than these 68 MB.
     let throttled = (0..4000).any(|_| flood.stream.write_all(&pings).is_err());
     assert!(throttled, "the worker read 68 MB of frames that carry no request");
     worker.wait_log("http2_session_throttled");
-    // Far more data than the overhead allowance, all of it requests; also on a new connection, whose allowance starts
-    // small.
+    // Both connections send far more data than the overhead allowance, all of it requests. The allowance of the new
+    // connection starts small.
     let mut newcomer = Peer::connect(&worker, &[]);
     for n in 0..100 {
         for peer in [&mut established, &mut newcomer] {
@@ -107,7 +107,7 @@
     let mut client = Client::connect(worker.http);
     client.send(&RequestBuilder::new("look"));
     let jobs: Vec<Value> = (0..41).map(|_| expect_start(&mut executor, "look")).collect();
-    // Responses in reverse order.
+    // The runs end in reverse order.
     for job in jobs.iter().rev() {
         executor.send_exit(job, "PASS", "seen");
     }
@@ -203,7 +203,7 @@
     };
     let (mut idle, mut busy) = (Peer::connect(&worker, &[]), Peer::connect(&worker, &[]));
     let (first, second) = (start_request(&mut idle, 1), start_request(&mut busy, 1));
-    // Both are busy, so that a third is closed immediately.
+    // Both connections are busy, so that a third is closed immediately.
     assert!(Peer::connect(&worker, &[]).is_closed());
     executor.send_exit(&first, "PASS", "seen");
     assert_eq!(idle.read_response(1).body, b"seen");
--- a/tests/http2/peer.rs
+++ b/tests/http2/peer.rs
@@ -224,7 +224,7 @@
         (frame.code(0) & 0x7fff_ffff, frame.code(4))
     }
 
-    /// Reads and keeps all frames until the connection ends or a read fails, which includes a timeout.
+    /// Reads and keeps all frames until the connection ends or a read fails, also by timeout, and then returns `true`.
     pub fn is_closed(&mut self) -> bool {
         while let Some(frame) = self.read() {
             self.unmatched.push(frame);
--- a/tests/http2/requests.rs
+++ b/tests/http2/requests.rs
@@ -14,7 +14,7 @@
     let (mut executor, mut peer) = (worker.accept_link(), Peer::connect(&worker, &[]));
     peer.send_request(1, "order", Some("k1"), "hello");
     let job = expect_start(&mut executor, "order");
-    // While it runs: retries on another stream and over HTTP/1.1.
+    // While the order runs, retries arrive on another stream and over HTTP/1.1.
     peer.send_request(3, "order", Some("k1"), "hello");
     let mut client = Client::connect(worker.http);
     client.send(&RequestBuilder::new("order").key("k1"));
@@ -23,7 +23,7 @@
     let replies = [peer.read_response(1), peer.read_response(3)];
     assert!(replies.iter().all(|r| r.status == 200 && r.body == b"placed"), "{replies:?}");
     assert_eq!(client.read_response().body, b"placed");
-    // After it has completed.
+    // A retry after the end of the run gets the same result.
     peer.send_request(5, "order", Some("k1"), "hello");
     assert_eq!(peer.read_response(5).body, b"placed");
 }
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -222,7 +222,7 @@
     assert!(error.contains("unknown field `misspelt`"), "{error}");
 }
 
-/// The platform reads this file: its keys are fixed, and its paths must exist in the repository.
+/// The platform reads `deploy/balancer.toml`: its keys are fixed, and its paths must exist in the repository.
 #[test]
 fn platform_file_names_existing_paths() {
     let file: toml::Table = read_text("deploy/balancer.toml").parse().unwrap();
--- a/tests/output_pins/simulator_adapter.rs
+++ b/tests/output_pins/simulator_adapter.rs
@@ -9,7 +9,7 @@
     let mut command = Command::new(SIMULATOR_ADAPTER);
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
-    // It may exit at the first malformed line, before it has read the others.
+    // The adapter may exit at the first malformed line, before it has read the others.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
--- a/tests/output_pins/startup.rs
+++ b/tests/output_pins/startup.rs
@@ -198,7 +198,8 @@
 #[test]
 fn sigterm_output_matches_the_fixture() {
     let folder = TemporaryFolder::new();
-    // The listener accepts and sends nothing: the worker has a link and logs nothing about it.
+    // The system establishes connections to this listener, but nothing is sent on them: the worker has a link and logs
+    // nothing about it.
     let executor = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = valid_config();
     config["executor"] = json!(executor.local_addr().unwrap());
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -45,13 +45,14 @@
     let mut executor = worker.accept_link();
     let mut heavy = send_orders(&worker, 0..3);
     let first = expect_start(&mut executor, "order");
-    // The pool was idle until now, and its run starts although no other has ended: without pools two orders would
-    // occupy both slots.
+    // The cheap pool was idle until now, and its run starts although no other run has ended: without pools two orders
+    // would occupy both slots.
     let mut cheap = send_look(&worker);
     let look_job = expect_start(&mut executor, "look");
     executor.send_exit(&look_job, "PASS", "seen");
     assert_eq!(cheap.read_response().body, b"seen");
-    // The slot that it released stays reserved for its pool; the next order has to wait for the end of the first.
+    // The slot that the look released stays reserved for the cheap pool; the next order has to wait for the end of the
+    // first.
     let mut cheap = send_look(&worker);
     let look_job = expect_start(&mut executor, "look");
     executor.send_exit(&first, "PASS", "one");
@@ -214,6 +215,8 @@
 }
 
 impl LoadedWorker {
+    /// Keeps this many requests open, and ends each run after `run_ms`, until the log has a line with the text `line`;
+    /// returns that line.
     fn run_until_logged(&mut self, open_requests: usize, run_ms: u128, line: &str) -> String {
         let until = Instant::now() + TIMEOUT;
         loop {
