--- a/testbed/src/callers.rs
+++ b/testbed/src/callers.rs
@@ -51,6 +51,7 @@
         let current_rate = rate * rate_factor(&experiment.jump, at) * total;
         let paused = current_rate <= 1e-9;
         if paused {
+            // No class arrives at this time; the rates are looked up again 10 ms later.
             at += 0.01;
         } else {
             at += (gaps.sample(&mut random) / current_rate).min(0.5);
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -12,7 +12,7 @@
 pub struct Experiment {
     /// The name of the experiment.
     pub name: String,
-    /// The seeds with each of which each variant is run.
+    /// The seeds; each variant is run once with each of them.
     pub seeds: Vec<u64>,
     /// How long requests arrive (seconds).
     pub length_s: f64,
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -221,7 +221,8 @@
     let start = Instant::now();
     for (at_ms, begins, fault) in steps {
         std::thread::sleep(Duration::from_millis(at_ms).saturating_sub(start.elapsed()));
-        // With overlapping faults a step may fail, for instance because the process is already killed; the others still run.
+        // With overlapping faults a step may fail, for instance because the process is already killed; the other steps are
+        // still carried out.
         let _ = if begins { fault.action.begin(&mut rig) } else { fault.action.end(&mut rig) };
     }
     // The end of a fault may have failed, for instance because a restart timed out. Every process must run normally again
@@ -313,6 +314,7 @@
 ) -> Result<(String, bool), TestbedError> {
     let end = Instant::now() + Duration::from_secs_f64(for_s.clamp(0.0, 86_400.0));
     let next = std::sync::atomic::AtomicU64::new(from);
+    // A lane runs the schedules of one seed after the other, in a folder of its own.
     let lane = |lane: usize| -> Result<Vec<SeedResult>, TestbedError> {
         let lane_folder = folder.join(format!("lane-{lane}"));
         let mut results = Vec::new();
--- a/testbed/src/fleet/virtual_fleet/faults.rs
+++ b/testbed/src/fleet/virtual_fleet/faults.rs
@@ -67,8 +67,8 @@
             12 => self.fill_disk(target),
             13 => self.crash_all_coordinators(),
             15 => self.isolate_zone(target),
-            // One disk is lost per run, and only while all replicas are up to date: three coordinators have no quorum with
-            // the data once two of them have lost it or lack it.
+            // At most one disk is lost per run, and only while all replicas are up to date: of three coordinators, two
+            // must keep the data.
             14 if self.report.lost_disks == 0 && self.all_up_to_date() => self.lose_disk(target),
             _ => self.reload_with_next_epoch(),
         };
--- a/testbed/src/loopback/clock.rs
+++ b/testbed/src/loopback/clock.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Counts the seconds since its start, when the callers begin to send; it stands at 0 before.
+/// Counts the seconds since its start, at which a trial's callers begin to send; reads 0 before.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
