--- a/Makefile
+++ b/Makefile
@@ -10,14 +10,14 @@
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
 
-# A worker at the toy site's addresses; start `make toy` first.
+# Starts a worker with the toy site's addresses; start `make toy` in another terminal first.
 run: build
 	ROUTER_CONFIG=examples/config.json target/release/port-worker
 
 toy:
 	cargo run --locked --example toy_site
 
-# Three coordinators and six workers on loopback, until Ctrl-C; `testbed fault target/fleet ...` puts faults between.
+# Runs three coordinators and six workers on loopback until Ctrl-C; `testbed fault target/fleet ...` injects faults.
 fleet:
 	cargo build --release --locked --workspace
 	target/release/testbed fleet testbed/fleets/small.toml --folder target/fleet
