--- a/src/net/frontends/ajp/mod.rs
+++ b/src/net/frontends/ajp/mod.rs
@@ -66,7 +66,7 @@
                 NextStep::Read => {}
                 NextStep::Wait => return,
                 NextStep::Yield => break,
-                NextStep::Close => return self.connections.disconnected(id, turn.inputs),
+                NextStep::Close => return self.connections.close_and_notify(id, turn.inputs),
             }
             let read_status = connection.link.fill();
             if connection.state == ConnectionState::Idle && !connection.link.data().is_empty() {
--- a/src/net/frontends/connections/mod.rs
+++ b/src/net/frontends/connections/mod.rs
@@ -155,8 +155,8 @@
         self.by_id.remove(&id);
     }
 
-    /// Closes a broken connection; if it has a request in flight, notifies the dispatcher.
-    pub fn disconnected(&mut self, id: u64, inputs: &mut Vec<Input>) {
+    /// Closes a connection that is broken or has ended; if it has a request in flight, notifies the dispatcher.
+    pub fn close_and_notify(&mut self, id: u64, inputs: &mut Vec<Input>) {
         if self
             .by_id
             .remove(&id)
--- a/src/net/frontends/http1/mod.rs
+++ b/src/net/frontends/http1/mod.rs
@@ -67,7 +67,7 @@
                 NextStep::Read => {}
                 NextStep::Wait => return,
                 NextStep::Yield => break,
-                NextStep::Close => return self.connections.disconnected(id, inputs),
+                NextStep::Close => return self.connections.close_and_notify(id, inputs),
             }
             let read_status = connection.link.fill();
             if connection.link.data().is_empty() {
