--- a/src/net/events/executor.rs
+++ b/src/net/events/executor.rs
@@ -9,7 +9,7 @@
 pub enum ExecutorEvent<'a> {
     /// The executor is up, and requests can run.
     Ready {
-        /// The executor started with empty caches, within the last `warm_up_s` seconds of the settings.
+        /// Whether the executor started with empty caches and less than the settings' `warm_up_s` seconds ago.
         cold: bool,
         /// Time since the executor was started (seconds).
         started_ago_s: f64,
--- a/src/net/frontends/connections/eviction.rs
+++ b/src/net/frontends/connections/eviction.rs
@@ -6,8 +6,8 @@
 /// be evicted (seconds).
 pub(super) const SILENCE_LIMIT_S: f64 = 0.05;
 
-/// A connection that has served one request and been idle for this long may be evicted: if a request crosses the close
-/// within this time, the client retries it (seconds).
+/// A connection that has served one request and been idle for this long may be evicted (seconds). A client resends a
+/// request that crosses the close of its connection if request and close are at most this far apart.
 const CLOSE_RACE_WINDOW_S: f64 = 0.05;
 
 /// The order of eviction, first to last.
--- a/src/net/frontends/connections/sweeping.rs
+++ b/src/net/frontends/connections/sweeping.rs
@@ -74,8 +74,8 @@
     }
 }
 
-/// Begins a lingering close unless new input has come; that is processed by the frontend, and the next sweep decides
-/// again. The input is bounded by the buffer, so a peer can't postpone the close for long.
+/// Begins a lingering close unless new input has come. In that case the frontend processes the input, and the next sweep
+/// decides again. The input is bounded by the buffer, so a peer can't postpone the close for long.
 fn begin_close<P>(id: u64, connection: &mut Connection<P>, now: f64, scheduled: &mut Vec<u64>) {
     if !connection.check_for_input() {
         connection.finish(now);
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -61,7 +61,7 @@
 /// The HTTP/2 state of a connection.
 #[derive(Default)]
 pub struct SessionEntry {
-    /// Present from the admission of the session until the codec has ended.
+    /// Present from the admission of the connection until its session is ended.
     pub(super) active: Option<Box<ActiveSession>>,
     /// The total sent when the socket last accepted output (bytes since the connection was accepted).
     sent_bytes: u64,
--- a/src/net/frontends/http2/mod.rs
+++ b/src/net/frontends/http2/mod.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Closes a connection whose codec has ended, after its queued output is written. Its pending requests have lost
-    /// their client.
+    /// Ends a connection's session, and closes the connection once its queued output is written. Notifies the
+    /// dispatcher that the client of its pending responses is gone.
     fn finish(&mut self, id: u64, now: f64, inputs: &mut Vec<Input>) {
         self.disconnect_pending(id, inputs);
         self.admission.release(id);
@@ -104,7 +104,7 @@
         self.connections.schedule(id);
     }
 
-    /// Closes a connection immediately.
+    /// Closes a connection immediately. Notifies the dispatcher that the client of its pending responses is gone.
     fn close(&mut self, id: u64, inputs: &mut Vec<Input>) {
         self.disconnect_pending(id, inputs);
         self.admission.release(id);
--- a/src/net/frontends/http2/session/idle.rs
+++ b/src/net/frontends/http2/session/idle.rs
@@ -73,8 +73,8 @@
 
 impl Session {
     /// Checks a client that has had no stream since `idle_since`. It is sent a PING at intervals, and a GOAWAY once the
-    /// idle timeout has passed, or immediately with `close_now`. If it responds to neither, the connection is to be
-    /// closed.
+    /// idle timeout has passed, or immediately with `close_now`. The connection is to be closed if the client doesn't
+    /// answer a PING in time, or doesn't close the connection in time after the GOAWAY.
     pub fn poll_idle(
         &mut self,
         now: f64,
@@ -87,7 +87,8 @@
         }
         if close_now || now - idle_since >= settings.idle_s {
             self.keep_alive.goaway_sent_at = Some(now);
-            // Before the handshake is complete, no GOAWAY can be sent; a later shutdown must still send one.
+            // Before the handshake is complete, no GOAWAY can be sent, and a call of `shut_down_gracefully` would keep a
+            // later shutdown from sending one.
             if matches!(self.codec, Codec::Open(_)) {
                 self.shut_down_gracefully();
             }
--- a/src/net/io/buffer.rs
+++ b/src/net/io/buffer.rs
@@ -300,7 +300,7 @@
         Ok(self.stream.try_clone()?.into())
     }
 
-    /// Inserts bytes that another process has read from the connection before the unread ones.
+    /// Inserts bytes that another process has read from the connection, in front of the unread ones.
     pub fn prepend_input(&mut self, bytes: &[u8]) {
         self.input.splice(self.consumed..self.consumed, bytes.iter().copied());
     }
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -72,8 +72,8 @@
         self.frontends.sweep_connections(now, idle_s, closing, availability);
         self.frontends.sweep_protocols(now, availability, &mut self.loop_state.deferred_inputs);
         self.upstreams.sweep(now);
-        // Processes in this turn the connections on which the sweep found input and those that it closes: the more time
-        // passes between its check for input and the close, the more requests can cross the close.
+        // The connections on which the sweep found input, and those that it closes, are processed in this same turn: the
+        // more time passes between the check for input and the close, the more requests can cross the close.
         if self.has_pending() {
             self.run_rounds(Vec::new());
         }
--- a/src/net/upstreams/directory/error.rs
+++ b/src/net/upstreams/directory/error.rs
@@ -23,6 +23,6 @@
     #[error("LDAP bind rejected: {0:?}")]
     BindRejected(LdapResultCode),
     /// The server has sent a message that is not valid in this state.
-    #[error("LDAP message other than the awaited bind response or a search result")]
+    #[error("unexpected LDAP message: expected the awaited bind response or a search result")]
     UnexpectedMessage,
 }
--- a/src/net/upstreams/directory/mod.rs
+++ b/src/net/upstreams/directory/mod.rs
@@ -35,7 +35,8 @@
 /// Maximum number of waiting lookups; further ones fail with [`LookupResult::Unavailable`].
 const MAX_WAITING_LOOKUPS: usize = 1024;
 
-/// How long lookups fail immediately after the link has failed (seconds).
+/// For this long after the link has failed, lookups of identities that are not cached fail without a connection attempt
+/// (seconds).
 const RECONNECT_DELAY_S: f64 = 0.2;
 
 /// Maximum time for which an unknown identity is cached (seconds); short, since it may be added at any time.
@@ -91,7 +92,8 @@
     /// Whether a search has completed on this link. If such a link is lost, the server may just have closed it for
     /// idleness, so a reconnect is tried.
     link_has_served: bool,
-    /// Until when lookups fail immediately (event loop's clock, seconds).
+    /// Until when lookups of identities that are not cached fail without a connection attempt (event loop's clock,
+    /// seconds).
     unavailable_until: f64,
     last_message_id: i32,
     /// Searches in flight, by message id.
--- a/src/net/worker/gather.rs
+++ b/src/net/worker/gather.rs
@@ -1,4 +1,4 @@
-//! Reads from ready sources: outcomes from upstreams first, since they free capacity for requests from the frontends.
+//! Reads from ready sources, from upstreams before frontends: ended runs and calls free capacity for new requests.
 
 use super::Worker;
 use crate::dispatch::Input;
--- a/src/net/worker/mod.rs
+++ b/src/net/worker/mod.rs
@@ -37,9 +37,9 @@
 
 /// Interval between checks for idle and slow connections (seconds).
 const SWEEP_INTERVAL_S: f64 = 0.25;
-/// The process counts as stalled if the loop wakes up this long after a timer was due, or if a turn lasts longer than
-/// this: the process was stopped or got no CPU time, and signals may have arrived meanwhile that the loop has not
-/// reported yet (seconds).
+/// The process counts as stalled if the loop wakes up later than this after a timer was due, or if a turn lasts longer
+/// than this (seconds). A stalled process was stopped or got no CPU time. Signals may have arrived meanwhile that the
+/// loop has not reported yet.
 const STALL_THRESHOLD_S: f64 = 0.05;
 
 /// One port worker.
