--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -13,9 +13,10 @@
 use crate::net::Worker;
 use timeline::Timeline;
 
-/// Delay between closing the listeners and ending idle connections. A client resends a request that crosses the close
-/// of its connection if the two are at most 50 ms apart, so connections must stay open for longer than that (seconds).
-const IDLE_CLOSE_DELAY_S: f64 = 0.15;
+/// Minimum time from closing the listeners to ending the remaining connections for the exit, unless SIGKILL is near
+/// (seconds). Idle connections are half-closed when the listeners close. A client resends a request that crosses this
+/// half-close if the two are at most 50 ms apart, so the sockets must stay open for longer than that.
+const END_CONNECTIONS_DELAY_S: f64 = 0.15;
 /// How long the process waits for peers to close their side after it has ended idle connections (seconds).
 const LINGER_S: f64 = 0.3;
 /// Maximum number of accept rounds before the listeners close. Each round accepts up to 64 connections of each
@@ -93,9 +94,9 @@
             self.respond_all();
         }
         let listeners_closed_at = self.shutdown.as_ref().and_then(|shutdown| shutdown.listeners_closed_at);
-        let idle_close_due = listeners_closed_at.is_some_and(|at| now >= at + IDLE_CLOSE_DELAY_S);
+        let end_due = listeners_closed_at.is_some_and(|at| now >= at + END_CONNECTIONS_DELAY_S);
         let answered = self.all_answered();
-        let may_end = idle_close_due && answered || must_answer;
+        let may_end = end_due && answered || must_answer;
         let ended = may_end && self.end_connections(now, must_answer);
         if ended || now >= timeline.exit_by {
             self.log_pools();
@@ -115,7 +116,7 @@
         self.frontends.sweep_connections(now, idle_s, true, &self.context.availability);
         self.update_shutdown(|shutdown| shutdown.listeners_closed_at = Some(now));
         self.run_rounds(Vec::new());
-        self.wheel.set(now, IDLE_CLOSE_DELAY_S, Timer::NextTurn);
+        self.wheel.set(now, END_CONNECTIONS_DELAY_S, Timer::NextTurn);
     }
 
     fn log_pools(&mut self) {
