--- a/src/admission/controller/start.rs
+++ b/src/admission/controller/start.rs
@@ -7,8 +7,9 @@
 
 impl Controller {
     /// Fills free slots, the oldest request of the highest non-empty tier first. Requests that can't end in time are
-    /// rejected. If no run is on the cores, one of them starts nevertheless before its objective ends: a worker that
-    /// starts none would never measure that its runs have become short again.
+    /// rejected. While no run is on the cores, a request that is expected to miss its objective starts nevertheless,
+    /// unless the objective has already passed: a worker that starts none would never measure that its runs have become
+    /// short again.
     pub(super) fn start_queued(&mut self, out: &mut Vec<Action>) {
         while let Some(id) = self.next_to_start() {
             let request = self.requests[id];
--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -14,11 +14,11 @@
 
 /// A call is slow if it takes more than this multiple of the baseline.
 const SLOW_CALL_FACTOR: f64 = 2.2;
-/// An idempotent call is abandoned after this many mean lengths.
+/// An idempotent call is abandoned after this many mean call lengths.
 const TIMEOUT_CALLS: f64 = 8.0;
-/// A call that must not be repeated is abandoned after this many mean lengths.
+/// A call that must not be repeated is abandoned after this many mean call lengths.
 const UNREPEATABLE_TIMEOUT_CALLS: f64 = 2.0 * TIMEOUT_CALLS;
-/// Once the length of calls is known, no call times out before this share of its class's objective.
+/// Once the length of calls is known, no call times out before this share of its class's objective has passed.
 const MIN_TIMEOUT_SHARE_OF_OBJECTIVE: f64 = 0.1;
 /// The rest of a run after its call is assumed to take at least this share of the run's length.
 const MIN_REMAINING_SHARE: f64 = 0.25;
@@ -108,6 +108,7 @@
         }
     }
 
+    /// The time after which a call is abandoned (seconds); infinite until the length of calls is known.
     fn timeout_s(&self, class: &Class, expected_call_s: f64) -> f64 {
         let calls = if class.is_idempotent() { TIMEOUT_CALLS } else { UNREPEATABLE_TIMEOUT_CALLS };
         let share_of_objective =
--- a/src/admission/downstream/budget.rs
+++ b/src/admission/downstream/budget.rs
@@ -7,7 +7,7 @@
 /// If a worker's share of the dependency is less than one call, this part of the share may accumulate as balance, and
 /// the rest of it bounds the limit on calls.
 pub(super) const BURST_SHARE: f64 = 0.3;
-/// A call starts once the balance covers this many mean lengths.
+/// A call starts once the balance covers this many mean call lengths.
 const MIN_BALANCE_CALLS: f64 = 3.0;
 /// No call requires more than this share of the maximum balance to start.
 const MAX_REQUIRED_SHARE: f64 = 0.9;
--- a/src/admission/downstream/limit.rs
+++ b/src/admission/downstream/limit.rs
@@ -16,7 +16,8 @@
 const INCREASE_SHARE: f64 = 0.1;
 /// The limit never falls below this share of its maximum: if calls are still slow there, this worker is not the cause.
 const MIN_SHARE: f64 = 0.25;
-/// The limit is reviewed after this many ended calls, or after the time on calls that this many slow ones take.
+/// The limit is reviewed once this many calls have ended, or once calls have taken as much time in total as this many
+/// slow calls take.
 const WINDOW_CALLS: f64 = 16.0;
 
 /// The limit on calls in flight.
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Adjusts the limit and closes the window, if the window contains [`WINDOW_CALLS`] ended calls or as much time on calls
-    /// as that many slow ones take.
+    /// Adjusts the limit and closes the window, if [`WINDOW_CALLS`] calls have ended in it, or calls have taken as much
+    /// time in it as that many slow calls take.
     pub(super) fn review(&mut self, lengths: &mut CallLengthEstimate, calls_wait: bool) {
         let slow_time_s = WINDOW_CALLS * SLOW_CALL_FACTOR * lengths.baseline_s();
         if lengths.window_ended() < WINDOW_CALLS && lengths.window_time_s() < slow_time_s {
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -14,7 +14,7 @@
 const FAILING_SHARE: f64 = 0.3;
 /// Runs count as failing only if at least this many of the recent ones failed.
 const MIN_FAILED_RUNS: f64 = 3.0;
-/// Runs count as stalled if none ended within the core time of this many mean runs.
+/// Runs count as stalled if none has ended or reached a downstream call within the core time of this many mean runs.
 const STALLED_RUNS: f64 = 20.0;
 /// Runs do not count as stalled before this time: short runs end late if the process gets no core (seconds).
 const MIN_STALLED_S: f64 = 0.3;
--- a/src/admission/idempotency.rs
+++ b/src/admission/idempotency.rs
@@ -14,7 +14,7 @@
     /// Attempts that wait for the holder to start, oldest first.
     waiting: Vec<RequestId>,
     has_run: bool,
-    /// Until when callers may repeat the key (clock, seconds).
+    /// When the retention of the key ends: two sweep intervals after callers can no longer repeat it (clock, seconds).
     retained_until: f64,
 }
 
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -103,8 +103,9 @@
         wait_s + self.downstream.expected_call_s() > available_s
     }
 
-    /// Whether the queues ahead of a request are longer than what can be started within its waiting time, at the
-    /// service rate that higher tiers leave.
+    /// Whether the queue that a request joins is longer than what can be started within its waiting time at the service
+    /// rate that higher tiers leave, or the queues of the higher tiers are longer than what can be started within
+    /// [`HIGHER_TIERS_SHARE`] of that time.
     fn is_queue_too_long(&self, request: &Request) -> bool {
         let wait_budget_s = self.wait_budget_s(request);
         let rate = self.run_slots.service_rate(request.class, self.run_lengths);
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -64,7 +64,7 @@
     /// the recent arrivals outnumber the cores. If they don't, the fleet counts as full if the arrivals, at the baseline
     /// run length, need more than [`OVERLOAD_FACTOR`] times the time that the cores have: callers spread their requests
     /// evenly, so an overload here is an overload everywhere, while a fault of this worker alone brings no additional
-    /// arrivals. The drawback is that callers then don't find another worker that has capacity.
+    /// arrivals. The drawback is that, if other workers have capacity after all, callers are told not to try them.
     pub(super) fn infers_full_fleet(&self, arrivals: &ArrivalRates, baseline_run_s: f64) -> bool {
         let total = arrivals.total();
         if self.marks_retries {
--- a/src/admission/run_limit.rs
+++ b/src/admission/run_limit.rs
@@ -82,7 +82,8 @@
         self.window_ends = now + WINDOW_S;
     }
 
-    /// Whether a core is free now; without that gauge, whether the cores were not busy recently.
+    /// Whether a core is free now, by the gauge of runnable tasks; without that gauge, whether the cores were not busy
+    /// recently.
     fn cores_idle(&self, gauges: &Gauges) -> bool {
         match gauges.runnable {
             Some(runnable) => runnable < self.min_runs as f64,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Whether the cores were busy recently; assumed if there is no such gauge.
+/// Whether the cores were busy recently; true if there is no gauge of their utilization.
 fn cores_busy(gauges: &Gauges) -> bool {
     gauges.cores_busy.unwrap_or(1.0) >= BUSY_SHARE
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -46,7 +46,8 @@
     pub objective_s: f64,
     /// How long a client waits for a response (seconds).
     pub deadline_s: f64,
-    /// `safe`, `keyed` or `unsafe`.
+    /// Whether a request may run more than once: `safe` (it may), `keyed` (at most one run per idempotency key) or
+    /// `unsafe` (it is not sent again if it may have run).
     pub effect: String,
     /// The window of an idempotency key (seconds).
     pub window_s: f64,
--- a/src/interface/learned.rs
+++ b/src/interface/learned.rs
@@ -151,7 +151,7 @@
 
 impl LearnedState {
     /// Whether the values could be measurements: all are finite, only the call budget may be negative, and the limit on
-    /// calls, the baseline of the run length and the counts of ended runs by class are above 0. Adopting any others
+    /// calls, the baseline of the run length and the counts of ended runs by class are above 0. Adopting other values
     /// would corrupt all later decisions.
     #[must_use]
     pub fn is_valid(&self) -> bool {
--- a/src/interface/reports.rs
+++ b/src/interface/reports.rs
@@ -32,10 +32,11 @@
 /// Why a worker is unhealthy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UnhealthyCause {
-    /// Too many of the recent runs failed.
+    /// At least `MIN_FAILED_RUNS`, and more than `FAILING_SHARE`, of the recent runs failed.
     #[default]
     FailingRuns,
-    /// No run has ended for a long time.
+    /// No run has ended or reached a downstream call while runs used the cores for `STALLED_RUNS` mean run lengths in
+    /// total.
     StalledRuns,
     /// Requests are read too late to be served.
     ReadLag,
@@ -75,7 +76,8 @@
     MaxSlots,
     /// The number of runs that the executor survives for certain.
     SurvivableRuns,
-    /// Runs take longer than the number of concurrent runs explains.
+    /// Runs take longer than expected for the number of concurrent runs; see
+    /// [`PoolPlan::slow_ratio`](super::PoolPlan::slow_ratio).
     Slow,
     /// Runs are no longer slow, and the limit doubles in each review until it is restored.
     Recovery,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -65,7 +65,7 @@
 pub struct Dependency {
     /// This worker's share of the mean number of calls in flight that the dependency survives for certain.
     pub share: f64,
-    /// The time over which the mean is taken (seconds).
+    /// The time over which the number of calls in flight is averaged (seconds).
     pub window_s: f64,
     /// The longest time for which an abandoned call stays in flight (seconds).
     pub linger_s: f64,
@@ -138,8 +138,8 @@
     pub review_s: f64,
     /// The number of ended runs that a review requires.
     pub min_samples: usize,
-    /// The executor counts as slow if runs take more than this multiple of the length that the number of concurrent
-    /// runs explains.
+    /// The executor counts as slow if runs take more than this multiple of the length that is expected for the number
+    /// of concurrent runs.
     pub slow_ratio: f64,
 }
 
@@ -158,11 +158,11 @@
     pub cold: bool,
     /// The least share of its full speed that a cold worker has.
     pub cold_speed: f64,
-    /// The longest time until a cold worker has its full speed, which rises at least linearly (seconds).
+    /// The longest time until a cold worker reaches its full speed (seconds). Its speed rises at least linearly.
     pub warm_up_s: f64,
     /// The number of concurrent runs per core that a warm worker survives.
     pub survivable_multiple: f64,
-    /// The time over which that number is averaged (seconds).
+    /// The time over which the number of concurrent runs is averaged (seconds).
     pub survivable_window_s: f64,
     /// Memory available to queued and running requests and to idempotency keys (KB).
     pub memory_kb: f64,
--- a/src/log/layer.rs
+++ b/src/log/layer.rs
@@ -29,7 +29,8 @@
         LogHandle { output: Arc::new(output) }
     }
 
-    /// Logs how many lines were suppressed in a past second, if any. Must be called periodically.
+    /// Logs how many lines were suppressed since the last report, if any and if the second in which the last of them was
+    /// suppressed is over. Must be called periodically.
     pub fn report_suppressed(&self) {
         let suppressed = self.output.limiter().take_suppressed(self.output.now_s());
         if let Some(lines) = suppressed {
--- a/src/log/limiter.rs
+++ b/src/log/limiter.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 struct FoldedEvent {
     /// When the last line was written or suppressed (seconds since the log was set up).
-    written_at_s: f64,
+    last_line_at_s: f64,
     /// Occurrences since the last line.
     occurrences: u32,
 }
@@ -53,14 +53,14 @@
 
     /// Decides whether to write an event whose repeats within [`FOLD_INTERVAL_S`] are folded into one line.
     pub(super) fn admit_folded(&mut self, now_s: f64, key: K) -> Decision {
-        let never_written = FoldedEvent { written_at_s: f64::NEG_INFINITY, occurrences: 0 };
+        let never_written = FoldedEvent { last_line_at_s: f64::NEG_INFINITY, occurrences: 0 };
         let event = self.folded.entry(key).or_insert(never_written);
         event.occurrences += 1;
-        if now_s - event.written_at_s < FOLD_INTERVAL_S {
+        if now_s - event.last_line_at_s < FOLD_INTERVAL_S {
             return Decision::Drop;
         }
         let occurrences = std::mem::take(&mut event.occurrences);
-        event.written_at_s = now_s;
+        event.last_line_at_s = now_s;
         self.admit_line(now_s, occurrences)
     }
 
--- a/src/pools/choice.rs
+++ b/src/pools/choice.rs
@@ -104,7 +104,7 @@
                 return permitted;
             }
             permitted[claim.pool] = true;
-            // Earmark as many slots as the claim covers: several requests of the pool may start before the next choice.
+            // Earmark as many slots as the claim covers, so that pools with a smaller claim or none can't take them.
             let claimed = (claim.slots.ceil() as usize).min(self.queued(claim.pool)).max(1);
             free = free.saturating_sub(claimed);
         }
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Whether a pool is at least half a slot below its fair share, so that one more run does not exceed it when rounded.
+    /// Whether a pool is at least half a slot below its fair share, so that one more run exceeds it by at most half
+    /// a slot.
     fn is_below_fair_share(&self, pool: usize) -> bool {
         let share = self.fair_share(pool, |other| self.accounts[other].wants_slot);
         self.common_in_use(pool) as f64 + 0.5 <= share
--- a/src/pools/limit/mod.rs
+++ b/src/pools/limit/mod.rs
@@ -12,9 +12,9 @@
 //! the baseline were the minimum of the noisy lengths in a window instead, all contention would count as gained throughput
 //! (docs/design/01-class-pools.md has the figures).
 //!
-//! Runs that take longer than the number of concurrent runs explains show that the executor has slowed down. The limit
-//! then falls to its lower bound immediately and the learned capacity is kept. Once run lengths match the number of
-//! concurrent runs again, the limit doubles in each review until it reaches the value that follows from the capacity.
+//! Runs that take longer than expected for the number of concurrent runs show that the executor has slowed down. The limit
+//! then falls to its lower bound immediately and the learned capacity is kept. Once runs take as long as expected again,
+//! the limit doubles in each review until it reaches the value that follows from the capacity.
 
 mod baseline;
 mod calibration;
--- a/src/pools/limit/slot_limit.rs
+++ b/src/pools/limit/slot_limit.rs
@@ -164,8 +164,8 @@
     }
 
     /// Whether the ended and the current runs together have used more time on the cores in this window than they would take
-    /// on an executor that just counts as slow, plus the time of half the required samples. This detects a tenfold
-    /// slowdown, in which the first run would end seconds too late for a review.
+    /// on an executor that barely counts as slow, plus the baseline length of half the required samples. This detects a
+    /// tenfold slowdown, in which the first run would end seconds too late for a review.
     fn is_stalled(&self, on_cores: usize) -> bool {
         let mean_run_s = self.baselines.mean_s();
         let expected_s = self.window.ended_baseline_s + on_cores as f64 * mean_run_s;
--- a/src/pools/limit/window_assessment.rs
+++ b/src/pools/limit/window_assessment.rs
@@ -5,7 +5,8 @@
 
 /// A window counts as at the limit if the limit was reached for at least this share of it.
 const LIMIT_REACHED_SHARE: f64 = 0.5;
-/// Mean number of runs above the lower bound of the limit up to which a window counts as uncontended.
+/// A window counts as uncontended if the mean number of runs on the cores exceeds the lower bound of the limit by at most
+/// this many.
 const UNCONTENDED_MARGIN: f64 = 0.5;
 
 /// Measured run lengths, compared with those expected from the number of concurrent runs.
@@ -13,9 +14,9 @@
 pub(super) enum Speed {
     /// Too few runs have ended to tell.
     Unknown,
-    /// As long as expected.
+    /// Runs take as long as expected.
     Normal,
-    /// Longer than expected.
+    /// Runs take more than [`LimitSettings::slow_ratio`] times as long as expected.
     Slow,
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// Expected ratio of run length to baseline with this number of runs on the cores, by the capacity alone.
+/// Expected ratio of run length to baseline if this number of runs on the cores share the capacity.
 pub(super) fn expected_slowdown(on_cores: f64, capacity: f64) -> f64 {
     (on_cores / capacity).max(1.0)
 }
