--- a/src/admission/controller/sweep.rs
+++ b/src/admission/controller/sweep.rs
@@ -42,7 +42,7 @@
         let pending = self.requests.iter().filter(|(_, request)| !request.completed);
         let ids: Vec<RequestId> = pending.map(|(id, _)| id).collect();
         for id in ids {
-            // An earlier iteration of this loop may have removed it.
+            // An earlier iteration of this loop may have removed the request.
             let Some(request) = self.requests.get(id) else { continue };
             match self.sweep_decision(request) {
                 SweepDecision::Reject => self.reject(id, out),
--- a/src/admission/health.rs
+++ b/src/admission/health.rs
@@ -71,7 +71,8 @@
         self.read_lagging &= self.signals.mean_read_delay_exceeds(READ_LAG_END);
     }
 
-    /// Records how late a request was read. During read lag callers are sent elsewhere, which loads the other workers.
+    /// Records how late a request was read. During read lag, callers are sent to other workers, whose load
+    /// then rises.
     pub(super) fn record_read(&mut self, read_delay_s: f64, objective_s: f64) {
         self.signals.count_read(read_delay_s / objective_s.max(SWEEP_INTERVAL_S));
         self.read_lagging |= self.signals.mean_read_delay_exceeds(READ_LAG_START);
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -18,8 +18,8 @@
 const HIGHER_TIERS_SHARE: f64 = 0.6;
 /// Tiers with less than this share of a request's weight are not counted as a queue that it waits behind.
 const MIN_WEIGHT_SHARE_IN_TOTAL: f64 = 0.4;
-/// With pools, waiting may take this share of the time that the objective leaves, since the queue of a full pool
-/// never empties.
+/// With pools, waiting may take this share of the time that the objective leaves: the queue of a full pool never empties,
+/// so every request in it waits for about as long as this bound allows.
 const POOL_WAIT_SHARE: f64 = 0.4;
 /// Higher tiers are assumed to leave at least this share of the service rate.
 const MIN_RATE_SHARE_LEFT: f64 = 0.1;
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -134,8 +134,8 @@
         self.overload.as_ref().is_some_and(|overload| overload.on)
     }
 
-    /// Creates the configuration of the membership, without overload control. The caller adds that, since it needs the
-    /// worker's base allocation, which depends on the platform's settings.
+    /// Creates the configuration of the membership, without overload control. The caller adds overload control, which
+    /// needs the worker's base allocation and so depends on the platform's settings.
     #[must_use]
     pub fn membership(&self, config: &Config) -> MembershipConfig {
         MembershipConfig {
--- a/src/pools/limit/contention.rs
+++ b/src/pools/limit/contention.rs
@@ -6,8 +6,8 @@
 /// Time with contention before a calibration, in review intervals, while fewer than [`BASELINE_RUNS`] samples were taken
 /// without contention or a baseline was measured under contention.
 const FIRST_CALIBRATION_REVIEWS: f64 = 3.0;
-/// Time with contention before any other calibration, in measurement windows: each costs up to two seconds of low
-/// concurrency.
+/// Time with contention before any other calibration, in measurement windows. It is longer because each calibration costs
+/// up to two seconds of low concurrency.
 const CALIBRATION_WINDOWS: f64 = 4.0;
 
 /// Contention since the baselines were last measured.
--- a/src/pools/limit/mod.rs
+++ b/src/pools/limit/mod.rs
@@ -9,8 +9,8 @@
 //! most the lower bound of the limit. If runs are shorter than their baselines over several windows, the baselines are
 //! shortened. After four measurement windows ([`LimitSettings::window_s`] each) without a review window free of contention,
 //! and earlier while the baselines are uncertain, the limit is lowered to its lower bound or below for a calibration. If
-//! the baseline were the minimum of the noisy lengths in a window instead, all contention would count as gained throughput
-//! (docs/design/01-class-pools.md has the figures).
+//! the baseline were the minimum of the noisy lengths in a window instead, it would rise in a window in which all runs
+//! contend, and all contention would count as gained throughput (docs/design/01-class-pools.md has the figures).
 //!
 //! Runs that take longer than expected for the number of concurrent runs show that the executor has slowed down. The limit
 //! then falls to its lower bound immediately and the learned capacity is kept. Once runs take as long as expected again,
