--- a/src/net/lifecycle/hot_restart/successor.rs
+++ b/src/net/lifecycle/hot_restart/successor.rs
@@ -19,7 +19,7 @@
 enum SuccessorMismatch {
     #[error("version {found}, expected {expected}")]
     Version { found: u32, expected: u32 },
-    #[error("the worker's name, its classes or its tenants differ")]
+    #[error("another name, other classes or other tenants")]
     Identity,
 }
 
