--- a/fleet-coordinator/src/config/mod.rs
+++ b/fleet-coordinator/src/config/mod.rs
@@ -8,7 +8,7 @@
 use crate::coordinator::{CoordinatorAddress, CoordinatorConfig};
 use crate::leader_state::SafetyChecks;
 use crate::state_machine::{Task, LATEST_VERSION};
-use port_worker::fleet::overload::leader::Settings;
+use port_worker::fleet::overload::leader::OverloadLeaderSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -142,7 +142,7 @@
             write_overdue_s: self.write_overdue_ms as f64 / 1000.0,
             version: self.version,
             safety_checks: SafetyChecks::default(),
-            overload: self.overload.map(|overload| Settings {
+            overload: self.overload.map(|overload| OverloadLeaderSettings {
                 base_calls: overload.calls_part,
                 retry_share: overload.retry_percent / 100.0,
             }),
--- a/fleet-coordinator/src/coordinator/answers.rs
+++ b/fleet-coordinator/src/coordinator/answers.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::{MemberId, SessionId};
 use crate::state_machine::{IndeterminateCall, Period};
-use port_worker::fleet::overload::leader::Leader;
+use port_worker::fleet::overload::leader::OverloadLeader;
 use port_worker::fleet::overload::level::SheddingLevel;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -133,7 +133,7 @@
 
 impl OverloadAnswer<'_> {
     /// Returns the current state.
-    pub(super) fn new(now: f64, leader: &Leader) -> OverloadAnswer<'_> {
+    pub(super) fn new(now: f64, leader: &OverloadLeader) -> OverloadAnswer<'_> {
         let sums = leader.sums();
         let capacity = leader.capacity_totals(now);
         let zones = leader.service().zones().map(|zone| ZoneRow {
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -20,7 +20,7 @@
 use crate::state_machine::Task;
 use operator_queries::{PendingQuery, FIRST_QUERY_NUMBER};
 use port_worker::fleet::frame::{self, ServerMessage, MAX_CLIENT_FRAME_BYTES};
-use port_worker::fleet::overload::leader::Settings as OverloadSettings;
+use port_worker::fleet::overload::leader::OverloadLeaderSettings;
 use std::collections::BTreeMap;
 
 /// How often an uninitialized member queries its peers for its member number and whether it has lost its disk (seconds).
@@ -46,7 +46,7 @@
     /// Safety checks; all are enabled in production.
     pub safety_checks: SafetyChecks,
     /// Settings of fleet-wide overload control: `[overload]` in the configuration file.
-    pub overload: Option<OverloadSettings>,
+    pub overload: Option<OverloadLeaderSettings>,
 }
 
 /// A coordinator and the address for workers' connections.
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -25,7 +25,7 @@
 use granting::{Backoff, BackoffKey, PendingGrant};
 use port_worker::fleet::frame::{Counters, FleetTotals, ServerMessage};
 use port_worker::fleet::overload::events::OverloadEvent;
-use port_worker::fleet::overload::leader::{Leader, Settings};
+use port_worker::fleet::overload::leader::{OverloadLeader, OverloadLeaderSettings};
 use releasing::HandOff;
 use renewals::Renewal;
 use std::collections::BTreeMap;
@@ -83,13 +83,13 @@
 /// Fleet-wide overload control; present if the configuration file has `[overload]`.
 #[derive(Clone, Debug)]
 struct FleetOverload {
-    settings: Settings,
-    leader: Leader,
+    settings: OverloadLeaderSettings,
+    leader: OverloadLeader,
 }
 
 impl FleetOverload {
-    fn start_term(now: f64, settings: Settings) -> FleetOverload {
-        FleetOverload { settings, leader: Leader::new(now, settings) }
+    fn start_term(now: f64, settings: OverloadLeaderSettings) -> FleetOverload {
+        FleetOverload { settings, leader: OverloadLeader::new(now, settings) }
     }
 }
 
@@ -127,7 +127,7 @@
 impl LeaderState {
     /// Returns the state of a member that is not the leader.
     #[must_use]
-    pub fn new(checks: SafetyChecks, overload: Option<Settings>) -> LeaderState {
+    pub fn new(checks: SafetyChecks, overload: Option<OverloadLeaderSettings>) -> LeaderState {
         let overload = overload.map(|settings| FleetOverload::start_term(0.0, settings));
         LeaderState::empty(checks, 1, overload)
     }
--- a/fleet-coordinator/src/leader_state/queries.rs
+++ b/fleet-coordinator/src/leader_state/queries.rs
@@ -2,7 +2,7 @@
 
 use super::{LeaderState, SESSION_TTL_S};
 use crate::ids::SessionId;
-use port_worker::fleet::overload::leader::Leader;
+use port_worker::fleet::overload::leader::OverloadLeader;
 
 /// A session's connection status.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -16,12 +16,12 @@
 impl LeaderState {
     /// Returns the fleet's overload control, if configured.
     #[must_use]
-    pub fn overload(&self) -> Option<&Leader> {
+    pub fn overload(&self) -> Option<&OverloadLeader> {
         self.overload.as_ref().map(|overload| &overload.leader)
     }
 
     /// Returns the fleet's overload control for changes by operators, if configured.
-    pub fn overload_mut(&mut self) -> Option<&mut Leader> {
+    pub fn overload_mut(&mut self) -> Option<&mut OverloadLeader> {
         self.overload.as_mut().map(|overload| &mut overload.leader)
     }
 
--- a/fleet-coordinator/tests/operator_answers.rs
+++ b/fleet-coordinator/tests/operator_answers.rs
@@ -10,7 +10,7 @@
 use port_worker::fleet::frame::{
     decode, encode, ClientMessage, LeaseRef, OperatorQuery, ServerMessage, MAX_SERVER_FRAME_BYTES,
 };
-use port_worker::fleet::overload::leader::Settings;
+use port_worker::fleet::overload::leader::OverloadLeaderSettings;
 use serde_json::{json, Value};
 
 const WORKER: LinkId = LinkId(1);
@@ -38,7 +38,7 @@
             write_overdue_s: 1.0,
             version: LATEST_VERSION,
             safety_checks: SafetyChecks::default(),
-            overload: Some(Settings { base_calls: 4.0, retry_share: 0.1 }),
+            overload: Some(OverloadLeaderSettings { base_calls: 4.0, retry_share: 0.1 }),
         };
         let mut fleet = Fleet {
             now: 0.0,
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -198,7 +198,7 @@
 
     /// Whether the session is currently established.
     #[must_use]
-    pub fn is_connected(&self) -> bool {
+    pub fn has_established_session(&self) -> bool {
         self.session.is_established()
     }
 
--- a/src/fleet/member/metrics.rs
+++ b/src/fleet/member/metrics.rs
@@ -6,10 +6,10 @@
     /// Names and values of the metrics, in printing order.
     #[must_use]
     pub fn metrics(&self, now: f64) -> Vec<(String, String)> {
-        let is_connected = u64::from(self.is_connected());
+        let has_established_session = u64::from(self.has_established_session());
         let since_change_s = now - self.session.link_state_since;
         let mut lines = vec![
-            ("fleet.linked".to_owned(), is_connected.to_string()),
+            ("fleet.linked".to_owned(), has_established_session.to_string()),
             ("fleet.linked_or_not_for_s".to_owned(), format!("{since_change_s:.1}")),
         ];
         self.push_lease_metrics(now, &mut lines);
--- a/src/fleet/member/tests.rs
+++ b/src/fleet/member/tests.rs
@@ -82,7 +82,7 @@
 fn all_leases_are_lost_when_the_session_expires() {
     let mut member = member_with_lease();
     member.receive(2.0, &ServerMessage::SessionExpired);
-    assert!(!member.is_connected());
+    assert!(!member.has_established_session());
     assert_eq!(member.leases.token("t"), None);
     let lease_lost = MemberAction::Log(MembershipEvent::LeaseLost {
         lease: lease(3),
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -25,7 +25,7 @@
 
 /// `[overload]` of the coordinators' file.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settings {
+pub struct OverloadLeaderSettings {
     /// Each worker's base allocation of the downstream service's capacity (mean calls in flight).
     pub base_calls: f64,
     /// Retries that the fleet admits per first attempt while it is short of capacity.
@@ -34,7 +34,7 @@
 
 /// Fleet-wide overload control during one term of a leader.
 #[derive(Clone, Debug)]
-pub struct Leader {
+pub struct OverloadLeader {
     view: FleetLoadView,
     levels: SheddingController,
     service: DownstreamService,
@@ -47,11 +47,11 @@
     sums: LoadSums,
 }
 
-impl Leader {
+impl OverloadLeader {
     /// Creates the state of a leader whose term begins now.
     #[must_use]
-    pub fn new(now: f64, settings: Settings) -> Leader {
-        Leader {
+    pub fn new(now: f64, settings: OverloadLeaderSettings) -> OverloadLeader {
+        OverloadLeader {
             view: FleetLoadView::default(),
             levels: SheddingController::new(now),
             service: DownstreamService::new(now),
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -259,7 +259,7 @@
             )
         })?;
         let mut load = SessionLoad::new(count, "cost", &addresses, &[]);
-        while !load.all_connected() {
+        while !load.all_sessions_established() {
             load.turn();
             if load.now() > TIMEOUT.as_secs_f64() {
                 return Err(TestbedError::SessionsNotEstablished { count });
--- a/testbed/src/fleet/overload_storm/reports.rs
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -3,7 +3,7 @@
 use super::scenario::{FleetMode, Scenario};
 use super::worker::Worker;
 use port_worker::fleet::overload::events::OverloadEvent;
-use port_worker::fleet::overload::leader::Leader;
+use port_worker::fleet::overload::leader::OverloadLeader;
 use port_worker::fleet::overload::{FleetDigest, LoadReport, REPORT_INTERVAL_S};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -56,7 +56,7 @@
         now: f64,
         scenario: &Scenario,
         workers: &mut [Worker],
-        leader: &mut Leader,
+        leader: &mut OverloadLeader,
     ) -> Vec<OverloadEvent> {
         for (number, worker) in workers.iter_mut().enumerate() {
             self.send_report(now, scenario, number, worker);
@@ -90,7 +90,7 @@
         now: f64,
         scenario: &Scenario,
         arrived: &ReportInFlight,
-        leader: &mut Leader,
+        leader: &mut OverloadLeader,
     ) {
         let worker = arrived.worker;
         let zone = format!("z{}", worker % scenario.zones);
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -11,7 +11,7 @@
 use crate::experiment::Experiment;
 use port_worker::config::Config;
 use port_worker::dispatch::{Command, Input, Request, Response, Ticket};
-use port_worker::fleet::overload::leader::{Leader, Settings as LeaderSettings};
+use port_worker::fleet::overload::leader::{OverloadLeader, OverloadLeaderSettings};
 use port_worker::Outcome;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -77,7 +77,7 @@
     rng: ChaCha8Rng,
     workers: Vec<Worker>,
     service: Service,
-    leader: Leader,
+    leader: OverloadLeader,
     /// Planned attempts, by time (microseconds) and order of planning.
     attempts: BTreeMap<(u64, u64), NextAttempt>,
     order: u64,
@@ -104,9 +104,9 @@
         let mut world = World {
             workers: (0..scenario.workers).map(|n| Worker::new(scenario, &experiment, &config, n)).collect(),
             service: Service::new(scenario, &experiment.records),
-            leader: Leader::new(
+            leader: OverloadLeader::new(
                 0.0,
-                LeaderSettings { base_calls: scenario.slots_per_worker, retry_share: 0.1 },
+                OverloadLeaderSettings { base_calls: scenario.slots_per_worker, retry_share: 0.1 },
             ),
             rng: ChaCha8Rng::seed_from_u64(seed ^ ROUTING_SEED),
             attempts: BTreeMap::new(),
--- a/testbed/src/fleet/session_load.rs
+++ b/testbed/src/fleet/session_load.rs
@@ -79,10 +79,10 @@
         (up, down)
     }
 
-    /// Whether every session is connected.
+    /// Whether every session is established.
     #[must_use]
-    pub fn all_connected(&self) -> bool {
-        self.sessions.iter().all(|s| s.member.is_connected())
+    pub fn all_sessions_established(&self) -> bool {
+        self.sessions.iter().all(|s| s.member.has_established_session())
     }
 
     /// Returns the sessions that may act for a task now.
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -73,7 +73,7 @@
             std::thread::sleep(Duration::from_millis(2));
         }
     };
-    wait(&mut sessions, "all sessions established", &SessionLoad::all_connected);
+    wait(&mut sessions, "all sessions established", &SessionLoad::all_sessions_established);
     let mut before = None;
     for change in 1..=3 {
         wait(&mut sessions, "another holder", &|sessions| {
