--- a/src/dispatch/arrival.rs
+++ b/src/dispatch/arrival.rs
@@ -76,7 +76,7 @@
         }
         // The attempt was unread for at least as long as keys are retained after their window, so the entry of an
         // earlier run may already have been removed.
-        if times.read_delay_s >= self.keys.late_reading_s() {
+        if times.read_delay_s >= self.keys.retention_after_window_s() {
             return Some(Response::DeadlineExceeded);
         }
         if is_new && self.keys.is_full() {
--- a/src/dispatch/idempotency/mod.rs
+++ b/src/dispatch/idempotency/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! The time at which an attempt arrived at the machine determines the window that it belongs to. Attempts may be read
 //! later than they arrived, and in a different order. Therefore an entry is retained for
-//! [`IdempotencyTable::late_reading_s`] after its window.
+//! [`IdempotencyTable::retention_after_window_s`] after its window.
 //! When an attempt of a later window becomes the holder of the key, the entry keeps the old run as its previous run:
 //! attempts of the old window that are read afterwards share the previous run, whether or not the new holder ever runs.
 //!
--- a/src/dispatch/idempotency/table.rs
+++ b/src/dispatch/idempotency/table.rs
@@ -7,7 +7,7 @@
 
 /// Minimum time for which an entry is retained after its window, for attempts that arrived within the window but are
 /// read late (seconds). Longer deadlines of callers extend it.
-const MIN_LATE_READING_S: f64 = 6.0;
+const MIN_RETENTION_AFTER_WINDOW_S: f64 = 6.0;
 /// Collections are shrunk to this multiple of their length.
 const SHRINK_FACTOR: usize = 4;
 
@@ -38,7 +38,7 @@
     max_result_bytes: usize,
     max_keys: usize,
     /// How long a key is retained after its window, for attempts that are read late (seconds).
-    late_reading_s: f64,
+    retention_after_window_s: f64,
 }
 
 impl IdempotencyTable {
@@ -52,7 +52,7 @@
             result_bytes: 0,
             max_result_bytes,
             max_keys,
-            late_reading_s: longest_deadline_s.max(MIN_LATE_READING_S),
+            retention_after_window_s: longest_deadline_s.max(MIN_RETENTION_AFTER_WINDOW_S),
         }
     }
 
@@ -65,8 +65,8 @@
 
     /// Returns how long a key is retained after its window, for attempts that are read late (seconds).
     #[must_use]
-    pub fn late_reading_s(&self) -> f64 {
-        self.late_reading_s
+    pub fn retention_after_window_s(&self) -> f64 {
+        self.retention_after_window_s
     }
 
     /// Returns the number of keys.
@@ -242,9 +242,10 @@
     }
 
     fn remove_expired_keys(&mut self, now: f64) {
-        let late_reading_s = self.late_reading_s;
-        let is_expired =
-            |entry: &Entry| now > entry.expires_at + late_reading_s && entry.progress != KeyProgress::Open;
+        let retention_after_window_s = self.retention_after_window_s;
+        let is_expired = |entry: &Entry| {
+            now > entry.expires_at + retention_after_window_s && entry.progress != KeyProgress::Open
+        };
         let expired = self.entries.iter().filter(|(_, entry)| is_expired(entry));
         let expired: Vec<IdempotencyKey> = expired.map(|(key, _)| key.clone()).collect();
         for key in &expired {
@@ -253,9 +254,9 @@
     }
 
     fn remove_expired_previous_runs(&mut self, now: f64) {
-        let late_reading_s = self.late_reading_s;
+        let retention_after_window_s = self.retention_after_window_s;
         for entry in self.entries.values_mut() {
-            if entry.previous.as_ref().is_some_and(|run| now > run.expires_at + late_reading_s) {
+            if entry.previous.as_ref().is_some_and(|run| now > run.expires_at + retention_after_window_s) {
                 self.result_bytes -= entry.previous.take().map_or(0, |run| run.progress.result_bytes());
             }
         }
--- a/src/hot_restart/ownership.rs
+++ b/src/hot_restart/ownership.rs
@@ -51,20 +51,20 @@
     ready_to_serve: bool,
     shutting_down: bool,
     /// The longest window of any idempotency key (seconds).
-    longest_window_s: f64,
+    longest_key_window_s: f64,
 }
 
 impl ListenerOwnership {
-    /// Creates the state machine of a process that has not looked for a predecessor yet. `longest_window_s` is the longest
+    /// Creates the state machine of a process that has not looked for a predecessor yet. `longest_key_window_s` is the longest
     /// window of any idempotency key.
     #[must_use]
-    pub fn new(longest_window_s: f64) -> ListenerOwnership {
+    pub fn new(longest_key_window_s: f64) -> ListenerOwnership {
         ListenerOwnership {
             state: State::Waiting(Handshake::default()),
             predecessor: Predecessor::default(),
             ready_to_serve: false,
             shutting_down: false,
-            longest_window_s,
+            longest_key_window_s,
         }
     }
 
@@ -282,6 +282,6 @@
     /// Marks the unknown keys of retries as indeterminate for the longest window: a process that has ended may have run
     /// their requests, whose retries arrive within that window.
     fn indeterminate_retries(&self, now: f64) -> Effect {
-        Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(now + self.longest_window_s))
+        Effect::SetIndeterminateKeys(IndeterminateKeys::RetriesUntil(now + self.longest_key_window_s))
     }
 }
--- a/src/net/lifecycle/hot_restart/mod.rs
+++ b/src/net/lifecycle/hot_restart/mod.rs
@@ -57,12 +57,12 @@
 }
 
 impl HotRestart {
-    /// Creates the state of a process that has not looked for a predecessor yet. `longest_window_s` is the maximum time
-    /// for which a key matches retries.
-    pub(in crate::net) fn new(links: Links, http_socket: Rc<TcpListener>, longest_window_s: f64) -> Self {
+    /// Creates the state of a process that has not looked for a predecessor yet. `longest_key_window_s` is the longest
+    /// window of any class's idempotency keys.
+    pub(in crate::net) fn new(links: Links, http_socket: Rc<TcpListener>, longest_key_window_s: f64) -> Self {
         HotRestart {
             links,
-            ownership: ListenerOwnership::new(longest_window_s),
+            ownership: ListenerOwnership::new(longest_key_window_s),
             http_socket,
             staged: StagedState::default(),
             handed_off_requests: Vec::new(),
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Maximum time for which a key matches retries: the longest window plus the controller's safety margin of 1 s
-    /// (seconds).
+    /// Upper bound of the time for which a key that is first used now is retained: the longest key window plus a margin of
+    /// 1 s, which covers the two sweep intervals that the controller adds to a key's window (seconds).
     fn max_key_retention_s(&self) -> f64 {
         self.configuration.settings.classes.iter().map(|c| c.window_s).fold(0.0, f64::max) + 1.0
     }
--- a/src/net/worker/setup.rs
+++ b/src/net/worker/setup.rs
@@ -189,7 +189,7 @@
         return Ok(None);
     };
     let windows = configuration.settings.classes.iter().map(|class| class.window_s);
-    let longest_window_s = windows.fold(0.0, f64::max);
+    let longest_key_window_s = windows.fold(0.0, f64::max);
     let links = Links::new(poll, Path::new(folder));
-    Ok(Some(HotRestart::new(links, socket, longest_window_s)))
+    Ok(Some(HotRestart::new(links, socket, longest_key_window_s)))
 }
