--- a/fleet-coordinator/src/config/check.rs
+++ b/fleet-coordinator/src/config/check.rs
@@ -42,7 +42,7 @@
 
     fn check_coordinators(&self) -> Result<(), ConfigError> {
         let count = self.coordinators.len();
-        check_range("coordinator", count as u64, 1, MAX_COORDINATORS as u64)?;
+        check_range("coordinator: the number of entries", count as u64, 1, MAX_COORDINATORS as u64)?;
         if count.is_multiple_of(2) {
             return Err(ConfigError::EvenCoordinators { found: count });
         }
@@ -59,7 +59,7 @@
     }
 
     fn check_tasks(&self) -> Result<(), ConfigError> {
-        check_range("task", self.tasks.len() as u64, 0, MAX_TASKS as u64)?;
+        check_range("task: the number of entries", self.tasks.len() as u64, 0, MAX_TASKS as u64)?;
         for (index, task) in self.tasks.iter().enumerate() {
             let name = &task.name;
             if self.tasks[..index].iter().any(|earlier| earlier.name == *name) {
--- a/fleet-coordinator/src/config/error.rs
+++ b/fleet-coordinator/src/config/error.rs
@@ -30,12 +30,12 @@
         /// The parser's error.
         source: Box<toml::de::Error>,
     },
-    /// An integer is out of range.
+    /// An integer, or the number of entries of a list, is out of range.
     #[error("{key} is {found}; expected {min} to {max}")]
     OutOfRange {
-        /// The key.
+        /// The key; for a list, followed by a phrase that says that its entries are counted.
         key: String,
-        /// Its value.
+        /// The integer, or the number of entries.
         found: u64,
         /// The smallest valid value.
         min: u64,
@@ -53,7 +53,7 @@
         max: f64,
     },
     /// A name is not valid.
-    #[error("{key} is {found:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
+    #[error("{key} is {found:?}; expected 1 to {MAX_NAME_BYTES} ASCII letters, digits, - _ or .")]
     InvalidName {
         /// The key.
         key: &'static str,
--- a/fleet-coordinator/src/config/tests.rs
+++ b/fleet-coordinator/src/config/tests.rs
@@ -11,7 +11,7 @@
         ("epoch = 1", "epoch = 0", "epoch is 0; expected 1"),
         ("ttl_ms = 3000", "ttl_ms = 3", "task totals.ttl_ms is 3; expected 500"),
         ("ttl_ms = 3000", "tll_ms = 3000", "line 26: unknown field `tll_ms`"),
-        ("\"totals\"", "\"to tals\"", "task.name is \"to tals\"; expected letters"),
+        ("\"totals\"", "\"to tals\"", "task.name is \"to tals\"; expected 1 to 64 ASCII letters"),
         (
             "epoch = 1",
             "overload = { calls_part = -1.0 }\nepoch = 1",
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -198,7 +198,7 @@
     #[error("command not supported by all coordinators yet")]
     UnsupportedVersion,
     /// The name is not valid.
-    #[error("invalid name {0:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them")]
+    #[error("invalid name {0:?}; expected 1 to {MAX_NAME_BYTES} ASCII letters, digits, - _ or .")]
     InvalidName(String),
     /// The session limit is reached.
     #[error("session limit reached: {0} sessions are open")]
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -186,7 +186,7 @@
         pool: String,
     },
     /// A class is in two pools.
-    #[error("pools.pool {pool:?}: class {class:?} is already in pool {other:?}")]
+    #[error("pools.pool {pool:?}: class {class:?} is already in pool {other:?}; expected at most once")]
     ClassInTwoPools {
         /// The later pool.
         pool: String,
@@ -222,10 +222,13 @@
     },
     /// The number of reserved slots is out of its range.
     #[error(
-        "pools.reserve.slots is {slots}; expected 1 to {}: the lower bound of the limit is {min_slots}, and one slot must \
-         be left for other pools{}",
-        .min_slots - 1,
-        if *.min_slots == 1 { " (set least_slots to 2 or more, or omit the reserve)" } else { "" }
+        "pools.reserve.slots is {slots}; expected {}: the lower bound of the limit on runs (pools.least_slots) is \
+         {min_slots}, and one slot must be left for other pools",
+        if *.min_slots == 1 {
+            "no reserve (set least_slots to 2 or more, or omit the reserve)".to_owned()
+        } else {
+            format!("1 to {}", .min_slots - 1)
+        }
     )]
     ReserveSlots {
         /// The number of reserved slots.
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -102,10 +102,10 @@
         check_name("name", &self.name)?;
         check_name("zone", &self.zone)?;
         let coordinators = self.coordinators.len() as f64;
-        check_range("coordinators", coordinators, 1.0, MAX_COORDINATORS as f64)?;
+        check_range("coordinators: the number of entries", coordinators, 1.0, MAX_COORDINATORS as f64)?;
         check_range("drift_percent", self.drift_percent, 0.0, MAX_DRIFT_PERCENT)?;
         // The fleet's totals count as one task.
-        check_range("task", self.tasks.len() as f64, 0.0, (MAX_TASKS - 1) as f64)?;
+        check_range("task: the number of entries", self.tasks.len() as f64, 0.0, (MAX_TASKS - 1) as f64)?;
         for task in &self.tasks {
             self.check_task(task)?;
         }
--- a/src/config/fleet/error.rs
+++ b/src/config/fleet/error.rs
@@ -8,9 +8,7 @@
 #[non_exhaustive]
 pub enum FleetConfigError {
     /// A name is empty, too long, or has a character that is not allowed.
-    #[error(
-        "fleet.{key} is {found:?}; expected letters, digits, - _ . and at most {MAX_NAME_BYTES} of them"
-    )]
+    #[error("fleet.{key} is {found:?}; expected 1 to {MAX_NAME_BYTES} ASCII letters, digits, - _ or .")]
     InvalidName {
         /// The key within the block.
         key: &'static str,
@@ -20,7 +18,7 @@
     /// A number, or the number of entries of a list, is out of its range.
     #[error("fleet.{key} is {found}; expected {min} to {max}")]
     OutOfRange {
-        /// The key within the block.
+        /// The key within the block; for a list, followed by a phrase that says that its entries are counted.
         key: String,
         /// The number, or the number of entries.
         found: f64,
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -14,8 +14,11 @@
         (0.1, true, 0.5)
     );
     for (text, expected) in [
-        (valid.replace("\"polder\"", "\"a b\""), "fleet.name is \"a b\"; expected letters"),
-        (valid.replace("[\"127.0.0.1:1\"]", "[]"), "fleet.coordinators is 0; expected 1 to 9"),
+        (valid.replace("\"polder\"", "\"a b\""), "fleet.name is \"a b\"; expected 1 to 64 ASCII letters"),
+        (
+            valid.replace("[\"127.0.0.1:1\"]", "[]"),
+            "fleet.coordinators: the number of entries is 0; expected 1 to 9",
+        ),
         (valid.replace("5.0", "0.0"), "fleet.task t.period_s is 0; expected 0.1 to 604800"),
         (
             valid.replace("\"t\"", "\"totals\""),
