--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -177,16 +177,20 @@
         name: String,
     },
     /// The process did not exit in time after SIGTERM.
-    #[error("{name} did not exit after SIGTERM")]
+    #[error("{name} did not exit within {limit:?} of SIGTERM")]
     DidNotEnd {
         /// The process.
         name: String,
+        /// How long the testbed waited.
+        limit: Duration,
     },
     /// The process did not announce its address in time.
-    #[error("{name} did not announce its address in time")]
+    #[error("{name} did not announce its address within {limit:?}")]
     DidNotStart {
         /// The process.
         name: String,
+        /// How long the testbed waited.
+        limit: Duration,
     },
     /// The process exited before it announced its address.
     #[error("{name} exited at start with {status}: {}", log.join("; "))]
@@ -207,10 +211,12 @@
         found: String,
     },
     /// The successor in a hot restart did not become ready in time.
-    #[error("{name}: the successor did not become ready in time")]
+    #[error("{name}: the successor did not become ready within {limit:?}")]
     SuccessorNotReady {
         /// The worker that was to be replaced.
         name: String,
+        /// How long the testbed waited.
+        limit: Duration,
     },
     /// There is no relay from one process to the other.
     #[error("no link from {from} to {to}")]
@@ -247,9 +253,14 @@
     #[error("a worker's listening socket has no address")]
     ListenerWithoutAddress,
 
-    /// The experiment's worker did not announce its address in time.
-    #[error("the worker did not announce its address in time")]
-    WorkerDidNotStart,
+    /// The experiment's worker did not announce its address: its log ended, or had no further line in time.
+    #[error(
+        "the worker did not announce its address: its log ended or had no further line within {limit:?}"
+    )]
+    WorkerDidNotStart {
+        /// How long the testbed waited for each line of the log.
+        limit: Duration,
+    },
     /// The experiment's worker announced something that is not an address.
     #[error("the worker announced an invalid address: {line:?}")]
     WorkerNoAddress {
@@ -269,8 +280,11 @@
         status: ExitStatus,
     },
     /// The experiment's worker did not exit in time after SIGTERM.
-    #[error("the worker did not exit after SIGTERM")]
-    WorkerDidNotEnd,
+    #[error("the worker did not exit within {limit:?} of SIGTERM")]
+    WorkerDidNotEnd {
+        /// How long the testbed waited.
+        limit: Duration,
+    },
     /// A thread of a trial panicked.
     #[error("the {owner} thread panicked")]
     ThreadFailed {
@@ -309,10 +323,12 @@
     #[error("the coordinator closed the link")]
     LinkClosed,
     /// Not all sessions were established in time.
-    #[error("{count} sessions were not all established in time")]
+    #[error("{count} sessions were not all established within {limit:?}")]
     SessionsNotEstablished {
         /// The number of sessions.
         count: usize,
+        /// How long the testbed waited.
+        limit: Duration,
     },
     /// The log of the tasks' calls shows that guarantees were violated.
     #[error("{}", .0.join("; "))]
--- a/testbed/src/error/tests.rs
+++ b/testbed/src/error/tests.rs
@@ -23,17 +23,18 @@
 #[test]
 fn each_fleet_error_displays_as_its_line() {
     let name = || "w1".to_owned();
+    let limit = Duration::from_secs(20);
     let lines = [
         (TestbedError::UnknownProcess { name: name() }, "unknown process: w1"),
         (TestbedError::NotRunning { name: name() }, "w1 is not running"),
         (TestbedError::Running { name: name() }, "w1 is running; stop it first"),
-        (TestbedError::DidNotEnd { name: name() }, "w1 did not exit after SIGTERM"),
-        (TestbedError::DidNotStart { name: name() }, "w1 did not announce its address in time"),
+        (TestbedError::DidNotEnd { name: name(), limit }, "w1 did not exit within 20s of SIGTERM"),
+        (TestbedError::DidNotStart { name: name(), limit }, "w1 did not announce its address within 20s"),
         (
             TestbedError::NoAddress { name: name(), found: "x".to_owned() },
             "w1 announced an invalid address: \"x\"",
         ),
-        (TestbedError::SuccessorNotReady { name: name() }, "w1: the successor did not become ready in time"),
+        (TestbedError::SuccessorNotReady { name: name(), limit }, "w1: the successor did not become ready within 20s"),
         (TestbedError::NoLink { from: name(), to: "c1".to_owned() }, "no link from w1 to c1"),
         (TestbedError::NotConnected { from: name(), to: "w2".to_owned() }, "no link between w1 and w2"),
         (
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -262,7 +262,7 @@
         while !load.all_sessions_established() {
             load.turn();
             if load.now() > TIMEOUT.as_secs_f64() {
-                return Err(TestbedError::SessionsNotEstablished { count });
+                return Err(TestbedError::SessionsNotEstablished { count, limit: TIMEOUT });
             }
             std::thread::sleep(Duration::from_millis(2));
         }
--- a/testbed/src/fleet/rig/processes.rs
+++ b/testbed/src/fleet/rig/processes.rs
@@ -56,7 +56,7 @@
             thread::sleep(Duration::from_millis(5));
         }
         self.kill();
-        Err(TestbedError::DidNotStart { name: self.name.clone() })
+        Err(TestbedError::DidNotStart { name: self.name.clone(), limit: PROCESS_TIMEOUT })
     }
 }
 
@@ -108,7 +108,7 @@
             .ok_or(TestbedError::ListenerWithoutAddress)?;
         let config = self.worker_config(name, listen, executor_address);
         let operator = self.operator_file(name, number)?;
-        let temp_folder = self.folder.join(format!("{name}-meets"));
+        let temp_folder = self.folder.join(format!("{name}-temp"));
         std::fs::create_dir_all(&temp_folder).map_err(TestbedError::file(&temp_folder))?;
         let config = self.write_file(format!("{name}.json"), &config.to_string())?;
         let operator = self.write_file(format!("{name}.toml"), &operator)?;
@@ -219,7 +219,7 @@
             }
             thread::sleep(Duration::from_millis(10));
         }
-        Err(TestbedError::DidNotEnd { name: name.to_owned() })
+        Err(TestbedError::DidNotEnd { name: name.to_owned(), limit: PROCESS_TIMEOUT })
     }
 
     /// Hot restarts a worker: starts a successor, and terminates the predecessor once the successor is ready.
@@ -232,7 +232,10 @@
         let deadline = Instant::now() + PROCESS_TIMEOUT;
         while !get(console, "/-/ready").is_ok_and(|response| response.starts_with("HTTP/1.1 200")) {
             if Instant::now() > deadline {
-                return Err(TestbedError::SuccessorNotReady { name: name.to_owned() });
+                return Err(TestbedError::SuccessorNotReady {
+                    name: name.to_owned(),
+                    limit: PROCESS_TIMEOUT,
+                });
             }
             thread::sleep(Duration::from_millis(20));
         }
--- a/testbed/src/loopback/worker_process.rs
+++ b/testbed/src/loopback/worker_process.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the worker may take to announce an address, and to exit after SIGTERM.
+/// How long the worker may take from one log line to the next until it announces an address, and to exit after SIGTERM.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(10);
 
 static NEXT_FOLDER: AtomicU64 = AtomicU64::new(1);
@@ -56,8 +56,10 @@
     /// Waits for the log line that contains `prefix`, and parses the address that follows it.
     pub(super) fn address(&mut self, prefix: &str) -> Result<SocketAddr, TestbedError> {
         loop {
-            let line =
-                self.lines.recv_timeout(PROCESS_TIMEOUT).map_err(|_| TestbedError::WorkerDidNotStart)?;
+            let line = self
+                .lines
+                .recv_timeout(PROCESS_TIMEOUT)
+                .map_err(|_| TestbedError::WorkerDidNotStart { limit: PROCESS_TIMEOUT })?;
             if let Some((_, rest)) = line.split_once(prefix) {
                 let address = rest.split(' ').next().unwrap_or_default();
                 return address.parse().map_err(|_| TestbedError::WorkerNoAddress { line: line.clone() });
@@ -110,7 +112,7 @@
                 return Ok(lines);
             }
             if Instant::now() > deadline {
-                return Err(TestbedError::WorkerDidNotEnd);
+                return Err(TestbedError::WorkerDidNotEnd { limit: PROCESS_TIMEOUT });
             }
             thread::sleep(Duration::from_millis(10));
         }
