--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn random_courses_keep_limit_reserve_and_ceilings_and_end_with_zero_counts() {
+fn random_histories_keep_limit_reserve_and_ceilings_and_end_with_zero_counts() {
     let cases = (plans(), steps(), 0.05..1.5f64, 1usize..60);
     runner(256)
         .run(&cases, |(first, steps, length, survivable_runs)| {
--- a/testbed/tests/fleet/coordinators.rs
+++ b/testbed/tests/fleet/coordinators.rs
@@ -202,7 +202,7 @@
     let mut fleet = FleetUnderTest::start();
     let old = fleet.follower();
     fleet.rig.kill(&old).unwrap();
-    let (folder, copy) = (fleet.rig.folder.join(&old), fleet.rig.folder.join("yesterday"));
+    let (folder, copy) = (fleet.rig.folder.join(&old), fleet.rig.folder.join("outdated-copy"));
     std::fs::rename(&folder, &copy).unwrap();
     std::fs::create_dir_all(&folder).unwrap();
     for entry in std::fs::read_dir(&copy).unwrap().flatten() {
