--- a/src/admission/arrival_rates.rs
+++ b/src/admission/arrival_rates.rs
@@ -41,7 +41,7 @@
     }
 
     /// Arrivals of the tiers above this one (per second).
-    pub(super) fn above(&self, tier: usize) -> f64 {
+    pub(super) fn total_above(&self, tier: usize) -> f64 {
         self.by_tier[..tier].iter().sum()
     }
 
--- a/src/admission/rejection.rs
+++ b/src/admission/rejection.rs
@@ -121,7 +121,7 @@
     fn rate_share_left(&self, tier: Tier, rate: f64) -> f64 {
         match self.run_slots.pools() {
             Some(_) => POOL_WAIT_SHARE,
-            None => (1.0 - self.arrivals.above(tier) / rate).max(MIN_RATE_SHARE_LEFT),
+            None => (1.0 - self.arrivals.total_above(tier) / rate).max(MIN_RATE_SHARE_LEFT),
         }
     }
 
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -1,7 +1,7 @@
 //! A request in progress and its states.
 
 use crate::interface::RequestId;
-use crate::pools::Place;
+use crate::pools::PoolStage;
 
 /// A priority level: 0 has the highest weight.
 pub(super) type Tier = usize;
@@ -38,12 +38,12 @@
         matches!(self, RequestState::Queued | RequestState::QueuedBehindHolder)
     }
 
-    /// The place in which class pools count it, if any.
-    pub(super) fn place(self) -> Option<Place> {
+    /// The stage in which class pools count it, if any.
+    pub(super) fn pool_stage(self) -> Option<PoolStage> {
         match self {
-            RequestState::Queued => Some(Place::Queued),
-            RequestState::Running => Some(Place::OnCores),
-            RequestState::WaitingForCall | RequestState::Calling => Some(Place::AtCall),
+            RequestState::Queued => Some(PoolStage::Queued),
+            RequestState::Running => Some(PoolStage::OnCores),
+            RequestState::WaitingForCall | RequestState::Calling => Some(PoolStage::AtCall),
             RequestState::New | RequestState::QueuedBehindHolder | RequestState::SharingResponse => None,
         }
     }
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -2,15 +2,15 @@
 
 use crate::admission::request::{Request, RequestState};
 use crate::interface::RequestId;
-use crate::pools::Place;
+use crate::pools::PoolStage;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
 /// A change of state, as class pools count it.
 pub(super) struct Transition {
     pub(super) class: usize,
-    pub(super) from: Option<Place>,
-    pub(super) to: Option<Place>,
+    pub(super) from: Option<PoolStage>,
+    pub(super) to: Option<PoolStage>,
 }
 
 /// Requests by ID, queues by tier (oldest first), and counts.
@@ -141,7 +141,11 @@
         if let Some(state) = to {
             self.enter_state(id, &Request { state, ..before });
         }
-        Some(Transition { class: before.class, from: from.place(), to: to.and_then(RequestState::place) })
+        Some(Transition {
+            class: before.class,
+            from: from.pool_stage(),
+            to: to.and_then(RequestState::pool_stage),
+        })
     }
 
     /// Updates the queues and counts for a request that leaves its state.
--- a/src/admission/run_slots.rs
+++ b/src/admission/run_slots.rs
@@ -67,7 +67,7 @@
         }
         let mut pools = Pools::new(plan, &run_lengths.means_s(), self.survivable.at(now));
         for (_, request) in requests.iter() {
-            pools.record_transition(request.class, None, request.state.place());
+            pools.record_transition(request.class, None, request.state.pool_stage());
         }
         self.pools = Some(pools);
     }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -186,14 +186,16 @@
         pool: String,
     },
     /// A class is in two pools.
-    #[error("pools.pool {pool:?}: class {class:?} is already in pool {other:?}; expected at most once")]
+    #[error(
+        "pools.pool {pool:?}: class {class:?} is already in pool {earlier_pool:?}; expected at most once"
+    )]
     ClassInTwoPools {
         /// The later pool.
         pool: String,
         /// The class.
         class: String,
         /// The earlier pool.
-        other: String,
+        earlier_pool: String,
     },
     /// The guarantee of a pool is above its ceiling.
     #[error("pools.pool {pool:?}: guarantee is {guarantee}; expected at most the ceiling, {ceiling}")]
--- a/src/config/pools/assignment.rs
+++ b/src/config/pools/assignment.rs
@@ -58,13 +58,13 @@
             let key = format!("pools.pool {:?}: classes", block.name);
             return Err(ConfigError::UnknownName { key, kind: "class", name: class.to_owned() });
         };
-        if let Some(other) = self.pool_of[index] {
+        if let Some(earlier) = self.pool_of[index] {
             // If the index is beyond the list, it is that of this pool, which lists the class twice.
-            let other = self.pools.get(other).map_or(&block.name, |pool| &pool.name);
+            let earlier_pool = self.pools.get(earlier).map_or(&block.name, |pool| &pool.name);
             return Err(ConfigError::ClassInTwoPools {
                 pool: block.name.clone(),
                 class: class.to_owned(),
-                other: other.clone(),
+                earlier_pool: earlier_pool.clone(),
             });
         }
         self.pool_of[index] = Some(self.pools.len());
--- a/src/dispatch/tests/crossings/simulation.rs
+++ b/src/dispatch/tests/crossings/simulation.rs
@@ -129,7 +129,7 @@
             ..settings()
         };
         Simulation {
-            harness: Harness::with(settings),
+            harness: Harness::with_settings(settings),
             classes,
             grace_s: worker.grace_s,
             sent: Vec::new(),
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -64,10 +64,10 @@
 
 impl Harness {
     fn new() -> Harness {
-        Harness::with(settings())
+        Harness::with_settings(settings())
     }
 
-    fn with(settings: Settings) -> Harness {
+    fn with_settings(settings: Settings) -> Harness {
         let mut out = Vec::new();
         Harness { dispatcher: Dispatcher::new(settings, 0.0, 1000, &mut out), now: 0.0, out }
     }
--- a/src/dispatch/tests/request_handoff.rs
+++ b/src/dispatch/tests/request_handoff.rs
@@ -300,7 +300,8 @@
 #[test]
 fn a_tenant_over_its_quota_gains_nothing_by_a_hot_restart() {
     let of_tenant = |number| Request { tenant: Some(0), retry: true, ..request(number, "") };
-    let with_quota = || Harness::with(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
+    let with_quota =
+        || Harness::with_settings(Settings { tenants: vec![Tenant { quota_per_s: 3.0 }], ..settings() });
     let hand_off = |h: &mut Harness| h.dispatcher.hand_off(h.now, |_| true, &mut Vec::new());
     let mut old = with_quota();
     let full_bucket_tokens = hand_off(&mut old).learned.traffic.tenants[0].tokens;
--- a/src/fleet/overload/capacity_leases/server.rs
+++ b/src/fleet/overload/capacity_leases/server.rs
@@ -46,7 +46,7 @@
 
 impl WorkerCapacity {
     /// The capacity that the worker lends at least until the given time.
-    fn lent(&self, until: f64) -> f64 {
+    fn lent_until(&self, until: f64) -> f64 {
         let loans = self.loans.iter().filter(|loan| loan.until >= until);
         loans.map(|loan| loan.amount).fold(0.0, f64::max)
     }
@@ -142,7 +142,7 @@
     /// `report_received_at`.
     pub fn grant(&mut self, now: f64, report_received_at: f64, worker: u64) -> SliceGrant {
         self.refresh_fair_shares(now);
-        let lent = self.lent(now + SLICE_S);
+        let lent = self.lent_until(now + SLICE_S);
         let others = self.workers.iter().filter(|(id, _)| **id != worker);
         let granted_to_others: f64 = others.map(|(_, worker_state)| worker_state.largest_slice(now)).sum();
         let fair_share = self.fair_shares.by_worker.get(&worker).copied().unwrap_or(0.0);
@@ -155,7 +155,7 @@
         }
         let until = report_received_at + SLICE_S;
         // A worker that lends capacity needs no slice.
-        let may_grant = now >= self.grant_start && until > now && worker_state.lent(now) == 0.0;
+        let may_grant = now >= self.grant_start && until > now && worker_state.lent_until(now) == 0.0;
         let slice = if may_grant { round_down(fair_share.min(lent - granted_to_others)) } else { 0.0 };
         if slice > 0.0 {
             worker_state.granted.push(GrantedSlice { digest, amount: slice, until });
@@ -164,8 +164,8 @@
     }
 
     /// The capacity that all workers together lend at least until the given time.
-    fn lent(&self, until: f64) -> f64 {
-        self.workers.values().map(|worker_state| worker_state.lent(until)).sum()
+    fn lent_until(&self, until: f64) -> f64 {
+        self.workers.values().map(|worker_state| worker_state.lent_until(until)).sum()
     }
 
     fn refresh_fair_shares(&mut self, now: f64) {
@@ -173,7 +173,7 @@
             return;
         }
         self.workers.retain(|_, worker_state| now - worker_state.last_report_at < REMOVE_AFTER_S);
-        let lent = self.lent(now + SLICE_S);
+        let lent = self.lent_until(now + SLICE_S);
         let demand = |(worker, worker_state): (&u64, &WorkerCapacity)| Demand {
             worker: *worker,
             wanted_calls: worker_state.wanted_calls,
@@ -188,7 +188,7 @@
     #[must_use]
     pub fn totals(&self, now: f64) -> CapacityTotals {
         CapacityTotals {
-            lent: self.lent(now),
+            lent: self.lent_until(now),
             granted: self.workers.values().map(|worker_state| worker_state.largest_slice(now)).sum(),
         }
     }
--- a/src/net/frontends/http2/abuse_detection.rs
+++ b/src/net/frontends/http2/abuse_detection.rs
@@ -40,7 +40,7 @@
     /// Read nothing for now.
     Throttle {
         /// Whether this is the first such decision since the client was last within its budget.
-        first: bool,
+        newly_throttled: bool,
     },
     /// Terminate the connection.
     Terminate,
@@ -105,10 +105,10 @@
     }
 
     fn throttle(&mut self, now: f64) -> ReadDecision {
-        let first = self.exhausted_since.is_none();
+        let newly_throttled = self.exhausted_since.is_none();
         let since = *self.exhausted_since.get_or_insert(now);
         if now - since < MAX_THROTTLED_S {
-            ReadDecision::Throttle { first }
+            ReadDecision::Throttle { newly_throttled }
         } else {
             ReadDecision::Terminate
         }
--- a/src/net/frontends/http2/abuse_detection/tests.rs
+++ b/src/net/frontends/http2/abuse_detection/tests.rs
@@ -48,8 +48,8 @@
         loop {
             match detector.charge(now, 8192) {
                 ReadDecision::Read(n) => bytes_read += n,
-                ReadDecision::Throttle { first } => {
-                    assert!(first);
+                ReadDecision::Throttle { newly_throttled } => {
+                    assert!(newly_throttled);
                     pressure.record_abuse(now);
                     break;
                 }
@@ -66,13 +66,16 @@
 fn a_throttled_client_that_sends_requests_recovers() {
     let mut detector = AbuseDetector::new(0.0, BUDGET, true);
     assert_eq!(detector.charge(0.0, 16 * 1024), ReadDecision::Read(12 * 1024));
-    assert_eq!(detector.charge(0.0, 100), ReadDecision::Throttle { first: true });
-    assert_eq!(detector.charge(0.0, 100), ReadDecision::Throttle { first: false });
+    assert_eq!(detector.charge(0.0, 100), ReadDecision::Throttle { newly_throttled: true });
+    assert_eq!(detector.charge(0.0, 100), ReadDecision::Throttle { newly_throttled: false });
     detector.credit(40 * 1024);
     assert_eq!(detector.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Read(8192));
     // Requests that are reset immediately get no credit.
     detector.revoke_credit(1 << 20);
-    assert_eq!(detector.charge(MAX_THROTTLED_S + 1.0, 8192), ReadDecision::Throttle { first: true });
+    assert_eq!(
+        detector.charge(MAX_THROTTLED_S + 1.0, 8192),
+        ReadDecision::Throttle { newly_throttled: true }
+    );
     // A client with no input is not terminated, however long it has been idle.
     assert_eq!(detector.charge(3.0 * MAX_THROTTLED_S, 0), ReadDecision::Read(0));
 }
--- a/src/net/frontends/http2/connection.rs
+++ b/src/net/frontends/http2/connection.rs
@@ -285,8 +285,8 @@
 ) -> ReadDecision {
     let decision = active.abuse_detector.charge(turn.now, available);
     match decision {
-        ReadDecision::Read(_) | ReadDecision::Throttle { first: false } => {}
-        ReadDecision::Throttle { first: true } => {
+        ReadDecision::Read(_) | ReadDecision::Throttle { newly_throttled: false } => {}
+        ReadDecision::Throttle { newly_throttled: true } => {
             pressure.record_abuse(turn.now);
             FrontendEvent::Http2SessionThrottled.emit();
         }
--- a/src/net/frontends/http2/session/response.rs
+++ b/src/net/frontends/http2/session/response.rs
@@ -10,21 +10,21 @@
 
 /// A part of a result that all its responses share; the bytes are not copied per stream.
 pub(super) struct SharedBytes {
-    all: Rc<[u8]>,
+    buffer: Rc<[u8]>,
     part: Range<usize>,
 }
 
 impl SharedBytes {
-    /// The whole of `all`.
-    pub(super) fn new(all: Rc<[u8]>) -> SharedBytes {
-        let part = 0..all.len();
-        SharedBytes { all, part }
+    /// The whole of `buffer`.
+    pub(super) fn new(buffer: Rc<[u8]>) -> SharedBytes {
+        let part = 0..buffer.len();
+        SharedBytes { buffer, part }
     }
 
-    /// Splits off the first `length` bytes, or all if there are fewer.
+    /// Splits off the first `length` bytes, or all bytes if there are fewer.
     fn split_to(&mut self, length: usize) -> SharedBytes {
         let at = (self.part.start + length).min(self.part.end);
-        let first = SharedBytes { all: self.all.clone(), part: self.part.start..at };
+        let first = SharedBytes { buffer: self.buffer.clone(), part: self.part.start..at };
         self.part.start = at;
         first
     }
@@ -36,7 +36,7 @@
     }
 
     fn chunk(&self) -> &[u8] {
-        &self.all[self.part.clone()]
+        &self.buffer[self.part.clone()]
     }
 
     fn advance(&mut self, length: usize) {
--- a/src/pools/counts.rs
+++ b/src/pools/counts.rs
@@ -1,10 +1,10 @@
-//! Numbers of requests by place: queued, on the cores or at a downstream call.
+//! Numbers of requests by stage: queued, on the cores or at a downstream call.
 
 use std::ops::AddAssign;
 
-/// The place of a request, for the accounting of pools.
+/// The stage at which class pools count a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum PoolStage {
     /// Waiting for a run slot.
     Queued,
     /// Running on the cores. Occupies a run slot.
@@ -27,22 +27,22 @@
         self.on_cores + self.at_call
     }
 
-    /// Counts one request that moved; `None` stands for a place that is not counted.
-    pub(super) fn record_transition(&mut self, from: Option<Place>, to: Option<Place>) {
-        if let Some(place) = from {
-            let count = self.count_mut(place);
+    /// Counts one request that moved on; `None` stands for a stage that is not counted.
+    pub(super) fn record_transition(&mut self, from: Option<PoolStage>, to: Option<PoolStage>) {
+        if let Some(stage) = from {
+            let count = self.count_mut(stage);
             *count = count.saturating_sub(1);
         }
-        if let Some(place) = to {
-            *self.count_mut(place) += 1;
+        if let Some(stage) = to {
+            *self.count_mut(stage) += 1;
         }
     }
 
-    fn count_mut(&mut self, place: Place) -> &mut usize {
-        match place {
-            Place::Queued => &mut self.queued,
-            Place::OnCores => &mut self.on_cores,
-            Place::AtCall => &mut self.at_call,
+    fn count_mut(&mut self, stage: PoolStage) -> &mut usize {
+        match stage {
+            PoolStage::Queued => &mut self.queued,
+            PoolStage::OnCores => &mut self.on_cores,
+            PoolStage::AtCall => &mut self.at_call,
         }
     }
 }
--- a/src/pools/mod.rs
+++ b/src/pools/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The admission controller uses them as one of its limits: [`Pools::choose`] returns the request to start next,
 //! [`Pools::expected_slots`] the number of slots that an arrival of a class can expect, [`Pools::is_queue_full`] whether
-//! its queue is at capacity. The controller reports every change of a request's place ([`Pools::record_transition`]),
+//! its queue is at capacity. The controller reports every change of a request's stage ([`Pools::record_transition`]),
 //! every ended run ([`Pools::run_ended`]) and the passage of time ([`Pools::advance`]). Nothing here reads a clock, draws
 //! random numbers or performs I/O.
 //!
@@ -22,7 +22,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use counts::Place;
+pub use counts::PoolStage;
 pub use report::{PoolState, PoolsState};
 
 use crate::interface::{AdmissionEvent, PoolPlan};
@@ -92,8 +92,8 @@
         self.report.limit_changed(before);
     }
 
-    /// Records that a request of this class changed its place; `None` stands for a place that is not counted.
-    pub fn record_transition(&mut self, class: usize, from: Option<Place>, to: Option<Place>) {
+    /// Records that a request of this class moved to another stage; `None` stands for a stage that is not counted.
+    pub fn record_transition(&mut self, class: usize, from: Option<PoolStage>, to: Option<PoolStage>) {
         let pool = self.pool_of(class);
         let (Some(of_class), Some(of_pool)) =
             (self.class_counts.get_mut(class), self.pool_counts.get_mut(pool))
@@ -103,7 +103,7 @@
         of_class.record_transition(from, to);
         of_pool.record_transition(from, to);
         self.total_counts.record_transition(from, to);
-        if (from, to) == (Some(Place::Queued), Some(Place::OnCores)) {
+        if (from, to) == (Some(PoolStage::Queued), Some(PoolStage::OnCores)) {
             self.accounts[pool].started += 1;
         }
     }
--- a/src/pools/slots.rs
+++ b/src/pools/slots.rs
@@ -139,8 +139,8 @@
         let reserved = self.total_reserved_slots().min(self.survivable_runs.saturating_sub(1));
         let rest = self.survivable_runs.saturating_sub(reserved) as f64;
         let guaranteed = (self.plan.pools[pool].guarantee * rest + EPSILON).floor() as usize;
-        let own = guaranteed + self.reserved_slots(pool).min(reserved);
-        own.saturating_sub(self.pool_counts[pool].runs_in_progress())
+        let own_runs = guaranteed + self.reserved_slots(pool).min(reserved);
+        own_runs.saturating_sub(self.pool_counts[pool].runs_in_progress())
     }
 
     /// Whether a pool may start another run and leave all other pools their own shares of the survivable runs. Runs at calls
--- a/src/pools/tests/division.rs
+++ b/src/pools/tests/division.rs
@@ -2,7 +2,7 @@
 
 use super::harness::{plan, pool_spec, reserve, PoolsHarness, Run};
 use crate::interface::PoolPlan;
-use crate::pools::Place;
+use crate::pools::PoolStage;
 
 #[test]
 fn flooding_class_leaves_other_pools_their_guarantee() {
@@ -94,7 +94,7 @@
         harness.arrive(0);
         harness.settle(10.0);
         for Run { class, .. } in std::mem::take(&mut harness.running) {
-            harness.pools.record_transition(class, Some(Place::OnCores), Some(Place::AtCall));
+            harness.pools.record_transition(class, Some(PoolStage::OnCores), Some(PoolStage::AtCall));
             harness.at_calls.push(Run { ends_at: f64::INFINITY, class });
         }
     }
--- a/src/pools/tests/harness.rs
+++ b/src/pools/tests/harness.rs
@@ -1,7 +1,7 @@
 //! Pool plans for tests, and a harness in which requests arrive, run and end.
 
 use crate::interface::{PoolPlan, PoolReserve, PoolSpec};
-use crate::pools::{Place, Pools};
+use crate::pools::{PoolStage, Pools};
 
 pub(super) fn pool_spec(name: &str, guarantee: f64, ceiling: f64, weight: f64) -> PoolSpec {
     PoolSpec { name: name.to_owned(), guarantee, ceiling, weight, queue_capacity: 50 }
@@ -76,7 +76,7 @@
     pub(super) fn arrive(&mut self, class: usize) {
         self.next_id += 1;
         self.queued[class].push(self.next_id);
-        self.pools.record_transition(class, None, Some(Place::Queued));
+        self.pools.record_transition(class, None, Some(PoolStage::Queued));
     }
 
     pub(super) fn advance(&mut self, dt: f64) {
@@ -91,11 +91,11 @@
     /// take `length` seconds. Returns the classes of the started runs.
     pub(super) fn settle(&mut self, length: f64) -> Vec<usize> {
         for Run { class, .. } in take_ended(&mut self.running, self.now) {
-            self.pools.record_transition(class, Some(Place::OnCores), None);
+            self.pools.record_transition(class, Some(PoolStage::OnCores), None);
             self.pools.run_ended(class, length);
         }
         for Run { class, .. } in take_ended(&mut self.at_calls, self.now) {
-            self.pools.record_transition(class, Some(Place::AtCall), Some(Place::OnCores));
+            self.pools.record_transition(class, Some(PoolStage::AtCall), Some(PoolStage::OnCores));
             self.running.push(Run { ends_at: self.now + length, class });
         }
         let mut started = Vec::new();
@@ -108,7 +108,7 @@
                 uses_reserve || self.pools.common_in_use(pool) < self.pools.ceiling(pool),
                 "a run started above the ceiling of its pool"
             );
-            self.pools.record_transition(class, Some(Place::Queued), Some(Place::OnCores));
+            self.pools.record_transition(class, Some(PoolStage::Queued), Some(PoolStage::OnCores));
             self.running.push(Run { ends_at: self.now + length, class });
             started.push(class);
         }
--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -2,7 +2,7 @@
 
 use super::harness::{plan, pool_spec, PoolsHarness, Run};
 use crate::interface::{PoolPlan, PoolReserve};
-use crate::pools::{Counts, Place};
+use crate::pools::{Counts, PoolStage};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -17,10 +17,10 @@
     let pool = (0.0..1.0f64, 0.0..1.0f64, 0.1..5.0f64);
     (vec(pool, 2..5), 0.0..1.0f64, 0usize..4, 0usize..4, 0usize..9).prop_map(
         |(pools, guarantee_sum, reserve_pool, slots, extra_slots)| {
-            let all: f64 = pools.iter().map(|p| p.0).sum::<f64>().max(1e-9);
+            let guarantee_weights: f64 = pools.iter().map(|p| p.0).sum::<f64>().max(1e-9);
             let reserve_pool = reserve_pool % pools.len();
             let specs = pools.iter().enumerate().map(|(i, (g, c, weight))| {
-                let guarantee = g / all * guarantee_sum;
+                let guarantee = g / guarantee_weights * guarantee_sum;
                 pool_spec(
                     &format!("p{i}"),
                     guarantee,
@@ -77,12 +77,16 @@
                     Step::Advance(dt) => harness.advance(dt),
                     Step::ToCall(n) if !harness.running.is_empty() => {
                         let Run { class, .. } = harness.running.remove(n % harness.running.len());
-                        harness.pools.record_transition(class, Some(Place::OnCores), Some(Place::AtCall));
+                        harness.pools.record_transition(
+                            class,
+                            Some(PoolStage::OnCores),
+                            Some(PoolStage::AtCall),
+                        );
                         harness.at_calls.push(Run { ends_at: harness.now + 0.3, class });
                     }
                     Step::Cancel(class) if !harness.queued[class].is_empty() => {
                         harness.queued[class].pop();
-                        harness.pools.record_transition(class, Some(Place::Queued), None);
+                        harness.pools.record_transition(class, Some(PoolStage::Queued), None);
                     }
                     // Slots and pools change, and runs in progress continue and stay counted.
                     Step::Replan(plan) => harness.pools.apply_plan(with_classes(plan)),
--- a/tests/failures/harness.rs
+++ b/tests/failures/harness.rs
@@ -72,8 +72,8 @@
     }
 
     /// Handles the arrival of another attempt with the idempotency key of an earlier request.
-    pub fn repeat_attempt(&mut self, id: u64, of: u64) -> Vec<Action> {
-        let (id, retry_of) = (RequestId(id), Some(RequestId(of)));
+    pub fn repeat_attempt(&mut self, id: u64, earlier_id: u64) -> Vec<Action> {
+        let (id, retry_of) = (RequestId(id), Some(RequestId(earlier_id)));
         self.handle(Event::Arrived(Arrival {
             id,
             class: 1,
--- a/tests/hot_restart/main.rs
+++ b/tests/hot_restart/main.rs
@@ -22,13 +22,13 @@
 }
 
 impl ScriptedProcess {
-    fn on(stream: UnixStream) -> ScriptedProcess {
+    fn new(stream: UnixStream) -> ScriptedProcess {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         ScriptedProcess { stream, buffer: Vec::new() }
     }
 
     fn connect(shared: &SharedListener) -> ScriptedProcess {
-        ScriptedProcess::on(UnixStream::connect(shared.hot_restart_socket()).unwrap())
+        ScriptedProcess::new(UnixStream::connect(shared.hot_restart_socket()).unwrap())
     }
 
     fn send(&mut self, frame: &Frame) {
--- a/tests/hot_restart/peers.rs
+++ b/tests/hot_restart/peers.rs
@@ -97,7 +97,7 @@
         let shared = SharedListener::bind();
         let listener = UnixListener::bind(shared.hot_restart_socket()).unwrap();
         let mut successor = WORKER.start_on(&shared, |_| {});
-        let mut peer = ScriptedProcess::on(listener.accept().unwrap().0);
+        let mut peer = ScriptedProcess::new(listener.accept().unwrap().0);
         assert!(matches!(peer.receive(), Frame::Hello { version: VERSION, .. }));
         let mut executor = successor.accept_link_without_waiting();
         if malformed {
@@ -166,7 +166,7 @@
     let shared = SharedListener::bind();
     let listener = UnixListener::bind(shared.hot_restart_socket()).unwrap();
     let mut successor = WORKER.start_on(&shared, |_| {});
-    let mut peer = ScriptedProcess::on(listener.accept().unwrap().0);
+    let mut peer = ScriptedProcess::new(listener.accept().unwrap().0);
     let mut executor = successor.accept_link_without_waiting();
     assert!(matches!(peer.receive(), Frame::Hello { .. }));
     peer.send(&Frame::Welcome);
@@ -201,7 +201,7 @@
     let shared = SharedListener::bind();
     let listener = UnixListener::bind(shared.hot_restart_socket()).unwrap();
     let mut successor = WORKER.start_on(&shared, |c| c["limits"]["memory_mb"] = json!(16));
-    let mut peer = ScriptedProcess::on(listener.accept().unwrap().0);
+    let mut peer = ScriptedProcess::new(listener.accept().unwrap().0);
     let _executor = successor.accept_link_without_waiting();
     assert!(matches!(peer.receive(), Frame::Hello { .. }));
     peer.send(&Frame::Welcome);
