--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -109,7 +109,7 @@
     /// The session of each link.
     links: BTreeMap<LinkId, SessionId>,
     /// Links whose session is being opened, with the process that opens it.
-    opening: BTreeMap<LinkId, ProcessId>,
+    opening_links: BTreeMap<LinkId, ProcessId>,
     lease_clock: LeaseClock,
     overload: Option<FleetOverload>,
     /// Leases that wait for their holder's successor, by fencing token.
@@ -141,7 +141,7 @@
             is_leader: false,
             sessions: BTreeMap::new(),
             links: BTreeMap::new(),
-            opening: BTreeMap::new(),
+            opening_links: BTreeMap::new(),
             lease_clock: LeaseClock::default(),
             hand_offs: BTreeMap::new(),
             pending_grants: BTreeMap::new(),
@@ -171,7 +171,7 @@
 
     /// Called when this member loses leadership. Drops all pending requests and returns the links that it served.
     pub fn step_down(&mut self) -> Vec<LinkId> {
-        let links = self.links.keys().chain(self.opening.keys()).copied().collect();
+        let links = self.links.keys().chain(self.opening_links.keys()).copied().collect();
         *self = LeaderState::empty(self.checks, self.renewals.next_number(), self.overload.take());
         links
     }
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -13,7 +13,7 @@
     /// Handles a worker's request for a session on this link.
     pub fn on_hello(&mut self, now: f64, link: LinkId, hello: Hello, state: &LeaseStateMachine) {
         let Hello { name, zone, incarnation, version } = hello;
-        self.opening.insert(link, ProcessId { name: name.clone(), incarnation });
+        self.opening_links.insert(link, ProcessId { name: name.clone(), incarnation });
         // Reopening a known session writes nothing to the log, since all workers do so at once after a change of leader.
         let known = state.session_of(&name, incarnation);
         if let Some(id) = known.filter(|id| !self.is_closing(*id)) {
@@ -28,7 +28,7 @@
 
     /// Called when a link was closed.
     pub fn on_link_closed(&mut self, link: LinkId) {
-        self.opening.remove(&link);
+        self.opening_links.remove(&link);
         if let Some(live) = self.links.remove(&link).and_then(|session| self.sessions.get_mut(&session)) {
             if live.link == Some(link) {
                 live.link = None;
@@ -77,10 +77,10 @@
         result: &Result<Outcome, Rejection>,
     ) {
         let process = ProcessId { name: name.to_owned(), incarnation };
-        let waiting = self.opening.iter().filter(|(_, opening)| **opening == process);
+        let waiting = self.opening_links.iter().filter(|(_, opening)| **opening == process);
         let links: Vec<LinkId> = waiting.map(|(link, _)| *link).collect();
         for link in links {
-            self.opening.remove(&link);
+            self.opening_links.remove(&link);
             let answer = match result {
                 Ok(Outcome::Opened(session)) => {
                     self.attach_link(now, *session, link);
--- a/fleet-coordinator/src/replica/recovered_log.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -27,12 +27,12 @@
     #[error(transparent)]
     Parse(#[from] ParseError),
     /// An entry does not directly follow the one before it.
-    #[error("gap in the log: entry {index} follows entry {last}")]
+    #[error("gap in the log: entry {index} follows entry {previous_index}")]
     Gap {
         /// The entry's index.
         index: u64,
         /// The last index before it.
-        last: u64,
+        previous_index: u64,
     },
     /// A member number does not have eight bytes.
     #[error("member number of wrong length; expected 8 bytes")]
@@ -178,7 +178,7 @@
         }
         self.entries.retain(|earlier| earlier.index < entry.index);
         if entry.index != self.last() + 1 {
-            return Err(RecordError::Gap { index: entry.index, last: self.last() });
+            return Err(RecordError::Gap { index: entry.index, previous_index: self.last() });
         }
         self.entries.push(entry);
         Ok(())
--- a/fleet-coordinator/tests/disk.rs
+++ b/fleet-coordinator/tests/disk.rs
@@ -94,7 +94,7 @@
     /// Steps until the condition holds; returns how long that took (seconds).
     fn step_until(
         &mut self,
-        what: &str,
+        expected: &str,
         limit_s: f64,
         mut condition: impl FnMut(&mut Scenario) -> bool,
     ) -> f64 {
@@ -103,7 +103,7 @@
             self.step();
             assert!(
                 self.now - start <= limit_s + 1e-9,
-                "{what}: not within {limit_s} s; the status is {:?}",
+                "{expected}: not within {limit_s} s; the status is {:?}",
                 self.coordinator.replica.status
             );
         }
