--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -292,17 +292,17 @@
         owner: &'static str,
     },
     /// One of several threads of the same kind panicked.
-    #[error("a {what} thread panicked")]
+    #[error("a {kind} thread panicked")]
     Panicked {
         /// What the thread ran.
-        what: &'static str,
+        kind: &'static str,
     },
 
     /// A condition that a measurement waits for did not hold in time.
-    #[error("timed out after {limit:?}: {what}")]
+    #[error("timed out after {limit:?}: {condition}")]
     TimedOut {
         /// The condition.
-        what: String,
+        condition: String,
         /// How long the measurement waited.
         limit: Duration,
     },
--- a/testbed/src/error/tests.rs
+++ b/testbed/src/error/tests.rs
@@ -46,12 +46,12 @@
             "t/port-worker: not built; run cargo build --workspace",
         ),
         (
-            TestbedError::TimedOut { what: "a leader".to_owned(), limit: Duration::from_secs(30) },
+            TestbedError::TimedOut { condition: "a leader".to_owned(), limit: Duration::from_secs(30) },
             "timed out after 30s: a leader",
         ),
         (TestbedError::Missing("leader"), "missing leader"),
         (TestbedError::ThreadFailed { owner: "console" }, "the console thread panicked"),
-        (TestbedError::Panicked { what: "lane" }, "a lane thread panicked"),
+        (TestbedError::Panicked { kind: "lane" }, "a lane thread panicked"),
         (TestbedError::GuaranteeBroken(vec!["a".to_owned(), "b".to_owned()]), "a; b"),
     ];
     for (error, line) in lines {
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -53,10 +53,10 @@
     #[serde(default = "one")]
     pub speed: f64,
     /// Concurrent runs per core beyond which concurrency reduces throughput.
-    #[serde(default = "knee")]
+    #[serde(default = "default_knee")]
     pub knee: f64,
     /// How strongly throughput falls: with an excess of x times the knee's concurrency it is divided by 1 + `thrash` x.
-    #[serde(default = "thrash")]
+    #[serde(default = "default_thrash")]
     pub thrash: f64,
     /// The share of its speed at which a cold executor starts.
     #[serde(default)]
@@ -65,7 +65,7 @@
     #[serde(default)]
     pub cold_s: f64,
     /// The memory for queued and running requests (kilobytes).
-    #[serde(default = "heap_kb")]
+    #[serde(default = "default_heap_kb")]
     pub heap_kb: f64,
 }
 
@@ -79,7 +79,7 @@
     pub call_ms: f64,
     /// How strongly calls slow down beyond the slots: with an excess of x times the slots a call takes 1 + `thrash` x
     /// times as long.
-    #[serde(default = "thrash")]
+    #[serde(default = "default_thrash")]
     pub thrash: f64,
 }
 
@@ -133,7 +133,7 @@
     #[serde(default)]
     pub skip_worth: f64,
     /// The memory that a request declares (kilobytes).
-    #[serde(rename = "need_kb", default = "need_kb")]
+    #[serde(rename = "need_kb", default = "default_need_kb")]
     pub memory_kb: f64,
     /// Steps of the arrival rate of this class alone.
     #[serde(default)]
@@ -189,7 +189,7 @@
     /// On loopback: a flood on the HTTP/2 frontend (`[http2]` in the operator's file).
     pub flood: Option<Flood>,
     /// The number of the flood's connections.
-    #[serde(default = "flood_connections")]
+    #[serde(default = "default_flood_connections")]
     pub flood_connections: usize,
 }
 
@@ -218,23 +218,23 @@
     1.0
 }
 
-fn knee() -> f64 {
+fn default_knee() -> f64 {
     1.4
 }
 
-fn thrash() -> f64 {
+fn default_thrash() -> f64 {
     0.7
 }
 
-fn heap_kb() -> f64 {
+fn default_heap_kb() -> f64 {
     60_000.0
 }
 
-fn flood_connections() -> usize {
+fn default_flood_connections() -> usize {
     4
 }
 
-fn need_kb() -> f64 {
+fn default_need_kb() -> f64 {
     24.0
 }
 
--- a/testbed/src/fleet/compatibility/hot_restart.rs
+++ b/testbed/src/fleet/compatibility/hot_restart.rs
@@ -78,7 +78,7 @@
     while !console_request(rig, "/-/ready")?.starts_with("HTTP/1.1 200") {
         if Instant::now() > end {
             return Err(TestbedError::TimedOut {
-                what: "readiness of the worker".to_owned(),
+                condition: "readiness of the worker".to_owned(),
                 limit: READY_TIMEOUT,
             });
         }
--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -21,11 +21,11 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until a condition holds; returns the time that this took (seconds).
-fn wait(what: &str, mut condition: impl FnMut() -> bool) -> Result<f64, TestbedError> {
+fn wait(condition: &str, mut holds: impl FnMut() -> bool) -> Result<f64, TestbedError> {
     let start = Instant::now();
-    while !condition() {
+    while !holds() {
         if start.elapsed() > TIMEOUT {
-            return Err(TestbedError::TimedOut { what: what.to_owned(), limit: TIMEOUT });
+            return Err(TestbedError::TimedOut { condition: condition.to_owned(), limit: TIMEOUT });
         }
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -62,7 +62,7 @@
             rig.kill(&holder)?;
         } else {
             for c in rig.coordinators() {
-                rig.cut(&holder, &c, false, true)?;
+                rig.set_partition(&holder, &c, false, true)?;
             }
         }
         let elapsed_s = wait("another holder", || {
@@ -75,7 +75,7 @@
         } else {
             after_cut.push(elapsed_s);
             for c in rig.coordinators() {
-                rig.cut(&holder, &c, false, false)?;
+                rig.set_partition(&holder, &c, false, false)?;
             }
         }
         // The worker needs this time to establish a session again before the next takeover.
@@ -210,7 +210,7 @@
         }
         handles
             .into_iter()
-            .map(|h| h.join().unwrap_or(Err(TestbedError::Panicked { what: "taker" })))
+            .map(|h| h.join().unwrap_or(Err(TestbedError::Panicked { kind: "taker" })))
             .collect()
     });
     let total: u64 = per_taker?.iter().sum();
--- a/testbed/src/fleet/overhead.rs
+++ b/testbed/src/fleet/overhead.rs
@@ -46,7 +46,9 @@
         let names = rig.coordinators();
         match self {
             CoordinatorState::Healthy => Ok(()),
-            CoordinatorState::Flapping => names.iter().try_for_each(|c| rig.cut("w1", c, false, false)),
+            CoordinatorState::Flapping => {
+                names.iter().try_for_each(|c| rig.set_partition("w1", c, false, false))
+            }
             CoordinatorState::Killed => names.iter().try_for_each(|c| rig.restart(c)),
             CoordinatorState::Suspended => names.iter().try_for_each(|c| rig.resume(c)),
         }
@@ -151,7 +153,7 @@
                 cut = !cut;
                 let mut rig = lock(&rig);
                 for c in &coordinators {
-                    let _ = rig.cut("w1", c, false, cut);
+                    let _ = rig.set_partition("w1", c, false, cut);
                     rig.reset("w1", c);
                 }
                 drop(rig);
--- a/testbed/src/fleet/overload_storm/comparison.rs
+++ b/testbed/src/fleet/overload_storm/comparison.rs
@@ -47,7 +47,7 @@
                 let handles: Vec<_> =
                     (1..=seeds).map(|seed| scope.spawn(move || simulate(scenario, seed))).collect();
                 let join = |h: std::thread::ScopedJoinHandle<'_, _>| {
-                    h.join().unwrap_or(Err(TestbedError::Panicked { what: "simulation" }))
+                    h.join().unwrap_or(Err(TestbedError::Panicked { kind: "simulation" }))
                 };
                 handles.into_iter().map(join).collect()
             })
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -57,7 +57,7 @@
 /// Number of attempts in one second.
 #[derive(Clone, Copy, Default)]
 struct AttemptCounts {
-    first: f64,
+    first_attempts: f64,
     retries: f64,
 }
 
@@ -165,7 +165,7 @@
         self.result.probe_calls_per_s = self.service.probe_calls as f64 / down_s.max(1e-9) / zones;
         // Only while requests arrive: afterwards there are no first attempts to compare retries with.
         let while_arriving = &self.counts[..self.scenario.length_s as usize];
-        let ratio = |counts: &AttemptCounts| counts.retries / counts.first.max(1.0);
+        let ratio = |counts: &AttemptCounts| counts.retries / counts.first_attempts.max(1.0);
         self.result.peak_retry_ratio = while_arriving.iter().map(ratio).fold(0.0, f64::max);
         self.result.unanswered = self.workers.iter().map(|w| w.attempts_in_flight.len()).sum();
     }
@@ -210,7 +210,7 @@
         }
         let counts = &mut self.counts[now as usize];
         if attempt == 1 {
-            counts.first += 1.0;
+            counts.first_attempts += 1.0;
         } else {
             counts.retries += 1.0;
         }
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -115,7 +115,7 @@
             FaultAction::Pause(name) => rig.pause(name),
             FaultAction::Fill(name) => rig.fill(name, true),
             FaultAction::Replace(name) => rig.replace(name),
-            FaultAction::Cut { from, to, one_way } => rig.cut(from, to, *one_way, true),
+            FaultAction::Cut { from, to, one_way } => rig.set_partition(from, to, *one_way, true),
             FaultAction::Delay { from, to, ms } => {
                 rig.delay(from, to, *ms);
                 Ok(())
@@ -133,7 +133,7 @@
             FaultAction::Kill(name) => rig.restart(name),
             FaultAction::Pause(name) => rig.resume(name),
             FaultAction::Fill(name) => rig.fill(name, false),
-            FaultAction::Cut { from, to, .. } => rig.cut(from, to, false, false),
+            FaultAction::Cut { from, to, .. } => rig.set_partition(from, to, false, false),
             FaultAction::Delay { from, to, .. } => {
                 rig.delay(from, to, 0);
                 Ok(())
@@ -145,7 +145,7 @@
 
 /// Draws a seed's faults, in order of their start.
 #[must_use]
-pub fn draw(seed: u64, length_s: f64, coordinators: &[String], workers: &[String]) -> Vec<Fault> {
+pub fn draw_faults(seed: u64, length_s: f64, coordinators: &[String], workers: &[String]) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut faults: Vec<Fault> = Vec::new();
     let mut begin_s = 0.0;
@@ -321,7 +321,7 @@
         while Instant::now() < end {
             let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             let names = |kind: char, n: usize| (1..=n).map(|n| format!("{kind}{n}")).collect::<Vec<_>>();
-            let faults = draw(seed, faults_s, &names('c', 5), &names('w', 8));
+            let faults = draw_faults(seed, faults_s, &names('c', 5), &names('w', 8));
             let report = run_schedule(&lane_folder, programs, &faults)?;
             let mut shrunk = Vec::new();
             if !report.violations.is_empty() {
@@ -341,7 +341,7 @@
         let lane = &lane;
         let handles: Vec<_> = (0..concurrent_fleets.max(1)).map(|n| scope.spawn(move || lane(n))).collect();
         let join = |h: std::thread::ScopedJoinHandle<'_, _>| {
-            h.join().unwrap_or(Err(TestbedError::Panicked { what: "lane" }))
+            h.join().unwrap_or(Err(TestbedError::Panicked { kind: "lane" }))
         };
         handles.into_iter().map(join).collect()
     });
--- a/testbed/src/fleet/process_campaign/tests.rs
+++ b/testbed/src/fleet/process_campaign/tests.rs
@@ -2,7 +2,7 @@
 
 fn schedule() -> Vec<Fault> {
     let names = |kind: char| (1..=4).map(|n| format!("{kind}{n}")).collect::<Vec<_>>();
-    draw(7, 60.0, &names('c'), &names('w'))
+    draw_faults(7, 60.0, &names('c'), &names('w'))
 }
 
 #[test]
--- a/testbed/src/fleet/rig/faults_command.rs
+++ b/testbed/src/fleet/rig/faults_command.rs
@@ -24,9 +24,9 @@
     /// The command is unknown, or the fault can't be carried out.
     pub fn fault(&mut self, words: &[&str]) -> Result<(), TestbedError> {
         match words {
-            ["cut", a, b] => self.cut(a, b, false, true),
-            ["cut", a, b, "--one-way"] => self.cut(a, b, true, true),
-            ["heal", a, b] => self.cut(a, b, false, false),
+            ["cut", a, b] => self.set_partition(a, b, false, true),
+            ["cut", a, b, "--one-way"] => self.set_partition(a, b, true, true),
+            ["heal", a, b] => self.set_partition(a, b, false, false),
             ["pause", name] => self.pause(name),
             ["resume", name] => self.resume(name),
             ["kill", name] => self.kill(name),
--- a/testbed/src/fleet/rig/relays.rs
+++ b/testbed/src/fleet/rig/relays.rs
@@ -59,14 +59,20 @@
     ///
     /// # Errors
     /// No relay connects the two.
-    pub fn cut(&mut self, from: &str, to: &str, one_way: bool, cut: bool) -> Result<(), TestbedError> {
+    pub fn set_partition(
+        &mut self,
+        from: &str,
+        to: &str,
+        one_way: bool,
+        partitioned: bool,
+    ) -> Result<(), TestbedError> {
         if self.relays_between(from, to).next().is_none() {
             return Err(TestbedError::NotConnected { from: from.to_owned(), to: to.to_owned() });
         }
         for relay in self.relays_between(from, to) {
-            relay.set_cut(from, to, cut);
+            relay.set_cut(from, to, partitioned);
             if !one_way {
-                relay.set_cut(to, from, cut);
+                relay.set_cut(to, from, partitioned);
             }
         }
         Ok(())
--- a/testbed/src/fleet/virtual_fleet/review.rs
+++ b/testbed/src/fleet/virtual_fleet/review.rs
@@ -18,9 +18,9 @@
 
 impl World {
     /// Records a violated guarantee; the run then ends.
-    pub fn violation(&mut self, what: &str) {
+    pub fn violation(&mut self, description: &str) {
         let at = self.now;
-        self.report.violations.push(format!("{at:.3} s: {what}"));
+        self.report.violations.push(format!("{at:.3} s: {description}"));
     }
 
     /// Checks, at the end of a run, that every task is carried out again after the faults.
--- a/testbed/tests/fleet/common.rs
+++ b/testbed/tests/fleet/common.rs
@@ -125,14 +125,14 @@
         std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    /// Waits until `look` returns a value.
-    pub fn wait<T>(&self, what: &str, mut look: impl FnMut(&Rig) -> Option<T>) -> T {
+    /// Waits until `observe` returns a value; `expected` names the value in the message of a failed test.
+    pub fn wait<T>(&self, expected: &str, mut observe: impl FnMut(&Rig) -> Option<T>) -> T {
         let until = Instant::now() + TIMEOUT;
         loop {
-            if let Some(seen) = look(&self.rig) {
+            if let Some(seen) = observe(&self.rig) {
                 return seen;
             }
-            assert!(Instant::now() < until, "{what}: not within {TIMEOUT:?}\n{}", self.log_tails());
+            assert!(Instant::now() < until, "{expected}: not within {TIMEOUT:?}\n{}", self.log_tails());
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -166,8 +166,8 @@
         }
     }
 
-    fn query(&self, what: &OperatorQuery) -> Option<Value> {
-        match query_leader(&self.rig.coordinator_addresses(), "story", what, Duration::from_secs(1)) {
+    fn query(&self, query: &OperatorQuery) -> Option<Value> {
+        match query_leader(&self.rig.coordinator_addresses(), "story", query, Duration::from_secs(1)) {
             QueryOutcome::Answer(answer) => Some(answer),
             _ => None,
         }
@@ -227,7 +227,7 @@
 
     /// Holds back this worker's task calls in transit, or delivers them.
     pub fn hold_task_calls(&mut self, name: &str, held: bool) {
-        self.rig.cut(name, "acts", true, held).unwrap();
+        self.rig.set_partition(name, "acts", true, held).unwrap();
     }
 
     /// Waits until another worker than `old` has carried out the task.
--- a/testbed/tests/fleet/coordinators.rs
+++ b/testbed/tests/fleet/coordinators.rs
@@ -54,7 +54,7 @@
     let mut fleet = FleetUnderTest::start();
     let leader = fleet.leader();
     for other in fleet.rig.coordinators().into_iter().filter(|c| *c != leader) {
-        fleet.rig.cut(&leader, &other, false, true).unwrap();
+        fleet.rig.set_partition(&leader, &other, false, true).unwrap();
     }
     fleet.wait("another leader", |rig| {
         let mut others = rig.coordinators().into_iter().filter(|c| *c != leader);
@@ -62,7 +62,7 @@
     });
     fleet.wait_all_tasks(4);
     for other in fleet.rig.coordinators().into_iter().filter(|c| *c != leader) {
-        fleet.rig.cut(&leader, &other, false, false).unwrap();
+        fleet.rig.set_partition(&leader, &other, false, false).unwrap();
     }
     fleet.wait("one leader", |_| fleet.status(&leader).filter(|s| s["leads"] == false));
     fleet.wait_all_tasks(2);
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -44,15 +44,15 @@
         let holder = fleet.lease_holder("refresh");
         for c in &all {
             match direction {
-                "down" => fleet.rig.cut(c, &holder, true, true).unwrap(),
-                "up" => fleet.rig.cut(&holder, c, true, true).unwrap(),
-                _ => fleet.rig.cut(&holder, c, false, true).unwrap(),
+                "down" => fleet.rig.set_partition(c, &holder, true, true).unwrap(),
+                "up" => fleet.rig.set_partition(&holder, c, true, true).unwrap(),
+                _ => fleet.rig.set_partition(&holder, c, false, true).unwrap(),
             }
         }
         fleet.wait_other_holder("refresh", &holder);
         fleet.assert_all_serve();
         for c in &all {
-            fleet.rig.cut(&holder, c, false, false).unwrap();
+            fleet.rig.set_partition(&holder, c, false, false).unwrap();
         }
         fleet.wait_task_calls("refresh", 2);
     }
@@ -63,13 +63,13 @@
 fn free_lease_is_granted_to_one_of_three_hundred_waiting_sessions() {
     let fleet = FleetUnderTest::start_with_a_free_lease();
     let mut sessions = SessionLoad::new(300, "story", &fleet.rig.coordinator_addresses(), &["wanted"]);
-    let wait = |sessions: &mut SessionLoad, what: &str, condition: &dyn Fn(&SessionLoad) -> bool| {
+    let wait = |sessions: &mut SessionLoad, expected: &str, condition: &dyn Fn(&SessionLoad) -> bool| {
         let deadline = Instant::now() + Duration::from_secs(40);
         while !condition(sessions) {
             sessions.turn();
             let holders = sessions.holders("wanted");
             assert!(holders.len() <= 1, "more than one holder of the lease: {holders:?}");
-            assert!(Instant::now() < deadline, "{what}: not within 40 s");
+            assert!(Instant::now() < deadline, "{expected}: not within 40 s");
             std::thread::sleep(Duration::from_millis(2));
         }
     };
@@ -126,9 +126,9 @@
     let fleet = FleetUnderTest::start();
     for name in fleet.rig.workers() {
         fleet.wait(&format!("totals of six workers at {name}"), |_| {
-            let (of, age) =
+            let (workers, age_s) =
                 (fleet.metric(&name, "fleet.totals.workers")?, fleet.metric(&name, "fleet.totals.age_s")?);
-            (is_exactly(of, 6.0) && age < 10.0).then_some(())
+            (is_exactly(workers, 6.0) && age_s < 10.0).then_some(())
         });
     }
 }
--- a/testbed/tests/fleet/log_lines.rs
+++ b/testbed/tests/fleet/log_lines.rs
@@ -41,9 +41,9 @@
 }
 
 /// Cuts every link between this process and these coordinators, or heals them.
-fn cut(fleet: &mut FleetUnderTest, name: &str, coordinators: &[String], cut: bool) {
+fn set_partitions(fleet: &mut FleetUnderTest, name: &str, coordinators: &[String], partitioned: bool) {
     for coordinator in coordinators {
-        fleet.rig.cut(name, coordinator, false, cut).unwrap();
+        fleet.rig.set_partition(name, coordinator, false, partitioned).unwrap();
     }
 }
 
@@ -53,18 +53,18 @@
     let (coordinators, workers) = (fleet.rig.coordinators(), fleet.rig.workers());
     // The holder is partitioned until the other worker holds its lease.
     let holder = fleet.lease_holder("report");
-    cut(&mut fleet, &holder, &coordinators, true);
+    set_partitions(&mut fleet, &holder, &coordinators, true);
     fleet.wait_other_holder("report", &holder);
-    cut(&mut fleet, &holder, &coordinators, false);
+    set_partitions(&mut fleet, &holder, &coordinators, false);
     fleet.wait("the lease is lost", |_| fleet.log(&holder).contains("lease_lost task=report").then_some(()));
     // A leader in a minority is replaced by another, and learns this when the partition heals.
     let leader = fleet.leader();
     let others: Vec<String> = coordinators.iter().filter(|c| **c != leader).cloned().collect();
-    cut(&mut fleet, &leader, &others, true);
+    set_partitions(&mut fleet, &leader, &others, true);
     fleet.wait("another leader", |_| {
         others.iter().find(|c| fleet.status(c).is_some_and(|s| s["leads"] == true)).cloned()
     });
-    cut(&mut fleet, &leader, &others, false);
+    set_partitions(&mut fleet, &leader, &others, false);
     fleet.wait("one leader", |_| fleet.status(&leader).filter(|s| s["leads"] == false));
     fleet.wait_task_calls("report", 2);
     // Workers that shut down release their leases.
