--- a/src/pools/tests/properties.rs
+++ b/src/pools/tests/properties.rs
@@ -17,10 +17,10 @@
     let pool = (0.0..1.0f64, 0.0..1.0f64, 0.1..5.0f64);
     (vec(pool, 2..5), 0.0..1.0f64, 0usize..4, 0usize..4, 0usize..9).prop_map(
         |(pools, guarantee_sum, reserve_pool, slots, extra_slots)| {
-            let guarantee_weights: f64 = pools.iter().map(|p| p.0).sum::<f64>().max(1e-9);
+            let unscaled_sum: f64 = pools.iter().map(|p| p.0).sum::<f64>().max(1e-9);
             let reserve_pool = reserve_pool % pools.len();
             let specs = pools.iter().enumerate().map(|(i, (g, c, weight))| {
-                let guarantee = g / guarantee_weights * guarantee_sum;
+                let guarantee = g / unscaled_sum * guarantee_sum;
                 pool_spec(
                     &format!("p{i}"),
                     guarantee,
