--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -25,7 +25,7 @@
 use granting::{Backoff, BackoffKey, PendingGrant};
 use port_worker::fleet::frame::{Counters, FleetTotals, ServerMessage};
 use port_worker::fleet::overload::events::OverloadEvent;
-use port_worker::fleet::overload::leader::{Leader, Settings};
+use port_worker::fleet::overload::leader::{OverloadLeader, OverloadLeaderSettings};
 use releasing::HandOff;
 use renewals::Renewal;
 use std::collections::BTreeMap;
@@ -83,13 +83,13 @@
 /// Fleet-wide overload control; present if the configuration file has `[overload]`.
 #[derive(Clone, Debug)]
 struct FleetOverload {
-    settings: Settings,
-    leader: Leader,
+    settings: OverloadLeaderSettings,
+    leader: OverloadLeader,
 }
 
 impl FleetOverload {
-    fn start_term(now: f64, settings: Settings) -> FleetOverload {
-        FleetOverload { settings, leader: Leader::new(now, settings) }
+    fn start_term(now: f64, settings: OverloadLeaderSettings) -> FleetOverload {
+        FleetOverload { settings, leader: OverloadLeader::new(now, settings) }
     }
 }
 
@@ -109,7 +109,7 @@
     /// The session of each link.
     links: BTreeMap<LinkId, SessionId>,
     /// Links whose session is being opened, with the process that opens it.
-    opening: BTreeMap<LinkId, ProcessId>,
+    opening_links: BTreeMap<LinkId, ProcessId>,
     lease_clock: LeaseClock,
     overload: Option<FleetOverload>,
     /// Leases that wait for their holder's successor, by fencing token.
@@ -127,7 +127,7 @@
 impl LeaderState {
     /// Returns the state of a member that is not the leader.
     #[must_use]
-    pub fn new(checks: SafetyChecks, overload: Option<Settings>) -> LeaderState {
+    pub fn new(checks: SafetyChecks, overload: Option<OverloadLeaderSettings>) -> LeaderState {
         let overload = overload.map(|settings| FleetOverload::start_term(0.0, settings));
         LeaderState::empty(checks, 1, overload)
     }
@@ -141,7 +141,7 @@
             is_leader: false,
             sessions: BTreeMap::new(),
             links: BTreeMap::new(),
-            opening: BTreeMap::new(),
+            opening_links: BTreeMap::new(),
             lease_clock: LeaseClock::default(),
             hand_offs: BTreeMap::new(),
             pending_grants: BTreeMap::new(),
@@ -171,7 +171,7 @@
 
     /// Called when this member loses leadership. Drops all pending requests and returns the links that it served.
     pub fn step_down(&mut self) -> Vec<LinkId> {
-        let links = self.links.keys().chain(self.opening.keys()).copied().collect();
+        let links = self.links.keys().chain(self.opening_links.keys()).copied().collect();
         *self = LeaderState::empty(self.checks, self.renewals.next_number(), self.overload.take());
         links
     }
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -11,7 +11,7 @@
 use crate::experiment::Experiment;
 use port_worker::config::Config;
 use port_worker::dispatch::{Command, Input, Request, Response, Ticket};
-use port_worker::fleet::overload::leader::{Leader, Settings as LeaderSettings};
+use port_worker::fleet::overload::leader::{OverloadLeader, OverloadLeaderSettings};
 use port_worker::Outcome;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -57,7 +57,7 @@
 /// Number of attempts in one second.
 #[derive(Clone, Copy, Default)]
 struct AttemptCounts {
-    first: f64,
+    first_attempts: f64,
     retries: f64,
 }
 
@@ -77,7 +77,7 @@
     rng: ChaCha8Rng,
     workers: Vec<Worker>,
     service: Service,
-    leader: Leader,
+    leader: OverloadLeader,
     /// Planned attempts, by time (microseconds) and order of planning.
     attempts: BTreeMap<(u64, u64), NextAttempt>,
     order: u64,
@@ -104,9 +104,9 @@
         let mut world = World {
             workers: (0..scenario.workers).map(|n| Worker::new(scenario, &experiment, &config, n)).collect(),
             service: Service::new(scenario, &experiment.records),
-            leader: Leader::new(
+            leader: OverloadLeader::new(
                 0.0,
-                LeaderSettings { base_calls: scenario.slots_per_worker, retry_share: 0.1 },
+                OverloadLeaderSettings { base_calls: scenario.slots_per_worker, retry_share: 0.1 },
             ),
             rng: ChaCha8Rng::seed_from_u64(seed ^ ROUTING_SEED),
             attempts: BTreeMap::new(),
@@ -165,7 +165,7 @@
         self.result.probe_calls_per_s = self.service.probe_calls as f64 / down_s.max(1e-9) / zones;
         // Only while requests arrive: afterwards there are no first attempts to compare retries with.
         let while_arriving = &self.counts[..self.scenario.length_s as usize];
-        let ratio = |counts: &AttemptCounts| counts.retries / counts.first.max(1.0);
+        let ratio = |counts: &AttemptCounts| counts.retries / counts.first_attempts.max(1.0);
         self.result.peak_retry_ratio = while_arriving.iter().map(ratio).fold(0.0, f64::max);
         self.result.unanswered = self.workers.iter().map(|w| w.attempts_in_flight.len()).sum();
     }
@@ -210,7 +210,7 @@
         }
         let counts = &mut self.counts[now as usize];
         if attempt == 1 {
-            counts.first += 1.0;
+            counts.first_attempts += 1.0;
         } else {
             counts.retries += 1.0;
         }
