--- a/durable-log/src/recovery.rs
+++ b/durable-log/src/recovery.rs
@@ -51,7 +51,7 @@
         file: String,
         /// The size of the dropped data (bytes).
         bytes: usize,
-        /// The last complete record before it.
+        /// The sequence number of the last record before the dropped data.
         last_sequence: u64,
     },
     /// The end of a log, starting with a corrupt record that is followed by a later batch. A crash can't explain this.
@@ -61,7 +61,7 @@
         file: String,
         /// The size of the dropped data (bytes).
         bytes: usize,
-        /// The last complete record before it.
+        /// The sequence number of the last record before the dropped data.
         last_sequence: u64,
     },
 }
@@ -83,7 +83,7 @@
 /// The content of a folder.
 pub(crate) struct FolderContents {
     pub(crate) recovered: Recovered,
-    /// The last record's sequence number, or the last one that the snapshot covers.
+    /// The last record's sequence number; without records, the last one that the snapshot covers.
     pub(crate) last_sequence: u64,
 }
 
--- a/durable-log/src/tests.rs
+++ b/durable-log/src/tests.rs
@@ -99,7 +99,8 @@
     }
 }
 
-/// Checks the test itself: with a disk that ignores file syncs, acknowledged data is lost for some seed.
+/// Shows that the simulated power loss reveals missing syncs: with a disk that ignores file syncs, acknowledged data is lost
+/// for some seed.
 #[test]
 fn a_disk_that_ignores_file_syncs_loses_acknowledged_data() {
     #[derive(Clone)]
--- a/fleet-coordinator/src/coordinator/mod.rs
+++ b/fleet-coordinator/src/coordinator/mod.rs
@@ -18,7 +18,7 @@
 use crate::leader_state::{LeaderState, SafetyChecks};
 use crate::replica::{DiskJob, DiskResult, MemberStatus, Replica, StepError};
 use crate::state_machine::Task;
-use operator_queries::{PendingQuery, FIRST_QUERY_NUMBER};
+use operator_queries::{PendingQuery, QUERY_NUMBER_BASE};
 use port_worker::fleet::frame::{self, ServerMessage, MAX_CLIENT_FRAME_BYTES};
 use port_worker::fleet::overload::leader::Settings as OverloadSettings;
 use std::collections::BTreeMap;
@@ -140,7 +140,7 @@
             peer_names: BTreeMap::new(),
             peer_answers: BTreeMap::new(),
             pending_queries: Vec::new(),
-            last_query: FIRST_QUERY_NUMBER,
+            last_query: QUERY_NUMBER_BASE,
             peers_queried_at: now,
             reported_status: MemberStatus::Recovering,
             outputs: Vec::new(),
--- a/fleet-coordinator/src/coordinator/operator_queries.rs
+++ b/fleet-coordinator/src/coordinator/operator_queries.rs
@@ -13,8 +13,8 @@
 use port_worker::fleet::overload::MAX_TIERS;
 use serde_json::{json, Value};
 
-/// Confirmations for queries have numbers above this, confirmations for heartbeats have numbers below it.
-pub(super) const FIRST_QUERY_NUMBER: u64 = 1 << 40;
+/// Confirmations for queries have numbers above this one, confirmations for heartbeats have lower numbers.
+pub(super) const QUERY_NUMBER_BASE: u64 = 1 << 40;
 /// The maximum number of queries that wait for a confirmation.
 const MAX_PENDING_QUERIES: usize = 64;
 /// How long a query waits for a confirmation (seconds).
@@ -25,9 +25,12 @@
 /// A shedding level can't be pinned: the arguments are invalid or overload control is not configured.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "can't pin the shedding level: expected [overload] in the configuration file, a share of 0 to 1, and a time of 0 to {MAX_PIN_S} s"
+    "can't pin the shedding level with a share of {share} for {for_s} s: expected [overload] in the configuration file, a share of 0 to 1, and a time of 0 to {MAX_PIN_S} s"
 )]
-struct PinRejected;
+struct PinRejected {
+    share: f32,
+    for_s: f64,
+}
 
 /// A query that waits for a quorum to confirm this leader.
 pub(super) struct PendingQuery {
@@ -71,7 +74,7 @@
 
     /// Answers the query that waits for this confirmation; returns whether the number is that of a query.
     pub(super) fn answer_confirmed_query(&mut self, now: f64, number: u64) -> bool {
-        if number <= FIRST_QUERY_NUMBER {
+        if number <= QUERY_NUMBER_BASE {
             return false;
         }
         let position = self.pending_queries.iter().position(|query| query.number == number);
@@ -164,7 +167,7 @@
     fn pin_level(&mut self, now: f64, tier: usize, share: f32, for_s: f64) -> Result<Value, PinRejected> {
         let is_valid = (0.0..=1.0).contains(&share) && (0.0..=MAX_PIN_S).contains(&for_s);
         let Some(leader) = self.leader_state.overload_mut().filter(|_| is_valid) else {
-            return Err(PinRejected);
+            return Err(PinRejected { share, for_s });
         };
         let level = SheddingLevel { tier: tier.min(MAX_TIERS), share };
         leader.pin(level, now + for_s);
--- a/fleet-coordinator/src/events/mod.rs
+++ b/fleet-coordinator/src/events/mod.rs
@@ -102,7 +102,8 @@
         /// These keys.
         keys: Vec<&'static str>,
     },
-    /// A link was closed because it sent data that does not come from a worker, operator or coordinator of this fleet.
+    /// A link was closed because a frame received on it was too long, or did not come from a worker, operator or coordinator
+    /// of this fleet.
     LinkRejected {
         /// The link's number.
         link: LinkId,
--- a/fleet-coordinator/src/leader_state/granting.rs
+++ b/fleet-coordinator/src/leader_state/granting.rs
@@ -92,7 +92,7 @@
         let session = state.sessions.get(&id)?;
         // Of two processes with the same name, the older one is granted leases; it hands them off when it leaves.
         let has_older_process = state.sessions.iter().any(|(other, s)| *other < id && s.name == session.name);
-        let ready = live.link.is_some() && live.closing_since.is_none() && now < live.expires_at;
+        let ready = live.link.is_some() && live.close_proposed_at.is_none() && now < live.expires_at;
         let key = BackoffKey { task: task.name.clone(), worker: session.name.clone() };
         let in_backoff = self.backoffs.get(&key).is_some_and(|backoff| now < backoff.until);
         if has_older_process || !ready || in_backoff {
--- a/fleet-coordinator/src/leader_state/mod.rs
+++ b/fleet-coordinator/src/leader_state/mod.rs
@@ -64,7 +64,7 @@
     counters: Counters,
     counters_at: f64,
     /// When closing the session was last proposed.
-    closing_since: Option<f64>,
+    close_proposed_at: Option<f64>,
 }
 
 impl LiveSession {
--- a/fleet-coordinator/src/leader_state/releasing.rs
+++ b/fleet-coordinator/src/leader_state/releasing.rs
@@ -1,4 +1,4 @@
-//! The end of leases: returned by the holder, handed off to its successor, or expired.
+//! Ends leases that their holder returns or hands off to its successor, and leases that have expired.
 
 use super::{LeaderState, LinkId, ReleaseRequest, PROPOSAL_RETRY_S};
 use crate::ids::SessionId;
--- a/fleet-coordinator/src/leader_state/sessions.rs
+++ b/fleet-coordinator/src/leader_state/sessions.rs
@@ -14,7 +14,8 @@
     pub fn on_hello(&mut self, now: f64, link: LinkId, hello: Hello, state: &LeaseStateMachine) {
         let Hello { name, zone, incarnation, version } = hello;
         self.opening.insert(link, ProcessId { name: name.clone(), incarnation });
-        // Reopening a known session writes nothing to the log, since all workers do so at once after a change of leader.
+        // A known session is reopened without a log entry, since all workers reopen their sessions at once after a change of
+        // leader.
         let known = state.session_of(&name, incarnation);
         if let Some(id) = known.filter(|id| !self.is_closing(*id)) {
             return self.on_session_opened(now, &name, incarnation, &Ok(Outcome::Opened(id)));
@@ -23,7 +24,7 @@
     }
 
     fn is_closing(&self, session: SessionId) -> bool {
-        self.sessions.get(&session).is_some_and(|live| live.closing_since.is_some())
+        self.sessions.get(&session).is_some_and(|live| live.close_proposed_at.is_some())
     }
 
     /// Called when a link was closed.
@@ -64,7 +65,7 @@
         if let Some(live) = self.sessions.get_mut(&session) {
             // While a lease is still to be handed off, the proposal to close the session is rejected.
             // `close_expired_sessions` repeats it once the session holds no lease.
-            live.closing_since = Some(now);
+            live.close_proposed_at = Some(now);
             live.expires_at = now;
         }
     }
@@ -123,9 +124,9 @@
         for id in state.sessions.keys() {
             let live = self.sessions.entry(*id).or_insert_with(|| LiveSession::starting(now));
             let holds_lease = state.leases.values().any(|lease| lease.session == *id);
-            let proposed = live.closing_since.is_some_and(|since| now - since <= PROPOSAL_RETRY_S);
+            let proposed = live.close_proposed_at.is_some_and(|at| now - at <= PROPOSAL_RETRY_S);
             if now >= live.expires_at && !holds_lease && !proposed {
-                live.closing_since = Some(now);
+                live.close_proposed_at = Some(now);
                 self.propose(Command::CloseSession { session: *id });
             }
         }
--- a/fleet-coordinator/src/lease_clock/mod.rs
+++ b/fleet-coordinator/src/lease_clock/mod.rs
@@ -16,7 +16,8 @@
 /// Safety checks. All are enabled in production; tests disable one at a time to show that the violation is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyChecks {
-    /// A new leader does not let a lease expire before the lease's longest TTL has passed since the start of its term.
+    /// A new leader does not let a lease expire before the lease's longest TTL has passed since the start of the
+    /// leader's term.
     pub wait_full_ttl: bool,
     /// Renewals are answered only after a quorum has confirmed the leader.
     pub read_index: bool,
@@ -33,7 +34,7 @@
 pub struct LeaseClock {
     /// The latest time until which the holder may consider the lease valid.
     expires_at: BTreeMap<u64, f64>,
-    /// Leases that are being released or handed off, with the time when that started.
+    /// Leases that are being released or handed off, with the time when that started or when the release was last proposed.
     releasing_since: BTreeMap<u64, f64>,
 }
 
--- a/fleet-coordinator/src/net/mod.rs
+++ b/fleet-coordinator/src/net/mod.rs
@@ -48,10 +48,10 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The event loop or one of its sources failed.
-    #[error("{what}: {source}")]
+    #[error("{part}: {source}")]
     EventLoop {
         /// The part that failed.
-        what: &'static str,
+        part: &'static str,
         /// The event loop's error.
         source: Box<dyn Error>,
     },
@@ -72,8 +72,8 @@
 }
 
 impl NetError {
-    fn event_loop<E: Error + 'static>(what: &'static str) -> impl FnOnce(E) -> NetError {
-        move |source| NetError::EventLoop { what, source: Box::new(source) }
+    fn event_loop<E: Error + 'static>(part: &'static str) -> impl FnOnce(E) -> NetError {
+        move |source| NetError::EventLoop { part, source: Box::new(source) }
     }
 }
 
--- a/fleet-coordinator/src/replica/election.rs
+++ b/fleet-coordinator/src/replica/election.rs
@@ -11,7 +11,7 @@
 /// only this process was paused.
 const MAX_CATCH_UP_TICKS: u32 = 2;
 
-/// The random election timeout for a role in a term.
+/// A random election timeout, which applies as long as the term, the role and the leader stay the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ElectionTimeout {
     term: u64,
--- a/fleet-coordinator/src/replica/recovered_log.rs
+++ b/fleet-coordinator/src/replica/recovered_log.rs
@@ -34,9 +34,9 @@
         /// The last index before it.
         last: u64,
     },
-    /// A member number does not have eight bytes.
-    #[error("member number of wrong length; expected 8 bytes")]
-    MemberNumber,
+    /// A member number has this length (bytes) instead of eight bytes.
+    #[error("member number of {0} bytes; expected 8 bytes")]
+    MemberNumber(usize),
 }
 
 /// Why the content of a store is not a replicated log. Its checksums are valid, so another program has written it.
@@ -163,7 +163,7 @@
             ENTRY => self.read_entry(scan::parse(body)?)?,
             SNAPSHOT => self.read_snapshot(scan::parse(body)?),
             MEMBER => {
-                let number = body.try_into().map_err(|_| RecordError::MemberNumber)?;
+                let number = body.try_into().map_err(|_| RecordError::MemberNumber(body.len()))?;
                 self.member = MemberId(u64::from_le_bytes(number));
             }
             other => return Err(RecordError::UnknownKind(other)),
--- a/fleet-coordinator/src/state_machine/command.rs
+++ b/fleet-coordinator/src/state_machine/command.rs
@@ -17,7 +17,7 @@
     #[serde(default)]
     pub zones: Vec<String>,
     /// How long a holder that failed at the task is not granted it again (milliseconds); doubled with each consecutive
-    /// failure.
+    /// failure, at most `MAX_BACKOFF_DOUBLINGS` times.
     #[serde(rename = "pause_ms", default = "default_backoff_ms")]
     pub backoff_ms: u64,
 }
--- a/fleet-coordinator/src/state_machine/mod.rs
+++ b/fleet-coordinator/src/state_machine/mod.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LeaseStateMachine {
-    /// The latest protocol version whose commands all coordinators can apply; 0 means 1.
+    /// The latest protocol version whose commands all coordinators can apply; 0, the value of an absent key, counts as 1.
     pub version: u32,
     /// The log's time (milliseconds): the maximum over all commands so far.
     #[serde(rename = "at_ms")]
--- a/fleet-coordinator/tests/lease_model/steps.rs
+++ b/fleet-coordinator/tests/lease_model/steps.rs
@@ -198,7 +198,8 @@
         let leader_now = self.now * LEADER_CLOCK_RATE;
         let leader = self.leader_without_proposal()?;
         let lease = leader.state.leases.get(TASK)?.clone();
-        // With a negative retry time a release is due again at once: no proposal is pending here.
+        // No proposal is pending here, so a release that was started before is repeated at once. The negative retry time
+        // makes it due.
         if !leader.clock.start_release_if_expired(leader_now, &lease, -1.0) {
             return None;
         }
--- a/fleet-coordinator/tests/stored_data.rs
+++ b/fleet-coordinator/tests/stored_data.rs
@@ -333,7 +333,8 @@
     );
 }
 
-/// In the order of `commands.jsonl`. Variants that contain an enum occur once for each of its values.
+/// Returns one entry per line of `commands.jsonl`, in the same order. A command that contains an enum occurs once for each
+/// of the enum's values.
 fn one_of_each_command() -> Vec<LogEntry> {
     let lease = || LeaseRef { task: "archive".into(), token: 9 };
     let end_period = |outcome| Command::EndPeriod { lease: lease(), period: 3, outcome };
--- a/src/fleet/frame/messages.rs
+++ b/src/fleet/frame/messages.rs
@@ -59,7 +59,8 @@
     /// Name of the worker that computed the sums.
     #[serde(rename = "by")]
     pub computed_by: String,
-    /// Age of the oldest included counters when they were forwarded (milliseconds).
+    /// Age of the oldest included counters when the coordinator sent them to the worker that computed the sums, plus, in a
+    /// heartbeat's acknowledgement, the time since the coordinator received the sums (milliseconds).
     pub age_ms: u64,
 }
 
@@ -248,7 +249,7 @@
         /// Number of the request that this answers.
         attempt: u64,
     },
-    /// The call of the next period may not be made yet.
+    /// The requested period was not begun: it is not due yet, or the request was rejected.
     #[serde(rename = "not-begun")]
     PeriodNotBegun {
         /// The lease under which the period was requested.
@@ -257,7 +258,7 @@
         /// Time after which the period may be requested again (milliseconds).
         #[serde(rename = "in_ms")]
         retry_after_ms: u64,
-        /// The cause, for logs.
+        /// Why the request was rejected, for logs; empty if the period is not due yet.
         #[serde(rename = "why")]
         reason: String,
     },
--- a/src/fleet/member/receive.rs
+++ b/src/fleet/member/receive.rs
@@ -88,7 +88,7 @@
             self.log(MembershipEvent::LeaseAcquired(lease.clone()));
             self.leases.granted(lease);
         } else {
-            // The worker requested the lease before it began to drain, and no longer acts under it.
+            // The worker requested the lease before it began to drain or to leave, and returns it without acting under it.
             self.send(ClientMessage::ReleaseLease {
                 lease: lease.clone(),
                 failed: false,
--- a/src/fleet/overload/client.rs
+++ b/src/fleet/overload/client.rs
@@ -18,7 +18,7 @@
     pub arrivals: Vec<f64>,
     /// Retries of all tiers.
     pub retries: f64,
-    /// First attempts that this worker rejected on its own.
+    /// Requests that this worker rejected on its own, retries among them; without those that the fleet's decisions rejected.
     pub rejected: f64,
     /// Requests that this worker can complete.
     pub capacity: f64,
--- a/src/fleet/overload/events.rs
+++ b/src/fleet/overload/events.rs
@@ -30,7 +30,7 @@
         /// Initial share of the calls that is admitted.
         call_share: f64,
     },
-    /// Calls take longer than usual, so the share of admitted calls is reduced.
+    /// Calls take longer than `OVERLOADED_LATENCY_FACTOR` times their baseline, so the share of admitted calls is reduced.
     CallsReduced {
         /// Name of the zone.
         zone: String,
--- a/src/fleet/overload/leader.rs
+++ b/src/fleet/overload/leader.rs
@@ -18,7 +18,8 @@
 const MAX_SPREAD_S: f64 = 10.0;
 /// How long the fleet still counts as short of capacity after the last sign of a shortage (seconds).
 const SHORTAGE_HOLD_S: f64 = 3.0;
-/// The fleet counts as short of capacity while its workers reject more than this share of first attempts.
+/// The fleet counts as short of capacity while its workers themselves reject more requests than this share of first
+/// attempts.
 const MAX_REJECTED_SHARE: f64 = 0.01;
 /// Lower bound for the capacity by which demand is divided, which may be reported as 0 (requests per second).
 const MIN_CAPACITY: f64 = 1e-3;
--- a/src/fleet/overload/level.rs
+++ b/src/fleet/overload/level.rs
@@ -20,8 +20,9 @@
 const STEPS_PER_TIER: f64 = 4.0;
 /// Time between two steps while the level relaxes (seconds).
 const RELAX_INTERVAL_S: f64 = 0.5;
-/// Minimum share of first attempts that the workers themselves must reject before a shortage tightens an open level. If they
-/// reject fewer, the shortage may be an error of the reported capacity, which is only an estimate after a start.
+/// Minimum number of requests that the workers themselves must reject, as a share of first attempts, before a shortage
+/// tightens an open level. If they reject fewer, the shortage may be an error of the reported capacity, which is only an
+/// estimate after a start.
 const MIN_REJECTED_SHARE: f64 = 0.01;
 /// Retries count as demand up to this share of first attempts, which the retry budget admits by default. If all retries
 /// counted, shed requests that return as retries would tighten the level further.
@@ -123,7 +124,7 @@
         /// The capacity of the cores (requests per second).
         capacity_per_s: f64,
     },
-    /// Too few workers report to justify shedding.
+    /// Fewer than `MIN_WORKERS` workers report, so the load is unknown.
     TooFewReports,
 }
 
--- a/src/fleet/overload/policy.rs
+++ b/src/fleet/overload/policy.rs
@@ -4,7 +4,7 @@
 //!
 //! Guarantees to callers: the policy only adds rejections to those of admission control, and rejects no request that could
 //! start immediately, except retries beyond the budget; the limit on downstream calls in flight never exceeds the base
-//! allocation minus the loan plus the slice. Times are on the worker's clock (seconds).
+//! allocation minus the loan plus the slice, or one call if that is less. Times are on the worker's clock (seconds).
 
 use super::client::{LoadSample, OverloadDirective};
 use super::random::random_unit;
--- a/src/fleet/overload/report.rs
+++ b/src/fleet/overload/report.rs
@@ -19,7 +19,8 @@
     /// Retries of all tiers.
     #[serde(rename = "f")]
     pub retries: f32,
-    /// First attempts that the worker rejected on its own, excluding those shed by the fleet's level.
+    /// Requests that the worker rejected on its own, retries among them; without those that the fleet's level shed and
+    /// retries beyond the fleet's budget.
     #[serde(rename = "r")]
     pub rejected: f32,
     /// Requests that the worker estimates it can complete.
--- a/src/fleet/overload/retries.rs
+++ b/src/fleet/overload/retries.rs
@@ -34,7 +34,8 @@
         let earned = self.ratio * sums.arrivals.iter().sum::<f64>();
         let spent = sums.retries * self.admitted_share;
         self.balance = (self.balance + (earned - spent) * elapsed_s).clamp(0.0, earned * MAX_BURST_S);
-        // Retries per second: those that are earned now, and the balance at the rate that spends it within one second.
+        // The retries per second that the budget admits: those that are earned now, and the balance at the rate that spends
+        // it within one second.
         let available = earned + self.balance;
         let is_limited = has_shortage && sums.retries > available;
         self.admitted_share = if is_limited { available / sums.retries } else { 1.0 };
--- a/src/fleet/overload/view.rs
+++ b/src/fleet/overload/view.rs
@@ -48,7 +48,7 @@
     pub arrivals: [f64; MAX_TIERS],
     /// Retries of all tiers.
     pub retries: f64,
-    /// First attempts that the workers' own admission control rejected.
+    /// Requests that the workers' own admission control rejected, retries among them.
     pub rejected: f64,
     /// Requests that the workers' cores can complete.
     pub capacity: f64,
