--- a/fleet-coordinator/src/client.rs
+++ b/fleet-coordinator/src/client.rs
@@ -11,8 +11,8 @@
 /// The maximum timeout of a status query to one coordinator. An attempt at a query for the leader has a timeout of at most
 /// twice this.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The timeout of an attempt at a query for the leader is [`ATTEMPT_TIMEOUT`] plus the caller's timeout, which counts as at
-/// least this and at most [`ATTEMPT_TIMEOUT`].
+/// The timeout of an attempt at a query for the leader is the sum of [`ATTEMPT_TIMEOUT`] and the caller's timeout. In this
+/// sum, the caller's timeout is raised to at least this constant and lowered to at most [`ATTEMPT_TIMEOUT`].
 const MIN_LEADER_TIMEOUT: Duration = Duration::from_millis(100);
 /// The pause before all coordinators are queried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
--- a/fleet-coordinator/src/replica/scan/mod.rs
+++ b/fleet-coordinator/src/replica/scan/mod.rs
@@ -36,7 +36,7 @@
 pub struct MessageFields(&'static [(u64, &'static MessageFields)]);
 
 const NO_MESSAGE_FIELDS: MessageFields = MessageFields(&[]);
-/// The metadata's field 1 is `conf_state`.
+/// Field 1 of a snapshot's metadata is `conf_state`.
 const METADATA_FIELDS: MessageFields = MessageFields(&[(1, &NO_MESSAGE_FIELDS)]);
 /// A snapshot's field 2 is `metadata`.
 const SNAPSHOT_FIELDS: MessageFields = MessageFields(&[(2, &METADATA_FIELDS)]);
--- a/src/fleet/totals.rs
+++ b/src/fleet/totals.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReceivedTotals {
     pub(super) totals: FleetTotals,
-    /// On the membership's clock (seconds).
+    /// When the totals were received, on the membership's clock (seconds).
     pub(super) received_at: f64,
 }
 
