--- a/test-support/src/request.rs
+++ b/test-support/src/request.rs
@@ -24,8 +24,8 @@
 }
 
 impl<'a> RequestBuilder<'a> {
-    /// Creates a request of a class that arrives now, without an idempotency key. Unless [`RequestBuilder::id`] is
-    /// called, every call of [`RequestBuilder::text`] uses a new identifier.
+    /// Creates a request of this class without an idempotency key; its time of arrival is now. Unless
+    /// [`RequestBuilder::id`] is called, every call of [`RequestBuilder::text`] uses a new identifier.
     #[must_use]
     pub fn new(class: &'a str) -> RequestBuilder<'a> {
         RequestBuilder {
--- a/tests/admission_properties/main.rs
+++ b/tests/admission_properties/main.rs
@@ -15,10 +15,14 @@
     let mut served = 0;
     for seed in 0..160 {
         let worker = simulate(seed);
-        assert!(worker.responses > 300, "seed {seed}: {} responses", worker.responses);
+        assert!(
+            worker.responses > 300,
+            "seed {seed}: {} responses; expected more than 300",
+            worker.responses
+        );
         served += worker.served;
     }
-    assert!(served > 160 * 30, "{served} runs succeeded in all simulations");
+    assert!(served > 160 * 30, "{served} runs succeeded in all simulations; expected more than 4800");
 }
 
 #[test]
--- a/tests/admission_properties/rules.rs
+++ b/tests/admission_properties/rules.rs
@@ -44,7 +44,10 @@
                     self.settings.signal == Signal::Weight,
                     "a weight is published although the settings disable it"
                 );
-                assert!(*weight >= 0.0 && weight.is_finite(), "the published weight is {weight}");
+                assert!(
+                    *weight >= 0.0 && weight.is_finite(),
+                    "the published weight is {weight}; expected 0 or more"
+                );
             }
             // The simulation handles `WakeIn`; the others do not affect requests.
             Action::WakeIn(_) | Action::Health(_) | Action::Log(_) => {}
@@ -69,7 +72,7 @@
         let now_s = self.now_s;
         let request = self.request(id);
         assert!(!request.responded, "{id:?} gets two responses");
-        assert!(now_s <= latest_s, "{id:?} gets its response late");
+        assert!(now_s <= latest_s, "{id:?} gets its response at {now_s} s; expected by {latest_s} s");
         request.responded = true;
         self.responses += 1;
     }
@@ -192,7 +195,11 @@
         }
         let keys = self.retained_keys.values().filter(|retained| retained.until_s > self.now_s).count();
         kb += keys as f64 * self.settings.key_entry_kb;
-        assert!(kb <= self.settings.memory_kb, "requests and keys take {kb} KB");
+        assert!(
+            kb <= self.settings.memory_kb,
+            "requests and keys take {kb} KB; expected at most {} KB",
+            self.settings.memory_kb
+        );
     }
 
     fn check_runs(&self) {
@@ -209,7 +216,8 @@
         let in_flight = self.requests.values().filter(|request| request.is_calling()).count() as u32;
         assert!(
             f64::from(in_flight) <= dependency.share.max(1.0),
-            "{in_flight} calls in flight exceed the share"
+            "{in_flight} calls in flight exceed the share of {}",
+            dependency.share.max(1.0)
         );
         let now_s = self.now_s;
         self.lingering_calls.retain(|until_s| *until_s > now_s);
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -158,8 +158,12 @@
         if round % 8 == 0 {
             let sent = Instant::now();
             assert_eq!(worker.console_request("GET", "/-/ready").0, 200);
-            // The documented limit is 7.5 s; a response takes 1 ms when nothing else runs.
-            assert!(sent.elapsed() < TIMEOUT / 2, "{:?}", sent.elapsed());
+            // 7.5 s is far more than the 1 ms that a response takes when nothing else runs.
+            assert!(
+                sent.elapsed() < TIMEOUT / 2,
+                "answered after {:?}; expected less than 7.5 s",
+                sent.elapsed()
+            );
         }
     }
     drop(flood);
--- a/tests/crossings/closing.rs
+++ b/tests/crossings/closing.rs
@@ -9,8 +9,8 @@
 fn idle_connection_with_an_unread_request_is_not_evicted() {
     let worker = WORKER.start_with(|c| c["limits"]["sockets"] = json!(96), None);
     let mut executor = worker.accept_link();
-    // Connections that use most of the descriptor limit, each of which has sent a request. With the new clients below
-    // there are more than it allows.
+    // Connections that use most of the descriptor limit; each has made a request. With the new clients below there are
+    // more connections than the limit allows.
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..28 {
         let mut client = Client::connect(worker.http);
--- a/tests/crossings/shutdown.rs
+++ b/tests/crossings/shutdown.rs
@@ -228,7 +228,7 @@
     let mut executor = worker.accept_link();
     let (mut busy, job) = start_run(&worker, &mut executor, &RequestBuilder::new("look"));
     let address = worker.registry.address();
-    // Replacing the registry closes its listener.
+    // Replacing the registry closes the socket of the old one.
     worker.registry = RegistryPeer::start();
     worker.terminate();
     worker.wait_log("shutdown_started");
--- a/tests/failures/health.rs
+++ b/tests/failures/health.rs
@@ -101,8 +101,8 @@
     assert!(later_actions.iter().any(|a| matches!(a, Action::Publish(level) if *level > 0.0)));
 }
 
-/// Guards against a worker that is delisted for late reads and stays idle after it has worked off its backlog; this
-/// took nine seconds.
+/// Guards against a worker that, delisted for late reads, stays delisted and so idle after it has worked off its backlog;
+/// one stayed so for nine seconds.
 #[test]
 fn free_core_ends_a_read_lag_immediately() {
     let recovers = |runnable: f64| {
--- a/tests/failures/scheduling.rs
+++ b/tests/failures/scheduling.rs
@@ -72,7 +72,7 @@
     }
     // However many runs were started before the stall was detected, their number stays near that of the cores.
     let running = (1..140).filter(|&id| !worker.end_run(id, Outcome::Cancelled).is_empty()).count();
-    assert!(running <= 6, "{running} runs");
+    assert!(running <= 6, "{running} runs; expected 6 or fewer");
 }
 
 #[test]
--- a/tests/failures/tenants.rs
+++ b/tests/failures/tenants.rs
@@ -27,8 +27,8 @@
     assert_eq!(order, vec![7, 9, 8, 10]);
 }
 
-/// The excess requests of one tenant that sends three times its share are queued with a tiny weight. Where all tenants
-/// appear to be over quota (after the fleet shrank or lost a zone), none are.
+/// The excess requests of a tenant that sends nine of ten requests, with half of the quotas, are queued with 0.05 of their
+/// weight. Where all tenants appear to be over quota (after the fleet shrank or lost a zone), none are.
 #[test]
 fn only_a_tenant_far_over_its_share_of_arrivals_is_queued_for_less() {
     let admitted = |heavy: bool| {
--- a/tests/hot_restart/peers.rs
+++ b/tests/hot_restart/peers.rs
@@ -218,5 +218,9 @@
     }
     successor.wait_log("hot_restart_state_too_large");
     successor.wait_ready();
-    assert!(successor.resident_kb() < 24.0 * 1024.0, "{} KB", successor.resident_kb());
+    assert!(
+        successor.resident_kb() < 24.0 * 1024.0,
+        "{} KB of resident memory; expected less than 24 MB",
+        successor.resident_kb()
+    );
 }
--- a/tests/hot_restart/requests.rs
+++ b/tests/hot_restart/requests.rs
@@ -209,7 +209,7 @@
     }
     stop.store(true, Ordering::Relaxed);
     let served: u32 = clients.into_iter().map(|c| c.join().unwrap()).sum();
-    assert!(served > 100, "{served} orders were served");
+    assert!(served > 100, "{served} orders were served; expected more than 100");
     assert_eq!(current.metric("svc.concurrent"), 0);
     drop(current);
     let mut order_bodies: Vec<String> = executors.into_iter().flat_map(|e| e.join().unwrap()).collect();
--- a/tests/http/connections.rs
+++ b/tests/http/connections.rs
@@ -72,7 +72,7 @@
 
 /// Guards against evicting a router's connection during a flood of silent clients, for having been idle for longer. A
 /// connection that has carried more than one request must never be evicted, however long it is idle; after a single
-/// request it may be (`Connection::rank`).
+/// request it may be (`Connection::eviction_rank`).
 #[test]
 fn flood_of_silent_clients_evicts_no_used_connection() {
     let worker = WORKER.start_with(|c| c["limits"]["sockets"] = json!(64), None);
@@ -115,10 +115,10 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => busy.push(client),
             result => break result,
         }
-        assert!(busy.len() < 60, "no connection is rejected");
+        assert!(busy.len() < 60, "{} connections were accepted, and none was closed", busy.len());
     };
     assert!(matches!(rejected, Ok(0) | Err(_)), "{rejected:?}");
-    assert!(busy.len() >= 4, "{} connections were accepted", busy.len());
+    assert!(busy.len() >= 4, "{} connections were accepted; expected 4 or more", busy.len());
     // Accepted connections are still served.
     let exec = executor.expect_command("EXEC");
     executor.send_exit(&exec["job"], "PASS", "served");
--- a/tests/http/requests.rs
+++ b/tests/http/requests.rs
@@ -142,7 +142,11 @@
         }
     }
     assert!(rejected > 0);
-    assert!(sent.elapsed().as_millis() < 6000, "rejections were delayed");
+    assert!(
+        sent.elapsed().as_millis() < 6000,
+        "rejections took {:?}; expected less than 6 s",
+        sent.elapsed()
+    );
     assert_eq!(executor.expect_command("EXEC")["kind"], "look");
 }
 
--- a/tests/http2/limits.rs
+++ b/tests/http2/limits.rs
@@ -219,8 +219,8 @@
     );
 }
 
-/// When a connection is needed for a new client, an idle client's unread data may not be a request: it is processed
-/// before the idle connection is evicted. The new client waits for that and is not closed.
+/// An idle connection with unread data is not evicted for a new client before the data is processed, since it may hold a
+/// request. Here it holds only a PING: the new client waits until that is processed, and is not closed.
 #[test]
 fn new_connection_waits_until_unread_frames_of_an_idle_one_are_processed() {
     let worker = WORKER.start_with(|_| {}, Some(&format!("{FRONTEND}connections = 2\n")));
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -197,7 +197,7 @@
     let expected = [("orders", 0.0, 1.0, 1.0, 256), ("rest", 0.0, 1.0, 1.0, 256)];
     assert_eq!(pools.collect::<Vec<_>>(), expected);
 
-    // The file in `deploy/` lists the default values.
+    // The pinned `http2.toml` lists the default values.
     let mut http2 = operator.http2.unwrap();
     let [defaults, _] = pinned_and_current("http2.toml").map(|o| o.http2.unwrap());
     http2.listen = defaults.listen;
