--- a/testbed/src/fleet/measure.rs
+++ b/testbed/src/fleet/measure.rs
@@ -138,7 +138,8 @@
 }
 
 /// Measures the rate at which the leader grants and releases leases, and its memory meanwhile. Each of the `takers` is a
-/// session that acquires and releases the lease of its own task for `for_s` seconds; a lease takes two log commands.
+/// session that acquires and releases the lease of its own task for `for_s` seconds; each lease takes two log commands, one
+/// for its grant and one for its release.
 ///
 /// # Errors
 /// A process does not start, or a session fails.
--- a/testbed/src/fleet/overload_storm/reports.rs
+++ b/testbed/src/fleet/overload_storm/reports.rs
@@ -25,7 +25,7 @@
     digest: FleetDigest,
 }
 
-/// Reports and digests in transit, in order.
+/// Reports and digests in transit, in the order in which they were sent.
 #[derive(Default)]
 pub(super) struct ReportExchange {
     up: VecDeque<ReportInFlight>,
--- a/testbed/src/fleet/overload_storm/service.rs
+++ b/testbed/src/fleet/overload_storm/service.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Time that a cancelled call still occupies the service (seconds), as in the workers' settings.
+/// Time that a cancelled call still occupies the service (seconds); equal to `staysForS` in the workers' settings.
 const CANCELLED_CALL_S: f64 = 0.2;
 /// Duration of a call that fails (seconds).
 const FAILED_CALL_S: f64 = 0.001;
--- a/testbed/src/fleet/overload_storm/world.rs
+++ b/testbed/src/fleet/overload_storm/world.rs
@@ -26,7 +26,7 @@
 const MIN_TIME_LEFT_S: f64 = 0.05;
 /// No retry is planned with less time than this to its deadline (seconds).
 const MIN_RETRY_TIME_S: f64 = 0.1;
-/// Shortest pause before a client's retry, and the pause of one that ignores advice (seconds).
+/// Shortest pause before a client's retry, and the pause of a router that ignores advice (seconds).
 const MIN_PAUSE_S: f64 = 0.05;
 /// Time that a router takes to try another worker (seconds).
 const FAILOVER_PAUSE_S: f64 = 0.002;
@@ -135,7 +135,7 @@
         self.attempts.insert(((at * 1e6) as u64, self.order), next);
     }
 
-    /// Runs to the end.
+    /// Simulates the steps until [`DRAIN_S`] after the last arrivals.
     pub fn run(&mut self) {
         let end = self.scenario.length_s + DRAIN_S;
         let mut steps = 0u64;
@@ -163,7 +163,7 @@
         let zones = self.scenario.zones as f64;
         self.result.peak_calls_per_slot = self.service.peak_per_slot();
         self.result.probe_calls_per_s = self.service.probe_calls as f64 / down_s.max(1e-9) / zones;
-        // Only while requests arrive: afterwards there are no first attempts to compare retries with.
+        // The ratio is taken only while requests arrive: afterwards there are no first attempts to compare retries with.
         let while_arriving = &self.counts[..self.scenario.length_s as usize];
         let ratio = |counts: &AttemptCounts| counts.retries / counts.first.max(1.0);
         self.result.peak_retry_ratio = while_arriving.iter().map(ratio).fold(0.0, f64::max);
@@ -299,7 +299,7 @@
             _ => (0.0, true),
         };
         // After a first rejection that permits retries, a router tries another worker. Clients retry after the advised time.
-        // Those that ignore advice retry after the shortest pause, until the deadline.
+        // Routers that ignore advice retry after the shortest pause, until the deadline.
         let pause = if ignores_advice {
             MIN_PAUSE_S
         } else if !stop_retrying && attempt == 1 {
--- a/testbed/src/fleet/process_campaign.rs
+++ b/testbed/src/fleet/process_campaign.rs
@@ -211,7 +211,9 @@
     let mut rig = Rig::start(FleetFile::decode(FLEET)?, folder, programs.clone())?;
     let mut report = CampaignReport::default();
     if !wait_for_calls(&rig, &rig.task_calls(), 2, RECOVERY_TIMEOUT) {
-        report.violations.push("a task was not carried out twice before the faults".to_owned());
+        report.violations.push(format!(
+            "a task was not carried out twice within {RECOVERY_TIMEOUT:?} before the first fault"
+        ));
     }
     let mut steps: Vec<(u64, bool, &Fault)> = Vec::new();
     for fault in faults {
@@ -314,7 +316,7 @@
 ) -> Result<(String, bool), TestbedError> {
     let end = Instant::now() + Duration::from_secs_f64(for_s.clamp(0.0, 86_400.0));
     let next = std::sync::atomic::AtomicU64::new(from);
-    // A lane runs the schedules of one seed after the other, in a folder of its own.
+    // Each lane is a thread that runs the schedules of seeds one after another, in a folder of its own.
     let lane = |lane: usize| -> Result<Vec<SeedResult>, TestbedError> {
         let lane_folder = folder.join(format!("lane-{lane}"));
         let mut results = Vec::new();
--- a/testbed/src/fleet/virtual_fleet/review.rs
+++ b/testbed/src/fleet/virtual_fleet/review.rs
@@ -9,7 +9,7 @@
 use port_worker::fleet::tasks::ScheduledCall;
 use rand::Rng;
 
-/// Largest time without a completed call of a task at the end of a run, after the faults (seconds).
+/// Largest time that may have passed since a task's last completed call when a run ends (seconds).
 const MAX_RECOVERY_S: f64 = 10.0;
 /// Number of periods of a task that the resource remembers.
 const MAX_PERIODS: usize = 64;
--- a/testbed/src/fleet/virtual_fleet/world.rs
+++ b/testbed/src/fleet/virtual_fleet/world.rs
@@ -98,7 +98,7 @@
     StartCoordinator(usize),
     StartWorker(usize),
     FreeDiskSpace(usize),
-    /// An operator replaces a member that reports a lost disk by a new one.
+    /// An operator replaces a coordinator that reports a lost disk.
     ReplaceMember(usize),
 }
 
--- a/testbed/src/limits.rs
+++ b/testbed/src/limits.rs
@@ -325,7 +325,8 @@
     mean_limit: f64,
     /// The highest mean number of runs per core over 3 s.
     peak_concurrency: f64,
-    /// The time from the end of the slowdown until the throughput of a second reaches 90% of the capacity.
+    /// The time from the end of the slowdown to the end of the first second in which the work done is at least 90% of the
+    /// cores' capacity (seconds).
     recovery_s: f64,
 }
 
--- a/testbed/src/loopback/attempt.rs
+++ b/testbed/src/loopback/attempt.rs
@@ -6,7 +6,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How long after its deadline a client still waits for a response before the request counts as unanswered (seconds).
+/// How long after a request's deadline its client still waits for a response; then the request counts as unanswered
+/// (seconds).
 pub(super) const RESPONSE_GRACE_S: f64 = 1.0;
 /// Set in every request identifier, so that all have 16 hexadecimal digits without leading zeros.
 const REQUEST_ID_BIT: u64 = 1 << 60;
--- a/testbed/src/loopback/executor_server.rs
+++ b/testbed/src/loopback/executor_server.rs
@@ -139,7 +139,7 @@
             "METER" => {
                 let BusyReading { at: since, busy_s: before } = self.busy;
                 let busy = (self.model.busy_s() - before) / (now - since).max(1e-3) / self.cores;
-                // The gauge is a mean since a reading, which is replaced by the current one once it is older than 0.1 s.
+                // The gauge is the mean since the reading in `self.busy`, which is replaced once it is older than 0.1 s.
                 if now - since > 0.1 {
                     self.busy = BusyReading { at: now, busy_s: self.model.busy_s() };
                 }
--- a/testbed/src/loopback/http1_callers.rs
+++ b/testbed/src/loopback/http1_callers.rs
@@ -1,4 +1,4 @@
-//! Callers over HTTP/1.1, with a thread for each request in flight.
+//! Callers over HTTP/1.1. Each has a thread, and at most one request in flight.
 
 use super::attempt::{platform_header_lines, time_left_s, AttemptResponse, RESPONSE_GRACE_S};
 use super::http1_message::{header, read_message};
--- a/testbed/src/loopback/mod.rs
+++ b/testbed/src/loopback/mod.rs
@@ -1,8 +1,8 @@
 //! Runs an experiment on loopback: a real worker process in real time, with the models behind real sockets.
 //!
-//! Each connection of a peer has a thread and, over HTTP/1.1, each caller that has a request in flight has one, so the
-//! number of threads is bounded. All requests are generated in advance, so that each variant receives the same requests at
-//! the same times.
+//! Each connection of a peer has a thread. Callers over HTTP/1.1 have a thread each, and their number is bounded; those
+//! over HTTP/2 share one thread. All requests are generated in advance, so that each variant receives the same requests
+//! at the same times.
 
 mod attempt;
 mod clock;
--- a/testbed/tests/fleet/coordinators.rs
+++ b/testbed/tests/fleet/coordinators.rs
@@ -78,7 +78,11 @@
     let why = fleet.wait_member_status(&leader, "aside");
     assert!(why.contains("append") || why.contains("create"), "{why}");
     // The next log write is due within a task's period, and it fails immediately.
-    assert!(full.elapsed() < Duration::from_secs(10), "{:?}", full.elapsed());
+    assert!(
+        full.elapsed() < Duration::from_secs(10),
+        "suspended {:?} after its disk was full; expected less than 10 s",
+        full.elapsed()
+    );
     fleet.wait_all_tasks(3);
     assert_ne!(fleet.leader(), leader);
     fleet.rig.fill(&leader, false).unwrap();
--- a/testbed/tests/fleet/leases.rs
+++ b/testbed/tests/fleet/leases.rs
@@ -39,7 +39,7 @@
 fn lease_of_a_partitioned_holder_moves_to_another_worker() {
     let mut fleet = FleetUnderTest::start();
     let all = fleet.rig.coordinators();
-    // The holder's renewals arrive but the responses are held back; the renewals are held back; both are.
+    // In turn, the responses to the holder's renewals are held back, then the renewals, then both.
     for direction in ["down", "up", "both"] {
         let holder = fleet.lease_holder("refresh");
         for c in &all {
--- a/testbed/tests/fleet/main.rs
+++ b/testbed/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of real processes under a fault, most with three coordinators and six workers. Tests end with a check of the log of
-//! the resource that the tasks call, whose times are of one clock.
+//! Fleets of real processes under a fault, most with three coordinators and six workers. Most tests end with a check of the
+//! log of the resource that the tasks call; all times in that log are from one clock.
 
 mod common;
 mod coordinators;
--- a/testbed/tests/fleet/overload.rs
+++ b/testbed/tests/fleet/overload.rs
@@ -49,7 +49,7 @@
     std::thread::sleep(Duration::from_secs(3));
     let (calls, elapsed_s) = (calls_made(&fleet) - before, start.elapsed().as_secs_f64());
     // At most two probes per second in each of the two zones, and one per zone that may have been due already.
-    assert!(calls as f64 <= 2.0 * (2.0 * elapsed_s + 1.0), "{calls} calls in {elapsed_s:.1} s");
+    assert!(calls as f64 <= 2.0 * (2.0 * elapsed_s + 1.0), "{calls} probes of two zones in {elapsed_s:.1} s");
     fleet.wait("a probe", |_| (calls_made(&fleet) > before).then_some(()));
     service.set_down(false);
     wait_all(&fleet, "given_up", 0.0);
--- a/testbed/tests/fleet_virtual.rs
+++ b/testbed/tests/fleet_virtual.rs
@@ -19,7 +19,10 @@
         grants += report.grants;
     }
     // Ensures that enough happened for the check to mean something.
-    assert!(accepted > 2000 && grants > 200, "{accepted} calls under {grants} grants");
+    assert!(
+        accepted > 2000 && grants > 200,
+        "{accepted} calls under {grants} grants; expected more than 2000 and 200"
+    );
 }
 
 #[test]
--- a/testbed/tests/pools.rs
+++ b/testbed/tests/pools.rs
@@ -67,7 +67,10 @@
         pools += result.metric("in_aim", Some("status-check"));
         plain += run_in_virtual_time(&experiment, "plain", seed).metric("in_aim", Some("status-check"));
     }
-    assert!(plain < 0.75 * pools, "{plain} against {pools}");
+    assert!(
+        plain < 0.75 * pools,
+        "in_aim of status-check, summed over the seeds: {plain} without pools; expected below 75% of {pools} with them"
+    );
 }
 
 #[test]
